--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -26,6 +26,12 @@
 /// A job none of whose tasks was placed for so long may take the room that is kept for services.
 const STARVES_AFTER: Micros = 70 * SECOND;
 
+/// A job that starved may place at least this many tasks ahead of its turn.
+const CATCH_UP_TASKS: u64 = 8;
+
+/// A batch job begins, or catches up, with one of so many parts of its tasks.
+const BEGINNING_PARTS: u64 = 20;
+
 /// A job that kept failing is tried with twice as many tasks for each such span without a failure.
 const TRIED_WELL: Micros = 10 * SECOND;
 
@@ -243,6 +249,10 @@
     pub waiting_since: Option<Micros>,
     /// When a task was last placed.
     pub placed_at: Micros,
+    /// Set while the job catches up after it starved.
+    catch_up: Option<CatchUp>,
+    /// Whether it has starved once.
+    has_starved: bool,
     pub shape: Shape,
     /// Replicas of a daemon that ended by themselves: how often in a row, and when they are started
     /// again.
@@ -251,6 +261,14 @@
     shunned: BTreeMap<String, Micros>,
 }
 
+/// The turn of a job that starved: several of its tasks are placed ahead of other work.
+#[derive(Clone, Copy, Debug)]
+struct CatchUp {
+    /// When a task was last placed before the job starved.
+    starved_since: Micros,
+    tasks_left: u64,
+}
+
 /// A replica that ran for as long as this begins a new row of ends.
 const STEADY_RUN: Micros = 30 * SECOND;
 /// Longest pause before a replica that keeps ending is started again.
@@ -281,6 +299,8 @@
             run_mean: (0, 0),
             waiting_since: Some(now),
             placed_at: 0,
+            catch_up: None,
+            has_starved: false,
             shape: Shape::of(&record.spec).unwrap_or(Shape::Batch),
             pauses: BTreeMap::new(),
             shunned: BTreeMap::new(),
@@ -406,6 +426,53 @@
         since.is_some_and(|at| now.saturating_sub(at) > STARVES_AFTER)
     }
 
+    /// Gives a job that starves its turn to catch up. The turn covers several tasks, so that a small job
+    /// finishes: with a single task for each time that it starved, the jobs of an overloaded class once
+    /// all began and hardly any of them ended.
+    pub fn begin_catch_up(&mut self, now: Micros) {
+        if self.catch_up.is_none() && self.starves(now) {
+            self.has_starved = true;
+            self.catch_up = Some(CatchUp {
+                starved_since: self.placed_at,
+                tasks_left: self.catch_up_tasks(),
+            });
+        }
+    }
+
+    /// Since when the job starved, and how many tasks it may still place ahead of its turn.
+    pub fn catching_up(&self) -> Option<(Micros, u64)> {
+        self.catch_up
+            .filter(|_| self.waiting() > 0)
+            .map(|turn| (turn.starved_since, turn.tasks_left))
+    }
+
+    /// How many tasks a job that starved may place ahead of its turn.
+    fn catch_up_tasks(&self) -> u64 {
+        self.tasks().div_ceil(BEGINNING_PARTS).max(CATCH_UP_TASKS)
+    }
+
+    /// The priority that decides whether its tasks may be stopped for others. What a job that starved
+    /// caught up with has aged to normal priority: such idle tasks were once stopped seconds later for
+    /// the large array that had starved them.
+    pub fn preemption_priority(&self) -> Precedence {
+        match self.has_starved && self.live() <= self.catch_up_tasks() {
+            true => self.spec.precedence.max(Precedence::Normal),
+            false => self.spec.precedence,
+        }
+    }
+
+    /// Notes that a task was placed.
+    pub fn note_placed(&mut self, now: Micros) {
+        self.placed_at = now;
+        if self.waiting() == 0 {
+            self.waiting_since = None;
+        }
+        if let Some(turn) = &mut self.catch_up {
+            turn.tasks_left = turn.tasks_left.saturating_sub(1);
+        }
+        self.catch_up = self.catch_up.filter(|turn| turn.tasks_left > 0);
+    }
+
     /// Whether tasks have been waiting for as long, though others of it were placed meanwhile.
     pub fn waits_long(&self, now: Micros) -> bool {
         self.waiting_since
@@ -415,7 +482,7 @@
     /// How many tasks a job begins with ahead of its turn; all of those that need to run together.
     pub fn beginning(&self) -> u64 {
         match self.shape {
-            Shape::Batch => self.tasks().div_ceil(20),
+            Shape::Batch => self.tasks().div_ceil(BEGINNING_PARTS),
             _ => self.tasks(),
         }
     }
@@ -599,6 +666,13 @@
         self.slots.iter().map(|(ix, job)| (*ix, job))
     }
 
+    /// Gives each job that starves its turn to catch up.
+    pub fn begin_catch_ups(&mut self, now: Micros) {
+        for job in self.slots.values_mut() {
+            job.begin_catch_up(now);
+        }
+    }
+
     /// The places of all jobs.
     pub fn indices(&self) -> Vec<JobIx> {
         self.slots.keys().copied().collect()
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -302,12 +302,16 @@
                     Shape::Batch => (left * j.spec.vcpus * run) as i64,
                     _ => 0,
                 };
+                let turn = j.catching_up();
                 let level = match j.spec.precedence {
                     Precedence::Prod => 1,
                     Precedence::High => 2,
                     // What is free now, to the one that has waited longest: a large array of higher
                     // priority once kept all of a class from being served.
-                    _ if j.starves(now) => return ((3, false, j.placed_at as i64), ix),
+                    _ if turn.is_some() => {
+                        let since = turn.map_or(0, |(since, _)| since);
+                        return ((3, false, since as i64), ix);
+                    }
                     _ if guaranteed.contains(&ix) => 4,
                     Precedence::Normal => 5,
                     Precedence::Idle => 6,
@@ -336,6 +340,7 @@
             return;
         }
         self.placement.wanted = false;
+        self.jobs.begin_catch_ups(now);
         let queue = self.queue(cx);
         let mut open = self.open_machines(cx);
         self.keep_standby(cx, &mut open);
@@ -352,7 +357,7 @@
                 return false;
             }
             let has = self.has_quota(cx, *ix);
-            let waits = job.must_begin(now) || job.starves(now);
+            let waits = job.must_begin(now) || job.catching_up().is_some();
             if !has && waits && job.placeable(now) > 0 && self.has_quota_soon(cx, *ix, &mut ending)
             {
                 kept.insert(job.spec.owner.clone());
@@ -518,6 +523,10 @@
         if job.must_begin(now) {
             left = left.min(job.beginning());
         }
+        let catches_up = job.catching_up();
+        if let (Some((_, most)), true) = (catches_up, job.spec.precedence < Precedence::High) {
+            left = left.min(most);
+        }
         let spec = job.spec.clone();
         let in_quota = |used: (f64, f64), n: f64| {
             used.0 + spec.vcpus * n <= team.cpus_max + EPS
@@ -589,11 +598,8 @@
                     break 'machines;
                 };
                 job.take(task);
-                job.placed_at = now;
+                job.note_placed(now);
                 *job.zones.entry(zone.clone()).or_insert(0) += 1;
-                if job.waiting() == 0 {
-                    job.waiting_since = None;
-                }
                 left -= 1;
                 let attempt = match together {
                     Some(attempt) => attempt,
@@ -876,7 +882,7 @@
             }
             victims.push(Victim {
                 ran,
-                precedence: job.spec.precedence,
+                precedence: job.preemption_priority(),
                 attempt: a.attempt,
                 team: a.team.clone(),
                 leeway: leeway(micros(job.spec.flush_s)),
