--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -35,6 +35,7 @@
 mod loading;
 
 use contact::PeerView;
+pub(crate) use contact::UnprovenMachines;
 
 /// A call of the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -341,12 +342,12 @@
 
     /// Stops acting as the leader. `resign`: gives the lease back and abstains for a while.
     pub(crate) fn step_down(&mut self, why: &str, resign: bool) {
-        let Some(mut lead) = self.lead.take() else {
+        let Some(lead) = self.lead.take() else {
             return;
         };
         warn!("no longer leader with token {}: {why}", lead.token);
         if !resign {
-            lead.release_unproven(&mut self.cx);
+            self.leave_unproven(&lead);
         }
         for request in lead.waiting_checkins() {
             self.cx.refuse(request, 503, "not the leader any more");
--- a/crates/core/src/leadership/contact.rs
+++ b/crates/core/src/leadership/contact.rs
@@ -9,6 +9,10 @@
 const ASK: Micros = SECOND;
 const ASK_SILENT: Micros = 400 * MILLI;
 
+/// A leader that stepped down waits so long for contact with the state service before it releases the
+/// machines that it left unproven.
+const UNPROVEN_DELAY: Micros = 3 * SECOND;
+
 /// What a peer last said of its contact with the state service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerView {
@@ -185,30 +189,52 @@
     }
 }
 
-impl Lead {
-    /// Releases machines on which cancelled tasks are not proven gone, as far as they do not
-    /// answer: the next leader may be long in coming, and nobody else knows of them.
-    pub(super) fn release_unproven(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
-        let silence = 2 * cx.settings.report;
-        let names: Vec<String> = self
-            .machines
-            .values()
-            .filter(|m| now.saturating_sub(m.last_report) > silence)
-            .filter(|m| {
-                let live = m.assignments.iter().filter(|a| a.may_exist());
-                live.map(|a| self.jobs.get(a.job))
-                    .any(|j| j.is_some_and(|j| j.cancelled.is_some()))
-            })
-            .map(|m| m.name.clone())
-            .collect();
+/// Machines on which a leader that stepped down could not prove cancelled tasks gone.
+#[derive(Debug)]
+pub(crate) struct UnprovenMachines {
+    names: Vec<String>,
+    /// When they are released, unless a successor can read of them in the state service.
+    due: Micros,
+}
+
+impl Node {
+    /// Takes over what the leader that steps down leaves unproven.
+    pub(super) fn leave_unproven(&mut self, lead: &Lead) {
+        let names = lead.unproven_machines(self.cx.now.steady, 2 * self.cx.settings.report);
         if names.is_empty() {
             return;
         }
-        info!("released, with cancelled tasks: {}", names.join(", "));
-        for perches in names.chunks(RELEASE_MOST) {
+        let due = self.cx.now.steady + UNPROVEN_DELAY;
+        let left = self.unproven.get_or_insert(UnprovenMachines {
+            names: Vec::new(),
+            due,
+        });
+        left.names.extend(names);
+    }
+
+    /// When machines that were left unproven are due.
+    pub(crate) fn unproven_due(&self) -> Micros {
+        self.unproven.as_ref().map_or(Micros::MAX, |left| left.due)
+    }
+
+    /// Releases machines that were left unproven, if the state service has been out of reach since:
+    /// then the next leader may be long in coming, and nobody else knows of them. Otherwise the next
+    /// leader reads which tasks are there. A leader that had stood still, and to which all machines
+    /// seemed silent, once released sixty that already reported to its successor.
+    pub(crate) fn run_unproven(&mut self) {
+        if self.cx.now.steady < self.unproven_due() {
+            return;
+        }
+        let Some(left) = self.unproven.take() else {
+            return;
+        };
+        if self.cx.in_contact(SILENT) {
+            return;
+        }
+        info!("released, with cancelled tasks: {}", left.names.join(", "));
+        for perches in left.names.chunks(RELEASE_MOST) {
             let perches = perches.to_vec();
-            cx.call(
+            self.cx.call(
                 Target::Cloud,
                 "POST",
                 "/rentals/release".into(),
@@ -220,5 +246,24 @@
     }
 }
 
+impl Lead {
+    /// Machines that do not answer and on which cancelled tasks are not proven gone.
+    fn unproven_machines(&self, now: Micros, silence: Micros) -> Vec<String> {
+        let may_run_cancelled = |machine: &&Machine| {
+            let mut live = machine.assignments.iter().filter(|a| a.may_exist());
+            live.any(|a| {
+                let job = self.jobs.get(a.job);
+                job.is_some_and(|job| job.cancelled.is_some())
+            })
+        };
+        self.machines
+            .values()
+            .filter(|machine| now.saturating_sub(machine.last_report) > silence)
+            .filter(may_run_cancelled)
+            .map(|machine| machine.name.clone())
+            .collect()
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,7 +1,7 @@
 //! One controller: dispatches inputs to the parts, and keeps what all of them share.
 
 use crate::cancellations::Cancellations;
-use crate::leadership::{Election, Lead};
+use crate::leadership::{Election, Lead, UnprovenMachines};
 use crate::pace::Bucket;
 use crate::users::{PastJobs, PastReads, UserCall};
 use crate::view::{View, ViewCall};
@@ -194,6 +194,8 @@
     pub view: View,
     /// What the leader last said of live jobs: completed and running tasks.
     pub progress: BTreeMap<String, (u64, u64)>,
+    /// What this node left unproven when it last stepped down.
+    pub(crate) unproven: Option<UnprovenMachines>,
     catalogue_at: Micros,
     catalogue_from_state: bool,
     started: bool,
@@ -236,6 +238,7 @@
             past_reads: PastReads::new(),
             view: View::default(),
             progress: BTreeMap::new(),
+            unproven: None,
             catalogue_at: 0,
             catalogue_from_state: true,
             started: false,
@@ -277,6 +280,7 @@
     /// When the next [`Input::Tick`] is due.
     pub fn next_wake(&self) -> Micros {
         let mut at = self.election.next_wake().min(self.view.next_wake());
+        at = at.min(self.unproven_due());
         if self.cx.catalogue.is_none() {
             at = at.min(self.catalogue_at);
         }
@@ -466,5 +470,6 @@
         self.run_election();
         self.run_view();
         self.run_lead(watch);
+        self.run_unproven();
     }
 }
