--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -172,6 +172,11 @@
         self.gone.contains_key(name)
     }
 
+    /// Whether the machine's return is under way.
+    pub fn is_releasing(&self, name: &str) -> bool {
+        self.releasing.contains(name)
+    }
+
     /// Whether we wait for the machine to come up.
     pub fn is_booting(&self, name: &str) -> bool {
         self.boots.get(name).is_some_and(|b| !b.up)
--- a/crates/core/src/fleet/decider.rs
+++ b/crates/core/src/fleet/decider.rs
@@ -682,7 +682,7 @@
     /// and nothing could be rented.
     fn stop_emptying(&mut self, now: Micros) {
         for m in self.machines.values_mut().filter(|m| m.emptying) {
-            if m.assignments.is_empty() || self.fleet.releasing.contains(&m.name) {
+            if m.assignments.is_empty() || self.fleet.is_releasing(&m.name) {
                 continue;
             }
             info!("{}: is not emptied any more, work waits", m.name);
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -5,7 +5,7 @@
 use grebewood_wire::http::{to_value, MachineType, Precedence, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::{JobRecord, DONE_SPAN};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Place of a job in the job table.
 pub type JobIx = u32;
@@ -35,6 +35,9 @@
 /// A job that kept failing is tried with twice as many tasks for each such span without a failure.
 const TRIED_WELL: Micros = 10 * SECOND;
 
+/// A job none of whose tasks ever succeeded is suspect once some failed on so many machines.
+const SUSPECT_MACHINES: usize = 2;
+
 /// Most tasks that a job may have.
 pub const MAX_TASKS: u64 = 100_000;
 const MAX_NAME: usize = 150;
@@ -231,6 +234,8 @@
     pub errors: u32,
     /// Machines that were returned because its tasks alone kept failing there.
     pub blamed: u32,
+    /// Machines on which its tasks failed, as many as are needed to suspect it.
+    failed_on: BTreeSet<String>,
     pub retry_at: Micros,
     /// Since when some task of it has been running without any that failed.
     pub running_well_since: Micros,
@@ -290,6 +295,7 @@
             ending: None,
             errors: 0,
             blamed: 0,
+            failed_on: BTreeSet::new(),
             retry_at: 0,
             running_well_since: 0,
             zones: BTreeMap::new(),
@@ -355,11 +361,6 @@
         self.shunned.get(machine).is_some_and(|until| *until > now)
     }
 
-    /// On how many machines a replica ended by itself lately.
-    pub fn shunned_machines(&self) -> usize {
-        self.shunned.len()
-    }
-
     fn pauses(&self, task: u64, now: Micros) -> bool {
         self.pauses
             .get(&task)
@@ -533,6 +534,24 @@
         self.cancelled.map(|at| (now as i64 - at).max(0) as Micros)
     }
 
+    /// Notes that one of its tasks failed on the machine.
+    pub fn note_failure(&mut self, machine: &str) {
+        if self.failed_on.len() < SUSPECT_MACHINES {
+            self.failed_on.insert(machine.to_string());
+        }
+    }
+
+    /// Whether the job itself is likely to be at fault: its tasks failed on several machines, and none
+    /// has ever succeeded. Jobs submitted with a mistake fail everywhere; when two of them met on a
+    /// machine it was once returned as faulty, fifty sound ones on one day.
+    pub fn is_suspect(&self) -> bool {
+        match self.shape {
+            // No replica of a service ever succeeds.
+            Shape::Daemon => self.shunned.len() >= SUSPECT_MACHINES,
+            _ => self.done_count == 0 && self.failed_on.len() >= SUSPECT_MACHINES,
+        }
+    }
+
     /// Whether its tasks keep failing: then they are tried one at a time at first.
     pub fn keeps_failing(&self) -> bool {
         self.errors >= 3
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -1,6 +1,6 @@
 //! Machines as their workers report them, and what is known to be on them.
 
-use crate::jobs::{error_backoff, parse_task, Job, JobIx, EPS};
+use crate::jobs::{error_backoff, parse_task, Job, JobIx, Jobs, EPS};
 use crate::leadership::Lead;
 use crate::ledger::Rec;
 use crate::node::{Ctx, LeadCall, Node};
@@ -18,6 +18,7 @@
 mod machine;
 
 pub use held::{Held, Parked};
+use machine::Blame;
 pub use machine::{Assignment, Machine, Reap, Seen, Stop};
 
 /// How long a check-in may wait for a flush before it is answered with what there is.
@@ -47,6 +48,9 @@
 /// Most commands in one answer, so that it stays below the size limit.
 const MOST_ORDERS: usize = 300;
 
+/// Most machines that are returned because the tasks of one job alone failed there.
+const MOST_BLAMED_BY_ONE_JOB: u32 = 2;
+
 /// How a report came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
@@ -451,6 +455,7 @@
         };
         let a = m.assignments[at].clone();
         let mut after = Vec::new();
+        let mut failed = false;
         let job = self.jobs.get_mut(a.job);
         match (cause, job) {
             ("no_room" | "busy", _) => {
@@ -467,11 +472,7 @@
                 if a.stop.is_none() {
                     info!("{shard}: {cause} on {name} after {} s", ran / SECOND);
                     job.replica_ended(a.task, name, ran, now);
-                    // A service with a mistake fails everywhere: that says nothing of the machines, none
-                    // of which sees another of its tasks succeed.
-                    if cause == "error" && job.shunned_machines() < 2 {
-                        m.failed(job);
-                    }
+                    failed = cause == "error";
                 }
             }
             ("done", Some(job)) => {
@@ -490,7 +491,7 @@
                 job.errors += 1;
                 job.retry_at = now + error_backoff(job.errors);
                 job.running_well_since = now;
-                m.failed(job);
+                failed = true;
                 info!("{shard}: error on {name}");
             }
             ("unknown", Some(job)) => {
@@ -499,6 +500,9 @@
             }
             _ => {}
         }
+        if failed {
+            self.note_failure(cx, name, a.job);
+        }
         self.free(cx, name, at);
         if let Some(m) = self.machines.get_mut(name) {
             m.reaps.push(Reap {
@@ -511,6 +515,49 @@
         self.end_if_over(cx, a.job);
     }
 
+    /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is
+    /// returned; by a single job alone two machines are at the most.
+    fn note_failure(&mut self, cx: &Ctx, name: &str, ix: JobIx) {
+        let Some(job) = self.jobs.get_mut(ix) else {
+            return;
+        };
+        let id = job.id.clone();
+        let was_suspect = job.is_suspect();
+        job.note_failure(name);
+        if job.is_suspect() && !was_suspect {
+            self.acquit_machines(cx);
+        }
+        let suspect = |id: &str| is_suspect(&self.jobs, id);
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        machine.note_failure(&id, suspect);
+        if machine.closing && !machine.emptying {
+            return;
+        }
+        match (machine.blame(), self.jobs.get_mut(ix)) {
+            (Blame::ByTwoJobs, _) => machine.retire_as_faulty(),
+            (Blame::ByOneJob, Some(job)) if job.blamed < MOST_BLAMED_BY_ONE_JOB => {
+                job.blamed += 1;
+                machine.retire_as_faulty();
+            }
+            _ => {}
+        }
+    }
+
+    /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
+    /// others are left that speak against them.
+    fn acquit_machines(&mut self, cx: &Ctx) {
+        let suspect = |id: &str| is_suspect(&self.jobs, id);
+        for machine in self.machines.values_mut().filter(|m| m.faulty) {
+            machine.forget_failures(suspect);
+            if machine.blame() == Blame::None && !self.fleet.is_releasing(&machine.name) {
+                machine.keep_after_all();
+                self.placement.want(cx.now.steady);
+            }
+        }
+    }
+
     /// A worker reports an exit of an attempt that is on no page of ours, such as one whose
     /// removal was written before an earlier leader could have it reaped.
     fn exited_unknown(
@@ -1043,6 +1090,12 @@
     }
 }
 
+/// Whether failures of the job's tasks say nothing of a machine; of a job that is over nothing is known.
+fn is_suspect(jobs: &Jobs, id: &str) -> bool {
+    let job = jobs.find(id).and_then(|ix| jobs.get(ix));
+    job.is_none_or(Job::is_suspect)
+}
+
 /// Stops for the tasks on a machine whose jobs are known to be cancelled.
 fn cancelled_here(cx: &Ctx, report: &Report) -> Vec<Order> {
     let live = report.shards.iter().filter(|s| s.status != "exited");
--- a/crates/core/src/workers/machine.rs
+++ b/crates/core/src/workers/machine.rs
@@ -123,6 +123,8 @@
     pub emptying: bool,
     /// Jobs whose tasks failed in a row without a success, a name for each task.
     pub errors: Vec<String>,
+    /// It is closing because tasks failed here.
+    pub faulty: bool,
     /// Nothing is placed on it before this time, after it refused a task.
     pub shy_until: Micros,
     /// Idle work is kept off until then: room is being made for work of higher priority.
@@ -136,6 +138,22 @@
     pub deaf_since: Option<Micros>,
 }
 
+/// Failures of one job's tasks in a row that a machine is blamed for.
+const FAILURES_OF_ONE_JOB: usize = 4;
+/// Most failures that are remembered of a machine.
+const MOST_FAILURES: usize = 8;
+
+/// What failures on a machine say of it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Blame {
+    /// Nothing yet.
+    None,
+    /// Tasks of one job alone fail there: the job may be at fault.
+    ByOneJob,
+    /// Tasks of different jobs fail there.
+    ByTwoJobs,
+}
+
 impl Machine {
     pub fn new(report: &Report, build: Option<&MachineType>, now: Micros) -> Self {
         Machine {
@@ -168,6 +186,7 @@
             closing: false,
             emptying: false,
             errors: Vec::new(),
+            faulty: false,
             shy_until: 0,
             kept_until: 0,
             listed: None,
@@ -214,19 +233,47 @@
         }
     }
 
-    /// A task of the job failed here. Tasks of different jobs do, and none has succeeded in between; or
-    /// those of one job do, which alone says little: it is blamed on two machines at the most.
-    pub(super) fn failed(&mut self, job: &mut Job) {
-        self.errors.push(job.id.clone());
-        let others = self.errors.iter().any(|id| *id != job.id);
-        let often = self.errors.len() >= 4 && job.blamed < 2;
-        if (others || often) && (!self.closing || self.emptying) {
-            warn!("{}: faulty, to be returned", self.name);
-            self.closing = true;
-            self.emptying = false;
-            job.blamed += u32::from(!others);
+    /// Notes that a task of the job failed here. Failures of a `suspect` job say nothing of the machine.
+    pub(super) fn note_failure(&mut self, job: &str, suspect: impl Fn(&str) -> bool) {
+        self.errors.push(job.to_string());
+        self.forget_failures(suspect);
+        let excess = self.errors.len().saturating_sub(MOST_FAILURES);
+        self.errors.drain(..excess);
+    }
+
+    /// Forgets the failures of suspect jobs.
+    pub(super) fn forget_failures(&mut self, suspect: impl Fn(&str) -> bool) {
+        self.errors.retain(|id| !suspect(id));
+    }
+
+    /// What the failures since the last success say of the machine.
+    pub(super) fn blame(&self) -> Blame {
+        let first = self.errors.first();
+        if self.errors.iter().any(|id| Some(id) != first) {
+            return Blame::ByTwoJobs;
         }
-        self.errors.truncate(8);
+        match self.errors.len() >= FAILURES_OF_ONE_JOB {
+            true => Blame::ByOneJob,
+            false => Blame::None,
+        }
+    }
+
+    /// Takes no new tasks any more, and is returned once it is empty.
+    pub(super) fn retire_as_faulty(&mut self) {
+        warn!("{}: faulty, to be returned", self.name);
+        self.closing = true;
+        self.emptying = false;
+        self.faulty = true;
+    }
+
+    /// Takes tasks again: it was not at fault.
+    pub(super) fn keep_after_all(&mut self) {
+        info!(
+            "{}: not faulty, jobs that failed there fail elsewhere too",
+            self.name
+        );
+        self.closing = false;
+        self.faulty = false;
     }
 
     /// Whether new tasks may be placed here.
--- a/crates/core/src/workers/machine/tests.rs
+++ b/crates/core/src/workers/machine/tests.rs
@@ -60,3 +60,32 @@
     a.launched = Some((1, 7));
     assert!(!a.recovered());
 }
+
+/// Two jobs with a mistake that met on a machine once had it returned, though it was sound.
+#[test]
+fn failures_of_suspect_jobs_say_nothing_of_a_machine() {
+    let mut sound = machine(0);
+    let broken = |id: &str| id.starts_with("broken");
+    for _ in 0..10 {
+        sound.note_failure("broken-1", broken);
+        sound.note_failure("broken-2", broken);
+        assert_eq!(sound.blame(), Blame::None);
+    }
+    sound.note_failure("req-1", broken);
+    sound.note_failure("broken-1", broken);
+    assert_eq!(sound.blame(), Blame::None);
+    sound.note_failure("req-2", broken);
+    assert_eq!(sound.blame(), Blame::ByTwoJobs);
+}
+
+/// One job alone is blamed after its fourth failure, and takes all of them with it once it is suspect.
+#[test]
+fn failures_of_one_job_alone_are_blamed_after_the_fourth() {
+    let mut faulty = machine(0);
+    for expected in [Blame::None, Blame::None, Blame::None, Blame::ByOneJob] {
+        faulty.note_failure("req-1", |_| false);
+        assert_eq!(faulty.blame(), expected);
+    }
+    faulty.forget_failures(|id| id == "req-1");
+    assert_eq!(faulty.blame(), Blame::None);
+}
