--- /dev/null
+++ b/crates/testkit/src/world/controllers.rs
@@ -0,0 +1,234 @@
+//! The controllers: their steps, their calls and the links that these take.
+
+use super::*;
+
+impl World {
+    pub(super) fn step(&mut self, n: usize, process: u64, input: Input) {
+        let now = Now {
+            steady: self.now,
+            wall: self.wall + self.now,
+        };
+        let slot = &mut self.slots[n];
+        if slot.process != process {
+            return;
+        }
+        let Some(node) = &mut slot.node else { return };
+        if let Input::Reply { call, .. } = &input {
+            if slot.renewals.remove(call) {
+                slot.unsure = false;
+            }
+        }
+        let effects = node.step(now, input, &mut NoStopwatch);
+        for effect in effects {
+            let what = self.on_unsure_grant(n, &effect);
+            if let (true, Some(what)) = (self.slots[n].unsure, what) {
+                self.broken
+                    .get_or_insert(format!("perch-{n}, back from a standstill, {what}"));
+            }
+            match effect {
+                Effect::Answer {
+                    id, status, body, ..
+                } => {
+                    if let Some(asker) = self.requests.remove(&(n, id)) {
+                        self.confirmed(n, &asker, status, &status_in(&body));
+                        self.push(self.now + MS, Ev::Answered(asker, n, status, body));
+                    }
+                }
+                Effect::Call(call) => {
+                    let caller = Caller {
+                        node: n,
+                        process,
+                        call: call.id,
+                    };
+                    self.open_calls.insert(caller);
+                    let unknown = Input::Reply {
+                        call: call.id,
+                        outcome: Outcome::Unknown,
+                    };
+                    self.push(self.now + call.timeout, Ev::Input(n, process, unknown));
+                    self.send(caller, call);
+                }
+            }
+        }
+        self.deliver_kept(n);
+    }
+
+    /// A process that has stepped down may become the leader anew.
+    pub(super) fn settle(&mut self, n: usize) {
+        if !self.leads(n) {
+            self.slots[n].unsure = false;
+        }
+    }
+
+    /// What of an effect a leader may do only if it is certain of its grant.
+    pub(super) fn on_unsure_grant(&mut self, n: usize, effect: &Effect) -> Option<&'static str> {
+        match effect {
+            Effect::Answer { id, status, .. } => {
+                let asker = self.requests.get(&(n, *id));
+                let worker = matches!(asker, Some(Asker::Worker { .. } | Asker::Copy { .. }));
+                (worker && *status == 200).then_some("answers a worker")
+            }
+            Effect::Call(call) if call.path.ends_with("/extend") => {
+                self.slots[n].renewals.insert(call.id);
+                None
+            }
+            Effect::Call(call) => match call.target {
+                Target::Cloud if call.method == "POST" => Some("rents or releases"),
+                Target::Worker(_) => Some("commands a worker"),
+                // A leader's writes depend on its grant; any node accepts and cancels.
+                Target::State if call.path == "/txn" => String::from_utf8_lossy(&call.body)
+                    .contains("leader")
+                    .then_some("writes as the leader"),
+                _ => None,
+            },
+        }
+    }
+
+    /// When a message over this link arrives: never if the link is cut, late if the cut holds it.
+    pub(super) fn arrival(&self, node: usize, what: &str, delay: Micros) -> Option<Micros> {
+        let delay = delay + self.link_delay(what);
+        let cut = self
+            .cuts
+            .iter()
+            .find(|c| c.node == node && self.now < c.until && (c.what == what || c.what == "all"));
+        match cut {
+            None => Some(self.now + delay),
+            Some(c) if c.hold => Some(c.until + delay),
+            Some(_) => None,
+        }
+    }
+
+    pub(super) fn send(&mut self, caller: Caller, call: grebewood_core::Call) {
+        let n = caller.node;
+        match call.target {
+            Target::State => {
+                let Some(mut at) = self.arrival(n, "state", 2 * MS) else {
+                    return;
+                };
+                if call.path == "/txn" && self.lose_txn(n, at, &call) {
+                    return;
+                }
+                if call.path == "/txn" && self.leads(n) {
+                    let text = String::from_utf8_lossy(&call.body).into_owned();
+                    if self.trap_page_write && text.contains("page/") {
+                        self.trap_page_write = false;
+                        // The write happens, and its writer dies before it learns of it.
+                        self.push(at, Ev::State(caller, call.method, call.path, call.body));
+                        at += MS;
+                        let line = Line {
+                            words: vec!["crash".into(), n.to_string()],
+                            ..Line::default()
+                        };
+                        self.push(at, Ev::Script(line));
+                        return;
+                    }
+                }
+                self.push(at, Ev::State(caller, call.method, call.path, call.body));
+            }
+            Target::Cloud => {
+                if let Some(at) = self.arrival(n, "cloud", 100 * MS) {
+                    self.push(at, Ev::Cloud(caller, call.method, call.path, call.body));
+                }
+            }
+            Target::Worker(address) => {
+                if let Some(at) = self.arrival(n, "workers", 2 * MS) {
+                    self.push(at, Ev::Worker(caller, address, call.body));
+                }
+            }
+            Target::Peer(p) => {
+                if let Err(e) = production::check_peer_request(&call.body) {
+                    let e = format!("the version in production cannot read a peer message: {e}");
+                    self.broken.get_or_insert(e);
+                }
+                let to = (0..self.slots.len()).filter(|o| *o != n).nth(p);
+                let Some(to) = to else { return };
+                // The version before writes and reads what it knows, and nothing else.
+                let mut body = call.body;
+                if self.old.contains(&n) || self.old.contains(&to) {
+                    body = production::known_of_peer_request(&body).unwrap_or(body);
+                }
+                let ways = (self.arrival(n, "peers", MS), self.arrival(to, "peers", MS));
+                if let (Some(out), Some(back)) = ways {
+                    let at = out.max(back);
+                    let ev = Ev::Request {
+                        node: to,
+                        door: Door::Peer,
+                        method: call.method.into(),
+                        path: call.path,
+                        body,
+                        asker: Asker::Peer(caller),
+                    };
+                    self.push(at, ev);
+                }
+            }
+        }
+    }
+
+    pub(super) fn reply(
+        &mut self,
+        caller: Caller,
+        what: &str,
+        delay: Micros,
+        status: u16,
+        body: Vec<u8>,
+    ) {
+        let lag = if what == "state" { self.state_lag() } else { 0 };
+        if let Some(at) = self.arrival(caller.node, what, delay + lag) {
+            let input = Input::Reply {
+                call: caller.call,
+                outcome: Outcome::Answer { status, body },
+            };
+            self.push(at, Ev::Input(caller.node, caller.process, input));
+        }
+    }
+
+    pub(super) fn leads(&self, n: usize) -> bool {
+        self.slots[n]
+            .node
+            .as_ref()
+            .is_some_and(|node| node.lead.is_some())
+    }
+
+    pub(super) fn state_request(&mut self, caller: Caller, method: &str, path: &str, body: &[u8]) {
+        let refused = self
+            .refused
+            .iter()
+            .any(|(n, until)| *n == caller.node && self.now < *until);
+        if refused {
+            if !path.starts_with("/changes") {
+                self.reply(caller, "state", 2 * MS, 503, Vec::new());
+            }
+            return;
+        }
+        if let Ok(txn) = from_cbor::<Txn>(body) {
+            for change in &txn.apply {
+                let Change::Put { put, value, .. } = change else {
+                    continue;
+                };
+                if let Err(e) = production::check_record(put, value) {
+                    let e = format!("the version in production cannot read a record: {e}");
+                    self.broken.get_or_insert(e);
+                }
+            }
+        }
+        self.seq += 1;
+        let ticket = self.seq;
+        let grant = from_cbor::<Txn>(body).is_ok_and(|txn| {
+            let puts = |c: &Change| matches!(c, Change::Put { put, .. } if put == "leader");
+            txn.apply.iter().any(puts)
+        });
+        let reply = self.state.request(self.now, ticket, method, path, body);
+        if grant && matches!(reply, Reply::Now(200, _)) {
+            self.granted();
+        }
+        match reply {
+            Reply::Now(status, body) => {
+                self.count_lost(caller, path, status);
+                self.reply(caller, "state", 2 * MS, status, body)
+            }
+            Reply::Later => {
+                self.state_tickets.insert(ticket, caller);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/world/script.rs
@@ -0,0 +1,304 @@
+//! The events of a script.
+
+use super::*;
+
+impl World {
+    pub(super) fn node_named(&self, word: &str) -> Result<usize, String> {
+        if word == "leader" {
+            return (0..self.slots.len())
+                .find(|n| self.leads(*n))
+                .ok_or("nobody leads".into());
+        }
+        let n = word.trim_start_matches("perch-").parse::<usize>();
+        n.ok()
+            .filter(|n| *n < self.slots.len())
+            .ok_or(format!("{word}: no such node"))
+    }
+
+    pub(super) fn machine_mut(&mut self, name: &str) -> Result<&mut Machine, String> {
+        self.machines
+            .get_mut(name)
+            .ok_or(format!("{name}: no such machine"))
+    }
+
+    pub(super) fn script(&mut self, line: Line) -> Result<(), String> {
+        let now = self.now;
+        if self.trouble(&line)? || self.check_line(&line)? {
+            return Ok(());
+        }
+        match line.word(0)? {
+            "submit" => {
+                let job = line.word(1)?.to_string();
+                if !self.jobs.contains_key(&job) {
+                    self.add_job(&job, &line)?;
+                }
+                let node = self.node_asked(&line)?;
+                self.submit(&job, node);
+            }
+            "cancel" => {
+                let node = self.node_asked(&line)?;
+                self.cancel(line.word(1)?, node);
+            }
+            "expect" => {
+                let (job, status) = (line.word(1)?.to_string(), line.word(2)?.to_string());
+                for n in self.up_nodes() {
+                    self.expected += 1;
+                    let asker = Asker::Expect(job.clone(), status.clone(), line.number, now);
+                    self.ask(n, "GET", format!("/submissions/{job}"), Vec::new(), asker);
+                }
+            }
+            "request" => {
+                let status = line.word(3)?.parse().map_err(|_| "no status".to_string())?;
+                let body = match line.words.get(4) {
+                    None => Vec::new(),
+                    Some(hex) => unhex(hex)?,
+                };
+                for n in self.up_nodes() {
+                    self.expected += 1;
+                    let (method, path) = (line.word(1)?.to_string(), line.word(2)?.to_string());
+                    let asker = Asker::Raw {
+                        wanted: status,
+                        line: line.number,
+                        method: method.clone(),
+                        path: path.clone(),
+                        body: body.clone(),
+                        sent: now,
+                    };
+                    self.ask(n, &method, path, body.clone(), asker);
+                }
+            }
+            "starts" => {
+                let got = self.jobs.get(line.word(1)?).map_or(0, |j| j.starts);
+                let wanted: u64 = line.word(2)?.parse().map_err(|_| "no number".to_string())?;
+                if got != wanted {
+                    return Err(format!("{got} starts, not {wanted}"));
+                }
+            }
+            "begun" => {
+                if self.jobs.get(line.word(1)?).is_none_or(|j| j.starts == 0) {
+                    return Err("it has not begun".into());
+                }
+            }
+            "leaders" => {
+                let got = (0..self.slots.len()).filter(|n| self.leads(*n)).count();
+                if got.to_string() != line.word(1)? {
+                    return Err(format!("{got} nodes lead"));
+                }
+            }
+            "machines" => {
+                let got = self.machines.values().filter(|m| !m.gone).count();
+                if got.to_string() != line.word(1)? {
+                    return Err(format!("{got} machines are rented"));
+                }
+            }
+            "upgrade" => {
+                let n = self.node_named(line.word(1)?)?;
+                self.old.remove(&n);
+                let crash = Line {
+                    words: vec!["crash".into(), n.to_string()],
+                    ..line
+                };
+                return self.script(crash);
+            }
+            "limits" => {
+                let limits =
+                    limits_of(&line, "", self.state.limits.unwrap_or(self.settings.state))?;
+                self.push(now, Ev::Limits(limits));
+            }
+            "busy" => self.state.busy_until = now + line.time("for", 10.0)?,
+            "largest" => {
+                let (size, key) = self.state.largest();
+                let most = (line.number("most", 2.0)? * 1024.0) as usize;
+                if size > most {
+                    return Err(format!("{key} has {size} bytes"));
+                }
+            }
+            "refused" => {
+                let most = line.number("most", 0.0)? as u64;
+                if self.state.refused > most {
+                    return Err(format!("{} requests were malformed", self.state.refused));
+                }
+            }
+            "halves" => self.check_halves()?,
+            "serving" => {
+                let prefix = format!("{}/", line.word(1)?);
+                let machines = self.machines.values().filter(|m| !m.gone && m.up);
+                let zone = line.options.get("zone");
+                let got = machines
+                    .filter(|m| zone.is_none_or(|z| *z == m.zone))
+                    .flat_map(|m| m.live())
+                    .filter(|t| t.status == "running" && t.shard.starts_with(&prefix))
+                    .count();
+                if got.to_string() != line.word(2)? {
+                    return Err(format!("{got} replicas are served"));
+                }
+            }
+            "crash" => {
+                let nodes = match line.word(1)? {
+                    "all" => (0..self.slots.len()).collect(),
+                    word => vec![self.node_named(word)?],
+                };
+                for n in nodes {
+                    self.slots[n].node = None;
+                    self.slots[n].process = 0;
+                    let lost: Vec<_> = self
+                        .requests
+                        .keys()
+                        .filter(|(node, _)| *node == n)
+                        .cloned()
+                        .collect();
+                    for key in lost {
+                        if let Some(asker) = self.requests.remove(&key) {
+                            self.push(now + MS, Ev::Answered(asker, n, 0, Vec::new()));
+                        }
+                    }
+                    let back = now + line.time("for", 4.0)?;
+                    self.slots[n].down_until = back;
+                    self.push(back, Ev::Start(n));
+                }
+            }
+            "cut" => {
+                let cut = Cut {
+                    node: self.node_named(line.word(1)?)?,
+                    what: line.word(2)?.into(),
+                    until: now + line.time("for", 10.0)?,
+                    hold: line.yes("hold", false),
+                };
+                self.cuts.push(cut);
+            }
+            "freeze" => {
+                let n = self.node_named(line.word(1)?)?;
+                self.slots[n].unsure = true;
+                self.slots[n].renewals.clear();
+                self.slots[n].frozen_until = now + line.time("for", 30.0)?;
+            }
+            "refuse" => {
+                let n = self.node_named(line.word(1)?)?;
+                self.refused.push((n, now + line.time("for", 10.0)?));
+            }
+            "state" => {
+                self.state.down = true;
+                self.push(now + line.time("for", 10.0)?, Ev::StateUp);
+            }
+            "cloud" => {
+                self.cloud_down = true;
+                self.push(now + line.time("for", 10.0)?, Ev::CloudUp);
+            }
+            "trap" => self.trap_page_write = true,
+            "late" => {
+                let name = line.word(2)?.to_string();
+                self.late_report.insert(name, line.time("for", 10.0)?);
+            }
+            "slow" => {
+                let late = line.time("for", 1.5)?;
+                self.slow_launch.insert(line.word(2)?.into(), late);
+            }
+            "overtake" => {
+                let late = line.time("for", 1.0)?;
+                self.overtake_report.insert(line.word(2)?.into(), late);
+            }
+            "lose" => {
+                self.lose_answer.insert(line.word(2)?.into());
+            }
+            "restart" => {
+                // A new session is a change, which is reported at once.
+                let m = self.machine_mut(line.word(1)?)?;
+                m.new_session(now);
+                m.next_report = m.next_report.min(now + S / 2);
+            }
+            "rented" => {
+                let there = self.machines.get(line.word(1)?).is_some_and(|m| !m.gone);
+                if there != (line.word(2)? == "yes") {
+                    return Err(format!("that it is rented is {there}"));
+                }
+            }
+            "faulty" => self.machine_mut(line.word(1)?)?.faulty = true,
+            "kill" => self.machine_mut(line.word(1)?)?.gone = true,
+            "recall" => {
+                let at = now + line.time("in", 10.0)?;
+                self.machine_mut(line.word(1)?)?.recall_at = Some(at);
+            }
+            "boots" => match line.word(1)?.parse::<f64>() {
+                Ok(s) => {
+                    self.boots_never = false;
+                    self.boot = (s * 1e6) as Micros;
+                }
+                Err(_) => self.boots_never = true,
+            },
+            "corrupt" => {
+                if !self.state.corrupt(line.word(1)?) {
+                    return Err("no such record".into());
+                }
+            }
+            "record" => {
+                let there = self.state.has(line.word(1)?);
+                if there != (line.word(2)? == "yes") {
+                    return Err(format!("the record's presence is {there}"));
+                }
+            }
+            other => return Err(format!("{other}: unknown")),
+        }
+        Ok(())
+    }
+
+    pub(super) fn add_job(&mut self, job: &str, line: &Line) -> Result<(), String> {
+        let run = line.number("run", 5.0)?;
+        let precedence = match line.text("prec", "normal").as_str() {
+            "idle" => Precedence::Idle,
+            "high" => Precedence::High,
+            "prod" => Precedence::Prod,
+            _ => Precedence::Normal,
+        };
+        let saves = line.yes("saves", false);
+        let spec = Submission {
+            uid: job.into(),
+            workclass: line.text("class", "work"),
+            owner: line.text("owner", "t"),
+            shape: line.text("shape", "batch"),
+            precedence,
+            shards: line.number("tasks", 1.0)? as u64,
+            vcpus: line.number("cpus", 2.0)?,
+            accelerators: line.number("gpus", 0.0)?,
+            memory_gb: line.number("mem", 1.0)?,
+            bundle: "img".into(),
+            pull_gb: 0.5,
+            builds: line.options.get("type").map(|t| vec![t.clone()]),
+            yard: line.options.get("zone").cloned(),
+            one_zone: line.yes("one_zone", false),
+            spread: line.yes("spread", false),
+            loaner: line.yes("spot", true),
+            expected_s: line.number("expected", run)?,
+            savepoint_s: if saves { 10.0 } else { 0.0 },
+            flush_s: line.number("flush", 2.0)?,
+            due_s: match line.options.contains_key("due") {
+                true => Some(line.number("due", 0.0)?),
+                false => None,
+            },
+        };
+        let facts = JobFacts {
+            cpus: spec.vcpus,
+            run: (run * 1e6) as Micros,
+            flush: (spec.flush_s * 1e6) as Micros,
+            saves,
+            fails: line.yes("fails", false),
+        };
+        self.facts.insert(job.into(), facts);
+        let seen = JobSeen {
+            spec,
+            accepted: false,
+            cancelled_at: None,
+            cancel_asked: None,
+            known_at: None,
+            done: false,
+            completed: BTreeSet::new(),
+            starts: 0,
+            last_start: 0,
+            submitted: self.now,
+            began: None,
+            answered: self.now,
+            completed_at: None,
+        };
+        self.jobs.insert(job.into(), seen);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/world/workers.rs
@@ -0,0 +1,299 @@
+//! Workers: their check-ins, direct commands, and the rules of starting a task.
+
+use super::*;
+
+impl World {
+    pub(super) fn worker_answer(
+        &mut self,
+        name: &str,
+        flight: u64,
+        node: usize,
+        status: u16,
+        body: &[u8],
+    ) -> Result<(), String> {
+        let now = self.now;
+        let nodes = self.slots.len();
+        let Some(m) = self.machines.get_mut(name) else {
+            return Ok(());
+        };
+        let Some((id, sent, tenure)) = m.in_flight else {
+            return Ok(());
+        };
+        if id != flight || m.gone || tenure != m.tenure {
+            return Ok(());
+        }
+        if self.lose_answer.remove(name) || now < m.deaf_until.max(m.cut_until) {
+            return Ok(());
+        }
+        m.in_flight = None;
+        if now < m.hangs_until {
+            return Ok(());
+        }
+        match status {
+            200 => {
+                let answer: CheckinAnswer =
+                    from_cbor(body).map_err(|e| format!("a check-in's answer: {e}"))?;
+                if answer.warrant < m.warrant {
+                    return Ok(());
+                }
+                m.warrant = answer.warrant;
+                m.lease_from = sent;
+                let came = m.carry_out(now, &answer.orders, &self.facts);
+                self.came(name, &came)
+            }
+            421 => {
+                let steward = from_cbor::<Redirect>(body).ok().and_then(|r| r.steward);
+                let to = steward
+                    .and_then(|s| s.strip_prefix("perch-").and_then(|n| n.parse().ok()))
+                    .filter(|n| *n != node && *n < nodes);
+                match to {
+                    Some(n) => {
+                        m.node = n;
+                        m.next_report = now + 100 * MS;
+                    }
+                    None => {
+                        m.node = (node + 1) % nodes;
+                        m.next_report = now + S;
+                    }
+                }
+                Ok(())
+            }
+            _ => {
+                m.node = (node + 1) % nodes;
+                m.next_report = now + S;
+                Ok(())
+            }
+        }
+    }
+
+    /// Tasks came onto a machine: checks the rules of starting.
+    pub(super) fn came(&mut self, name: &str, shards: &[String]) -> Result<(), String> {
+        let Some(here) = self.machines.get(name) else {
+            return Ok(());
+        };
+        for shard in shards {
+            let Some((job, _)) = shard.rsplit_once('/') else {
+                continue;
+            };
+            let live = |m: &&Machine| !m.gone;
+            for m in self.machines.values().filter(live) {
+                if m.name != name && m.live().any(|t| t.shard == *shard) {
+                    return Err(format!("ran_twice: {shard} on {} and {name}", m.name));
+                }
+            }
+            let Some(seen) = self.jobs.get_mut(job) else {
+                return Err(format!("{shard} of an unknown job"));
+            };
+            seen.starts += 1;
+            seen.last_start = self.now;
+            if seen.cancelled_at.is_some() {
+                self.checks.late_starts += 1;
+            }
+            seen.began.get_or_insert(self.now);
+            let spec = &seen.spec;
+            if seen
+                .cancelled_at
+                .is_some_and(|at| self.now > at + self.settings.cancel)
+            {
+                return Err(format!("ran_cancelled: {shard} starts"));
+            }
+            let allowed = spec
+                .builds
+                .as_ref()
+                .is_none_or(|b| b.contains(&here.machine_type))
+                && spec.yard.as_ref().is_none_or(|y| *y == here.zone)
+                && (spec.loaner || !here.spot);
+            if !allowed {
+                return Err(format!("wrong_place: {shard} on {name}"));
+            }
+            let prefix = format!("{job}/");
+            let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
+            for m in self.machines.values().filter(live) {
+                let n = m.live().filter(|t| t.shard.starts_with(&prefix)).count();
+                if n > 0 {
+                    *zones.entry(&m.zone).or_insert(0) += n as u64;
+                }
+            }
+            if spec.one_zone && zones.len() > 1 {
+                return Err(format!("wrong_place: {job} in several zones"));
+            }
+            if spec.spread && zones.values().any(|n| *n > spec.shards.div_ceil(2)) {
+                return Err(format!("wrong_place: {job} is not spread"));
+            }
+        }
+        self.check_quota()
+    }
+
+    pub(super) fn direct(
+        &mut self,
+        caller: Caller,
+        address: &str,
+        body: &[u8],
+    ) -> Result<(), String> {
+        let now = self.now;
+        let name = address.trim_start_matches("worker:").to_string();
+        let Some(m) = self.machines.get_mut(&name) else {
+            return Ok(());
+        };
+        if m.gone || !m.up || now < m.deaf_until.max(m.cut_until) {
+            return Ok(());
+        }
+        if self.lose_direct(caller, &name, body) {
+            return Ok(());
+        }
+        let Some(m) = self.machines.get_mut(&name) else {
+            return Ok(());
+        };
+        if now < m.hangs_until {
+            // Carried out when the machine resumes.
+            let at = m.hangs_until + MS;
+            self.push(at, Ev::Worker(caller, address.into(), body.to_vec()));
+            return Ok(());
+        }
+        let Ok(orders) = from_cbor::<DirectOrders>(body) else {
+            return Ok(());
+        };
+        let (status, came) = if orders.warrant < m.warrant || orders.tenure != m.tenure {
+            (409, Vec::new())
+        } else {
+            m.warrant = orders.warrant;
+            (200, m.carry_out(now, &orders.orders, &self.facts))
+        };
+        let report = to_cbor(&m.report(now));
+        self.reply(caller, "workers", 2 * MS, status, report);
+        self.came(&name, &came)
+    }
+
+    pub(super) fn tick(&mut self) -> Result<(), String> {
+        let now = self.now;
+        self.state.expire(now);
+        for (ticket, body) in self.state.ready(now) {
+            if let Some(caller) = self.state_tickets.remove(&ticket) {
+                // The open watches of a node that is refused wait, as in an outage.
+                let refused = self.refused.iter().filter(|(n, _)| *n == caller.node);
+                let until = refused.map(|(_, until)| *until).max().unwrap_or(0);
+                let wait = until.saturating_sub(now);
+                self.reply(caller, "state", wait + 2 * MS, 200, body);
+            }
+        }
+        for n in 0..self.slots.len() {
+            let process = self.slots[n].process;
+            let due = self.slots[n]
+                .node
+                .as_ref()
+                .is_some_and(|node| node.next_wake() <= now)
+                && self.slots[n].frozen_until <= now;
+            if due {
+                self.step(n, process, Input::Tick);
+            }
+        }
+        let names: Vec<String> = self.machines.keys().cloned().collect();
+        for name in names {
+            self.tick_machine(&name)?;
+        }
+        if now >= self.next_ask {
+            self.next_ask = now + ASK_EVERY;
+            self.ask_about_all()?;
+        }
+        self.check_moment()
+    }
+
+    pub(super) fn tick_machine(&mut self, name: &str) -> Result<(), String> {
+        let now = self.now;
+        let Some(m) = self.machines.get_mut(name) else {
+            return Ok(());
+        };
+        if !m.up && !m.gone && m.up_at.is_some_and(|at| at <= now) {
+            m.up = true;
+            m.lease_from = now;
+            m.next_report = now;
+        }
+        if m.recall_at.is_some_and(|at| at <= now) {
+            m.gone = true;
+        }
+        if !m.up || m.gone {
+            return Ok(());
+        }
+        let (done, changed) = m.advance(now, self.settings.lease, &self.facts);
+        for shard in done {
+            if let Some((job, _)) = shard.rsplit_once('/') {
+                if let Some(seen) = self.jobs.get_mut(job) {
+                    seen.completed.insert(shard.clone());
+                }
+                self.job_ends(job);
+            }
+        }
+        let Some(m) = self.machines.get_mut(name) else {
+            return Ok(());
+        };
+        if now < m.hangs_until {
+            return Ok(());
+        }
+        // A higher token counts as a change once in half a lease.
+        let rested = m
+            .token_told
+            .is_none_or(|at| now >= at + self.settings.lease / 2);
+        if m.told_warrant < m.warrant && rested && m.in_flight.is_none() {
+            m.token_told = Some(now);
+            m.told_warrant = m.warrant;
+            m.next_report = m.next_report.min((m.last_report + S / 2).max(now));
+        }
+        if changed {
+            m.next_report = m.next_report.min((m.last_report + S / 2).max(now));
+        }
+        if let Some((_, sent, _)) = m.in_flight {
+            if now < sent + 4 * S {
+                return Ok(());
+            }
+            m.in_flight = None;
+            m.node = (m.node + 1) % self.slots.len();
+            m.next_report = now + S;
+        }
+        if now < m.next_report {
+            return Ok(());
+        }
+        if now < m.mute_until {
+            m.node = (m.node + 1) % self.slots.len();
+            m.next_report = now + S;
+            return Ok(());
+        }
+        self.seq += 1;
+        let flight = self.seq;
+        m.in_flight = Some((flight, now, m.tenure));
+        m.last_report = now;
+        m.next_report = now + self.settings.report;
+        m.told_warrant = m.warrant;
+        let body = to_cbor(&m.report(now));
+        let (node, cut_until) = (m.node, m.cut_until);
+        let asker = Asker::Worker {
+            machine: name.into(),
+            flight,
+        };
+        let ev = |body| Ev::Request {
+            node,
+            door: Door::Front,
+            method: "POST".into(),
+            path: "/checkin".into(),
+            body,
+            asker: asker.clone(),
+        };
+        if let Some(late) = self.late_report.remove(name) {
+            let copy = ev(body.clone());
+            self.push(now + late, copy);
+        }
+        self.copy_report(name, &body);
+        if now < cut_until {
+            return Ok(());
+        }
+        let slow = self.overtake_report.remove(name);
+        if let Some(late) = slow {
+            let tally = self.machine_mut(name)?.tally;
+            self.push(now + late, Ev::Overtaken(name.into(), tally));
+        }
+        if let Some(at) = self.arrival(node, "workers", MS + slow.unwrap_or(0)) {
+            let ev = ev(body);
+            self.push(at, ev);
+        }
+        Ok(())
+    }
+}
