--- /dev/null
+++ b/crates/core/src/leadership/election.rs
@@ -0,0 +1,181 @@
+//! The election: candidacy, claims, and stepping down.
+
+use super::*;
+
+impl Node {
+    pub(crate) fn run_election(&mut self) {
+        let now = self.cx.now.steady;
+        if now < self.election.next_probe {
+            return;
+        }
+        if self.lead.is_none() {
+            self.election.next_probe = now + PROBE;
+            if !self.election.busy {
+                self.election.busy = true;
+                self.cx.read_key(LEADER, Pending::Election(Step::Probe));
+            }
+        } else {
+            self.ask_peers();
+        }
+    }
+
+    pub(crate) fn on_election(&mut self, step: Step, outcome: Outcome) {
+        let now = self.cx.now.steady;
+        self.election.busy = false;
+        if self.lead.is_some() {
+            return;
+        }
+        let (status, body) = match outcome {
+            Outcome::Answer { status, body } => (status, body),
+            _ => (0, Vec::new()),
+        };
+        match (step, status) {
+            (Step::Probe, 200) => match wire::from_cbor::<Entry<LeaderRecord>>(&body) {
+                Ok(e) => {
+                    self.cx.token = self.cx.token.max(e.stamp);
+                    self.election.grant = self.election.grant.max(e.stamp);
+                    if e.value.member == self.cx.settings.member {
+                        // A grant of our own that we do not hold: an earlier process of ours had
+                        // it, or a claim was applied late. Nobody acts under it, so it goes.
+                        let txn = Txn {
+                            when: vec![When {
+                                k: LEADER.into(),
+                                stamp: e.stamp,
+                            }],
+                            apply: vec![Change::Delete {
+                                delete: LEADER.into(),
+                            }],
+                        };
+                        self.cx.post_state("/txn", &txn, Pending::Ignore);
+                        self.election.leader = None;
+                        self.election.next_probe = now + 20 * MILLI;
+                    } else {
+                        self.election.leader = Some((e.value, e.stamp));
+                    }
+                }
+                Err(e) => warn!("record {LEADER}: {e}"),
+            },
+            (Step::Probe, 404) => {
+                self.election.leader = None;
+                if now >= self.election.abstain_until {
+                    self.election.busy = true;
+                    self.election.lease_at = now;
+                    let request = LeaseRequest {
+                        life_ms: self.cx.tuning.leader_lease_us / MILLI,
+                    };
+                    self.cx
+                        .post_state("/leases", &request, Pending::Election(Step::Lease));
+                }
+            }
+            (Step::Lease, 200) => {
+                if let Ok(lease) = wire::from_cbor::<Lease>(&body) {
+                    self.election.busy = true;
+                    let record = LeaderRecord {
+                        member: self.cx.settings.member.clone(),
+                        incarnation: self.election.incarnation,
+                    };
+                    let txn = Txn {
+                        when: vec![absent(LEADER)],
+                        apply: vec![Change::Put {
+                            put: LEADER.into(),
+                            value: wire::http::to_value(&record),
+                            tether: Some(lease.tether),
+                        }],
+                    };
+                    let step = Step::Claim {
+                        lease: lease.tether,
+                    };
+                    self.cx.post_state("/txn", &txn, Pending::Election(step));
+                }
+            }
+            (Step::Claim { lease }, 200) => match wire::from_cbor::<Epoch>(&body) {
+                Ok(e) => self.become_leader(e.epoch, lease),
+                Err(_) => self.end_lease(lease),
+            },
+            (Step::Claim { lease }, 0) => {
+                self.election.busy = true;
+                self.cx
+                    .read_key(LEADER, Pending::Election(Step::ReadBack { lease }));
+            }
+            (Step::ReadBack { lease }, 200) => {
+                match wire::from_cbor::<Entry<LeaderRecord>>(&body) {
+                    Ok(e)
+                        if e.value.member == self.cx.settings.member
+                            && e.value.incarnation == self.election.incarnation =>
+                    {
+                        self.become_leader(e.stamp, lease)
+                    }
+                    _ => self.end_lease(lease),
+                }
+            }
+            (Step::Claim { lease } | Step::ReadBack { lease }, _) => self.end_lease(lease),
+            _ => {}
+        }
+    }
+
+    pub(super) fn end_lease(&mut self, lease: u64) {
+        self.cx.call(
+            Target::State,
+            "DELETE",
+            format!("/leases/{lease}"),
+            Vec::new(),
+            STATE_TIMEOUT,
+            Pending::Ignore,
+        );
+        self.election.next_probe = self.cx.now.steady + 100 * MILLI;
+    }
+
+    pub(crate) fn become_leader(&mut self, token: u64, lease: u64) {
+        info!("leader with token {token}");
+        self.cx.token = self.cx.token.max(token);
+        self.election.grant = self.election.grant.max(token);
+        let record = LeaderRecord {
+            member: self.cx.settings.member.clone(),
+            incarnation: self.election.incarnation,
+        };
+        self.election.leader = Some((record, token));
+        self.election.peers.clear();
+        let mut lead = Box::new(Lead::new(&self.cx, token, lease, self.election.lease_at));
+        lead.start_loading(&mut self.cx);
+        self.lead = Some(lead);
+    }
+
+    /// Stops acting as the leader. `resign`: gives the lease back and abstains for a while.
+    pub(crate) fn step_down(&mut self, why: &str, resign: bool) {
+        let Some(lead) = self.lead.take() else {
+            return;
+        };
+        warn!("no longer leader with token {}: {why}", lead.token);
+        if !resign {
+            self.leave_unproven(&lead);
+        }
+        for request in lead.waiting_checkins() {
+            self.cx.refuse(request, 503, "not the leader any more");
+        }
+        self.election.leader = None;
+        self.election.busy = false;
+        self.election.next_probe = self.cx.now.steady + 50 * MILLI;
+        if resign {
+            self.end_lease(lead.lease);
+            self.election.abstain_until = self.cx.now.steady + 10 * SECOND;
+        }
+    }
+
+    /// After a standstill, the first thing is to learn whether this node still leads: its lease may
+    /// have run out, and others may have acted since. Check-ins that waited were given up.
+    pub(crate) fn doubt_grant(&mut self) {
+        let now = self.cx.now.steady;
+        let Some(lead) = &mut self.lead else { return };
+        lead.doubtful = true;
+        lead.extend_at = now;
+        // Nobody could be heard meanwhile: that is no sign of being cut off from the workers.
+        lead.heard_at = now;
+        for request in lead.waiting_checkins() {
+            self.cx.refuse(request, 503, "it is not certain who leads");
+        }
+        lead.held.clear();
+        lead.parked = Parked::default();
+        self.election.peers.clear();
+        self.election.next_probe = now;
+    }
+}
--- /dev/null
+++ b/crates/core/src/leadership/endings.rs
@@ -0,0 +1,85 @@
+//! Cancellations and the ends of jobs.
+
+use super::*;
+
+impl Lead {
+    /// Notes that the job is cancelled: nothing of it starts any more, and what may run is
+    /// stopped. `record` says since when: the time to `cancel_s` runs on whoever leads. With every
+    /// new leader it once began anew, and a machine that could not be reached was kept too long.
+    pub(crate) fn on_cancelled(&mut self, cx: &mut Ctx, id: &str, record: Option<&CancelRecord>) {
+        // What a peer said of a job that another leader accepted meanwhile waits for its record.
+        let Some(ix) = self.jobs.find(id) else {
+            return;
+        };
+        let now = cx.now.steady;
+        let Some(job) = self.jobs.get_mut(ix) else {
+            return;
+        };
+        if job.cancelled.is_some() {
+            return;
+        }
+        let ago = record.map_or(0, |r| cx.now.wall.saturating_sub(r.cancelled_us));
+        job.cancelled = Some(now as i64 - ago as i64);
+        job.ending = None;
+        self.stop_job(cx, ix);
+        self.end_if_over(cx, ix);
+    }
+
+    /// Applies what the node knows of the job's cancellation, from wherever.
+    pub(crate) fn apply_cancellation(&mut self, cx: &mut Ctx, id: &str) {
+        let known = cx.cancellations.get(id).map(|k| CancelRecord {
+            cancelled_us: k.cancelled_us,
+        });
+        if let Some(record) = known.filter(|_| self.loaded()) {
+            self.on_cancelled(cx, id, Some(&record));
+        }
+    }
+
+    /// State has no cancellation of this job after all: what was said of it was wrong, and the job
+    /// runs. Only its record may end it.
+    pub(super) fn retract_cancellation(&mut self, cx: &mut Ctx, id: &str) {
+        cx.cancellations.forget(id);
+        let job = self.jobs.find(id).and_then(|ix| self.jobs.get_mut(ix));
+        if let Some(job) = job.filter(|j| j.cancelled.is_some()) {
+            error!("{id}: said to be cancelled, but not on record");
+            job.cancelled = None;
+            job.ending = None;
+            self.placement.want(cx.now.steady);
+        }
+    }
+
+    /// The key of the job's cancellation that is on record.
+    pub(super) fn cancellation_key(&self, id: &str) -> String {
+        let old = format!("{OLD_CANCEL}{id}");
+        match self.ledger.stamps.contains_key(&old) {
+            true => old,
+            false => cancel_key(id),
+        }
+    }
+
+    /// Starts writing the end of a job if it has come to it.
+    pub(crate) fn end_if_over(&mut self, cx: &Ctx, ix: JobIx) {
+        let Some(job) = self.jobs.get_mut(ix) else {
+            return;
+        };
+        let ending = if job.cancelled.is_some() {
+            let live: u32 = job.zones.values().sum();
+            (live == 0).then_some(Ending::Aborted)
+        } else {
+            job.all_done().then_some(Ending::Done)
+        };
+        if ending.is_some() && ending != job.ending {
+            job.ending = ending;
+            let id = job.id.clone();
+            let key = self.cancellation_key(&id);
+            if ending == Some(Ending::Aborted) && !self.ledger.stamps.contains_key(&key) {
+                // It is known from a peer or a user's request only. A job ends as cancelled only if
+                // that is on record: its stamp is read first.
+                self.ledger.stale.push(key);
+            }
+            // An end frees what the user waits for, and room in every later read of state.
+            let due = cx.now.steady.saturating_sub(END_AHEAD);
+            self.ledger.touch_by(Rec::Over(ix), due);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/placement/preemption.rs
@@ -0,0 +1,172 @@
+//! Stopping tasks of lower priority for jobs that wait.
+
+use super::*;
+
+impl Lead {
+    /// Stops tasks of lower priority that can save, for jobs that wait for room or for their
+    /// team's quota. Only as much is stopped on a machine as makes room there for a whole task,
+    /// and that room is kept from lower priorities until it is taken: narrow tasks that were
+    /// stopped for a wide one used to come back into the gap, to be stopped again.
+    pub(super) fn preempt(&mut self, cx: &mut Ctx, queue: &[JobIx]) {
+        let now = cx.now.steady;
+        let wants = |j: &Job| {
+            let waited = j.waiting_since.map_or(0, |at| now.saturating_sub(at));
+            j.spec.precedence > Precedence::Idle
+                && !j.keeps_failing()
+                && j.placeable(now) > 0
+                && waited >= cx.tuning.preempt_after_us
+                && j.target(cx, self.need(cx, j)).is_some()
+        };
+        let queue: Vec<JobIx> = queue
+            .iter()
+            .copied()
+            .filter(|ix| self.jobs.get(*ix).is_some_and(wants))
+            .collect();
+        if queue.is_empty() {
+            return;
+        }
+        let silence = cx.settings.report * 3;
+        let mut stopping = Usage::new();
+        // What is free, or will be, and what could be stopped, on each machine.
+        let mut pool: Vec<(&Machine, Room, Vec<Victim>)> = Vec::new();
+        for m in self.machines.values().filter(|m| m.usable(now, silence)) {
+            let mut room = m.free();
+            for a in m.assignments.iter().filter(|a| a.stop.is_some()) {
+                room = (room.0 + a.cpus, room.1 + a.gpus, room.2 + a.memory);
+                let freed = stopping.entry(a.team.clone()).or_insert((0.0, 0.0));
+                *freed = (freed.0 + a.cpus, freed.1 + a.gpus);
+            }
+            let victims = self.victims(cx, m);
+            if room.0 > EPS || !victims.is_empty() {
+                pool.push((m, room, victims));
+            }
+        }
+        let mut stops: Vec<(String, u64, Micros)> = Vec::new();
+        for ix in queue {
+            let Some(j) = self.jobs.get(ix) else { continue };
+            let spec = &j.spec;
+            let Some(team) = cx.settings.teams.get(&spec.owner) else {
+                continue;
+            };
+            let mut need = j.placeable(now);
+            let used = self.usage.get(&spec.owner).copied().unwrap_or((0.0, 0.0));
+            let freed = stopping.get(&spec.owner).copied().unwrap_or((0.0, 0.0));
+            let mut quota = (
+                team.cpus_max - used.0 + freed.0,
+                team.gpus_max - used.1 + freed.1,
+            );
+            let within = |quota: (f64, f64)| {
+                quota.0 + EPS >= spec.vcpus && quota.1 + EPS >= spec.accelerators
+            };
+            let task = (spec.vcpus, spec.accelerators, spec.memory_gb);
+            // Room in a zone that may take none of its tasks, given where the others are, is none:
+            // tasks there were once stopped for it, came back, and were stopped again.
+            let zone = zone_for(cx, j, &pool);
+            let fits_here = |m: &Machine| {
+                permits(cx, spec, &m.machine_type, &m.zone, m.spot)
+                    && j.zone_permits(&m.zone)
+                    && zone.as_ref().is_none_or(|z| *z == m.zone)
+            };
+            // A gang needs all of its room: what is stopped for a part of it is stopped for nothing.
+            let whole = j.shape == Shape::Gang;
+            let before = whole.then(|| pool.clone());
+            let stops_before = stops.len();
+            // What is free, or will be, is counted first.
+            for (m, room, _) in &mut pool {
+                while need > 0 && within(quota) && slots(*room, spec) > 0 && fits_here(m) {
+                    *room = (room.0 - task.0, room.1 - task.1, room.2 - task.2);
+                    quota = (quota.0 - task.0, quota.1 - task.1);
+                    need -= 1;
+                }
+            }
+            for (m, room, victims) in &mut pool {
+                if need == 0 {
+                    break;
+                }
+                if victims.is_empty() || !fits_here(m) {
+                    continue;
+                }
+                // Its own team's tasks first, since they free quota too; then the youngest.
+                victims.sort_by_key(|v| (v.team != spec.owner, v.ran, v.attempt));
+                while need > 0 {
+                    let mut gain = *room;
+                    let mut quota_gain = quota;
+                    let mut chosen = Vec::new();
+                    for (at, v) in victims.iter().enumerate() {
+                        if slots(gain, spec) > 0 && within(quota_gain) {
+                            break;
+                        }
+                        if v.precedence >= spec.precedence {
+                            continue;
+                        }
+                        chosen.push(at);
+                        gain = (gain.0 + v.cpus, gain.1 + v.gpus, gain.2 + v.memory);
+                        if v.team == spec.owner {
+                            quota_gain = (quota_gain.0 + v.cpus, quota_gain.1 + v.gpus);
+                        }
+                    }
+                    if slots(gain, spec) == 0 || !within(quota_gain) {
+                        break;
+                    }
+                    for at in chosen.into_iter().rev() {
+                        let v = victims.remove(at);
+                        stops.push((m.name.clone(), v.attempt, v.leeway));
+                    }
+                    *room = (gain.0 - task.0, gain.1 - task.1, gain.2 - task.2);
+                    quota = (quota_gain.0 - task.0, quota_gain.1 - task.1);
+                    need -= 1;
+                }
+            }
+            if let (true, Some(before)) = (need > 0, before) {
+                pool = before;
+                stops.truncate(stops_before);
+            }
+        }
+        for (name, attempt, leeway) in stops {
+            if let Some(m) = self.machines.get_mut(&name) {
+                m.kept_until = now + leeway + 4 * SECOND;
+            }
+            self.stop_on(cx, &name, leeway, |a| a.attempt == attempt);
+        }
+    }
+
+    /// Tasks on the machine that may be stopped for others of higher priority.
+    pub(super) fn victims(&self, cx: &Ctx, m: &Machine) -> Vec<Victim> {
+        let now = cx.now.steady;
+        let mut victims = Vec::new();
+        for a in &m.assignments {
+            let Some(job) = self.jobs.get(a.job) else {
+                continue;
+            };
+            let ran = a.started.map_or(0, |at| now.saturating_sub(at));
+            // A start counts for an aim only if the task is left alone for 30 s; and what a job
+            // begins with after a long wait stays.
+            let live: u32 = job.zones.values().sum();
+            let beginning = job.age(now) > BEGIN_AFTER && live as u64 <= job.beginning();
+            let least_run = match beginning || cx.settings.starts_count(&job.spec.workclass) {
+                true => 31 * SECOND,
+                false => 5 * SECOND,
+            };
+            if a.stop.is_some()
+                || job.is_daemon()
+                || job.spec.savepoint_s <= 0.0
+                || a.seen != Seen::Running
+                || ran < least_run
+                || a.remaining(now, 0) < 10 * SECOND
+            {
+                continue;
+            }
+            victims.push(Victim {
+                ran,
+                precedence: job.preemption_priority(),
+                attempt: a.attempt,
+                team: a.team.clone(),
+                leeway: leeway(micros(job.spec.flush_s)),
+                cpus: a.cpus,
+                gpus: a.gpus,
+                memory: a.memory,
+            });
+        }
+        victims
+    }
+}
--- /dev/null
+++ b/crates/core/src/workers/exits.rs
@@ -0,0 +1,163 @@
+//! Tasks that exited, and who is to blame for those that failed.
+
+use super::*;
+
+impl Lead {
+    /// Notes that a task is done; the result says when that is durable.
+    pub(super) fn completed(&mut self, cx: &Ctx, ix: JobIx, task: u64) -> Option<(Rec, u64)> {
+        let job = self.jobs.get_mut(ix)?;
+        if !job.complete(task) {
+            return None;
+        }
+        let page = Rec::Done(self.done_pages.page_of(ix, task / DONE_SPAN, job));
+        self.progress_dirty.insert(ix);
+        // The worker keeps the result until it is reaped: the write can wait for others.
+        let due = cx.now.steady + DONE_DELAY;
+        Some((page.clone(), self.ledger.touch_by(page, due)))
+    }
+
+    /// An assignment's task has exited.
+    pub(super) fn exited(&mut self, cx: &mut Ctx, name: &str, at: usize, cause: &str, shard: &str) {
+        let now = cx.now.steady;
+        let Some(m) = self.machines.get_mut(name) else {
+            return;
+        };
+        let a = m.assignments[at].clone();
+        let mut after = Vec::new();
+        let mut failed = false;
+        let job = self.jobs.get_mut(a.job);
+        match (cause, job) {
+            ("no_room" | "busy", _) => {
+                warn!("{shard}: {name} refused it: {cause}");
+                m.shy_until = now + 3 * SECOND;
+            }
+            // A replica is to run again, however it ended; unless we stopped it, it ended by itself.
+            (_, Some(job)) if job.is_daemon() => {
+                let ran = match (a.recovered(), a.started) {
+                    // One of an earlier leader has run for a while.
+                    (true, _) => now.saturating_sub(self.loaded_at) + LEAST_STAY,
+                    (false, at) => at.map_or(0, |at| now.saturating_sub(at)),
+                };
+                if a.stop.is_none() {
+                    info!("{shard}: {cause} on {name} after {} s", ran / SECOND);
+                    job.replica_ended(a.task, name, ran, now);
+                    failed = cause == "error";
+                }
+            }
+            ("done", Some(job)) => {
+                m.errors.clear();
+                job.errors = 0;
+                // Only a run seen from its beginning says how long such tasks take.
+                if let (Some(started), false) = (a.started, a.recovered()) {
+                    let run = now.saturating_sub(started);
+                    self.stats.ran(&job.spec, &m.machine_type, run);
+                    let (mean, n) = job.run_mean;
+                    job.run_mean = ((mean * n as u64 + run) / (n as u64 + 1), (n + 1).min(1_000));
+                }
+                after.extend(self.completed(cx, a.job, a.task));
+            }
+            ("error", Some(job)) => {
+                job.errors += 1;
+                job.retry_at = now + error_backoff(job.errors);
+                job.running_well_since = now;
+                failed = true;
+                info!("{shard}: error on {name}");
+            }
+            ("unknown", Some(job)) => {
+                job.errors += 1;
+                job.retry_at = now + error_backoff(job.errors.max(3));
+            }
+            _ => {}
+        }
+        if failed {
+            self.note_failure(cx, name, a.job);
+        }
+        self.free(cx, name, at);
+        if let Some(m) = self.machines.get_mut(name) {
+            m.reaps.push(Reap {
+                shard: shard.to_string(),
+                attempt: a.attempt,
+                after,
+                job: Some(a.job),
+            });
+        }
+        self.end_if_over(cx, a.job);
+    }
+
+    /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is
+    /// returned; by a single job alone two machines are at the most.
+    pub(super) fn note_failure(&mut self, cx: &Ctx, name: &str, ix: JobIx) {
+        let Some(job) = self.jobs.get_mut(ix) else {
+            return;
+        };
+        let id = job.id.clone();
+        let was_suspect = job.is_suspect();
+        job.note_failure(name);
+        if job.is_suspect() && !was_suspect {
+            self.acquit_machines(cx);
+        }
+        let suspect = |id: &str| is_suspect(&self.jobs, id);
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        machine.note_failure(&id, suspect);
+        if machine.closing && !machine.emptying {
+            return;
+        }
+        match (machine.blame(), self.jobs.get_mut(ix)) {
+            (Blame::ByTwoJobs, _) => machine.retire_as_faulty(),
+            (Blame::ByOneJob, Some(job)) if job.blamed < MOST_BLAMED_BY_ONE_JOB => {
+                job.blamed += 1;
+                machine.retire_as_faulty();
+            }
+            _ => {}
+        }
+    }
+
+    /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
+    /// others are left that speak against them.
+    pub(super) fn acquit_machines(&mut self, cx: &Ctx) {
+        let suspect = |id: &str| is_suspect(&self.jobs, id);
+        for machine in self.machines.values_mut().filter(|m| m.faulty) {
+            machine.forget_failures(suspect);
+            if machine.blame() == Blame::None && !self.fleet.is_releasing(&machine.name) {
+                machine.keep_after_all();
+                self.placement.want(cx.now.steady);
+            }
+        }
+    }
+
+    /// A worker reports an exit of an attempt that is on no page of ours, such as one whose
+    /// removal was written before an earlier leader could have it reaped.
+    pub(super) fn exited_unknown(
+        &mut self,
+        cx: &mut Ctx,
+        name: &str,
+        job_id: &str,
+        task: u64,
+        s: &ShardReport,
+    ) {
+        let known = self.machines.get(name).is_some_and(|m| {
+            m.reaps
+                .iter()
+                .any(|r| r.shard == s.shard && r.attempt == s.attempt)
+        });
+        if known {
+            return;
+        }
+        let ix = self.jobs.find(job_id);
+        let mut after = Vec::new();
+        if let (Some("done"), Some(ix)) = (s.cause.as_deref(), ix) {
+            after.extend(self.completed(cx, ix, task));
+            self.end_if_over(cx, ix);
+        }
+        if let Some(m) = self.machines.get_mut(name) {
+            m.reaps.push(Reap {
+                shard: s.shard.clone(),
+                attempt: s.attempt,
+                after,
+                job: ix,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/workers/silence.rs
@@ -0,0 +1,170 @@
+//! Machines that are silent, and what is proven about them.
+
+use super::*;
+
+impl Lead {
+    /// Whether no worker reaches this node though there should be some: then another node had
+    /// better lead.
+    pub(crate) fn cut_from_workers(&self, cx: &Ctx) -> bool {
+        let now = cx.now.steady;
+        // A worker that gets no answer for 4 s goes to another node, and its lease should still hold
+        // when it finds the next leader there: a report and a half once reports are far apart.
+        let report = cx.settings.report;
+        let silence = (report * 5 / 2).min((report * 3 / 2).max(ANSWER_TIME));
+        let since = now.saturating_sub(self.heard_at.max(self.loaded_at));
+        if !self.loaded() || cx.settings.siblings.is_empty() || since <= silence {
+            return false;
+        }
+        // Machines known from state only have yet to find this node: they get more time.
+        let lately =
+            |m: &&Machine| m.knows_token && now.saturating_sub(m.last_report) < silence * 4;
+        match self.machines.values().filter(lately).count() {
+            // Copies of a deleted machine's reports make no machine; nor does a page that lists one
+            // which is gone from the cloud: leaders once gave up in turn, none stayed long enough
+            // to find that out.
+            0 => {
+                let list = self.fleet.has_list();
+                let real = |m: &Machine| {
+                    m.knows_token || (m.endpoint.is_empty() && (m.listed.is_some() || !list))
+                };
+                since > silence * 4 && self.machines.values().any(real)
+            }
+            // A single machine may well be at fault itself.
+            1 => since > silence * 2,
+            _ => true,
+        }
+    }
+
+    /// Looks after silent machines, stops that were not carried out, and recalls.
+    pub(crate) fn run_machines(&mut self, cx: &mut Ctx) {
+        let now = cx.now.steady;
+        if now < self.next_machine_check {
+            return;
+        }
+        self.next_machine_check = now + SECOND;
+        let s = &cx.settings;
+        let (lease, cancel, report) = (s.lease, s.cancel, s.report);
+        let lapse = lapse(lease);
+        // Silence of all machines is our own cut, not theirs.
+        let hearing = now.saturating_sub(self.heard_at) < 3 * report;
+        // A new leader waits for the machines' first reports, to stop what it can without a release.
+        let new = now.saturating_sub(self.loaded_at) < report * 3 / 2 + SECOND;
+        let names: Vec<String> = self.machines.keys().cloned().collect();
+        let mut silent_serving: Vec<(Micros, String)> = Vec::new();
+        for name in names {
+            let Some(m) = self.machines.get_mut(&name) else {
+                continue;
+            };
+            let silent = now.saturating_sub(m.last_report);
+            // A machine may answer direct commands and reach no controller: nothing can be launched there.
+            // A replica was once placed on such a one again and again, each time for a further session.
+            let unheard = now.saturating_sub(m.last_checkin);
+            let lapsed = m.knows_token && now.saturating_sub(m.last_answer) > lapse;
+            let jobs = &self.jobs;
+            let cancelled = |a: &Assignment| jobs.get(a.job).is_none_or(|j| j.cancelled.is_some());
+            if lapsed && m.assignments.iter().any(cancelled) {
+                // A hanging machine may not know yet that its lease has run out, and cancelled tasks must
+                // be gone in time. Their proof is the release: were they freed before it is answered, the
+                // next leader would not know that it is due.
+                self.fleet.release(&name, now);
+                m.closing = true;
+            }
+            let tenure = m.tenure;
+            let ended = |a: &Assignment| a.tenure <= tenure && !cancelled(a);
+            if lapsed && m.assignments.iter().any(ended) {
+                // The worker has seen our token, so only our answers renew its lease, and the
+                // last one is too old: it has killed every task and is in a new session.
+                info!("{name}: lease has run out");
+                let attempts: Vec<u64> = m
+                    .assignments
+                    .iter()
+                    .filter(|a| ended(a))
+                    .map(|a| a.attempt)
+                    .collect();
+                m.tenure += 1;
+                m.tally = 0;
+                m.reaps.clear();
+                while let Some(at) = self.position(&name, |a| attempts.contains(&a.attempt)) {
+                    self.free(cx, &name, at);
+                }
+            }
+            if unheard > 3 * report {
+                self.free_unlaunched(cx, &name);
+            }
+            let Some(m) = self.machines.get(&name) else {
+                continue;
+            };
+            let overdue_cancel = m.assignments.iter().any(|a| {
+                let ago = self.jobs.get(a.job).and_then(|j| j.cancelled_for(now));
+                ago.is_some_and(|ago| ago > cancel / 2 && (!new || ago > cancel * 3 / 4))
+            });
+            // A release is proof, and sooner than the end of the lease: replicas need not wait for that.
+            let serves = m.knows_token
+                && m.assignments
+                    .iter()
+                    .any(|a| self.jobs.get(a.job).is_some_and(Job::is_daemon));
+            if serves && hearing && !new && silent > 2 * report + SECOND {
+                silent_serving.push((silent, name.clone()));
+            }
+            if overdue_cancel || (hearing && unheard > silent_release(lease)) {
+                if self.fleet.release(&name, now) {
+                    info!("{name}: released, silent for {} s", unheard / SECOND);
+                }
+                if let Some(m) = self.machines.get_mut(&name) {
+                    m.closing = true;
+                }
+            }
+            // Reports may be further apart than a worker waits for an answer; then they do not show
+            // by themselves that it hears: idle machines once stayed without work until they were
+            // returned.
+            let Some(m) = self.machines.get(&name) else {
+                continue;
+            };
+            if !m.hears
+                && !m.closing
+                && silent < 2 * report
+                && now.saturating_sub(m.last_answer) >= ASK_AFTER
+                && self.direct.len() < MOST_ASKED
+            {
+                self.send_orders(cx, &name, true);
+            }
+            let Some(m) = self.machines.get(&name) else {
+                continue;
+            };
+            // What belongs to no live task: a second assignment of a task that is done.
+            let useless: Vec<u64> = m
+                .assignments
+                .iter()
+                .filter(|a| self.jobs.get(a.job).is_none_or(|j| j.is_done(a.task)))
+                .map(|a| a.attempt)
+                .collect();
+            if !useless.is_empty() {
+                self.stop_on(cx, &name, 0, |a| useless.contains(&a.attempt));
+            }
+            self.drain_recalled(cx, &name);
+            self.move_replicas(cx, &name);
+            self.send_direct(cx, &name);
+        }
+        self.check_silent_serving(cx, &silent_serving);
+    }
+
+    /// Machines that hold replicas and are silent are asked directly, and released if that brings no
+    /// answer either. Many at once are more likely cut off than gone, and keep serving meanwhile.
+    pub(super) fn check_silent_serving(&mut self, cx: &mut Ctx, silent: &[(Micros, String)]) {
+        let now = cx.now.steady;
+        let few = 1 + self.machines.len() / MOST_SILENT_PART;
+        for (silence, name) in silent {
+            if *silence < cx.settings.report * 3 + 2 * SECOND {
+                self.send_orders(cx, name, true);
+            } else if silent.len() <= few && self.fleet.release(name, now) {
+                info!(
+                    "{name}: released, silent for {} s with replicas on it",
+                    silence / SECOND
+                );
+                if let Some(m) = self.machines.get_mut(name) {
+                    m.closing = true;
+                }
+            }
+        }
+    }
+}
