--- a/crates/core/src/done.rs
+++ b/crates/core/src/done.rs
@@ -2,16 +2,16 @@
 //!
 //! Tasks of many jobs end every second, while the state service takes some ten changes. So the
 //! completed tasks of many jobs share a record, which is written every few seconds: until then the
-//! workers keep the results, since an exited task is reaped only when its end is durable.
+//! workers keep the results, since an exited task is acknowledged only when its end is durable.
 
-use crate::jobs::{Job, JobIx, Jobs};
+use crate::jobs::{Job, JobIndex, Jobs};
 use grebewood_wire::records::{DonePageRecord, DONE_SPAN};
 use std::collections::BTreeSet;
 
 /// A page: which spans of which jobs are on it, and how large it may become.
 #[derive(Clone, Debug, Default)]
 struct DonePage {
-    spans: BTreeSet<(JobIx, u64)>,
+    spans: BTreeSet<(JobIndex, u64)>,
     bytes: usize,
     /// Its write may wait for that of another: it takes nothing new.
     barred: bool,
@@ -48,7 +48,7 @@
     }
 
     /// The page that holds the span of the job; one with room is chosen the first time.
-    pub fn page_of(&mut self, ix: JobIx, n: u64, job: &mut Job) -> u64 {
+    pub fn page_of(&mut self, index: JobIndex, n: u64, job: &mut Job) -> u64 {
         if let Some(page) = job.done_pages.get(&n) {
             return *page;
         }
@@ -58,15 +58,15 @@
             .iter()
             .position(|p| !p.barred && p.bytes + need <= self.page_bytes)
             .unwrap_or(self.pages.len()) as u64;
-        self.adopt(at, ix, n, job);
+        self.adopt(at, index, n, job);
         at
     }
 
     /// Notes that the page holds the span.
-    pub fn adopt(&mut self, page: u64, ix: JobIx, n: u64, job: &mut Job) {
+    pub fn adopt(&mut self, page: u64, index: JobIndex, n: u64, job: &mut Job) {
         let need = size(job, n);
         let p = self.page_mut(page);
-        if p.spans.insert((ix, n)) {
+        if p.spans.insert((index, n)) {
             p.bytes += need;
         }
         job.done_pages.insert(n, page);
@@ -83,16 +83,16 @@
         for from in 0..self.pages.len() {
             // One that is set aside has no spans.
             while self.pages[from].bytes > page_bytes && self.pages[from].spans.len() > 1 {
-                let Some((ix, n)) = self.pages[from].spans.pop_last() else {
+                let Some((index, n)) = self.pages[from].spans.pop_last() else {
                     break;
                 };
-                let Some(job) = jobs.get_mut(ix) else {
+                let Some(job) = jobs.get_mut(index) else {
                     continue;
                 };
                 let p = &mut self.pages[from];
                 p.bytes = p.bytes.saturating_sub(size(job, n));
                 job.done_pages.remove(&n);
-                let to = self.page_of(ix, n, job);
+                let to = self.page_of(index, n, job);
                 moves.push((from as u64, to));
             }
         }
@@ -110,11 +110,11 @@
     }
 
     /// Forgets a job that is over. Its entries vanish when their pages are next written.
-    pub fn drop_job(&mut self, ix: JobIx, job: &Job) {
+    pub fn drop_job(&mut self, index: JobIndex, job: &Job) {
         for (n, page) in &job.done_pages {
             let need = size(job, *n);
             let p = self.page_mut(*page);
-            if p.spans.remove(&(ix, *n)) {
+            if p.spans.remove(&(index, *n)) {
                 p.bytes = p.bytes.saturating_sub(need);
             }
         }
@@ -126,8 +126,8 @@
         let jobs = spans
             .into_iter()
             .flatten()
-            .filter_map(|(ix, n)| {
-                let job = jobs.get(*ix)?;
+            .filter_map(|(index, n)| {
+                let job = jobs.get(*index)?;
                 Some((job.id.clone(), *n, job.done_bits(*n)))
             })
             .collect();
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,17 +1,17 @@
 //! The fleet: renting by the deadline decider, boots, returns, and the cloud's machine list.
 
-use crate::jobs::{fits_type, Job, JobIx, Shape, EPS};
+use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
 use crate::leadership::Lead;
-use crate::ledger::Rec;
-use crate::node::{Ctx, LeadCall};
+use crate::ledger::RecordId;
+use crate::node::{Context, LeadCall};
 use crate::placement::{permits, slots};
-use crate::workers::{leeway, silent_release, Machine};
+use crate::workers::{grace, silent_release, Machine};
 use crate::{micros, Micros, Outcome, Target, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    Catalogue, MachineList, MachineType, Perches, Refusal, RentalRequest, Report, Submission,
+    Catalogue, MachineList, MachineNames, MachineType, Refusal, RentalRequest, Report, Submission,
 };
-use grebewood_wire::records::HireRecord;
+use grebewood_wire::records::RentalRecord;
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
 pub enum FleetCall {
     Types,
     List,
-    Hire { name: String },
+    Rental { name: String },
     Release { machines: Vec<String> },
 }
 
@@ -50,8 +50,8 @@
 
 /// A rental request.
 #[derive(Clone, Debug)]
-struct Hire {
-    record: HireRecord,
+struct Rental {
+    record: RentalRecord,
     requested: Micros,
     written: bool,
     asking: bool,
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct Fleet {
     boots: BTreeMap<String, Boot>,
-    hires: BTreeMap<String, Hire>,
+    rentals: BTreeMap<String, Rental>,
     counter: u64,
     /// Machines whose release was answered, and when.
     gone: BTreeMap<String, Micros>,
@@ -97,7 +97,7 @@
     pub fn new(now: Micros) -> Self {
         Fleet {
             boots: BTreeMap::new(),
-            hires: BTreeMap::new(),
+            rentals: BTreeMap::new(),
             counter: 0,
             gone: BTreeMap::new(),
             releasing: BTreeSet::new(),
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn next_wake(&self, _cx: &Ctx) -> Micros {
+    pub fn next_wake(&self, _cx: &Context) -> Micros {
         let mut at = self.decide_at.min(self.types_at);
         if !self.list_busy {
             at = at.min(self.list_at);
@@ -126,7 +126,7 @@
         if !self.releasing.is_empty() && !self.release_busy {
             at = at.min(self.release_at);
         }
-        for h in self.hires.values() {
+        for h in self.rentals.values() {
             if h.written && !h.asking && h.unlisted.is_none() {
                 at = at.min(h.retry_at);
             }
@@ -134,24 +134,24 @@
         at
     }
 
-    /// The record of a hire that is still open.
-    pub fn hire_record(&self, name: &str) -> Option<HireRecord> {
-        self.hires.get(name).map(|h| h.record.clone())
+    /// The record of a rental that is still open.
+    pub fn rental_record(&self, name: &str) -> Option<RentalRecord> {
+        self.rentals.get(name).map(|h| h.record.clone())
     }
 
-    pub fn hire_written(&mut self, now: Micros, name: &str) {
-        if let Some(h) = self.hires.get_mut(name) {
+    pub fn rental_written(&mut self, now: Micros, name: &str) {
+        if let Some(h) = self.rentals.get_mut(name) {
             h.written = true;
             h.retry_at = now;
         }
     }
 
-    /// Takes over a hire of an earlier leader: the same request is sent again by its name, which
+    /// Takes over a rental of an earlier leader: the same request is sent again by its name, which
     /// rents nothing twice.
-    pub fn recover_hire(&mut self, cx: &Ctx, name: String, record: HireRecord) {
-        let now = cx.now.steady;
-        let age = cx.now.wall.saturating_sub(record.requested_us);
-        let hire = Hire {
+    pub fn recover_rental(&mut self, context: &Context, name: String, record: RentalRecord) {
+        let now = context.now.steady;
+        let age = context.now.wall.saturating_sub(record.requested_us);
+        let rental = Rental {
             record,
             requested: now.saturating_sub(age),
             written: true,
@@ -159,7 +159,7 @@
             retry_at: now,
             unlisted: None,
         };
-        self.hires.insert(name, hire);
+        self.rentals.insert(name, rental);
     }
 
     /// Whether a list of the cloud's was taken in.
@@ -188,10 +188,10 @@
         !self.is_gone(name) && self.releasing.insert(name.to_string())
     }
 
-    /// Booting machines, including those of hires that are not answered yet.
+    /// Booting machines, including those of rentals that are not answered yet.
     fn booting(&self) -> usize {
         let asked: u64 = self
-            .hires
+            .rentals
             .values()
             .filter(|h| h.unlisted.is_none())
             .map(|h| h.record.number)
@@ -202,35 +202,35 @@
 
 impl Lead {
     /// A machine reports: if it was booting, it is up now.
-    pub(crate) fn machine_is_up(&mut self, cx: &Ctx, report: &Report) {
-        let now = cx.now.steady;
-        self.fleet.mute.remove(&report.perch);
-        if let Some(boot) = self.fleet.boots.remove(&report.perch) {
+    pub(crate) fn machine_is_up(&mut self, context: &Context, report: &Report) {
+        let now = context.now.steady;
+        self.fleet.mute.remove(&report.machine);
+        if let Some(boot) = self.fleet.boots.remove(&report.machine) {
             self.placement.want(now);
             if !boot.up {
                 let took = now.saturating_sub(boot.requested);
-                info!("{}: up after {} s", report.perch, took / SECOND);
+                info!("{}: up after {} s", report.machine, took / SECOND);
                 self.fleet.given_up.remove(&boot.machine_type);
-                if let Some(t) = cx.machine_type(&boot.machine_type) {
+                if let Some(t) = context.machine_type(&boot.machine_type) {
                     self.stats
-                        .booted(&boot.machine_type, micros(t.startup_s), took);
+                        .booted(&boot.machine_type, micros(t.boot_s), took);
                 }
             }
         }
-        for h in self.fleet.hires.values_mut() {
+        for h in self.fleet.rentals.values_mut() {
             if let Some(unlisted) = &mut h.unlisted {
-                unlisted.remove(&report.perch);
+                unlisted.remove(&report.machine);
             }
         }
     }
 
-    pub(crate) fn run_fleet(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(crate) fn run_fleet(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         // A release may be what a cancellation waits for. Hires without an outcome, each asked for anew
         // after a second, could take all calls that the cloud's limit leaves.
-        self.send_releases(cx);
-        self.send_hires(cx);
-        if now >= self.fleet.list_at && !self.fleet.list_busy && cx.cloud.take(now, 1.0) {
+        self.send_releases(context);
+        self.send_rentals(context);
+        if now >= self.fleet.list_at && !self.fleet.list_busy && context.cloud.take(now, 1.0) {
             self.fleet.list_busy = true;
             let since = match &self.fleet.list_since {
                 Some(s) => format!("since={s}&"),
@@ -238,7 +238,7 @@
             };
             let pending = self.pending(LeadCall::Fleet(FleetCall::List));
             let path = format!("/rentals?{since}page=500");
-            cx.call(
+            context.call(
                 Target::Cloud,
                 "GET",
                 path,
@@ -247,11 +247,11 @@
                 pending,
             );
         }
-        if now >= self.fleet.types_at && !self.fleet.types_busy && cx.cloud.take(now, 1.0) {
+        if now >= self.fleet.types_at && !self.fleet.types_busy && context.cloud.take(now, 1.0) {
             self.fleet.types_busy = true;
             self.fleet.types_at = now + 60 * SECOND;
             let pending = self.pending(LeadCall::Fleet(FleetCall::Types));
-            cx.call(
+            context.call(
                 Target::Cloud,
                 "GET",
                 "/machine_types".into(),
@@ -261,45 +261,46 @@
             );
         }
         if now >= self.fleet.decide_at {
-            self.fleet.decide_at = now + cx.tuning.decider_interval_us;
-            self.check_boots(cx);
-            self.standby.update(cx, &self.jobs, self.machines.len());
-            self.decide(cx);
-            self.give_back(cx);
-            self.consolidate(cx);
-            self.close_hires(cx);
+            self.fleet.decide_at = now + context.tuning.decider_interval_us;
+            self.check_boots(context);
+            self.standby
+                .update(context, &self.jobs, self.machines.len());
+            self.decide(context);
+            self.give_back(context);
+            self.consolidate(context);
+            self.close_rentals(context);
         }
     }
 
-    fn send_hires(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    fn send_rentals(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         let ready: Vec<String> = self
             .fleet
-            .hires
+            .rentals
             .iter()
             .filter(|(_, h)| h.written && !h.asking && h.unlisted.is_none() && h.retry_at <= now)
             .map(|(n, _)| n.clone())
             .collect();
         for name in ready {
-            if !cx.cloud.take(now, 1.0) {
-                if let Some(h) = self.fleet.hires.get_mut(&name) {
-                    h.retry_at = cx.cloud.ready_at(now, 1.0);
+            if !context.cloud.take(now, 1.0) {
+                if let Some(h) = self.fleet.rentals.get_mut(&name) {
+                    h.retry_at = context.cloud.ready_at(now, 1.0);
                 }
                 continue;
             }
-            let Some(h) = self.fleet.hires.get_mut(&name) else {
+            let Some(h) = self.fleet.rentals.get_mut(&name) else {
                 continue;
             };
             h.asking = true;
             let body = RentalRequest {
-                hire: name.clone(),
-                build: h.record.machine_type.clone(),
-                yard: h.record.zone.clone(),
-                loaner: h.record.spot,
+                name: name.clone(),
+                machine_type: h.record.machine_type.clone(),
+                zone: h.record.zone.clone(),
+                spot: h.record.spot,
                 number: h.record.number,
             };
-            let pending = self.pending(LeadCall::Fleet(FleetCall::Hire { name }));
-            cx.call(
+            let pending = self.pending(LeadCall::Fleet(FleetCall::Rental { name }));
+            context.call(
                 Target::Cloud,
                 "POST",
                 "/rentals".into(),
@@ -310,23 +311,23 @@
         }
     }
 
-    fn send_releases(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    fn send_releases(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         let f = &mut self.fleet;
         if f.releasing.is_empty() || f.release_busy || now < f.release_at {
             return;
         }
-        if !cx.cloud.take(now, 1.0) {
-            f.release_at = cx.cloud.ready_at(now, 1.0);
+        if !context.cloud.take(now, 1.0) {
+            f.release_at = context.cloud.ready_at(now, 1.0);
             return;
         }
         f.release_busy = true;
         let machines: Vec<String> = f.releasing.iter().take(RELEASE_MOST).cloned().collect();
-        let body = Perches {
-            perches: machines.clone(),
+        let body = MachineNames {
+            machines: machines.clone(),
         };
         let pending = self.pending(LeadCall::Fleet(FleetCall::Release { machines }));
-        cx.call(
+        context.call(
             Target::Cloud,
             "POST",
             "/rentals/release".into(),
@@ -336,25 +337,25 @@
         );
     }
 
-    pub(crate) fn on_fleet(&mut self, cx: &mut Ctx, call: FleetCall, outcome: Outcome) {
-        let now = cx.now.steady;
+    pub(crate) fn on_fleet(&mut self, context: &mut Context, call: FleetCall, outcome: Outcome) {
+        let now = context.now.steady;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
             _ => (0, Vec::new()),
         };
         if status == 429 {
-            cx.cloud.drain(now);
+            context.cloud.drain(now);
         }
         match call {
             FleetCall::Types => {
                 self.fleet.types_busy = false;
                 match wire::from_cbor::<Catalogue>(&body) {
-                    Ok(c) if status == 200 && !c.builds.is_empty() => {
+                    Ok(c) if status == 200 && !c.machine_types.is_empty() => {
                         let known = self.ledger.stamps.contains_key(wire::records::CATALOGUE);
-                        if !known || cx.catalogue.as_ref() != Some(&c.builds) {
-                            self.ledger.touch(Rec::Catalogue, now);
+                        if !known || context.catalogue.as_ref() != Some(&c.machine_types) {
+                            self.ledger.touch(RecordId::Catalogue, now);
                         }
-                        cx.catalogue = Some(c.builds);
+                        context.catalogue = Some(c.machine_types);
                     }
                     _ => self.fleet.types_at = now + 5 * SECOND,
                 }
@@ -363,43 +364,43 @@
                 self.fleet.list_busy = false;
                 match wire::from_cbor::<MachineList>(&body) {
                     Ok(list) if status == 200 => {
-                        let last = list.perches.last().map(|p| p.uid.clone());
-                        self.fleet.list.extend(list.perches);
+                        let last = list.machines.last().map(|p| p.id.clone());
+                        self.fleet.list.extend(list.machines);
                         if list.more && last.is_some() {
                             self.fleet.list_since = last;
                             self.fleet.list_at = now;
                         } else {
                             self.fleet.list_since = None;
-                            self.fleet.list_at = now + cx.tuning.list_interval_us;
-                            self.take_list(cx);
+                            self.fleet.list_at = now + context.tuning.list_interval_us;
+                            self.take_list(context);
                         }
                     }
                     Ok(_) | Err(_) => {
                         if status == 200 {
                             warn!("cloud: unreadable machine list");
                         }
-                        self.fleet.list_at = now + SECOND + cx.jitter(SECOND / 2);
+                        self.fleet.list_at = now + SECOND + context.jitter(SECOND / 2);
                     }
                 }
             }
-            FleetCall::Hire { name } => self.on_hire(cx, &name, status, &body),
+            FleetCall::Rental { name } => self.on_rental(context, &name, status, &body),
             FleetCall::Release { machines } => {
                 self.fleet.release_busy = false;
                 if status == 200 {
                     for name in machines {
-                        self.released(cx, &name);
+                        self.released(context, &name);
                     }
                 } else {
-                    self.fleet.release_at = now + SECOND + cx.jitter(SECOND / 2);
+                    self.fleet.release_at = now + SECOND + context.jitter(SECOND / 2);
                 }
             }
         }
     }
 
     /// A release was answered 200: the machine and all that was on it are gone.
-    fn released(&mut self, cx: &mut Ctx, name: &str) {
+    fn released(&mut self, context: &mut Context, name: &str) {
         self.fleet.releasing.remove(name);
-        self.fleet.gone.insert(name.to_string(), cx.now.steady);
+        self.fleet.gone.insert(name.to_string(), context.now.steady);
         while self.fleet.gone.len() > 20_000 {
             self.fleet.gone.pop_first();
         }
@@ -411,18 +412,18 @@
             .and_then(|m| m.assignments.first())
             .map(|a| a.page)
         {
-            self.free(cx, name, 0);
+            self.free(context, name, 0);
             // No report will tell the next leader: it would wait for this machine's lease.
-            let due = cx.now.steady + RELEASED_DELAY;
-            self.ledger.touch_by(Rec::Page(page), due);
+            let due = context.now.steady + RELEASED_DELAY;
+            self.ledger.touch_by(RecordId::Page(page), due);
         }
         self.machines.remove(name);
-        self.refuse_held(cx, name, "the machine was returned");
+        self.refuse_pending(context, name, "the machine was returned");
     }
 
-    fn on_hire(&mut self, cx: &mut Ctx, name: &str, status: u16, body: &[u8]) {
-        let now = cx.now.steady;
-        let Some(h) = self.fleet.hires.get_mut(name) else {
+    fn on_rental(&mut self, context: &mut Context, name: &str, status: u16, body: &[u8]) {
+        let now = context.now.steady;
+        let Some(h) = self.fleet.rentals.get_mut(name) else {
             return;
         };
         h.asking = false;
@@ -433,20 +434,20 @@
         );
         let wanted = h.record.number;
         match status {
-            200 => match wire::from_cbor::<Perches>(body) {
+            200 => match wire::from_cbor::<MachineNames>(body) {
                 Ok(p) => {
-                    info!("{name}: {} of {wanted} machines rented", p.perches.len());
-                    if (p.perches.len() as u64) < wanted {
+                    info!("{name}: {} of {wanted} machines rented", p.machines.len());
+                    if (p.machines.len() as u64) < wanted {
                         self.no_capacity(now, offer.clone());
                     } else {
                         self.fleet.unavailable.remove(&offer);
                     }
-                    let Some(h) = self.fleet.hires.get_mut(name) else {
+                    let Some(h) = self.fleet.rentals.get_mut(name) else {
                         return;
                     };
                     let requested = h.requested;
-                    h.unlisted = Some(p.perches.iter().cloned().collect());
-                    for machine in p.perches {
+                    h.unlisted = Some(p.machines.iter().cloned().collect());
+                    for machine in p.machines {
                         if self.machines.contains_key(&machine) || self.fleet.is_gone(&machine) {
                             continue;
                         }
@@ -468,15 +469,15 @@
             },
             503 if wire::from_cbor::<Refusal>(body).is_ok_and(|r| r.error == "no capacity") => {
                 self.no_capacity(now, offer);
-                self.drop_hire(cx, name);
+                self.drop_hire(context, name);
             }
             400 => {
                 warn!("{name}: the cloud calls the request malformed");
                 self.no_capacity(now, offer);
-                self.drop_hire(cx, name);
+                self.drop_hire(context, name);
             }
             // No clear outcome: the same request again, by the same name.
-            _ => h.retry_at = now + SECOND + cx.jitter(SECOND / 2),
+            _ => h.retry_at = now + SECOND + context.jitter(SECOND / 2),
         }
     }
 
@@ -486,76 +487,76 @@
         entry.0 = now + ((5 * SECOND) << entry.1.saturating_sub(1)).min(20 * SECOND);
     }
 
-    fn drop_hire(&mut self, cx: &Ctx, name: &str) {
-        if self.fleet.hires.remove(name).is_some() {
+    fn drop_hire(&mut self, context: &Context, name: &str) {
+        if self.fleet.rentals.remove(name).is_some() {
             // Rendered as a deletion.
             self.ledger
-                .touch(Rec::Hire(name.to_string()), cx.now.steady);
+                .touch(RecordId::Rental(name.to_string()), context.now.steady);
         }
     }
 
-    /// Ends hires whose machines the list or their own reports show: from then on a new leader
+    /// Ends rentals whose machines the list or their own reports show: from then on a new leader
     /// finds them there.
-    fn close_hires(&mut self, cx: &mut Ctx) {
+    fn close_rentals(&mut self, context: &mut Context) {
         let closed: Vec<String> = self
             .fleet
-            .hires
+            .rentals
             .iter()
             .filter(|(_, h)| h.unlisted.as_ref().is_some_and(BTreeSet::is_empty))
             .map(|(n, _)| n.clone())
             .collect();
         for name in closed {
-            self.drop_hire(cx, &name);
+            self.drop_hire(context, &name);
         }
     }
 
     /// Takes in a full machine list. It lags, so absence from it says little.
-    fn take_list(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    fn take_list(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         let list = std::mem::take(&mut self.fleet.list);
         self.fleet.listed_at = Some(now);
-        let old = 4 * cx.settings.list_lag + 30 * SECOND;
-        self.find_taken(cx, &list);
+        let old = 4 * context.settings.list_lag + 30 * SECOND;
+        self.find_taken(context, &list);
         for p in list {
-            for h in self.fleet.hires.values_mut() {
+            for h in self.fleet.rentals.values_mut() {
                 if let Some(unlisted) = &mut h.unlisted {
-                    unlisted.remove(&p.uid);
+                    unlisted.remove(&p.id);
                 }
             }
-            if let Some(at) = self.fleet.gone.get(&p.uid) {
+            if let Some(at) = self.fleet.gone.get(&p.id) {
                 if now.saturating_sub(*at) > old {
                     // Still there long after its release was answered: release it again.
-                    self.fleet.gone.remove(&p.uid);
-                    self.fleet.release(&p.uid, now);
+                    self.fleet.gone.remove(&p.id);
+                    self.fleet.release(&p.id, now);
                 }
                 continue;
             }
             if p.status == "failed" {
-                info!("{}: failed", p.uid);
-                self.fleet.release(&p.uid, now);
+                info!("{}: failed", p.id);
+                self.fleet.release(&p.id, now);
                 continue;
             }
-            if let Some(boot) = self.fleet.boots.get_mut(&p.uid) {
+            if let Some(boot) = self.fleet.boots.get_mut(&p.id) {
                 boot.listed = Some(now);
                 boot.up = p.status == "running";
             }
             let reported = self
                 .machines
-                .get(&p.uid)
-                .is_some_and(|m| !m.endpoint.is_empty());
+                .get(&p.id)
+                .is_some_and(|m| !m.address.is_empty());
             if reported {
                 continue;
             }
             if p.status == "running" {
-                self.fleet.mute.entry(p.uid.clone()).or_insert(now);
+                self.fleet.mute.entry(p.id.clone()).or_insert(now);
             }
-            self.fleet.boots.entry(p.uid.clone()).or_insert_with(|| {
-                info!("{}: not known until now", p.uid);
+            self.fleet.boots.entry(p.id.clone()).or_insert_with(|| {
+                info!("{}: not known until now", p.id);
                 Boot {
-                    machine_type: p.build.clone(),
-                    zone: p.yard.clone(),
-                    spot: p.loaner,
-                    requested: now.saturating_sub(micros(p.held_s)),
+                    machine_type: p.machine_type.clone(),
+                    zone: p.zone.clone(),
+                    spot: p.spot,
+                    requested: now.saturating_sub(micros(p.age_s)),
                     listed: Some(now),
                     up: p.status == "running",
                 }
@@ -568,9 +569,9 @@
     /// release, which costs nothing, gives the proof that frees its tasks, earlier than the end of
     /// its lease would. Of machines that are gone before a leader begins there is no other proof,
     /// if nobody is left whose reports show that the silence is theirs.
-    fn find_taken(&mut self, cx: &Ctx, list: &[wire::http::ListedMachine]) {
-        let now = cx.now.steady;
-        let listed: BTreeSet<&str> = list.iter().map(|p| p.uid.as_str()).collect();
+    fn find_taken(&mut self, context: &Context, list: &[wire::http::ListedMachine]) {
+        let now = context.now.steady;
+        let listed: BTreeSet<&str> = list.iter().map(|p| p.id.as_str()).collect();
         let mut taken = Vec::new();
         for m in self.machines.values_mut() {
             if listed.contains(m.name.as_str()) {
@@ -578,11 +579,11 @@
                 continue;
             }
             // A list may be older than the one before it, by as much as the lag allows.
-            let long_ago = 2 * cx.settings.list_lag + 2 * SECOND;
-            let from_state = m.endpoint.is_empty().then_some(self.loaded_at);
+            let long_ago = 2 * context.settings.list_lag + 2 * SECOND;
+            let from_state = m.address.is_empty().then_some(self.loaded_at);
             let since = m.listed.or(from_state);
             if since.is_some_and(|at| now.saturating_sub(at) > long_ago)
-                && now.saturating_sub(m.last_report) > 2 * cx.settings.report + SECOND
+                && now.saturating_sub(m.last_report) > 2 * context.settings.report + SECOND
             {
                 taken.push(m.name.clone());
             }
@@ -596,17 +597,17 @@
 
     /// Gives up boots that are far overdue, that vanished from the list, or whose machines are
     /// listed as up without ever reporting.
-    fn check_boots(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
-        let lag = cx.settings.list_lag;
-        let hearing = now.saturating_sub(self.heard_at) < 3 * cx.settings.report;
+    fn check_boots(&mut self, context: &mut Context) {
+        let now = context.now.steady;
+        let lag = context.settings.list_lag;
+        let hearing = now.saturating_sub(self.heard_at) < 3 * context.settings.report;
         let mut release = Vec::new();
         let mut vanished = Vec::new();
         // What no list shows because there was none has not vanished: boots were once given up during
         // an outage of the cloud, and rented anew after it.
         let last_list = self.fleet.listed_at.unwrap_or(0);
         for (name, b) in &self.fleet.boots {
-            let limit = self.overdue_after(cx, &b.machine_type);
+            let limit = self.overdue_after(context, &b.machine_type);
             if !b.up && now.saturating_sub(b.requested) > limit + limit / 2 {
                 release.push(name.clone());
             } else if b
@@ -618,7 +619,7 @@
         }
         // A machine that is cut off for longer than this has lost its tasks; one that is silent is
         // released as late.
-        let patience = silent_release(cx.settings.lease).max(30 * SECOND);
+        let patience = silent_release(context.settings.lease).max(30 * SECOND);
         if hearing {
             for (name, since) in &self.fleet.mute {
                 if now.saturating_sub(*since) > patience {
@@ -644,13 +645,13 @@
     /// learnt while machines were up within seconds. Boots of usual length were once all given up
     /// after that, for good, since none came up to be learnt from. For the same reason a type gets
     /// more time when one boot after the other is given up.
-    fn overdue_after(&self, cx: &Ctx, machine_type: &str) -> Micros {
-        let startup = cx
+    fn overdue_after(&self, context: &Context, machine_type: &str) -> Micros {
+        let startup = context
             .machine_type(machine_type)
-            .map_or(30 * SECOND, |t| micros(t.startup_s));
+            .map_or(30 * SECOND, |t| micros(t.boot_s));
         let mean = self.stats.boot_time(machine_type, startup).max(startup);
         let given_up = self.fleet.given_up.get(machine_type).copied().unwrap_or(0);
-        let limit = (mean as f64 * cx.tuning.boot_overdue) as Micros + 2 * SECOND;
+        let limit = (mean as f64 * context.tuning.boot_overdue) as Micros + 2 * SECOND;
         limit << (given_up / GIVEN_UP).min(3)
     }
 }
--- a/crates/core/src/fleet/decider.rs
+++ b/crates/core/src/fleet/decider.rs
@@ -113,12 +113,12 @@
 /// How many tasks fit an empty machine of the type; 0 if the job does not permit it.
 fn slots_of(t: &MachineType, zone: &str, spot: bool, work: &Work) -> f64 {
     let spec = work.spec;
-    let permitted = (spec.loaner || !spot)
-        && spec.yard.as_ref().is_none_or(|y| y == zone)
+    let permitted = (spec.spot || !spot)
+        && spec.zone.as_ref().is_none_or(|y| y == zone)
         && work.zone.as_ref().is_none_or(|z| z == zone)
         && fits_type(spec, t);
     if permitted {
-        slots((t.vcpus, t.accelerators, t.memory_gb), spec) as f64
+        slots((t.cpus, t.gpus, t.memory_gb), spec) as f64
     } else {
         0.0
     }
@@ -146,17 +146,18 @@
 
 impl Lead {
     /// The shortest average boot of all types.
-    fn least_boot(&self, cx: &Ctx) -> Micros {
-        cx.catalogue
+    fn least_boot(&self, context: &Context) -> Micros {
+        context
+            .catalogue
             .iter()
             .flatten()
-            .map(|t| self.stats.boot_time(&t.name, micros(t.startup_s)))
+            .map(|t| self.stats.boot_time(&t.name, micros(t.boot_s)))
             .min()
             .unwrap_or(30 * SECOND)
     }
 
     /// Replicas, by job, on machines that are about to go: they need a slot elsewhere now.
-    fn leaving_replicas(&self) -> BTreeMap<JobIx, u64> {
+    fn leaving_replicas(&self) -> BTreeMap<JobIndex, u64> {
         let mut leaving = BTreeMap::new();
         let going = |m: &&Machine| m.closing || m.recall_at.is_some();
         for m in self.machines.values().filter(going) {
@@ -171,25 +172,28 @@
     }
 
     /// The work that waits, job by job; with `haste` as it is planned for cheap machines.
-    fn waiting_work<'a>(&'a self, cx: &Ctx, haste: bool) -> Vec<Work<'a>> {
-        let now = cx.now.steady;
+    fn waiting_work<'a>(&'a self, context: &Context, haste: bool) -> Vec<Work<'a>> {
+        let now = context.now.steady;
         let (share, late) = match haste {
             true => (
-                cx.tuning.deadline_share_cheap,
-                cx.tuning.late_deadline_cheap_us,
+                context.tuning.deadline_share_cheap,
+                context.tuning.late_deadline_cheap_us,
+            ),
+            false => (
+                context.tuning.deadline_share,
+                context.tuning.late_deadline_us,
             ),
-            false => (cx.tuning.deadline_share, cx.tuning.late_deadline_us),
         };
-        let boot = self.least_boot(cx);
+        let boot = self.least_boot(context);
         let mut planned: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         let mut work = Vec::new();
-        let yards = cx.catalogue.iter().flatten().flat_map(|t| &t.yards);
-        let zones: BTreeSet<&str> = yards.map(String::as_str).collect();
+        let zones = context.catalogue.iter().flatten().flat_map(|t| &t.zones);
+        let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
         // What services are to find when they come takes no time of the fleet's.
         if let Some((spec, n)) = self.standby.wanted() {
             for zone in zones
                 .iter()
-                .filter(|z| spec.yard.as_ref().is_none_or(|y| y == *z))
+                .filter(|z| spec.zone.as_ref().is_none_or(|y| y == *z))
             {
                 work.push(Work {
                     spec,
@@ -202,32 +206,32 @@
             }
         }
         let leaving = self.leaving_replicas();
-        for (ix, j) in self.jobs.iter() {
+        for (index, j) in self.jobs.iter() {
             // One that keeps failing needs a machine for its next try: left out, it once had none for
             // good after its last was returned.
-            let placeable = j.placeable(now) + leaving.get(&ix).copied().unwrap_or(0);
+            let placeable = j.placeable(now) + leaving.get(&index).copied().unwrap_or(0);
             if placeable == 0 {
                 continue;
             }
-            let Some(team) = cx.settings.teams.get(&j.spec.owner) else {
+            let Some(team) = context.settings.teams.get(&j.spec.team) else {
                 continue;
             };
-            let fetch = cx
+            let fetch = context
                 .catalogue
                 .iter()
                 .flatten()
                 .filter(|t| fits_type(&j.spec, t))
-                .map(|t| micros(j.spec.pull_gb / t.fetch_gb_per_s.unwrap_or(1.0).max(1e-3)))
+                .map(|t| micros(j.spec.image_gb / t.fetch_gb_per_s.unwrap_or(1.0).max(1e-3)))
                 .min()
                 .unwrap_or(0);
             let run = self.stats.expected_run(&j.spec);
             let t = (run + fetch) as f64 / 1e6;
             // What is late for every aim may take longer: it gains nothing by dear machines.
-            let left = match j.target(cx, self.need(cx, j)) {
+            let left = match j.target(context, self.need(context, j)) {
                 Some(at) => (at - now as i64).max(0) as f64 / 1e6 * share,
                 None => late as f64 / 1e6,
             };
-            let d = left.max(t * cx.tuning.least_rounds);
+            let d = left.max(t * context.tuning.least_rounds);
             let d_booting = d.max(boot as f64 / 1e6 + t);
             // Waiting tasks of other shapes need a slot each, now.
             let t = match j.shape {
@@ -235,8 +239,8 @@
                 _ => d,
             };
             // The team's limit bounds what can run within `d`, whatever is rented.
-            let used = self.usage.get(&j.spec.owner).copied().unwrap_or((0.0, 0.0));
-            let plan = planned.entry(&j.spec.owner).or_insert((0.0, 0.0));
+            let used = self.usage.get(&j.spec.team).copied().unwrap_or((0.0, 0.0));
+            let plan = planned.entry(&j.spec.team).or_insert((0.0, 0.0));
             let rounds = (d / t).max(1.0);
             let room = |max: f64, used: f64, planned: f64, need: f64| {
                 if need <= EPS {
@@ -246,19 +250,19 @@
                 }
             };
             let n = (placeable as f64)
-                .min(room(team.cpus_max, used.0, plan.0, j.spec.vcpus))
-                .min(room(team.gpus_max, used.1, plan.1, j.spec.accelerators));
+                .min(room(team.cpus_max, used.0, plan.0, j.spec.cpus))
+                .min(room(team.gpus_max, used.1, plan.1, j.spec.gpus));
             if n < 0.5 {
                 continue;
             }
-            plan.0 += n * j.spec.vcpus;
-            plan.1 += n * j.spec.accelerators;
+            plan.0 += n * j.spec.cpus;
+            plan.1 += n * j.spec.gpus;
             let mut parts = match j.shape {
                 // The rest of a job bound to one zone has no use for room elsewhere: with some there,
                 // nothing was once rented in its own, and it waited for its first tasks to end.
                 _ if j.bound_zone().is_some() => vec![(j.bound_zone().map(str::to_string), n)],
                 // Room in two zones is none for a gang that is to be in one.
-                Shape::Gang if j.spec.one_zone => vec![(self.gang_zone(cx, j, n), n)],
+                Shape::Gang if j.spec.one_zone => vec![(self.gang_zone(context, j, n), n)],
                 // Tasks that run one after the other can wait for room anywhere.
                 Shape::Batch => Vec::new(),
                 _ => zone_needs(j, &zones, n),
@@ -284,16 +288,21 @@
     /// The zone in which room is sought for a gang that is to be in one zone: where it is there, or
     /// may be rented; of these where there is the most, booting machines included. Half of the room
     /// in each of two zones once seemed to do, nothing was rented, and the gang waited for good.
-    fn gang_zone(&self, cx: &Ctx, job: &Job, n: f64) -> Option<String> {
-        let (now, silence) = (cx.now.steady, cx.settings.report * 3);
+    fn gang_zone(&self, context: &Context, job: &Job, n: f64) -> Option<String> {
+        let (now, silence) = (context.now.steady, context.settings.report * 3);
         let spec = &job.spec;
         let mut have: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
-        for t in cx.catalogue.iter().flatten().filter(|t| fits_type(spec, t)) {
-            for zone in &t.yards {
+        for t in context
+            .catalogue
+            .iter()
+            .flatten()
+            .filter(|t| fits_type(spec, t))
+        {
+            for zone in &t.zones {
                 let open = [false, true].into_iter().any(|spot| {
                     let offer = (t.name.clone(), zone.clone(), spot);
                     let closed = self.fleet.unavailable.get(&offer);
-                    permits(cx, spec, &t.name, zone, spot)
+                    permits(context, spec, &t.name, zone, spot)
                         && (!spot || t.spot_price.is_some())
                         && closed.is_none_or(|(until, _)| *until <= now)
                 });
@@ -301,7 +310,7 @@
             }
         }
         let mut add = |machine_type: &str, zone: &str, spot: bool, slots: u64| {
-            if permits(cx, spec, machine_type, zone, spot) {
+            if permits(context, spec, machine_type, zone, spot) {
                 if let Some((_, sum)) = have.get_mut(zone) {
                     *sum += slots;
                 }
@@ -311,18 +320,22 @@
             add(&m.machine_type, &m.zone, m.spot, slots(m.free(), spec));
         }
         let whole = |machine_type: &str| {
-            let t = cx.machine_type(machine_type);
-            t.map_or(0, |t| slots((t.vcpus, t.accelerators, t.memory_gb), spec))
+            let t = context.machine_type(machine_type);
+            t.map_or(0, |t| slots((t.cpus, t.gpus, t.memory_gb), spec))
         };
         for b in self.fleet.boots.values() {
             add(&b.machine_type, &b.zone, b.spot, whole(&b.machine_type));
         }
-        let asked = self.fleet.hires.values().map(|h| (&h.record, &h.unlisted));
+        let asked = self
+            .fleet
+            .rentals
+            .values()
+            .map(|h| (&h.record, &h.unlisted));
         for (r, _) in asked.filter(|(_, unlisted)| unlisted.is_none()) {
             let slots = whole(&r.machine_type) * r.number;
             add(&r.machine_type, &r.zone, r.spot, slots);
         }
-        let yard = |zone: &str| spec.yard.as_ref().is_none_or(|y| y == zone);
+        let yard = |zone: &str| spec.zone.as_ref().is_none_or(|y| y == zone);
         have.into_iter()
             .filter(|(zone, _)| yard(zone))
             .max_by_key(|(_, (open, sum))| (*open || *sum as f64 >= n, *sum))
@@ -330,9 +343,9 @@
     }
 
     /// The machines that are up, by offer, as the decider sees them.
-    fn supply(&self, cx: &Ctx) -> Vec<Supply> {
-        let now = cx.now.steady;
-        let silence = cx.settings.report * 3;
+    fn supply(&self, context: &Context) -> Vec<Supply> {
+        let now = context.now.steady;
+        let silence = context.settings.report * 3;
         let mut by_offer: BTreeMap<(&str, &str, bool), Supply> = BTreeMap::new();
         for m in self.machines.values() {
             if !m.counts(now, silence) || m.cpus <= 0.0 {
@@ -359,8 +372,8 @@
     }
 
     /// Power of the machines that are up or booting.
-    fn power_of_fleet(&self, cx: &Ctx, supply: &[Supply], work: &[Work]) -> Vec<f64> {
-        let now = cx.now.steady;
+    fn power_of_fleet(&self, context: &Context, supply: &[Supply], work: &[Work]) -> Vec<f64> {
+        let now = context.now.steady;
         let total: f64 = work.iter().map(|w| w.n * w.t).sum();
         let mut sum = vec![0.0; work.len()];
         let mut add = |p: Vec<f64>| {
@@ -369,14 +382,14 @@
             }
         };
         for s in supply {
-            let Some(build) = cx.machine_type(&s.offer.0) else {
+            let Some(build) = context.machine_type(&s.offer.0) else {
                 continue;
             };
             // What is kept for services is no room for batch work: counted as such, it once kept all
             // other work of a small fleet waiting for good, since nothing was rented for it.
             let kept = match self.standby.wanted() {
-                Some((spec, n)) if permits(cx, spec, &s.offer.0, &s.offer.1, s.offer.2) => {
-                    let part = (spec.vcpus / build.vcpus.max(EPS))
+                Some((spec, n)) if permits(context, spec, &s.offer.0, &s.offer.1, s.offer.2) => {
+                    let part = (spec.cpus / build.cpus.max(EPS))
                         .max(spec.memory_gb / build.memory_gb.max(EPS));
                     part * n as f64
                 }
@@ -393,17 +406,15 @@
             }));
         }
         for b in self.fleet.boots.values() {
-            let Some(build) = cx.machine_type(&b.machine_type) else {
+            let Some(build) = context.machine_type(&b.machine_type) else {
                 continue;
             };
             let spent = now.saturating_sub(b.requested);
-            if !b.up && spent > self.overdue_after(cx, &b.machine_type) {
+            if !b.up && spent > self.overdue_after(context, &b.machine_type) {
                 // Overdue boots lose their power and are replaced.
                 continue;
             }
-            let boot = self
-                .stats
-                .boot_time(&b.machine_type, micros(build.startup_s));
+            let boot = self.stats.boot_time(&b.machine_type, micros(build.boot_s));
             let delay = match b.up {
                 true => 0.0,
                 false => boot.saturating_sub(spent) as f64 / 1e6,
@@ -412,11 +423,11 @@
                 slots_of(build, &b.zone, b.spot, &work[i])
             }));
         }
-        for h in self.fleet.hires.values().filter(|h| h.unlisted.is_none()) {
-            let Some(build) = cx.machine_type(&h.record.machine_type) else {
+        for h in self.fleet.rentals.values().filter(|h| h.unlisted.is_none()) {
+            let Some(build) = context.machine_type(&h.record.machine_type) else {
                 continue;
             };
-            let boot = self.stats.boot_time(&build.name, micros(build.startup_s));
+            let boot = self.stats.boot_time(&build.name, micros(build.boot_s));
             add(power(work, total, Some(boot as f64 / 1e6), |i| {
                 h.record.number as f64 * slots_of(build, &h.record.zone, h.record.spot, &work[i])
             }));
@@ -425,21 +436,21 @@
     }
 
     /// One round of the decider.
-    pub(super) fn decide(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(super) fn decide(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         // Before the first list, machines of an earlier leader may be missing.
         if self.fleet.listed_at.is_none() && now < self.fleet.started + 10 * SECOND {
             return;
         }
-        let Some(catalogue) = cx.catalogue.clone() else {
+        let Some(catalogue) = context.catalogue.clone() else {
             return;
         };
         // Cheap machines do the work for the same money however many share it, so they are
         // rented with haste; the others only for what those do not cover in a longer time.
         let mut plan = BTreeMap::new();
-        let supply = self.supply(cx);
-        self.plan(cx, &catalogue, &supply, true, &mut plan);
-        self.plan(cx, &catalogue, &supply, false, &mut plan);
+        let supply = self.supply(context);
+        self.plan(context, &catalogue, &supply, true, &mut plan);
+        self.plan(context, &catalogue, &supply, false, &mut plan);
         let requests = plan.into_iter().flat_map(|(offer, number): (Offer, u64)| {
             (0..number.div_ceil(RENT_MOST))
                 .map(move |k| (offer.clone(), (number - k * RENT_MOST).min(RENT_MOST)))
@@ -448,13 +459,13 @@
             self.fleet.counter += 1;
             let name = format!("h-{}-{}", self.token, self.fleet.counter);
             info!("{name}: renting {number} of {machine_type} in {zone}, spot {spot}");
-            let hire = Hire {
-                record: HireRecord {
+            let rental = Rental {
+                record: RentalRecord {
                     machine_type,
                     zone,
                     spot,
                     number,
-                    requested_us: cx.now.wall,
+                    requested_us: context.now.wall,
                 },
                 requested: now,
                 written: false,
@@ -462,9 +473,9 @@
                 retry_at: now,
                 unlisted: None,
             };
-            self.fleet.hires.insert(name.clone(), hire);
+            self.fleet.rentals.insert(name.clone(), rental);
             // The record is durable before the request goes out.
-            self.ledger.touch(Rec::Hire(name), now);
+            self.ledger.touch(RecordId::Rental(name), now);
         }
     }
 
@@ -472,25 +483,25 @@
     /// With `haste`, only offers that are about as cheap as the cheapest.
     fn plan(
         &self,
-        cx: &Ctx,
+        context: &Context,
         catalogue: &[MachineType],
         supply: &[Supply],
         haste: bool,
         plan: &mut BTreeMap<Offer, u64>,
     ) {
-        let now = cx.now.steady;
-        let work = self.waiting_work(cx, haste);
+        let now = context.now.steady;
+        let work = self.waiting_work(context, haste);
         if work.is_empty() {
             return;
         }
         let total: f64 = work.iter().map(|w| w.n * w.t).sum();
         let power_of = |t: &MachineType, zone: &str, spot: bool| {
-            let boot = self.stats.boot_time(&t.name, micros(t.startup_s)) as f64 / 1e6;
+            let boot = self.stats.boot_time(&t.name, micros(t.boot_s)) as f64 / 1e6;
             power(&work, total, Some(boot), |i| {
                 slots_of(t, zone, spot, &work[i])
             })
         };
-        let mut have = self.power_of_fleet(cx, supply, &work);
+        let mut have = self.power_of_fleet(context, supply, &work);
         for ((name, zone, spot), number) in plan.iter() {
             if let Some(t) = catalogue.iter().find(|t| t.name == *name) {
                 for (h, p) in have.iter_mut().zip(power_of(t, zone, *spot)) {
@@ -504,13 +515,13 @@
             .map(|(w, p)| (w.n - p).max(0.0))
             .collect();
         let mut offers: Vec<(f64, Offer, Vec<f64>)> = Vec::new();
-        let per_cpu = |t: &MachineType, price: f64| price / t.vcpus.max(EPS);
+        let per_cpu = |t: &MachineType, price: f64| price / t.cpus.max(EPS);
         let cheapest = catalogue
             .iter()
             .map(|t| per_cpu(t, t.spot_price.unwrap_or(t.price).min(t.price)))
             .fold(f64::MAX, f64::min);
         for t in catalogue {
-            for zone in &t.yards {
+            for zone in &t.zones {
                 for spot in [true, false] {
                     let price = match (spot, t.spot_price) {
                         (true, Some(p)) => p,
@@ -523,7 +534,7 @@
                         .unavailable
                         .get(&offer)
                         .is_some_and(|(until, _)| *until > now);
-                    let asked = self.fleet.hires.values().any(|h| {
+                    let asked = self.fleet.rentals.values().any(|h| {
                         h.unlisted.is_none()
                             && h.record.machine_type == offer.0
                             && h.record.zone == offer.1
@@ -532,7 +543,7 @@
                     if closed || asked || (haste && per_cpu(t, price) > cheapest * 1.5) {
                         continue;
                     }
-                    let risk = if spot { cx.tuning.spot_risk } else { 1.0 };
+                    let risk = if spot { context.tuning.spot_risk } else { 1.0 };
                     offers.push((price * risk, offer, power_of(t, zone, spot)));
                 }
             }
@@ -545,22 +556,22 @@
                 let slots = catalogue
                     .iter()
                     .filter(|t| fits_type(w.spec, t))
-                    .map(|t| slots((t.vcpus, t.accelerators, t.memory_gb), w.spec) as f64)
+                    .map(|t| slots((t.cpus, t.gpus, t.memory_gb), w.spec) as f64)
                     .fold(1.0, f64::max);
                 w.n * w.t / slots
             })
             .sum();
         let ready: f64 = supply.iter().map(|s| s.machines).sum();
         // With more waiting work than that for each machine, its last tasks start too late.
-        let boot = self.least_boot(cx);
-        let bound = match cx.settings.longest_start(boot) {
-            Some(start) => (start as f64 * cx.tuning.backlog_share) as Micros,
+        let boot = self.least_boot(context);
+        let bound = match context.settings.longest_start(boot) {
+            Some(start) => (start as f64 * context.tuning.backlog_share) as Micros,
             None => Micros::MAX,
         };
-        let bound = bound.min(cx.tuning.backlog_us) as f64 / 1e6;
+        let bound = bound.min(context.tuning.backlog_us) as f64 / 1e6;
         let planned: u64 = plan.values().sum();
         let fleet = self.machines.len() + self.fleet.booting() + planned as usize;
-        let room = (cx.tuning.fleet_max as usize).saturating_sub(fleet);
+        let room = (context.tuning.fleet_max as usize).saturating_sub(fleet);
         for added in 0..room.min(200) {
             // Far deadlines let power cover any work on paper: a few machines once worked off a
             // growing queue for a whole day.
@@ -588,7 +599,7 @@
                 let closes = if piles_up { closes.max(EPS) } else { closes };
                 if can <= 0.0
                     || closes <= 0.0
-                    || (!stranded && !piles_up && closes < can * cx.tuning.rent_threshold)
+                    || (!stranded && !piles_up && closes < can * context.tuning.rent_threshold)
                 {
                     continue;
                 }
@@ -608,12 +619,12 @@
 
     /// Returns machines that have been idle for the hold, if the power without them covers the
     /// work; and those that are closing, once they are empty.
-    pub(super) fn give_back(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(super) fn give_back(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         let mut release: Vec<String> = Vec::new();
         let mut idle: Vec<(bool, Micros, String)> = Vec::new();
         for m in self.machines.values() {
-            if !m.assignments.is_empty() || !m.reaps.is_empty() {
+            if !m.assignments.is_empty() || !m.exited_attempts.is_empty() {
                 continue;
             }
             if m.closing || m.recall_at.is_some() {
@@ -621,8 +632,8 @@
                 continue;
             }
             let hold = match m.spot {
-                true => cx.tuning.idle_hold_us,
-                false => cx.tuning.idle_hold_ordinary_us,
+                true => context.tuning.idle_hold_us,
+                false => context.tuning.idle_hold_ordinary_us,
             };
             if now.saturating_sub(m.idle_since) >= hold
                 && now.saturating_sub(self.loaded_at) >= hold
@@ -632,18 +643,18 @@
         }
         // Ordinary machines first: they cost more.
         idle.sort();
-        let work = self.waiting_work(cx, false);
+        let work = self.waiting_work(context, false);
         let total: f64 = work.iter().map(|w| w.n * w.t).sum();
         let mut have = match idle.is_empty() {
             true => Vec::new(),
-            false => self.power_of_fleet(cx, &self.supply(cx), &work),
+            false => self.power_of_fleet(context, &self.supply(context), &work),
         };
         let mut chosen = Vec::new();
         for (_, _, name) in idle {
             let Some(m) = self.machines.get(&name) else {
                 continue;
             };
-            let Some(build) = cx.machine_type(&m.machine_type) else {
+            let Some(build) = context.machine_type(&m.machine_type) else {
                 continue;
             };
             // An empty machine's power, as it is part of the fleet's. What it can do nothing for may lack
@@ -695,23 +706,23 @@
     /// Empties machines whose tasks have room elsewhere while nothing waits for room, so that they can be
     /// returned: tasks that can save move, the others run to their end. Ordinary machines
     /// go first, then the emptiest. A machine's worth of room is left over for what comes next.
-    pub(super) fn consolidate(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(super) fn consolidate(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         // Tasks that wait for their team's limit need no room.
         let waiting = self
             .jobs
             .iter()
-            .filter(|(ix, j)| j.placeable(now) > 0 && self.has_quota(cx, *ix));
+            .filter(|(index, j)| j.placeable(now) > 0 && self.has_quota(context, *index));
         let longest = waiting
             .map(|(_, j)| now.saturating_sub(j.waiting_since.unwrap_or(now)))
             .max();
         if longest.is_some_and(|waited| waited > WAITED_LONG) {
             self.stop_emptying(now);
         }
-        if longest.is_some() || now.saturating_sub(self.loaded_at) < cx.tuning.idle_hold_us {
+        if longest.is_some() || now.saturating_sub(self.loaded_at) < context.tuning.idle_hold_us {
             return;
         }
-        let silence = cx.settings.report * 3;
+        let silence = context.settings.report * 3;
         let usable: Vec<&Machine> = self
             .machines
             .values()
@@ -754,12 +765,12 @@
                 let place = rooms.iter_mut().find(|(o, r)| {
                     (o.spot || !m.spot)
                         && slots(*r, spec) > 0
-                        && permits(cx, spec, &o.machine_type, &o.zone, o.spot)
+                        && permits(context, spec, &o.machine_type, &o.zone, o.spot)
                 });
                 let Some((_, r)) = place else { return false };
                 *r = (r.0 - a.cpus, r.1 - a.gpus, r.2 - a.memory);
-                if spec.savepoint_s > 0.0 && a.remaining(now, 0) > 20 * SECOND {
-                    stops.push((a.attempt, leeway(micros(spec.flush_s))));
+                if spec.checkpoint_s > 0.0 && a.remaining(now, 0) > 20 * SECOND {
+                    stops.push((a.attempt, grace(micros(spec.save_s))));
                 }
                 true
             });
@@ -777,8 +788,8 @@
                 m.closing = true;
                 m.emptying = true;
             }
-            for (attempt, leeway) in stops {
-                self.stop_on(cx, &name, leeway, |a| a.attempt == attempt);
+            for (attempt, grace) in stops {
+                self.stop_on(context, &name, grace, |a| a.attempt == attempt);
             }
         }
     }
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -3,28 +3,29 @@
 use crate::{Effect, MILLI};
 
 /// With one call left under the cloud's limit, a release that a cancellation may wait for goes before
-/// the hires that are asked for again and again.
+/// the rentals that are asked for again and again.
 #[test]
 fn releases_go_before_rents() {
     let mut node = unread_leader(20 * SECOND);
     let mut lead = node.lead.take().expect("a leader");
-    let cx = &mut node.cx;
+    let context = &mut node.context;
     for n in 0..20 {
-        let record = HireRecord {
+        let record = RentalRecord {
             machine_type: "std".into(),
             zone: "a".into(),
             spot: false,
             number: 1,
             requested_us: 0,
         };
-        lead.fleet.recover_hire(cx, format!("h-7-{n}"), record);
+        lead.fleet
+            .recover_rental(context, format!("h-7-{n}"), record);
     }
-    lead.fleet.release("n-000001", cx.now.steady);
-    cx.cloud.drain(cx.now.steady);
-    cx.now.steady = cx.cloud.ready_at(cx.now.steady, 1.0) + MILLI;
-    cx.out.clear();
-    lead.run_fleet(cx);
-    let paths: Vec<&str> = cx
+    lead.fleet.release("n-000001", context.now.steady);
+    context.cloud.drain(context.now.steady);
+    context.now.steady = context.cloud.ready_at(context.now.steady, 1.0) + MILLI;
+    context.out.clear();
+    lead.run_fleet(context);
+    let paths: Vec<&str> = context
         .out
         .iter()
         .filter_map(|e| match e {
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,14 +1,14 @@
 //! Live jobs: which tasks are done, which are taken, and in what order jobs are served.
 
-use crate::node::Ctx;
+use crate::node::Context;
 use crate::{micros, Micros, Settings, SECOND};
-use grebewood_wire::http::{to_value, MachineType, Precedence, Submission};
+use grebewood_wire::http::{to_value, MachineType, Priority, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::{JobRecord, DONE_SPAN};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Place of a job in the job table.
-pub type JobIx = u32;
+pub type JobIndex = u32;
 
 /// Why a submission is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,13 +75,13 @@
 /// Checks a submission's own fields.
 pub fn check_fields(s: &Submission) -> Result<(), Refused> {
     let invalid = |what: &str| Err(Refused::Invalid(what.to_string()));
-    if !valid_id(&s.uid) {
+    if !valid_id(&s.id) {
         return invalid("uid: not of the form req-000000");
     }
     for (field, text) in [
-        ("workclass", &s.workclass),
-        ("owner", &s.owner),
-        ("bundle", &s.bundle),
+        ("workclass", &s.class),
+        ("owner", &s.team),
+        ("bundle", &s.image),
     ] {
         if text.is_empty() || text.len() > MAX_NAME {
             return invalid(&format!("{field}: empty or too long"));
@@ -90,24 +90,24 @@
     if Shape::of(s).is_none() {
         return invalid("shape: not one of batch, gang and daemon");
     }
-    if s.shards == 0 || s.shards > MAX_TASKS {
+    if s.tasks == 0 || s.tasks > MAX_TASKS {
         return invalid("shards: not within 1 and 100000");
     }
     for (field, x) in [
-        ("vcpus", s.vcpus),
-        ("accelerators", s.accelerators),
+        ("vcpus", s.cpus),
+        ("accelerators", s.gpus),
         ("memory_gb", s.memory_gb),
-        ("pull_gb", s.pull_gb),
+        ("pull_gb", s.image_gb),
         ("expected_s", s.expected_s),
-        ("savepoint_s", s.savepoint_s),
-        ("flush_s", s.flush_s),
-        ("due_s", s.due_s.unwrap_or(0.0)),
+        ("savepoint_s", s.checkpoint_s),
+        ("flush_s", s.save_s),
+        ("due_s", s.deadline_s.unwrap_or(0.0)),
     ] {
         if !(0.0..=1e9).contains(&x) {
             return invalid(&format!("{field}: negative or too large"));
         }
     }
-    let builds_ok = s.builds.as_ref().is_none_or(|b| {
+    let builds_ok = s.machine_types.as_ref().is_none_or(|b| {
         b.len() <= 64
             && b.iter()
                 .all(|name| !name.is_empty() && name.len() <= MAX_NAME)
@@ -115,7 +115,7 @@
     if !builds_ok {
         return invalid("builds: too many or invalid names");
     }
-    if s.yard
+    if s.zone
         .as_ref()
         .is_some_and(|y| y.is_empty() || y.len() > MAX_NAME)
     {
@@ -139,10 +139,10 @@
 
 /// Whether one task of the job fits the machine type and the job permits it.
 pub fn fits_type(s: &Submission, t: &MachineType) -> bool {
-    s.builds.as_ref().is_none_or(|b| b.contains(&t.name))
-        && s.yard.as_ref().is_none_or(|y| t.yards.contains(y))
-        && s.vcpus <= t.vcpus + EPS
-        && s.accelerators <= t.accelerators + EPS
+    s.machine_types.as_ref().is_none_or(|b| b.contains(&t.name))
+        && s.zone.as_ref().is_none_or(|y| t.zones.contains(y))
+        && s.cpus <= t.cpus + EPS
+        && s.gpus <= t.gpus + EPS
         && s.memory_gb <= t.memory_gb + EPS
 }
 
@@ -156,15 +156,15 @@
     catalogue: &[MachineType],
 ) -> Result<(), Refused> {
     let impossible = |what: String| Err(Refused::Impossible(what));
-    let Some(team) = settings.teams.get(&s.owner) else {
-        return impossible(format!("owner: no team {:?}", s.owner));
+    let Some(team) = settings.teams.get(&s.team) else {
+        return impossible(format!("owner: no team {:?}", s.team));
     };
     // Tasks of a batch may run one after the other; those of other shapes run together.
     let together = match Shape::of(s) {
         Some(Shape::Batch) => 1.0,
-        _ => s.shards as f64,
+        _ => s.tasks as f64,
     };
-    if s.vcpus * together > team.cpus_max + EPS || s.accelerators * together > team.gpus_max + EPS {
+    if s.cpus * together > team.cpus_max + EPS || s.gpus * together > team.gpus_max + EPS {
         return impossible("the job needs more than the team's limit".into());
     }
     if !catalogue.iter().any(|t| fits_type(s, t)) {
@@ -281,10 +281,10 @@
 
 impl Job {
     pub fn new(record: JobRecord, now: Micros, wall: Micros) -> Self {
-        let n = record.spec.shards.min(MAX_TASKS);
+        let n = record.spec.tasks.min(MAX_TASKS);
         let age = wall.saturating_sub(record.accepted_us) as i64;
         Job {
-            id: record.spec.uid.clone(),
+            id: record.spec.id.clone(),
             done: Bits::new(n),
             taken: Bits::new(n),
             extra: BTreeMap::new(),
@@ -316,7 +316,7 @@
     }
 
     pub fn tasks(&self) -> u64 {
-        self.spec.shards
+        self.spec.tasks
     }
 
     /// Tasks that are neither done nor taken.
@@ -455,10 +455,10 @@
     /// The priority that decides whether its tasks may be stopped for others. What a job that starved
     /// caught up with has aged to normal priority: such idle tasks were once stopped seconds later for
     /// the large array that had starved them.
-    pub fn preemption_priority(&self) -> Precedence {
+    pub fn preemption_priority(&self) -> Priority {
         match self.has_starved && self.live() <= self.catch_up_tasks() {
-            true => self.spec.precedence.max(Precedence::Normal),
-            false => self.spec.precedence,
+            true => self.spec.priority.max(Priority::Normal),
+            false => self.spec.priority,
         }
     }
 
@@ -586,7 +586,7 @@
     pub fn zone_permits(&self, zone: &str) -> bool {
         let here = self.zones.get(zone).map_or(0, |n| u64::from(*n));
         self.bound_zone().is_none_or(|z| z == zone)
-            && (!self.spec.spread || here < self.spec.shards.div_ceil(2))
+            && (!self.spec.spread || here < self.spec.tasks.div_ceil(2))
     }
 
     /// Tasks that may be placed now, as far as the job itself is concerned.
@@ -608,45 +608,45 @@
     /// When the job should be finished: the earliest aim that it can still meet with `need` yet
     /// to run, by its deadline or else by the objectives of its class. None if it is late for
     /// all of them.
-    pub fn target(&self, cx: &Ctx, need: Micros) -> Option<i64> {
-        let earliest = (cx.now.steady + need) as i64;
+    pub fn target(&self, context: &Context, need: Micros) -> Option<i64> {
+        let earliest = (context.now.steady + need) as i64;
         let reached = |aim: Micros| {
             let at = self.age_base + aim as i64;
             (at >= earliest).then_some(at)
         };
-        if let Some(due) = self.spec.due_s {
+        if let Some(due) = self.spec.deadline_s {
             return reached(micros(due));
         }
-        let mut aims = cx
+        let mut aims = context
             .settings
             .objectives
             .iter()
-            .filter(|o| o.class == self.spec.workclass && o.kind == "finished")
+            .filter(|o| o.class == self.spec.class && o.kind == "finished")
             .filter_map(|o| o.within)
             .peekable();
         if aims.peek().is_none() {
-            return Some(self.age_base + cx.tuning.default_deadline_us as i64);
+            return Some(self.age_base + context.tuning.default_deadline_us as i64);
         }
         aims.filter_map(reached).min()
     }
 }
 
-/// Rank of a precedence: higher is served first.
-pub fn rank(p: Precedence) -> u8 {
+/// Rank of a priority: higher is served first.
+pub fn rank(p: Priority) -> u8 {
     match p {
-        Precedence::Idle => 0,
-        Precedence::Normal => 1,
-        Precedence::High => 2,
-        Precedence::Prod => 3,
+        Priority::Idle => 0,
+        Priority::Normal => 1,
+        Priority::High => 2,
+        Priority::Prod => 3,
     }
 }
 
 /// The job table.
 #[derive(Debug, Default)]
 pub struct Jobs {
-    slots: BTreeMap<JobIx, Job>,
-    by_id: BTreeMap<String, JobIx>,
-    next: JobIx,
+    slots: BTreeMap<JobIndex, Job>,
+    by_id: BTreeMap<String, JobIndex>,
+    next: JobIndex,
 }
 
 impl Jobs {
@@ -655,34 +655,34 @@
         self.by_id.clear();
     }
 
-    pub fn insert(&mut self, job: Job) -> JobIx {
-        let ix = self.next;
+    pub fn insert(&mut self, job: Job) -> JobIndex {
+        let index = self.next;
         self.next = self.next.wrapping_add(1);
-        self.by_id.insert(job.id.clone(), ix);
-        self.slots.insert(ix, job);
-        ix
+        self.by_id.insert(job.id.clone(), index);
+        self.slots.insert(index, job);
+        index
     }
 
-    pub fn remove(&mut self, ix: JobIx) -> Option<Job> {
-        let job = self.slots.remove(&ix)?;
+    pub fn remove(&mut self, index: JobIndex) -> Option<Job> {
+        let job = self.slots.remove(&index)?;
         self.by_id.remove(&job.id);
         Some(job)
     }
 
-    pub fn find(&self, id: &str) -> Option<JobIx> {
+    pub fn find(&self, id: &str) -> Option<JobIndex> {
         self.by_id.get(id).copied()
     }
 
-    pub fn get(&self, ix: JobIx) -> Option<&Job> {
-        self.slots.get(&ix)
+    pub fn get(&self, index: JobIndex) -> Option<&Job> {
+        self.slots.get(&index)
     }
 
-    pub fn get_mut(&mut self, ix: JobIx) -> Option<&mut Job> {
-        self.slots.get_mut(&ix)
+    pub fn get_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
+        self.slots.get_mut(&index)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (JobIx, &Job)> {
-        self.slots.iter().map(|(ix, job)| (*ix, job))
+    pub fn iter(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
+        self.slots.iter().map(|(index, job)| (*index, job))
     }
 
     /// Gives each job that starves its turn to catch up.
@@ -693,7 +693,7 @@
     }
 
     /// The places of all jobs.
-    pub fn indices(&self) -> Vec<JobIx> {
+    pub fn indices(&self) -> Vec<JobIndex> {
         self.slots.keys().copied().collect()
     }
 
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -1,30 +1,30 @@
 //! Who leads: the election by a lease in the state service, and the leader's working state.
 //!
 //! The record `leader` is put under a lease on the condition that it is absent. Its stamp is the
-//! fencing token (`warrant` on the wire): stamps only grow, so each new leader has a higher one,
+//! fencing token (`token` on the wire): stamps only grow, so each new leader has a higher one,
 //! and every write of a leader is conditional on it.
 
 use crate::done::DonePages;
 use crate::fleet::Fleet;
-use crate::jobs::{Ending, Job, JobIx, Jobs};
-use crate::ledger::{Batch, Ledger, Rec, Rendered};
-use crate::node::{Ctx, LeadCall, Node, Pending, STATE_TIMEOUT};
+use crate::jobs::{Ending, Job, JobIndex, Jobs};
+use crate::ledger::{Batch, Ledger, RecordId, Rendered};
+use crate::node::{Context, LeadCall, Node, Pending, STATE_TIMEOUT};
 use crate::placement::{Placement, Usage};
 use crate::standby::Standby;
 use crate::stats::Stats;
 use crate::users::{absent, put};
-use crate::workers::{Assignment, Held, Machine, Parked, Seen, Stop};
+use crate::workers::{Assignment, Machine, Parked, PendingCheckin, Seen, Stop};
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    from_value, to_value, Change, Changes, Entry, EntryList, Epoch, Event, Lease, LeaseRequest,
-    Perches, Txn, TxnFailed, When,
+    from_value, to_value, Change, Changes, Entry, EntryList, Event, Lease, LeaseRequest,
+    MachineNames, Revision, Txn, TxnFailed, When,
 };
 use grebewood_wire::peer::{PeerAnswer, PeerRequest};
 use grebewood_wire::records::{
-    cancel_key, job_key, CancelRecord, DonePageRecord, DoneRecord, HireRecord, JobKey, JobRecord,
-    LeaderRecord, PageRecord, PastRecord, CATALOGUE, DONE, HIRE, JOB, LEADER, OLD_CANCEL, PAGE,
-    PAST, STATS,
+    cancel_key, job_key, CancelRecord, DonePageRecord, DoneRecord, FinishedJobRecord, JobKey,
+    JobRecord, LeaderRecord, PageRecord, RentalRecord, CATALOGUE, DONE, FINISHED, JOB, LEADER,
+    OLD_CANCEL, PAGE, RENTAL, STATS,
 };
 use grebewood_wire::Value;
 use log::{error, info, warn};
@@ -133,7 +133,7 @@
     missing: BTreeMap<&'static str, Option<String>>,
     retry: BTreeMap<&'static str, Micros>,
     entries: BTreeMap<&'static str, Vec<Entry<Value>>>,
-    epochs: BTreeMap<&'static str, u64>,
+    revisions: BTreeMap<&'static str, u64>,
 }
 
 /// A watch of a prefix.
@@ -173,18 +173,18 @@
     pub stats: Stats,
     pub placement: Placement,
     pub standby: Standby,
-    pub held: Vec<Held>,
+    pub pending_checkins: Vec<PendingCheckin>,
     /// When the first of them is answered whatever it waits for.
-    pub held_until: Micros,
+    pub pending_until: Micros,
     /// Check-ins of machines with room that wait for work.
     pub parked: Parked,
     /// Something happened that any of them may have waited for.
-    pub held_stir: bool,
+    pub pending_changed: bool,
     pub done_pages: DonePages,
     /// What each team uses, from assignment to proof.
     pub usage: Usage,
     /// Jobs whose progress changed since the peers were told.
-    pub progress_dirty: BTreeSet<JobIx>,
+    pub progress_dirty: BTreeSet<JobIndex>,
     watches: BTreeMap<&'static str, Watch>,
     pub attempts: u64,
     pub next_machine_check: Micros,
@@ -196,7 +196,7 @@
     /// Machines with a direct call under way, and when the last one was sent.
     pub direct: BTreeMap<String, Micros>,
     flush_failures: u32,
-    /// When the hires on record are next compared with ours, and until when that goes on.
+    /// When the rentals on record are next compared with ours, and until when that goes on.
     sweep_at: Micros,
     sweep_until: Micros,
     corrupt: Vec<String>,
@@ -216,17 +216,17 @@
         };
         // Without state nobody else can lead: to step down would only lose what this node knows, as
         // once when its only machine hung with a cancelled task in an outage.
-        if self.cx.in_contact(2 * SECOND) && lead.cut_from_workers(&self.cx) {
+        if self.context.in_contact(2 * SECOND) && lead.cut_from_workers(&self.context) {
             return self.step_down("no worker reaches this node", true);
         }
-        lead.run(&mut self.cx, watch);
+        lead.run(&mut self.context, watch);
     }
 
     pub(crate) fn on_lead_reply(&mut self, what: LeadCall, outcome: Outcome) {
         let Some(lead) = self.lead.as_mut() else {
             return;
         };
-        if let Err(why) = lead.on_reply(&mut self.cx, what, outcome) {
+        if let Err(why) = lead.on_reply(&mut self.context, what, outcome) {
             self.step_down(&why, false);
         }
     }
@@ -238,13 +238,13 @@
 }
 
 impl Lead {
-    fn new(cx: &Ctx, token: u64, lease: u64, lease_at: Micros) -> Self {
-        let now = cx.now.steady;
+    fn new(context: &Context, token: u64, lease: u64, lease_at: Micros) -> Self {
+        let now = context.now.steady;
         Lead {
             token,
             lease,
             // The lease may be old already, if the state service is slow.
-            extend_at: lease_at + cx.tuning.leader_lease_us / 4,
+            extend_at: lease_at + context.tuning.leader_lease_us / 4,
             doubtful: false,
             loading: None,
             began: now,
@@ -253,18 +253,18 @@
             ended: VecDeque::new(),
             machines: BTreeMap::new(),
             pages: Vec::new(),
-            value_bytes: cx.settings.state.value_bytes,
-            txn_ops: cx.settings.state.txn_ops,
+            value_bytes: context.settings.state.value_bytes,
+            txn_ops: context.settings.state.txn_ops,
             ledger: Ledger::default(),
             fleet: Fleet::new(now),
             stats: Stats::default(),
             placement: Placement::default(),
             standby: Standby::default(),
-            held: Vec::new(),
+            pending_checkins: Vec::new(),
             parked: Parked::default(),
-            held_until: 0,
-            held_stir: false,
-            done_pages: DonePages::new(page_bytes(cx.settings.state.value_bytes)),
+            pending_until: 0,
+            pending_changed: false,
+            done_pages: DonePages::new(page_bytes(context.settings.state.value_bytes)),
             usage: Usage::new(),
             progress_dirty: BTreeSet::new(),
             watches: BTreeMap::new(),
@@ -324,7 +324,7 @@
         (self.token << 20) + self.attempts
     }
 
-    pub fn next_wake(&self, cx: &Ctx) -> Micros {
+    pub fn next_wake(&self, context: &Context) -> Micros {
         let mut at = self.extend_at;
         if self.doubtful {
             return at;
@@ -343,13 +343,13 @@
                 at = at.min(due.max(self.ledger.not_before));
             }
         }
-        if !self.held.is_empty() {
-            at = at.min(self.held_until);
+        if !self.pending_checkins.is_empty() {
+            at = at.min(self.pending_until);
         }
         at.min(self.parked.next_until())
             .min(self.placement.next_at)
             .min(self.next_machine_check)
-            .min(self.fleet.next_wake(cx))
+            .min(self.fleet.next_wake(context))
             .min(self.progress_at)
     }
 
@@ -360,44 +360,49 @@
     }
 
     /// All timers of the leader.
-    fn run(&mut self, cx: &mut Ctx, watch: &mut dyn Stopwatch) {
-        let now = cx.now.steady;
+    fn run(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
+        let now = context.now.steady;
         if now >= self.extend_at {
             // A reply may be lost: the next renewal goes out all the same.
             let parts = if self.doubtful { 12 } else { 4 };
-            self.extend_at = now + cx.tuning.leader_lease_us / parts;
+            self.extend_at = now + context.tuning.leader_lease_us / parts;
             let path = format!("/leases/{}/extend", self.lease);
             let pending = self.pending(LeadCall::Extend);
-            let timeout = cx.tuning.leader_lease_us / 4;
-            cx.call(Target::State, "POST", path, Vec::new(), timeout, pending);
+            let timeout = context.tuning.leader_lease_us / 4;
+            context.call(Target::State, "POST", path, Vec::new(), timeout, pending);
         }
         if self.doubtful {
             return;
         }
         if !self.loaded() {
-            return self.run_loading(cx);
+            return self.run_loading(context);
         }
-        self.run_watches(cx);
-        self.run_machines(cx);
-        self.run_placement(cx, watch);
-        self.run_fleet(cx);
+        self.run_watches(context);
+        self.run_machines(context);
+        self.run_placement(context, watch);
+        self.run_fleet(context);
         if now >= self.stats_at {
             self.stats_at = now + 20 * SECOND;
             if self.stats.changed {
                 self.stats.changed = false;
-                self.ledger.touch_by(Rec::Stats, now + SECOND);
+                self.ledger.touch_by(RecordId::Stats, now + SECOND);
             }
         }
-        self.run_flush(cx);
-        self.run_sweep(cx);
-        self.run_held(cx);
+        self.run_flush(context);
+        self.run_sweep(context);
+        self.run_pending(context);
         if now >= self.progress_at {
             self.progress_at = now + PROGRESS;
-            self.send_progress(cx);
+            self.send_progress(context);
         }
     }
 
-    fn on_reply(&mut self, cx: &mut Ctx, what: LeadCall, outcome: Outcome) -> Result<(), String> {
+    fn on_reply(
+        &mut self,
+        context: &mut Context,
+        what: LeadCall,
+        outcome: Outcome,
+    ) -> Result<(), String> {
         match what {
             LeadCall::Extend => {
                 if let Outcome::Answer { status: 404, .. } = outcome {
@@ -408,50 +413,50 @@
                 } else {
                     self.extend_at = self
                         .extend_at
-                        .min(cx.now.steady + cx.tuning.leader_lease_us / 12);
+                        .min(context.now.steady + context.tuning.leader_lease_us / 12);
                 }
                 Ok(())
             }
             LeadCall::List { prefix } => {
-                self.on_list(cx, prefix, outcome);
+                self.on_list(context, prefix, outcome);
                 Ok(())
             }
             LeadCall::Read { key } => {
-                self.on_read(cx, key, outcome);
+                self.on_read(context, key, outcome);
                 Ok(())
             }
             LeadCall::Watch { prefix } => {
-                self.on_watch(cx, prefix, outcome);
+                self.on_watch(context, prefix, outcome);
                 Ok(())
             }
-            LeadCall::Flush => self.on_flush(cx, outcome),
-            LeadCall::FlushReadBack => self.on_read_back(cx, outcome),
+            LeadCall::Flush => self.on_flush(context, outcome),
+            LeadCall::FlushReadBack => self.on_read_back(context, outcome),
             LeadCall::Refresh { key } => {
-                self.on_refresh(cx, &key, outcome);
+                self.on_refresh(context, &key, outcome);
                 Ok(())
             }
             LeadCall::Fleet(call) => {
-                self.on_fleet(cx, call, outcome);
+                self.on_fleet(context, call, outcome);
                 Ok(())
             }
             LeadCall::Direct { machine } => {
-                self.on_direct(cx, &machine, outcome);
+                self.on_direct(context, &machine, outcome);
                 Ok(())
             }
         }
     }
 
-    fn send_progress(&mut self, cx: &mut Ctx) {
+    fn send_progress(&mut self, context: &mut Context) {
         // A node that was not there missed what did not change since: all of it goes out again
         // now and then.
         self.progress_round += 1;
         if self.progress_round.is_multiple_of(PROGRESS_WHOLE) {
             self.progress_dirty
-                .extend(self.jobs.iter().map(|(ix, _)| ix));
+                .extend(self.jobs.iter().map(|(index, _)| index));
         }
         let mut changed = Vec::new();
-        while let (Some(ix), true) = (self.progress_dirty.pop_first(), changed.len() < 500) {
-            if let Some(j) = self.jobs.get(ix) {
+        while let (Some(index), true) = (self.progress_dirty.pop_first(), changed.len() < 500) {
+            if let Some(j) = self.jobs.get(index) {
                 changed.push((j.id.clone(), j.done_count, j.running as u64));
             }
         }
@@ -459,12 +464,12 @@
             return;
         }
         let message = wire::to_peer(&PeerRequest::Progress {
-            from: cx.settings.member.clone(),
+            from: context.settings.member.clone(),
             token: self.token,
             jobs: changed,
         });
-        for peer in 0..cx.settings.siblings.len() {
-            cx.call(
+        for peer in 0..context.settings.siblings.len() {
+            context.call(
                 Target::Peer(peer),
                 "POST",
                 "/peer".into(),
--- a/crates/core/src/leadership/contact.rs
+++ b/crates/core/src/leadership/contact.rs
@@ -32,8 +32,8 @@
     /// Asks the peers whether they have contact with the state service, and what they confirmed.
     /// While the leader has contact itself this only keeps its view of the peers fresh.
     pub(super) fn ask_peers(&mut self) {
-        let now = self.cx.now.steady;
-        let pause = if self.cx.in_contact(SILENT / 2) {
+        let now = self.context.now.steady;
+        let pause = if self.context.in_contact(SILENT / 2) {
             ASK
         } else {
             ASK_SILENT
@@ -41,15 +41,15 @@
         self.election.next_probe = now + pause;
         self.election.question += 1;
         let question = self.election.question;
-        for peer in 0..self.cx.settings.siblings.len() {
-            let known = self.cx.cancellations.known_of(peer);
+        for peer in 0..self.context.settings.siblings.len() {
+            let known = self.context.cancellations.known_of(peer);
             let message = wire::to_peer(&PeerRequest::Contact {
-                from: self.cx.settings.member.clone(),
+                from: self.context.settings.member.clone(),
                 question,
                 // A little more than that: clocks drift.
                 known_us: known.map(|at| now.saturating_sub(at) + SECOND),
             });
-            self.cx.call(
+            self.context.call(
                 Target::Peer(peer),
                 "POST",
                 "/peer".into(),
@@ -68,7 +68,7 @@
         asked: Micros,
         outcome: Outcome,
     ) {
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         let Outcome::Answer { status: 200, body } = outcome else {
             return;
         };
@@ -76,7 +76,7 @@
             Ok(a) => a,
             Err(e) => return warn!("peer: {e}"),
         };
-        let sibling = self.cx.settings.siblings.get(peer);
+        let sibling = self.context.settings.siblings.get(peer);
         if sibling.is_none_or(|s| s.member != answer.member) {
             return warn!("peer: {} answers in another's place", answer.member);
         }
@@ -91,20 +91,20 @@
         // Only the answer to this very question says what the peer has confirmed. An earlier
         // version says nothing of it.
         if let Some(confirmed) = answer.confirmed.filter(|c| c.question == question) {
-            let wall = self.cx.now.wall;
+            let wall = self.context.now.wall;
             for (id, age) in confirmed.jobs {
-                self.cx
+                self.context
                     .cancellations
                     .learn(&id, wall.saturating_sub(age).max(1));
                 if let Some(lead) = &mut self.lead {
-                    lead.apply_cancellation(&mut self.cx, &id);
+                    lead.apply_cancellation(&mut self.context, &id);
                 }
             }
             if let Some(span) = confirmed.remembers_us {
                 // It began to remember no later than this, by our clock: clocks drift.
                 let from = now.saturating_sub(span - span / 1_000);
                 view.remembers_from = Some(from);
-                self.cx.cancellations.covered(peer, asked, from);
+                self.context.cancellations.covered(peer, asked, from);
             }
         }
         let known = self.election.peers.entry(peer).or_default();
@@ -118,12 +118,12 @@
     /// and remember from before we lost ours that nobody else got a grant. So this is an outage, in
     /// which leases do not run out and nobody can be elected.
     fn settle_doubt(&mut self) {
-        let (woke, lost) = (self.cx.woke(), self.cx.last_contact.unwrap_or(0));
+        let (woke, lost) = (self.context.woke(), self.context.last_contact.unwrap_or(0));
         let Some(lead) = self.lead.as_mut().filter(|l| l.doubtful) else {
             return;
         };
         let peers = &self.election.peers;
-        let outage = (0..self.cx.settings.siblings.len()).all(|p| {
+        let outage = (0..self.context.settings.siblings.len()).all(|p| {
             peers.get(&p).is_some_and(|v| {
                 v.asked >= woke
                     && v.without_contact
@@ -139,7 +139,7 @@
     /// How long a leader may go on since the moment up to which it knows all confirmed
     /// cancellations: the leases that it renews last must run out within `cancel_s` of that moment.
     fn blind_bound(&self) -> Micros {
-        let s = &self.cx.settings;
+        let s = &self.context.settings;
         let bound = s.cancel.saturating_sub(s.lease) * 8 / 10;
         bound.saturating_sub(2 * SECOND).max(SECOND)
     }
@@ -148,9 +148,9 @@
     /// that any node confirmed until lately. One that has just started, and has read nothing yet,
     /// does not; it once kept cancelled tasks alive through an outage that met its election.
     pub(crate) fn may_renew(&self) -> bool {
-        let now = self.cx.now.steady;
-        let peers = self.cx.settings.siblings.len();
-        let certain = self.cx.cancellations.certain(peers, now);
+        let now = self.context.now.steady;
+        let peers = self.context.settings.siblings.len();
+        let certain = self.context.cancellations.certain(peers, now);
         certain.is_some_and(|at| now.saturating_sub(at) <= self.blind_bound())
     }
 
@@ -164,12 +164,12 @@
     /// What a peer had confirmed while only this node was refused was once unknown here for as long
     /// as an outage lasted that came right after.
     pub(super) fn check_contact(&mut self) {
-        let now = self.cx.now.steady;
-        let (Some(lost), Some(lead)) = (self.cx.last_contact, &self.lead) else {
+        let now = self.context.now.steady;
+        let (Some(lost), Some(lead)) = (self.context.last_contact, &self.lead) else {
             return;
         };
         if now.saturating_sub(lost) >= SILENT {
-            let lapsed = lost + self.cx.tuning.leader_lease_us;
+            let lapsed = lost + self.context.tuning.leader_lease_us;
             let peers = self.election.peers.values();
             let (mut served, mut deposed) = (false, false);
             for p in peers {
@@ -200,11 +200,12 @@
 impl Node {
     /// Takes over what the leader that steps down leaves unproven.
     pub(super) fn leave_unproven(&mut self, lead: &Lead) {
-        let names = lead.unproven_machines(self.cx.now.steady, 2 * self.cx.settings.report);
+        let names =
+            lead.unproven_machines(self.context.now.steady, 2 * self.context.settings.report);
         if names.is_empty() {
             return;
         }
-        let due = self.cx.now.steady + UNPROVEN_DELAY;
+        let due = self.context.now.steady + UNPROVEN_DELAY;
         let left = self.unproven.get_or_insert(UnprovenMachines {
             names: Vec::new(),
             due,
@@ -222,23 +223,23 @@
     /// leader reads which tasks are there. A leader that had stood still, and to which all machines
     /// seemed silent, once released sixty that already reported to its successor.
     pub(crate) fn run_unproven(&mut self) {
-        if self.cx.now.steady < self.unproven_due() {
+        if self.context.now.steady < self.unproven_due() {
             return;
         }
         let Some(left) = self.unproven.take() else {
             return;
         };
-        if self.cx.in_contact(SILENT) {
+        if self.context.in_contact(SILENT) {
             return;
         }
         info!("released, with cancelled tasks: {}", left.names.join(", "));
-        for perches in left.names.chunks(RELEASE_MOST) {
-            let perches = perches.to_vec();
-            self.cx.call(
+        for machines in left.names.chunks(RELEASE_MOST) {
+            let machines = machines.to_vec();
+            self.context.call(
                 Target::Cloud,
                 "POST",
                 "/rentals/release".into(),
-                wire::to_cbor(&Perches { perches }),
+                wire::to_cbor(&MachineNames { machines }),
                 5 * SECOND,
                 Pending::Ignore,
             );
--- a/crates/core/src/leadership/contact/tests.rs
+++ b/crates/core/src/leadership/contact/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 use crate::test_support::{clocks, pass, unread_leader, WALL};
-use crate::{Door, Effect, Input, NoStopwatch};
-use grebewood_wire::http::{CheckinAnswer, Order, Precedence, Report, ShardReport, Submission};
+use crate::{Effect, Input, Interface, NoStopwatch};
+use grebewood_wire::http::{CheckinAnswer, Command, Priority, Report, Submission, TaskReport};
 
 /// What a worker with a task of `req-1` is answered.
-fn check_in(node: &mut Node, now: Micros, tally: u64) -> (u16, Vec<Order>) {
+fn check_in(node: &mut Node, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
     let report = Report {
-        perch: "n-000001".into(),
-        endpoint: "10.1.0.1:9000".into(),
-        build: "std".into(),
-        yard: "a".into(),
-        loaner: true,
-        tenure: 1,
-        tally,
-        warrant: 3,
+        machine: "n-000001".into(),
+        address: "10.1.0.1:9000".into(),
+        machine_type: "std".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 1,
+        sequence,
+        token: 3,
         recall_s: None,
-        shards: vec![ShardReport {
-            shard: "req-1/0".into(),
+        tasks: vec![TaskReport {
+            task_name: "req-1/0".into(),
             attempt: 5,
             status: "running".into(),
             cause: None,
@@ -24,8 +24,8 @@
         }],
     };
     let input = Input::Request {
-        id: tally,
-        door: Door::Front,
+        id: sequence,
+        interface: Interface::Front,
         method: "POST".into(),
         path: "/checkin".into(),
         body: wire::to_cbor(&report),
@@ -34,12 +34,12 @@
     let answer = effects.into_iter().find_map(|e| match e {
         Effect::Answer {
             id, status, body, ..
-        } if id == tally => Some((status, body)),
+        } if id == sequence => Some((status, body)),
         _ => None,
     });
     let (status, body) = answer.expect("an answer at once");
-    let orders = wire::from_cbor::<CheckinAnswer>(&body).map(|a| a.orders);
-    (status, orders.unwrap_or_default())
+    let commands = wire::from_cbor::<CheckinAnswer>(&body).map(|a| a.commands);
+    (status, commands.unwrap_or_default())
 }
 
 /// A leader that has just started, and could read nothing since, would keep cancelled tasks alive.
@@ -47,31 +47,31 @@
 fn a_leader_that_knows_no_cancellations_renews_no_lease() {
     let mut node = unread_leader(20 * SECOND);
     assert_eq!(check_in(&mut node, 20 * SECOND, 1).0, 503);
-    node.cx.cancellations.read_as_of(20 * SECOND);
+    node.context.cancellations.read_as_of(20 * SECOND);
     pass(&mut node, 20 * SECOND, 21 * SECOND);
     assert_eq!(check_in(&mut node, 21 * SECOND, 2).0, 200);
     // Neither state nor its peer has told anything since.
     let bound = node.blind_bound();
-    assert!(bound + node.cx.settings.lease < node.cx.settings.cancel);
+    assert!(bound + node.context.settings.lease < node.context.settings.cancel);
     let late = 20 * SECOND + bound + MILLI;
     pass(&mut node, 21 * SECOND, late);
     assert_eq!(check_in(&mut node, late, 3).0, 503);
-    node.cx.cancellations.covered(0, late, SECOND);
+    node.context.cancellations.covered(0, late, SECOND);
     assert_eq!(check_in(&mut node, late, 4).0, 200);
 }
 
 #[test]
 fn before_reading_state_it_stops_what_it_knows_to_be_cancelled() {
     let mut node = unread_leader(20 * SECOND);
-    node.cx.cancellations.read_as_of(20 * SECOND);
+    node.context.cancellations.read_as_of(20 * SECOND);
     assert!(check_in(&mut node, 20 * SECOND, 1).1.is_empty());
     pass(&mut node, 20 * SECOND, 21 * SECOND);
-    node.cx.cancellations.learn("req-1", WALL);
-    let (_, orders) = check_in(&mut node, 21 * SECOND, 2);
-    assert_eq!(orders.len(), 1);
-    let stop = &orders[0];
+    node.context.cancellations.learn("req-1", WALL);
+    let (_, commands) = check_in(&mut node, 21 * SECOND, 2);
+    assert_eq!(commands.len(), 1);
+    let stop = &commands[0];
     assert_eq!(
-        (stop.verb.as_str(), stop.shard.as_str(), stop.attempt),
+        (stop.verb.as_str(), stop.task_name.as_str(), stop.attempt),
         ("stop", "req-1/0", 5)
     );
 }
@@ -94,50 +94,50 @@
         }),
     };
     let mut node = unread_leader(20 * SECOND);
-    node.cx.cancellations.read_as_of(10 * SECOND);
-    let certain = |node: &Node| node.cx.cancellations.certain(1, 20 * SECOND);
+    node.context.cancellations.read_as_of(10 * SECOND);
+    let certain = |node: &Node| node.context.cancellations.certain(1, 20 * SECOND);
     node.on_contact(0, 5, 19 * SECOND, answer("perch-9", 5));
     node.on_contact(0, 5, 19 * SECOND, answer("perch-1", 4));
     assert_eq!(certain(&node), Some(10 * SECOND));
-    assert!(node.cx.cancellations.get("req-1").is_none());
+    assert!(node.context.cancellations.get("req-1").is_none());
     node.on_contact(0, 5, 19 * SECOND, answer("perch-1", 5));
     assert_eq!(certain(&node), Some(19 * SECOND));
-    assert!(node.cx.cancellations.get("req-1").is_some());
+    assert!(node.context.cancellations.get("req-1").is_some());
 }
 
 /// A leader that was told by a peer that `req-1` is cancelled, which it is about to end.
 fn told_leader() -> Node {
     let mut node = unread_leader(20 * SECOND);
     let spec = Submission {
-        uid: "req-1".into(),
-        workclass: "work".into(),
-        owner: "t".into(),
+        id: "req-1".into(),
+        class: "work".into(),
+        team: "t".into(),
         shape: "batch".into(),
-        precedence: Precedence::Normal,
-        shards: 1,
-        vcpus: 1.0,
-        accelerators: 0.0,
+        priority: Priority::Normal,
+        tasks: 1,
+        cpus: 1.0,
+        gpus: 0.0,
         memory_gb: 1.0,
-        bundle: "img".into(),
-        pull_gb: 1.0,
-        builds: None,
-        yard: None,
+        image: "img".into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
         one_zone: false,
         spread: false,
-        loaner: true,
+        spot: true,
         expected_s: 10.0,
-        savepoint_s: 0.0,
-        flush_s: 0.0,
-        due_s: None,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
     };
     let record = JobRecord {
         spec,
         accepted_us: WALL,
     };
     let lead = node.lead.as_mut().expect("a leader");
-    lead.add_job(&node.cx, "job/req-1", &to_value(&record), 5);
+    lead.add_job(&node.context, "job/req-1", &to_value(&record), 5);
     let cancel = CancelRecord { cancelled_us: WALL };
-    lead.on_cancelled(&mut node.cx, "req-1", Some(&cancel));
+    lead.on_cancelled(&mut node.context, "req-1", Some(&cancel));
     assert_eq!(lead.ledger.stale, vec!["job/req-1/cancel".to_string()]);
     node
 }
@@ -154,27 +154,30 @@
     for over in [false, true] {
         let mut node = told_leader();
         let lead = node.lead.as_mut().expect("a leader");
-        lead.on_refresh(&mut node.cx, "job/req-1/cancel", answer(404, &()));
+        lead.on_refresh(&mut node.context, "job/req-1/cancel", answer(404, &()));
         let cancelled = |lead: &Lead| {
-            let job = lead.jobs.find("req-1").and_then(|ix| lead.jobs.get(ix));
+            let job = lead
+                .jobs
+                .find("req-1")
+                .and_then(|index| lead.jobs.get(index));
             job.map(|j| j.cancelled.is_some())
         };
         assert_eq!(cancelled(lead), Some(true));
         assert_eq!(lead.ledger.stale, vec!["past/req-1".to_string()]);
-        let past = PastRecord {
+        let finished = FinishedJobRecord {
             status: "aborted".into(),
-            shards: 1,
+            tasks: 1,
         };
-        let past = BTreeMap::from([
+        let finished = BTreeMap::from([
             ("k", Value::from("past/req-1")),
-            ("value", to_value(&past)),
+            ("value", to_value(&finished)),
             ("stamp", Value::from(9)),
         ]);
         let outcome = match over {
-            true => answer(200, &past),
+            true => answer(200, &finished),
             false => answer(404, &()),
         };
-        lead.on_refresh(&mut node.cx, "past/req-1", outcome);
+        lead.on_refresh(&mut node.context, "past/req-1", outcome);
         assert_eq!(cancelled(lead), (!over).then_some(false));
         assert!(lead.ledger.stale.is_empty());
     }
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -4,7 +4,7 @@
 
 impl Node {
     pub(crate) fn run_election(&mut self) {
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         if now < self.election.next_probe {
             return;
         }
@@ -12,7 +12,8 @@
             self.election.next_probe = now + PROBE;
             if !self.election.busy {
                 self.election.busy = true;
-                self.cx.read_key(LEADER, Pending::Election(Step::Probe));
+                self.context
+                    .read_key(LEADER, Pending::Election(Step::Probe));
             }
         } else {
             self.ask_peers();
@@ -20,7 +21,7 @@
     }
 
     pub(crate) fn on_election(&mut self, step: Step, outcome: Outcome) {
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         self.election.busy = false;
         if self.lead.is_some() {
             return;
@@ -32,21 +33,21 @@
         match (step, status) {
             (Step::Probe, 200) => match wire::from_cbor::<Entry<LeaderRecord>>(&body) {
                 Ok(e) => {
-                    self.cx.token = self.cx.token.max(e.stamp);
+                    self.context.token = self.context.token.max(e.stamp);
                     self.election.grant = self.election.grant.max(e.stamp);
-                    if e.value.member == self.cx.settings.member {
+                    if e.value.member == self.context.settings.member {
                         // A grant of our own that we do not hold: an earlier process of ours had
                         // it, or a claim was applied late. Nobody acts under it, so it goes.
                         let txn = Txn {
                             when: vec![When {
-                                k: LEADER.into(),
+                                key: LEADER.into(),
                                 stamp: e.stamp,
                             }],
                             apply: vec![Change::Delete {
                                 delete: LEADER.into(),
                             }],
                         };
-                        self.cx.post_state("/txn", &txn, Pending::Ignore);
+                        self.context.post_state("/txn", &txn, Pending::Ignore);
                         self.election.leader = None;
                         self.election.next_probe = now + 20 * MILLI;
                     } else {
@@ -61,9 +62,9 @@
                     self.election.busy = true;
                     self.election.lease_at = now;
                     let request = LeaseRequest {
-                        life_ms: self.cx.tuning.leader_lease_us / MILLI,
+                        ttl_ms: self.context.tuning.leader_lease_us / MILLI,
                     };
-                    self.cx
+                    self.context
                         .post_state("/leases", &request, Pending::Election(Step::Lease));
                 }
             }
@@ -71,7 +72,7 @@
                 if let Ok(lease) = wire::from_cbor::<Lease>(&body) {
                     self.election.busy = true;
                     let record = LeaderRecord {
-                        member: self.cx.settings.member.clone(),
+                        member: self.context.settings.member.clone(),
                         incarnation: self.election.incarnation,
                     };
                     let txn = Txn {
@@ -79,28 +80,27 @@
                         apply: vec![Change::Put {
                             put: LEADER.into(),
                             value: wire::http::to_value(&record),
-                            tether: Some(lease.tether),
+                            lease: Some(lease.id),
                         }],
                     };
-                    let step = Step::Claim {
-                        lease: lease.tether,
-                    };
-                    self.cx.post_state("/txn", &txn, Pending::Election(step));
+                    let step = Step::Claim { lease: lease.id };
+                    self.context
+                        .post_state("/txn", &txn, Pending::Election(step));
                 }
             }
-            (Step::Claim { lease }, 200) => match wire::from_cbor::<Epoch>(&body) {
-                Ok(e) => self.become_leader(e.epoch, lease),
+            (Step::Claim { lease }, 200) => match wire::from_cbor::<Revision>(&body) {
+                Ok(e) => self.become_leader(e.revision, lease),
                 Err(_) => self.end_lease(lease),
             },
             (Step::Claim { lease }, 0) => {
                 self.election.busy = true;
-                self.cx
+                self.context
                     .read_key(LEADER, Pending::Election(Step::ReadBack { lease }));
             }
             (Step::ReadBack { lease }, 200) => {
                 match wire::from_cbor::<Entry<LeaderRecord>>(&body) {
                     Ok(e)
-                        if e.value.member == self.cx.settings.member
+                        if e.value.member == self.context.settings.member
                             && e.value.incarnation == self.election.incarnation =>
                     {
                         self.become_leader(e.stamp, lease)
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn end_lease(&mut self, lease: u64) {
-        self.cx.call(
+        self.context.call(
             Target::State,
             "DELETE",
             format!("/leases/{lease}"),
@@ -122,21 +122,26 @@
             STATE_TIMEOUT,
             Pending::Ignore,
         );
-        self.election.next_probe = self.cx.now.steady + 100 * MILLI;
+        self.election.next_probe = self.context.now.steady + 100 * MILLI;
     }
 
     pub(crate) fn become_leader(&mut self, token: u64, lease: u64) {
         info!("leader with token {token}");
-        self.cx.token = self.cx.token.max(token);
+        self.context.token = self.context.token.max(token);
         self.election.grant = self.election.grant.max(token);
         let record = LeaderRecord {
-            member: self.cx.settings.member.clone(),
+            member: self.context.settings.member.clone(),
             incarnation: self.election.incarnation,
         };
         self.election.leader = Some((record, token));
         self.election.peers.clear();
-        let mut lead = Box::new(Lead::new(&self.cx, token, lease, self.election.lease_at));
-        lead.start_loading(&mut self.cx);
+        let mut lead = Box::new(Lead::new(
+            &self.context,
+            token,
+            lease,
+            self.election.lease_at,
+        ));
+        lead.start_loading(&mut self.context);
         self.lead = Some(lead);
     }
 
@@ -150,30 +155,31 @@
             self.leave_unproven(&lead);
         }
         for request in lead.waiting_checkins() {
-            self.cx.refuse(request, 503, "not the leader any more");
+            self.context.refuse(request, 503, "not the leader any more");
         }
         self.election.leader = None;
         self.election.busy = false;
-        self.election.next_probe = self.cx.now.steady + 50 * MILLI;
+        self.election.next_probe = self.context.now.steady + 50 * MILLI;
         if resign {
             self.end_lease(lead.lease);
-            self.election.abstain_until = self.cx.now.steady + 10 * SECOND;
+            self.election.abstain_until = self.context.now.steady + 10 * SECOND;
         }
     }
 
     /// After a standstill, the first thing is to learn whether this node still leads: its lease may
     /// have run out, and others may have acted since. Check-ins that waited were given up.
     pub(crate) fn doubt_grant(&mut self) {
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         let Some(lead) = &mut self.lead else { return };
         lead.doubtful = true;
         lead.extend_at = now;
         // Nobody could be heard meanwhile: that is no sign of being cut off from the workers.
         lead.heard_at = now;
         for request in lead.waiting_checkins() {
-            self.cx.refuse(request, 503, "it is not certain who leads");
+            self.context
+                .refuse(request, 503, "it is not certain who leads");
         }
-        lead.held.clear();
+        lead.pending_checkins.clear();
         lead.parked = Parked::default();
         self.election.peers.clear();
         self.election.next_probe = now;
--- a/crates/core/src/leadership/endings.rs
+++ b/crates/core/src/leadership/endings.rs
@@ -6,45 +6,53 @@
     /// Notes that the job is cancelled: nothing of it starts any more, and what may run is
     /// stopped. `record` says since when: the time to `cancel_s` runs on whoever leads. With every
     /// new leader it once began anew, and a machine that could not be reached was kept too long.
-    pub(crate) fn on_cancelled(&mut self, cx: &mut Ctx, id: &str, record: Option<&CancelRecord>) {
+    pub(crate) fn on_cancelled(
+        &mut self,
+        context: &mut Context,
+        id: &str,
+        record: Option<&CancelRecord>,
+    ) {
         // What a peer said of a job that another leader accepted meanwhile waits for its record.
-        let Some(ix) = self.jobs.find(id) else {
+        let Some(index) = self.jobs.find(id) else {
             return;
         };
-        let now = cx.now.steady;
-        let Some(job) = self.jobs.get_mut(ix) else {
+        let now = context.now.steady;
+        let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
         if job.cancelled.is_some() {
             return;
         }
-        let ago = record.map_or(0, |r| cx.now.wall.saturating_sub(r.cancelled_us));
+        let ago = record.map_or(0, |r| context.now.wall.saturating_sub(r.cancelled_us));
         job.cancelled = Some(now as i64 - ago as i64);
         job.ending = None;
-        self.stop_job(cx, ix);
-        self.end_if_over(cx, ix);
+        self.stop_job(context, index);
+        self.end_if_over(context, index);
     }
 
     /// Applies what the node knows of the job's cancellation, from wherever.
-    pub(crate) fn apply_cancellation(&mut self, cx: &mut Ctx, id: &str) {
-        let known = cx.cancellations.get(id).map(|k| CancelRecord {
+    pub(crate) fn apply_cancellation(&mut self, context: &mut Context, id: &str) {
+        let known = context.cancellations.get(id).map(|k| CancelRecord {
             cancelled_us: k.cancelled_us,
         });
         if let Some(record) = known.filter(|_| self.loaded()) {
-            self.on_cancelled(cx, id, Some(&record));
+            self.on_cancelled(context, id, Some(&record));
         }
     }
 
     /// State has no cancellation of this job after all: what was said of it was wrong, and the job
     /// runs. Only its record may end it.
-    pub(super) fn retract_cancellation(&mut self, cx: &mut Ctx, id: &str) {
-        cx.cancellations.forget(id);
-        let job = self.jobs.find(id).and_then(|ix| self.jobs.get_mut(ix));
+    pub(super) fn retract_cancellation(&mut self, context: &mut Context, id: &str) {
+        context.cancellations.forget(id);
+        let job = self
+            .jobs
+            .find(id)
+            .and_then(|index| self.jobs.get_mut(index));
         if let Some(job) = job.filter(|j| j.cancelled.is_some()) {
             error!("{id}: said to be cancelled, but not on record");
             job.cancelled = None;
             job.ending = None;
-            self.placement.want(cx.now.steady);
+            self.placement.want(context.now.steady);
         }
     }
 
@@ -58,8 +66,8 @@
     }
 
     /// Starts writing the end of a job if it has come to it.
-    pub(crate) fn end_if_over(&mut self, cx: &Ctx, ix: JobIx) {
-        let Some(job) = self.jobs.get_mut(ix) else {
+    pub(crate) fn end_if_over(&mut self, context: &Context, index: JobIndex) {
+        let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
         let ending = if job.cancelled.is_some() {
@@ -78,8 +86,8 @@
                 self.ledger.stale.push(key);
             }
             // An end frees what the user waits for, and room in every later read of state.
-            let due = cx.now.steady.saturating_sub(END_AHEAD);
-            self.ledger.touch_by(Rec::Over(ix), due);
+            let due = context.now.steady.saturating_sub(END_AHEAD);
+            self.ledger.touch_by(RecordId::Over(index), due);
         }
     }
 }
--- a/crates/core/src/leadership/flush.rs
+++ b/crates/core/src/leadership/flush.rs
@@ -7,7 +7,7 @@
 const LEAST_VALUE: usize = 700;
 /// How long a record waits that the state service refused alone.
 const REFUSED_PAUSE: Micros = 5 * SECOND;
-/// How often, and for how long after a flush without an answer, hires on record are compared.
+/// How often, and for how long after a flush without an answer, rentals on record are compared.
 const SWEEP: Micros = 20 * SECOND;
 const SWEEP_FOR: Micros = 300 * SECOND;
 /// How long the parts of a page that is too large may wait: what is new goes first.
@@ -15,24 +15,24 @@
 
 impl Lead {
     /// Renders a record's current content.
-    pub(super) fn render(&self, cx: &Ctx, rec: &Rec) -> Option<Rendered> {
+    pub(super) fn render(&self, context: &Context, rec: &RecordId) -> Option<Rendered> {
         let single = |key: String, change: Change| Rendered {
             when: vec![self.ledger.unchanged(&key)],
             apply: vec![change],
         };
         match rec {
-            Rec::Done(n) => {
+            RecordId::Done(n) => {
                 let key = format!("{DONE}{n}");
                 let record = self.done_pages.record(*n, &self.jobs);
                 Some(single(key.clone(), put(key, &record)))
             }
-            Rec::Page(n) => {
+            RecordId::Page(n) => {
                 let key = format!("{PAGE}0/{n}");
                 Some(single(key.clone(), put(key, &self.page_record(*n))))
             }
-            Rec::Hire(name) => {
-                let key = format!("{HIRE}{name}");
-                match self.fleet.hire_record(name) {
+            RecordId::Rental(name) => {
+                let key = format!("{RENTAL}{name}");
+                match self.fleet.rental_record(name) {
                     Some(record) => Some(single(key.clone(), put(key, &record))),
                     None if self.ledger.stamps.contains_key(&key) => {
                         Some(single(key.clone(), Change::Delete { delete: key }))
@@ -40,13 +40,13 @@
                     None => None,
                 }
             }
-            Rec::Stats => {
+            RecordId::Stats => {
                 let record = self.stats.record_within(self.value_bytes);
                 Some(single(STATS.into(), put(STATS.into(), &record)))
             }
-            Rec::Catalogue => {
-                let builds = cx.catalogue.clone()?;
-                let record = wire::http::Catalogue { builds };
+            RecordId::Catalogue => {
+                let machine_types = context.catalogue.clone()?;
+                let record = wire::http::Catalogue { machine_types };
                 if wire::json_size(&to_value(&record)) > self.value_bytes {
                     // A part of it would have jobs refused that can run. Every node asks the cloud
                     // for what is not here.
@@ -55,19 +55,19 @@
                 }
                 Some(single(CATALOGUE.into(), put(CATALOGUE.into(), &record)))
             }
-            Rec::Over(ix) => {
-                let job = self.jobs.get(*ix)?;
+            RecordId::Over(index) => {
+                let job = self.jobs.get(*index)?;
                 let ending = job.ending?;
-                let (live, past) = (job_key(&job.id), format!("{PAST}{}", job.id));
+                let (live, finished) = (job_key(&job.id), format!("{FINISHED}{}", job.id));
                 let cancel = self.cancellation_key(&job.id);
-                let record = PastRecord {
+                let record = FinishedJobRecord {
                     status: ending.status().into(),
-                    shards: job.tasks(),
+                    tasks: job.tasks(),
                 };
                 let mut r = Rendered {
-                    when: vec![absent(&past), self.ledger.unchanged(&live)],
+                    when: vec![absent(&finished), self.ledger.unchanged(&live)],
                     apply: vec![
-                        put(past, &record),
+                        put(finished, &record),
                         Change::Delete {
                             delete: live.clone(),
                         },
@@ -94,8 +94,8 @@
     }
 
     /// Writes dirty records, as many as one transaction and the rate allow.
-    pub(super) fn run_flush(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(super) fn run_flush(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         if self.ledger.in_flight.is_some() || now < self.ledger.not_before {
             return;
         }
@@ -105,36 +105,36 @@
         if let Some(key) = self.ledger.stale.first().cloned() {
             let pending = self.pending(LeadCall::Refresh { key: key.clone() });
             self.ledger.back_off(now, STATE_TIMEOUT);
-            cx.read_key(&key, pending);
+            context.read_key(&key, pending);
             return;
         }
-        let ops_left = self.txn_ops.min(cx.lead_writes.available(now));
+        let ops_left = self.txn_ops.min(context.lead_writes.available(now));
         let mut txn = Txn {
             when: vec![When {
-                k: LEADER.into(),
+                key: LEADER.into(),
                 stamp: self.token,
             }],
             apply: Vec::new(),
         };
-        let mut recs = Vec::new();
+        let mut record_ids = Vec::new();
         let mut bytes = 0;
         let mut short = false;
         for rec in self.ledger.due(now) {
             // A record that may be what made a transaction invalid goes alone.
-            if !recs.is_empty() && self.ledger.is_suspect(&rec) {
+            if !record_ids.is_empty() && self.ledger.is_suspect(&rec) {
                 continue;
             }
-            if self.ledger.must_wait(&rec, &recs) {
+            if self.ledger.must_wait(&rec, &record_ids) {
                 continue;
             }
-            let Some(r) = self.render(cx, &rec) else {
+            let Some(r) = self.render(context, &rec) else {
                 self.ledger.forget(&rec);
                 continue;
             };
             let size = wire::to_cbor(&r.apply).len();
             if txn.apply.len() + r.apply.len() > ops_left || bytes + size > 40 * 1024 {
                 short = true;
-                if recs.is_empty() && ops_left >= Ctx::cost(&rec) {
+                if record_ids.is_empty() && ops_left >= Context::cost(&rec) {
                     // Larger than a transaction may be: nothing else waits behind it.
                     warn!("{rec:?}: does not fit a transaction");
                     self.ledger.postpone(&rec, now + REFUSED_PAUSE);
@@ -145,44 +145,49 @@
             bytes += size;
             txn.when.extend(r.when);
             txn.apply.extend(r.apply);
-            recs.push((rec.clone(), self.ledger.version(&rec)));
+            record_ids.push((rec.clone(), self.ledger.version(&rec)));
             if self.ledger.is_suspect(&rec) {
                 break;
             }
         }
-        if recs.is_empty() {
+        if record_ids.is_empty() {
             if short {
-                self.ledger.not_before = cx.lead_writes.ready_at(now, 4.0).max(now + 5 * MILLI);
+                self.ledger.not_before =
+                    context.lead_writes.ready_at(now, 4.0).max(now + 5 * MILLI);
             } else {
                 // All that is due waits for something else.
                 self.ledger.not_before = now + 20 * MILLI;
             }
             return;
         }
-        cx.lead_writes.take(now, txn.apply.len() as f64);
+        context.lead_writes.take(now, txn.apply.len() as f64);
         let pending = self.pending(LeadCall::Flush);
-        cx.post_state("/txn", &txn, pending);
-        self.ledger.not_before = now + cx.tuning.flush_interval_us;
+        context.post_state("/txn", &txn, pending);
+        self.ledger.not_before = now + context.tuning.flush_interval_us;
         self.ledger.in_flight = Some(Batch {
-            recs,
+            record_ids,
             txn,
             proven: 0,
             stamp: 0,
         });
     }
 
-    pub(super) fn on_flush(&mut self, cx: &mut Ctx, outcome: Outcome) -> Result<(), String> {
-        let now = cx.now.steady;
+    pub(super) fn on_flush(
+        &mut self,
+        context: &mut Context,
+        outcome: Outcome,
+    ) -> Result<(), String> {
+        let now = context.now.steady;
         let Some(batch) = self.ledger.in_flight.take() else {
             return Ok(());
         };
         match outcome {
-            Outcome::Answer { status: 200, body } => match wire::from_cbor::<Epoch>(&body) {
+            Outcome::Answer { status: 200, body } => match wire::from_cbor::<Revision>(&body) {
                 Ok(e) => {
                     self.flush_failures = 0;
-                    self.flushed(cx, &batch, e.epoch);
+                    self.flushed(context, &batch, e.revision);
                 }
-                Err(_) => self.read_back(cx, batch),
+                Err(_) => self.read_back(context, batch),
             },
             Outcome::Answer { status: 409, body } => {
                 let failed = wire::from_cbor::<TxnFailed>(&body)
@@ -195,20 +200,20 @@
                     // It does not say which: all of them are read, at a pace that leaves room.
                     let keys = batch.txn.apply.iter().map(|c| c.key().to_string());
                     self.ledger.stale.extend(keys);
-                    self.flush_failed(cx);
+                    self.flush_failed(context);
                 }
                 for key in failed {
                     if let Some(JobKey::Cancelled(id)) = JobKey::parse(&key) {
-                        self.on_cancelled(cx, id, None);
+                        self.on_cancelled(context, id, None);
                     }
                     self.ledger.stale.push(key);
                 }
                 self.ledger.back_off(now, MILLI);
             }
-            Outcome::Unknown => self.read_back(cx, batch),
+            Outcome::Unknown => self.read_back(context, batch),
             Outcome::Answer { status: 400, body } => {
                 let text = String::from_utf8_lossy(&body[..body.len().min(200)]).to_string();
-                self.flush_invalid(cx, &batch, &text);
+                self.flush_invalid(context, &batch, &text);
             }
             Outcome::Answer { status, body } => {
                 if status != 429 && status != 503 {
@@ -216,11 +221,11 @@
                     error!("state service: flush got {status}: {text}");
                 }
                 if status == 429 {
-                    cx.lead_writes.drain(now);
+                    context.lead_writes.drain(now);
                 }
-                self.flush_failed(cx);
+                self.flush_failed(context);
             }
-            Outcome::NotSent => self.flush_failed(cx),
+            Outcome::NotSent => self.flush_failed(context),
         }
         Ok(())
     }
@@ -228,15 +233,15 @@
     /// The state service called a flush invalid: a value or the transaction is larger than it takes
     /// now. The same transaction would be refused for good, so each of its records goes alone; and
     /// one that is refused alone becomes smaller.
-    fn flush_invalid(&mut self, cx: &mut Ctx, batch: &Batch, why: &str) {
-        let now = cx.now.steady;
-        self.ledger.back_off(now, cx.tuning.flush_interval_us);
-        let [(rec, _)] = &batch.recs[..] else {
+    fn flush_invalid(&mut self, context: &mut Context, batch: &Batch, why: &str) {
+        let now = context.now.steady;
+        self.ledger.back_off(now, context.tuning.flush_interval_us);
+        let [(rec, _)] = &batch.record_ids[..] else {
             warn!(
                 "state service: {} records refused, to be written one by one: {why}",
-                batch.recs.len()
+                batch.record_ids.len()
             );
-            self.ledger.suspect(&batch.recs);
+            self.ledger.suspect(&batch.record_ids);
             self.txn_ops = (batch.txn.apply.len() / 2).max(LEAST_TXN_OPS);
             return;
         };
@@ -245,16 +250,16 @@
         // It was not the number of changes, then.
         self.txn_ops = match batch.txn.apply.len() > LEAST_TXN_OPS {
             true => LEAST_TXN_OPS,
-            false => cx.settings.state.txn_ops,
+            false => context.settings.state.txn_ops,
         };
         let large = batch.txn.apply.iter().any(|c| match c {
             Change::Put { value, .. } => wire::json_size(value) > LEAST_VALUE,
             Change::Delete { .. } => false,
         });
         match rec {
-            Rec::Page(_) | Rec::Done(_) | Rec::Stats if large => {
+            RecordId::Page(_) | RecordId::Done(_) | RecordId::Stats if large => {
                 self.value_bytes = (self.value_bytes / 2).max(LEAST_VALUE);
-                self.split_pages(cx);
+                self.split_pages(context);
                 self.ledger.postpone(rec, now + SECOND);
             }
             _ => self.ledger.postpone(rec, now + REFUSED_PAUSE),
@@ -264,14 +269,14 @@
     /// Moves what is on pages that are larger than a value may be to others: these are written
     /// first, then the old ones. Until then what an earlier leader wrote stays as it is, and lists
     /// all of it.
-    pub(super) fn split_pages(&mut self, cx: &Ctx) {
-        let due = cx.now.steady + SPLIT_DELAY;
+    pub(super) fn split_pages(&mut self, context: &Context) {
+        let due = context.now.steady + SPLIT_DELAY;
         let pages = self.split_placements(due);
         let done = self
             .done_pages
             .split(page_bytes(self.value_bytes), &mut self.jobs)
             .into_iter()
-            .map(|(from, to)| (Rec::Done(from), Rec::Done(to)));
+            .map(|(from, to)| (RecordId::Done(from), RecordId::Done(to)));
         let mut last = None;
         for (from, to) in pages.into_iter().chain(done) {
             if last.as_ref() == Some(&(from.clone(), to.clone())) {
@@ -284,22 +289,22 @@
         }
     }
 
-    pub(super) fn flush_failed(&mut self, cx: &mut Ctx) {
+    pub(super) fn flush_failed(&mut self, context: &mut Context) {
         self.flush_failures = (self.flush_failures + 1).min(4);
         let pause = (100 * MILLI) << self.flush_failures;
-        let jitter = cx.jitter(pause / 4);
-        self.ledger.back_off(cx.now.steady, pause / 2 + jitter);
+        let jitter = context.jitter(pause / 4);
+        self.ledger.back_off(context.now.steady, pause / 2 + jitter);
     }
 
     /// The outcome of a flush is unknown: looks whether it was applied, one key after the other.
-    pub(super) fn read_back(&mut self, cx: &mut Ctx, batch: Batch) {
+    pub(super) fn read_back(&mut self, context: &mut Context, batch: Batch) {
         match batch.txn.apply.get(batch.proven) {
             Some(change) => {
                 let pending = self.pending(LeadCall::FlushReadBack);
-                cx.read_key(change.key(), pending);
+                context.read_key(change.key(), pending);
                 self.ledger.in_flight = Some(batch);
             }
-            None => self.flushed(cx, &batch, batch.stamp),
+            None => self.flushed(context, &batch, batch.stamp),
         }
     }
 
@@ -307,7 +312,11 @@
     /// one of them has a new stamp is no proof: an earlier flush without an answer may have been
     /// carried out meanwhile, and then this one never will be. What only this one listed was once
     /// launched, unknown to the next leader.
-    pub(super) fn on_read_back(&mut self, cx: &mut Ctx, outcome: Outcome) -> Result<(), String> {
+    pub(super) fn on_read_back(
+        &mut self,
+        context: &mut Context,
+        outcome: Outcome,
+    ) -> Result<(), String> {
         let Some(mut batch) = self.ledger.in_flight.take() else {
             return Ok(());
         };
@@ -328,16 +337,20 @@
             Some(stamp) => {
                 batch.stamp = stamp;
                 batch.proven += 1;
-                self.read_back(cx, batch);
+                self.read_back(context, batch);
             }
             None => {
                 // Not applied so far, or it cannot be told. It is written anew; its keys' stamps
                 // are read before that, since one of an earlier flush may have come in between.
                 let keys = batch.txn.apply.iter().map(|c| c.key().to_string());
                 self.ledger.stale.extend(keys);
-                self.flush_failed(cx);
-                if batch.recs.iter().any(|(r, _)| matches!(r, Rec::Hire(_))) {
-                    let now = cx.now.steady;
+                self.flush_failed(context);
+                if batch
+                    .record_ids
+                    .iter()
+                    .any(|(r, _)| matches!(r, RecordId::Rental(_)))
+                {
+                    let now = context.now.steady;
                     self.sweep_at = now + SWEEP;
                     self.sweep_until = now + SWEEP_FOR;
                 }
@@ -346,61 +359,61 @@
         Ok(())
     }
 
-    /// A hire that was written by a flush without an answer, written again and then deleted is put
+    /// A rental that was written by a flush without an answer, written again and then deleted is put
     /// back if the first flush is carried out after all: its condition, that there is no such
     /// record, holds again. The next leader would rent by it. So what is on record is looked
     /// through for a while.
-    pub(super) fn run_sweep(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(super) fn run_sweep(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         if now < self.sweep_at || now > self.sweep_until {
             return;
         }
         self.sweep_at = now + SWEEP;
-        let pending = self.pending(LeadCall::List { prefix: HIRE });
-        let path = format!("/kv?prefix={HIRE}&page=200");
-        cx.get_state(path, pending);
+        let pending = self.pending(LeadCall::List { prefix: RENTAL });
+        let path = format!("/kv?prefix={RENTAL}&page=200");
+        context.get_state(path, pending);
     }
 
-    /// Deletes hires on record that are none of ours.
-    pub(super) fn on_sweep(&mut self, cx: &mut Ctx, list: Option<EntryList>) {
+    /// Deletes rentals on record that are none of ours.
+    pub(super) fn on_sweep(&mut self, context: &mut Context, list: Option<EntryList>) {
         for e in list.map(|list| list.entries).unwrap_or_default() {
-            let name = e.k.strip_prefix(HIRE).unwrap_or_default();
-            if self.fleet.hire_record(name).is_some() || self.ledger.stamps.contains_key(&e.k) {
+            let name = e.key.strip_prefix(RENTAL).unwrap_or_default();
+            if self.fleet.rental_record(name).is_some() || self.ledger.stamps.contains_key(&e.key) {
                 continue;
             }
-            warn!("record {}: put back by a late transaction", e.k);
-            self.ledger.stamps.insert(e.k.clone(), e.stamp);
+            warn!("record {}: put back by a late transaction", e.key);
+            self.ledger.stamps.insert(e.key.clone(), e.stamp);
             self.ledger
-                .touch(Rec::Hire(name.to_string()), cx.now.steady);
+                .touch(RecordId::Rental(name.to_string()), context.now.steady);
         }
     }
 
     /// Takes the stamp of a key that differs from what we knew: an earlier transaction of ours
     /// was applied after all.
-    pub(super) fn on_refresh(&mut self, cx: &mut Ctx, key: &str, outcome: Outcome) {
-        let now = cx.now.steady;
+    pub(super) fn on_refresh(&mut self, context: &mut Context, key: &str, outcome: Outcome) {
+        let now = context.now.steady;
         self.ledger.not_before = now;
         match outcome {
             Outcome::Answer { status: 200, body } => {
                 match wire::from_cbor::<Entry<Value>>(&body) {
                     Ok(e) => {
                         self.ledger.stamps.insert(key.to_string(), e.stamp);
-                        if let Some(id) = key.strip_prefix(PAST) {
+                        if let Some(id) = key.strip_prefix(FINISHED) {
                             // The end of this job was written before.
-                            let ended: Option<PastRecord> = from_value(&e.value).ok();
-                            if let (Some(ix), Some(_)) = (self.jobs.find(id), ended) {
-                                self.ledger.forget(&Rec::Over(ix));
-                                self.job_ended(ix);
+                            let ended: Option<FinishedJobRecord> = from_value(&e.value).ok();
+                            if let (Some(index), Some(_)) = (self.jobs.find(id), ended) {
+                                self.ledger.forget(&RecordId::Over(index));
+                                self.job_ended(index);
                             }
                         }
                     }
-                    Err(_) => return self.flush_failed(cx),
+                    Err(_) => return self.flush_failed(context),
                 }
             }
             Outcome::Answer { status: 404, .. } => {
                 self.ledger.stamps.remove(key);
                 let said = |id: &str| {
-                    let job = self.jobs.find(id).and_then(|ix| self.jobs.get(ix));
+                    let job = self.jobs.find(id).and_then(|index| self.jobs.get(index));
                     job.is_some_and(|j| j.cancelled.is_some())
                 };
                 if let Some(JobKey::Cancelled(id)) = JobKey::parse(key) {
@@ -408,60 +421,60 @@
                         // The end of the job, which takes its cancellation away, may have been
                         // written late: that is read next.
                         self.unproven.insert(id.to_string());
-                        self.ledger.stale.push(format!("{PAST}{id}"));
+                        self.ledger.stale.push(format!("{FINISHED}{id}"));
                     }
-                } else if let Some(id) = key.strip_prefix(PAST) {
+                } else if let Some(id) = key.strip_prefix(FINISHED) {
                     if self.unproven.remove(id) && said(id) {
-                        self.retract_cancellation(cx, id);
+                        self.retract_cancellation(context, id);
                     }
                 }
             }
-            _ => return self.flush_failed(cx),
+            _ => return self.flush_failed(context),
         }
         self.ledger.stale.retain(|k| k != key);
     }
 
-    pub(super) fn flushed(&mut self, cx: &mut Ctx, batch: &Batch, epoch: u64) {
-        self.ledger.applied(batch, epoch);
-        self.held_stir = true;
-        for (rec, _) in &batch.recs {
+    pub(super) fn flushed(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
+        self.ledger.applied(batch, revision);
+        self.pending_changed = true;
+        for (rec, _) in &batch.record_ids {
             match rec {
-                Rec::Over(ix) => {
-                    if let Some(j) = self.jobs.get(*ix) {
+                RecordId::Over(index) => {
+                    if let Some(j) = self.jobs.get(*index) {
                         info!(
                             "{}: {} after {} s, began after {} s, {} tasks of {} for {}, {} s each",
                             j.id,
                             j.ending.map_or("over", Ending::status),
-                            j.age(cx.now.steady) / SECOND,
+                            j.age(context.now.steady) / SECOND,
                             j.began_at.unwrap_or(0) / SECOND,
                             j.tasks(),
-                            j.spec.workclass,
-                            j.spec.owner,
+                            j.spec.class,
+                            j.spec.team,
                             j.run_mean.0 / SECOND
                         );
                     }
-                    self.job_ended(*ix)
+                    self.job_ended(*index)
                 }
-                Rec::Hire(name) => self.fleet.hire_written(cx.now.steady, name),
+                RecordId::Rental(name) => self.fleet.rental_written(context.now.steady, name),
                 _ => {}
             }
         }
     }
 
-    pub(super) fn job_ended(&mut self, ix: JobIx) {
-        if let Some(job) = self.jobs.remove(ix) {
+    pub(super) fn job_ended(&mut self, index: JobIndex) {
+        if let Some(job) = self.jobs.remove(index) {
             for key in [
                 job_key(&job.id),
                 cancel_key(&job.id),
                 format!("{OLD_CANCEL}{}", job.id),
-                format!("{PAST}{}", job.id),
+                format!("{FINISHED}{}", job.id),
                 format!("{DONE}{}/0", job.id),
             ] {
                 self.ledger.stamps.remove(&key);
             }
-            self.done_pages.drop_job(ix, &job);
-            self.progress_dirty.remove(&ix);
-            self.ledger.forget(&Rec::Over(ix));
+            self.done_pages.drop_job(index, &job);
+            self.progress_dirty.remove(&index);
+            self.ledger.forget(&RecordId::Over(index));
             self.ended.push_back(job.id);
             if self.ended.len() > 200 {
                 self.ended.pop_front();
--- a/crates/core/src/leadership/loading.rs
+++ b/crates/core/src/leadership/loading.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 impl Lead {
-    pub(super) fn start_loading(&mut self, cx: &mut Ctx) {
+    pub(super) fn start_loading(&mut self, context: &mut Context) {
         let mut loading = Loading::default();
-        for prefix in [JOB, OLD_CANCEL, DONE, PAGE, HIRE, STATS, CATALOGUE] {
+        for prefix in [JOB, OLD_CANCEL, DONE, PAGE, RENTAL, STATS, CATALOGUE] {
             loading.missing.insert(prefix, None);
-            loading.retry.insert(prefix, cx.now.steady);
+            loading.retry.insert(prefix, context.now.steady);
         }
         self.loading = Some(loading);
-        self.run_loading(cx);
+        self.run_loading(context);
     }
 
-    pub(super) fn run_loading(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(super) fn run_loading(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         let token = self.token;
         let Some(loading) = &mut self.loading else {
             return;
@@ -42,27 +42,32 @@
                 format!("/kv/{prefix}")
             };
             let pending = Pending::Lead { token, what };
-            cx.get_state(path, pending);
+            context.get_state(path, pending);
         }
     }
 
     /// Takes a reply to a read of the loading, or of a relist of a watch.
-    pub(super) fn on_list(&mut self, cx: &mut Ctx, prefix: &'static str, outcome: Outcome) {
-        let now = cx.now.steady;
+    pub(super) fn on_list(
+        &mut self,
+        context: &mut Context,
+        prefix: &'static str,
+        outcome: Outcome,
+    ) {
+        let now = context.now.steady;
         let list = match &outcome {
             Outcome::Answer { status: 200, body } => wire::from_cbor::<EntryList>(body),
             _ => Err(wire::DecodeError("no answer".into())),
         };
         let Some(loading) = &mut self.loading else {
             return match prefix {
-                HIRE => self.on_sweep(cx, list.ok()),
-                _ => self.on_relist(cx, prefix, list.ok()),
+                RENTAL => self.on_sweep(context, list.ok()),
+                _ => self.on_relist(context, prefix, list.ok()),
             };
         };
         match list {
             Ok(list) => {
-                loading.epochs.entry(prefix).or_insert(list.epoch);
-                let last = list.entries.last().map(|e| e.k.clone());
+                loading.revisions.entry(prefix).or_insert(list.revision);
+                let last = list.entries.last().map(|e| e.key.clone());
                 loading
                     .entries
                     .entry(prefix)
@@ -80,11 +85,11 @@
                 loading.retry.insert(prefix, now + 200 * MILLI);
             }
         }
-        self.run_loading(cx);
-        self.finish_loading(cx);
+        self.run_loading(context);
+        self.finish_loading(context);
     }
 
-    pub(super) fn on_read(&mut self, cx: &mut Ctx, key: &'static str, outcome: Outcome) {
+    pub(super) fn on_read(&mut self, context: &mut Context, key: &'static str, outcome: Outcome) {
         let Some(loading) = &mut self.loading else {
             return;
         };
@@ -100,55 +105,55 @@
                 loading.missing.remove(key);
             }
             _ => {
-                loading.retry.insert(key, cx.now.steady + 200 * MILLI);
+                loading.retry.insert(key, context.now.steady + 200 * MILLI);
             }
         }
-        self.finish_loading(cx);
+        self.finish_loading(context);
     }
 
     /// Builds the working state once everything is read.
-    pub(super) fn finish_loading(&mut self, cx: &mut Ctx) {
+    pub(super) fn finish_loading(&mut self, context: &mut Context) {
         if !self.loading.as_ref().is_some_and(|l| l.missing.is_empty()) {
             return;
         }
         let Some(mut loading) = self.loading.take() else {
             return;
         };
-        let now = cx.now.steady;
+        let now = context.now.steady;
         let mut take = |prefix: &str| loading.entries.remove(prefix).unwrap_or_default();
         let (mut jobs, mut cancels, dones) = (take(JOB), take(OLD_CANCEL), take(DONE));
         jobs.retain(|e| {
-            let live = !matches!(JobKey::parse(&e.k), Some(JobKey::Cancelled(_)));
+            let live = !matches!(JobKey::parse(&e.key), Some(JobKey::Cancelled(_)));
             if !live {
                 cancels.push(e.clone());
             }
             live
         });
-        let (pages, hires) = (take(PAGE), take(HIRE));
+        let (pages, rentals) = (take(PAGE), take(RENTAL));
         let (stats, catalogue) = (take(STATS), take(CATALOGUE));
         for e in jobs {
-            self.add_job(cx, &e.k, &e.value, e.stamp);
+            self.add_job(context, &e.key, &e.value, e.stamp);
         }
         for e in dones {
-            self.ledger.stamps.insert(e.k.clone(), e.stamp);
-            self.load_done(cx, &e.k, &e.value);
+            self.ledger.stamps.insert(e.key.clone(), e.stamp);
+            self.load_done(context, &e.key, &e.value);
         }
         for e in pages {
-            self.ledger.stamps.insert(e.k.clone(), e.stamp);
-            self.load_page(cx, &e.k, &e.value);
+            self.ledger.stamps.insert(e.key.clone(), e.stamp);
+            self.load_page(context, &e.key, &e.value);
         }
-        for e in hires {
-            self.ledger.stamps.insert(e.k.clone(), e.stamp);
-            match from_value::<HireRecord>(&e.value) {
-                Ok(hire) => {
-                    let name = e.k.trim_start_matches(HIRE).to_string();
-                    self.fleet.recover_hire(cx, name, hire);
+        for e in rentals {
+            self.ledger.stamps.insert(e.key.clone(), e.stamp);
+            match from_value::<RentalRecord>(&e.value) {
+                Ok(rental) => {
+                    let name = e.key.trim_start_matches(RENTAL).to_string();
+                    self.fleet.recover_rental(context, name, rental);
                 }
-                Err(err) => error!("record {}: {err}", e.k),
+                Err(err) => error!("record {}: {err}", e.key),
             }
         }
         for e in stats {
-            self.ledger.stamps.insert(e.k, e.stamp);
+            self.ledger.stamps.insert(e.key, e.stamp);
             match from_value(&e.value) {
                 Ok(record) => self.stats = Stats::load(&record),
                 Err(err) => error!("record {STATS}: {err}"),
@@ -156,7 +161,7 @@
         }
         let known = !catalogue.is_empty();
         for e in catalogue {
-            self.ledger.stamps.insert(e.k, e.stamp);
+            self.ledger.stamps.insert(e.key, e.stamp);
         }
         if !known {
             self.fleet.types_at = now;
@@ -165,48 +170,53 @@
         self.heard_at = now;
         self.placement.next_at = now;
         let watch = Watch {
-            since: loading.epochs.get(JOB).copied().unwrap_or(0),
+            since: loading.revisions.get(JOB).copied().unwrap_or(0),
             ..Watch::default()
         };
         self.watches.insert(JOB, watch);
         for e in &cancels {
-            self.ledger.stamps.insert(e.k.clone(), e.stamp);
+            self.ledger.stamps.insert(e.key.clone(), e.stamp);
         }
         for e in &cancels {
             let record = from_value::<CancelRecord>(&e.value);
             if let Err(err) = &record {
-                error!("record {}: {err}; taken as a cancellation", e.k);
+                error!("record {}: {err}; taken as a cancellation", e.key);
             }
-            if let Some(JobKey::Cancelled(id)) = JobKey::parse(&e.k) {
-                self.on_cancelled(cx, id, record.ok().as_ref());
+            if let Some(JobKey::Cancelled(id)) = JobKey::parse(&e.key) {
+                self.on_cancelled(context, id, record.ok().as_ref());
             }
         }
         // What the node knows of later ones, or from its peers.
-        let known: Vec<String> = cx.cancellations.jobs().map(|(id, _)| id.into()).collect();
+        let known: Vec<String> = context
+            .cancellations
+            .jobs()
+            .map(|(id, _)| id.into())
+            .collect();
         for id in known {
-            self.apply_cancellation(cx, &id);
+            self.apply_cancellation(context, &id);
         }
-        cx.cancellations.read_as_of(self.began);
+        context.cancellations.read_as_of(self.began);
         // Pages that an earlier leader wrote under larger limits.
-        self.split_pages(cx);
-        let complete: Vec<JobIx> = self
+        self.split_pages(context);
+        let complete: Vec<JobIndex> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.all_done())
-            .map(|(ix, _)| ix)
+            .map(|(index, _)| index)
             .collect();
-        for ix in complete {
-            self.end_if_over(cx, ix);
+        for index in complete {
+            self.end_if_over(context, index);
         }
         // What has completed tasks has begun, at this age at the latest.
-        for ix in self.jobs.indices() {
-            if let Some(j) = self.jobs.get_mut(ix).filter(|j| j.done_count > 0) {
+        for index in self.jobs.indices() {
+            if let Some(j) = self.jobs.get_mut(index).filter(|j| j.done_count > 0) {
                 j.began_at = Some(j.age(now));
             }
         }
         // Before anything is placed: in the first second of each leader batch tasks once took the room
         // that was kept for services.
-        self.standby.update(cx, &self.jobs, self.machines.len());
+        self.standby
+            .update(context, &self.jobs, self.machines.len());
         info!(
             "loaded {} jobs, {} machines with tasks",
             self.jobs.len(),
@@ -214,7 +224,7 @@
         );
     }
 
-    pub(super) fn add_job(&mut self, cx: &Ctx, key: &str, value: &Value, stamp: u64) {
+    pub(super) fn add_job(&mut self, context: &Context, key: &str, value: &Value, stamp: u64) {
         let Some(id) = key.strip_prefix(JOB) else {
             return;
         };
@@ -222,12 +232,12 @@
             return;
         }
         match from_value::<JobRecord>(value) {
-            Ok(record) if record.spec.uid == id => {
+            Ok(record) if record.spec.id == id => {
                 self.ledger.stamps.insert(key.to_string(), stamp);
-                let job = Job::new(record, cx.now.steady, cx.now.wall);
-                self.standby.note(&job, cx.now.steady);
+                let job = Job::new(record, context.now.steady, context.now.wall);
+                self.standby.note(&job, context.now.steady);
                 self.jobs.insert(job);
-                self.placement.want(cx.now.steady);
+                self.placement.want(context.now.steady);
             }
             Ok(_) => error!("record {key}: holds another job; set aside"),
             Err(e) => {
@@ -240,11 +250,14 @@
     }
 
     /// Reads completed tasks back, in the present form or in that of an earlier version.
-    pub(super) fn load_done(&mut self, cx: &Ctx, key: &str, value: &Value) {
-        let now = cx.now.steady;
+    pub(super) fn load_done(&mut self, context: &Context, key: &str, value: &Value) {
+        let now = context.now.steady;
         let rest = key.strip_prefix(DONE).unwrap_or_default();
         if let Some((id, n)) = rest.rsplit_once('/') {
-            let job = self.jobs.find(id).and_then(|ix| self.jobs.get_mut(ix));
+            let job = self
+                .jobs
+                .find(id)
+                .and_then(|index| self.jobs.get_mut(index));
             match (job, n.parse(), from_value::<DoneRecord>(value)) {
                 (Some(job), Ok(n), Ok(record)) => job.load_done(n, &record.bits),
                 (None, _, _) => {}
@@ -255,22 +268,22 @@
         match (rest.parse::<u64>(), from_value::<DonePageRecord>(value)) {
             (Ok(page), Ok(record)) => {
                 for (id, n, bits) in record.jobs {
-                    let Some(ix) = self.jobs.find(&id) else {
+                    let Some(index) = self.jobs.find(&id) else {
                         continue;
                     };
-                    if let Some(job) = self.jobs.get_mut(ix) {
+                    if let Some(job) = self.jobs.get_mut(index) {
                         job.load_done(n, &bits);
                         match job.done_pages.get(&n) {
-                            None => self.done_pages.adopt(page, ix, n, job),
+                            None => self.done_pages.adopt(page, index, n, job),
                             // On two pages, after a move that was half written: this one drops it
                             // once the other has the bits of both.
                             Some(other) => {
-                                let other = Rec::Done(*other);
+                                let other = RecordId::Done(*other);
                                 self.done_pages.bar(page);
                                 let due = now + SECOND;
                                 let version = self.ledger.touch_lazily(other.clone(), due);
-                                self.ledger.wait_for(Rec::Done(page), other, version);
-                                self.ledger.touch_lazily(Rec::Done(page), due);
+                                self.ledger.wait_for(RecordId::Done(page), other, version);
+                                self.ledger.touch_lazily(RecordId::Done(page), due);
                             }
                         }
                     }
@@ -287,7 +300,7 @@
         }
     }
 
-    pub(super) fn load_page(&mut self, cx: &mut Ctx, key: &str, value: &Value) {
+    pub(super) fn load_page(&mut self, context: &mut Context, key: &str, value: &Value) {
         let number = key
             .rsplit_once('/')
             .and_then(|(_, n)| n.parse::<u64>().ok());
@@ -295,7 +308,8 @@
             // Nothing can be said of what it lists: no task of any live job may be started
             // until every machine has been heard or released, which `quarantine` sees to.
             error!("record {key}: unreadable; waiting for proof from all machines");
-            self.placement.quarantine_until = cx.now.steady + cx.settings.lease * 2 + 10 * SECOND;
+            self.placement.quarantine_until =
+                context.now.steady + context.settings.lease * 2 + 10 * SECOND;
             if let Some(n) = number {
                 self.page_mut(n).broken = true;
             }
@@ -303,27 +317,27 @@
         };
         self.page_mut(number);
         for m in page.machines {
-            for (job_id, task, attempt) in m.t {
-                let ix = self.jobs.find(&job_id);
+            for (job_id, task, attempt) in m.assignments {
+                let index = self.jobs.find(&job_id);
                 // Of a job whose record cannot be read it is not known what it takes, nor of which
                 // team: it is stopped, and nothing is placed until it is proven gone.
-                let unreadable = ix.is_none() && self.corrupt.contains(&job_key(&job_id));
-                if ix.is_none() && !unreadable {
+                let unreadable = index.is_none() && self.corrupt.contains(&job_key(&job_id));
+                if index.is_none() && !unreadable {
                     // Its job is over; whatever still runs is stopped when the worker reports it.
                     continue;
                 }
                 // On two pages, after a move that was half written: this one drops it.
-                let known = self.machines.get(&m.m).is_some_and(|m| {
+                let known = self.machines.get(&m.machine).is_some_and(|m| {
                     m.assignments
                         .iter()
                         .any(|a| a.attempt == attempt && a.task == task && a.job_id == job_id)
                 });
                 if known {
-                    let due = cx.now.steady + SECOND;
-                    self.ledger.touch_lazily(Rec::Page(number), due);
+                    let due = context.now.steady + SECOND;
+                    self.ledger.touch_lazily(RecordId::Page(number), due);
                     continue;
                 }
-                let job = ix.and_then(|ix| self.jobs.get_mut(ix));
+                let job = index.and_then(|index| self.jobs.get_mut(index));
                 let spec = job.map(|job| {
                     job.take(task);
                     *job.zones.entry(m.zone.clone()).or_insert(0) += 1;
@@ -331,32 +345,32 @@
                 });
                 let spec = spec.as_ref();
                 let assignment = Assignment {
-                    job: ix.unwrap_or(JobIx::MAX),
+                    job: index.unwrap_or(JobIndex::MAX),
                     job_id,
                     task,
                     attempt,
-                    tenure: m.tenure,
+                    session: m.session,
                     page: number,
                     written: 0,
-                    cpus: spec.map_or(0.0, |s| s.vcpus),
-                    gpus: spec.map_or(0.0, |s| s.accelerators),
+                    cpus: spec.map_or(0.0, |s| s.cpus),
+                    gpus: spec.map_or(0.0, |s| s.gpus),
                     memory: spec.map_or(0.0, |s| s.memory_gb),
-                    team: spec.map_or(String::new(), |s| s.owner.clone()),
+                    team: spec.map_or(String::new(), |s| s.team.clone()),
                     zone: m.zone.clone(),
                     launched: Some((0, 0)),
                     seen: Seen::Never,
-                    decided: cx.now.steady,
+                    decided: context.now.steady,
                     started: None,
                     expected: spec.map_or(SECOND, |s| self.stats.expected_stay(s)),
                     stop: unreadable.then_some(Stop {
-                        leeway: 0,
-                        since: cx.now.steady,
+                        grace: 0,
+                        since: context.now.steady,
                         sent: None,
                     }),
                 };
-                self.page_mut(number).add(&m.m, &assignment);
-                self.recovered_machine(cx, &m.m, &m.zone, m.tenure);
-                self.hold(&m.m, assignment);
+                self.page_mut(number).add(&m.machine, &assignment);
+                self.recovered_machine(context, &m.machine, &m.zone, m.session);
+                self.hold(&m.machine, assignment);
             }
         }
     }
--- a/crates/core/src/leadership/watches.rs
+++ b/crates/core/src/leadership/watches.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Lead {
-    pub(super) fn run_watches(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(super) fn run_watches(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         let token = self.token;
         for (prefix, w) in &mut self.watches {
             if w.open || now < w.retry_at {
@@ -25,19 +25,24 @@
                 )
             };
             let pending = Pending::Lead { token, what };
-            cx.call(Target::State, "GET", path, Vec::new(), timeout, pending);
+            context.call(Target::State, "GET", path, Vec::new(), timeout, pending);
         }
     }
 
-    pub(super) fn on_watch(&mut self, cx: &mut Ctx, prefix: &'static str, outcome: Outcome) {
-        let now = cx.now.steady;
+    pub(super) fn on_watch(
+        &mut self,
+        context: &mut Context,
+        prefix: &'static str,
+        outcome: Outcome,
+    ) {
+        let now = context.now.steady;
         let mut events = Vec::new();
         if let Some(w) = self.watches.get_mut(prefix) {
             w.open = false;
             match outcome {
                 Outcome::Answer { status: 200, body } => match wire::from_cbor::<Changes>(&body) {
                     Ok(changes) => {
-                        w.since = w.since.max(changes.epoch);
+                        w.since = w.since.max(changes.revision);
                         w.retry_at = now + 20 * MILLI;
                         events = changes.events;
                     }
@@ -54,21 +59,21 @@
             }
         }
         for event in events {
-            self.on_event(cx, event);
+            self.on_event(context, event);
         }
     }
 
-    pub(super) fn on_event(&mut self, cx: &mut Ctx, event: Event) {
+    pub(super) fn on_event(&mut self, context: &mut Context, event: Event) {
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
             match JobKey::parse(key) {
                 Some(JobKey::Live(id)) => {
-                    self.add_job(cx, key, value, event.stamp);
-                    self.apply_cancellation(cx, id);
+                    self.add_job(context, key, value, event.stamp);
+                    self.apply_cancellation(context, id);
                 }
                 Some(JobKey::Cancelled(id)) if self.jobs.find(id).is_some() => {
                     self.ledger.stamps.insert(key.clone(), event.stamp);
                     let record = from_value(value).ok();
-                    self.on_cancelled(cx, id, record.as_ref());
+                    self.on_cancelled(context, id, record.as_ref());
                 }
                 _ => {}
             }
@@ -78,11 +83,11 @@
     /// A watch was too old and its keys were listed again.
     pub(super) fn on_relist(
         &mut self,
-        cx: &mut Ctx,
+        context: &mut Context,
         prefix: &'static str,
         list: Option<EntryList>,
     ) {
-        let now = cx.now.steady;
+        let now = context.now.steady;
         let Some(w) = self.watches.get_mut(prefix) else {
             return;
         };
@@ -92,16 +97,16 @@
             return;
         };
         w.relist = false;
-        w.since = list.epoch;
+        w.since = list.revision;
         w.retry_at = now;
         for e in list.entries {
             let event = Event {
-                put: Some(e.k),
+                put: Some(e.key),
                 delete: None,
                 value: Some(e.value),
                 stamp: e.stamp,
             };
-            self.on_event(cx, event);
+            self.on_event(context, event);
         }
     }
 }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -11,22 +11,22 @@
 //! transaction the state service called invalid go alone from then on ([`Ledger::suspect`]), so
 //! that a single one cannot keep others from being written.
 
-use crate::jobs::JobIx;
+use crate::jobs::JobIndex;
 use crate::{Micros, MILLI};
 use grebewood_wire::http::{Change, Txn, When};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A record that the ledger writes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rec {
+pub enum RecordId {
     /// A page of completed tasks.
     Done(u64),
     /// A page of assignments.
     Page(u64),
     /// A rental request.
-    Hire(String),
+    Rental(String),
     /// The end of a job: its terminal record, and the removal of its live ones.
-    Over(JobIx),
+    Over(JobIndex),
     /// Learnt averages.
     Stats,
     /// Machine types.
@@ -55,7 +55,7 @@
 /// Records of one transaction.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    pub recs: Vec<(Rec, u64)>,
+    pub record_ids: Vec<(RecordId, u64)>,
     pub txn: Txn,
     /// After a flush without an answer: how many of its changes were found carried out, and their
     /// stamp, once one of them is known to have it.
@@ -84,9 +84,9 @@
 /// What is to be written, and what has been.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    slots: BTreeMap<Rec, Slot>,
+    slots: BTreeMap<RecordId, Slot>,
     /// Dirty records by the time at which they are due.
-    queue: BTreeSet<(Micros, Rec)>,
+    queue: BTreeSet<(Micros, RecordId)>,
     /// Stamps of the keys in the state service, as far as known; absent: the key is absent.
     pub stamps: BTreeMap<String, u64>,
     seq: u64,
@@ -97,9 +97,9 @@
     /// Keys whose stamps must be read again before the next flush.
     pub stale: Vec<String>,
     /// What must be durable before a record may be written.
-    waits: BTreeMap<Rec, Vec<(Rec, u64)>>,
+    waits: BTreeMap<RecordId, Vec<(RecordId, u64)>>,
     /// Records of a transaction that was called invalid: each goes alone.
-    suspects: BTreeSet<Rec>,
+    suspects: BTreeSet<RecordId>,
 }
 
 impl Ledger {
@@ -112,22 +112,22 @@
 
     /// Notes a change of the record that is to be written at once; the result is the number
     /// under which it becomes durable.
-    pub fn touch(&mut self, rec: Rec, now: Micros) -> u64 {
+    pub fn touch(&mut self, rec: RecordId, now: Micros) -> u64 {
         self.touch_by(rec, now)
     }
 
     /// Notes a change that may wait until `due`, for others to share its write.
-    pub fn touch_by(&mut self, rec: Rec, due: Micros) -> u64 {
+    pub fn touch_by(&mut self, rec: RecordId, due: Micros) -> u64 {
         self.note(rec, due, false)
     }
 
     /// Notes a change that only tidies up: it may wait until `due`, and longer while the rate is
     /// short.
-    pub fn touch_lazily(&mut self, rec: Rec, due: Micros) -> u64 {
+    pub fn touch_lazily(&mut self, rec: RecordId, due: Micros) -> u64 {
         self.note(rec, due, true)
     }
 
-    fn note(&mut self, rec: Rec, due: Micros, lazy: bool) -> u64 {
+    fn note(&mut self, rec: RecordId, due: Micros, lazy: bool) -> u64 {
         self.seq += 1;
         let slot = self.slots.entry(rec.clone()).or_default();
         let clean = slot.version == slot.durable;
@@ -144,23 +144,23 @@
     }
 
     /// Whether the change with this number is durable.
-    pub fn is_durable(&self, rec: &Rec, version: u64) -> bool {
+    pub fn is_durable(&self, rec: &RecordId, version: u64) -> bool {
         version == 0 || self.slots.get(rec).is_some_and(|s| s.durable >= version)
     }
 
     /// Whether the record has changes that are not durable.
-    pub fn is_dirty(&self, rec: &Rec) -> bool {
+    pub fn is_dirty(&self, rec: &RecordId) -> bool {
         self.slots.get(rec).is_some_and(|s| s.version > s.durable)
     }
 
     /// From now on `rec` is written only when the change of `first` with this number is durable,
     /// or together with it.
-    pub fn wait_for(&mut self, rec: Rec, first: Rec, version: u64) {
+    pub fn wait_for(&mut self, rec: RecordId, first: RecordId, version: u64) {
         self.waits.entry(rec).or_default().push((first, version));
     }
 
     /// Whether the record has to wait for another that is not among those `with` it.
-    pub fn must_wait(&mut self, rec: &Rec, with: &[(Rec, u64)]) -> bool {
+    pub fn must_wait(&mut self, rec: &RecordId, with: &[(RecordId, u64)]) -> bool {
         let Some(mut firsts) = self.waits.remove(rec) else {
             return false;
         };
@@ -177,17 +177,17 @@
     }
 
     /// The records' transaction was called invalid: from now on each of them goes alone.
-    pub fn suspect(&mut self, recs: &[(Rec, u64)]) {
+    pub fn suspect(&mut self, record_ids: &[(RecordId, u64)]) {
         self.suspects
-            .extend(recs.iter().map(|(rec, _)| rec.clone()));
+            .extend(record_ids.iter().map(|(rec, _)| rec.clone()));
     }
 
-    pub fn is_suspect(&self, rec: &Rec) -> bool {
+    pub fn is_suspect(&self, rec: &RecordId) -> bool {
         self.suspects.contains(rec)
     }
 
     /// The record is dirty, but is not tried again before `until`.
-    pub fn postpone(&mut self, rec: &Rec, until: Micros) {
+    pub fn postpone(&mut self, rec: &RecordId, until: Micros) {
         let Some(slot) = self.slots.get_mut(rec) else {
             return;
         };
@@ -199,7 +199,7 @@
     }
 
     /// Forgets a record that needs no writing any more.
-    pub fn forget(&mut self, rec: &Rec) {
+    pub fn forget(&mut self, rec: &RecordId) {
         self.suspects.remove(rec);
         self.waits.remove(rec);
         if let Some(slot) = self.slots.remove(rec) {
@@ -208,13 +208,13 @@
     }
 
     /// Dirty records that are due, those of longest standing first; after them what only tidies up.
-    pub fn due(&self, now: Micros) -> Vec<Rec> {
+    pub fn due(&self, now: Micros) -> Vec<RecordId> {
         let due = self.queue.iter().take_while(|(due, _)| *due <= now);
-        let is_lazy = |rec: &Rec| self.slots.get(rec).is_some_and(|s| s.lazy);
-        let (lazy, mut recs): (Vec<Rec>, Vec<Rec>) =
+        let is_lazy = |rec: &RecordId| self.slots.get(rec).is_some_and(|s| s.lazy);
+        let (lazy, mut record_ids): (Vec<RecordId>, Vec<RecordId>) =
             due.map(|(_, rec)| rec.clone()).partition(is_lazy);
-        recs.extend(lazy);
-        recs
+        record_ids.extend(lazy);
+        record_ids
     }
 
     /// When the first dirty record is due.
@@ -222,27 +222,27 @@
         self.queue.first().map(|(due, _)| *due)
     }
 
-    pub fn version(&self, rec: &Rec) -> u64 {
+    pub fn version(&self, rec: &RecordId) -> u64 {
         self.slots.get(rec).map_or(0, |s| s.version)
     }
 
     /// The condition that `key` still has the stamp we know.
     pub fn unchanged(&self, key: &str) -> When {
         When {
-            k: key.to_string(),
+            key: key.to_string(),
             stamp: self.stamps.get(key).copied().unwrap_or(0),
         }
     }
 
-    /// The batch under way was applied at revision `epoch`.
-    pub fn applied(&mut self, batch: &Batch, epoch: u64) {
+    /// The batch under way was applied at revision `revision`.
+    pub fn applied(&mut self, batch: &Batch, revision: u64) {
         for key in batch.puts() {
-            self.stamps.insert(key.to_string(), epoch);
+            self.stamps.insert(key.to_string(), revision);
         }
         for key in batch.deletes() {
             self.stamps.remove(key);
         }
-        for (rec, version) in &batch.recs {
+        for (rec, version) in &batch.record_ids {
             self.suspects.remove(rec);
             if let Some(slot) = self.slots.get_mut(rec) {
                 slot.durable = slot.durable.max(*version);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -50,7 +50,7 @@
 
 /// Where a request came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum Interface {
     /// Users, workers and health checks.
     Front,
     /// Other controllers.
@@ -97,7 +97,7 @@
 pub enum Input {
     Request {
         id: u64,
-        door: Door,
+        interface: Interface,
         method: String,
         path: String,
         body: Vec<u8>,
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -3,10 +3,10 @@
 use crate::cancellations::Cancellations;
 use crate::leadership::{Election, Lead, UnprovenMachines};
 use crate::pace::Bucket;
-use crate::users::{PastJobs, PastReads, UserCall};
+use crate::users::{FinishedJobs, FinishedReads, UserCall};
 use crate::view::{View, ViewCall};
 use crate::{
-    fleet, leadership, Call, Door, Effect, Input, Micros, Now, Outcome, Settings, Stopwatch,
+    fleet, leadership, Call, Effect, Input, Interface, Micros, Now, Outcome, Settings, Stopwatch,
     Target, Tuning, MILLI, SECOND,
 };
 use grebewood_wire as wire;
@@ -53,7 +53,7 @@
 }
 
 /// What all parts of a node share.
-pub struct Ctx {
+pub struct Context {
     pub settings: Settings,
     pub tuning: Tuning,
     pub now: Now,
@@ -80,7 +80,7 @@
     pub cancellations: Cancellations,
 }
 
-impl Ctx {
+impl Context {
     /// Sends a call; `pending` says what its reply is for.
     pub fn call(
         &mut self,
@@ -186,11 +186,11 @@
 
 /// One controller.
 pub struct Node {
-    pub cx: Ctx,
+    pub context: Context,
     pub election: Election,
     pub lead: Option<Box<Lead>>,
-    pub past: PastJobs,
-    pub past_reads: PastReads,
+    pub finished: FinishedJobs,
+    pub finished_reads: FinishedReads,
     pub view: View,
     /// What the leader last said of live jobs: completed and running tasks.
     pub progress: BTreeMap<String, (u64, u64)>,
@@ -210,7 +210,7 @@
         let nodes = settings.siblings.len() as f64 + 1.0;
         let (rps, write_rps) = (settings.state.rps, settings.state.write_rps);
         let user_writes = write_rps * (1.0 - LEADER_WRITES);
-        let cx = Ctx {
+        let context = Context {
             reads: Bucket::new(rps * 0.7 / nodes),
             // A burst of submissions may use most of one second's worth at one node.
             writes: Bucket::with_depth(user_writes / nodes, write_rps * 0.4),
@@ -232,10 +232,10 @@
         };
         Node {
             election: Election::new(seed),
-            cx,
+            context,
             lead: None,
-            past: PastJobs::new(20_000),
-            past_reads: PastReads::new(),
+            finished: FinishedJobs::new(20_000),
+            finished_reads: FinishedReads::new(),
             view: View::default(),
             progress: BTreeMap::new(),
             unproven: None,
@@ -247,24 +247,24 @@
 
     /// Takes one input and returns what is to be done.
     pub fn step(&mut self, now: Now, input: Input, watch: &mut dyn Stopwatch) -> Vec<Effect> {
-        let gap = now.steady.saturating_sub(self.cx.now.steady);
-        self.cx.now = now;
+        let gap = now.steady.saturating_sub(self.context.now.steady);
+        self.context.now = now;
         if !self.started {
             self.started = true;
-            self.cx.cancellations.begin(now.steady);
-            info!("{}: started", self.cx.settings.member);
-        } else if gap > self.cx.tuning.leader_lease_us / 2 {
+            self.context.cancellations.begin(now.steady);
+            info!("{}: started", self.context.settings.member);
+        } else if gap > self.context.tuning.leader_lease_us / 2 {
             // Timers fire far more often than that: the process stood still while time went on.
             self.on_standstill(gap);
         }
         match input {
             Input::Request {
                 id,
-                door,
+                interface,
                 method,
                 path,
                 body,
-            } => self.on_request(id, door, &method, &path, &body),
+            } => self.on_request(id, interface, &method, &path, &body),
             Input::Gone { id } => {
                 if let Some(lead) = &mut self.lead {
                     lead.forget_checkin(id);
@@ -274,56 +274,57 @@
             Input::Tick => {}
         }
         self.run_timers(watch);
-        std::mem::take(&mut self.cx.out)
+        std::mem::take(&mut self.context.out)
     }
 
     /// When the next [`Input::Tick`] is due.
     pub fn next_wake(&self) -> Micros {
         let mut at = self.election.next_wake().min(self.view.next_wake());
         at = at.min(self.unproven_due());
-        if self.cx.catalogue.is_none() {
+        if self.context.catalogue.is_none() {
             at = at.min(self.catalogue_at);
         }
         if let Some(lead) = &self.lead {
-            at = at.min(lead.next_wake(&self.cx));
+            at = at.min(lead.next_wake(&self.context));
         }
-        at.max(self.cx.now.steady + MILLI)
+        at.max(self.context.now.steady + MILLI)
     }
 
     /// Whether this node can take users' requests.
     pub fn healthy(&self) -> bool {
-        self.cx.catalogue.is_some() && self.cx.in_contact(CONTACT_SPAN)
+        self.context.catalogue.is_some() && self.context.in_contact(CONTACT_SPAN)
     }
 
-    fn on_request(&mut self, id: u64, door: Door, method: &str, path: &str, body: &[u8]) {
-        if door == Door::Peer {
+    fn on_request(&mut self, id: u64, interface: Interface, method: &str, path: &str, body: &[u8]) {
+        if interface == Interface::Peer {
             return match (method, path) {
                 ("POST", "/peer") => self.on_peer(id, body),
-                (_, "/peer") => self.cx.refuse(id, 405, "only POST"),
-                _ => self.cx.refuse(id, 404, "no such path"),
+                (_, "/peer") => self.context.refuse(id, 405, "only POST"),
+                _ => self.context.refuse(id, 404, "no such path"),
             };
         }
         match path {
             "/healthz" if method == "GET" => {
                 if self.healthy() {
-                    self.cx.answer(id, 200, &"ok");
+                    self.context.answer(id, 200, &"ok");
                 } else {
-                    self.cx.refuse(id, 503, "no contact with the state service");
+                    self.context
+                        .refuse(id, 503, "no contact with the state service");
                 }
             }
             "/checkin" if method == "POST" => self.on_checkin(id, body),
             "/submissions" if method == "POST" => self.on_submission(id, body),
             "/healthz" | "/checkin" | "/submissions" => {
-                self.cx.refuse(id, 405, "wrong method for this path")
+                self.context.refuse(id, 405, "wrong method for this path")
             }
             _ => match path.strip_prefix("/submissions/") {
                 Some(rest) => match (method, rest.strip_suffix("/cancel")) {
                     ("POST", Some(job)) => self.on_cancel(id, job),
-                    (_, Some(_)) => self.cx.refuse(id, 405, "only POST"),
+                    (_, Some(_)) => self.context.refuse(id, 405, "only POST"),
                     ("GET", None) => self.on_poll(id, rest),
-                    (_, None) => self.cx.refuse(id, 405, "only GET"),
+                    (_, None) => self.context.refuse(id, 405, "only GET"),
                 },
-                None => self.cx.refuse(id, 404, "no such path"),
+                None => self.context.refuse(id, 404, "no such path"),
             },
         }
     }
@@ -333,7 +334,7 @@
             Ok(request) => request,
             Err(e) => {
                 warn!("peer: {e}");
-                return self.cx.refuse(id, 400, "not a peer message");
+                return self.context.refuse(id, 400, "not a peer message");
             }
         };
         let mut confirmed = None;
@@ -344,8 +345,11 @@
                 known_us,
             } => {
                 debug!("peer {from}: asks for contact");
-                let now = self.cx.now.steady;
-                let answer = self.cx.cancellations.confirmed(question, known_us, now);
+                let now = self.context.now.steady;
+                let answer = self
+                    .context
+                    .cancellations
+                    .confirmed(question, known_us, now);
                 confirmed = Some(answer).filter(|_| question > 0);
             }
             // Only the leader that the state service names may tell about progress.
@@ -361,13 +365,13 @@
             }
         }
         let answer = PeerAnswer {
-            member: self.cx.settings.member.clone(),
-            state_contact_age_us: self.cx.contact_age(),
-            token: self.cx.token,
+            member: self.context.settings.member.clone(),
+            state_contact_age_us: self.context.contact_age(),
+            token: self.context.token,
             grant: self.election.grant(),
             confirmed,
         };
-        self.cx.out.push(Effect::Answer {
+        self.context.out.push(Effect::Answer {
             id,
             status: 200,
             body: wire::to_peer(&answer),
@@ -376,10 +380,10 @@
     }
 
     fn on_reply(&mut self, call: u64, outcome: Outcome) {
-        let Some((pending, made)) = self.cx.calls.remove(&call) else {
+        let Some((pending, made)) = self.context.calls.remove(&call) else {
             return;
         };
-        let stale = made < self.cx.woke;
+        let stale = made < self.context.woke;
         // Any answer but "unavailable" shows that the state service serves this node.
         let of_state = match &pending {
             Pending::Election(_)
@@ -393,7 +397,7 @@
         };
         if let (true, Outcome::Answer { status, .. }) = (of_state && !stale, &outcome) {
             if *status < 500 {
-                self.cx.last_contact = Some(self.cx.now.steady);
+                self.context.last_contact = Some(self.context.now.steady);
             }
         }
         match pending {
@@ -427,13 +431,13 @@
             self.catalogue_from_state = !from_state;
             return;
         };
-        let builds = if from_state {
+        let machine_types = if from_state {
             wire::from_cbor::<wire::http::Entry<wire::http::Catalogue>>(&body).map(|e| e.value)
         } else {
             wire::from_cbor::<wire::http::Catalogue>(&body)
         };
-        match builds {
-            Ok(c) if !c.builds.is_empty() => self.cx.catalogue = Some(c.builds),
+        match machine_types {
+            Ok(c) if !c.machine_types.is_empty() => self.context.catalogue = Some(c.machine_types),
             Ok(_) => self.catalogue_from_state = !from_state,
             Err(e) => {
                 warn!("machine types: {e}");
@@ -445,19 +449,19 @@
     /// The process stood still, by its clocks for `gap`.
     fn on_standstill(&mut self, gap: Micros) {
         warn!("stood still for {} ms", gap / MILLI);
-        self.cx.woke = self.cx.now.steady;
+        self.context.woke = self.context.now.steady;
         self.doubt_grant();
     }
 
     fn run_timers(&mut self, watch: &mut dyn Stopwatch) {
-        let now = self.cx.now.steady;
-        if self.cx.catalogue.is_none() && now >= self.catalogue_at {
+        let now = self.context.now.steady;
+        if self.context.catalogue.is_none() && now >= self.catalogue_at {
             self.catalogue_at = now + 500 * MILLI;
             if self.catalogue_from_state {
-                self.cx
+                self.context
                     .read_key(wire::records::CATALOGUE, Pending::Catalogue(true));
-            } else if self.cx.cloud.take(now, 1.0) {
-                self.cx.call(
+            } else if self.context.cloud.take(now, 1.0) {
+                self.context.call(
                     Target::Cloud,
                     "GET",
                     "/machine_types".into(),
