--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -4,13 +4,13 @@
 //! the free room allow. It has a time budget: a round that runs out of it goes on with the next
 //! job the next time.
 
-use crate::jobs::{fits_type, Job, JobIx, Shape, BEGIN_AFTER, EPS};
+use crate::jobs::{fits_type, Job, JobIndex, Shape, BEGIN_AFTER, EPS};
 use crate::leadership::Lead;
-use crate::ledger::Rec;
-use crate::node::Ctx;
-use crate::workers::{leeway, Assignment, Machine, Seen};
+use crate::ledger::RecordId;
+use crate::node::Context;
+use crate::workers::{grace, Assignment, Machine, Seen};
 use crate::{micros, Micros, Stopwatch, MILLI, SECOND};
-use grebewood_wire::http::{Precedence, Submission};
+use grebewood_wire::http::{Priority, Submission};
 use grebewood_wire::records::{MachineAssignments, PageRecord};
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
@@ -85,7 +85,7 @@
     /// Something changed that may let a task be placed.
     pub wanted: bool,
     /// Where the last round stopped for lack of time.
-    resume: Option<JobIx>,
+    resume: Option<JobIndex>,
     /// Nothing is placed before this time: a page could not be read.
     pub quarantine_until: Micros,
     next_preemption: Micros,
@@ -136,15 +136,15 @@
 pub type Usage = BTreeMap<String, (f64, f64)>;
 
 impl Lead {
-    pub(crate) fn run_placement(&mut self, cx: &mut Ctx, watch: &mut dyn Stopwatch) {
-        let now = cx.now.steady;
+    pub(crate) fn run_placement(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
+        let now = context.now.steady;
         if now < self.placement.next_at {
             return;
         }
-        self.placement.next_at = now + cx.tuning.placement_interval_us;
+        self.placement.next_at = now + context.tuning.placement_interval_us;
         self.placement.not_before = self.placement.next_at;
         self.placement.rounds += 1;
-        self.held_stir = true;
+        self.pending_changed = true;
         if !self.placement.wanted && self.placement.resume.is_none() {
             // Rounds without news are needed only for what time itself changes.
             self.placement.next_at = now + SECOND;
@@ -154,82 +154,85 @@
         }
         self.placement.wanted = false;
         self.jobs.begin_catch_ups(now);
-        let queue = self.queue(cx);
-        let mut open = self.open_machines(cx);
-        self.keep_standby(cx, &mut open);
+        let queue = self.queue(context);
+        let mut open = self.open_machines(context);
+        self.keep_standby(context, &mut open);
         let mut order = queue.clone();
         // What is left of a team's limit is kept for a job that has waited long and needs more of it:
         // narrow tasks once took it as it became free, and a job of wide ones, or a gang, never began.
         let mut kept: BTreeSet<String> = BTreeSet::new();
         let mut ending = Usage::new();
-        order.retain(|ix| {
-            let Some(job) = self.jobs.get(*ix) else {
+        order.retain(|index| {
+            let Some(job) = self.jobs.get(*index) else {
                 return false;
             };
-            if kept.contains(&job.spec.owner) {
+            if kept.contains(&job.spec.team) {
                 return false;
             }
-            let has = self.has_quota(cx, *ix);
+            let has = self.has_quota(context, *index);
             let waits = job.must_begin(now) || job.catching_up().is_some();
-            if !has && waits && job.placeable(now) > 0 && self.has_quota_soon(cx, *ix, &mut ending)
+            if !has
+                && waits
+                && job.placeable(now) > 0
+                && self.has_quota_soon(context, *index, &mut ending)
             {
-                kept.insert(job.spec.owner.clone());
+                kept.insert(job.spec.team.clone());
             }
             has
         });
         if let Some(from) = self.placement.resume.take() {
-            if let Some(at) = order.iter().position(|ix| *ix == from) {
+            if let Some(at) = order.iter().position(|index| *index == from) {
                 order.rotate_left(at);
             }
         }
-        for ix in order {
+        for index in order {
             if open.is_empty() {
                 break;
             }
-            if watch.elapsed() > cx.tuning.placement_budget_us {
-                self.placement.resume = Some(ix);
+            if watch.elapsed() > context.tuning.placement_budget_us {
+                self.placement.resume = Some(index);
                 debug!("placement: out of time, goes on with the next round");
                 break;
             }
-            self.place_job(cx, ix, &mut open);
-            self.keep_for_beginning(cx, ix, &mut open);
+            self.place_job(context, index, &mut open);
+            self.keep_for_beginning(context, index, &mut open);
         }
         self.placement.backlog = queue
             .iter()
-            .any(|ix| self.jobs.get(*ix).is_some_and(|j| j.waiting() > 0));
+            .any(|index| self.jobs.get(*index).is_some_and(|j| j.waiting() > 0));
         if now >= self.placement.next_preemption {
             self.placement.next_preemption = now + SECOND;
-            self.preempt(cx, &queue);
+            self.preempt(context, &queue);
         }
     }
 
     /// Whether the job's team may have one more of its tasks; all that wait of a gang.
-    pub(crate) fn has_quota(&self, cx: &Ctx, ix: JobIx) -> bool {
-        let job = self.jobs.get(ix);
-        job.is_some_and(|job| self.fits_limit(cx, job, (0.0, 0.0)))
+    pub(crate) fn has_quota(&self, context: &Context, index: JobIndex) -> bool {
+        let job = self.jobs.get(index);
+        job.is_some_and(|job| self.fits_limit(context, job, (0.0, 0.0)))
     }
 
     /// Whether a task of the job, or a whole gang, is within its team's limit once so much is freed.
-    fn fits_limit(&self, cx: &Ctx, job: &Job, freed: (f64, f64)) -> bool {
+    fn fits_limit(&self, context: &Context, job: &Job, freed: (f64, f64)) -> bool {
         let spec = &job.spec;
         let n = match job.shape {
             Shape::Gang => job.waiting().max(1) as f64,
             _ => 1.0,
         };
-        let used = self.usage.get(&spec.owner).copied().unwrap_or((0.0, 0.0));
-        cx.settings.teams.get(&spec.owner).is_some_and(|t| {
-            used.0 - freed.0 + spec.vcpus * n <= t.cpus_max + EPS
-                && used.1 - freed.1 + spec.accelerators * n <= t.gpus_max + EPS
+        let used = self.usage.get(&spec.team).copied().unwrap_or((0.0, 0.0));
+        context.settings.teams.get(&spec.team).is_some_and(|t| {
+            used.0 - freed.0 + spec.cpus * n <= t.cpus_max + EPS
+                && used.1 - freed.1 + spec.gpus * n <= t.gpus_max + EPS
         })
     }
 
     /// Whether the team may have one more of the job's tasks, or a whole gang, once what of the team's
     /// is about to end has ended. How much that is, is summed up once a round for each team.
-    fn has_quota_soon(&self, cx: &Ctx, ix: JobIx, ending: &mut Usage) -> bool {
-        let Some(job) = self.jobs.get(ix) else {
+    fn has_quota_soon(&self, context: &Context, index: JobIndex, ending: &mut Usage) -> bool {
+        let Some(job) = self.jobs.get(index) else {
             return false;
         };
-        let (team, now) = (&job.spec.owner, cx.now.steady);
+        let (team, now) = (&job.spec.team, context.now.steady);
         let freed = ending.entry(team.clone()).or_insert_with(|| {
             self.machines
                 .values()
@@ -237,13 +240,13 @@
                 .filter(|a| a.team == *team && a.remaining(now, 0) < KEPT_FOR)
                 .fold((0.0, 0.0), |sum, a| (sum.0 + a.cpus, sum.1 + a.gpus))
         });
-        self.fits_limit(cx, job, *freed)
+        self.fits_limit(context, job, *freed)
     }
 
     /// Machines with free room.
-    fn open_machines(&self, cx: &Ctx) -> Vec<Open> {
-        let now = cx.now.steady;
-        let silence = cx.settings.report * 3;
+    fn open_machines(&self, context: &Context) -> Vec<Open> {
+        let now = context.now.steady;
+        let silence = context.settings.report * 3;
         self.machines
             .values()
             .filter(|m| m.free().0 > EPS && m.usable(now, silence))
@@ -263,28 +266,30 @@
     /// room that it could use is kept from the jobs after it, so that the room adds up. Narrow tasks
     /// once took each slot as it became free, and a job of wide ones began after ten minutes. For a
     /// gang as many machines are kept as hold all of it: with one it once waited for good.
-    fn keep_for_beginning(&self, cx: &Ctx, ix: JobIx, open: &mut Vec<Open>) {
-        let Some(job) = self.jobs.get(ix) else { return };
-        if !job.must_begin(cx.now.steady) || !self.has_quota(cx, ix) {
+    fn keep_for_beginning(&self, context: &Context, index: JobIndex, open: &mut Vec<Open>) {
+        let Some(job) = self.jobs.get(index) else {
+            return;
+        };
+        if !job.must_begin(context.now.steady) || !self.has_quota(context, index) {
             return;
         }
         let spec = &job.spec;
         // A gang that is spread and has but one zone can never begin: a machine was kept for one for
         // good, and others waited beside it.
-        let zones: BTreeSet<&String> = cx
+        let zones: BTreeSet<&String> = context
             .catalogue
             .iter()
             .flatten()
             .filter(|t| fits_type(spec, t))
-            .flat_map(|t| &t.yards)
-            .filter(|z| spec.yard.as_ref().is_none_or(|y| y == *z))
+            .flat_map(|t| &t.zones)
+            .filter(|z| spec.zone.as_ref().is_none_or(|y| y == *z))
             .collect();
-        if job.shape == Shape::Gang && spec.spread && spec.shards > 1 && zones.len() < 2 {
+        if job.shape == Shape::Gang && spec.spread && spec.tasks > 1 && zones.len() < 2 {
             return;
         }
         let mut room: Vec<(f64, &str, &str, u64)> = open
             .iter()
-            .filter(|o| permits(cx, spec, &o.machine_type, &o.zone, o.spot))
+            .filter(|o| permits(context, spec, &o.machine_type, &o.zone, o.spot))
             .filter_map(|o| {
                 let m = self.machines.get(&o.name)?;
                 let whole = slots((m.cpus, m.gpus, m.memory), spec);
@@ -299,35 +304,37 @@
             Shape::Gang => job.beginning(),
             _ => 1,
         };
-        let mut held = 0;
+        let mut pending = 0;
         let mut kept = BTreeSet::new();
         for (_, name, _, whole) in room {
-            if held >= need {
+            if pending >= need {
                 break;
             }
-            held += whole;
+            pending += whole;
             kept.insert(name.to_string());
         }
         open.retain(|o| !kept.contains(&o.name));
     }
 
     /// Places as many tasks of a job as the team's limit and the machines allow.
-    fn place_job(&mut self, cx: &mut Ctx, ix: JobIx, open: &mut Vec<Open>) {
-        let Some(job) = self.jobs.get(ix) else { return };
-        let Some(team) = cx.settings.teams.get(&job.spec.owner) else {
+    fn place_job(&mut self, context: &mut Context, index: JobIndex, open: &mut Vec<Open>) {
+        let Some(job) = self.jobs.get(index) else {
+            return;
+        };
+        let Some(team) = context.settings.teams.get(&job.spec.team) else {
             return;
         };
         let used = self
             .usage
-            .get(&job.spec.owner)
+            .get(&job.spec.team)
             .copied()
             .unwrap_or((0.0, 0.0));
         let in_quota = |used: (f64, f64), n: f64| {
-            used.0 + job.spec.vcpus * n <= team.cpus_max + EPS
-                && used.1 + job.spec.accelerators * n <= team.gpus_max + EPS
+            used.0 + job.spec.cpus * n <= team.cpus_max + EPS
+                && used.1 + job.spec.gpus * n <= team.gpus_max + EPS
         };
         // A job whose tasks keep failing is tried with one task at a time.
-        let now = cx.now.steady;
+        let now = context.now.steady;
         let mut left = job.placeable(now);
         if !in_quota(used, 1.0) || left == 0 {
             return;
@@ -337,13 +344,13 @@
             left = left.min(job.beginning());
         }
         let catches_up = job.catching_up();
-        if let (Some((_, most)), true) = (catches_up, job.spec.precedence < Precedence::High) {
+        if let (Some((_, most)), true) = (catches_up, job.spec.priority < Priority::High) {
             left = left.min(most);
         }
         let spec = job.spec.clone();
         let in_quota = |used: (f64, f64), n: f64| {
-            used.0 + spec.vcpus * n <= team.cpus_max + EPS
-                && used.1 + spec.accelerators * n <= team.gpus_max + EPS
+            used.0 + spec.cpus * n <= team.cpus_max + EPS
+                && used.1 + spec.gpus * n <= team.gpus_max + EPS
         };
         let shape = job.shape;
         // What has waited too long may take the room that is kept, too: not only for its beginning. The
@@ -359,14 +366,14 @@
             .enumerate()
             .filter(|(_, o)| {
                 slots(o.room(service), &spec) > 0
-                    && permits(cx, &spec, &o.machine_type, &o.zone, o.spot)
-                    && (!o.kept || spec.precedence > Precedence::Idle)
+                    && permits(context, &spec, &o.machine_type, &o.zone, o.spot)
+                    && (!o.kept || spec.priority > Priority::Idle)
             })
             .map(|(at, o)| {
                 let image = self
                     .machines
                     .get(&o.name)
-                    .is_some_and(|m| m.has_image(&spec.bundle));
+                    .is_some_and(|m| m.has_image(&spec.image));
                 let away = !self.parked.contains(&o.name);
                 let shunned = job.shuns(&o.name, now);
                 let room = (o.free.0 * 1e3) as i64;
@@ -374,11 +381,11 @@
             })
             .collect();
         candidates.sort();
-        let fixed_zone = self.fixed_zone(ix, (&spec, service), &candidates, open);
+        let fixed_zone = self.fixed_zone(index, (&spec, service), &candidates, open);
         let mut together = None;
         if shape == Shape::Gang {
             let room = self.gang_room(
-                ix,
+                index,
                 (&spec, service),
                 &candidates,
                 open,
@@ -396,15 +403,15 @@
                 continue;
             }
             while slots(open[at].room(service), &spec) > 0 {
-                let used = self.usage.get(&spec.owner).copied().unwrap_or((0.0, 0.0));
+                let used = self.usage.get(&spec.team).copied().unwrap_or((0.0, 0.0));
                 if left == 0 || !in_quota(used, 1.0) {
                     break 'machines;
                 }
-                let Some(job) = self.jobs.get_mut(ix) else {
+                let Some(job) = self.jobs.get_mut(index) else {
                     break 'machines;
                 };
                 let here = job.zones.get(&zone).copied().unwrap_or(0) as u64;
-                if spec.spread && here >= spec.shards.div_ceil(2) {
+                if spec.spread && here >= spec.tasks.div_ceil(2) {
                     break;
                 }
                 let Some(task) = job.next_waiting(now) else {
@@ -418,11 +425,18 @@
                     Some(attempt) => attempt,
                     None => self.next_attempt(),
                 };
-                self.assign(cx, &open[at].name, ix, task, &spec, (attempt, expected));
+                self.assign(
+                    context,
+                    &open[at].name,
+                    index,
+                    task,
+                    &spec,
+                    (attempt, expected),
+                );
                 let free = &mut open[at].free;
                 *free = (
-                    free.0 - spec.vcpus,
-                    free.1 - spec.accelerators,
+                    free.0 - spec.cpus,
+                    free.1 - spec.gpus,
                     free.2 - spec.memory_gb,
                 );
             }
@@ -433,14 +447,14 @@
     /// How many tasks of a gang could be placed at once.
     fn gang_room(
         &self,
-        ix: JobIx,
+        index: JobIndex,
         (spec, service): (&Submission, bool),
         candidates: &[(Preference, usize)],
         open: &[Open],
         fixed_zone: Option<&str>,
     ) -> u64 {
         let here = |zone: &str| {
-            let n = self.jobs.get(ix).and_then(|j| j.zones.get(zone));
+            let n = self.jobs.get(index).and_then(|j| j.zones.get(zone));
             n.copied().unwrap_or(0) as u64
         };
         room_by_zone(spec, service, candidates, open)
@@ -448,7 +462,7 @@
             .filter(|(zone, _)| fixed_zone.is_none_or(|z| z == *zone))
             .map(|(zone, n)| {
                 if spec.spread {
-                    n.min(spec.shards.div_ceil(2).saturating_sub(here(zone)))
+                    n.min(spec.tasks.div_ceil(2).saturating_sub(here(zone)))
                 } else {
                     n
                 }
@@ -459,7 +473,7 @@
     /// The zone that a `one_zone` job is bound to: where its tasks are, else where most fit.
     fn fixed_zone(
         &self,
-        ix: JobIx,
+        index: JobIndex,
         (spec, service): (&Submission, bool),
         candidates: &[(Preference, usize)],
         open: &[Open],
@@ -467,7 +481,7 @@
         if !spec.one_zone {
             return None;
         }
-        let job = self.jobs.get(ix)?;
+        let job = self.jobs.get(index)?;
         if let Some(zone) = job.bound_zone() {
             return Some(zone.to_string());
         }
@@ -479,40 +493,40 @@
 
     fn assign(
         &mut self,
-        cx: &Ctx,
+        context: &Context,
         name: &str,
-        job: JobIx,
+        job: JobIndex,
         task: u64,
         spec: &Submission,
         (attempt, expected): (u64, Micros),
     ) {
-        let now = cx.now.steady;
+        let now = context.now.steady;
         let page = self.page_with_room(1);
         // When far more is to be written than the rate allows, as after a change of leader, services
         // once waited half a minute behind hundreds of batch tasks.
-        let ahead = match spec.precedence {
-            Precedence::Prod => PROD_AHEAD,
-            Precedence::High => HIGH_AHEAD,
+        let ahead = match spec.priority {
+            Priority::Prod => PROD_AHEAD,
+            Priority::High => HIGH_AHEAD,
             _ => 0,
         };
         let written = self
             .ledger
-            .touch_by(Rec::Page(page), now.saturating_sub(ahead));
+            .touch_by(RecordId::Page(page), now.saturating_sub(ahead));
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
         let assignment = Assignment {
             job,
-            job_id: spec.uid.clone(),
+            job_id: spec.id.clone(),
             task,
             attempt,
-            tenure: m.tenure,
+            session: m.session,
             page,
             written,
-            cpus: spec.vcpus,
-            gpus: spec.accelerators,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
             memory: spec.memory_gb,
-            team: spec.owner.clone(),
+            team: spec.team.clone(),
             zone: m.zone.clone(),
             launched: None,
             seen: Seen::Never,
@@ -522,28 +536,32 @@
             stop: None,
         };
         if Shape::of(spec) == Some(Shape::Daemon) {
-            let image = m.has_image(&spec.bundle);
+            let image = m.has_image(&spec.image);
             let age = self.jobs.get(job).map_or(0, |j| j.age(now));
             info!(
                 "{}/{task}: goes to {name} in {} after {} ms, image there {image}, free {}",
-                spec.uid,
+                spec.id,
                 m.zone,
                 age / MILLI,
                 m.free().0
             );
         }
-        m.use_image(&spec.bundle, spec.pull_gb);
+        m.use_image(&spec.image, spec.image_gb);
         m.idle_since = now;
         self.page_mut(page).add(name, &assignment);
         self.hold(name, assignment);
         // Its answer carries the launch once the page is written.
-        self.unpark(cx, name);
+        self.unpark(context, name);
     }
 }
 
 /// The zone in which room can be made for a `one_zone` job: that of its tasks, else the one where
 /// the most of them would fit.
-fn zone_for(cx: &Ctx, job: &Job, pool: &[(&Machine, Room, Vec<Victim>)]) -> Option<String> {
+fn zone_for(
+    context: &Context,
+    job: &Job,
+    pool: &[(&Machine, Room, Vec<Victim>)],
+) -> Option<String> {
     let spec = &job.spec;
     if !spec.one_zone {
         return None;
@@ -553,8 +571,8 @@
     }
     let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
     for (m, room, victims) in pool {
-        if permits(cx, spec, &m.machine_type, &m.zone, m.spot) {
-            let lower = victims.iter().filter(|v| v.precedence < spec.precedence);
+        if permits(context, spec, &m.machine_type, &m.zone, m.spot) {
+            let lower = victims.iter().filter(|v| v.priority < spec.priority);
             let gain = lower.fold(*room, |r, v| (r.0 + v.cpus, r.1 + v.gpus, r.2 + v.memory));
             *zones.entry(&m.zone).or_insert(0) += slots(gain, spec);
         }
@@ -567,10 +585,10 @@
 #[derive(Clone)]
 struct Victim {
     ran: Micros,
-    precedence: Precedence,
+    priority: Priority,
     attempt: u64,
     team: String,
-    leeway: Micros,
+    grace: Micros,
     cpus: f64,
     gpus: f64,
     memory: f64,
@@ -584,15 +602,15 @@
 
 /// Whether the job permits such a machine.
 pub(crate) fn permits(
-    cx: &Ctx,
+    context: &Context,
     spec: &Submission,
     machine_type: &str,
     zone: &str,
     spot: bool,
 ) -> bool {
-    (spec.loaner || !spot)
-        && spec.yard.as_ref().is_none_or(|y| y == zone)
-        && cx
+    (spec.spot || !spot)
+        && spec.zone.as_ref().is_none_or(|y| y == zone)
+        && context
             .machine_type(machine_type)
             .is_some_and(|t| fits_type(spec, t))
 }
@@ -621,8 +639,8 @@
             ((have + EPS) / need).floor()
         }
     };
-    fit(free.0, spec.vcpus)
-        .min(fit(free.1, spec.accelerators))
+    fit(free.0, spec.cpus)
+        .min(fit(free.1, spec.gpus))
         .min(fit(free.2, spec.memory_gb))
         .clamp(0.0, 1e5) as u64
 }
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -4,37 +4,37 @@
 
 impl Lead {
     /// Time that a job still needs if it gets all the room that its team's limit allows.
-    pub(crate) fn need(&self, cx: &Ctx, job: &Job) -> Micros {
+    pub(crate) fn need(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
         let left = job.tasks().saturating_sub(job.done_count) as f64;
-        let team = cx.settings.teams.get(&job.spec.owner);
-        let most = team.map_or(left, |t| (t.cpus_max / job.spec.vcpus.max(EPS)).floor());
+        let team = context.settings.teams.get(&job.spec.team);
+        let most = team.map_or(left, |t| (t.cpus_max / job.spec.cpus.max(EPS)).floor());
         let rounds = (left / most.clamp(1.0, 1e6)).max(1.0);
         (run as f64 * rounds) as Micros
     }
 
     /// Jobs within their team's guarantee: those that fit into it together with the team's earlier
     /// jobs, as far as these are unfinished. They need not wait for other teams.
-    pub(super) fn within_guarantee(&self, cx: &Ctx) -> BTreeSet<JobIx> {
-        let mut by_age: Vec<(i64, JobIx, &Job)> = self
+    pub(super) fn within_guarantee(&self, context: &Context) -> BTreeSet<JobIndex> {
+        let mut by_age: Vec<(i64, JobIndex, &Job)> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.cancelled.is_none() && j.ending.is_none())
-            .map(|(ix, j)| (j.age_base, ix, j))
+            .map(|(index, j)| (j.age_base, index, j))
             .collect();
-        by_age.sort_by_key(|(age, ix, _)| (*age, *ix));
+        by_age.sort_by_key(|(age, index, _)| (*age, *index));
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         let mut within = BTreeSet::new();
-        for (_, ix, j) in by_age {
-            let Some(team) = cx.settings.teams.get(&j.spec.owner) else {
+        for (_, index, j) in by_age {
+            let Some(team) = context.settings.teams.get(&j.spec.team) else {
                 continue;
             };
             let left = j.tasks().saturating_sub(j.done_count) as f64;
-            let sum = sums.entry(&j.spec.owner).or_insert((0.0, 0.0));
-            sum.0 += left * j.spec.vcpus;
-            sum.1 += left * j.spec.accelerators;
+            let sum = sums.entry(&j.spec.team).or_insert((0.0, 0.0));
+            sum.0 += left * j.spec.cpus;
+            sum.1 += left * j.spec.gpus;
             if sum.0 <= team.cpus + EPS && sum.1 <= team.gpus + EPS {
-                within.insert(ix);
+                within.insert(index);
             }
         }
         within
@@ -46,47 +46,47 @@
     /// waited long without getting any further; those that can still meet an aim before those that cannot;
     /// then those with the least work left, since that lets the most jobs meet their aims when not
     /// all of them can.
-    pub(super) fn queue(&self, cx: &Ctx) -> Vec<JobIx> {
-        let now = cx.now.steady;
-        let guaranteed = match cx.settings.guarantees_count() {
-            true => self.within_guarantee(cx),
+    pub(super) fn queue(&self, context: &Context) -> Vec<JobIndex> {
+        let now = context.now.steady;
+        let guaranteed = match context.settings.guarantees_count() {
+            true => self.within_guarantee(context),
             false => BTreeSet::new(),
         };
-        let mut queue: Vec<((u8, bool, i64), JobIx)> = self
+        let mut queue: Vec<((u8, bool, i64), JobIndex)> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.waiting() > 0 && j.retry_at <= now)
-            .map(|(ix, j)| {
+            .map(|(index, j)| {
                 if j.must_begin(now) {
-                    return ((0, false, j.age_base), ix);
+                    return ((0, false, j.age_base), index);
                 }
-                let need = self.need(cx, j);
-                let feasible = j.target(cx, need).is_some();
+                let need = self.need(context, j);
+                let feasible = j.target(context, need).is_some();
                 let left = j.tasks().saturating_sub(j.done_count) as f64;
                 let run = self.stats.expected_run(&j.spec) as f64;
                 // What needs its slots at once comes before what fills them one by one.
                 let work = match j.shape {
-                    Shape::Batch => (left * j.spec.vcpus * run) as i64,
+                    Shape::Batch => (left * j.spec.cpus * run) as i64,
                     _ => 0,
                 };
                 let turn = j.catching_up();
-                let level = match j.spec.precedence {
-                    Precedence::Prod => 1,
-                    Precedence::High => 2,
+                let level = match j.spec.priority {
+                    Priority::Prod => 1,
+                    Priority::High => 2,
                     // What is free now, to the one that has waited longest: a large array of higher
                     // priority once kept all of a class from being served.
                     _ if turn.is_some() => {
                         let since = turn.map_or(0, |(since, _)| since);
-                        return ((3, false, since as i64), ix);
+                        return ((3, false, since as i64), index);
                     }
-                    _ if guaranteed.contains(&ix) => 4,
-                    Precedence::Normal => 5,
-                    Precedence::Idle => 6,
+                    _ if guaranteed.contains(&index) => 4,
+                    Priority::Normal => 5,
+                    Priority::Idle => 6,
                 };
-                ((level, !feasible, work), ix)
+                ((level, !feasible, work), index)
             })
             .collect();
         queue.sort();
-        queue.into_iter().map(|(_, ix)| ix).collect()
+        queue.into_iter().map(|(_, index)| index).collect()
     }
 }
--- a/crates/core/src/placement/pages.rs
+++ b/crates/core/src/placement/pages.rs
@@ -35,7 +35,7 @@
 
     /// Moves assignments off pages that are larger than a value may be. The result says from which
     /// page to which.
-    pub(crate) fn split_placements(&mut self, due: Micros) -> Vec<(Rec, Rec)> {
+    pub(crate) fn split_placements(&mut self, due: Micros) -> Vec<(RecordId, RecordId)> {
         let most = self.page_bytes();
         for page in &mut self.pages {
             page.barred |= page.bytes > most;
@@ -67,12 +67,12 @@
                 a.page = to;
                 if !a.may_exist() {
                     // Not launched yet: that waits for the new page.
-                    a.written = self.ledger.touch(Rec::Page(to), due);
+                    a.written = self.ledger.touch(RecordId::Page(to), due);
                 }
                 let new = a.clone();
                 self.page_mut(from).remove(name, &old);
                 self.page_mut(to).add(name, &new);
-                moves.push((Rec::Page(from), Rec::Page(to)));
+                moves.push((RecordId::Page(from), RecordId::Page(to)));
             }
         }
         moves
@@ -91,16 +91,16 @@
             let mut groups: BTreeMap<u64, Vec<(String, u64, u64)>> = BTreeMap::new();
             for a in m.assignments.iter().filter(|a| a.page == n) {
                 groups
-                    .entry(a.tenure)
+                    .entry(a.session)
                     .or_default()
                     .push((a.job_id.clone(), a.task, a.attempt));
             }
-            for (tenure, t) in groups {
+            for (session, t) in groups {
                 record.machines.push(MachineAssignments {
-                    m: name.clone(),
-                    tenure,
+                    machine: name.clone(),
+                    session,
                     zone: m.zone.clone(),
-                    t,
+                    assignments: t,
                 });
             }
         }
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -7,25 +7,25 @@
     /// team's quota. Only as much is stopped on a machine as makes room there for a whole task,
     /// and that room is kept from lower priorities until it is taken: narrow tasks that were
     /// stopped for a wide one used to come back into the gap, to be stopped again.
-    pub(super) fn preempt(&mut self, cx: &mut Ctx, queue: &[JobIx]) {
-        let now = cx.now.steady;
+    pub(super) fn preempt(&mut self, context: &mut Context, queue: &[JobIndex]) {
+        let now = context.now.steady;
         let wants = |j: &Job| {
             let waited = j.waiting_since.map_or(0, |at| now.saturating_sub(at));
-            j.spec.precedence > Precedence::Idle
+            j.spec.priority > Priority::Idle
                 && !j.keeps_failing()
                 && j.placeable(now) > 0
-                && waited >= cx.tuning.preempt_after_us
-                && j.target(cx, self.need(cx, j)).is_some()
+                && waited >= context.tuning.preempt_after_us
+                && j.target(context, self.need(context, j)).is_some()
         };
-        let queue: Vec<JobIx> = queue
+        let queue: Vec<JobIndex> = queue
             .iter()
             .copied()
-            .filter(|ix| self.jobs.get(*ix).is_some_and(wants))
+            .filter(|index| self.jobs.get(*index).is_some_and(wants))
             .collect();
         if queue.is_empty() {
             return;
         }
-        let silence = cx.settings.report * 3;
+        let silence = context.settings.report * 3;
         let mut stopping = Usage::new();
         // What is free, or will be, and what could be stopped, on each machine.
         let mut pool: Vec<(&Machine, Room, Vec<Victim>)> = Vec::new();
@@ -36,34 +36,35 @@
                 let freed = stopping.entry(a.team.clone()).or_insert((0.0, 0.0));
                 *freed = (freed.0 + a.cpus, freed.1 + a.gpus);
             }
-            let victims = self.victims(cx, m);
+            let victims = self.victims(context, m);
             if room.0 > EPS || !victims.is_empty() {
                 pool.push((m, room, victims));
             }
         }
         let mut stops: Vec<(String, u64, Micros)> = Vec::new();
-        for ix in queue {
-            let Some(j) = self.jobs.get(ix) else { continue };
+        for index in queue {
+            let Some(j) = self.jobs.get(index) else {
+                continue;
+            };
             let spec = &j.spec;
-            let Some(team) = cx.settings.teams.get(&spec.owner) else {
+            let Some(team) = context.settings.teams.get(&spec.team) else {
                 continue;
             };
             let mut need = j.placeable(now);
-            let used = self.usage.get(&spec.owner).copied().unwrap_or((0.0, 0.0));
-            let freed = stopping.get(&spec.owner).copied().unwrap_or((0.0, 0.0));
+            let used = self.usage.get(&spec.team).copied().unwrap_or((0.0, 0.0));
+            let freed = stopping.get(&spec.team).copied().unwrap_or((0.0, 0.0));
             let mut quota = (
                 team.cpus_max - used.0 + freed.0,
                 team.gpus_max - used.1 + freed.1,
             );
-            let within = |quota: (f64, f64)| {
-                quota.0 + EPS >= spec.vcpus && quota.1 + EPS >= spec.accelerators
-            };
-            let task = (spec.vcpus, spec.accelerators, spec.memory_gb);
+            let within =
+                |quota: (f64, f64)| quota.0 + EPS >= spec.cpus && quota.1 + EPS >= spec.gpus;
+            let task = (spec.cpus, spec.gpus, spec.memory_gb);
             // Room in a zone that may take none of its tasks, given where the others are, is none:
             // tasks there were once stopped for it, came back, and were stopped again.
-            let zone = zone_for(cx, j, &pool);
+            let zone = zone_for(context, j, &pool);
             let fits_here = |m: &Machine| {
-                permits(cx, spec, &m.machine_type, &m.zone, m.spot)
+                permits(context, spec, &m.machine_type, &m.zone, m.spot)
                     && j.zone_permits(&m.zone)
                     && zone.as_ref().is_none_or(|z| *z == m.zone)
             };
@@ -87,7 +88,7 @@
                     continue;
                 }
                 // Its own team's tasks first, since they free quota too; then the youngest.
-                victims.sort_by_key(|v| (v.team != spec.owner, v.ran, v.attempt));
+                victims.sort_by_key(|v| (v.team != spec.team, v.ran, v.attempt));
                 while need > 0 {
                     let mut gain = *room;
                     let mut quota_gain = quota;
@@ -96,12 +97,12 @@
                         if slots(gain, spec) > 0 && within(quota_gain) {
                             break;
                         }
-                        if v.precedence >= spec.precedence {
+                        if v.priority >= spec.priority {
                             continue;
                         }
                         chosen.push(at);
                         gain = (gain.0 + v.cpus, gain.1 + v.gpus, gain.2 + v.memory);
-                        if v.team == spec.owner {
+                        if v.team == spec.team {
                             quota_gain = (quota_gain.0 + v.cpus, quota_gain.1 + v.gpus);
                         }
                     }
@@ -110,7 +111,7 @@
                     }
                     for at in chosen.into_iter().rev() {
                         let v = victims.remove(at);
-                        stops.push((m.name.clone(), v.attempt, v.leeway));
+                        stops.push((m.name.clone(), v.attempt, v.grace));
                     }
                     *room = (gain.0 - task.0, gain.1 - task.1, gain.2 - task.2);
                     quota = (quota_gain.0 - task.0, quota_gain.1 - task.1);
@@ -122,17 +123,17 @@
                 stops.truncate(stops_before);
             }
         }
-        for (name, attempt, leeway) in stops {
+        for (name, attempt, grace) in stops {
             if let Some(m) = self.machines.get_mut(&name) {
-                m.kept_until = now + leeway + 4 * SECOND;
+                m.kept_until = now + grace + 4 * SECOND;
             }
-            self.stop_on(cx, &name, leeway, |a| a.attempt == attempt);
+            self.stop_on(context, &name, grace, |a| a.attempt == attempt);
         }
     }
 
     /// Tasks on the machine that may be stopped for others of higher priority.
-    pub(super) fn victims(&self, cx: &Ctx, m: &Machine) -> Vec<Victim> {
-        let now = cx.now.steady;
+    pub(super) fn victims(&self, context: &Context, m: &Machine) -> Vec<Victim> {
+        let now = context.now.steady;
         let mut victims = Vec::new();
         for a in &m.assignments {
             let Some(job) = self.jobs.get(a.job) else {
@@ -143,13 +144,13 @@
             // begins with after a long wait stays.
             let live: u32 = job.zones.values().sum();
             let beginning = job.age(now) > BEGIN_AFTER && live as u64 <= job.beginning();
-            let least_run = match beginning || cx.settings.starts_count(&job.spec.workclass) {
+            let least_run = match beginning || context.settings.starts_count(&job.spec.class) {
                 true => 31 * SECOND,
                 false => 5 * SECOND,
             };
             if a.stop.is_some()
                 || job.is_daemon()
-                || job.spec.savepoint_s <= 0.0
+                || job.spec.checkpoint_s <= 0.0
                 || a.seen != Seen::Running
                 || ran < least_run
                 || a.remaining(now, 0) < 10 * SECOND
@@ -158,10 +159,10 @@
             }
             victims.push(Victim {
                 ran,
-                precedence: job.preemption_priority(),
+                priority: job.preemption_priority(),
                 attempt: a.attempt,
                 team: a.team.clone(),
-                leeway: leeway(micros(job.spec.flush_s)),
+                grace: grace(micros(job.spec.save_s)),
                 cpus: a.cpus,
                 gpus: a.gpus,
                 memory: a.memory,
--- a/crates/core/src/standby.rs
+++ b/crates/core/src/standby.rs
@@ -8,10 +8,10 @@
 
 use crate::jobs::{fits_type, Job, Jobs, EPS};
 use crate::leadership::Lead;
-use crate::node::Ctx;
+use crate::node::Context;
 use crate::placement::{permits, slots, Open};
 use crate::{micros, Micros, SECOND};
-use grebewood_wire::http::{Precedence, Submission};
+use grebewood_wire::http::{Priority, Submission};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// At most this part of the machines is kept free.
@@ -40,19 +40,19 @@
 /// Replicas of the job that one zone may have to take.
 fn share(spec: &Submission) -> u64 {
     match spec.spread {
-        true => spec.shards.div_ceil(2),
-        false => spec.shards,
+        true => spec.tasks.div_ceil(2),
+        false => spec.tasks,
     }
 }
 
 impl Standby {
     /// Takes note of a job.
     pub fn note(&mut self, job: &Job, now: Micros) {
-        if !self.classes.contains(&job.spec.workclass) && self.classes.len() < MOST_CLASSES {
-            self.classes.insert(job.spec.workclass.clone());
+        if !self.classes.contains(&job.spec.class) && self.classes.len() < MOST_CLASSES {
+            self.classes.insert(job.spec.class.clone());
         }
         let larger = |known: &Submission| {
-            share(&job.spec) as f64 * job.spec.vcpus > share(known) as f64 * known.vcpus
+            share(&job.spec) as f64 * job.spec.cpus > share(known) as f64 * known.cpus
         };
         if job.is_daemon() && self.largest.as_ref().is_none_or(|(known, _)| larger(known)) {
             self.largest = Some((job.spec.clone(), now));
@@ -60,8 +60,8 @@
     }
 
     /// Looks anew for what room is to be kept, by a fleet of so many machines.
-    pub fn update(&mut self, cx: &Ctx, jobs: &Jobs, machines: usize) {
-        let now = cx.now.steady;
+    pub fn update(&mut self, context: &Context, jobs: &Jobs, machines: usize) {
+        let now = context.now.steady;
         let any = jobs
             .iter()
             .any(|(_, j)| j.is_daemon() && j.cancelled.is_none());
@@ -74,24 +74,24 @@
             }
         }
         let part = machines as u64 / KEPT_PART;
-        let zones: BTreeSet<&String> = cx
+        let zones: BTreeSet<&String> = context
             .catalogue
             .iter()
             .flatten()
-            .flat_map(|t| &t.yards)
+            .flat_map(|t| &t.zones)
             .collect();
         let zones = zones.len() as u64;
         self.wanted = match &self.largest {
-            _ if cx.tuning.standby_jobs <= 0.0 => None,
+            _ if context.tuning.standby_jobs <= 0.0 => None,
             Some((spec, _)) => {
-                let jobs = (share(spec) as f64 * cx.tuning.standby_jobs).ceil() as u64;
+                let jobs = (share(spec) as f64 * context.tuning.standby_jobs).ceil() as u64;
                 // The first ones may be small, and more come before a machine is up.
-                let machine = cx
+                let machine = context
                     .catalogue
                     .iter()
                     .flatten()
                     .filter(|t| fits_type(spec, t))
-                    .map(|t| slots((t.vcpus, t.accelerators, t.memory_gb), spec))
+                    .map(|t| slots((t.cpus, t.gpus, t.memory_gb), spec))
                     .min();
                 let machine = machine.unwrap_or(0);
                 // In a small fleet it must not take the room of all others: a tenth at most, or one
@@ -104,7 +104,7 @@
                 Some((spec.clone(), n))
             }
             None => self
-                .unknown(cx)
+                .unknown(context)
                 .map(|spec| (spec, LEAST.min(part / zones.max(1)))),
         }
         .filter(|(_, n)| *n > 0);
@@ -112,39 +112,39 @@
 
     /// Stands for a job of a class that is to start sooner than a machine boots, and of which none was
     /// seen yet: a whole ordinary machine of the cheapest type.
-    fn unknown(&self, cx: &Ctx) -> Option<Submission> {
-        let build = cx
+    fn unknown(&self, context: &Context) -> Option<Submission> {
+        let build = context
             .catalogue
             .iter()
             .flatten()
             .min_by(|a, b| a.price.total_cmp(&b.price))?;
-        let boot = micros(build.startup_s);
-        let soon = cx.settings.objectives.iter().any(|o| {
+        let boot = micros(build.boot_s);
+        let soon = context.settings.objectives.iter().any(|o| {
             o.kind == "wait"
                 && o.within.is_some_and(|within| within < boot)
                 && !self.classes.contains(&o.class)
         });
         soon.then(|| Submission {
-            uid: String::new(),
-            workclass: String::new(),
-            owner: String::new(),
+            id: String::new(),
+            class: String::new(),
+            team: String::new(),
             shape: "daemon".into(),
-            precedence: Precedence::Prod,
-            shards: 1,
-            vcpus: build.vcpus,
-            accelerators: 0.0,
+            priority: Priority::Prod,
+            tasks: 1,
+            cpus: build.cpus,
+            gpus: 0.0,
             memory_gb: build.memory_gb,
-            bundle: String::new(),
-            pull_gb: 0.0,
-            builds: Some(vec![build.name.clone()]),
-            yard: None,
+            image: String::new(),
+            image_gb: 0.0,
+            machine_types: Some(vec![build.name.clone()]),
+            zone: None,
             one_zone: false,
             spread: false,
-            loaner: false,
+            spot: false,
             expected_s: 0.0,
-            savepoint_s: 0.0,
-            flush_s: 0.0,
-            due_s: None,
+            checkpoint_s: 0.0,
+            save_s: 0.0,
+            deadline_s: None,
         })
     }
 
@@ -162,7 +162,7 @@
 impl Lead {
     /// Marks the room that is kept for services: in each zone that of machines with replicas first,
     /// then of the fullest, until it is as much as wanted.
-    pub(crate) fn keep_standby(&self, cx: &Ctx, open: &mut [Open]) {
+    pub(crate) fn keep_standby(&self, context: &Context, open: &mut [Open]) {
         let Some((spec, wanted)) = self.standby.wanted() else {
             return;
         };
@@ -170,12 +170,12 @@
             .iter()
             .enumerate()
             .filter(|(_, o)| {
-                slots(o.free, spec) > 0 && permits(cx, spec, &o.machine_type, &o.zone, o.spot)
+                slots(o.free, spec) > 0 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
             })
             .map(|(at, o)| {
                 let serves = self.machines.get(&o.name).is_some_and(|m| {
                     let mut jobs = m.assignments.iter().map(|a| a.job);
-                    jobs.any(|ix| self.jobs.get(ix).is_some_and(Job::is_daemon))
+                    jobs.any(|index| self.jobs.get(index).is_some_and(Job::is_daemon))
                 });
                 (!serves, (o.free.0 / EPS) as i64, at)
             })
@@ -190,11 +190,7 @@
             let n = slots(o.free, spec).min(wanted - *sum);
             *sum += n;
             let room = |need: f64| need * n as f64;
-            o.standby = (
-                room(spec.vcpus),
-                room(spec.accelerators),
-                room(spec.memory_gb),
-            );
+            o.standby = (room(spec.cpus), room(spec.gpus), room(spec.memory_gb));
         }
     }
 }
--- a/crates/core/src/stats.rs
+++ b/crates/core/src/stats.rs
@@ -42,12 +42,12 @@
         let expected = spec.expected_s.max(0.1) * 1e6;
         let ratio = (run as f64 / expected).clamp(0.2, 4.0);
         self.ratios
-            .entry(spec.workclass.clone())
+            .entry(spec.class.clone())
             .or_default()
             .add(ratio, 200.0);
         let mean = self
             .runs
-            .entry((spec.workclass.clone(), machine_type.to_string()))
+            .entry((spec.class.clone(), machine_type.to_string()))
             .or_default();
         let bounded = if mean.weight >= 5.0 {
             (run as f64).min(mean.value * 4.0)
@@ -72,7 +72,7 @@
     pub fn expected_run(&self, spec: &Submission) -> Micros {
         let ratio = self
             .ratios
-            .get(&spec.workclass)
+            .get(&spec.class)
             .filter(|m| m.weight >= 3.0)
             .map_or(1.0, |m| m.value);
         micros(spec.expected_s * ratio).max(SECOND / 10)
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -6,14 +6,16 @@
 //! a job that is not live in the view, and after that has no end on record, was never accepted.
 
 use crate::jobs::{check_fields, check_possible, check_size, valid_id, Refused};
-use crate::ledger::Rec;
-use crate::node::{Ctx, Node, Pending};
+use crate::ledger::RecordId;
+use crate::node::{Context, Node, Pending};
 use crate::{Micros, Now, Outcome, Settings};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
     Accepted, Change, Entry, JobStatus, MachineType, Submission, Txn, When,
 };
-use grebewood_wire::records::{cancel_key, job_key, CancelRecord, JobRecord, PastRecord, PAST};
+use grebewood_wire::records::{
+    cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED,
+};
 use log::{debug, warn};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -35,7 +37,7 @@
     Accept,
     /// Waits for a view that is no older than the request.
     View,
-    ReadPast,
+    ReadFinished,
     /// The transaction that cancels the job.
     Cancel,
 }
@@ -57,26 +59,26 @@
 
 /// Jobs that are over, which never changes: a bounded cache.
 #[derive(Debug)]
-pub struct PastJobs {
-    known: BTreeMap<String, PastRecord>,
+pub struct FinishedJobs {
+    known: BTreeMap<String, FinishedJobRecord>,
     order: VecDeque<String>,
     most: usize,
 }
 
-impl PastJobs {
+impl FinishedJobs {
     pub fn new(most: usize) -> Self {
-        PastJobs {
+        FinishedJobs {
             known: BTreeMap::new(),
             order: VecDeque::new(),
             most,
         }
     }
 
-    pub fn get(&self, job: &str) -> Option<&PastRecord> {
+    pub fn get(&self, job: &str) -> Option<&FinishedJobRecord> {
         self.known.get(job)
     }
 
-    pub fn insert(&mut self, job: &str, record: PastRecord) {
+    pub fn insert(&mut self, job: &str, record: FinishedJobRecord) {
         if self.known.insert(job.to_string(), record).is_none() {
             self.order.push_back(job.to_string());
             if self.order.len() > self.most {
@@ -89,37 +91,41 @@
 }
 
 /// Reads of ends that are under way, by job: requests that came in after the read was sent.
-pub type PastReads = BTreeMap<String, Vec<UserCall>>;
+pub type FinishedReads = BTreeMap<String, Vec<UserCall>>;
 
 impl Node {
     pub(crate) fn on_submission(&mut self, id: u64, body: &[u8]) {
         let (job, submission) = match read_submission(body) {
             Ok(read) => read,
-            Err(why) => return self.cx.refuse(id, 400, &why),
+            Err(why) => return self.context.refuse(id, 400, &why),
         };
-        if let Some(past) = self.past.get(&job) {
+        if let Some(finished) = self.finished.get(&job) {
             let accepted = Accepted {
-                uid: job,
-                status: past.status.clone(),
+                id: job,
+                status: finished.status.clone(),
             };
-            return self.cx.answer(id, 200, &accepted);
+            return self.context.answer(id, 200, &accepted);
         }
         // A repeated submission of an accepted job must get neither 422 nor 400, whatever it says now
         // and whatever the limits were when it was accepted: it is looked up before it is refused.
         let (ask, possible) = match submission {
             Err(why) => (Ask::Malformed(why), false),
             Ok(submission) => {
-                let Some(catalogue) = &self.cx.catalogue else {
-                    return self.cx.refuse(id, 503, "machine types are not known yet");
+                let Some(catalogue) = &self.context.catalogue else {
+                    return self
+                        .context
+                        .refuse(id, 503, "machine types are not known yet");
                 };
-                let possible = acceptable(&submission, &self.cx.settings, catalogue).is_ok();
+                let possible = acceptable(&submission, &self.context.settings, catalogue).is_ok();
                 (Ask::Submit(Box::new(submission)), possible)
             }
         };
-        if !self.cx.in_contact(crate::node::CONTACT_SPAN) {
-            return self.cx.refuse(id, 503, "no contact with the state service");
+        if !self.context.in_contact(crate::node::CONTACT_SPAN) {
+            return self
+                .context
+                .refuse(id, 503, "no contact with the state service");
         }
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         let mut call = UserCall {
             request: id,
             job,
@@ -135,8 +141,8 @@
             call.stage = Stage::View;
             return self.user_send(call);
         }
-        if !self.cx.writes.take(now, 1.0) {
-            return self.cx.refuse(id, 429, "too many submissions");
+        if !self.context.writes.take(now, 1.0) {
+            return self.context.refuse(id, 429, "too many submissions");
         }
         self.user_send(call);
     }
@@ -151,82 +157,84 @@
 
     fn ask(&mut self, id: u64, job: &str, ask: Ask) {
         if !valid_id(job) {
-            return self.cx.refuse(id, 404, "no such job");
+            return self.context.refuse(id, 404, "no such job");
         }
         let call = UserCall {
             request: id,
             job: job.to_string(),
             ask,
             stage: Stage::View,
-            arrived: self.cx.now.steady,
+            arrived: self.context.now.steady,
             live: None,
             doubtful: false,
             rounds: 0,
         };
-        if let Some(past) = self.past.get(job) {
-            let past = past.clone();
-            return self.user_past(call, &past);
+        if let Some(finished) = self.finished.get(job) {
+            let finished = finished.clone();
+            return self.user_finished(call, &finished);
         }
-        if !self.cx.in_contact(crate::node::CONTACT_SPAN) {
-            return self.cx.refuse(id, 503, "no contact with the state service");
+        if !self.context.in_contact(crate::node::CONTACT_SPAN) {
+            return self
+                .context
+                .refuse(id, 503, "no contact with the state service");
         }
         self.user_send(call);
     }
 
     /// Sends the request of the call's stage to the state service.
     pub(crate) fn user_send(&mut self, mut call: UserCall) {
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         call.rounds += 1;
         if call.rounds > 8 {
-            return self.cx.refuse(call.request, 503, "too many conflicts");
+            return self.context.refuse(call.request, 503, "too many conflicts");
         }
         if call.stage == Stage::View {
             return self.wait_for_view(call);
         }
         // Users ask about the same end many times at once: one read answers them all.
-        if call.stage == Stage::ReadPast {
-            if let Some(joined) = self.past_reads.get_mut(&call.job) {
+        if call.stage == Stage::ReadFinished {
+            if let Some(joined) = self.finished_reads.get_mut(&call.job) {
                 return joined.push(call);
             }
         }
-        if !self.cx.reads.take(now, 1.0) {
-            return self.cx.refuse(call.request, 429, "too many requests");
+        if !self.context.reads.take(now, 1.0) {
+            return self.context.refuse(call.request, 429, "too many requests");
         }
         match call.stage {
             Stage::Accept => {
                 let Ask::Submit(spec) = &call.ask else { return };
                 let record = JobRecord {
                     spec: (**spec).clone(),
-                    accepted_us: self.cx.now.wall,
+                    accepted_us: self.context.now.wall,
                 };
                 let key = job_key(&call.job);
                 let txn = Txn {
-                    when: vec![absent(&key), absent(&format!("{PAST}{}", call.job))],
+                    when: vec![absent(&key), absent(&format!("{FINISHED}{}", call.job))],
                     apply: vec![put(key, &record)],
                 };
-                self.cx.post_state("/txn", &txn, Pending::User(call));
+                self.context.post_state("/txn", &txn, Pending::User(call));
             }
             Stage::Cancel => {
                 let Some((_, stamp)) = call.live else { return };
                 let key = cancel_key(&call.job);
                 let live = When {
-                    k: job_key(&call.job),
+                    key: job_key(&call.job),
                     stamp,
                 };
                 let record = CancelRecord {
-                    cancelled_us: self.cx.now.wall,
+                    cancelled_us: self.context.now.wall,
                 };
                 let txn = Txn {
                     when: vec![live, absent(&key)],
                     apply: vec![put(key, &record)],
                 };
-                self.cx.post_state("/txn", &txn, Pending::User(call));
+                self.context.post_state("/txn", &txn, Pending::User(call));
             }
             Stage::View => {}
-            Stage::ReadPast => {
-                let key = format!("{PAST}{}", call.job);
-                self.past_reads.insert(call.job.clone(), Vec::new());
-                self.cx.read_key(&key, Pending::User(call));
+            Stage::ReadFinished => {
+                let key = format!("{FINISHED}{}", call.job);
+                self.finished_reads.insert(call.job.clone(), Vec::new());
+                self.context.read_key(&key, Pending::User(call));
             }
         }
     }
@@ -237,16 +245,16 @@
             Outcome::Unknown => (0, Vec::new()),
             Outcome::NotSent => (503, Vec::new()),
         };
-        if call.stage == Stage::ReadPast {
-            self.past_read(&call.job, status, &body);
+        if call.stage == Stage::ReadFinished {
+            self.finished_read(&call.job, status, &body);
         }
         match (call.stage, status) {
             (Stage::Accept, 200) => {
                 let accepted = Accepted {
-                    uid: call.job.clone(),
+                    id: call.job.clone(),
                     status: "pending".into(),
                 };
-                self.cx.answer(call.request, 201, &accepted);
+                self.context.answer(call.request, 201, &accepted);
             }
             (Stage::Accept, 409) => {
                 call.stage = Stage::View;
@@ -263,21 +271,23 @@
                 call.stage = Stage::View;
                 self.user_send(call);
             }
-            (Stage::ReadPast, 200) => match wire::from_cbor::<Entry<PastRecord>>(&body) {
-                Ok(entry) => {
-                    self.past.insert(&call.job, entry.value.clone());
-                    self.user_past(call, &entry.value);
-                }
-                Err(e) => {
-                    warn!("record {PAST}{}: {e}", call.job);
-                    self.cx.refuse(call.request, 503, "unreadable record");
+            (Stage::ReadFinished, 200) => {
+                match wire::from_cbor::<Entry<FinishedJobRecord>>(&body) {
+                    Ok(entry) => {
+                        self.finished.insert(&call.job, entry.value.clone());
+                        self.user_finished(call, &entry.value);
+                    }
+                    Err(e) => {
+                        warn!("record {FINISHED}{}: {e}", call.job);
+                        self.context.refuse(call.request, 503, "unreadable record");
+                    }
                 }
-            },
-            (Stage::ReadPast, 404) => self.user_unknown(call),
-            (_, 429) => self.cx.refuse(call.request, 429, "too many requests"),
+            }
+            (Stage::ReadFinished, 404) => self.user_unknown(call),
+            (_, 429) => self.context.refuse(call.request, 429, "too many requests"),
             (stage, status) => {
                 debug!("{}: {stage:?} got {status}", call.job);
-                self.cx
+                self.context
                     .refuse(call.request, 503, "the state service does not answer");
             }
         }
@@ -285,15 +295,15 @@
 
     /// A read of an end was answered. An end that is there answers those too who joined it; that there
     /// is none does not: the job may have been accepted and have ended since.
-    fn past_read(&mut self, job: &str, status: u16, body: &[u8]) {
-        let joined = self.past_reads.remove(job).unwrap_or_default();
+    fn finished_read(&mut self, job: &str, status: u16, body: &[u8]) {
+        let joined = self.finished_reads.remove(job).unwrap_or_default();
         let found = match status {
-            200 => wire::from_cbor::<Entry<PastRecord>>(body).ok(),
+            200 => wire::from_cbor::<Entry<FinishedJobRecord>>(body).ok(),
             _ => None,
         };
         for call in joined {
             match &found {
-                Some(entry) => self.user_past(call, &entry.value),
+                Some(entry) => self.user_finished(call, &entry.value),
                 None => self.user_send(call),
             }
         }
@@ -301,11 +311,13 @@
 
     pub(crate) fn user_found_live(&mut self, mut call: UserCall) {
         match call.ask {
-            Ask::Cancel if self.cx.writes.take(self.cx.now.steady, 1.0) => {
+            Ask::Cancel if self.context.writes.take(self.context.now.steady, 1.0) => {
                 call.stage = Stage::Cancel;
                 self.user_send(call);
             }
-            Ask::Cancel => self.cx.refuse(call.request, 429, "too many cancellations"),
+            Ask::Cancel => self
+                .context
+                .refuse(call.request, 429, "too many cancellations"),
             _ => self.user_live(call),
         }
     }
@@ -316,23 +328,23 @@
             Ask::Submit(spec) if !call.doubtful => {
                 // Only a submission that could not run is looked up first.
                 let refused = self
-                    .cx
+                    .context
                     .catalogue
                     .as_ref()
-                    .map(|c| acceptable(spec, &self.cx.settings, c));
+                    .map(|c| acceptable(spec, &self.context.settings, c));
                 match refused {
                     Some(Err(Refused::Invalid(why))) => {
-                        self.cx.refuse(call.request, 400, &why);
+                        self.context.refuse(call.request, 400, &why);
                     }
                     Some(Err(Refused::Impossible(why))) => {
-                        self.cx.refuse(call.request, 422, &why);
+                        self.context.refuse(call.request, 422, &why);
                     }
-                    _ => self.cx.refuse(call.request, 503, "not accepted yet"),
+                    _ => self.context.refuse(call.request, 503, "not accepted yet"),
                 }
             }
-            Ask::Submit(_) => self.cx.refuse(call.request, 503, "not accepted yet"),
-            Ask::Malformed(why) => self.cx.refuse(call.request, 400, why),
-            Ask::Poll | Ask::Cancel => self.cx.refuse(call.request, 404, "no such job"),
+            Ask::Submit(_) => self.context.refuse(call.request, 503, "not accepted yet"),
+            Ask::Malformed(why) => self.context.refuse(call.request, 400, why),
+            Ask::Poll | Ask::Cancel => self.context.refuse(call.request, 404, "no such job"),
         }
     }
 
@@ -347,63 +359,63 @@
         match call.ask {
             Ask::Submit(_) | Ask::Malformed(_) => {
                 let accepted = Accepted {
-                    uid: call.job,
+                    id: call.job,
                     status: status.into(),
                 };
-                self.cx.answer(call.request, 200, &accepted);
+                self.context.answer(call.request, 200, &accepted);
             }
             _ => {
                 let answer = JobStatus {
-                    uid: call.job,
+                    id: call.job,
                     status: status.into(),
                     done,
                     running,
                 };
-                self.cx.answer(call.request, 200, &answer);
+                self.context.answer(call.request, 200, &answer);
             }
         }
     }
 
     pub(crate) fn user_cancelled(&mut self, call: &UserCall) {
-        let shards = call.live.map_or(0, |(shards, _)| shards);
-        let past = PastRecord {
+        let tasks = call.live.map_or(0, |(tasks, _)| tasks);
+        let finished = FinishedJobRecord {
             status: "aborted".into(),
-            shards,
+            tasks,
         };
         // The cancellation is durable, and the job can only become aborted now. That a user is told
         // is remembered: a leader that has lost contact with state asks for it.
-        self.past.insert(&call.job, past.clone());
-        let Now { steady, wall } = self.cx.now;
-        self.cx.cancellations.tell(&call.job, steady, wall);
+        self.finished.insert(&call.job, finished.clone());
+        let Now { steady, wall } = self.context.now;
+        self.context.cancellations.tell(&call.job, steady, wall);
         if let Some(lead) = &mut self.lead {
-            lead.on_cancelled(&mut self.cx, &call.job, None);
+            lead.on_cancelled(&mut self.context, &call.job, None);
         }
-        self.user_past(call.clone(), &past);
+        self.user_finished(call.clone(), &finished);
     }
 
-    fn user_past(&mut self, call: UserCall, past: &PastRecord) {
+    fn user_finished(&mut self, call: UserCall, finished: &FinishedJobRecord) {
         self.progress.remove(&call.job);
         match call.ask {
             Ask::Poll => {
-                let done = if past.status == "done" {
-                    past.shards
+                let done = if finished.status == "done" {
+                    finished.tasks
                 } else {
                     0
                 };
                 let answer = JobStatus {
-                    uid: call.job,
-                    status: past.status.clone(),
+                    id: call.job,
+                    status: finished.status.clone(),
                     done,
                     running: 0,
                 };
-                self.cx.answer(call.request, 200, &answer);
+                self.context.answer(call.request, 200, &answer);
             }
             _ => {
                 let accepted = Accepted {
-                    uid: call.job,
-                    status: past.status.clone(),
+                    id: call.job,
+                    status: finished.status.clone(),
                 };
-                self.cx.answer(call.request, 200, &accepted);
+                self.context.answer(call.request, 200, &accepted);
             }
         }
     }
@@ -441,7 +453,7 @@
 
 pub(crate) fn absent(key: &str) -> When {
     When {
-        k: key.to_string(),
+        key: key.to_string(),
         stamp: 0,
     }
 }
@@ -450,15 +462,15 @@
     Change::Put {
         put: key,
         value: wire::http::to_value(record),
-        tether: None,
+        lease: None,
     }
 }
 
-impl Ctx {
+impl Context {
     /// Cost of a ledger record in puts and deletes, as an upper bound.
-    pub(crate) fn cost(rec: &Rec) -> usize {
+    pub(crate) fn cost(rec: &RecordId) -> usize {
         match rec {
-            Rec::Over(_) => 4,
+            RecordId::Over(_) => 4,
             _ => 1,
         }
     }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -105,7 +105,7 @@
         match JobKey::parse(key) {
             Some(JobKey::Live(id)) => {
                 let tasks = match wire::http::from_value::<JobRecord>(value) {
-                    Ok(record) => record.spec.shards,
+                    Ok(record) => record.spec.tasks,
                     Err(e) => {
                         error!("record {key}: {e}; the job stays known");
                         0
@@ -160,14 +160,14 @@
     }
 
     pub(crate) fn run_view(&mut self) {
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         let overdue = |c: &UserCall| now >= c.patient_until();
         if self.view.waiting.iter().any(overdue) {
             let waiting = std::mem::take(&mut self.view.waiting);
             let (late, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(overdue);
             self.view.waiting = rest;
             for call in late {
-                self.cx
+                self.context
                     .refuse(call.request, 503, "the state service is not in time");
             }
         }
@@ -176,8 +176,8 @@
         if v.busy || now < v.next_at || !wanted {
             return;
         }
-        if !self.cx.reads.take(now, 1.0) {
-            v.next_at = self.cx.reads.ready_at(now, 1.0);
+        if !self.context.reads.take(now, 1.0) {
+            v.next_at = self.context.reads.ready_at(now, 1.0);
             return;
         }
         if !v.built && v.unread.is_empty() {
@@ -185,7 +185,7 @@
         }
         v.busy = true;
         // It takes half of the reads at most: the rest is for ends, submissions and cancellations.
-        v.next_at = now + INTERVAL.max(self.cx.reads.time_for(2.0));
+        v.next_at = now + INTERVAL.max(self.context.reads.time_for(2.0));
         v.refresh_at = now + REFRESH;
         let (path, what) = match (v.unread.first(), v.since) {
             (Some(prefix), _) => {
@@ -203,12 +203,12 @@
                 (path, ViewCall::Changes)
             }
         };
-        self.cx.get_state(path, Pending::View(what));
+        self.context.get_state(path, Pending::View(what));
     }
 
     /// Takes the reply to a request of the view that was made at `made`.
     pub(crate) fn on_view(&mut self, what: ViewCall, made: Micros, outcome: Outcome) {
-        let now = self.cx.now.steady;
+        let now = self.context.now.steady;
         self.view.busy = false;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
@@ -236,16 +236,16 @@
                             self.view.delete(key);
                             // Nothing of a job that is over runs any more.
                             if let Some(JobKey::Live(id)) = JobKey::parse(key) {
-                                self.cx.cancellations.forget(id);
+                                self.context.cancellations.forget(id);
                             }
                         }
                     }
-                    self.view.since = self.view.since.max(Some(changes.epoch));
-                    self.cx.cancellations.read_as_of(made);
+                    self.view.since = self.view.since.max(Some(changes.revision));
+                    self.context.cancellations.read_as_of(made);
                     for call in std::mem::take(&mut self.view.asked) {
                         if now >= call.patient_until() {
                             let why = "the state service is not in time";
-                            self.cx.refuse(call.request, 503, why);
+                            self.context.refuse(call.request, 503, why);
                         } else {
                             self.on_fresh_view(call);
                         }
@@ -255,7 +255,7 @@
                     self.view.next_at = now + 200 * MILLI;
                     self.view.refresh_at = now + REFRESH_AGAIN;
                     for call in std::mem::take(&mut self.view.asked) {
-                        self.cx
+                        self.context
                             .refuse(call.request, 503, "the state service is out of reach");
                     }
                 }
@@ -279,13 +279,13 @@
     fn on_view_list(&mut self, list: EntryList) {
         let v = &mut self.view;
         // Later pages may be newer: what changed since the first one is told again.
-        v.since.get_or_insert(list.epoch);
-        let last = list.entries.last().map(|e: &Entry<Value>| e.k.clone());
+        v.since.get_or_insert(list.revision);
+        let last = list.entries.last().map(|e: &Entry<Value>| e.key.clone());
         for e in &list.entries {
-            v.put(&e.k, &e.value, e.stamp);
+            v.put(&e.key, &e.value, e.stamp);
         }
         for e in &list.entries {
-            self.note_cancellation(&e.k, &e.value);
+            self.note_cancellation(&e.key, &e.value);
         }
         let v = &mut self.view;
         if list.more && last.is_some() {
@@ -304,10 +304,10 @@
             return;
         };
         let at = wire::http::from_value::<CancelRecord>(value).map(|r| r.cancelled_us);
-        let at = at.unwrap_or(self.cx.now.wall);
-        self.cx.cancellations.learn(id, at);
+        let at = at.unwrap_or(self.context.now.wall);
+        self.context.cancellations.learn(id, at);
         if let Some(lead) = &mut self.lead {
-            lead.apply_cancellation(&mut self.cx, id);
+            lead.apply_cancellation(&mut self.context, id);
         }
     }
 
@@ -328,7 +328,7 @@
             }
             None => {
                 // Neither live nor over as of now: it was never accepted.
-                call.stage = Stage::ReadPast;
+                call.stage = Stage::ReadFinished;
                 self.user_send(call);
             }
         }
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -1,14 +1,15 @@
 //! Machines as their workers report them, and what is known to be on them.
 
-use crate::jobs::{error_backoff, parse_task, Job, JobIx, Jobs, EPS};
+use crate::jobs::{error_backoff, parse_task, Job, JobIndex, Jobs, EPS};
 use crate::leadership::Lead;
-use crate::ledger::Rec;
-use crate::node::{Ctx, LeadCall, Node};
+use crate::ledger::RecordId;
+use crate::node::{Context, LeadCall, Node};
 use crate::placement::{permits, slots};
 use crate::{micros, Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    CheckinAnswer, DirectOrders, MachineType, Order, Redirect, Report, ShardReport, Submission,
+    CheckinAnswer, Command, DirectCommands, ExitCause, MachineType, Redirect, Report, Submission,
+    TaskReport, TaskStatus, Verb,
 };
 use grebewood_wire::records::DONE_SPAN;
 use log::{error, info, warn};
@@ -16,15 +17,15 @@
 
 mod checkins;
 mod exits;
-mod held;
 mod machine;
+mod pending_checkins;
 mod reports;
 mod silence;
 mod stops;
 
-pub use held::{Held, Parked};
 use machine::Blame;
-pub use machine::{Assignment, Machine, Reap, Seen, Stop};
+pub use machine::{Assignment, ExitedAttempt, Machine, Seen, Stop};
+pub use pending_checkins::{Parked, PendingCheckin};
 
 /// How long a check-in may wait for a flush before it is answered with what there is.
 const HOLD: Micros = 500 * MILLI;
@@ -51,11 +52,14 @@
 /// Between two direct commands to one machine.
 const DIRECT_INTERVAL: Micros = 2 * SECOND;
 /// Most commands in one answer, so that it stays below the size limit.
-const MOST_ORDERS: usize = 300;
+const MOST_COMMANDS: usize = 300;
 
 /// Most machines that are returned because the tasks of one job alone failed there.
 const MOST_BLAMED_BY_ONE_JOB: u32 = 2;
 
+/// An exit without a cause says nothing.
+static NO_CAUSE: ExitCause = ExitCause::Unknown(String::new());
+
 /// How a report came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
@@ -69,28 +73,28 @@
     /// A machine known only from assignments on record.
     pub(crate) fn recovered_machine(
         &mut self,
-        cx: &Ctx,
+        context: &Context,
         name: &str,
         zone: &str,
-        tenure: u64,
+        session: u64,
     ) -> &mut Machine {
         let machine = self.machines.entry(name.to_string()).or_insert_with(|| {
             let report = Report {
-                perch: name.to_string(),
-                endpoint: String::new(),
-                build: String::new(),
-                yard: zone.to_string(),
-                loaner: true,
-                tenure,
-                tally: 0,
-                warrant: 0,
+                machine: name.to_string(),
+                address: String::new(),
+                machine_type: String::new(),
+                zone: zone.to_string(),
+                spot: true,
+                session,
+                sequence: 0,
+                token: 0,
                 recall_s: None,
-                shards: Vec::new(),
+                tasks: Vec::new(),
             };
-            Machine::new(&report, None, cx.now.steady)
+            Machine::new(&report, None, context.now.steady)
         });
         // Reports of earlier sessions are older than what is on record.
-        machine.tenure = machine.tenure.max(tenure);
+        machine.session = machine.session.max(session);
         machine
     }
 
@@ -109,17 +113,17 @@
         };
         let used = self.usage.entry(a.team.clone()).or_insert((0.0, 0.0));
         *used = (used.0 + a.cpus, used.1 + a.gpus);
-        let (ix, seen) = (a.job, a.seen);
+        let (index, seen) = (a.job, a.seen);
         let at = a.decided;
         m.assignments.push(a);
         m.recount();
-        self.count_running(at, ix, Seen::Never, seen);
+        self.count_running(at, index, Seen::Never, seen);
     }
 
     /// Removes an assignment of which it is proven that its task is not on the machine and will
     /// not come there.
-    pub(crate) fn free(&mut self, cx: &mut Ctx, name: &str, at: usize) {
-        let now = cx.now.steady;
+    pub(crate) fn free(&mut self, context: &mut Context, name: &str, at: usize) {
+        let now = context.now.steady;
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
@@ -132,9 +136,10 @@
         self.count_running(now, a.job, a.seen, Seen::Never);
         self.page_mut(a.page).remove(name, &a);
         // Every page loses something all the time: with many pages the writes must be further apart.
-        let pages = self.pages.len() as f64 / (cx.settings.state.write_rps * FREE_WRITES);
+        let pages = self.pages.len() as f64 / (context.settings.state.write_rps * FREE_WRITES);
         let delay = FREE_DELAY.max((pages * 1e6) as Micros);
-        self.ledger.touch_lazily(Rec::Page(a.page), now + delay);
+        self.ledger
+            .touch_lazily(RecordId::Page(a.page), now + delay);
         if let Some(job) = self.jobs.get_mut(a.job) {
             job.give_back(a.task);
             if let Some(n) = job.zones.get_mut(&a.zone) {
@@ -144,50 +149,53 @@
                 job.waiting_since = Some(now);
             }
         }
-        self.placement.want(cx.now.steady);
-        self.end_if_over(cx, a.job);
+        self.placement.want(context.now.steady);
+        self.end_if_over(context, a.job);
     }
 }
 
 /// Whether failures of the job's tasks say nothing of a machine; of a job that is over nothing is known.
 fn is_suspect(jobs: &Jobs, id: &str) -> bool {
-    let job = jobs.find(id).and_then(|ix| jobs.get(ix));
+    let job = jobs.find(id).and_then(|index| jobs.get(index));
     job.is_none_or(Job::is_suspect)
 }
 
 /// Stops for the tasks on a machine whose jobs are known to be cancelled.
-fn cancelled_here(cx: &Ctx, report: &Report) -> Vec<Order> {
-    let live = report.shards.iter().filter(|s| s.status != "exited");
+fn stop_commands_for_cancelled(context: &Context, report: &Report) -> Vec<Command> {
+    let live = report
+        .tasks
+        .iter()
+        .filter(|s| s.status != TaskStatus::Exited);
     live.filter_map(|s| {
-        let (job, task) = parse_task(&s.shard)?;
-        cx.cancellations.get(job)?;
-        Some(stop_order(job, task, s.attempt, 0))
+        let (job, task) = parse_task(&s.task_name)?;
+        context.cancellations.get(job)?;
+        Some(stop_command(job, task, s.attempt, 0))
     })
-    .take(MOST_ORDERS)
+    .take(MOST_COMMANDS)
     .collect()
 }
 
 /// When a worker's lease has certainly run out after our last answer: with drift, and a little for
 /// the answer's own time.
-fn lapse(lease: Micros) -> Micros {
+fn lease_end(lease: Micros) -> Micros {
     lease + lease / 500 + 1_500 * MILLI
 }
 
 /// How long a machine may be silent before it is released.
 pub(crate) fn silent_release(lease: Micros) -> Micros {
-    lapse(lease) + 12 * SECOND
+    lease_end(lease) + 12 * SECOND
 }
 
 /// Leeway for a task that needs `flush` to save.
-pub(crate) fn leeway(flush: Micros) -> Micros {
+pub(crate) fn grace(flush: Micros) -> Micros {
     flush + flush / 2 + SECOND
 }
 
-fn stop_order(job: &str, task: u64, attempt: u64, leeway: Micros) -> Order {
-    Order {
-        verb: "stop".into(),
-        shard: format!("{job}/{task}"),
+fn stop_command(job: &str, task: u64, attempt: u64, grace: Micros) -> Command {
+    Command {
+        verb: Verb::Stop,
+        task_name: format!("{job}/{task}"),
         attempt,
-        leeway_s: Some(leeway as f64 / SECOND as f64),
+        grace_s: Some(grace as f64 / SECOND as f64),
     }
 }
--- a/crates/core/src/workers/checkins.rs
+++ b/crates/core/src/workers/checkins.rs
@@ -3,135 +3,143 @@
 use super::*;
 
 impl Lead {
-    pub(super) fn on_checkin(&mut self, cx: &mut Ctx, request: u64, report: Report) {
-        let now = cx.now.steady;
+    pub(super) fn on_checkin(&mut self, context: &mut Context, request: u64, report: Report) {
+        let now = context.now.steady;
         if !self.loaded() {
             self.heard_at = now;
             // Renews the lease and announces the token while state is still being read, which an
             // outage may make long: cancelled tasks must be gone in time all the same.
-            let orders = cancelled_here(cx, &report);
-            return self.answer_checkin(cx, request, orders);
+            let commands = stop_commands_for_cancelled(context, &report);
+            return self.answer_checkin(context, request, commands);
         }
-        if self.fleet.is_gone(&report.perch) {
+        if self.fleet.is_gone(&report.machine) {
             // The machine was deleted: a late copy of a report.
-            return cx.answer(request, 421, &Redirect { steward: None });
+            return context.answer(request, 421, &Redirect { leader: None });
         }
-        let (machine, tenure, tally) = (report.perch.clone(), report.tenure, report.tally);
-        let fresh = self.on_report(cx, report, Source::Checkin);
+        let (machine, session, sequence) =
+            (report.machine.clone(), report.session, report.sequence);
+        let fresh = self.on_report(context, report, Source::Checkin);
         if !fresh {
             // A late copy. It renews no lease, and whatever the answer, nobody takes it. Unless it is a
             // check-in that the answer to a direct command overtook: its worker takes our answer, so
             // its lease began when it sent this. That lease was once taken to have run out by the
             // answer before.
             if let Some(m) = self.machines.get_mut(&machine) {
-                if tenure == m.tenure && (tenure, tally) > m.checkin {
-                    m.checkin = (tenure, tally);
+                if session == m.session && (session, sequence) > m.checkin {
+                    m.checkin = (session, sequence);
                     m.last_answer = now;
                 }
             }
-            return self.answer_checkin(cx, request, Vec::new());
+            return self.answer_checkin(context, request, Vec::new());
         }
         self.heard_at = now;
         // A worker reports one at a time: the one before was given up.
-        self.refuse_held(cx, &machine, "overtaken by a later report");
+        self.refuse_pending(context, &machine, "overtaken by a later report");
         let Some(m) = self.machines.get_mut(&machine) else {
-            return self.answer_checkin(cx, request, Vec::new());
+            return self.answer_checkin(context, request, Vec::new());
         };
         m.last_answer = now;
-        let mut held = Held {
+        let mut pending = PendingCheckin {
             request,
             round: 0,
             machine,
-            tenure,
-            tally,
+            session,
+            sequence,
             until: now + HOLD,
         };
         // Room that jobs wait for: the answer waits for the next round of placement.
-        if self.placement.backlog && m.free().0 > EPS && m.usable(now, 3 * cx.settings.report) {
+        if self.placement.backlog && m.free().0 > EPS && m.usable(now, 3 * context.settings.report)
+        {
             self.placement.want(now);
-            held.round = self.placement.rounds + 1;
+            pending.round = self.placement.rounds + 1;
         }
-        if self.may_be_answered(cx, &held) {
-            let orders = self.orders(cx, &held);
-            if orders.is_empty() && self.may_park(cx, &held.machine) {
-                return self.park(cx, held);
+        if self.may_be_answered(context, &pending) {
+            let commands = self.commands(context, &pending);
+            if commands.is_empty() && self.may_park(context, &pending.machine) {
+                return self.park(context, pending);
             }
-            return self.answer_checkin(cx, request, orders);
+            return self.answer_checkin(context, request, commands);
         }
-        if self.held.is_empty() {
-            self.held_until = held.until;
+        if self.pending_checkins.is_empty() {
+            self.pending_until = pending.until;
         }
-        self.held.push(held);
+        self.pending_checkins.push(pending);
     }
 
-    pub(super) fn answer_checkin(&self, cx: &mut Ctx, request: u64, orders: Vec<Order>) {
+    pub(super) fn answer_checkin(
+        &self,
+        context: &mut Context,
+        request: u64,
+        commands: Vec<Command>,
+    ) {
         let answer = CheckinAnswer {
-            warrant: self.token,
-            orders,
+            token: self.token,
+            commands,
         };
-        cx.answer(request, 200, &answer);
+        context.answer(request, 200, &answer);
     }
 
-    pub(super) fn is_durable(&self, after: &[(Rec, u64)], job: Option<JobIx>) -> bool {
+    pub(super) fn is_durable(&self, after: &[(RecordId, u64)], job: Option<JobIndex>) -> bool {
         // Once a job is over, its terminal record stands for all of its tasks.
-        let over = job.is_some_and(|ix| self.jobs.get(ix).is_none());
+        let over = job.is_some_and(|index| self.jobs.get(index).is_none());
         after.iter().all(|(rec, version)| {
-            (over && matches!(rec, Rec::Done(..))) || self.ledger.is_durable(rec, *version)
+            (over && matches!(rec, RecordId::Done(..))) || self.ledger.is_durable(rec, *version)
         })
     }
 
     /// The commands for the answer to a check-in. Launches go only here: such an answer is never
-    /// carried out late. Each launched task is on record, each reaped outcome too.
-    pub(super) fn orders(&mut self, cx: &Ctx, held: &Held) -> Vec<Order> {
-        let now = cx.now.steady;
-        let mut orders = Vec::new();
-        let Some(m) = self.machines.get(&held.machine) else {
-            return orders;
+    /// carried out late. Each launched task is on record, each acknowledged outcome too.
+    pub(super) fn commands(&mut self, context: &Context, pending: &PendingCheckin) -> Vec<Command> {
+        let now = context.now.steady;
+        let mut commands = Vec::new();
+        let Some(m) = self.machines.get(&pending.machine) else {
+            return commands;
         };
-        if m.tenure != held.tenure {
-            return orders;
+        if m.session != pending.session {
+            return commands;
         }
-        for r in &m.reaps {
-            if orders.len() < MOST_ORDERS && self.is_durable(&r.after, r.job) {
-                orders.push(Order {
-                    verb: "reap".into(),
-                    shard: r.shard.clone(),
+        for r in &m.exited_attempts {
+            if commands.len() < MOST_COMMANDS && self.is_durable(&r.after, r.job) {
+                commands.push(Command {
+                    verb: Verb::Acknowledge,
+                    task_name: r.task_name.clone(),
                     attempt: r.attempt,
-                    leeway_s: None,
+                    grace_s: None,
                 });
             }
         }
         let (ledger, jobs) = (&self.ledger, &self.jobs);
-        let Some(m) = self.machines.get_mut(&held.machine) else {
-            return orders;
+        let Some(m) = self.machines.get_mut(&pending.machine) else {
+            return commands;
         };
         let recalled = m.recall_at.is_some();
         for a in &mut m.assignments {
-            if orders.len() >= MOST_ORDERS {
+            if commands.len() >= MOST_COMMANDS {
                 break;
             }
             if let Some(stop) = &mut a.stop {
                 if a.launched.is_some() {
                     stop.sent = Some(now);
-                    orders.push(stop_order(&a.job_id, a.task, a.attempt, stop.leeway));
+                    commands.push(stop_command(&a.job_id, a.task, a.attempt, stop.grace));
                 }
                 continue;
             }
             let alive = jobs
                 .get(a.job)
                 .is_some_and(|j| j.cancelled.is_none() && !j.is_done(a.task));
-            let written = ledger.is_durable(&Rec::Page(a.page), a.written);
-            if a.launched.is_none() && written && alive && !recalled && a.tenure == held.tenure {
-                a.launched = Some((held.tenure, held.tally));
-                orders.push(Order {
-                    verb: "launch".into(),
-                    shard: format!("{}/{}", a.job_id, a.task),
+            let written = ledger.is_durable(&RecordId::Page(a.page), a.written);
+            if a.launched.is_none() && written && alive && !recalled && a.session == pending.session
+            {
+                a.launched = Some((pending.session, pending.sequence));
+                commands.push(Command {
+                    verb: Verb::Launch,
+                    task_name: format!("{}/{}", a.job_id, a.task),
                     attempt: a.attempt,
-                    leeway_s: None,
+                    grace_s: None,
                 });
             }
         }
-        orders
+        commands
     }
 }
 
@@ -139,38 +147,45 @@
     pub(crate) fn on_checkin(&mut self, id: u64, body: &[u8]) {
         let report: Report = match wire::from_cbor(body) {
             Ok(r) => r,
-            Err(e) => return self.cx.refuse(id, 400, &e.to_string()),
+            Err(e) => return self.context.refuse(id, 400, &e.to_string()),
         };
         let bad = |s: &str| s.is_empty() || s.len() > 150;
-        if bad(&report.perch) || bad(&report.yard) || bad(&report.build) || report.tenure == 0 {
+        if bad(&report.machine)
+            || bad(&report.zone)
+            || bad(&report.machine_type)
+            || report.session == 0
+        {
             return self
-                .cx
+                .context
                 .refuse(id, 400, "perch, yard, build or tenure is invalid");
         }
-        self.cx.token = self.cx.token.max(report.warrant);
-        let me = self.cx.settings.member.clone();
+        self.context.token = self.context.token.max(report.token);
+        let me = self.context.settings.member.clone();
         let unread = self.lead.as_ref().is_some_and(|l| !l.loaded());
         let blind = unread && !self.may_renew();
         match &mut self.lead {
             // It may have come in during the standstill, and the grant may have run out.
             Some(lead) if lead.doubtful() => {
-                self.cx.refuse(id, 503, "it is not certain who leads");
+                self.context.refuse(id, 503, "it is not certain who leads");
             }
             // Before state is read only the node's own knowledge of cancellations stops tasks.
             Some(_) if blind => {
-                self.cx.refuse(id, 503, "cancellations are not known yet");
+                self.context
+                    .refuse(id, 503, "cancellations are not known yet");
+            }
+            Some(lead) if report.token <= lead.token => {
+                lead.on_checkin(&mut self.context, id, report)
             }
-            Some(lead) if report.warrant <= lead.token => lead.on_checkin(&mut self.cx, id, report),
             // Somebody with a higher token acts for the controllers: not us, and it is not known
             // here who.
-            Some(_) => self.cx.answer(id, 421, &Redirect { steward: None }),
+            Some(_) => self.context.answer(id, 421, &Redirect { leader: None }),
             None => {
-                let steward = self
+                let leader = self
                     .election
                     .leader()
                     .filter(|l| *l != me)
                     .map(str::to_string);
-                self.cx.answer(id, 421, &Redirect { steward });
+                self.context.answer(id, 421, &Redirect { leader });
             }
         }
     }
--- a/crates/core/src/workers/exits.rs
+++ b/crates/core/src/workers/exits.rs
@@ -4,21 +4,33 @@
 
 impl Lead {
     /// Notes that a task is done; the result says when that is durable.
-    pub(super) fn completed(&mut self, cx: &Ctx, ix: JobIx, task: u64) -> Option<(Rec, u64)> {
-        let job = self.jobs.get_mut(ix)?;
+    pub(super) fn completed(
+        &mut self,
+        context: &Context,
+        index: JobIndex,
+        task: u64,
+    ) -> Option<(RecordId, u64)> {
+        let job = self.jobs.get_mut(index)?;
         if !job.complete(task) {
             return None;
         }
-        let page = Rec::Done(self.done_pages.page_of(ix, task / DONE_SPAN, job));
-        self.progress_dirty.insert(ix);
-        // The worker keeps the result until it is reaped: the write can wait for others.
-        let due = cx.now.steady + DONE_DELAY;
+        let page = RecordId::Done(self.done_pages.page_of(index, task / DONE_SPAN, job));
+        self.progress_dirty.insert(index);
+        // The worker keeps the result until it is acknowledged: the write can wait for others.
+        let due = context.now.steady + DONE_DELAY;
         Some((page.clone(), self.ledger.touch_by(page, due)))
     }
 
     /// An assignment's task has exited.
-    pub(super) fn exited(&mut self, cx: &mut Ctx, name: &str, at: usize, cause: &str, shard: &str) {
-        let now = cx.now.steady;
+    pub(super) fn exited(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        at: usize,
+        cause: &ExitCause,
+        task_name: &str,
+    ) {
+        let now = context.now.steady;
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
@@ -27,8 +39,8 @@
         let mut failed = false;
         let job = self.jobs.get_mut(a.job);
         match (cause, job) {
-            ("no_room" | "busy", _) => {
-                warn!("{shard}: {name} refused it: {cause}");
+            (ExitCause::NoRoom | ExitCause::Busy, _) => {
+                warn!("{task_name}: {name} refused it: {cause}");
                 m.shy_until = now + 3 * SECOND;
             }
             // A replica is to run again, however it ended; unless we stopped it, it ended by itself.
@@ -39,12 +51,12 @@
                     (false, at) => at.map_or(0, |at| now.saturating_sub(at)),
                 };
                 if a.stop.is_none() {
-                    info!("{shard}: {cause} on {name} after {} s", ran / SECOND);
+                    info!("{task_name}: {cause} on {name} after {} s", ran / SECOND);
                     job.replica_ended(a.task, name, ran, now);
-                    failed = cause == "error";
+                    failed = *cause == ExitCause::Error;
                 }
             }
-            ("done", Some(job)) => {
+            (ExitCause::Done, Some(job)) => {
                 m.errors.clear();
                 job.errors = 0;
                 // Only a run seen from its beginning says how long such tasks take.
@@ -54,47 +66,48 @@
                     let (mean, n) = job.run_mean;
                     job.run_mean = ((mean * n as u64 + run) / (n as u64 + 1), (n + 1).min(1_000));
                 }
-                after.extend(self.completed(cx, a.job, a.task));
+                after.extend(self.completed(context, a.job, a.task));
             }
-            ("error", Some(job)) => {
+            (ExitCause::Error, Some(job)) => {
                 job.errors += 1;
                 job.retry_at = now + error_backoff(job.errors);
                 job.running_well_since = now;
                 failed = true;
-                info!("{shard}: error on {name}");
+                info!("{task_name}: error on {name}");
             }
-            ("unknown", Some(job)) => {
+            (ExitCause::UnknownJob, Some(job)) => {
                 job.errors += 1;
                 job.retry_at = now + error_backoff(job.errors.max(3));
             }
+            (ExitCause::Unknown(word), _) => warn!("{task_name}: {name} gives {word:?} as cause"),
             _ => {}
         }
         if failed {
-            self.note_failure(cx, name, a.job);
+            self.note_failure(context, name, a.job);
         }
-        self.free(cx, name, at);
+        self.free(context, name, at);
         if let Some(m) = self.machines.get_mut(name) {
-            m.reaps.push(Reap {
-                shard: shard.to_string(),
+            m.exited_attempts.push(ExitedAttempt {
+                task_name: task_name.to_string(),
                 attempt: a.attempt,
                 after,
                 job: Some(a.job),
             });
         }
-        self.end_if_over(cx, a.job);
+        self.end_if_over(context, a.job);
     }
 
     /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is
     /// returned; by a single job alone two machines are at the most.
-    pub(super) fn note_failure(&mut self, cx: &Ctx, name: &str, ix: JobIx) {
-        let Some(job) = self.jobs.get_mut(ix) else {
+    pub(super) fn note_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
+        let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
         let id = job.id.clone();
         let was_suspect = job.is_suspect();
         job.note_failure(name);
         if job.is_suspect() && !was_suspect {
-            self.acquit_machines(cx);
+            self.acquit_machines(context);
         }
         let suspect = |id: &str| is_suspect(&self.jobs, id);
         let Some(machine) = self.machines.get_mut(name) else {
@@ -104,7 +117,7 @@
         if machine.closing && !machine.emptying {
             return;
         }
-        match (machine.blame(), self.jobs.get_mut(ix)) {
+        match (machine.blame(), self.jobs.get_mut(index)) {
             (Blame::ByTwoJobs, _) => machine.retire_as_faulty(),
             (Blame::ByOneJob, Some(job)) if job.blamed < MOST_BLAMED_BY_ONE_JOB => {
                 job.blamed += 1;
@@ -116,47 +129,47 @@
 
     /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
     /// others are left that speak against them.
-    pub(super) fn acquit_machines(&mut self, cx: &Ctx) {
+    pub(super) fn acquit_machines(&mut self, context: &Context) {
         let suspect = |id: &str| is_suspect(&self.jobs, id);
         for machine in self.machines.values_mut().filter(|m| m.faulty) {
             machine.forget_failures(suspect);
             if machine.blame() == Blame::None && !self.fleet.is_releasing(&machine.name) {
                 machine.keep_after_all();
-                self.placement.want(cx.now.steady);
+                self.placement.want(context.now.steady);
             }
         }
     }
 
     /// A worker reports an exit of an attempt that is on no page of ours, such as one whose
-    /// removal was written before an earlier leader could have it reaped.
+    /// removal was written before an earlier leader could have it acknowledged.
     pub(super) fn exited_unknown(
         &mut self,
-        cx: &mut Ctx,
+        context: &mut Context,
         name: &str,
         job_id: &str,
         task: u64,
-        s: &ShardReport,
+        s: &TaskReport,
     ) {
         let known = self.machines.get(name).is_some_and(|m| {
-            m.reaps
+            m.exited_attempts
                 .iter()
-                .any(|r| r.shard == s.shard && r.attempt == s.attempt)
+                .any(|r| r.task_name == s.task_name && r.attempt == s.attempt)
         });
         if known {
             return;
         }
-        let ix = self.jobs.find(job_id);
+        let index = self.jobs.find(job_id);
         let mut after = Vec::new();
-        if let (Some("done"), Some(ix)) = (s.cause.as_deref(), ix) {
-            after.extend(self.completed(cx, ix, task));
-            self.end_if_over(cx, ix);
+        if let (Some(ExitCause::Done), Some(index)) = (&s.cause, index) {
+            after.extend(self.completed(context, index, task));
+            self.end_if_over(context, index);
         }
         if let Some(m) = self.machines.get_mut(name) {
-            m.reaps.push(Reap {
-                shard: s.shard.clone(),
+            m.exited_attempts.push(ExitedAttempt {
+                task_name: s.task_name.clone(),
                 attempt: s.attempt,
                 after,
-                job: ix,
+                job: index,
             });
         }
     }
--- a/crates/core/src/workers/machine.rs
+++ b/crates/core/src/workers/machine.rs
@@ -15,7 +15,7 @@
 /// Why and how a task is to be stopped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
-    pub leeway: Micros,
+    pub grace: Micros,
     pub since: Micros,
     /// When the command was last sent directly.
     pub sent: Option<Micros>,
@@ -24,11 +24,11 @@
 /// A task given to a machine: from its decision until proof that it is gone.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    pub job: JobIx,
+    pub job: JobIndex,
     pub job_id: String,
     pub task: u64,
     pub attempt: u64,
-    pub tenure: u64,
+    pub session: u64,
     pub page: u64,
     /// Number of the page's change that holds it; it may be launched once that is durable.
     pub written: u64,
@@ -37,7 +37,7 @@
     pub memory: f64,
     pub team: String,
     pub zone: String,
-    /// The (tenure, tally) of the check-in whose answer carried the launch. An assignment read
+    /// The (session, sequence) of the check-in whose answer carried the launch. An assignment read
     /// back from state counts as launched by an older holder: `(0, 0)`.
     pub launched: Option<(u64, u64)>,
     pub seen: Seen,
@@ -75,30 +75,30 @@
 
 /// An exited attempt to be removed from the reports once its outcome is durable.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reap {
-    pub shard: String,
+pub struct ExitedAttempt {
+    pub task_name: String,
     pub attempt: u64,
     /// Records, with their change numbers, that must be durable first.
-    pub after: Vec<(Rec, u64)>,
-    pub job: Option<JobIx>,
+    pub after: Vec<(RecordId, u64)>,
+    pub job: Option<JobIndex>,
 }
 
 /// A machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub name: String,
-    pub endpoint: String,
+    pub address: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub cpus: f64,
     pub gpus: f64,
     pub memory: f64,
-    pub tenure: u64,
-    pub tally: u64,
+    pub session: u64,
+    pub sequence: u64,
     /// Whether it has reported under our token.
     pub knows_token: bool,
-    /// The newest check-in, by (tenure, tally). The answer to a direct command may overtake it.
+    /// The newest check-in, by (session, sequence). The answer to a direct command may overtake it.
     pub checkin: (u64, u64),
     /// When it last checked in: only then can anything be launched.
     pub last_checkin: Micros,
@@ -111,7 +111,7 @@
     pub assignments: Vec<Assignment>,
     /// CPUs, accelerators and memory that the assignments take.
     pub used: (f64, f64, f64),
-    pub reaps: Vec<Reap>,
+    pub exited_attempts: Vec<ExitedAttempt>,
     pub idle_since: Micros,
     /// Images it has, the most recently used last, with their sizes.
     pub images: VecDeque<(String, f64)>,
@@ -155,18 +155,18 @@
 }
 
 impl Machine {
-    pub fn new(report: &Report, build: Option<&MachineType>, now: Micros) -> Self {
+    pub fn new(report: &Report, machine_type: Option<&MachineType>, now: Micros) -> Self {
         Machine {
-            name: report.perch.clone(),
-            endpoint: report.endpoint.clone(),
-            machine_type: report.build.clone(),
-            zone: report.yard.clone(),
-            spot: report.loaner,
-            cpus: build.map_or(0.0, |b| b.vcpus),
-            gpus: build.map_or(0.0, |b| b.accelerators),
-            memory: build.map_or(0.0, |b| b.memory_gb),
-            tenure: 0,
-            tally: 0,
+            name: report.machine.clone(),
+            address: report.address.clone(),
+            machine_type: report.machine_type.clone(),
+            zone: report.zone.clone(),
+            spot: report.spot,
+            cpus: machine_type.map_or(0.0, |b| b.cpus),
+            gpus: machine_type.map_or(0.0, |b| b.gpus),
+            memory: machine_type.map_or(0.0, |b| b.memory_gb),
+            session: 0,
+            sequence: 0,
             knows_token: false,
             checkin: (0, 0),
             last_checkin: now,
@@ -175,11 +175,11 @@
             recall_at: None,
             assignments: Vec::new(),
             used: (0.0, 0.0, 0.0),
-            reaps: Vec::new(),
+            exited_attempts: Vec::new(),
             idle_since: now,
             images: VecDeque::new(),
-            cache_gb: build.and_then(|b| b.local_gb).unwrap_or(0.0),
-            fetch_gb_per_s: build
+            cache_gb: machine_type.and_then(|b| b.local_gb).unwrap_or(0.0),
+            fetch_gb_per_s: machine_type
                 .and_then(|b| b.fetch_gb_per_s)
                 .filter(|r| *r > 0.0)
                 .unwrap_or(1.0),
@@ -288,7 +288,7 @@
         !self.closing
             && doubtful <= ANSWER_TIME
             && self.recall_at.is_none()
-            && self.tenure > 0
+            && self.session > 0
             && self.shy_until <= now
             && now.saturating_sub(self.last_checkin) <= silence
     }
--- a/crates/core/src/workers/machine/tests.rs
+++ b/crates/core/src/workers/machine/tests.rs
@@ -2,19 +2,19 @@
 
 fn machine(now: Micros) -> Machine {
     let report = Report {
-        perch: "n-000001".into(),
-        endpoint: "10.1.0.1:9000".into(),
-        build: "std".into(),
-        yard: "a".into(),
-        loaner: true,
-        tenure: 1,
-        tally: 1,
-        warrant: 0,
+        machine: "n-000001".into(),
+        address: "10.1.0.1:9000".into(),
+        machine_type: "std".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 1,
+        sequence: 1,
+        token: 0,
         recall_s: None,
-        shards: Vec::new(),
+        tasks: Vec::new(),
     };
     let mut m = Machine::new(&report, None, now);
-    m.tenure = 1;
+    m.session = 1;
     m
 }
 
@@ -41,7 +41,7 @@
         job_id: "req-1".into(),
         task: 0,
         attempt: 1,
-        tenure: 1,
+        session: 1,
         page: 0,
         written: 0,
         cpus: 1.0,
--- /dev/null
+++ b/crates/core/src/workers/pending_checkins.rs
@@ -0,0 +1,179 @@
+//! Check-ins whose answers wait: for a flush or a round of placement, or, from machines with room,
+//! for work to come.
+
+use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Longest time that a check-in waits for work. A worker gives up after [`ANSWER_TIME`], and its
+/// answer has yet to travel.
+const MOST_PARKED: Micros = 3 * SECOND;
+
+/// A check-in that is not answered yet.
+#[derive(Clone, Debug)]
+pub struct PendingCheckin {
+    pub request: u64,
+    /// The round of placement that it waits for.
+    pub round: u64,
+    pub machine: String,
+    pub session: u64,
+    pub sequence: u64,
+    pub until: Micros,
+}
+
+/// Check-ins of machines with room, which wait for work. Reports may be several seconds apart; work
+/// that comes in between would wait for the next one, since only an answer launches anything.
+#[derive(Debug, Default)]
+pub struct Parked {
+    by_machine: BTreeMap<String, PendingCheckin>,
+    by_time: BTreeSet<(Micros, String)>,
+}
+
+impl Parked {
+    pub fn contains(&self, machine: &str) -> bool {
+        self.by_machine.contains_key(machine)
+    }
+
+    /// When the first of them is to be answered.
+    pub fn next_until(&self) -> Micros {
+        self.by_time.first().map_or(Micros::MAX, |(at, _)| *at)
+    }
+
+    fn insert(&mut self, pending: PendingCheckin) {
+        self.by_time
+            .insert((pending.until, pending.machine.clone()));
+        self.by_machine.insert(pending.machine.clone(), pending);
+    }
+
+    fn remove(&mut self, machine: &str) -> Option<PendingCheckin> {
+        let pending = self.by_machine.remove(machine)?;
+        self.by_time
+            .remove(&(pending.until, pending.machine.clone()));
+        Some(pending)
+    }
+}
+
+impl Lead {
+    /// Requests of all check-ins that wait.
+    pub(crate) fn waiting_checkins(&self) -> Vec<u64> {
+        let parked = self.parked.by_machine.values();
+        self.pending_checkins
+            .iter()
+            .chain(parked)
+            .map(|h| h.request)
+            .collect()
+    }
+
+    /// The worker closed the connection of this request.
+    pub(crate) fn forget_checkin(&mut self, request: u64) {
+        self.pending_checkins.retain(|h| h.request != request);
+        let parked = self.parked.by_machine.values();
+        let machine = parked
+            .into_iter()
+            .find(|h| h.request == request)
+            .map(|h| h.machine.clone());
+        if let Some(machine) = machine {
+            self.parked.remove(&machine);
+        }
+    }
+
+    /// Refuses the machine's check-in that waits, if there is one.
+    pub(crate) fn refuse_pending(&mut self, context: &mut Context, machine: &str, why: &str) {
+        if let Some(at) = self
+            .pending_checkins
+            .iter()
+            .position(|h| h.machine == machine)
+        {
+            let pending = self.pending_checkins.remove(at);
+            context.refuse(pending.request, 503, why);
+        }
+        if let Some(pending) = self.parked.remove(machine) {
+            context.refuse(pending.request, 503, why);
+        }
+    }
+
+    /// Whether a check-in of the machine may wait for work: it has room, and no task of it is likely
+    /// to end meanwhile, since the worker can tell so only after our answer.
+    pub(super) fn may_park(&self, context: &Context, machine: &str) -> bool {
+        let now = context.now.steady;
+        let span = parked_span(context);
+        self.machines.get(machine).is_some_and(|m| {
+            m.free().0 > EPS
+                && m.usable(now, 3 * context.settings.report)
+                && m.exited_attempts.is_empty()
+                && m.assignments.iter().all(|a| {
+                    a.stop.is_none() && a.remaining(now, 0) > (2 * span).max(a.expected / 2)
+                })
+        })
+    }
+
+    pub(super) fn park(&mut self, context: &Context, mut pending: PendingCheckin) {
+        pending.until = context.now.steady + parked_span(context);
+        self.parked.insert(pending);
+    }
+
+    /// The machine has got work: the answer to its check-in waits only until that is on record.
+    pub(crate) fn unpark(&mut self, context: &Context, machine: &str) {
+        if let Some(mut pending) = self.parked.remove(machine) {
+            pending.until = context.now.steady + HOLD;
+            if self.pending_checkins.is_empty() {
+                self.pending_until = pending.until;
+            }
+            self.pending_checkins.push(pending);
+        }
+    }
+
+    /// Answers the check-ins that wait for nothing any more, or have waited long enough.
+    pub(crate) fn run_pending(&mut self, context: &mut Context) {
+        let now = context.now.steady;
+        while self.parked.next_until() <= now {
+            let Some((_, machine)) = self.parked.by_time.first().cloned() else {
+                break;
+            };
+            if let Some(pending) = self.parked.remove(&machine) {
+                let commands = self.commands(context, &pending);
+                self.answer_checkin(context, pending.request, commands);
+            }
+        }
+        if self.pending_checkins.is_empty() || !(self.pending_changed || now >= self.pending_until)
+        {
+            return;
+        }
+        self.pending_changed = false;
+        for h in std::mem::take(&mut self.pending_checkins) {
+            if self.may_be_answered(context, &h) {
+                let commands = self.commands(context, &h);
+                self.answer_checkin(context, h.request, commands);
+            } else {
+                self.pending_checkins.push(h);
+            }
+        }
+        self.pending_until = self
+            .pending_checkins
+            .iter()
+            .map(|h| h.until)
+            .min()
+            .unwrap_or(0);
+    }
+
+    pub(super) fn may_be_answered(&self, context: &Context, h: &PendingCheckin) -> bool {
+        context.now.steady >= h.until
+            || !context.in_contact(2 * SECOND)
+            || (self.placement.rounds >= h.round && !self.waits_for_flush(&h.machine))
+    }
+
+    fn waits_for_flush(&self, name: &str) -> bool {
+        self.machines.get(name).is_some_and(|m| {
+            m.assignments.iter().any(|a| {
+                a.launched.is_none()
+                    && a.stop.is_none()
+                    && !self.ledger.is_durable(&RecordId::Page(a.page), a.written)
+            })
+        })
+    }
+}
+
+/// How long a check-in may wait for work: the answer comes before the next report is due, so that
+/// the machine is heard as often as without.
+fn parked_span(context: &Context) -> Micros {
+    MOST_PARKED.min(context.settings.report * 3 / 4)
+}
--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/workers/reports.rs
@@ -4,33 +4,39 @@
 
 impl Lead {
     /// Takes in a report. Returns false if a newer one is known already.
-    pub(super) fn on_report(&mut self, cx: &mut Ctx, report: Report, source: Source) -> bool {
-        let now = cx.now.steady;
-        let name = report.perch.clone();
+    pub(super) fn on_report(
+        &mut self,
+        context: &mut Context,
+        report: Report,
+        source: Source,
+    ) -> bool {
+        let now = context.now.steady;
+        let name = report.machine.clone();
         if !self.machines.contains_key(&name) {
-            let mut machine = Machine::new(&report, cx.machine_type(&report.build), now);
+            let mut machine =
+                Machine::new(&report, context.machine_type(&report.machine_type), now);
             // One that we wait for gets work at once; of others it must be seen first that our
             // answers reach them.
             machine.hears = self.fleet.is_booting(&name);
             self.machines.insert(name.clone(), machine);
         }
-        self.machine_is_up(cx, &report);
+        self.machine_is_up(context, &report);
         let Some(m) = self.machines.get_mut(&name) else {
             return false;
         };
-        if (report.tenure, report.tally) <= (m.tenure, m.tally) {
+        if (report.session, report.sequence) <= (m.session, m.sequence) {
             return false;
         }
         // Known from state only until now, or reported before the machine types were known: a
         // machine without its type's room would stay empty for good.
-        if m.endpoint.is_empty() || m.cpus <= 0.0 {
-            let known = Machine::new(&report, cx.machine_type(&report.build), now);
+        if m.address.is_empty() || m.cpus <= 0.0 {
+            let known = Machine::new(&report, context.machine_type(&report.machine_type), now);
             *m = Machine {
                 assignments: std::mem::take(&mut m.assignments),
                 used: m.used,
-                reaps: std::mem::take(&mut m.reaps),
-                tenure: m.tenure,
-                tally: m.tally,
+                exited_attempts: std::mem::take(&mut m.exited_attempts),
+                session: m.session,
+                sequence: m.sequence,
                 knows_token: m.knows_token,
                 closing: m.closing,
                 emptying: m.emptying,
@@ -40,17 +46,17 @@
                 ..known
             };
         }
-        m.endpoint = report.endpoint.clone();
+        m.address = report.address.clone();
         m.last_report = now;
         m.recall_at = report.recall_s.map(|s| now + micros(s));
-        let new_tenure = report.tenure > m.tenure;
-        m.tenure = report.tenure;
-        m.tally = report.tally;
+        let new_session = report.session > m.session;
+        m.session = report.session;
+        m.sequence = report.sequence;
         if source == Source::Checkin {
-            m.checkin = (report.tenure, report.tally);
+            m.checkin = (report.session, report.sequence);
             m.last_checkin = now;
         }
-        if report.warrant == self.token {
+        if report.token == self.token {
             // Until it saw our token, answers of an earlier leader that does not know of its end
             // renewed its lease; a check-in's own answer is yet to come.
             if !m.knows_token && source == Source::Direct {
@@ -61,29 +67,29 @@
         // A worker that has our answer reports here again well before the time after which one
         // without an answer gives up and goes elsewhere.
         let in_time = now.saturating_sub(m.last_answer) < ANSWER_TIME;
-        if source == Source::Checkin && m.knows_token && in_time && !new_tenure {
+        if source == Source::Checkin && m.knows_token && in_time && !new_session {
             m.hears = true;
             m.deaf_since = None;
         }
-        if new_tenure && report.tenure > 1 {
+        if new_session && report.session > 1 {
             m.hears = false;
         }
-        if new_tenure {
-            m.reaps.clear();
+        if new_session {
+            m.exited_attempts.clear();
             // A new session: the worker has killed and forgotten every task of the earlier ones.
-            while let Some(at) = self.position(&name, |a| a.tenure < report.tenure) {
-                self.free(cx, &name, at);
+            while let Some(at) = self.position(&name, |a| a.session < report.session) {
+                self.free(context, &name, at);
             }
         }
-        if report.warrant == self.token {
-            self.take_tasks(cx, &report, source);
+        if report.token == self.token {
+            self.take_tasks(context, &report, source);
         }
         if report.recall_s.is_some() {
             // Nothing is launched here any more: what waited for its record once waited on until
             // the machine was gone.
-            self.free_unlaunched(cx, &name);
-            self.drain_recalled(cx, &name);
-            self.move_replicas(cx, &name);
+            self.free_unlaunched(context, &name);
+            self.drain_recalled(context, &name);
+            self.move_replicas(context, &name);
         }
         let mut deaf = false;
         if let Some(m) = self.machines.get_mut(&name) {
@@ -93,7 +99,7 @@
             if !m.hears {
                 deaf = true;
                 let since = *m.deaf_since.get_or_insert(now);
-                if now.saturating_sub(since) > 2 * cx.settings.lease && !m.closing {
+                if now.saturating_sub(since) > 2 * context.settings.lease && !m.closing {
                     info!("{name}: reports, but no answer reaches it; to be returned");
                     m.closing = true;
                     self.fleet.release(&name, now);
@@ -101,35 +107,39 @@
             }
         }
         if deaf {
-            self.free_unlaunched(cx, &name);
+            self.free_unlaunched(context, &name);
         }
         true
     }
 
     /// Frees what was placed on a machine but not launched: it can only be launched by an answer
     /// that reaches the worker.
-    pub(super) fn free_unlaunched(&mut self, cx: &mut Ctx, name: &str) {
+    pub(super) fn free_unlaunched(&mut self, context: &mut Context, name: &str) {
         while let Some(at) = self.position(name, |a| a.launched.is_none()) {
-            self.free(cx, name, at);
+            self.free(context, name, at);
         }
     }
 
     /// Compares a report, which has seen our token, with what should be on the machine.
-    pub(super) fn take_tasks(&mut self, cx: &mut Ctx, report: &Report, source: Source) {
-        let now = cx.now.steady;
-        let name = &report.perch;
-        for s in &report.shards {
-            let Some((job_id, task)) = parse_task(&s.shard) else {
-                warn!("{name}: task {:?} is not of the form job/number", s.shard);
+    pub(super) fn take_tasks(&mut self, context: &mut Context, report: &Report, source: Source) {
+        let now = context.now.steady;
+        let name = &report.machine;
+        for s in &report.tasks {
+            let Some((job_id, task)) = parse_task(&s.task_name) else {
+                warn!(
+                    "{name}: task {:?} is not of the form job/number",
+                    s.task_name
+                );
                 continue;
             };
             let at = self.position(name, |a| {
                 a.attempt == s.attempt && a.task == task && a.job_id == job_id
             });
-            let exited = s.status == "exited";
+            let exited = s.status == TaskStatus::Exited;
             match at {
                 Some(at) if exited => {
-                    self.exited(cx, name, at, s.cause.as_deref().unwrap_or(""), &s.shard)
+                    let cause = s.cause.as_ref().unwrap_or(&NO_CAUSE);
+                    self.exited(context, name, at, cause, &s.task_name)
                 }
                 Some(at) => {
                     let Some(m) = self.machines.get_mut(name) else {
@@ -137,37 +147,42 @@
                     };
                     let a = &mut m.assignments[at];
                     let before = a.seen;
-                    a.seen = match s.status.as_str() {
-                        "running" => Seen::Running,
-                        "saving" => Seen::Saving,
-                        _ => Seen::Fetching,
+                    a.seen = match &s.status {
+                        TaskStatus::Running => Seen::Running,
+                        TaskStatus::Saving => Seen::Saving,
+                        TaskStatus::Fetching | TaskStatus::Exited => Seen::Fetching,
+                        TaskStatus::Unknown(word) => {
+                            warn!("{}: {name} gives {word:?} as status", s.task_name);
+                            Seen::Fetching
+                        }
                     };
                     if a.seen == Seen::Running && a.started.is_none() {
                         // When a task of an earlier leader began is not known: halfway, say.
                         let ran = if a.recovered() { a.expected / 2 } else { 0 };
                         a.started = Some(now.saturating_sub(ran));
                     }
-                    let (ix, seen) = (a.job, a.seen);
-                    self.count_running(now, ix, before, seen);
+                    let (index, seen) = (a.job, a.seen);
+                    self.count_running(now, index, before, seen);
                 }
-                None if exited => self.exited_unknown(cx, name, job_id, task, s),
-                None => self.foreign(cx, report, job_id, task, s),
+                None if exited => self.exited_unknown(context, name, job_id, task, s),
+                None => self.stop_unrecorded(context, report, job_id, task, s),
             }
         }
-        let listed = |shard: &str, attempt: u64| {
+        let listed = |task_name: &str, attempt: u64| {
             report
-                .shards
+                .tasks
                 .iter()
-                .any(|s| s.attempt == attempt && s.shard == shard)
+                .any(|s| s.attempt == attempt && s.task_name == task_name)
         };
         if let Some(m) = self.machines.get_mut(name) {
-            m.reaps.retain(|r| listed(&r.shard, r.attempt));
+            m.exited_attempts
+                .retain(|r| listed(&r.task_name, r.attempt));
         }
         if source == Source::Direct {
             // The answer to a check-in may still bring a launch: absence proves nothing here.
             return;
         }
-        let newest = (report.tenure, report.tally);
+        let newest = (report.session, report.sequence);
         let mut lost = false;
         let mut at = 0;
         while let Some(a) = self
@@ -187,7 +202,7 @@
                 at += 1;
             } else {
                 // A later report that has seen our token, without the task: it is gone.
-                self.free(cx, name, at);
+                self.free(context, name, at);
             }
         }
         if let (true, Some(m)) = (lost, self.machines.get_mut(name)) {
@@ -196,12 +211,12 @@
     }
 
     /// Counts a task of the job that began or ceased to run, as far as seen.
-    pub(super) fn count_running(&mut self, at: Micros, ix: JobIx, before: Seen, now: Seen) {
+    pub(super) fn count_running(&mut self, at: Micros, index: JobIndex, before: Seen, now: Seen) {
         let (was, is) = (before == Seen::Running, now == Seen::Running);
         if was == is {
             return;
         }
-        if let Some(job) = self.jobs.get_mut(ix) {
+        if let Some(job) = self.jobs.get_mut(index) {
             if is && job.began_at.is_none() {
                 job.began_at = Some(job.age(at));
             }
@@ -212,7 +227,7 @@
                 true => job.running + 1,
                 false => job.running.saturating_sub(1),
             };
-            self.progress_dirty.insert(ix);
+            self.progress_dirty.insert(index);
         }
     }
 }
--- a/crates/core/src/workers/silence.rs
+++ b/crates/core/src/workers/silence.rs
@@ -5,14 +5,14 @@
 impl Lead {
     /// Whether no worker reaches this node though there should be some: then another node had
     /// better lead.
-    pub(crate) fn cut_from_workers(&self, cx: &Ctx) -> bool {
-        let now = cx.now.steady;
+    pub(crate) fn cut_from_workers(&self, context: &Context) -> bool {
+        let now = context.now.steady;
         // A worker that gets no answer for 4 s goes to another node, and its lease should still hold
         // when it finds the next leader there: a report and a half once reports are far apart.
-        let report = cx.settings.report;
+        let report = context.settings.report;
         let silence = (report * 5 / 2).min((report * 3 / 2).max(ANSWER_TIME));
         let since = now.saturating_sub(self.heard_at.max(self.loaded_at));
-        if !self.loaded() || cx.settings.siblings.is_empty() || since <= silence {
+        if !self.loaded() || context.settings.siblings.is_empty() || since <= silence {
             return false;
         }
         // Machines known from state only have yet to find this node: they get more time.
@@ -25,7 +25,7 @@
             0 => {
                 let list = self.fleet.has_list();
                 let real = |m: &Machine| {
-                    m.knows_token || (m.endpoint.is_empty() && (m.listed.is_some() || !list))
+                    m.knows_token || (m.address.is_empty() && (m.listed.is_some() || !list))
                 };
                 since > silence * 4 && self.machines.values().any(real)
             }
@@ -36,15 +36,15 @@
     }
 
     /// Looks after silent machines, stops that were not carried out, and recalls.
-    pub(crate) fn run_machines(&mut self, cx: &mut Ctx) {
-        let now = cx.now.steady;
+    pub(crate) fn run_machines(&mut self, context: &mut Context) {
+        let now = context.now.steady;
         if now < self.next_machine_check {
             return;
         }
         self.next_machine_check = now + SECOND;
-        let s = &cx.settings;
+        let s = &context.settings;
         let (lease, cancel, report) = (s.lease, s.cancel, s.report);
-        let lapse = lapse(lease);
+        let lease_end = lease_end(lease);
         // Silence of all machines is our own cut, not theirs.
         let hearing = now.saturating_sub(self.heard_at) < 3 * report;
         // A new leader waits for the machines' first reports, to stop what it can without a release.
@@ -59,7 +59,7 @@
             // A machine may answer direct commands and reach no controller: nothing can be launched there.
             // A replica was once placed on such a one again and again, each time for a further session.
             let unheard = now.saturating_sub(m.last_checkin);
-            let lapsed = m.knows_token && now.saturating_sub(m.last_answer) > lapse;
+            let lapsed = m.knows_token && now.saturating_sub(m.last_answer) > lease_end;
             let jobs = &self.jobs;
             let cancelled = |a: &Assignment| jobs.get(a.job).is_none_or(|j| j.cancelled.is_some());
             if lapsed && m.assignments.iter().any(cancelled) {
@@ -69,8 +69,8 @@
                 self.fleet.release(&name, now);
                 m.closing = true;
             }
-            let tenure = m.tenure;
-            let ended = |a: &Assignment| a.tenure <= tenure && !cancelled(a);
+            let session = m.session;
+            let ended = |a: &Assignment| a.session <= session && !cancelled(a);
             if lapsed && m.assignments.iter().any(ended) {
                 // The worker has seen our token, so only our answers renew its lease, and the
                 // last one is too old: it has killed every task and is in a new session.
@@ -81,15 +81,15 @@
                     .filter(|a| ended(a))
                     .map(|a| a.attempt)
                     .collect();
-                m.tenure += 1;
-                m.tally = 0;
-                m.reaps.clear();
+                m.session += 1;
+                m.sequence = 0;
+                m.exited_attempts.clear();
                 while let Some(at) = self.position(&name, |a| attempts.contains(&a.attempt)) {
-                    self.free(cx, &name, at);
+                    self.free(context, &name, at);
                 }
             }
             if unheard > 3 * report {
-                self.free_unlaunched(cx, &name);
+                self.free_unlaunched(context, &name);
             }
             let Some(m) = self.machines.get(&name) else {
                 continue;
@@ -126,7 +126,7 @@
                 && now.saturating_sub(m.last_answer) >= ASK_AFTER
                 && self.direct.len() < MOST_ASKED
             {
-                self.send_orders(cx, &name, true);
+                self.send_commands(context, &name, true);
             }
             let Some(m) = self.machines.get(&name) else {
                 continue;
@@ -139,23 +139,27 @@
                 .map(|a| a.attempt)
                 .collect();
             if !useless.is_empty() {
-                self.stop_on(cx, &name, 0, |a| useless.contains(&a.attempt));
+                self.stop_on(context, &name, 0, |a| useless.contains(&a.attempt));
             }
-            self.drain_recalled(cx, &name);
-            self.move_replicas(cx, &name);
-            self.send_direct(cx, &name);
+            self.drain_recalled(context, &name);
+            self.move_replicas(context, &name);
+            self.send_direct(context, &name);
         }
-        self.check_silent_serving(cx, &silent_serving);
+        self.check_silent_serving(context, &silent_serving);
     }
 
     /// Machines that hold replicas and are silent are asked directly, and released if that brings no
     /// answer either. Many at once are more likely cut off than gone, and keep serving meanwhile.
-    pub(super) fn check_silent_serving(&mut self, cx: &mut Ctx, silent: &[(Micros, String)]) {
-        let now = cx.now.steady;
+    pub(super) fn check_silent_serving(
+        &mut self,
+        context: &mut Context,
+        silent: &[(Micros, String)],
+    ) {
+        let now = context.now.steady;
         let few = 1 + self.machines.len() / MOST_SILENT_PART;
         for (silence, name) in silent {
-            if *silence < cx.settings.report * 3 + 2 * SECOND {
-                self.send_orders(cx, name, true);
+            if *silence < context.settings.report * 3 + 2 * SECOND {
+                self.send_commands(context, name, true);
             } else if silent.len() <= few && self.fleet.release(name, now) {
                 info!(
                     "{name}: released, silent for {} s with replicas on it",
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -5,63 +5,68 @@
 impl Lead {
     /// A worker has a task that is on no page of ours. It is stopped, and counts as taken until
     /// it is proven gone.
-    pub(super) fn foreign(
+    pub(super) fn stop_unrecorded(
         &mut self,
-        cx: &mut Ctx,
+        context: &mut Context,
         report: &Report,
         job_id: &str,
         task: u64,
-        s: &ShardReport,
+        s: &TaskReport,
     ) {
-        let now = cx.now.steady;
-        error!("{}: has {}, which is not on record", report.perch, s.shard);
-        let ix = self.jobs.find(job_id);
-        if let Some(job) = ix.and_then(|ix| self.jobs.get_mut(ix)) {
+        let now = context.now.steady;
+        error!(
+            "{}: has {}, which is not on record",
+            report.machine, s.task_name
+        );
+        let index = self.jobs.find(job_id);
+        if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
             job.take(task);
-            *job.zones.entry(report.yard.clone()).or_insert(0) += 1;
+            *job.zones.entry(report.zone.clone()).or_insert(0) += 1;
         }
-        let spec = ix.and_then(|ix| self.jobs.get(ix)).map(|j| j.spec.clone());
+        let spec = index
+            .and_then(|index| self.jobs.get(index))
+            .map(|j| j.spec.clone());
         let page = self.page_with_room(1);
         let assignment = Assignment {
-            job: ix.unwrap_or(JobIx::MAX),
+            job: index.unwrap_or(JobIndex::MAX),
             job_id: job_id.to_string(),
             task,
             attempt: s.attempt,
-            tenure: report.tenure,
+            session: report.session,
             page,
             written: 0,
-            cpus: spec.as_ref().map_or(0.0, |s| s.vcpus),
-            gpus: spec.as_ref().map_or(0.0, |s| s.accelerators),
+            cpus: spec.as_ref().map_or(0.0, |s| s.cpus),
+            gpus: spec.as_ref().map_or(0.0, |s| s.gpus),
             memory: spec.as_ref().map_or(0.0, |s| s.memory_gb),
-            team: spec.as_ref().map_or(String::new(), |s| s.owner.clone()),
-            zone: report.yard.clone(),
-            launched: Some((report.tenure, report.tally)),
+            team: spec.as_ref().map_or(String::new(), |s| s.team.clone()),
+            zone: report.zone.clone(),
+            launched: Some((report.session, report.sequence)),
             seen: Seen::Running,
             decided: now,
             started: Some(now),
             expected: SECOND,
             stop: Some(Stop {
-                leeway: 0,
+                grace: 0,
                 since: now,
                 sent: None,
             }),
         };
-        self.page_mut(page).add(&report.perch, &assignment);
-        self.ledger.touch(Rec::Page(page), now);
-        self.hold(&report.perch, assignment);
-        self.send_direct(cx, &report.perch);
+        self.page_mut(page).add(&report.machine, &assignment);
+        self.ledger.touch(RecordId::Page(page), now);
+        self.hold(&report.machine, assignment);
+        self.send_direct(context, &report.machine);
     }
 
     /// Stops whatever may run of a job.
-    pub(crate) fn stop_job(&mut self, cx: &mut Ctx, ix: JobIx) {
+    pub(crate) fn stop_job(&mut self, context: &mut Context, index: JobIndex) {
         let names: Vec<String> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.assignments.iter().any(|a| a.job == ix))
+            .filter(|(_, m)| m.assignments.iter().any(|a| a.job == index))
             .map(|(n, _)| n.clone())
             .collect();
         for name in names {
-            self.stop_on(cx, &name, 0, |a| a.job == ix);
+            self.stop_on(context, &name, 0, |a| a.job == index);
         }
     }
 
@@ -69,22 +74,22 @@
     /// once.
     pub(crate) fn stop_on(
         &mut self,
-        cx: &mut Ctx,
+        context: &mut Context,
         name: &str,
-        leeway: Micros,
+        grace: Micros,
         test: impl Fn(&Assignment) -> bool,
     ) {
-        let now = cx.now.steady;
+        let now = context.now.steady;
         while let Some(at) = self.position(name, |a| test(a) && !a.may_exist()) {
-            self.free(cx, name, at);
+            self.free(context, name, at);
         }
         let mut any = false;
         if let Some(m) = self.machines.get_mut(name) {
             for a in m.assignments.iter_mut().filter(|a| test(a)) {
                 // A stop without leeway ends a task that is saving.
-                if a.stop.is_none_or(|s| leeway == 0 && s.leeway > 0) {
+                if a.stop.is_none_or(|s| grace == 0 && s.grace > 0) {
                     a.stop = Some(Stop {
-                        leeway,
+                        grace,
                         since: now,
                         sent: None,
                     });
@@ -93,54 +98,54 @@
             }
         }
         if any {
-            self.send_direct(cx, name);
+            self.send_direct(context, name);
         }
     }
 
     /// Sends the stops of a machine straight to it.
-    pub(super) fn send_direct(&mut self, cx: &mut Ctx, name: &str) {
-        self.send_orders(cx, name, false);
+    pub(super) fn send_direct(&mut self, context: &mut Context, name: &str) {
+        self.send_commands(context, name, false);
     }
 
     /// Sends stops that are due; with `ask` the command goes out even if there are none: its answer
     /// shows that the machine hears us.
-    pub(super) fn send_orders(&mut self, cx: &mut Ctx, name: &str, ask: bool) {
-        let now = cx.now.steady;
+    pub(super) fn send_commands(&mut self, context: &mut Context, name: &str, ask: bool) {
+        let now = context.now.steady;
         if self.doubtful() || self.direct.contains_key(name) {
             return;
         }
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        if m.endpoint.is_empty() {
+        if m.address.is_empty() {
             return;
         }
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for a in m.assignments.iter_mut().filter(|a| a.launched.is_some()) {
             if let Some(stop) = &mut a.stop {
-                if orders.len() < MOST_ORDERS
+                if commands.len() < MOST_COMMANDS
                     && stop.sent.is_none_or(|at| now >= at + DIRECT_INTERVAL)
                 {
                     stop.sent = Some(now);
-                    orders.push(stop_order(&a.job_id, a.task, a.attempt, stop.leeway));
+                    commands.push(stop_command(&a.job_id, a.task, a.attempt, stop.grace));
                 }
             }
         }
-        if orders.is_empty() && !ask {
+        if commands.is_empty() && !ask {
             return;
         }
-        let body = DirectOrders {
-            warrant: self.token,
-            tenure: m.tenure,
-            orders,
+        let body = DirectCommands {
+            token: self.token,
+            session: m.session,
+            commands,
         };
-        let endpoint = m.endpoint.clone();
+        let address = m.address.clone();
         self.direct.insert(name.to_string(), now);
         let pending = self.pending(LeadCall::Direct {
             machine: name.to_string(),
         });
-        cx.call(
-            Target::Worker(endpoint),
+        context.call(
+            Target::Worker(address),
             "POST",
             "/do".into(),
             wire::to_cbor(&body),
@@ -149,7 +154,7 @@
         );
     }
 
-    pub(crate) fn on_direct(&mut self, cx: &mut Ctx, name: &str, outcome: Outcome) {
+    pub(crate) fn on_direct(&mut self, context: &mut Context, name: &str, outcome: Outcome) {
         self.direct.remove(name);
         let Outcome::Answer { status, body } = outcome else {
             return;
@@ -158,13 +163,13 @@
             return warn!("{name}: direct command got {status}");
         }
         match wire::from_cbor::<Report>(&body) {
-            Ok(report) if report.perch == name && self.machines.contains_key(name) => {
-                self.on_report(cx, report, Source::Direct);
+            Ok(report) if report.machine == name && self.machines.contains_key(name) => {
+                self.on_report(context, report, Source::Direct);
                 // It came within the call's time: commands reach this session now.
                 if let (200, Some(m)) = (status, self.machines.get_mut(name)) {
                     m.hears = true;
                     m.deaf_since = None;
-                    self.placement.want(cx.now.steady);
+                    self.placement.want(context.now.steady);
                 }
             }
             Ok(_) => warn!("{name}: another worker answers at its address"),
@@ -173,8 +178,8 @@
     }
 
     /// Stops what cannot finish before the cloud takes the machine.
-    pub(super) fn drain_recalled(&mut self, cx: &mut Ctx, name: &str) {
-        let now = cx.now.steady;
+    pub(super) fn drain_recalled(&mut self, context: &mut Context, name: &str) {
+        let now = context.now.steady;
         let Some(m) = self.machines.get(name) else {
             return;
         };
@@ -186,34 +191,34 @@
             let Some(job) = self.jobs.get(a.job) else {
                 continue;
             };
-            let fetch = m.fetch_time(&job.spec.bundle, job.spec.pull_gb);
+            let fetch = m.fetch_time(&job.spec.image, job.spec.image_gb);
             if a.remaining(now, fetch) + SECOND < left {
                 continue;
             }
-            let flush = micros(job.spec.flush_s);
+            let flush = micros(job.spec.save_s);
             if job.is_daemon() {
                 // It serves on until there is room elsewhere, which is rented at once if there is none.
-                let saves = job.spec.savepoint_s > 0.0;
-                let last = if saves { leeway(flush) } else { 0 } + LAST_MOVE;
+                let saves = job.spec.checkpoint_s > 0.0;
+                let last = if saves { grace(flush) } else { 0 } + LAST_MOVE;
                 if left < last {
-                    stops.push((a.attempt, if saves { leeway(flush) } else { 0 }));
+                    stops.push((a.attempt, if saves { grace(flush) } else { 0 }));
                 }
-            } else if job.spec.savepoint_s > 0.0 {
+            } else if job.spec.checkpoint_s > 0.0 {
                 if left < flush + 5 * SECOND {
-                    stops.push((a.attempt, leeway(flush)));
+                    stops.push((a.attempt, grace(flush)));
                 }
             } else {
                 stops.push((a.attempt, 0));
             }
         }
-        for (attempt, leeway) in stops {
-            self.stop_on(cx, name, leeway, |a| a.attempt == attempt);
+        for (attempt, grace) in stops {
+            self.stop_on(context, name, grace, |a| a.attempt == attempt);
         }
     }
 
     /// Replicas on a machine that is to be returned, or that the cloud takes, never end by themselves:
     /// they are stopped once there is room for them elsewhere.
-    pub(super) fn move_replicas(&mut self, cx: &mut Ctx, name: &str) {
+    pub(super) fn move_replicas(&mut self, context: &mut Context, name: &str) {
         let going = |m: &&Machine| m.closing || m.recall_at.is_some();
         let Some(m) = self.machines.get(name).filter(going) else {
             return;
@@ -223,27 +228,27 @@
             let Some(job) = self.jobs.get(a.job).filter(|j| j.is_daemon()) else {
                 continue;
             };
-            let leeway = match job.spec.savepoint_s > 0.0 {
-                true => leeway(micros(job.spec.flush_s)),
+            let grace = match job.spec.checkpoint_s > 0.0 {
+                true => grace(micros(job.spec.save_s)),
                 false => 0,
             };
             // Those that move already mean the same room.
-            if self.room_elsewhere(cx, &a.zone, &job.spec) > moves.len() as u64 {
-                moves.push((a.attempt, leeway));
+            if self.room_elsewhere(context, &a.zone, &job.spec) > moves.len() as u64 {
+                moves.push((a.attempt, grace));
             }
         }
-        for (attempt, leeway) in moves {
-            self.stop_on(cx, name, leeway, |a| a.attempt == attempt);
+        for (attempt, grace) in moves {
+            self.stop_on(context, name, grace, |a| a.attempt == attempt);
         }
     }
 
     /// How many tasks of the job the machines of a zone have room for.
-    pub(super) fn room_elsewhere(&self, cx: &Ctx, zone: &str, spec: &Submission) -> u64 {
-        let (now, silence) = (cx.now.steady, 3 * cx.settings.report);
+    pub(super) fn room_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
+        let (now, silence) = (context.now.steady, 3 * context.settings.report);
         self.machines
             .values()
             .filter(|m| m.zone == zone && m.usable(now, silence))
-            .filter(|m| permits(cx, spec, &m.machine_type, &m.zone, m.spot))
+            .filter(|m| permits(context, spec, &m.machine_type, &m.zone, m.spot))
             .map(|m| slots(m.free(), spec))
             .sum()
     }
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -2,31 +2,31 @@
 
 use grebewood_core::jobs::{check_fields, check_size, Job};
 use grebewood_core::SECOND;
-use grebewood_wire::http::{Precedence, Submission};
+use grebewood_wire::http::{Priority, Submission};
 use grebewood_wire::records::JobRecord;
 
-fn submission(shape: &str, shards: u64) -> Submission {
+fn submission(shape: &str, tasks: u64) -> Submission {
     Submission {
-        uid: "req-1".into(),
-        workclass: "work".into(),
-        owner: "t".into(),
+        id: "req-1".into(),
+        class: "work".into(),
+        team: "t".into(),
         shape: shape.into(),
-        precedence: Precedence::Normal,
-        shards,
-        vcpus: 1.0,
-        accelerators: 0.0,
+        priority: Priority::Normal,
+        tasks,
+        cpus: 1.0,
+        gpus: 0.0,
         memory_gb: 1.0,
-        bundle: "img".into(),
-        pull_gb: 0.5,
-        builds: Some(vec!["g8".into(); 20]),
-        yard: None,
+        image: "img".into(),
+        image_gb: 0.5,
+        machine_types: Some(vec!["g8".into(); 20]),
+        zone: None,
         one_zone: false,
         spread: false,
-        loaner: true,
+        spot: true,
         expected_s: 1.0,
-        savepoint_s: 0.0,
-        flush_s: 0.0,
-        due_s: None,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
     }
 }
 
@@ -62,7 +62,7 @@
     assert_eq!(check_fields(&s), Ok(()));
     assert_eq!(check_size(&s, 2048), Ok(()));
     assert_eq!(check_size(&s, 4096), Ok(()));
-    s.builds = Some(vec!["g".repeat(100); 40]);
+    s.machine_types = Some(vec!["g".repeat(100); 40]);
     assert_eq!(check_fields(&s), Ok(()));
     assert!(check_size(&s, 4096).is_err());
     assert_eq!(check_size(&s, 16_384), Ok(()));
@@ -74,7 +74,7 @@
 fn a_job_that_starved_catches_up_with_several_tasks() {
     for (tasks, turn) in [(4, 4), (100, 8), (1_000, 50)] {
         let mut spec = submission("batch", tasks);
-        spec.precedence = Precedence::Idle;
+        spec.priority = Priority::Idle;
         let record = JobRecord {
             spec,
             accepted_us: 0,
@@ -83,7 +83,7 @@
         let early = 70 * SECOND;
         job.begin_catch_up(early);
         assert_eq!(job.catching_up(), None);
-        assert_eq!(job.preemption_priority(), Precedence::Idle);
+        assert_eq!(job.preemption_priority(), Priority::Idle);
         let now = 71 * SECOND;
         job.begin_catch_up(now);
         let mut placed = 0;
@@ -96,7 +96,7 @@
             placed += 1;
         }
         assert_eq!(placed, turn, "of {tasks} tasks");
-        assert_eq!(job.preemption_priority(), Precedence::Normal);
+        assert_eq!(job.preemption_priority(), Priority::Normal);
         let next = now + 71 * SECOND;
         job.begin_catch_up(next);
         assert_eq!(job.catching_up().is_some(), tasks > turn);
@@ -107,7 +107,7 @@
 #[test]
 fn only_what_a_job_caught_up_with_ages() {
     let mut spec = submission("batch", 100);
-    spec.precedence = Precedence::Idle;
+    spec.priority = Priority::Idle;
     let record = JobRecord {
         spec,
         accepted_us: 0,
@@ -115,7 +115,7 @@
     let mut job = Job::new(record, 0, 0);
     job.begin_catch_up(71 * SECOND);
     job.zones.insert("a".into(), 8);
-    assert_eq!(job.preemption_priority(), Precedence::Normal);
+    assert_eq!(job.preemption_priority(), Priority::Normal);
     job.zones.insert("b".into(), 1);
-    assert_eq!(job.preemption_priority(), Precedence::Idle);
+    assert_eq!(job.preemption_priority(), Priority::Idle);
 }
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -1,11 +1,11 @@
 //! What the ledger writes, in which order, and what it holds to be durable.
 
-use grebewood_core::ledger::{Batch, Ledger, Rec};
+use grebewood_core::ledger::{Batch, Ledger, RecordId};
 use grebewood_wire::http::Txn;
 
-fn batch(recs: &[(Rec, u64)]) -> Batch {
+fn batch(record_ids: &[(RecordId, u64)]) -> Batch {
     Batch {
-        recs: recs.to_vec(),
+        record_ids: record_ids.to_vec(),
         txn: Txn::default(),
         proven: 0,
         stamp: 0,
@@ -16,7 +16,7 @@
 #[test]
 fn the_old_record_waits_for_the_new_one() {
     let mut l = Ledger::default();
-    let (old, new) = (Rec::Page(0), Rec::Page(1));
+    let (old, new) = (RecordId::Page(0), RecordId::Page(1));
     let v = l.touch(new.clone(), 5);
     l.touch(old.clone(), 1);
     l.wait_for(old.clone(), new.clone(), v);
@@ -32,31 +32,37 @@
 #[test]
 fn what_only_tidies_up_goes_last() {
     let mut l = Ledger::default();
-    l.touch_lazily(Rec::Page(0), 1);
-    l.touch_lazily(Rec::Page(1), 2);
-    l.touch(Rec::Page(2), 3);
-    assert_eq!(l.due(3), vec![Rec::Page(2), Rec::Page(0), Rec::Page(1)]);
-    l.touch(Rec::Page(1), 3);
-    l.touch_lazily(Rec::Page(1), 3);
-    assert_eq!(l.due(3), vec![Rec::Page(1), Rec::Page(2), Rec::Page(0)]);
+    l.touch_lazily(RecordId::Page(0), 1);
+    l.touch_lazily(RecordId::Page(1), 2);
+    l.touch(RecordId::Page(2), 3);
+    assert_eq!(
+        l.due(3),
+        vec![RecordId::Page(2), RecordId::Page(0), RecordId::Page(1)]
+    );
+    l.touch(RecordId::Page(1), 3);
+    l.touch_lazily(RecordId::Page(1), 3);
+    assert_eq!(
+        l.due(3),
+        vec![RecordId::Page(1), RecordId::Page(2), RecordId::Page(0)]
+    );
 }
 
 #[test]
 fn a_record_that_is_refused_alone_is_postponed() {
     let mut l = Ledger::default();
-    let v = l.touch(Rec::Stats, 1);
-    l.suspect(&[(Rec::Stats, v)]);
-    l.postpone(&Rec::Stats, 50);
-    assert!(l.is_suspect(&Rec::Stats) && l.due(49).is_empty());
-    assert_eq!(l.due(50), vec![Rec::Stats]);
-    l.applied(&batch(&[(Rec::Stats, v)]), 9);
-    assert!(!l.is_suspect(&Rec::Stats) && l.due(90).is_empty());
+    let v = l.touch(RecordId::Stats, 1);
+    l.suspect(&[(RecordId::Stats, v)]);
+    l.postpone(&RecordId::Stats, 50);
+    assert!(l.is_suspect(&RecordId::Stats) && l.due(49).is_empty());
+    assert_eq!(l.due(50), vec![RecordId::Stats]);
+    l.applied(&batch(&[(RecordId::Stats, v)]), 9);
+    assert!(!l.is_suspect(&RecordId::Stats) && l.due(90).is_empty());
 }
 
 #[test]
 fn a_change_during_a_flush_stays_dirty() {
     let mut l = Ledger::default();
-    let rec = Rec::Page(0);
+    let rec = RecordId::Page(0);
     let v1 = l.touch(rec.clone(), 5);
     let batch = batch(&[(rec.clone(), v1)]);
     let v2 = l.touch(rec.clone(), 6);
--- a/crates/core/tests/odd_submissions.rs
+++ b/crates/core/tests/odd_submissions.rs
@@ -197,15 +197,15 @@
     };
     let kind = MachineType {
         name: "g8".into(),
-        vcpus: 96.0,
-        accelerators: 8.0,
+        cpus: 96.0,
+        gpus: 8.0,
         memory_gb: 768.0,
         local_gb: None,
         fetch_gb_per_s: None,
         price: 12.0,
         spot_price: None,
-        startup_s: 45.0,
-        yards: vec!["a".into()],
+        boot_s: 45.0,
+        zones: vec!["a".into()],
     };
     let possible = |map: &Map| {
         let s: Submission = from_cbor(&to_cbor(map)).expect("a submission");
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -9,7 +9,7 @@
 mod server;
 
 use grebewood_core::{
-    Call, Door, Effect, Input, Micros, Node, Now, Outcome, Stopwatch, Target, MILLI, SECOND,
+    Call, Effect, Input, Interface, Micros, Node, Now, Outcome, Stopwatch, Target, MILLI, SECOND,
 };
 use http::{parse_request, parse_response, write_request, write_response, Parsed};
 use log::{debug, info, warn};
@@ -51,7 +51,7 @@
 enum Kind {
     /// Somebody's connection to us.
     Server {
-        door: Door,
+        interface: Interface,
         /// The request that is being answered.
         request: Option<u64>,
         close: bool,
@@ -185,8 +185,8 @@
         l.now = l.clock.now();
         for event in &events {
             match event.token() {
-                FRONT => l.accept(&front, Door::Front),
-                PEER => l.accept(&peer, Door::Peer),
+                FRONT => l.accept(&front, Interface::Front),
+                PEER => l.accept(&peer, Interface::Peer),
                 Token(t) => {
                     let key = t - FIRST;
                     if event.is_writable() {
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -9,14 +9,14 @@
         (self.endpoints.socket_limit * 3 / 4).max(8)
     }
 
-    pub(super) fn accept(&mut self, listener: &TcpListener, door: Door) {
+    pub(super) fn accept(&mut self, listener: &TcpListener, interface: Interface) {
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
                     // Peers may go a little beyond, so that users cannot shut them out.
-                    let limit = match door {
-                        Door::Front => self.serve_limit(),
-                        Door::Peer => self.serve_limit() + 16,
+                    let limit = match interface {
+                        Interface::Front => self.serve_limit(),
+                        Interface::Peer => self.serve_limit() + 16,
                     };
                     if self.served >= limit && !self.close_idle_server() {
                         debug!("a connection is refused: there are too many");
@@ -24,7 +24,7 @@
                         continue;
                     }
                     let kind = Kind::Server {
-                        door,
+                        interface,
                         request: None,
                         close: false,
                         worker: false,
@@ -55,7 +55,7 @@
                         Kind::Server {
                             request: None,
                             worker: false,
-                            door: Door::Front,
+                            interface: Interface::Front,
                             ..
                         }
                     )
@@ -82,7 +82,7 @@
             return;
         }
         let Kind::Server {
-            door,
+            interface,
             request,
             close,
             worker,
@@ -114,7 +114,7 @@
                 *worker |= r.path == "/checkin";
                 let input = Input::Request {
                     id,
-                    door: *door,
+                    interface: *interface,
                     method: r.method,
                     path: r.path,
                     body: r.body,
@@ -161,14 +161,14 @@
         if let Kind::Server {
             request,
             close,
-            door,
+            interface,
             ..
         } = &mut conn.kind
         {
             *request = None;
-            let content = match door {
-                Door::Front => "application/cbor",
-                Door::Peer => "application/msgpack",
+            let content = match interface {
+                Interface::Front => "application/cbor",
+                Interface::Peer => "application/msgpack",
             };
             write_response(&mut conn.output, status, content, body, retry_after, *close);
         }
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the cloud's machines and their workers.
 
-use grebewood_wire::http::{Order, Report, ShardReport};
+use grebewood_wire::http::{Command, ExitCause, Report, TaskReport};
 use std::collections::BTreeMap;
 
 type Micros = u64;
@@ -8,7 +8,7 @@
 /// A task on a worker.
 #[derive(Clone, Debug)]
 pub struct Task {
-    pub shard: String,
+    pub task_name: String,
     pub attempt: u64,
     pub status: &'static str,
     pub cause: Option<&'static str>,
@@ -50,9 +50,9 @@
     pub mute_until: Micros,
     pub faulty: bool,
     pub recall_at: Option<Micros>,
-    pub tenure: u64,
-    pub tally: u64,
-    pub warrant: u64,
+    pub session: u64,
+    pub sequence: u64,
+    pub token: u64,
     /// When the last answered report was sent, or the session began.
     pub lease_from: Micros,
     pub tasks: Vec<Task>,
@@ -62,32 +62,32 @@
     pub in_flight: Option<(u64, Micros, u64)>,
     pub next_report: Micros,
     pub last_report: Micros,
-    pub told_warrant: u64,
+    pub told_token: u64,
     /// When a higher token last made it report at once.
     pub token_told: Option<Micros>,
 }
 
 impl Machine {
     pub fn report(&mut self, now: Micros) -> Report {
-        self.tally += 1;
+        self.sequence += 1;
         Report {
-            perch: self.name.clone(),
-            endpoint: format!("worker:{}", self.name),
-            build: self.machine_type.clone(),
-            yard: self.zone.clone(),
-            loaner: self.spot,
-            tenure: self.tenure,
-            tally: self.tally,
-            warrant: self.warrant,
+            machine: self.name.clone(),
+            address: format!("worker:{}", self.name),
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            session: self.session,
+            sequence: self.sequence,
+            token: self.token,
             recall_s: self.recall_at.map(|at| at.saturating_sub(now) as f64 / 1e6),
-            shards: self
+            tasks: self
                 .tasks
                 .iter()
-                .map(|t| ShardReport {
-                    shard: t.shard.clone(),
+                .map(|t| TaskReport {
+                    task_name: t.task_name.clone(),
                     attempt: t.attempt,
                     status: t.status.into(),
-                    cause: t.cause.map(str::to_string),
+                    cause: t.cause.map(ExitCause::from),
                     saved: t.cause.is_some().then_some(t.saved),
                 })
                 .collect(),
@@ -98,23 +98,23 @@
     pub fn carry_out(
         &mut self,
         now: Micros,
-        orders: &[Order],
+        commands: &[Command],
         jobs: &BTreeMap<String, JobFacts>,
     ) -> Vec<String> {
         let mut came = Vec::new();
-        for o in orders {
+        for o in commands {
             match o.verb.as_str() {
                 "launch" => {
                     if self
                         .tasks
                         .iter()
-                        .any(|t| t.shard == o.shard && t.attempt == o.attempt)
+                        .any(|t| t.task_name == o.task_name && t.attempt == o.attempt)
                     {
                         continue;
                     }
-                    let job = o.shard.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
+                    let job = o.task_name.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
                     let used: f64 = self.live().map(|t| t.cpus).sum();
-                    let busy = self.live().any(|t| t.shard == o.shard);
+                    let busy = self.live().any(|t| t.task_name == o.task_name);
                     let refused = match job {
                         None => Some("unknown"),
                         Some(_) if busy => Some("busy"),
@@ -122,7 +122,7 @@
                         Some(_) => None,
                     };
                     let mut task = Task {
-                        shard: o.shard.clone(),
+                        task_name: o.task_name.clone(),
                         attempt: o.attempt,
                         status: "fetching",
                         cause: None,
@@ -134,26 +134,26 @@
                         task.status = "exited";
                         task.cause = refused;
                     } else {
-                        came.push(o.shard.clone());
+                        came.push(o.task_name.clone());
                     }
                     self.tasks.push(task);
                 }
                 "stop" => {
-                    let leeway = (o.leeway_s.unwrap_or(0.0) * 1e6) as Micros;
-                    let job = o.shard.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
+                    let grace = (o.grace_s.unwrap_or(0.0) * 1e6) as Micros;
+                    let job = o.task_name.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
                     for t in self
                         .tasks
                         .iter_mut()
-                        .filter(|t| t.shard == o.shard && t.attempt == o.attempt)
+                        .filter(|t| t.task_name == o.task_name && t.attempt == o.attempt)
                     {
-                        let saves = job.is_some_and(|j| j.saves && leeway >= j.flush);
+                        let saves = job.is_some_and(|j| j.saves && grace >= j.flush);
                         match t.status {
                             "exited" => {}
                             "running" if saves => {
                                 t.status = "saving";
                                 t.ends = now + job.map_or(0, |j| j.flush);
                             }
-                            "saving" if leeway > 0 => {}
+                            "saving" if grace > 0 => {}
                             _ => {
                                 t.status = "exited";
                                 t.cause = Some("stopped");
@@ -162,7 +162,7 @@
                     }
                 }
                 "reap" => self.tasks.retain(|t| {
-                    t.shard != o.shard || t.attempt != o.attempt || t.status != "exited"
+                    t.task_name != o.task_name || t.attempt != o.attempt || t.status != "exited"
                 }),
                 _ => {}
             }
@@ -178,8 +178,8 @@
     /// Its tasks are killed and forgotten.
     pub fn new_session(&mut self, now: Micros) {
         self.tasks.clear();
-        self.tenure += 1;
-        self.tally = 0;
+        self.session += 1;
+        self.sequence = 0;
         self.lease_from = now;
         self.in_flight = None;
     }
@@ -207,7 +207,7 @@
                 continue;
             }
             changed = true;
-            let job = t.shard.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
+            let job = t.task_name.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
             match t.status {
                 "fetching" => {
                     t.status = "running";
@@ -224,7 +224,7 @@
                         t.cause = Some("error");
                     } else {
                         t.cause = Some("done");
-                        done.push(t.shard.clone());
+                        done.push(t.task_name.clone());
                     }
                 }
             }
--- a/crates/testkit/src/production/tests.rs
+++ b/crates/testkit/src/production/tests.rs
@@ -43,10 +43,10 @@
     match key.split('/').next().unwrap_or_default() {
         "job" if key.ends_with(CANCEL) => from_value::<CancelRecord>(value).map(drop),
         "job" => from_value::<JobRecord>(value).map(drop),
-        "past" => from_value::<PastRecord>(value).map(drop),
+        "past" => from_value::<FinishedJobRecord>(value).map(drop),
         "done" => from_value::<DonePageRecord>(value).map(drop),
         "page" => from_value::<PageRecord>(value).map(drop),
-        "hire" => from_value::<HireRecord>(value).map(drop),
+        "hire" => from_value::<RentalRecord>(value).map(drop),
         "stats" => from_value::<StatsRecord>(value).map(drop),
         "leader" => from_value::<LeaderRecord>(value).map(drop),
         "catalogue" => from_value::<Catalogue>(value).map(drop),
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -12,7 +12,7 @@
 struct Item {
     value: Value,
     stamp: u64,
-    tether: Option<u64>,
+    lease: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
@@ -143,7 +143,7 @@
         let keys: Vec<String> = self
             .items
             .iter()
-            .filter(|(_, i)| i.tether == Some(id))
+            .filter(|(_, i)| i.lease == Some(id))
             .map(|(k, _)| k.clone())
             .collect();
         for key in keys {
@@ -181,7 +181,7 @@
         let item = Item {
             value,
             stamp,
-            tether: None,
+            lease: None,
         };
         self.items.insert(key.to_string(), item);
     }
@@ -352,14 +352,14 @@
         let failed: Vec<String> = txn
             .when
             .iter()
-            .filter(|w| self.items.get(&w.k).map_or(0, |i| i.stamp) != w.stamp)
-            .map(|w| w.k.clone())
+            .filter(|w| self.items.get(&w.key).map_or(0, |i| i.stamp) != w.stamp)
+            .map(|w| w.key.clone())
             .collect();
         if !failed.is_empty() {
             return Reply::Now(409, to_cbor(&BTreeMap::from([("failed", failed)])));
         }
         let no_lease = txn.apply.iter().any(
-            |c| matches!(c, Change::Put { tether: Some(t), .. } if !self.leases.contains_key(t)),
+            |c| matches!(c, Change::Put { lease: Some(t), .. } if !self.leases.contains_key(t)),
         );
         if no_lease {
             return Reply::Now(400, to_cbor(&BTreeMap::from([("error", "no such lease")])));
@@ -367,11 +367,11 @@
         self.epoch += 1;
         for change in txn.apply {
             match change {
-                Change::Put { put, value, tether } => {
+                Change::Put { put, value, lease } => {
                     let item = Item {
                         value,
                         stamp: self.epoch,
-                        tether,
+                        lease,
                     };
                     self.change(&put, Some(item));
                 }
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -6,12 +6,12 @@
 use crate::state::{Reply, StateService};
 use grebewood_core::settings::StateLimits;
 use grebewood_core::{
-    Door, Effect, Input, NoStopwatch, Node, Now, Objective, Outcome, Settings, Sibling, Target,
-    Team, Tuning,
+    Effect, Input, Interface, NoStopwatch, Node, Now, Objective, Outcome, Settings, Sibling,
+    Target, Team, Tuning,
 };
 use grebewood_wire::http::{
-    Change, CheckinAnswer, DirectOrders, JobStatus, ListedMachine, MachineList, MachineType, Order,
-    Perches, Precedence, Redirect, RentalRequest, Submission, Txn,
+    Change, CheckinAnswer, Command, DirectCommands, JobStatus, ListedMachine, MachineList,
+    MachineNames, MachineType, Priority, Redirect, RentalRequest, Submission, Txn, Verb,
 };
 use grebewood_wire::{from_cbor, to_cbor};
 use std::collections::{BTreeMap, BTreeSet};
@@ -84,7 +84,7 @@
     Worker(Caller, String, Vec<u8>),
     Request {
         node: usize,
-        door: Door,
+        interface: Interface,
         method: String,
         path: String,
         body: Vec<u8>,
@@ -102,7 +102,7 @@
     },
     /// Users look closely at a job.
     Look(String),
-    /// A report of this tally arrives: an answer to a direct command must have overtaken it.
+    /// A report of this sequence arrives: an answer to a direct command must have overtaken it.
     Overtaken(String, u64),
     Script(Line),
     Start(usize),
@@ -185,7 +185,7 @@
     boot: Micros,
     boots_never: bool,
     cloud_down: bool,
-    hires: BTreeMap<String, Vec<String>>,
+    rentals: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, Machine>,
     next_machine: u64,
     jobs: BTreeMap<String, JobSeen>,
@@ -284,7 +284,7 @@
             boot: 10 * S,
             boots_never: false,
             cloud_down: false,
-            hires: BTreeMap::new(),
+            rentals: BTreeMap::new(),
             machines: BTreeMap::new(),
             next_machine: 0,
             jobs: BTreeMap::new(),
@@ -434,7 +434,7 @@
             Ev::Worker(caller, address, body) => self.direct(caller, &address, &body),
             Ev::Request {
                 node,
-                door,
+                interface,
                 method,
                 path,
                 body,
@@ -456,7 +456,7 @@
                 let process = self.slots[node].process;
                 let input = Input::Request {
                     id,
-                    door,
+                    interface,
                     method,
                     path,
                     body,
@@ -480,9 +480,9 @@
                 self.look(&job);
                 Ok(())
             }
-            Ev::Overtaken(machine, tally) => {
+            Ev::Overtaken(machine, sequence) => {
                 let m = self.machine_mut(&machine)?;
-                match m.tally > tally {
+                match m.sequence > sequence {
                     true => Ok(()),
                     false => Err(format!("nothing overtook the report of {machine}")),
                 }
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -26,8 +26,8 @@
 /// The most tasks of a job.
 const MOST_TASKS: i128 = 100_000;
 
-fn job_of(shard: &str) -> &str {
-    shard.rsplit_once('/').map_or("", |(j, _)| j)
+fn job_of(task_name: &str) -> &str {
+    task_name.rsplit_once('/').map_or("", |(j, _)| j)
 }
 
 impl World {
@@ -69,8 +69,11 @@
         let mut on: BTreeMap<&str, &str> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.gone) {
             for t in m.live() {
-                if let Some(other) = on.insert(&t.shard, &m.name) {
-                    return Err(format!("ran_twice: {} on {other} and {}", t.shard, m.name));
+                if let Some(other) = on.insert(&t.task_name, &m.name) {
+                    return Err(format!(
+                        "ran_twice: {} on {other} and {}",
+                        t.task_name, m.name
+                    ));
                 }
             }
         }
@@ -78,9 +81,12 @@
         // Cancelled tasks must be gone in time.
         for m in self.machines.values().filter(|m| !m.gone) {
             for t in m.live() {
-                let told = self.jobs.get(job_of(&t.shard)).and_then(|j| j.cancelled_at);
+                let told = self
+                    .jobs
+                    .get(job_of(&t.task_name))
+                    .and_then(|j| j.cancelled_at);
                 if told.is_some_and(|at| self.now > at + self.settings.cancel) {
-                    return Err(format!("ran_cancelled: {} is on {}", t.shard, m.name));
+                    return Err(format!("ran_cancelled: {} is on {}", t.task_name, m.name));
                 }
             }
         }
@@ -96,9 +102,9 @@
         let mut used = BTreeMap::new();
         let machines = self.machines.values().filter(|m| !m.gone);
         for t in machines.flat_map(|m| m.live()) {
-            if let Some(job) = self.jobs.get(job_of(&t.shard)) {
-                let team = used.entry(job.spec.owner.as_str()).or_insert((0.0, 0.0));
-                *team = (team.0 + t.cpus, team.1 + job.spec.accelerators);
+            if let Some(job) = self.jobs.get(job_of(&t.task_name)) {
+                let team = used.entry(job.spec.team.as_str()).or_insert((0.0, 0.0));
+                *team = (team.0 + t.cpus, team.1 + job.spec.gpus);
             }
         }
         used
@@ -128,7 +134,7 @@
         let mut live: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.gone) {
             for t in m.live() {
-                let zones = live.entry(job_of(&t.shard)).or_default();
+                let zones = live.entry(job_of(&t.task_name)).or_default();
                 *zones.entry(&m.zone).or_insert(0) += 1;
             }
         }
@@ -145,7 +151,7 @@
             .filter(hears)
             .map(|m| {
                 let memory = self.types.iter().find(|t| t.name == m.machine_type);
-                let jobs = m.live().filter_map(|t| self.jobs.get(job_of(&t.shard)));
+                let jobs = m.live().filter_map(|t| self.jobs.get(job_of(&t.task_name)));
                 let taken: f64 = jobs.map(|j| j.spec.memory_gb).sum();
                 let cpus: f64 = m.live().map(|t| t.cpus).sum();
                 let memory = memory.map_or(0.0, |t| t.memory_gb);
@@ -162,39 +168,37 @@
             let spec = &job.spec;
             let zones = live.get(id.as_str()).unwrap_or(&none);
             let here: u64 = zones.values().sum();
-            let missing = spec
-                .shards
-                .saturating_sub(job.completed.len() as u64 + here);
+            let missing = spec.tasks.saturating_sub(job.completed.len() as u64 + here);
             // The tasks of a gang start together.
             let together = match spec.shape.as_str() {
                 "gang" => missing,
                 _ => missing.min(1),
             };
-            let limit = self.settings.teams.get(&spec.owner);
-            let (cpus, gpus) = used.get(spec.owner.as_str()).copied().unwrap_or_default();
+            let limit = self.settings.teams.get(&spec.team);
+            let (cpus, gpus) = used.get(spec.team.as_str()).copied().unwrap_or_default();
             let left = limit.map_or(0.0, |l| l.cpus_max) - cpus;
             let gpus_left = limit.map_or(0.0, |l| l.gpus_max) - gpus;
-            let over = left + 1e-6 < spec.vcpus * together as f64
-                || gpus_left + 1e-6 < spec.accelerators * together as f64;
+            let over = left + 1e-6 < spec.cpus * together as f64
+                || gpus_left + 1e-6 < spec.gpus * together as f64;
             if missing == 0 || over {
                 continue;
             }
             let fits = |m: &Machine, cpus: f64, memory: f64| {
                 let in_zone = zones.get(m.zone.as_str()).copied().unwrap_or(0);
                 let permitted = spec
-                    .builds
+                    .machine_types
                     .as_ref()
                     .is_none_or(|b| b.contains(&m.machine_type))
-                    && spec.yard.as_ref().is_none_or(|y| *y == m.zone)
-                    && (spec.loaner || !m.spot)
+                    && spec.zone.as_ref().is_none_or(|y| *y == m.zone)
+                    && (spec.spot || !m.spot)
                     && (!spec.one_zone || here == in_zone)
-                    && (!spec.spread || in_zone + together <= spec.shards.div_ceil(2));
+                    && (!spec.spread || in_zone + together <= spec.tasks.div_ceil(2));
                 let times = |free: f64, each: f64| match each > 0.0 {
                     true => ((free + 1e-6) / each).max(0.0) as u64,
                     false => u64::MAX,
                 };
                 match permitted {
-                    true => times(cpus, spec.vcpus).min(times(memory, spec.memory_gb)),
+                    true => times(cpus, spec.cpus).min(times(memory, spec.memory_gb)),
                     false => 0,
                 }
             };
@@ -266,7 +270,7 @@
                 return self.told(repeated, &status_in(answer));
             }
             self.check_acceptable(body)?;
-            let uid = from_cbor::<Submission>(body).map(|s| s.uid);
+            let uid = from_cbor::<Submission>(body).map(|s| s.id);
             self.checks.raw.extend(uid);
             return Ok(());
         }
@@ -345,7 +349,7 @@
             };
             let (cpus, gpus) = (amount("vcpus")?, amount("accelerators")?);
             let memory = amount("memory_gb")?;
-            let builds = match map.get("builds") {
+            let machine_types = match map.get("builds") {
                 None | Some(Value::Null) => None,
                 Some(Value::Array(a)) => Some(a),
                 Some(_) => return Err("builds is invalid".into()),
@@ -359,10 +363,10 @@
                 return Err("it needs more than its team's limit".into());
             }
             let fits = |t: &MachineType| {
-                builds.is_none_or(|b| b.contains(&Value::Text(t.name.clone())))
-                    && zone.is_none_or(|z| t.yards.iter().any(|y| y == z))
-                    && cpus <= t.vcpus + 1e-6
-                    && gpus <= t.accelerators + 1e-6
+                machine_types.is_none_or(|b| b.contains(&Value::Text(t.name.clone())))
+                    && zone.is_none_or(|z| t.zones.iter().any(|y| y == z))
+                    && cpus <= t.cpus + 1e-6
+                    && gpus <= t.gpus + 1e-6
                     && memory <= t.memory_gb + 1e-6
             };
             match self.types.iter().any(fits) {
@@ -397,7 +401,7 @@
         for job in jobs {
             let ev = Ev::Request {
                 node,
-                door: Door::Front,
+                interface: Interface::Front,
                 method: "GET".into(),
                 path: format!("/submissions/{job}"),
                 body: Vec::new(),
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -15,33 +15,36 @@
         }
         match (method, path.split('?').next().unwrap_or("")) {
             ("GET", "/machine_types") => {
-                let builds = self.types.clone();
-                (200, to_cbor(&grebewood_wire::http::Catalogue { builds }))
+                let machine_types = self.types.clone();
+                (
+                    200,
+                    to_cbor(&grebewood_wire::http::Catalogue { machine_types }),
+                )
             }
             ("GET", "/rentals") => {
                 let lag = 3 * S;
-                let perches = self
+                let machines = self
                     .machines
                     .values()
                     .filter(|m| !m.gone && self.now >= m.requested + lag.min(m.requested))
                     .map(|m| ListedMachine {
-                        uid: m.name.clone(),
-                        endpoint: Some(format!("worker:{}", m.name)),
-                        build: m.machine_type.clone(),
-                        yard: m.zone.clone(),
-                        loaner: m.spot,
+                        id: m.name.clone(),
+                        address: Some(format!("worker:{}", m.name)),
+                        machine_type: m.machine_type.clone(),
+                        zone: m.zone.clone(),
+                        spot: m.spot,
                         status: if m.up { "running" } else { "starting" }.into(),
-                        held_s: (self.now - m.requested) as f64 / 1e6,
+                        age_s: (self.now - m.requested) as f64 / 1e6,
                     })
                     .collect();
                 let list = MachineList {
-                    perches,
+                    machines,
                     more: false,
                 };
                 (200, to_cbor(&list))
             }
             ("POST", "/rentals/release") => {
-                let names = from_cbor::<Perches>(body).map(|p| p.perches);
+                let names = from_cbor::<MachineNames>(body).map(|p| p.machines);
                 for name in names.unwrap_or_default() {
                     if let Some(m) = self.machines.get_mut(&name) {
                         m.gone = true;
@@ -53,29 +56,29 @@
                 let Ok(r) = from_cbor::<RentalRequest>(body) else {
                     return (400, error("malformed"));
                 };
-                if let Some(known) = self.hires.get(&r.hire) {
-                    let perches = known.clone();
-                    return (200, to_cbor(&Perches { perches }));
+                if let Some(known) = self.rentals.get(&r.name) {
+                    let machines = known.clone();
+                    return (200, to_cbor(&MachineNames { machines }));
                 }
                 let most = self
                     .capacity
-                    .get(&(r.build.clone(), r.loaner))
+                    .get(&(r.machine_type.clone(), r.spot))
                     .copied()
                     .unwrap_or(0);
                 let used = self
                     .machines
                     .values()
-                    .filter(|m| !m.gone && m.machine_type == r.build && m.spot == r.loaner)
+                    .filter(|m| !m.gone && m.machine_type == r.machine_type && m.spot == r.spot)
                     .count() as u64;
                 let n = r.number.min(most.saturating_sub(used));
                 if n == 0 {
                     return (503, error("no capacity"));
                 }
-                let perches: Vec<String> = (0..n)
-                    .map(|_| self.rent(&r.build, &r.yard, r.loaner))
+                let machines: Vec<String> = (0..n)
+                    .map(|_| self.rent(&r.machine_type, &r.zone, r.spot))
                     .collect();
-                self.hires.insert(r.hire, perches.clone());
-                (200, to_cbor(&Perches { perches }))
+                self.rentals.insert(r.name, machines.clone());
+                (200, to_cbor(&MachineNames { machines }))
             }
             _ => (404, Vec::new()),
         }
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -152,7 +152,7 @@
                     let at = out.max(back);
                     let ev = Ev::Request {
                         node: to,
-                        door: Door::Peer,
+                        interface: Interface::Peer,
                         method: call.method.into(),
                         path: call.path,
                         body,
--- a/crates/testkit/src/world/script.rs
+++ b/crates/testkit/src/world/script.rs
@@ -127,7 +127,7 @@
                 let got = machines
                     .filter(|m| zone.is_none_or(|z| *z == m.zone))
                     .flat_map(|m| m.live())
-                    .filter(|t| t.status == "running" && t.shard.starts_with(&prefix))
+                    .filter(|t| t.status == "running" && t.task_name.starts_with(&prefix))
                     .count();
                 if got.to_string() != line.word(2)? {
                     return Err(format!("{got} replicas are served"));
@@ -243,42 +243,42 @@
 
     pub(super) fn add_job(&mut self, job: &str, line: &Line) -> Result<(), String> {
         let run = line.number("run", 5.0)?;
-        let precedence = match line.text("prec", "normal").as_str() {
-            "idle" => Precedence::Idle,
-            "high" => Precedence::High,
-            "prod" => Precedence::Prod,
-            _ => Precedence::Normal,
+        let priority = match line.text("prec", "normal").as_str() {
+            "idle" => Priority::Idle,
+            "high" => Priority::High,
+            "prod" => Priority::Prod,
+            _ => Priority::Normal,
         };
         let saves = line.yes("saves", false);
         let spec = Submission {
-            uid: job.into(),
-            workclass: line.text("class", "work"),
-            owner: line.text("owner", "t"),
+            id: job.into(),
+            class: line.text("class", "work"),
+            team: line.text("owner", "t"),
             shape: line.text("shape", "batch"),
-            precedence,
-            shards: line.number("tasks", 1.0)? as u64,
-            vcpus: line.number("cpus", 2.0)?,
-            accelerators: line.number("gpus", 0.0)?,
+            priority,
+            tasks: line.number("tasks", 1.0)? as u64,
+            cpus: line.number("cpus", 2.0)?,
+            gpus: line.number("gpus", 0.0)?,
             memory_gb: line.number("mem", 1.0)?,
-            bundle: "img".into(),
-            pull_gb: 0.5,
-            builds: line.options.get("type").map(|t| vec![t.clone()]),
-            yard: line.options.get("zone").cloned(),
+            image: "img".into(),
+            image_gb: 0.5,
+            machine_types: line.options.get("type").map(|t| vec![t.clone()]),
+            zone: line.options.get("zone").cloned(),
             one_zone: line.yes("one_zone", false),
             spread: line.yes("spread", false),
-            loaner: line.yes("spot", true),
+            spot: line.yes("spot", true),
             expected_s: line.number("expected", run)?,
-            savepoint_s: if saves { 10.0 } else { 0.0 },
-            flush_s: line.number("flush", 2.0)?,
-            due_s: match line.options.contains_key("due") {
+            checkpoint_s: if saves { 10.0 } else { 0.0 },
+            save_s: line.number("flush", 2.0)?,
+            deadline_s: match line.options.contains_key("due") {
                 true => Some(line.number("due", 0.0)?),
                 false => None,
             },
         };
         let facts = JobFacts {
-            cpus: spec.vcpus,
+            cpus: spec.cpus,
             run: (run * 1e6) as Micros,
-            flush: (spec.flush_s * 1e6) as Micros,
+            flush: (spec.save_s * 1e6) as Micros,
             saves,
             fails: line.yes("fails", false),
         };
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -72,15 +72,15 @@
                 self.boot = line.time("boot", 10.0)?;
                 self.types.push(MachineType {
                     name: name.clone(),
-                    vcpus: line.number("cpus", 8.0)?,
-                    accelerators: line.number("gpus", 0.0)?,
+                    cpus: line.number("cpus", 8.0)?,
+                    gpus: line.number("gpus", 0.0)?,
                     memory_gb: line.number("mem", 32.0)?,
                     local_gb: Some(50.0),
                     fetch_gb_per_s: Some(1.0),
                     price: line.number("price", 1.0)?,
                     spot_price: Some(line.number("spot", 0.3)?),
-                    startup_s: line.number("boot", 10.0)?,
-                    yards: line
+                    boot_s: line.number("boot", 10.0)?,
+                    zones: line
                         .text("zones", "a")
                         .split(',')
                         .map(str::to_string)
@@ -141,10 +141,10 @@
                     return Err("no such machine".into());
                 };
                 m.up_at = Some(if word(5)? == "up" { 0 } else { number(5)? });
-                (m.tenure, m.tally, m.warrant) = (number(6)?, number(7)?, number(8)?);
+                (m.session, m.sequence, m.token) = (number(6)?, number(7)?, number(8)?);
             }
             "task" => {
-                let shard = word(2)?.to_string();
+                let task_name = word(2)?.to_string();
                 let status = ["fetching", "running", "saving", "exited"];
                 let status = status.into_iter().find(|s| word(4) == Ok(s));
                 let task = Task {
@@ -154,14 +154,14 @@
                     saved: false,
                     ends: number(6)?,
                     cpus: 0.0,
-                    shard,
+                    task_name,
                 };
                 let m = self.machine_mut(word(1)?)?;
                 m.tasks.push(task);
             }
             "hire" => {
-                let perches = words[2..].iter().map(|w| w.to_string()).collect();
-                self.hires.insert(word(1)?.into(), perches);
+                let machines = words[2..].iter().map(|w| w.to_string()).collect();
+                self.rentals.insert(word(1)?.into(), machines);
             }
             "job" => {
                 let yes = |key: &str| option(key).map(|v| v == "true");
@@ -173,16 +173,16 @@
                 let spec: Submission =
                     from_cbor(&unhex(option("spec")?)?).map_err(|e| e.to_string())?;
                 let facts = JobFacts {
-                    cpus: spec.vcpus,
+                    cpus: spec.cpus,
                     run: time("run")?,
                     flush: time("flush")?,
                     saves: yes("saves")?,
                     fails: false,
                 };
                 let tasks = self.machines.values_mut().flat_map(|m| &mut m.tasks);
-                let prefix = format!("{}/", spec.uid);
-                for t in tasks.filter(|t| t.shard.starts_with(&prefix)) {
-                    t.cpus = spec.vcpus;
+                let prefix = format!("{}/", spec.id);
+                for t in tasks.filter(|t| t.task_name.starts_with(&prefix)) {
+                    t.cpus = spec.cpus;
                 }
                 self.facts.insert(word(1)?.into(), facts);
                 let seen = JobSeen {
@@ -203,10 +203,10 @@
                 self.jobs.insert(word(1)?.into(), seen);
             }
             "completed" => {
-                let shard = word(1)?;
-                let job = shard.rsplit_once('/').map_or("", |(j, _)| j);
+                let task_name = word(1)?;
+                let job = task_name.rsplit_once('/').map_or("", |(j, _)| j);
                 let seen = self.jobs.get_mut(job).ok_or("no such job")?;
-                seen.completed.insert(shard.into());
+                seen.completed.insert(task_name.into());
             }
             "#" | "epoch" | "peer-request" | "peer-answer" => {}
             other => return Err(format!("{other}: unknown")),
@@ -221,7 +221,7 @@
             .types
             .iter()
             .find(|t| t.name == machine_type)
-            .map_or(0.0, |t| t.vcpus);
+            .map_or(0.0, |t| t.cpus);
         let up_at = (!self.boots_never).then_some(self.now + self.boot);
         let m = Machine {
             name: name.clone(),
@@ -239,16 +239,16 @@
             mute_until: 0,
             faulty: false,
             recall_at: None,
-            tenure: 1,
-            tally: 0,
-            warrant: 0,
+            session: 1,
+            sequence: 0,
+            token: 0,
             lease_from: 0,
             tasks: Vec::new(),
             node: self.next_machine as usize % 3,
             in_flight: None,
             next_report: 0,
             last_report: 0,
-            told_warrant: 0,
+            told_token: 0,
             token_told: None,
         };
         self.machines.insert(name.clone(), m);
