--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -29,7 +29,7 @@
 /// A machine that holds a task of the job, and one in zone a that does not.
 fn holder_and_other(w: &World, job: &str) -> (String, String) {
     let prefix = format!("{job}/");
-    let holds = |m: &&Machine| m.live().any(|t| t.shard.starts_with(&prefix));
+    let holds = |m: &&Machine| m.live().any(|t| t.task_name.starts_with(&prefix));
     let there = || w.machines.values().filter(|m| !m.gone);
     let holder = there().find(holds).expect("a holder");
     let other = there().find(|m| !holds(m));
@@ -37,9 +37,9 @@
     (holder.name.clone(), other.name.clone())
 }
 
-fn task(shard: &str, cpus: f64) -> Task {
+fn task(task_name: &str, cpus: f64) -> Task {
     Task {
-        shard: shard.into(),
+        task_name: task_name.into(),
         attempt: 1 << 30,
         status: "running",
         cause: None,
@@ -55,7 +55,7 @@
 
 fn said(status: &str) -> Vec<u8> {
     to_cbor(&JobStatus {
-        uid: "req-1".into(),
+        id: "req-1".into(),
         status: status.into(),
         done: 0,
         running: 0,
@@ -140,23 +140,23 @@
     let spec = |w: &mut World, change: fn(&mut Submission)| {
         change(&mut w.jobs.get_mut("req-1").expect("a job").spec);
     };
-    spec(&mut w, |s| s.loaner = false);
-    let shard = ["req-1/0".to_string()];
-    broken(w.came(&holder, &shard), "wrong_place");
-    spec(&mut w, |s| s.loaner = true);
-    assert_eq!(w.came(&holder, &shard), Ok(()));
+    spec(&mut w, |s| s.spot = false);
+    let task_name = ["req-1/0".to_string()];
+    broken(w.came(&holder, &task_name), "wrong_place");
+    spec(&mut w, |s| s.spot = true);
+    assert_eq!(w.came(&holder, &task_name), Ok(()));
     // Alone in a zone it is not spread; with one elsewhere it is not in one zone.
     spec(&mut w, |s| s.spread = true);
     for m in w.machines.values_mut() {
         m.zone = "a".into();
     }
-    broken(w.came(&holder, &shard), "not spread");
+    broken(w.came(&holder, &task_name), "not spread");
     spec(&mut w, |s| (s.spread, s.one_zone) = (false, true));
-    assert_eq!(w.came(&holder, &shard), Ok(()));
+    assert_eq!(w.came(&holder, &task_name), Ok(()));
     let (_, other) = holder_and_other(&w, "req-1");
     w.machine_mut(&other).expect("a machine").zone = "b".into();
     plant(&mut w, &other, task("req-1/9", 2.0));
-    broken(w.came(&holder, &shard), "in several zones");
+    broken(w.came(&holder, &task_name), "in several zones");
 }
 
 #[test]
@@ -169,7 +169,7 @@
     let there = w.machines.values().find(|m| !m.gone).expect("a machine");
     let name = there.name.clone();
     plant(&mut w, &name, task("req-1/0", 2.0));
-    let shard = ["req-1/0".to_string()];
+    let task_name = ["req-1/0".to_string()];
     let line = |most: &str| Line {
         words: vec!["late_starts".into()],
         options: BTreeMap::from([("most".into(), most.into())]),
@@ -177,13 +177,13 @@
     };
     assert_eq!(w.script(line("0")), Ok(()));
     // In time it is counted, and no more than that.
-    assert_eq!(w.came(&name, &shard), Ok(()));
+    assert_eq!(w.came(&name, &task_name), Ok(()));
     assert_eq!(w.script(line("1")), Ok(()));
     broken(w.script(line("0")), "1 tasks of cancelled jobs started");
     assert_eq!(w.check_moment(), Ok(()));
     // Later than that it is a breach, and so is that it is there; on a machine that hangs, too.
     w.now = confirmed + w.settings.cancel + 1;
-    broken(w.came(&name, &shard), "ran_cancelled");
+    broken(w.came(&name, &task_name), "ran_cancelled");
     w.machine_mut(&name).expect("a machine").hangs_until = 900 * S;
     broken(w.check_moment(), "ran_cancelled");
 }
@@ -372,7 +372,7 @@
     // A gang needs its team's limit for all its tasks at once.
     let mut w = running();
     let seen = w.jobs.get_mut("req-1").expect("a job");
-    seen.spec.shards = 17;
+    seen.spec.tasks = 17;
     let submit = || Asker::Submit("req-1".into(), 8 * S);
     assert_eq!(forge(&mut w, submit(), 200, "running"), Ok(()));
     let seen = w.jobs.get_mut("req-1").expect("a job");
@@ -457,7 +457,7 @@
     w.jobs.get_mut("req-4").expect("a job").spec.memory_gb = memory;
     let names: Vec<String> = w.machines.keys().cloned().collect();
     for (i, name) in names.iter().enumerate() {
-        w2.shard = format!("req-4/{i}");
+        w2.task_name = format!("req-4/{i}");
         plant(w, name, w2.clone());
     }
 }
@@ -465,13 +465,13 @@
 #[test]
 fn commands_in_the_answer_to_a_copy() {
     let answer = |verb: &str| {
-        let orders = vec![Order {
+        let commands = vec![Command {
             verb: verb.into(),
-            shard: "req-1/0".into(),
+            task_name: "req-1/0".into(),
             attempt: 1,
-            leeway_s: None,
+            grace_s: None,
         }];
-        to_cbor(&CheckinAnswer { warrant: 9, orders })
+        to_cbor(&CheckinAnswer { token: 9, commands })
     };
     let mut w = running();
     for (first, verb, fine) in [
@@ -494,26 +494,26 @@
     let (holder, _) = holder_and_other(&w, "req-1");
     let m = w.machine_mut(&holder).expect("a machine");
     let newest = m.report(4 * S);
-    let copy = |tenure, tally, warrant| {
+    let copy = |session, sequence, token| {
         let report = grebewood_wire::http::Report {
-            tenure,
-            tally,
-            warrant,
+            session,
+            sequence,
+            token,
             ..newest.clone()
         };
         to_cbor(&report)
     };
-    let (tenure, tally, warrant) = (newest.tenure, newest.tally, newest.warrant);
+    let (session, sequence, token) = (newest.session, newest.sequence, newest.token);
     let asker = Asker::Copy { first: false };
     // The world played on so far: all but the newest one came under this grant.
-    assert!(!w.note_report(leader, &copy(tenure, tally - 1, warrant), &asker));
-    assert!(w.note_report(leader, &copy(tenure, tally, warrant), &asker));
-    assert!(!w.note_report(leader, &copy(tenure, tally, warrant), &asker));
-    assert!(w.note_report(leader, &copy(tenure + 1, 1, warrant), &asker));
-    assert!(!w.note_report(leader, &copy(tenure, tally + 9, warrant), &asker));
+    assert!(!w.note_report(leader, &copy(session, sequence - 1, token), &asker));
+    assert!(w.note_report(leader, &copy(session, sequence, token), &asker));
+    assert!(!w.note_report(leader, &copy(session, sequence, token), &asker));
+    assert!(w.note_report(leader, &copy(session + 1, 1, token), &asker));
+    assert!(!w.note_report(leader, &copy(session, sequence + 9, token), &asker));
     // Nobody else leads.
     let other = (leader + 1) % 3;
-    assert!(!w.note_report(other, &copy(tenure, tally, warrant), &asker));
+    assert!(!w.note_report(other, &copy(session, sequence, token), &asker));
     // Copies of older tokens count as a meeting; reports themselves do not.
     let count = |n: &str| Line {
         words: vec!["copied".into(), n.into()],
@@ -526,13 +526,13 @@
             - 1
     };
     assert_eq!(met(&mut w), 0);
-    w.note_report(leader, &copy(tenure, tally, warrant - 1), &asker);
+    w.note_report(leader, &copy(session, sequence, token - 1), &asker);
     assert_eq!(met(&mut w), 1);
     let worker = Asker::Worker {
         machine: holder.clone(),
         flight: 1,
     };
-    w.note_report(leader, &copy(tenure, tally, warrant - 1), &worker);
+    w.note_report(leader, &copy(session, sequence, token - 1), &worker);
     assert_eq!(met(&mut w), 1);
 }
 
@@ -540,18 +540,18 @@
 fn a_direct_command_is_carried_out_late_and_answered_to_nobody() {
     let mut w = running();
     let (holder, _) = holder_and_other(&w, "req-1");
-    let (tenure, warrant) = (w.machines[&holder].tenure, w.machines[&holder].warrant);
+    let (session, token) = (w.machines[&holder].session, w.machines[&holder].token);
     let first = w.machines[&holder].tasks[0].clone();
-    let orders = vec![Order {
+    let commands = vec![Command {
         verb: "stop".into(),
-        shard: first.shard.clone(),
+        task_name: first.task_name.clone(),
         attempt: first.attempt,
-        leeway_s: None,
+        grace_s: None,
     }];
-    let body = to_cbor(&DirectOrders {
-        warrant,
-        tenure,
-        orders,
+    let body = to_cbor(&DirectCommands {
+        token,
+        session,
+        commands,
     });
     let line = Line {
         words: vec!["lose".into(), "direct".into(), holder.clone()],
@@ -567,7 +567,11 @@
     w.queue.clear();
     w.direct(caller, &format!("worker:{holder}"), &body)
         .expect("no fault");
-    let live = |w: &World| w.machines[&holder].live().any(|t| t.shard == first.shard);
+    let live = |w: &World| {
+        w.machines[&holder]
+            .live()
+            .any(|t| t.task_name == first.task_name)
+    };
     assert!(live(&w));
     let ((at, _), late) = w.queue.pop_first().expect("a late command");
     assert_eq!((at, w.queue.len()), (w.now + 6 * S, 0));
--- a/crates/testkit/src/world/troubles.rs
+++ b/crates/testkit/src/world/troubles.rs
@@ -222,7 +222,7 @@
         };
         if let Some(job) = line.options.get("of") {
             let prefix = format!("{job}/");
-            let names = names(&|m| m.live().any(|t| t.shard.starts_with(&prefix)));
+            let names = names(&|m| m.live().any(|t| t.task_name.starts_with(&prefix)));
             return match names.is_empty() {
                 true => Err(format!("no machine holds a task of {job}")),
                 false => Ok(names),
@@ -361,7 +361,7 @@
             for node in nodes {
                 let ev = Ev::Request {
                     node,
-                    door: Door::Front,
+                    interface: Interface::Front,
                     method: "POST".into(),
                     path: "/checkin".into(),
                     body: kept.body.clone(),
@@ -386,13 +386,13 @@
             return false;
         };
         let t = &mut self.troubles;
-        if matches!(asker, Asker::Copy { .. }) && report.warrant < token {
+        if matches!(asker, Asker::Copy { .. }) && report.token < token {
             t.copied += 1;
         }
-        let heard = t.heard.entry((report.perch, n, token)).or_default();
-        let first = (report.tenure, report.tally) > *heard;
+        let heard = t.heard.entry((report.machine, n, token)).or_default();
+        let first = (report.session, report.sequence) > *heard;
         if takes {
-            *heard = (report.tenure, report.tally).max(*heard);
+            *heard = (report.session, report.sequence).max(*heard);
         }
         first
     }
@@ -425,7 +425,9 @@
             let machines = self.machines.values().filter(|m| m.up && !m.gone);
             let mut tasks = machines.flat_map(|m| m.live());
             tasks.any(|t| {
-                t.status == "running" && t.shard.starts_with(&prefix) && t.ends >= now + LONG_TO_GO
+                t.status == "running"
+                    && t.task_name.starts_with(&prefix)
+                    && t.ends >= now + LONG_TO_GO
             })
         };
         let jobs: Vec<String> = self
@@ -439,7 +441,7 @@
             return Err("no job runs that has long to go".into());
         }
         if hang > 0 {
-            let theirs = |t: &Task| t.shard.rsplit_once('/').map(|(j, _)| j.to_string());
+            let theirs = |t: &Task| t.task_name.rsplit_once('/').map(|(j, _)| j.to_string());
             let holds = |m: &&mut Machine| {
                 m.live()
                     .any(|t| theirs(t).is_some_and(|j| jobs.contains(&j)))
@@ -463,7 +465,7 @@
         let Some(seen) = self.jobs.get_mut(job) else {
             return;
         };
-        let ends = seen.completed.len() as u64 == seen.spec.shards;
+        let ends = seen.completed.len() as u64 == seen.spec.tasks;
         if ends {
             seen.completed_at.get_or_insert(self.now);
         }
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -27,7 +27,7 @@
     ) {
         let ev = Ev::Request {
             node,
-            door: Door::Front,
+            interface: Interface::Front,
             method: method.into(),
             path,
             body,
@@ -92,7 +92,7 @@
             .collect();
         let mut groups: BTreeMap<String, Vec<&JobSeen>> = BTreeMap::new();
         for j in &jobs {
-            let (class, team) = (&j.spec.workclass, &j.spec.owner);
+            let (class, team) = (&j.spec.class, &j.spec.team);
             groups.entry(format!("class {class}")).or_default().push(j);
             groups.entry(format!("team {team}")).or_default().push(j);
         }
@@ -101,7 +101,7 @@
             .filter(|(name, _)| name.starts_with("class"))
             .map(|(name, jobs)| {
                 let mut jobs = jobs.clone();
-                jobs.sort_by_key(|j| std::cmp::Reverse(j.spec.shards));
+                jobs.sort_by_key(|j| std::cmp::Reverse(j.spec.tasks));
                 jobs.truncate(jobs.len().div_ceil(10));
                 (format!("the largest of {name}"), jobs)
             })
@@ -115,7 +115,7 @@
         for (name, jobs) in groups.iter().chain(largest.iter().map(|(n, j)| (n, j))) {
             let serves = |j: &&&JobSeen| match j.spec.shape.as_str() {
                 "daemon" => j.began.is_some(),
-                _ => j.done || j.completed.len() as u64 == j.spec.shards,
+                _ => j.done || j.completed.len() as u64 == j.spec.tasks,
             };
             let served = jobs.iter().filter(serves).count();
             if served * 2 < jobs.len() {
@@ -143,7 +143,7 @@
                 if seen.spec.shape == "daemon" {
                     return Err(format!("not_done: {job} is a daemon and said to be done"));
                 }
-                if seen.completed.len() as u64 != seen.spec.shards {
+                if seen.completed.len() as u64 != seen.spec.tasks {
                     return Err(format!("not_done: {job} is said to be done"));
                 }
                 if seen.cancelled_at.is_some() {
@@ -261,16 +261,16 @@
                 self.met += 1;
             }
             Asker::Copy { first } => {
-                let orders = from_cbor::<CheckinAnswer>(&body).map_or(Vec::new(), |a| a.orders);
+                let commands = from_cbor::<CheckinAnswer>(&body).map_or(Vec::new(), |a| a.commands);
                 // A new leader cannot know that the first report it gets is a copy, and what it answers
                 // reaches nobody; but it may not launch before it knows that the machine hears it.
-                let some = |o: &Order| !first || o.verb == "launch";
-                if status == 200 && orders.iter().any(some) {
+                let some = |o: &Command| !first || o.verb == Verb::Launch;
+                if status == 200 && commands.iter().any(some) {
                     return Err("the late copy of a report is answered with commands".into());
                 }
             }
             Asker::Worker { machine, flight } => {
-                let launches = |a: CheckinAnswer| a.orders.iter().any(|o| o.verb == "launch");
+                let launches = |a: CheckinAnswer| a.commands.iter().any(|o| o.verb == Verb::Launch);
                 if self.slow_launch.contains_key(&machine)
                     && from_cbor::<CheckinAnswer>(&body).is_ok_and(launches)
                 {
--- a/crates/testkit/src/world/workers.rs
+++ b/crates/testkit/src/world/workers.rs
@@ -16,10 +16,10 @@
         let Some(m) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        let Some((id, sent, tenure)) = m.in_flight else {
+        let Some((id, sent, session)) = m.in_flight else {
             return Ok(());
         };
-        if id != flight || m.gone || tenure != m.tenure {
+        if id != flight || m.gone || session != m.session {
             return Ok(());
         }
         if self.lose_answer.remove(name) || now < m.deaf_until.max(m.cut_until) {
@@ -33,17 +33,17 @@
             200 => {
                 let answer: CheckinAnswer =
                     from_cbor(body).map_err(|e| format!("a check-in's answer: {e}"))?;
-                if answer.warrant < m.warrant {
+                if answer.token < m.token {
                     return Ok(());
                 }
-                m.warrant = answer.warrant;
+                m.token = answer.token;
                 m.lease_from = sent;
-                let came = m.carry_out(now, &answer.orders, &self.facts);
+                let came = m.carry_out(now, &answer.commands, &self.facts);
                 self.came(name, &came)
             }
             421 => {
-                let steward = from_cbor::<Redirect>(body).ok().and_then(|r| r.steward);
-                let to = steward
+                let leader = from_cbor::<Redirect>(body).ok().and_then(|r| r.leader);
+                let to = leader
                     .and_then(|s| s.strip_prefix("perch-").and_then(|n| n.parse().ok()))
                     .filter(|n| *n != node && *n < nodes);
                 match to {
@@ -67,22 +67,22 @@
     }
 
     /// Tasks came onto a machine: checks the rules of starting.
-    pub(super) fn came(&mut self, name: &str, shards: &[String]) -> Result<(), String> {
+    pub(super) fn came(&mut self, name: &str, tasks: &[String]) -> Result<(), String> {
         let Some(here) = self.machines.get(name) else {
             return Ok(());
         };
-        for shard in shards {
-            let Some((job, _)) = shard.rsplit_once('/') else {
+        for task_name in tasks {
+            let Some((job, _)) = task_name.rsplit_once('/') else {
                 continue;
             };
             let live = |m: &&Machine| !m.gone;
             for m in self.machines.values().filter(live) {
-                if m.name != name && m.live().any(|t| t.shard == *shard) {
-                    return Err(format!("ran_twice: {shard} on {} and {name}", m.name));
+                if m.name != name && m.live().any(|t| t.task_name == *task_name) {
+                    return Err(format!("ran_twice: {task_name} on {} and {name}", m.name));
                 }
             }
             let Some(seen) = self.jobs.get_mut(job) else {
-                return Err(format!("{shard} of an unknown job"));
+                return Err(format!("{task_name} of an unknown job"));
             };
             seen.starts += 1;
             seen.last_start = self.now;
@@ -95,21 +95,24 @@
                 .cancelled_at
                 .is_some_and(|at| self.now > at + self.settings.cancel)
             {
-                return Err(format!("ran_cancelled: {shard} starts"));
+                return Err(format!("ran_cancelled: {task_name} starts"));
             }
             let allowed = spec
-                .builds
+                .machine_types
                 .as_ref()
                 .is_none_or(|b| b.contains(&here.machine_type))
-                && spec.yard.as_ref().is_none_or(|y| *y == here.zone)
-                && (spec.loaner || !here.spot);
+                && spec.zone.as_ref().is_none_or(|y| *y == here.zone)
+                && (spec.spot || !here.spot);
             if !allowed {
-                return Err(format!("wrong_place: {shard} on {name}"));
+                return Err(format!("wrong_place: {task_name} on {name}"));
             }
             let prefix = format!("{job}/");
             let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
             for m in self.machines.values().filter(live) {
-                let n = m.live().filter(|t| t.shard.starts_with(&prefix)).count();
+                let n = m
+                    .live()
+                    .filter(|t| t.task_name.starts_with(&prefix))
+                    .count();
                 if n > 0 {
                     *zones.entry(&m.zone).or_insert(0) += n as u64;
                 }
@@ -117,7 +120,7 @@
             if spec.one_zone && zones.len() > 1 {
                 return Err(format!("wrong_place: {job} in several zones"));
             }
-            if spec.spread && zones.values().any(|n| *n > spec.shards.div_ceil(2)) {
+            if spec.spread && zones.values().any(|n| *n > spec.tasks.div_ceil(2)) {
                 return Err(format!("wrong_place: {job} is not spread"));
             }
         }
@@ -150,14 +153,14 @@
             self.push(at, Ev::Worker(caller, address.into(), body.to_vec()));
             return Ok(());
         }
-        let Ok(orders) = from_cbor::<DirectOrders>(body) else {
+        let Ok(commands) = from_cbor::<DirectCommands>(body) else {
             return Ok(());
         };
-        let (status, came) = if orders.warrant < m.warrant || orders.tenure != m.tenure {
+        let (status, came) = if commands.token < m.token || commands.session != m.session {
             (409, Vec::new())
         } else {
-            m.warrant = orders.warrant;
-            (200, m.carry_out(now, &orders.orders, &self.facts))
+            m.token = commands.token;
+            (200, m.carry_out(now, &commands.commands, &self.facts))
         };
         let report = to_cbor(&m.report(now));
         self.reply(caller, "workers", 2 * MS, status, report);
@@ -215,10 +218,10 @@
             return Ok(());
         }
         let (done, changed) = m.advance(now, self.settings.lease, &self.facts);
-        for shard in done {
-            if let Some((job, _)) = shard.rsplit_once('/') {
+        for task_name in done {
+            if let Some((job, _)) = task_name.rsplit_once('/') {
                 if let Some(seen) = self.jobs.get_mut(job) {
-                    seen.completed.insert(shard.clone());
+                    seen.completed.insert(task_name.clone());
                 }
                 self.job_ends(job);
             }
@@ -233,9 +236,9 @@
         let rested = m
             .token_told
             .is_none_or(|at| now >= at + self.settings.lease / 2);
-        if m.told_warrant < m.warrant && rested && m.in_flight.is_none() {
+        if m.told_token < m.token && rested && m.in_flight.is_none() {
             m.token_told = Some(now);
-            m.told_warrant = m.warrant;
+            m.told_token = m.token;
             m.next_report = m.next_report.min((m.last_report + S / 2).max(now));
         }
         if changed {
@@ -259,10 +262,10 @@
         }
         self.seq += 1;
         let flight = self.seq;
-        m.in_flight = Some((flight, now, m.tenure));
+        m.in_flight = Some((flight, now, m.session));
         m.last_report = now;
         m.next_report = now + self.settings.report;
-        m.told_warrant = m.warrant;
+        m.told_token = m.token;
         let body = to_cbor(&m.report(now));
         let (node, cut_until) = (m.node, m.cut_until);
         let asker = Asker::Worker {
@@ -271,7 +274,7 @@
         };
         let ev = |body| Ev::Request {
             node,
-            door: Door::Front,
+            interface: Interface::Front,
             method: "POST".into(),
             path: "/checkin".into(),
             body,
@@ -287,8 +290,8 @@
         }
         let slow = self.overtake_report.remove(name);
         if let Some(late) = slow {
-            let tally = self.machine_mut(name)?.tally;
-            self.push(now + late, Ev::Overtaken(name.into(), tally));
+            let sequence = self.machine_mut(name)?.sequence;
+            self.push(now + late, Ev::Overtaken(name.into(), sequence));
         }
         if let Some(at) = self.arrival(node, "workers", MS + slow.unwrap_or(0)) {
             let ev = ev(body);
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,47 +1,76 @@
-//! HTTP bodies, in the protocol's own words.
+//! HTTP bodies. Fields have the standard terms; the protocol's words are their serde names.
 
 use crate::amount;
+pub use crate::words::{ExitCause, TaskStatus, Verb};
 use serde::{Deserialize, Serialize};
 
 /// Body of `POST /submissions`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    pub uid: String,
-    pub workclass: String,
-    pub owner: String,
+    /// The job's id, chosen by its user.
+    #[serde(rename = "uid")]
+    pub id: String,
+    /// The job class that objectives are stated for.
+    #[serde(rename = "workclass")]
+    pub class: String,
+    /// The team whose guarantee and limit apply.
+    #[serde(rename = "owner")]
+    pub team: String,
+    /// `batch`, `gang` or `daemon`.
     pub shape: String,
-    pub precedence: Precedence,
-    pub shards: u64,
-    #[serde(deserialize_with = "amount::required")]
-    pub vcpus: f64,
-    #[serde(deserialize_with = "amount::required")]
-    pub accelerators: f64,
+    /// Its priority.
+    #[serde(rename = "precedence")]
+    pub priority: Priority,
+    /// Number of tasks.
+    #[serde(rename = "shards")]
+    pub tasks: u64,
+    /// CPUs of each task.
+    #[serde(rename = "vcpus", deserialize_with = "amount::required")]
+    pub cpus: f64,
+    /// Accelerators of each task.
+    #[serde(rename = "accelerators", deserialize_with = "amount::required")]
+    pub gpus: f64,
+    /// Memory of each task.
     #[serde(deserialize_with = "amount::required")]
     pub memory_gb: f64,
-    pub bundle: String,
-    #[serde(deserialize_with = "amount::required")]
-    pub pull_gb: f64,
-    #[serde(default)]
-    pub builds: Option<Vec<String>>,
-    #[serde(default)]
-    pub yard: Option<String>,
+    /// The image that a machine needs before a task can start.
+    #[serde(rename = "bundle")]
+    pub image: String,
+    /// Size of the image.
+    #[serde(rename = "pull_gb", deserialize_with = "amount::required")]
+    pub image_gb: f64,
+    /// The machine types that it may run on; `None`: any.
+    #[serde(rename = "builds", default)]
+    pub machine_types: Option<Vec<String>>,
+    /// The only zone that it may run in; `None`: any.
+    #[serde(rename = "yard", default)]
+    pub zone: Option<String>,
+    /// All tasks must be in the same zone.
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
-    pub loaner: bool,
+    /// It may use spot machines.
+    #[serde(rename = "loaner")]
+    pub spot: bool,
+    /// The owner's estimate of a task's run time.
     #[serde(deserialize_with = "amount::required")]
     pub expected_s: f64,
-    #[serde(deserialize_with = "amount::required")]
-    pub savepoint_s: f64,
-    #[serde(deserialize_with = "amount::required")]
-    pub flush_s: f64,
-    #[serde(default, deserialize_with = "amount::optional")]
-    pub due_s: Option<f64>,
+    /// Progress between two checkpoints; 0: a task never saves.
+    #[serde(rename = "savepoint_s", deserialize_with = "amount::required")]
+    pub checkpoint_s: f64,
+    /// Time that a task needs to save when it is stopped.
+    #[serde(rename = "flush_s", deserialize_with = "amount::required")]
+    pub save_s: f64,
+    /// When the job should be complete, measured from its submission.
+    #[serde(rename = "due_s", default, deserialize_with = "amount::optional")]
+    pub deadline_s: Option<f64>,
 }
 
 /// Priority of a job; the order is from the least to the most important.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Precedence {
+#[allow(missing_docs)]
+pub enum Priority {
     Idle,
     Normal,
     High,
@@ -51,142 +80,218 @@
 /// Answer to a submission and to a cancellation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Accepted {
-    pub uid: String,
+    /// The job's id.
+    #[serde(rename = "uid")]
+    pub id: String,
+    /// Its state.
     pub status: String,
 }
 
 /// Answer to `GET /submissions/{id}`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobStatus {
-    pub uid: String,
+    /// The job's id.
+    #[serde(rename = "uid")]
+    pub id: String,
+    /// Its state.
     pub status: String,
+    /// Completed tasks, for display.
     pub done: u64,
+    /// Running tasks, for display.
     pub running: u64,
 }
 
 /// Body of any refusal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Refusal {
+    /// Why it is refused.
     pub error: String,
 }
 
 /// A worker's report: body of `POST /checkin`, and of the answers of `/do` and `/inspect`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    pub perch: String,
-    pub endpoint: String,
-    pub build: String,
-    pub yard: String,
-    pub loaner: bool,
-    pub tenure: u64,
-    pub tally: u64,
-    pub warrant: u64,
+    /// The machine's name.
+    #[serde(rename = "perch")]
+    pub machine: String,
+    /// Where the worker takes direct commands.
+    #[serde(rename = "endpoint")]
+    pub address: String,
+    /// The machine's type.
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    /// The machine's zone.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Whether it is a spot machine.
+    #[serde(rename = "loaner")]
+    pub spot: bool,
+    /// Session of the worker; a new one begins whenever its lease expires.
+    #[serde(rename = "tenure")]
+    pub session: u64,
+    /// Sequence number of the report. The report with the larger session and sequence is the newer one.
+    #[serde(rename = "tally")]
+    pub sequence: u64,
+    /// The highest fencing token that the worker has seen.
+    #[serde(rename = "warrant")]
+    pub token: u64,
+    /// Time until the cloud takes the machine back, if that is announced.
     #[serde(default, deserialize_with = "amount::optional")]
     pub recall_s: Option<f64>,
-    #[serde(default)]
-    pub shards: Vec<ShardReport>,
+    /// All tasks on the machine, exited ones until they are acknowledged.
+    #[serde(rename = "shards", default)]
+    pub tasks: Vec<TaskReport>,
 }
 
 /// One task in a worker's report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ShardReport {
-    pub shard: String,
+pub struct TaskReport {
+    /// The task's name: `<job>/<number>`.
+    #[serde(rename = "shard")]
+    pub task_name: String,
+    /// The attempt's number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    pub status: String,
+    /// What it is doing.
+    pub status: TaskStatus,
+    /// Why it exited.
     #[serde(default)]
-    pub cause: Option<String>,
+    pub cause: Option<ExitCause>,
+    /// Whether its progress was saved as it was stopped.
     #[serde(default)]
     pub saved: Option<bool>,
 }
 
 /// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
-    pub verb: String,
-    pub shard: String,
+pub struct Command {
+    /// What is to be done.
+    pub verb: Verb,
+    /// The task's name: `<job>/<number>`.
+    #[serde(rename = "shard")]
+    pub task_name: String,
+    /// The attempt's number.
     #[serde(rename = "try")]
     pub attempt: u64,
+    /// Time that a stopped task has to save.
     #[serde(
+        rename = "leeway_s",
         default,
         skip_serializing_if = "Option::is_none",
         deserialize_with = "amount::optional"
     )]
-    pub leeway_s: Option<f64>,
+    pub grace_s: Option<f64>,
 }
 
 /// Answer to a check-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CheckinAnswer {
-    pub warrant: u64,
-    pub orders: Vec<Order>,
+    /// The fencing token of who commands.
+    #[serde(rename = "warrant")]
+    pub token: u64,
+    /// To be carried out in order.
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Body of `POST /do`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DirectOrders {
-    pub warrant: u64,
-    pub tenure: u64,
-    pub orders: Vec<Order>,
+pub struct DirectCommands {
+    /// The fencing token of who commands.
+    #[serde(rename = "warrant")]
+    pub token: u64,
+    /// The session that the commands are for.
+    #[serde(rename = "tenure")]
+    pub session: u64,
+    /// To be carried out in order.
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Answer 421 to a check-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Redirect {
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub steward: Option<String>,
+    /// The controller that leads, if it is known.
+    #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
+    pub leader: Option<String>,
 }
 
 /// Answer of `GET /machine_types`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Catalogue {
-    pub builds: Vec<MachineType>,
+    /// All machine types.
+    #[serde(rename = "builds")]
+    pub machine_types: Vec<MachineType>,
 }
 
 /// One machine type of the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
+    /// Its name.
     pub name: String,
-    #[serde(deserialize_with = "amount::required")]
-    pub vcpus: f64,
-    #[serde(deserialize_with = "amount::required")]
-    pub accelerators: f64,
+    /// CPUs of a machine.
+    #[serde(rename = "vcpus", deserialize_with = "amount::required")]
+    pub cpus: f64,
+    /// Accelerators of a machine.
+    #[serde(rename = "accelerators", deserialize_with = "amount::required")]
+    pub gpus: f64,
+    /// Memory of a machine.
     #[serde(deserialize_with = "amount::required")]
     pub memory_gb: f64,
+    /// Room for cached images.
     #[serde(default, deserialize_with = "amount::optional")]
     pub local_gb: Option<f64>,
+    /// How fast images are fetched.
     #[serde(default, deserialize_with = "amount::optional")]
     pub fetch_gb_per_s: Option<f64>,
+    /// Price per hour of an ordinary machine.
     #[serde(deserialize_with = "amount::required")]
     pub price: f64,
+    /// Price per hour of a spot machine, if there are any.
     #[serde(default, deserialize_with = "amount::optional")]
     pub spot_price: Option<f64>,
-    #[serde(deserialize_with = "amount::required")]
-    pub startup_s: f64,
-    #[serde(default)]
-    pub yards: Vec<String>,
+    /// Published boot time.
+    #[serde(rename = "startup_s", deserialize_with = "amount::required")]
+    pub boot_s: f64,
+    /// Zones in which it can be rented.
+    #[serde(rename = "yards", default)]
+    pub zones: Vec<String>,
 }
 
 /// Body of `POST /rentals`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RentalRequest {
-    pub hire: String,
-    pub build: String,
-    pub yard: String,
-    pub loaner: bool,
+    /// Name of the request: a repeated one rents nothing twice.
+    #[serde(rename = "hire")]
+    pub name: String,
+    /// The machine type.
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    /// The zone.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Whether spot machines are wanted.
+    #[serde(rename = "loaner")]
+    pub spot: bool,
+    /// How many machines are wanted.
     pub number: u64,
 }
 
 /// Answer to a rental request, and body of a release.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Perches {
-    pub perches: Vec<String>,
+pub struct MachineNames {
+    /// Names of machines.
+    #[serde(rename = "perches")]
+    pub machines: Vec<String>,
 }
 
 /// Answer of `GET /rentals`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineList {
-    pub perches: Vec<ListedMachine>,
+    /// Machines in order of their names.
+    #[serde(rename = "perches")]
+    pub machines: Vec<ListedMachine>,
+    /// Whether the list goes on.
     #[serde(default)]
     pub more: bool,
 }
@@ -194,38 +299,60 @@
 /// One machine in the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedMachine {
-    pub uid: String,
-    #[serde(default)]
-    pub endpoint: Option<String>,
-    pub build: String,
-    pub yard: String,
-    pub loaner: bool,
+    /// Its name.
+    #[serde(rename = "uid")]
+    pub id: String,
+    /// Where its worker takes direct commands.
+    #[serde(rename = "endpoint", default)]
+    pub address: Option<String>,
+    /// Its type.
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    /// Its zone.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Whether it is a spot machine.
+    #[serde(rename = "loaner")]
+    pub spot: bool,
+    /// `starting`, `running` or `failed`.
     pub status: String,
-    #[serde(deserialize_with = "amount::required")]
-    pub held_s: f64,
+    /// Time since the rental request.
+    #[serde(rename = "held_s", deserialize_with = "amount::required")]
+    pub age_s: f64,
 }
 
 /// One key of the state service with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Entry<T> {
-    pub k: String,
+    /// The key.
+    #[serde(rename = "k")]
+    pub key: String,
+    /// Its value.
     pub value: T,
+    /// Revision of the key's last change.
     pub stamp: u64,
 }
 
 /// Answer to a list of keys.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EntryList {
+    /// Keys and values in order.
     pub entries: Vec<Entry<ciborium::Value>>,
+    /// Whether the list goes on.
     #[serde(default)]
     pub more: bool,
-    pub epoch: u64,
+    /// Revision of the state service as of the list.
+    #[serde(rename = "epoch")]
+    pub revision: u64,
 }
 
 /// A condition of a transaction: the key has this stamp (0: it does not exist).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct When {
-    pub k: String,
+    /// The key.
+    #[serde(rename = "k")]
+    pub key: String,
+    /// The stamp that it must have.
     pub stamp: u64,
 }
 
@@ -233,13 +360,19 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
+    /// Writes a key.
     Put {
+        /// The key.
         put: String,
+        /// Its new value.
         value: ciborium::Value,
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        tether: Option<u64>,
+        /// The lease that it is attached to.
+        #[serde(rename = "tether", default, skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
     },
+    /// Removes a key.
     Delete {
+        /// The key.
         delete: String,
     },
 }
@@ -257,19 +390,24 @@
 /// Body of `POST /txn`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Txn {
+    /// Conditions, all of which must hold.
     pub when: Vec<When>,
+    /// Changes, all of which are made or none.
     pub apply: Vec<Change>,
 }
 
 /// Answer that carries the revision of the state service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Epoch {
-    pub epoch: u64,
+pub struct Revision {
+    /// The revision.
+    #[serde(rename = "epoch")]
+    pub revision: u64,
 }
 
 /// Answer 409 to a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TxnFailed {
+    /// Keys whose conditions do not hold.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -277,19 +415,26 @@
 /// Body of `POST /leases`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    pub life_ms: u64,
+    /// Time to live.
+    #[serde(rename = "life_ms")]
+    pub ttl_ms: u64,
 }
 
 /// Answer to `POST /leases`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Lease {
-    pub tether: u64,
+    /// Its id.
+    #[serde(rename = "tether")]
+    pub id: u64,
 }
 
 /// Answer of `GET /changes`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Changes {
-    pub epoch: u64,
+    /// Revision up to which the changes are told.
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+    /// The changes in order.
     #[serde(default)]
     pub events: Vec<Event>,
 }
@@ -297,12 +442,16 @@
 /// One change that a watch reports.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
+    /// The key, if it was written.
     #[serde(default)]
     pub put: Option<String>,
+    /// The key, if it was removed.
     #[serde(default)]
     pub delete: Option<String>,
+    /// The value written.
     #[serde(default)]
     pub value: Option<ciborium::Value>,
+    /// Revision of the change.
     pub stamp: u64,
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,12 +2,13 @@
 //!
 //! The bodies that users, workers, the cloud and the state service exchange with a controller
 //! are CBOR maps ([`http`]); controllers talk to each other in MessagePack ([`peer`]); what a
-//! controller keeps in the state service is in [`records`]. Field names that the protocol page
-//! renames (`warrant` for a fencing token, `tether` for a lease, ...) stay inside this package.
+//! controller keeps in the state service is in [`records`]. Where the protocol has a word of its own for
+//! something that the field has a term for, the term is the name in Rust and the word a serde name.
 
 pub mod http;
 pub mod peer;
 pub mod records;
+mod words;
 
 pub use ciborium::Value;
 use serde::{de::DeserializeOwned, Serialize};
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -5,10 +5,10 @@
 //! | `leader` | a candidate, under a lease | [`LeaderRecord`]; its stamp is the fencing token |
 //! | `job/<id>` | the node that accepts, once | [`JobRecord`] of a job that is not over |
 //! | `job/<id>/cancel` | the node that cancels, once | [`CancelRecord`] |
-//! | `past/<id>` | the leader, once | [`PastRecord`] of a job that is over; kept forever |
+//! | `past/<id>` | the leader, once | [`FinishedJobRecord`] of a job that is over; kept forever |
 //! | `done/<n>` | the leader | [`DonePageRecord`]: completed tasks of many jobs |
 //! | `page/<block>/<n>` | the block's holder | [`PageRecord`]: assignments |
-//! | `hire/<name>` | the leader | [`HireRecord`]: a rental, before it is requested |
+//! | `rental/<name>` | the leader | [`RentalRecord`]: a rental, before it is requested |
 //! | `stats` | the leader | [`StatsRecord`]: learnt averages |
 //! | `catalogue` | the leader | the machine types last seen |
 //!
@@ -24,10 +24,10 @@
 pub const CANCEL: &str = "/cancel";
 /// Prefix of cancellations as an earlier version wrote them.
 pub const OLD_CANCEL: &str = "cancel/";
-pub const PAST: &str = "past/";
+pub const FINISHED: &str = "past/";
 pub const DONE: &str = "done/";
 pub const PAGE: &str = "page/";
-pub const HIRE: &str = "hire/";
+pub const RENTAL: &str = "hire/";
 pub const STATS: &str = "stats";
 pub const CATALOGUE: &str = "catalogue";
 
@@ -88,10 +88,12 @@
 
 /// A job that is over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PastRecord {
+pub struct FinishedJobRecord {
     /// `done` or `aborted`.
     pub status: String,
-    pub shards: u64,
+    /// Number of its tasks.
+    #[serde(rename = "shards")]
+    pub tasks: u64,
 }
 
 /// Completed tasks from `n * DONE_SPAN` on, as hexadecimal digits of four tasks each.
@@ -112,18 +114,25 @@
     pub machines: Vec<MachineAssignments>,
 }
 
-/// The assignments of one machine on one page: `(job, task, attempt)` each.
+/// The assignments of one machine on one page.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineAssignments {
-    pub m: String,
-    pub tenure: u64,
+    /// The machine's name.
+    #[serde(rename = "m")]
+    pub machine: String,
+    /// The worker's session.
+    #[serde(rename = "tenure")]
+    pub session: u64,
+    /// The machine's zone.
     pub zone: String,
-    pub t: Vec<(String, u64, u64)>,
+    /// `(job, task, attempt)` each.
+    #[serde(rename = "t")]
+    pub assignments: Vec<(String, u64, u64)>,
 }
 
 /// A rental request, written before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HireRecord {
+pub struct RentalRecord {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
--- /dev/null
+++ b/crates/wire/src/words.rs
@@ -0,0 +1,99 @@
+//! Enums whose values are single words on the wire.
+
+/// Defines an enum that is written as one word and reads any word: one that this version does not know
+/// becomes `Unknown`, so that it never makes a whole message unreadable.
+macro_rules! word_enum {
+    (
+        $(#[$meta:meta])*
+        $name:ident { $( $(#[$variant_meta:meta])* $variant:ident = $word:literal, )+ }
+    ) => {
+        $(#[$meta])*
+        #[derive(Clone, Debug, PartialEq, Eq)]
+        pub enum $name {
+            $( $(#[$variant_meta])* $variant, )+
+            /// A word that this version does not know.
+            Unknown(String),
+        }
+
+        impl $name {
+            /// The word on the wire.
+            pub fn as_str(&self) -> &str {
+                match self {
+                    $( $name::$variant => $word, )+
+                    $name::Unknown(word) => word,
+                }
+            }
+        }
+
+        impl From<&str> for $name {
+            fn from(word: &str) -> Self {
+                match word {
+                    $( $word => $name::$variant, )+
+                    other => $name::Unknown(other.to_string()),
+                }
+            }
+        }
+
+        impl std::fmt::Display for $name {
+            fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+                f.write_str(self.as_str())
+            }
+        }
+
+        impl serde::Serialize for $name {
+            fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.serialize_str(self.as_str())
+            }
+        }
+
+        impl<'de> serde::Deserialize<'de> for $name {
+            fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                String::deserialize(deserializer).map(|word| $name::from(word.as_str()))
+            }
+        }
+    };
+}
+
+word_enum! {
+    /// What a task on a worker is doing.
+    TaskStatus {
+        /// It waits for its image.
+        Fetching = "fetching",
+        /// It runs.
+        Running = "running",
+        /// It was told to stop and saves a checkpoint.
+        Saving = "saving",
+        /// It has ended; [`ExitCause`] says how.
+        Exited = "exited",
+    }
+}
+
+word_enum! {
+    /// Why a task ended on a worker, or was not started there.
+    ExitCause {
+        /// It completed.
+        Done = "done",
+        /// It was stopped by a command.
+        Stopped = "stopped",
+        /// It failed.
+        Error = "error",
+        /// Refused: the machine has too little room.
+        NoRoom = "no_room",
+        /// Refused: the task is on this machine with another attempt.
+        Busy = "busy",
+        /// Refused: the worker could not get the job's description.
+        UnknownJob = "unknown",
+    }
+}
+
+word_enum! {
+    /// What a command tells a worker to do.
+    Verb {
+        /// Start the attempt of a task.
+        Launch = "launch",
+        /// Stop it, saving a checkpoint if there is time.
+        Stop = "stop",
+        /// Forget an exited attempt.
+        Acknowledge = "reap",
+    }
+}
--- /dev/null
+++ b/crates/wire/tests/names.rs
@@ -0,0 +1,184 @@
+//! The words on the wire and in the state service stay those of the protocol, whatever the fields are
+//! called in Rust; and a word that is not known spoils no message.
+
+use grebewood_wire::http::*;
+use grebewood_wire::records::{FinishedJobRecord, MachineAssignments};
+use grebewood_wire::{from_cbor, to_cbor, Value};
+
+/// The keys of a map, in the order in which they are written.
+fn keys<T: serde::Serialize>(message: &T) -> String {
+    let value: Value = from_cbor(&to_cbor(message)).expect("CBOR");
+    let items = value.as_map().expect("a map");
+    let keys: Vec<&str> = items.iter().filter_map(|(key, _)| key.as_text()).collect();
+    keys.join(" ")
+}
+
+fn map(entries: &[(&str, Value)]) -> Value {
+    let items = entries
+        .iter()
+        .map(|(key, value)| (Value::from(*key), value.clone()));
+    Value::Map(items.collect())
+}
+
+/// A worker's report in the protocol's own words.
+fn report(task: &[(&str, Value)]) -> Value {
+    map(&[
+        ("perch", "n-000231".into()),
+        ("endpoint", "10.1.0.232:9000".into()),
+        ("build", "g8".into()),
+        ("yard", "a".into()),
+        ("loaner", true.into()),
+        ("tenure", 1.into()),
+        ("tally", 88.into()),
+        ("warrant", 41.into()),
+        ("recall_s", Value::Null),
+        ("shards", Value::Array(vec![map(task)])),
+    ])
+}
+
+#[test]
+fn a_report_is_read_by_the_words_of_the_protocol() {
+    let task = [
+        ("shard", Value::from("req-000398/0")),
+        ("try", 3.into()),
+        ("status", "exited".into()),
+        ("cause", "done".into()),
+    ];
+    let read: Report = from_cbor(&to_cbor(&report(&task))).expect("a report");
+    assert_eq!(read.machine, "n-000231");
+    assert_eq!(read.address, "10.1.0.232:9000");
+    assert_eq!(
+        (read.machine_type.as_str(), read.zone.as_str()),
+        ("g8", "a")
+    );
+    assert_eq!((read.session, read.sequence, read.token), (1, 88, 41));
+    assert!(read.spot && read.recall_s.is_none());
+    let task = &read.tasks[0];
+    assert_eq!((task.task_name.as_str(), task.attempt), ("req-000398/0", 3));
+    assert_eq!(task.status, TaskStatus::Exited);
+    assert_eq!(task.cause, Some(ExitCause::Done));
+    let written = "perch endpoint build yard loaner tenure tally warrant recall_s shards";
+    assert_eq!(keys(&read), written);
+    assert_eq!(keys(task), "shard try status cause saved");
+}
+
+/// A worker may be newer than this version: its report is read all the same. What is of the wrong type
+/// or missing is refused.
+#[test]
+fn unknown_words_are_kept_and_wrong_types_are_refused() {
+    let task = |status: Value| {
+        report(&[
+            ("shard", Value::from("req-1/0")),
+            ("try", 1.into()),
+            ("status", status),
+            ("cause", "evicted".into()),
+        ])
+    };
+    let read: Report = from_cbor(&to_cbor(&task("paused".into()))).expect("a report");
+    assert_eq!(read.tasks[0].status, TaskStatus::Unknown("paused".into()));
+    assert_eq!(
+        read.tasks[0].cause,
+        Some(ExitCause::Unknown("evicted".into()))
+    );
+    assert_eq!(to_cbor(&read.tasks[0].status), to_cbor(&"paused"));
+    for wrong in [Value::from(7), Value::Null, Value::Array(Vec::new())] {
+        assert!(from_cbor::<Report>(&to_cbor(&task(wrong))).is_err());
+    }
+    let missing = report(&[("shard", Value::from("req-1/0")), ("try", 1.into())]);
+    assert!(from_cbor::<Report>(&to_cbor(&missing)).is_err());
+}
+
+#[test]
+fn every_word_is_written_as_it_is_read() {
+    let words = ["fetching", "running", "saving", "exited"];
+    assert!(words
+        .iter()
+        .all(|word| TaskStatus::from(*word).as_str() == *word));
+    assert!(!words
+        .iter()
+        .any(|word| matches!(TaskStatus::from(*word), TaskStatus::Unknown(_))));
+    let words = ["done", "stopped", "error", "no_room", "busy", "unknown"];
+    assert!(words
+        .iter()
+        .all(|word| ExitCause::from(*word).as_str() == *word));
+    assert!(!words
+        .iter()
+        .any(|word| matches!(ExitCause::from(*word), ExitCause::Unknown(_))));
+    let verbs = [
+        (Verb::Launch, "launch"),
+        (Verb::Stop, "stop"),
+        (Verb::Acknowledge, "reap"),
+    ];
+    assert!(verbs
+        .iter()
+        .all(|(verb, word)| to_cbor(verb) == to_cbor(word)));
+}
+
+#[test]
+fn what_is_sent_has_the_words_of_the_protocol() {
+    let command = Command {
+        verb: Verb::Stop,
+        task_name: "req-1/0".into(),
+        attempt: 1,
+        grace_s: Some(10.0),
+    };
+    assert_eq!(keys(&command), "verb shard try leeway_s");
+    let launch = Command {
+        verb: Verb::Launch,
+        grace_s: None,
+        ..command.clone()
+    };
+    assert_eq!(keys(&launch), "verb shard try");
+    let direct = DirectCommands {
+        token: 41,
+        session: 1,
+        commands: vec![command],
+    };
+    assert_eq!(keys(&direct), "warrant tenure orders");
+    let answer = CheckinAnswer {
+        token: 41,
+        commands: Vec::new(),
+    };
+    assert_eq!(keys(&answer), "warrant orders");
+    let leader = Some("perch-2".to_string());
+    assert_eq!(keys(&Redirect { leader }), "steward");
+    assert_eq!(keys(&Redirect { leader: None }), "");
+    let rental = RentalRequest {
+        name: "h-1-1".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        number: 12,
+    };
+    assert_eq!(keys(&rental), "hire build yard loaner number");
+    let machines = Vec::new();
+    assert_eq!(keys(&MachineNames { machines }), "perches");
+    let put = Change::Put {
+        put: "a/b".into(),
+        value: Value::Null,
+        lease: Some(7),
+    };
+    assert_eq!(keys(&put), "put value tether");
+    let when = When {
+        key: "a/b".into(),
+        stamp: 0,
+    };
+    assert_eq!(keys(&when), "k stamp");
+    assert_eq!(keys(&LeaseRequest { ttl_ms: 5_000 }), "life_ms");
+}
+
+#[test]
+fn records_have_the_words_of_earlier_versions() {
+    let finished = FinishedJobRecord {
+        status: "done".into(),
+        tasks: 3,
+    };
+    assert_eq!(keys(&finished), "status shards");
+    let assignments = MachineAssignments {
+        machine: "n-000231".into(),
+        session: 1,
+        zone: "a".into(),
+        assignments: vec![("req-1".into(), 0, 1)],
+    };
+    assert_eq!(keys(&assignments), "m tenure zone t");
+}
