--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -5,6 +5,7 @@
 use grebewood_wire::http::{to_value, MachineType, Priority, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::{JobRecord, DONE_SPAN};
+pub use grebewood_wire::validate::{valid_id, MAX_TASKS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Place of a job in the job table.
@@ -38,17 +39,6 @@
 /// A job none of whose tasks ever succeeded is suspect once some failed on so many machines.
 const SUSPECT_MACHINES: usize = 2;
 
-/// Most tasks that a job may have.
-pub const MAX_TASKS: u64 = 100_000;
-const MAX_NAME: usize = 150;
-
-/// Whether `id` has the form of a job id: `req-` and digits.
-pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("req-").is_some_and(|digits| {
-        (1..=40).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
-    })
-}
-
 /// What kind of job it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
@@ -74,54 +64,10 @@
 
 /// Checks a submission's own fields.
 pub fn check_fields(s: &Submission) -> Result<(), Refused> {
-    let invalid = |what: &str| Err(Refused::Invalid(what.to_string()));
-    if !valid_id(&s.id) {
-        return invalid("uid: not of the form req-000000");
-    }
-    for (field, text) in [
-        ("workclass", &s.class),
-        ("owner", &s.team),
-        ("bundle", &s.image),
-    ] {
-        if text.is_empty() || text.len() > MAX_NAME {
-            return invalid(&format!("{field}: empty or too long"));
-        }
+    match s.invalid_field() {
+        Some(why) => Err(Refused::Invalid(why)),
+        None => Ok(()),
     }
-    if Shape::of(s).is_none() {
-        return invalid("shape: not one of batch, gang and daemon");
-    }
-    if s.tasks == 0 || s.tasks > MAX_TASKS {
-        return invalid("shards: not within 1 and 100000");
-    }
-    for (field, x) in [
-        ("vcpus", s.cpus),
-        ("accelerators", s.gpus),
-        ("memory_gb", s.memory_gb),
-        ("pull_gb", s.image_gb),
-        ("expected_s", s.expected_s),
-        ("savepoint_s", s.checkpoint_s),
-        ("flush_s", s.save_s),
-        ("due_s", s.deadline_s.unwrap_or(0.0)),
-    ] {
-        if !(0.0..=1e9).contains(&x) {
-            return invalid(&format!("{field}: negative or too large"));
-        }
-    }
-    let builds_ok = s.machine_types.as_ref().is_none_or(|b| {
-        b.len() <= 64
-            && b.iter()
-                .all(|name| !name.is_empty() && name.len() <= MAX_NAME)
-    });
-    if !builds_ok {
-        return invalid("builds: too many or invalid names");
-    }
-    if s.zone
-        .as_ref()
-        .is_some_and(|y| y.is_empty() || y.len() > MAX_NAME)
-    {
-        return invalid("yard: empty or too long");
-    }
-    Ok(())
 }
 
 /// Checks that the job's record fits a value of the state service: one beyond the limit was once
--- a/crates/core/src/workers/checkins.rs
+++ b/crates/core/src/workers/checkins.rs
@@ -149,15 +149,8 @@
             Ok(r) => r,
             Err(e) => return self.context.refuse(id, 400, &e.to_string()),
         };
-        let bad = |s: &str| s.is_empty() || s.len() > 150;
-        if bad(&report.machine)
-            || bad(&report.zone)
-            || bad(&report.machine_type)
-            || report.session == 0
-        {
-            return self
-                .context
-                .refuse(id, 400, "perch, yard, build or tenure is invalid");
+        if let Some(why) = report.invalid_field() {
+            return self.context.refuse(id, 400, why);
         }
         self.context.token = self.context.token.max(report.token);
         let me = self.context.settings.member.clone();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,9 +5,12 @@
 //! controller keeps in the state service is in [`records`]. Where the protocol has a word of its own for
 //! something that the field has a term for, the term is the name in Rust and the word a serde name.
 
+#![warn(missing_docs)]
+
 pub mod http;
 pub mod peer;
 pub mod records;
+pub mod validate;
 mod words;
 
 pub use ciborium::Value;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -8,18 +8,23 @@
     /// Asks whether the other one has contact with the state service, and which cancellations it
     /// has confirmed to users in the last `known_us` (`None`: ever).
     Contact {
+        /// Who asks.
         from: String,
         /// Number of the question; 0 from a version that asks for no cancellations.
         #[serde(default)]
         question: u64,
+        /// Time since which the asker knows all that the other one confirmed.
         #[serde(default)]
         known_us: Option<u64>,
     },
     /// The leader's view of live jobs, for display: `(job, completed tasks, running tasks)`.
     /// Never trusted over state.
     Progress {
+        /// The leader's name.
         from: String,
+        /// Its fencing token.
         token: u64,
+        /// Progress of each job.
         jobs: Vec<(String, u64, u64)>,
     },
 }
@@ -27,6 +32,7 @@
 /// The answer to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerAnswer {
+    /// Who answers.
     pub member: String,
     /// Microseconds since the state service last answered it, if it ever did.
     pub state_contact_age_us: Option<u64>,
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -18,17 +18,25 @@
 use crate::http::Submission;
 use serde::{Deserialize, Serialize};
 
+/// Key of the [`LeaderRecord`].
 pub const LEADER: &str = "leader";
+/// Prefix of live jobs.
 pub const JOB: &str = "job/";
 /// What follows a job's key in that of its cancellation.
 pub const CANCEL: &str = "/cancel";
 /// Prefix of cancellations as an earlier version wrote them.
 pub const OLD_CANCEL: &str = "cancel/";
+/// Prefix of jobs that are over.
 pub const FINISHED: &str = "past/";
+/// Prefix of completed tasks.
 pub const DONE: &str = "done/";
+/// Prefix of pages of assignments.
 pub const PAGE: &str = "page/";
+/// Prefix of rental requests.
 pub const RENTAL: &str = "hire/";
+/// Key of the [`StatsRecord`].
 pub const STATS: &str = "stats";
+/// Key of the machine types.
 pub const CATALOGUE: &str = "catalogue";
 
 /// The key of a job that is not over.
@@ -44,11 +52,14 @@
 /// A key that says something of a live job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobKey<'a> {
+    /// The record of the job with this id.
     Live(&'a str),
+    /// The cancellation of the job with this id.
     Cancelled(&'a str),
 }
 
 impl<'a> JobKey<'a> {
+    /// Reads a key; `None` if it says nothing of a live job.
     pub fn parse(key: &'a str) -> Option<JobKey<'a>> {
         if let Some(id) = key.strip_prefix(OLD_CANCEL) {
             return Some(JobKey::Cancelled(id));
@@ -67,6 +78,7 @@
 /// Who leads. The stamp of this record is the leader's fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// Its name.
     pub member: String,
     /// Distinguishes this process from an earlier one of the same member.
     pub incarnation: u64,
@@ -75,6 +87,7 @@
 /// An accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// What was submitted.
     pub spec: Submission,
     /// Time of day of acceptance, in microseconds.
     pub accepted_us: u64,
@@ -83,6 +96,7 @@
 /// A cancellation that a user asked for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CancelRecord {
+    /// Time of day of the cancellation, in microseconds.
     pub cancelled_us: u64,
 }
 
@@ -99,18 +113,21 @@
 /// Completed tasks from `n * DONE_SPAN` on, as hexadecimal digits of four tasks each.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DoneRecord {
+    /// The digits.
     pub bits: String,
 }
 
 /// Completed tasks of many jobs: `(job, n, bits)` each, with the bits of a [`DoneRecord`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DonePageRecord {
+    /// The jobs.
     pub jobs: Vec<(String, u64, String)>,
 }
 
 /// Assignments, grouped by machine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PageRecord {
+    /// Machines with their assignments.
     pub machines: Vec<MachineAssignments>,
 }
 
@@ -133,10 +150,15 @@
 /// A rental request, written before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentalRecord {
+    /// The machine type.
     pub machine_type: String,
+    /// The zone.
     pub zone: String,
+    /// Whether spot machines are wanted.
     pub spot: bool,
+    /// How many machines are wanted.
     pub number: u64,
+    /// Time of day of the first request, in microseconds.
     pub requested_us: u64,
 }
 
