--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -27,10 +27,10 @@
 /// A job none of whose tasks was placed for so long may take the room that is kept for services.
 const STARVES_AFTER: Micros = 70 * SECOND;
 
-/// A job that starved may place at least this many tasks ahead of its turn.
-const CATCH_UP_TASKS: u64 = 8;
+/// A job of at most so many tasks places all of them once it has starved.
+const SMALL_JOB: u64 = 8;
 
-/// A batch job begins, or catches up, with one of so many parts of its tasks.
+/// A batch job begins with one of so many parts of its tasks.
 const BEGINNING_PARTS: u64 = 20;
 
 /// A job that kept failing is tried with twice as many tasks for each such span without a failure.
@@ -200,8 +200,8 @@
     pub waiting_since: Option<Micros>,
     /// When a task was last placed.
     pub placed_at: Micros,
-    /// Set while the job catches up after it starved.
-    catch_up: Option<CatchUp>,
+    /// Since when it had starved, while it catches up.
+    catch_up: Option<Micros>,
     /// Whether it has starved once.
     has_starved: bool,
     pub shape: Shape,
@@ -212,14 +212,6 @@
     shunned: BTreeMap<String, Micros>,
 }
 
-/// The turn of a job that starved: several of its tasks are placed ahead of other work.
-#[derive(Clone, Copy, Debug)]
-struct CatchUp {
-    /// When a task was last placed before the job starved.
-    starved_since: Micros,
-    tasks_left: u64,
-}
-
 /// A replica that ran for as long as this begins a new row of ends.
 const STEADY_RUN: Micros = 30 * SECOND;
 /// Longest pause before a replica that keeps ending is started again.
@@ -373,36 +365,31 @@
         since.is_some_and(|at| now.saturating_sub(at) > STARVES_AFTER)
     }
 
-    /// Gives a job that starves its turn to catch up. The turn covers several tasks, so that a small job
-    /// finishes: with a single task for each time that it starved, the jobs of an overloaded class once
-    /// all began and hardly any of them ended.
+    /// Lets a job that starves catch up: its tasks are placed ahead of others. A small job catches up
+    /// until all of its tasks are placed, a larger one in a single round. With a single round for all,
+    /// the small jobs of an overloaded class once all began and hardly any of them ended.
     pub fn begin_catch_up(&mut self, now: Micros) {
         if self.catch_up.is_none() && self.starves(now) {
             self.has_starved = true;
-            self.catch_up = Some(CatchUp {
-                starved_since: self.placed_at,
-                tasks_left: self.catch_up_tasks(),
-            });
+            self.catch_up = Some(self.placed_at);
         }
     }
 
-    /// Since when the job starved, and how many tasks it may still place ahead of its turn.
-    pub fn catching_up(&self) -> Option<(Micros, u64)> {
-        self.catch_up
-            .filter(|_| self.waiting() > 0)
-            .map(|turn| (turn.starved_since, turn.tasks_left))
+    /// Since when the job had starved, while it catches up.
+    pub fn catching_up(&self) -> Option<Micros> {
+        self.catch_up.filter(|_| self.waiting() > 0)
     }
 
-    /// How many tasks a job that starved may place ahead of its turn.
-    fn catch_up_tasks(&self) -> u64 {
-        self.tasks().div_ceil(BEGINNING_PARTS).max(CATCH_UP_TASKS)
+    /// Whether it has so few tasks that it catches up with all of them.
+    fn is_small(&self) -> bool {
+        self.tasks() <= SMALL_JOB
     }
 
-    /// The priority that decides whether its tasks may be stopped for others. What a job that starved
-    /// caught up with has aged to normal priority: such idle tasks were once stopped seconds later for
-    /// the large array that had starved them.
+    /// The priority that decides whether its tasks may be stopped for others. A small job that starved
+    /// has aged to normal priority: such idle tasks were once stopped seconds later for the large array
+    /// that had starved them.
     pub fn preemption_priority(&self) -> Priority {
-        match self.has_starved && self.live() <= self.catch_up_tasks() {
+        match self.has_starved && self.is_small() {
             true => self.spec.priority.max(Priority::Normal),
             false => self.spec.priority,
         }
@@ -414,10 +401,9 @@
         if self.waiting() == 0 {
             self.waiting_since = None;
         }
-        if let Some(turn) = &mut self.catch_up {
-            turn.tasks_left = turn.tasks_left.saturating_sub(1);
+        if !self.is_small() || self.waiting() == 0 {
+            self.catch_up = None;
         }
-        self.catch_up = self.catch_up.filter(|turn| turn.tasks_left > 0);
     }
 
     /// Whether tasks have been waiting for as long, though others of it were placed meanwhile.
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -343,10 +343,6 @@
         if job.must_begin(now) {
             left = left.min(job.beginning());
         }
-        let catches_up = job.catching_up();
-        if let (Some((_, most)), true) = (catches_up, job.spec.priority < Priority::High) {
-            left = left.min(most);
-        }
         let spec = job.spec.clone();
         let in_quota = |used: (f64, f64), n: f64| {
             used.0 + spec.cpus * n <= team.cpus_max + EPS
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -69,16 +69,14 @@
                     Shape::Batch => (left * j.spec.cpus * run) as i64,
                     _ => 0,
                 };
-                let turn = j.catching_up();
+                // What is free now, to the one that has waited longest: a large array of higher
+                // priority once kept all of a class from being served.
+                if let (Some(since), true) = (j.catching_up(), j.spec.priority < Priority::High) {
+                    return ((3, false, since as i64), index);
+                }
                 let level = match j.spec.priority {
                     Priority::Prod => 1,
                     Priority::High => 2,
-                    // What is free now, to the one that has waited longest: a large array of higher
-                    // priority once kept all of a class from being served.
-                    _ if turn.is_some() => {
-                        let since = turn.map_or(0, |(since, _)| since);
-                        return ((3, false, since as i64), index);
-                    }
                     _ if guaranteed.contains(&index) => 4,
                     Priority::Normal => 5,
                     Priority::Idle => 6,
