--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -469,12 +469,12 @@
             },
             503 if wire::from_cbor::<Refusal>(body).is_ok_and(|r| r.error == "no capacity") => {
                 self.no_capacity(now, offer);
-                self.drop_hire(context, name);
+                self.drop_rental(context, name);
             }
             400 => {
                 warn!("{name}: the cloud calls the request malformed");
                 self.no_capacity(now, offer);
-                self.drop_hire(context, name);
+                self.drop_rental(context, name);
             }
             // No clear outcome: the same request again, by the same name.
             _ => h.retry_at = now + SECOND + context.jitter(SECOND / 2),
@@ -487,7 +487,7 @@
         entry.0 = now + ((5 * SECOND) << entry.1.saturating_sub(1)).min(20 * SECOND);
     }
 
-    fn drop_hire(&mut self, context: &Context, name: &str) {
+    fn drop_rental(&mut self, context: &Context, name: &str) {
         if self.fleet.rentals.remove(name).is_some() {
             // Rendered as a deletion.
             self.ledger
@@ -506,7 +506,7 @@
             .map(|(n, _)| n.clone())
             .collect();
         for name in closed {
-            self.drop_hire(context, &name);
+            self.drop_rental(context, &name);
         }
     }
 
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -2,6 +2,7 @@
 
 use crate::node::Context;
 use crate::{micros, Micros, Settings, SECOND};
+pub use grebewood_wire::http::Shape;
 use grebewood_wire::http::{to_value, MachineType, Priority, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::{JobRecord, DONE_SPAN};
@@ -39,29 +40,6 @@
 /// A job none of whose tasks ever succeeded is suspect once some failed on so many machines.
 const SUSPECT_MACHINES: usize = 2;
 
-/// What kind of job it is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
-    /// Independent tasks, each of which runs to completion.
-    Batch,
-    /// Tasks that run at the same time: all of them are placed in one round, or none.
-    Gang,
-    /// Tasks that run until the job is cancelled.
-    Daemon,
-}
-
-impl Shape {
-    /// The shape of a submission, unless its name is unknown.
-    pub fn of(s: &Submission) -> Option<Shape> {
-        match s.shape.as_str() {
-            "batch" => Some(Shape::Batch),
-            "gang" => Some(Shape::Gang),
-            "daemon" => Some(Shape::Daemon),
-            _ => None,
-        }
-    }
-}
-
 /// Checks a submission's own fields.
 pub fn check_fields(s: &Submission) -> Result<(), Refused> {
     match s.invalid_field() {
@@ -624,6 +602,13 @@
         }
     }
 
+    /// Whether failures of the job's tasks say nothing of a machine; of a job that is over nothing is
+    /// known.
+    pub fn is_suspect(&self, id: &str) -> bool {
+        let job = self.find(id).and_then(|index| self.get(index));
+        job.is_none_or(Job::is_suspect)
+    }
+
     /// The places of all jobs.
     pub fn indices(&self) -> Vec<JobIndex> {
         self.slots.keys().copied().collect()
--- a/crates/core/src/leadership/contact/tests.rs
+++ b/crates/core/src/leadership/contact/tests.rs
@@ -1,20 +1,13 @@
 use super::*;
-use crate::test_support::{clocks, pass, unread_leader, WALL};
+use crate::test_support::{clocks, first_report, pass, unread_leader, WALL};
 use crate::{Effect, Input, Interface, NoStopwatch};
 use grebewood_wire::http::{CheckinAnswer, Command, Priority, Report, Submission, TaskReport};
 
 /// What a worker with a task of `req-1` is answered.
 fn check_in(node: &mut Node, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
     let report = Report {
-        machine: "n-000001".into(),
-        address: "10.1.0.1:9000".into(),
-        machine_type: "std".into(),
-        zone: "a".into(),
-        spot: true,
-        session: 1,
         sequence,
         token: 3,
-        recall_s: None,
         tasks: vec![TaskReport {
             task_name: "req-1/0".into(),
             attempt: 5,
@@ -22,6 +15,7 @@
             cause: None,
             saved: None,
         }],
+        ..first_report()
     };
     let input = Input::Request {
         id: sequence,
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -304,13 +304,13 @@
             Shape::Gang => job.beginning(),
             _ => 1,
         };
-        let mut pending = 0;
+        let mut kept_slots = 0;
         let mut kept = BTreeSet::new();
         for (_, name, _, whole) in room {
-            if pending >= need {
+            if kept_slots >= need {
                 break;
             }
-            pending += whole;
+            kept_slots += whole;
             kept.insert(name.to_string());
         }
         open.retain(|o| !kept.contains(&o.name));
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -60,6 +60,11 @@
                 if j.must_begin(now) {
                     return ((0, false, j.age_base), index);
                 }
+                // What is free now, to the one that has waited longest: a large array of higher
+                // priority once kept all of a class from being served.
+                if let (Some(since), true) = (j.catching_up(), j.spec.priority < Priority::High) {
+                    return ((3, false, since as i64), index);
+                }
                 let need = self.need(context, j);
                 let feasible = j.target(context, need).is_some();
                 let left = j.tasks().saturating_sub(j.done_count) as f64;
@@ -69,11 +74,6 @@
                     Shape::Batch => (left * j.spec.cpus * run) as i64,
                     _ => 0,
                 };
-                // What is free now, to the one that has waited longest: a large array of higher
-                // priority once kept all of a class from being served.
-                if let (Some(since), true) = (j.catching_up(), j.spec.priority < Priority::High) {
-                    return ((3, false, since as i64), index);
-                }
                 let level = match j.spec.priority {
                     Priority::Prod => 1,
                     Priority::High => 2,
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -2,6 +2,7 @@
 
 use crate::settings::{Sibling, StateLimits};
 use crate::{Input, Micros, NoStopwatch, Node, Now, Settings, Tuning, MILLI, SECOND};
+use grebewood_wire::http::Report;
 use std::collections::BTreeMap;
 
 pub const WALL: u64 = 1_700_000_000 * SECOND;
@@ -35,6 +36,22 @@
     node
 }
 
+/// The first report of a machine without tasks, which has seen no token yet.
+pub fn first_report() -> Report {
+    Report {
+        machine: "n-000001".into(),
+        address: "10.1.0.1:9000".into(),
+        machine_type: "std".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 1,
+        sequence: 1,
+        token: 0,
+        recall_s: None,
+        tasks: Vec::new(),
+    }
+}
+
 pub fn clocks(now: Micros) -> Now {
     Now {
         steady: now,
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -1,6 +1,6 @@
 //! Machines as their workers report them, and what is known to be on them.
 
-use crate::jobs::{error_backoff, parse_task, Job, JobIndex, Jobs, EPS};
+use crate::jobs::{error_backoff, parse_task, Job, JobIndex, EPS};
 use crate::leadership::Lead;
 use crate::ledger::RecordId;
 use crate::node::{Context, LeadCall, Node};
@@ -154,12 +154,6 @@
     }
 }
 
-/// Whether failures of the job's tasks say nothing of a machine; of a job that is over nothing is known.
-fn is_suspect(jobs: &Jobs, id: &str) -> bool {
-    let job = jobs.find(id).and_then(|index| jobs.get(index));
-    job.is_none_or(Job::is_suspect)
-}
-
 /// Stops for the tasks on a machine whose jobs are known to be cancelled.
 fn stop_commands_for_cancelled(context: &Context, report: &Report) -> Vec<Command> {
     let live = report
--- a/crates/core/src/workers/exits.rs
+++ b/crates/core/src/workers/exits.rs
@@ -109,7 +109,7 @@
         if job.is_suspect() && !was_suspect {
             self.acquit_machines(context);
         }
-        let suspect = |id: &str| is_suspect(&self.jobs, id);
+        let suspect = |id: &str| self.jobs.is_suspect(id);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -130,7 +130,7 @@
     /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
     /// others are left that speak against them.
     pub(super) fn acquit_machines(&mut self, context: &Context) {
-        let suspect = |id: &str| is_suspect(&self.jobs, id);
+        let suspect = |id: &str| self.jobs.is_suspect(id);
         for machine in self.machines.values_mut().filter(|m| m.faulty) {
             machine.forget_failures(suspect);
             if machine.blame() == Blame::None && !self.fleet.is_releasing(&machine.name) {
--- a/crates/core/src/workers/machine/tests.rs
+++ b/crates/core/src/workers/machine/tests.rs
@@ -1,19 +1,8 @@
 use super::*;
+use crate::test_support::first_report;
 
 fn machine(now: Micros) -> Machine {
-    let report = Report {
-        machine: "n-000001".into(),
-        address: "10.1.0.1:9000".into(),
-        machine_type: "std".into(),
-        zone: "a".into(),
-        spot: true,
-        session: 1,
-        sequence: 1,
-        token: 0,
-        recall_s: None,
-        tasks: Vec::new(),
-    };
-    let mut m = Machine::new(&report, None, now);
+    let mut m = Machine::new(&first_report(), None, now);
     m.session = 1;
     m
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -66,14 +66,40 @@
     pub deadline_s: Option<f64>,
 }
 
+/// What kind of job it is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Shape {
+    /// Independent tasks, each of which runs to completion.
+    Batch,
+    /// Tasks that run at the same time: all of them are placed in one round, or none.
+    Gang,
+    /// Tasks that run until the job is cancelled.
+    Daemon,
+}
+
+impl Shape {
+    /// The shape of a submission, unless its name is unknown.
+    pub fn of(s: &Submission) -> Option<Shape> {
+        match s.shape.as_str() {
+            "batch" => Some(Shape::Batch),
+            "gang" => Some(Shape::Gang),
+            "daemon" => Some(Shape::Daemon),
+            _ => None,
+        }
+    }
+}
+
 /// Priority of a job; the order is from the least to the most important.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-#[allow(missing_docs)]
 pub enum Priority {
+    /// Fills what others leave.
     Idle,
+    /// The usual one.
     Normal,
+    /// Urgent.
     High,
+    /// Production: before all others.
     Prod,
 }
 
--- a/crates/wire/src/validate.rs
+++ b/crates/wire/src/validate.rs
@@ -1,6 +1,6 @@
 //! Checks of what users and workers send, by the protocol's names of the fields.
 
-use crate::http::{Report, Submission};
+use crate::http::{Report, Shape, Submission};
 
 /// Most tasks that a job may have.
 pub const MAX_TASKS: u64 = 100_000;
@@ -36,7 +36,7 @@
         if let Some((field, _)) = names.iter().find(|(_, name)| !valid_name(name)) {
             return Some(format!("{field}: empty or too long"));
         }
-        if !["batch", "gang", "daemon"].contains(&self.shape.as_str()) {
+        if Shape::of(self).is_none() {
             return Some("shape: not one of batch, gang and daemon".into());
         }
         if !(1..=MAX_TASKS).contains(&self.tasks) {
