--- /dev/null
+++ b/crates/testkit/examples/trace_digest.rs
@@ -0,0 +1,134 @@
+//! A digest of behaviour: `cargo run --release -p grebewood-testkit --example trace_digest [-- NAME]`
+//! plays the scenarios whose name has NAME in it as they stand, with partitions and with partitions and
+//! allotments forced on, and prints a line for each: name, settings, hash over all effects.
+//! `-- --samples` prints the largest record and peer message of each kind instead, in hexadecimal digits.
+
+use grebewood_testkit::trace::Sample;
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Mutex;
+
+/// What is put before each scenario.
+const VARIANTS: [(&str, &str); 3] = [
+    ("as-it-stands", ""),
+    (
+        "partitions",
+        "state writes=60 rps=400\ntuning partitions_per_zone=3\n",
+    ),
+    (
+        "allotments",
+        "state writes=60 rps=400\ntuning partitions_per_zone=3 allotments=1\n",
+    ),
+];
+
+struct Play {
+    name: String,
+    variant: &'static str,
+    text: String,
+}
+
+#[derive(Default)]
+struct Results {
+    lines: BTreeMap<usize, String>,
+    samples: BTreeMap<String, Sample>,
+}
+
+fn main() -> Result<(), Box<dyn std::error::Error>> {
+    let argument = std::env::args().nth(1).unwrap_or_default();
+    let samples_only = argument == "--samples";
+    let only = if samples_only { "" } else { &argument };
+    let plays = plays(only)?;
+    let results = play_all(&plays);
+    if samples_only {
+        for (kind, sample) in &results.samples {
+            let kind = kind.split(' ').next().unwrap_or_default();
+            let hex: String = sample.bytes.iter().map(|b| format!("{b:02x}")).collect();
+            println!("{kind} {} {hex}", sample.name);
+        }
+        return Ok(());
+    }
+    for line in results.lines.values() {
+        println!("{line}");
+    }
+    Ok(())
+}
+
+/// All plays, those of large fleets first, since they take the longest.
+fn plays(only: &str) -> Result<Vec<Play>, std::io::Error> {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
+    let mut files = scenario_files(&folder.join("large"))?;
+    files.extend(scenario_files(&folder)?);
+    let mut plays = Vec::new();
+    for file in files {
+        let name = file.file_stem().unwrap_or_default().to_string_lossy();
+        if !name.contains(only) {
+            continue;
+        }
+        let text = std::fs::read_to_string(&file)?;
+        for (variant, settings) in VARIANTS {
+            plays.push(Play {
+                name: name.to_string(),
+                variant,
+                text: format!("{settings}{text}"),
+            });
+        }
+    }
+    Ok(plays)
+}
+
+fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, std::io::Error> {
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(folder)? {
+        let path = entry?.path();
+        if path.extension().is_some_and(|e| e == "txt") {
+            files.push(path);
+        }
+    }
+    files.sort();
+    Ok(files)
+}
+
+fn play_all(plays: &[Play]) -> Results {
+    let next = AtomicUsize::new(0);
+    let results = Mutex::new(Results::default());
+    let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
+    std::thread::scope(|scope| {
+        for _ in 0..threads {
+            scope.spawn(|| {
+                while let Some((index, play)) = take(plays, &next) {
+                    run(index, play, &results);
+                }
+            });
+        }
+    });
+    results.into_inner().unwrap_or_default()
+}
+
+fn take<'a>(plays: &'a [Play], next: &AtomicUsize) -> Option<(usize, &'a Play)> {
+    let index = next.fetch_add(1, Ordering::Relaxed);
+    Some((index, plays.get(index)?))
+}
+
+fn run(index: usize, play: &Play, results: &Mutex<Results>) {
+    let trace = grebewood_testkit::play_traced(&play.text);
+    let digest = match &trace {
+        Ok(trace) => trace.digest(),
+        Err(error) => format!("cannot be played: {error}"),
+    };
+    let Ok(mut results) = results.lock() else {
+        return;
+    };
+    let line = format!("{} {} {digest}", play.name, play.variant);
+    results.lines.insert(index, line);
+    let Ok(trace) = trace else {
+        return;
+    };
+    for (kind, sample) in trace.samples() {
+        let known = results.samples.get(kind);
+        let key = |s: &Sample| (s.bytes.len(), s.bytes.clone());
+        if known.is_none_or(|known| key(known) < key(sample)) {
+            results.samples.insert(kind.clone(), sample.clone());
+        }
+    }
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -12,8 +12,14 @@
 pub mod production;
 pub mod script;
 pub mod state;
+pub mod trace;
 pub mod world;
 
+/// Reads hexadecimal digits.
+pub fn unhex(hex: &str) -> Result<Vec<u8>, String> {
+    world::unhex(hex)
+}
+
 /// Plays a scenario and measures what its leader costs.
 pub fn play_measured(text: &str) -> Result<world::World, String> {
     let mut world = world::World::new(script::parse(text)?)?;
@@ -22,6 +28,16 @@
     Ok(world)
 }
 
+/// Plays a scenario as far as it holds and traces what its controllers do. Fails only if the text is not
+/// a scenario.
+pub fn play_traced(text: &str) -> Result<trace::Trace, String> {
+    let mut world = world::World::new(script::parse(text)?)?;
+    world.trace = Some(trace::Trace::default());
+    // One that does not hold with the settings that are forced on it has a digest all the same.
+    let _ = world.play_to_the_end();
+    Ok(world.trace.take().unwrap_or_default())
+}
+
 /// Plays a scenario. The error says what went wrong, and when.
 pub fn play(text: &str) -> Result<(), String> {
     let script = script::parse(text)?;
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -5,6 +5,7 @@
 use crate::production;
 use crate::script::{Line, Script};
 use crate::state::{Reply, StateService};
+use crate::trace::Trace;
 use grebewood_core::settings::StateLimits;
 use grebewood_core::{
     Effect, Input, Interface, NoStopwatch, Node, Now, Objective, Outcome, Settings, Sibling,
@@ -214,6 +215,8 @@
     moves: u64,
     /// What the leader costs, if that is measured.
     pub measures: Option<Measures>,
+    /// What the controllers do, if that is traced.
+    pub trace: Option<Trace>,
 }
 
 /// Reads hexadecimal digits.
@@ -301,6 +304,7 @@
             broken: None,
             moves: 0,
             measures: None,
+            trace: None,
         };
         let mut nodes = 3;
         for line in &script.setup {
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -30,6 +30,7 @@
             (Some(measures), false) => measures.other_steps += began.elapsed(),
             (None, _) => {}
         }
+        self.trace_effects(n, &effects);
         for effect in effects {
             let what = self.on_unsure_grant(n, &effect);
             if let (true, Some(what)) = (self.slots[n].unsure, what) {
@@ -64,6 +65,22 @@
         self.deliver_kept(n);
     }
 
+    fn trace_effects(&mut self, n: usize, effects: &[Effect]) {
+        let Some(trace) = &mut self.trace else {
+            return;
+        };
+        let process = format!("perch-{n}");
+        for effect in effects {
+            trace.add(self.now, &process, effect);
+            let Effect::Answer { id, body, .. } = effect else {
+                continue;
+            };
+            if let Some(Asker::Peer(_)) = self.requests.get(&(n, *id)) {
+                trace.sample_answer(body);
+            }
+        }
+    }
+
     /// A process that has stepped down may become the leader anew.
     pub(super) fn settle(&mut self, n: usize) {
         if !self.leads(n) {
