--- a/crates/core/src/done.rs
+++ b/crates/core/src/done.rs
@@ -5,12 +5,12 @@
 //! workers keep the results, since an exited task is acknowledged only when its end is durable.
 
 use crate::jobs::{Job, JobIndex, Jobs};
-use grebewood_wire::records::{DonePageRecord, DONE_SPAN};
+use grebewood_wire::records::{CompletedTasksPageRecord, DONE_SPAN};
 use std::collections::BTreeSet;
 
 /// A page: which spans of which jobs are on it, and how large it may become.
 #[derive(Clone, Debug, Default)]
-struct DonePage {
+struct CompletedTaskPage {
     spans: BTreeSet<(JobIndex, u64)>,
     bytes: usize,
     /// Its write may wait for that of another: it takes nothing new.
@@ -19,8 +19,8 @@
 
 /// All pages.
 #[derive(Clone, Debug)]
-pub struct DonePages {
-    pages: Vec<DonePage>,
+pub struct CompletedTaskPages {
+    pages: Vec<CompletedTaskPage>,
     page_bytes: usize,
 }
 
@@ -30,19 +30,19 @@
     job.id.len() + tasks.div_ceil(4) as usize + 24
 }
 
-impl DonePages {
+impl CompletedTaskPages {
     pub fn new(page_bytes: usize) -> Self {
-        DonePages {
+        CompletedTaskPages {
             pages: Vec::new(),
             page_bytes,
         }
     }
 
-    fn page_mut(&mut self, page: u64) -> &mut DonePage {
+    fn page_mut(&mut self, page: u64) -> &mut CompletedTaskPage {
         // Page numbers come from our own keys and are dense; a wild one would only cost room.
         let page = page.min(10_000) as usize;
         if self.pages.len() <= page {
-            self.pages.resize(page + 1, DonePage::default());
+            self.pages.resize(page + 1, CompletedTaskPage::default());
         }
         &mut self.pages[page]
     }
@@ -121,7 +121,7 @@
     }
 
     /// The current content of a page.
-    pub fn record(&self, page: u64, jobs: &Jobs) -> DonePageRecord {
+    pub fn record(&self, page: u64, jobs: &Jobs) -> CompletedTasksPageRecord {
         let spans = self.pages.get(page as usize).map(|p| &p.spans);
         let jobs = spans
             .into_iter()
@@ -131,6 +131,6 @@
                 Some((job.id.clone(), *n, job.done_bits(*n)))
             })
             .collect();
-        DonePageRecord { jobs }
+        CompletedTasksPageRecord { jobs }
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,17 +1,18 @@
 //! The fleet: renting by the deadline decider, boots, returns, and the cloud's machine list.
 
 use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::ledger::RecordId;
-use crate::node::{Context, LeadCall};
+use crate::node::{Context, SchedulerCall};
 use crate::placement::{permits, slots};
 use crate::workers::{grace, silent_release, Machine};
 use crate::{micros, Micros, Outcome, Target, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    Catalogue, MachineList, MachineNames, MachineType, Refusal, RentalRequest, Report, Submission,
+    Catalogue, Heartbeat, MachineList, MachineNames, MachineType, ProvisionRequest, Refusal,
+    Submission,
 };
-use grebewood_wire::records::RentalRecord;
+use grebewood_wire::records::ProvisionRecord;
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +24,7 @@
 pub enum FleetCall {
     Types,
     List,
-    Rental { name: String },
+    PendingProvision { name: String },
     Release { machines: Vec<String> },
 }
 
@@ -51,8 +52,8 @@
 
 /// A rental request.
 #[derive(Clone, Debug)]
-struct Rental {
-    record: RentalRecord,
+struct PendingProvision {
+    record: ProvisionRecord,
     requested: Micros,
     written: bool,
     asking: bool,
@@ -68,7 +69,7 @@
 #[derive(Debug)]
 pub struct Fleet {
     boots: BTreeMap<String, Boot>,
-    rentals: BTreeMap<String, Rental>,
+    rentals: BTreeMap<String, PendingProvision>,
     counter: u64,
     /// Machines whose release was answered, and when.
     gone: BTreeMap<String, Micros>,
@@ -134,7 +135,7 @@
     }
 
     /// The record of a rental that is still open.
-    pub fn rental_record(&self, name: &str) -> Option<RentalRecord> {
+    pub fn rental_record(&self, name: &str) -> Option<ProvisionRecord> {
         self.rentals.get(name).map(|h| h.record.clone())
     }
 
@@ -147,10 +148,10 @@
 
     /// Takes over a rental of an earlier leader: the same request is sent again by its name, which
     /// rents nothing twice.
-    pub fn recover_rental(&mut self, context: &Context, name: String, record: RentalRecord) {
+    pub fn recover_rental(&mut self, context: &Context, name: String, record: ProvisionRecord) {
         let now = context.now.steady;
         let age = context.now.wall.saturating_sub(record.requested_us);
-        let rental = Rental {
+        let rental = PendingProvision {
             record,
             requested: now.saturating_sub(age),
             written: true,
@@ -214,9 +215,9 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// A machine reports: if it was booting, it is up now.
-    pub(crate) fn machine_is_up(&mut self, context: &Context, report: &Report) {
+    pub(crate) fn machine_is_up(&mut self, context: &Context, report: &Heartbeat) {
         let now = context.now.steady;
         self.fleet.mute.remove(&report.machine);
         if let Some(boot) = self.fleet.boots.remove(&report.machine) {
@@ -250,7 +251,7 @@
                 Some(s) => format!("since={s}&"),
                 None => String::new(),
             };
-            let pending = self.pending(LeadCall::Fleet(FleetCall::List));
+            let pending = self.pending(SchedulerCall::Fleet(FleetCall::List));
             let path = format!("/rentals?{since}page=500");
             context.call(
                 Target::Cloud,
@@ -264,7 +265,7 @@
         if now >= self.fleet.types_at && !self.fleet.types_busy && context.cloud.take(now, 1.0) {
             self.fleet.types_busy = true;
             self.fleet.types_at = now + 60 * SECOND;
-            let pending = self.pending(LeadCall::Fleet(FleetCall::Types));
+            let pending = self.pending(SchedulerCall::Fleet(FleetCall::Types));
             context.call(
                 Target::Cloud,
                 "GET",
@@ -306,14 +307,14 @@
                 continue;
             };
             h.asking = true;
-            let body = RentalRequest {
+            let body = ProvisionRequest {
                 name: name.clone(),
                 machine_type: h.record.machine_type.clone(),
                 zone: h.record.zone.clone(),
                 spot: h.record.spot,
                 number: h.record.number,
             };
-            let pending = self.pending(LeadCall::Fleet(FleetCall::Rental { name }));
+            let pending = self.pending(SchedulerCall::Fleet(FleetCall::PendingProvision { name }));
             context.call(
                 Target::Cloud,
                 "POST",
@@ -341,7 +342,7 @@
         let body = MachineNames {
             machines: machines.clone(),
         };
-        let pending = self.pending(LeadCall::Fleet(FleetCall::Release { machines }));
+        let pending = self.pending(SchedulerCall::Fleet(FleetCall::Release { machines }));
         context.call(
             Target::Cloud,
             "POST",
@@ -398,7 +399,7 @@
                     }
                 }
             }
-            FleetCall::Rental { name } => self.on_rental(context, &name, status, &body),
+            FleetCall::PendingProvision { name } => self.on_rental(context, &name, status, &body),
             FleetCall::Release { machines } => {
                 self.fleet.release_busy = false;
                 if status == 200 {
@@ -510,8 +511,10 @@
     fn drop_rental(&mut self, context: &Context, name: &str) {
         if self.fleet.rentals.remove(name).is_some() {
             // Rendered as a deletion.
-            self.ledger
-                .touch(RecordId::Rental(name.to_string()), context.now.steady);
+            self.ledger.touch(
+                RecordId::PendingProvision(name.to_string()),
+                context.now.steady,
+            );
         }
     }
 
--- a/crates/core/src/fleet/decider.rs
+++ b/crates/core/src/fleet/decider.rs
@@ -145,7 +145,7 @@
         .collect()
 }
 
-impl Lead {
+impl Scheduler {
     /// The shortest average boot of all types.
     fn least_boot(&self, context: &Context) -> Micros {
         context
@@ -466,8 +466,8 @@
             self.fleet.counter += 1;
             let name = format!("h-{}-{}", self.token, self.fleet.counter);
             info!("{name}: renting {number} of {machine_type} in {zone}, spot {spot}");
-            let rental = Rental {
-                record: RentalRecord {
+            let rental = PendingProvision {
+                record: ProvisionRecord {
                     machine_type,
                     zone,
                     spot,
@@ -482,7 +482,7 @@
             };
             self.fleet.rentals.insert(name.clone(), rental);
             // The record is durable before the request goes out.
-            self.ledger.touch(RecordId::Rental(name), now);
+            self.ledger.touch(RecordId::PendingProvision(name), now);
         }
     }
 
--- a/crates/core/src/fleet/returns.rs
+++ b/crates/core/src/fleet/returns.rs
@@ -8,7 +8,7 @@
 /// Machines are emptied no further once work has waited so long for room.
 const WAITED_LONG: Micros = 20 * SECOND;
 
-impl Lead {
+impl Scheduler {
     /// Returns machines that have been idle for the hold, if the power without them covers the
     /// work; and those that are closing, once they are empty.
     pub(super) fn give_back(&mut self, context: &mut Context) {
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -10,7 +10,7 @@
     let mut lead = node.lead.take().expect("a leader");
     let context = &mut node.context;
     for n in 0..20 {
-        let record = RentalRecord {
+        let record = ProvisionRecord {
             machine_type: "std".into(),
             zone: "a".into(),
             spot: false,
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -121,17 +121,17 @@
 
 /// How a job ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum FinalStatus {
     Done,
     Aborted,
 }
 
-impl Ending {
+impl FinalStatus {
     /// The wire's word.
     pub fn status(self) -> &'static str {
         match self {
-            Ending::Done => "done",
-            Ending::Aborted => "aborted",
+            FinalStatus::Done => "done",
+            FinalStatus::Aborted => "aborted",
         }
     }
 }
@@ -153,7 +153,7 @@
     /// Steady time of the cancellation, as far as known; may lie before the process's start.
     pub cancelled: Option<i64>,
     /// Set while its terminal record is being written.
-    pub ending: Option<Ending>,
+    pub ending: Option<FinalStatus>,
     /// Failures in a row without a success, and when to try again.
     pub errors: u32,
     /// Machines that were returned because its tasks alone kept failing there.
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -4,32 +4,32 @@
 //! fencing token (`token` on the wire): stamps only grow, so each new leader has a higher one,
 //! and every write of a leader is conditional on it.
 
-use crate::done::DonePages;
+use crate::done::CompletedTaskPages;
 use crate::fleet::Fleet;
-use crate::jobs::{Ending, Job, JobIndex, Jobs};
-use crate::ledger::{Batch, Ledger, RecordId, Rendered};
-use crate::node::{Context, LeadCall, Node, Pending, STATE_TIMEOUT};
-use crate::partitions::{Holding, RemotePartitions};
+use crate::jobs::{FinalStatus, Job, JobIndex, Jobs};
+use crate::ledger::{Batch, RecordId, Rendered, WriteBuffer};
+use crate::node::{CallPurpose, Context, Controller, SchedulerCall, STATE_TIMEOUT};
+use crate::partitions::{HolderState, RemotePartitions};
 use crate::placement::{Pages, Placement};
 use crate::quota::{HolderQuota, LeaderQuota};
-use crate::standby::Standby;
+use crate::standby::Headroom;
 use crate::stats::Stats;
 use crate::users::{absent, put};
-use crate::workers::{Assignment, Machine, Parked, PendingCheckin, Stop, TaskOnMachine};
+use crate::workers::{Assignment, HeldHeartbeat, LongPolls, Machine, Stop, TaskOnMachine};
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_partition::{PartitionId, PartitionMap};
 use grebewood_quota::TeamAmounts;
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    from_value, to_value, Change, Changes, Entry, EntryList, Event, Lease, LeaseRequest,
-    MachineNames, Revision, Txn, TxnFailed, When,
+    from_value, to_value, Condition, KeyValue, KeyValueList, Lease, LeaseRequest, MachineNames,
+    Operation, Transaction, TransactionApplied, TransactionConflict, WatchEvent, WatchResponse,
 };
 use grebewood_wire::peer::{PeerAnswer, PeerRequest, PlacedTask};
 use grebewood_wire::records::{
     allotment_key, cancel_key, job_key, partition_key, partition_of_page, CancelRecord,
-    DonePageRecord, DoneRecord, FinishedJobRecord, JobKey, JobRecord, LeaderRecord, PageRecord,
-    RentalRecord, CATALOGUE, DONE, FINISHED, JOB, LEADER, LIMITS, OLD_CANCEL, PAGE, PARTITION,
-    QUOTA, RENTAL, STATS,
+    CompletedTasksPageRecord, FinishedJobRecord, JobKey, JobRecord, LeaderRecord,
+    LegacyCompletedTasksRecord, PageRecord, ProvisionRecord, CATALOGUE, DONE, FINISHED, JOB,
+    LEADER, LIMITS, OLD_CANCEL, PAGE, PARTITION, QUOTA, RENTAL, STATS,
 };
 use grebewood_wire::Value;
 use log::{error, info, warn};
@@ -48,7 +48,7 @@
 
 /// A call of the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ElectionStep {
     /// Reads who leads.
     Probe,
     Lease,
@@ -159,7 +159,7 @@
     /// Reads under way or to be repeated, by prefix or key, with where a list goes on.
     missing: BTreeMap<String, Option<String>>,
     retry: BTreeMap<String, Micros>,
-    entries: BTreeMap<String, Vec<Entry<Value>>>,
+    entries: BTreeMap<String, Vec<KeyValue<Value>>>,
     revisions: BTreeMap<String, u64>,
 }
 
@@ -188,7 +188,7 @@
 
 /// A grant in the state service: a record under a lease.
 #[derive(Clone, Copy, Debug)]
-pub struct Grant {
+pub struct FencedLease {
     /// The record's stamp, which is the fencing token.
     pub token: u64,
     /// The lease.
@@ -199,12 +199,12 @@
 
 /// Everything the leader works with. It is built from state after the grant, and dropped whole
 /// when the leader steps down.
-pub struct Lead {
+pub struct Scheduler {
     pub(crate) role: Role,
     /// The leader's part in partitions.
     pub(crate) remote: RemotePartitions,
     /// A holder's part in its partition.
-    pub(crate) holding: Holding,
+    pub(crate) holding: HolderState,
     /// The leader's part in allotments of the teams' limits.
     pub(crate) quota: LeaderQuota,
     /// A holder's part in them.
@@ -228,19 +228,19 @@
     /// until the state service refuses what fits them.
     value_bytes: usize,
     txn_ops: usize,
-    pub ledger: Ledger,
+    pub ledger: WriteBuffer,
     pub fleet: Fleet,
     pub stats: Stats,
     pub placement: Placement,
-    pub standby: Standby,
-    pub pending_checkins: Vec<PendingCheckin>,
+    pub standby: Headroom,
+    pub pending_checkins: Vec<HeldHeartbeat>,
     /// When the first of them is answered whatever it waits for.
     pub pending_until: Micros,
     /// Check-ins of machines with room that wait for work.
-    pub parked: Parked,
+    pub parked: LongPolls,
     /// Something happened that any of them may have waited for.
     pub pending_changed: bool,
-    pub done_pages: DonePages,
+    pub done_pages: CompletedTaskPages,
     /// What each team uses, from assignment to proof, but for what holders have placed.
     pub usage: TeamAmounts,
     /// Jobs whose progress changed since the peers were told.
@@ -265,7 +265,7 @@
     unproven: BTreeSet<String>,
 }
 
-impl Node {
+impl Controller {
     pub(crate) fn run_lead(&mut self, watch: &mut dyn Stopwatch) {
         if self.lead.is_none() {
             return;
@@ -283,7 +283,7 @@
     }
 
     /// Takes the reply to a call that was made under the grant with this token.
-    pub(crate) fn on_lead_reply(&mut self, token: u64, what: LeadCall, outcome: Outcome) {
+    pub(crate) fn on_lead_reply(&mut self, token: u64, what: SchedulerCall, outcome: Outcome) {
         if let Some(lead) = self.lead.as_mut().filter(|lead| lead.token == token) {
             if let Err(why) = lead.on_reply(&mut self.context, what, outcome) {
                 self.step_down(&why, false);
@@ -306,13 +306,13 @@
     value_bytes * 9 / 10
 }
 
-impl Lead {
-    pub(crate) fn new(context: &Context, role: Role, grant: Grant) -> Self {
+impl Scheduler {
+    pub(crate) fn new(context: &Context, role: Role, grant: FencedLease) -> Self {
         let now = context.now.steady;
-        Lead {
+        Scheduler {
             role,
             remote: RemotePartitions::default(),
-            holding: Holding::default(),
+            holding: HolderState::default(),
             quota: LeaderQuota::default(),
             placer: HolderQuota::default(),
             token: grant.token,
@@ -326,19 +326,19 @@
             jobs: Jobs::default(),
             ended: VecDeque::new(),
             machines: BTreeMap::new(),
-            pages: Lead::pages_of(role),
+            pages: Scheduler::pages_of(role),
             value_bytes: context.settings.state.value_bytes,
             txn_ops: context.settings.state.txn_ops,
-            ledger: Ledger::default(),
+            ledger: WriteBuffer::default(),
             fleet: Fleet::new(now),
             stats: Stats::default(),
             placement: Placement::default(),
-            standby: Standby::default(),
+            standby: Headroom::default(),
             pending_checkins: Vec::new(),
-            parked: Parked::default(),
+            parked: LongPolls::default(),
             pending_until: 0,
             pending_changed: false,
-            done_pages: DonePages::new(page_bytes(context.settings.state.value_bytes)),
+            done_pages: CompletedTaskPages::new(page_bytes(context.settings.state.value_bytes)),
             usage: TeamAmounts::new(),
             progress_dirty: BTreeSet::new(),
             watches: BTreeMap::new(),
@@ -403,8 +403,8 @@
         }
     }
 
-    pub(crate) fn pending(&self, what: LeadCall) -> Pending {
-        Pending::Lead {
+    pub(crate) fn pending(&self, what: SchedulerCall) -> CallPurpose {
+        CallPurpose::Scheduler {
             token: self.token,
             what,
         }
@@ -464,7 +464,7 @@
             let parts = if self.doubtful { 12 } else { 4 };
             self.extend_at = now + context.tuning.leader_lease_us / parts;
             let path = format!("/leases/{}/extend", self.lease);
-            let pending = self.pending(LeadCall::Extend);
+            let pending = self.pending(SchedulerCall::Extend);
             let timeout = context.tuning.leader_lease_us / 4;
             context.call(Target::State, "POST", path, Vec::new(), timeout, pending);
         }
@@ -501,11 +501,11 @@
     fn on_reply(
         &mut self,
         context: &mut Context,
-        what: LeadCall,
+        what: SchedulerCall,
         outcome: Outcome,
     ) -> Result<(), String> {
         match what {
-            LeadCall::Extend => {
+            SchedulerCall::Extend => {
                 if let Outcome::Answer { status: 404, .. } = outcome {
                     return Err("the lease has ended".into());
                 }
@@ -518,33 +518,33 @@
                 }
                 Ok(())
             }
-            LeadCall::List { prefix } => {
+            SchedulerCall::List { prefix } => {
                 self.on_list(context, &prefix, outcome);
                 Ok(())
             }
-            LeadCall::Read { key } => {
+            SchedulerCall::Read { key } => {
                 self.on_read(context, key, outcome);
                 Ok(())
             }
-            LeadCall::Watch { prefix } => {
+            SchedulerCall::Watch { prefix } => {
                 self.on_watch(context, prefix, outcome);
                 Ok(())
             }
-            LeadCall::Flush => self.on_flush(context, outcome),
-            LeadCall::FlushReadBack => self.on_read_back(context, outcome),
-            LeadCall::Refresh { key } => {
+            SchedulerCall::Flush => self.on_flush(context, outcome),
+            SchedulerCall::FlushReadBack => self.on_read_back(context, outcome),
+            SchedulerCall::Refresh { key } => {
                 self.on_refresh(context, &key, outcome);
                 Ok(())
             }
-            LeadCall::Fleet(call) => {
+            SchedulerCall::Fleet(call) => {
                 self.on_fleet(context, call, outcome);
                 Ok(())
             }
-            LeadCall::Direct { machine } => {
+            SchedulerCall::Direct { machine } => {
                 self.on_direct(context, &machine, outcome);
                 Ok(())
             }
-            LeadCall::Orders { partition, claim } => {
+            SchedulerCall::Orders { partition, claim } => {
                 self.on_orders_answered(context, partition, claim, outcome);
                 Ok(())
             }
@@ -580,7 +580,7 @@
                 "/peer".into(),
                 message.clone(),
                 900 * MILLI,
-                Pending::Ignore,
+                CallPurpose::Ignore,
             );
         }
     }
--- a/crates/core/src/leadership/contact.rs
+++ b/crates/core/src/leadership/contact.rs
@@ -49,7 +49,7 @@
     allotments: bool,
 }
 
-impl Node {
+impl Controller {
     /// Asks the peers whether they have contact with the state service, and what they confirmed.
     /// While the leader has contact itself this only keeps its view of the peers fresh.
     pub(super) fn ask_peers(&mut self) {
@@ -77,7 +77,7 @@
                 "/peer".into(),
                 message,
                 900 * MILLI,
-                Pending::Contact { peer, question },
+                CallPurpose::Contact { peer, question },
             );
         }
     }
@@ -251,7 +251,7 @@
     }
 
     /// Why this node may act no longer under the grant, if it is so.
-    pub(crate) fn lost_grant(&self, lead: &Lead) -> Option<&'static str> {
+    pub(crate) fn lost_grant(&self, lead: &Scheduler) -> Option<&'static str> {
         let now = self.context.now.steady;
         let lost = self.context.last_contact?;
         if now.saturating_sub(lost) >= SILENT {
@@ -283,9 +283,9 @@
     due: Micros,
 }
 
-impl Node {
+impl Controller {
     /// Takes over what the leader that steps down leaves unproven.
-    pub(crate) fn leave_unproven(&mut self, lead: &Lead) {
+    pub(crate) fn leave_unproven(&mut self, lead: &Scheduler) {
         let names =
             lead.unproven_machines(self.context.now.steady, 2 * self.context.settings.report);
         if names.is_empty() {
@@ -327,13 +327,13 @@
                 "/rentals/release".into(),
                 wire::to_cbor(&MachineNames { machines }),
                 5 * SECOND,
-                Pending::Ignore,
+                CallPurpose::Ignore,
             );
         }
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// Machines that do not answer and on which cancelled tasks are not proven gone.
     fn unproven_machines(&self, now: Micros, silence: Micros) -> Vec<String> {
         let may_run_cancelled = |machine: &&Machine| {
--- a/crates/core/src/leadership/contact/tests.rs
+++ b/crates/core/src/leadership/contact/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::test_support::{clocks, first_report, job_record, pass, unread_leader, WALL};
 use crate::{Effect, Input, Interface, NoStopwatch};
-use grebewood_wire::http::{CheckinAnswer, Command, Report, TaskReport};
+use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, ReportedTask};
 
 /// What a worker with a task of `req-1` is answered.
-fn check_in(node: &mut Node, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
-    let report = Report {
+fn check_in(node: &mut Controller, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
+    let report = Heartbeat {
         sequence,
         token: 3,
-        tasks: vec![TaskReport {
+        tasks: vec![ReportedTask {
             task_name: "req-1/0".into(),
             attempt: 5,
             status: "running".into(),
@@ -32,7 +32,7 @@
         _ => None,
     });
     let (status, body) = answer.expect("an answer at once");
-    let commands = wire::from_cbor::<CheckinAnswer>(&body).map(|a| a.commands);
+    let commands = wire::from_cbor::<HeartbeatResponse>(&body).map(|a| a.commands);
     (status, commands.unwrap_or_default())
 }
 
@@ -105,7 +105,7 @@
     };
     let mut node = unread_leader(20 * SECOND);
     node.context.cancellations.read_as_of(10 * SECOND);
-    let certain = |node: &Node| node.context.cancellations.certain(1, 20 * SECOND);
+    let certain = |node: &Controller| node.context.cancellations.certain(1, 20 * SECOND);
     node.on_contact(0, 5, 19 * SECOND, answer("perch-9", 5));
     node.on_contact(0, 5, 19 * SECOND, answer("perch-1", 4));
     assert_eq!(certain(&node), Some(10 * SECOND));
@@ -116,7 +116,7 @@
 }
 
 /// A leader that was told by a peer that `req-1` is cancelled, which it is about to end.
-fn told_leader() -> Node {
+fn told_leader() -> Controller {
     let mut node = unread_leader(20 * SECOND);
     let record = job_record(1);
     let lead = node.lead.as_mut().expect("a leader");
@@ -140,7 +140,7 @@
         let mut node = told_leader();
         let lead = node.lead.as_mut().expect("a leader");
         lead.on_refresh(&mut node.context, "job/req-1/cancel", answer(404, &()));
-        let cancelled = |lead: &Lead| {
+        let cancelled = |lead: &Scheduler| {
             let job = lead
                 .jobs
                 .find("req-1")
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     pub(crate) fn run_election(&mut self) {
         let now = self.context.now.steady;
         if now < self.election.next_probe {
@@ -13,7 +13,7 @@
             if !self.election.busy {
                 self.election.busy = true;
                 self.context
-                    .read_key(LEADER, Pending::Election(Step::Probe));
+                    .read_key(LEADER, CallPurpose::Election(ElectionStep::Probe));
             }
             // A holder renews leases as a leader does: it has to know what peers confirmed.
             if !self.partitions.holders.is_empty() && now >= self.election.next_question {
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(crate) fn on_election(&mut self, step: Step, outcome: Outcome) {
+    pub(crate) fn on_election(&mut self, step: ElectionStep, outcome: Outcome) {
         let now = self.context.now.steady;
         self.election.busy = false;
         if self.lead.is_some() {
@@ -37,23 +37,23 @@
             _ => (0, Vec::new()),
         };
         match (step, status) {
-            (Step::Probe, 200) => match wire::from_cbor::<Entry<LeaderRecord>>(&body) {
+            (ElectionStep::Probe, 200) => match wire::from_cbor::<KeyValue<LeaderRecord>>(&body) {
                 Ok(e) => {
                     self.context.token = self.context.token.max(e.stamp);
                     self.election.grant = self.election.grant.max(e.stamp);
                     if e.value.member == self.context.settings.member {
                         // A grant of our own that we do not hold: an earlier process of ours had
                         // it, or a claim was applied late. Nobody acts under it, so it goes.
-                        let txn = Txn {
-                            when: vec![When {
+                        let txn = Transaction {
+                            when: vec![Condition {
                                 key: LEADER.into(),
                                 stamp: e.stamp,
                             }],
-                            apply: vec![Change::Delete {
+                            apply: vec![Operation::Delete {
                                 delete: LEADER.into(),
                             }],
                         };
-                        self.context.post_state("/txn", &txn, Pending::Ignore);
+                        self.context.post_state("/txn", &txn, CallPurpose::Ignore);
                         self.election.leader = None;
                         self.election.next_probe = now + 20 * MILLI;
                     } else {
@@ -62,7 +62,7 @@
                 }
                 Err(e) => warn!("record {LEADER}: {e}"),
             },
-            (Step::Probe, 404) => {
+            (ElectionStep::Probe, 404) => {
                 self.election.leader = None;
                 if now >= self.election.abstain_until {
                     self.election.busy = true;
@@ -70,38 +70,45 @@
                     let request = LeaseRequest {
                         ttl_ms: self.context.tuning.leader_lease_us / MILLI,
                     };
-                    self.context
-                        .post_state("/leases", &request, Pending::Election(Step::Lease));
+                    self.context.post_state(
+                        "/leases",
+                        &request,
+                        CallPurpose::Election(ElectionStep::Lease),
+                    );
                 }
             }
-            (Step::Lease, 200) => {
+            (ElectionStep::Lease, 200) => {
                 if let Ok(lease) = wire::from_cbor::<Lease>(&body) {
                     self.election.busy = true;
                     let record = self.own_leader_record();
-                    let txn = Txn {
+                    let txn = Transaction {
                         when: vec![absent(LEADER)],
-                        apply: vec![Change::Put {
+                        apply: vec![Operation::Put {
                             put: LEADER.into(),
                             value: wire::http::to_value(&record),
                             lease: Some(lease.id),
                         }],
                     };
-                    let step = Step::Claim { lease: lease.id };
+                    let step = ElectionStep::Claim { lease: lease.id };
                     self.context
-                        .post_state("/txn", &txn, Pending::Election(step));
+                        .post_state("/txn", &txn, CallPurpose::Election(step));
                 }
             }
-            (Step::Claim { lease }, 200) => match wire::from_cbor::<Revision>(&body) {
-                Ok(e) => self.become_leader(e.revision, lease),
-                Err(_) => self.end_lease(lease),
-            },
-            (Step::Claim { lease }, 0) => {
+            (ElectionStep::Claim { lease }, 200) => {
+                match wire::from_cbor::<TransactionApplied>(&body) {
+                    Ok(e) => self.become_leader(e.revision, lease),
+                    Err(_) => self.end_lease(lease),
+                }
+            }
+            (ElectionStep::Claim { lease }, 0) => {
                 self.election.busy = true;
-                self.context
-                    .read_key(LEADER, Pending::Election(Step::ReadBack { lease }));
+                self.context.read_key(
+                    LEADER,
+                    CallPurpose::Election(ElectionStep::ReadBack { lease }),
+                );
             }
-            (Step::ReadBack { lease }, 200) => {
-                match wire::from_cbor::<Entry<LeaderRecord>>(&body) {
+            (ElectionStep::ReadBack { lease }, 200) => {
+                match wire::from_cbor::<KeyValue<LeaderRecord>>(&body) {
                     Ok(e)
                         if e.value.member == self.context.settings.member
                             && e.value.incarnation == self.election.incarnation =>
@@ -111,7 +118,9 @@
                     _ => self.end_lease(lease),
                 }
             }
-            (Step::Claim { lease } | Step::ReadBack { lease }, _) => self.end_lease(lease),
+            (ElectionStep::Claim { lease } | ElectionStep::ReadBack { lease }, _) => {
+                self.end_lease(lease)
+            }
             _ => {}
         }
     }
@@ -138,10 +147,10 @@
         let record = self.own_leader_record();
         self.election.leader = Some((record, token));
         self.election.peers.clear();
-        let mut lead = Box::new(Lead::new(
+        let mut lead = Box::new(Scheduler::new(
             &self.context,
             Role::Leader,
-            Grant {
+            FencedLease {
                 token,
                 lease,
                 lease_at: self.election.lease_at,
@@ -193,7 +202,7 @@
                     .refuse(request, 503, "it is not certain who leads");
             }
             lead.pending_checkins.clear();
-            lead.parked = Parked::default();
+            lead.parked = LongPolls::default();
         }
         self.election.peers.clear();
         self.election.next_probe = now;
--- a/crates/core/src/leadership/endings.rs
+++ b/crates/core/src/leadership/endings.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     /// Notes that the job is cancelled: nothing of it starts any more, and what may run is
     /// stopped. `record` says since when: the time to `cancel_s` runs on whoever leads. With every
     /// new leader it once began anew, and a machine that could not be reached was kept too long.
@@ -78,15 +78,15 @@
             return;
         };
         let ending = if job.cancelled.is_some() {
-            off_machines.then_some(Ending::Aborted)
+            off_machines.then_some(FinalStatus::Aborted)
         } else {
-            job.all_done().then_some(Ending::Done)
+            job.all_done().then_some(FinalStatus::Done)
         };
         if ending.is_some() && ending != job.ending {
             job.ending = ending;
             let id = job.id.clone();
             let key = self.cancellation_key(&id);
-            if ending == Some(Ending::Aborted) && !self.ledger.stamps.contains_key(&key) {
+            if ending == Some(FinalStatus::Aborted) && !self.ledger.stamps.contains_key(&key) {
                 // It is known from a peer or a user's request only. A job ends as cancelled only if
                 // that is on record: its stamp is read first.
                 self.ledger.stale.push(key);
--- a/crates/core/src/leadership/flush.rs
+++ b/crates/core/src/leadership/flush.rs
@@ -13,7 +13,7 @@
 /// How long the parts of a page that is too large may wait: what is new goes first.
 const SPLIT_DELAY: Micros = 500 * MILLI;
 
-impl Lead {
+impl Scheduler {
     /// Whether the state service has failed to take the last writes in time.
     pub(crate) fn state_is_slow(&self) -> bool {
         self.flush_failures > 0
@@ -24,7 +24,7 @@
         if let RecordId::Allotment(id) = rec {
             return self.render_allotment(*id);
         }
-        let single = |key: String, change: Change| Rendered {
+        let single = |key: String, change: Operation| Rendered {
             when: vec![self.ledger.unchanged(&key)],
             apply: vec![change],
         };
@@ -44,12 +44,12 @@
                 let key = format!("{PAGE}0/{n}");
                 Some(single(key.clone(), put(key, &self.page_record(*n))))
             }
-            RecordId::Rental(name) => {
+            RecordId::PendingProvision(name) => {
                 let key = format!("{RENTAL}{name}");
                 match self.fleet.rental_record(name) {
                     Some(record) => Some(single(key.clone(), put(key, &record))),
                     None if self.ledger.stamps.contains_key(&key) => {
-                        Some(single(key.clone(), Change::Delete { delete: key }))
+                        Some(single(key.clone(), Operation::Delete { delete: key }))
                     }
                     None => None,
                 }
@@ -85,7 +85,7 @@
             }
             RecordId::Deleted(key) => {
                 let known = self.ledger.stamps.contains_key(key);
-                let change = Change::Delete {
+                let change = Operation::Delete {
                     delete: key.clone(),
                 };
                 known.then(|| single(key.clone(), change))
@@ -103,17 +103,17 @@
                     when: vec![absent(&finished), self.ledger.unchanged(&live)],
                     apply: vec![
                         put(finished, &record),
-                        Change::Delete {
+                        Operation::Delete {
                             delete: live.clone(),
                         },
                     ],
                 };
                 match ending {
                     // A cancellation that came first wins.
-                    Ending::Done => r.when.push(absent(&cancel)),
-                    Ending::Aborted => {
+                    FinalStatus::Done => r.when.push(absent(&cancel)),
+                    FinalStatus::Aborted => {
                         r.when.push(self.ledger.unchanged(&cancel));
-                        r.apply.push(Change::Delete { delete: cancel });
+                        r.apply.push(Operation::Delete { delete: cancel });
                     }
                 }
                 // A record of an earlier version; if there are more, those are left behind,
@@ -121,7 +121,7 @@
                 let first = format!("{DONE}{}/0", job.id);
                 if self.ledger.stamps.contains_key(&first) && r.apply.len() < self.txn_ops {
                     r.when.push(self.ledger.unchanged(&first));
-                    r.apply.push(Change::Delete { delete: first });
+                    r.apply.push(Operation::Delete { delete: first });
                 }
                 Some(r)
             }
@@ -163,14 +163,14 @@
             return;
         };
         if let Some(key) = self.ledger.stale.first().cloned() {
-            let pending = self.pending(LeadCall::Refresh { key: key.clone() });
+            let pending = self.pending(SchedulerCall::Refresh { key: key.clone() });
             self.ledger.back_off(now, STATE_TIMEOUT);
             context.read_key(&key, pending);
             return;
         }
         let rate_left = context.writes_of(self.role).available(now);
         let ops_left = self.txn_ops.min(rate_left);
-        let mut txn = Txn {
+        let mut txn = Transaction {
             when,
             apply: Vec::new(),
         };
@@ -220,7 +220,7 @@
         }
         let changes = txn.apply.len() as f64;
         context.writes_of(self.role).take(now, changes);
-        let pending = self.pending(LeadCall::Flush);
+        let pending = self.pending(SchedulerCall::Flush);
         context.post_state("/txn", &txn, pending);
         self.ledger.not_before = now + context.tuning.flush_interval_us;
         self.ledger.in_flight = Some(Batch {
@@ -241,15 +241,17 @@
             return Ok(());
         };
         match outcome {
-            Outcome::Answer { status: 200, body } => match wire::from_cbor::<Revision>(&body) {
-                Ok(e) => {
-                    self.flush_failures = 0;
-                    self.flushed(context, &batch, e.revision);
+            Outcome::Answer { status: 200, body } => {
+                match wire::from_cbor::<TransactionApplied>(&body) {
+                    Ok(e) => {
+                        self.flush_failures = 0;
+                        self.flushed(context, &batch, e.revision);
+                    }
+                    Err(_) => self.read_back(context, batch),
                 }
-                Err(_) => self.read_back(context, batch),
-            },
+            }
             Outcome::Answer { status: 409, body } => {
-                let failed = wire::from_cbor::<TxnFailed>(&body)
+                let failed = wire::from_cbor::<TransactionConflict>(&body)
                     .map(|f| f.failed)
                     .unwrap_or_default();
                 self.ledger.back_off(now, MILLI);
@@ -313,8 +315,8 @@
             false => context.settings.state.txn_ops,
         };
         let large = batch.txn.apply.iter().any(|c| match c {
-            Change::Put { value, .. } => wire::json_size(value) > LEAST_VALUE,
-            Change::Delete { .. } => false,
+            Operation::Put { value, .. } => wire::json_size(value) > LEAST_VALUE,
+            Operation::Delete { .. } => false,
         });
         match rec {
             RecordId::Page(_) | RecordId::Done(_) | RecordId::Stats if large => {
@@ -364,7 +366,7 @@
     pub(super) fn read_back(&mut self, context: &mut Context, batch: Batch) {
         match batch.txn.apply.get(batch.proven) {
             Some(change) => {
-                let pending = self.pending(LeadCall::FlushReadBack);
+                let pending = self.pending(SchedulerCall::FlushReadBack);
                 context.read_key(change.key(), pending);
                 self.ledger.in_flight = Some(batch);
             }
@@ -385,16 +387,18 @@
             return Ok(());
         };
         let proven = match (batch.txn.apply.get(batch.proven), outcome) {
-            (Some(Change::Put { put, value, .. }), Outcome::Answer { status: 200, body }) => {
+            (Some(Operation::Put { put, value, .. }), Outcome::Answer { status: 200, body }) => {
                 let known = self.ledger.stamps.get(put).copied().unwrap_or(0);
-                wire::from_cbor::<Entry<Value>>(&body)
+                wire::from_cbor::<KeyValue<Value>>(&body)
                     .ok()
                     .filter(|e| e.stamp > known && wire::same_value(&e.value, value))
                     // All changes of a transaction have the same stamp.
                     .filter(|e| batch.stamp == 0 || batch.stamp == e.stamp)
                     .map(|e| e.stamp)
             }
-            (Some(Change::Delete { .. }), Outcome::Answer { status: 404, .. }) => Some(batch.stamp),
+            (Some(Operation::Delete { .. }), Outcome::Answer { status: 404, .. }) => {
+                Some(batch.stamp)
+            }
             _ => None,
         };
         match proven {
@@ -412,7 +416,7 @@
                 if batch
                     .record_ids
                     .iter()
-                    .any(|(r, _)| matches!(r, RecordId::Rental(_)))
+                    .any(|(r, _)| matches!(r, RecordId::PendingProvision(_)))
                 {
                     let now = context.now.steady;
                     self.sweep_at = now + SWEEP;
@@ -433,7 +437,7 @@
             return;
         }
         self.sweep_at = now + SWEEP;
-        let pending = self.pending(LeadCall::List {
+        let pending = self.pending(SchedulerCall::List {
             prefix: RENTAL.into(),
         });
         let path = format!("/kv?prefix={RENTAL}&page=200");
@@ -441,7 +445,7 @@
     }
 
     /// Deletes rentals on record that are none of ours.
-    pub(super) fn on_sweep(&mut self, context: &mut Context, list: Option<EntryList>) {
+    pub(super) fn on_sweep(&mut self, context: &mut Context, list: Option<KeyValueList>) {
         for e in list.map(|list| list.entries).unwrap_or_default() {
             let name = e.key.strip_prefix(RENTAL).unwrap_or_default();
             if self.fleet.rental_record(name).is_some() || self.ledger.stamps.contains_key(&e.key) {
@@ -449,8 +453,10 @@
             }
             warn!("record {}: put back by a late transaction", e.key);
             self.ledger.stamps.insert(e.key.clone(), e.stamp);
-            self.ledger
-                .touch(RecordId::Rental(name.to_string()), context.now.steady);
+            self.ledger.touch(
+                RecordId::PendingProvision(name.to_string()),
+                context.now.steady,
+            );
         }
     }
 
@@ -461,7 +467,7 @@
         self.ledger.not_before = now;
         match outcome {
             Outcome::Answer { status: 200, body } => {
-                match wire::from_cbor::<Entry<Value>>(&body) {
+                match wire::from_cbor::<KeyValue<Value>>(&body) {
                     Ok(e) => {
                         self.ledger.stamps.insert(key.to_string(), e.stamp);
                         if let Some(id) = key.strip_prefix(FINISHED) {
@@ -510,7 +516,7 @@
                         info!(
                             "{}: {} after {} s, began after {} s, {} tasks of {} for {}, {} s each",
                             j.id,
-                            j.ending.map_or("over", Ending::status),
+                            j.ending.map_or("over", FinalStatus::status),
                             j.age(context.now.steady) / SECOND,
                             j.began_at.unwrap_or(0) / SECOND,
                             j.tasks(),
@@ -521,7 +527,9 @@
                     }
                     self.job_ended(*index)
                 }
-                RecordId::Rental(name) => self.fleet.rental_written(context.now.steady, name),
+                RecordId::PendingProvision(name) => {
+                    self.fleet.rental_written(context.now.steady, name)
+                }
                 RecordId::Allotment(id) => {
                     self.quota.allotments.written(*id);
                     self.write_allotment(context, *id, 0);
--- a/crates/core/src/leadership/loading.rs
+++ b/crates/core/src/leadership/loading.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     pub(crate) fn start_loading(&mut self, context: &mut Context) {
         let mut loading = Loading::default();
         // Whoever claims a partition does so under a leader that understands them. To one that does not
@@ -47,13 +47,13 @@
             };
             let single = [STATS, CATALOGUE].into_iter().find(|key| *key == prefix);
             let (path, what) = match single {
-                Some(key) => (format!("/kv/{prefix}"), LeadCall::Read { key }),
+                Some(key) => (format!("/kv/{prefix}"), SchedulerCall::Read { key }),
                 None => (
                     format!("/kv?prefix={prefix}{since}&page=200"),
-                    LeadCall::List { prefix },
+                    SchedulerCall::List { prefix },
                 ),
             };
-            let pending = Pending::Lead { token, what };
+            let pending = CallPurpose::Scheduler { token, what };
             context.get_state(path, pending);
         }
     }
@@ -62,7 +62,7 @@
     pub(super) fn on_list(&mut self, context: &mut Context, prefix: &str, outcome: Outcome) {
         let now = context.now.steady;
         let list = match &outcome {
-            Outcome::Answer { status: 200, body } => wire::from_cbor::<EntryList>(body),
+            Outcome::Answer { status: 200, body } => wire::from_cbor::<KeyValueList>(body),
             _ => Err(wire::DecodeError("no answer".into())),
         };
         let Some(loading) = &mut self.loading else {
@@ -120,7 +120,7 @@
         match outcome {
             Outcome::Answer { status: 200, body } => {
                 loading.missing.remove(key);
-                match wire::from_cbor::<Entry<Value>>(&body) {
+                match wire::from_cbor::<KeyValue<Value>>(&body) {
                     Ok(entry) => {
                         let entries = loading.entries.entry(key.to_string());
                         entries.or_default().push(entry);
@@ -180,7 +180,7 @@
         }
         for e in rentals {
             self.ledger.stamps.insert(e.key.clone(), e.stamp);
-            match from_value::<RentalRecord>(&e.value) {
+            match from_value::<ProvisionRecord>(&e.value) {
                 Ok(rental) => {
                     let name = e.key.trim_start_matches(RENTAL).to_string();
                     self.fleet.recover_rental(context, name, rental);
@@ -295,14 +295,21 @@
                 .jobs
                 .find(id)
                 .and_then(|index| self.jobs.get_mut(index));
-            match (job, n.parse(), from_value::<DoneRecord>(value)) {
+            match (
+                job,
+                n.parse(),
+                from_value::<LegacyCompletedTasksRecord>(value),
+            ) {
                 (Some(job), Ok(n), Ok(record)) => job.load_done(n, &record.bits),
                 (None, _, _) => {}
                 _ => error!("record {key}: unreadable; its tasks may run again"),
             }
             return;
         }
-        match (rest.parse::<u64>(), from_value::<DonePageRecord>(value)) {
+        match (
+            rest.parse::<u64>(),
+            from_value::<CompletedTasksPageRecord>(value),
+        ) {
             (Ok(page), Ok(record)) => {
                 for (id, n, bits) in record.jobs {
                     let Some(index) = self.jobs.find(&id) else {
--- a/crates/core/src/leadership/watches.rs
+++ b/crates/core/src/leadership/watches.rs
@@ -5,7 +5,7 @@
 /// Keys in one page of a list that is read anew.
 const RELIST_PAGE: usize = 1_000;
 
-impl Lead {
+impl Scheduler {
     pub(super) fn run_watches(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let token = self.token;
@@ -20,7 +20,7 @@
                     None => String::new(),
                 };
                 (
-                    LeadCall::List {
+                    SchedulerCall::List {
                         prefix: prefix.to_string(),
                     },
                     format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE}"),
@@ -28,12 +28,12 @@
                 )
             } else {
                 (
-                    LeadCall::Watch { prefix },
+                    SchedulerCall::Watch { prefix },
                     format!("/changes?prefix={prefix}&since={}&block_ms=10000", w.since),
                     13 * SECOND,
                 )
             };
-            let pending = Pending::Lead { token, what };
+            let pending = CallPurpose::Scheduler { token, what };
             context.call(Target::State, "GET", path, Vec::new(), timeout, pending);
         }
     }
@@ -49,17 +49,19 @@
         if let Some(w) = self.watches.get_mut(prefix) {
             w.open = false;
             match outcome {
-                Outcome::Answer { status: 200, body } => match wire::from_cbor::<Changes>(&body) {
-                    Ok(changes) => {
-                        w.since = w.since.max(changes.revision);
-                        w.retry_at = now + 20 * MILLI;
-                        events = changes.events;
+                Outcome::Answer { status: 200, body } => {
+                    match wire::from_cbor::<WatchResponse>(&body) {
+                        Ok(changes) => {
+                            w.since = w.since.max(changes.revision);
+                            w.retry_at = now + 20 * MILLI;
+                            events = changes.events;
+                        }
+                        Err(e) => {
+                            warn!("watch {prefix}: {e}");
+                            w.retry_at = now + SECOND;
+                        }
                     }
-                    Err(e) => {
-                        warn!("watch {prefix}: {e}");
-                        w.retry_at = now + SECOND;
-                    }
-                },
+                }
                 // Too old, or more than can be taken at once, which would be the same the next time.
                 Outcome::Answer { status: 410, .. } | Outcome::TooLarge => {
                     w.relist = true;
@@ -75,7 +77,7 @@
         }
     }
 
-    pub(super) fn on_event(&mut self, context: &mut Context, event: Event) {
+    pub(super) fn on_event(&mut self, context: &mut Context, event: WatchEvent) {
         if let (Some(key), true) = (&event.delete, self.is_holder()) {
             // The leader ended it: what is left of it on machines belongs to no job.
             if let Some(JobKey::Live(id)) = JobKey::parse(key) {
@@ -105,7 +107,7 @@
         &mut self,
         context: &mut Context,
         prefix: &str,
-        list: Option<EntryList>,
+        list: Option<KeyValueList>,
     ) {
         let now = context.now.steady;
         let Some(w) = self.watches.get_mut(prefix) else {
@@ -128,7 +130,7 @@
             w.since = as_of;
         }
         for e in list.entries {
-            let event = Event {
+            let event = WatchEvent {
                 put: Some(e.key),
                 delete: None,
                 value: Some(e.value),
--- a/crates/core/src/leadership/watches/tests.rs
+++ b/crates/core/src/leadership/watches/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::test_support::unread_leader;
-use crate::view::ViewCall;
+use crate::view::JobViewCall;
 use crate::Effect;
 
-fn page(first: u64, revision: u64, more: bool) -> EntryList {
-    let entry = Entry {
+fn page(first: u64, revision: u64, more: bool) -> KeyValueList {
+    let entry = KeyValue {
         key: job_key(&format!("req-{first}")),
         value: Value::Null,
         stamp: first,
     };
-    EntryList {
+    KeyValueList {
         entries: vec![entry],
         more,
         revision,
@@ -17,7 +17,7 @@
 }
 
 /// The paths of the requests that the leader makes now.
-fn requests(node: &mut Node) -> Vec<String> {
+fn requests(node: &mut Controller) -> Vec<String> {
     let lead = node.lead.as_mut().expect("a leader");
     lead.run_watches(&mut node.context);
     let effects = std::mem::take(&mut node.context.out);
@@ -28,7 +28,7 @@
     paths.collect()
 }
 
-fn watching_leader() -> Node {
+fn watching_leader() -> Controller {
     let mut node = unread_leader(20 * SECOND);
     let lead = node.lead.as_mut().expect("a leader");
     lead.watches.insert(JOB, Watch::default());
@@ -44,7 +44,7 @@
         status: 410,
         body: Vec::new(),
     };
-    let take = |node: &mut Node, list| {
+    let take = |node: &mut Controller, list| {
         let lead = node.lead.as_mut().expect("a leader");
         lead.on_relist(&mut node.context, JOB, Some(list));
     };
@@ -73,7 +73,7 @@
     assert_eq!(requests(&mut node), ["/kv?prefix=job/&page=1000"]);
 
     let now = node.context.now.steady;
-    node.on_view(ViewCall::Changes, now, Outcome::TooLarge);
+    node.on_view(JobViewCall::WatchResponse, now, Outcome::TooLarge);
     node.context.now.steady += SECOND;
     node.run_view();
     let paths = requests(&mut node);
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -7,14 +7,14 @@
 //! next write of the same key, which then fails and is repeated, or it fails itself.
 //!
 //! What moves from one record to another is first written to the new one: the old one waits until
-//! that is durable ([`Ledger::wait_for`]), so that at no moment it is on no record. Records whose
-//! transaction the state service called invalid go alone from then on ([`Ledger::suspect`]), so
+//! that is durable ([`WriteBuffer::wait_for`]), so that at no moment it is on no record. Records whose
+//! transaction the state service called invalid go alone from then on ([`WriteBuffer::suspect`]), so
 //! that a single one cannot keep others from being written.
 
 use crate::jobs::JobIndex;
 use crate::{Micros, MILLI};
 use grebewood_partition::PartitionId;
-use grebewood_wire::http::{Change, Txn, When};
+use grebewood_wire::http::{Condition, Operation, Transaction};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A record that the ledger writes.
@@ -25,7 +25,7 @@
     /// A page of assignments.
     Page(u64),
     /// A rental request.
-    Rental(String),
+    PendingProvision(String),
     /// The end of a job: its terminal record, and the removal of its live ones.
     Over(JobIndex),
     /// Learnt averages.
@@ -45,8 +45,8 @@
 /// One record's changes and conditions, as rendered for a transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Rendered {
-    pub when: Vec<When>,
-    pub apply: Vec<Change>,
+    pub when: Vec<Condition>,
+    pub apply: Vec<Operation>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct Batch {
     pub record_ids: Vec<(RecordId, u64)>,
-    pub txn: Txn,
+    pub txn: Transaction,
     /// After a flush without an answer: how many of its changes were found carried out, and their
     /// stamp, once one of them is known to have it.
     pub proven: usize,
@@ -76,23 +76,23 @@
     /// Keys put by this batch.
     pub fn puts(&self) -> impl Iterator<Item = &str> {
         self.txn.apply.iter().filter_map(|c| match c {
-            Change::Put { put, .. } => Some(put.as_str()),
-            Change::Delete { .. } => None,
+            Operation::Put { put, .. } => Some(put.as_str()),
+            Operation::Delete { .. } => None,
         })
     }
 
     /// Keys deleted by this batch.
     pub fn deletes(&self) -> impl Iterator<Item = &str> {
         self.txn.apply.iter().filter_map(|c| match c {
-            Change::Delete { delete } => Some(delete.as_str()),
-            Change::Put { .. } => None,
+            Operation::Delete { delete } => Some(delete.as_str()),
+            Operation::Put { .. } => None,
         })
     }
 }
 
 /// What is to be written, and what has been.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct WriteBuffer {
     slots: BTreeMap<RecordId, Slot>,
     /// Dirty records by the time at which they are due.
     queue: BTreeSet<(Micros, RecordId)>,
@@ -111,11 +111,11 @@
     suspects: BTreeSet<RecordId>,
 }
 
-impl Ledger {
+impl WriteBuffer {
     pub fn clear(&mut self) {
-        *self = Ledger {
+        *self = WriteBuffer {
             seq: self.seq,
-            ..Ledger::default()
+            ..WriteBuffer::default()
         };
     }
 
@@ -243,8 +243,8 @@
     }
 
     /// The condition that `key` still has the stamp we know.
-    pub fn unchanged(&self, key: &str) -> When {
-        When {
+    pub fn unchanged(&self, key: &str) -> Condition {
+        Condition {
             key: key.to_string(),
             stamp: self.stamps.get(key).copied().unwrap_or(0),
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
 //! The scheduler as a state machine.
 //!
-//! [`Node`] takes [`Input`]s (requests, replies, the passing of time) and returns [`Effect`]s
+//! [`Controller`] takes [`Input`]s (requests, replies, the passing of time) and returns [`Effect`]s
 //! (calls to send, requests to answer). It does no I/O and reads no clock: the time comes with
 //! each input, and randomness from a seed. State in the state service is the truth; what a
-//! `Node` holds in memory is a cache of it.
+//! `Controller` holds in memory is a cache of it.
 
 pub mod cancellations;
 pub mod done;
@@ -25,7 +25,7 @@
 pub mod view;
 pub mod workers;
 
-pub use node::Node;
+pub use node::Controller;
 pub use settings::{Objective, Settings, Sibling, Team, Tuning};
 
 /// Whole microseconds, of a steady clock unless said otherwise.
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -2,10 +2,10 @@
 
 use crate::cancellations::Cancellations;
 use crate::leadership::Role;
-use crate::leadership::{Election, Lead, UnprovenMachines};
-use crate::pace::Bucket;
-use crate::users::{FinishedJobs, FinishedReads, UserCall};
-use crate::view::{View, ViewCall};
+use crate::leadership::{Election, Scheduler, UnprovenMachines};
+use crate::pace::RateLimiter;
+use crate::users::{FinishedJobs, FinishedReads, UserRequest};
+use crate::view::{JobView, JobViewCall};
 use crate::{
     fleet, leadership, partitions, Call, Effect, Input, Interface, Micros, Now, Outcome, Settings,
     Stopwatch, Target, Tuning, MILLI, SECOND,
@@ -21,14 +21,14 @@
 
 /// What a reply is for.
 #[derive(Debug)]
-pub enum Pending {
-    Election(leadership::Step),
-    Lead {
+pub enum CallPurpose {
+    Election(leadership::ElectionStep),
+    Scheduler {
         token: u64,
-        what: LeadCall,
+        what: SchedulerCall,
     },
-    User(UserCall),
-    View(ViewCall),
+    User(UserRequest),
+    JobView(JobViewCall),
     /// The machine types, from state (true) or from the cloud.
     Catalogue(bool),
     /// A peer's contact with state and the cancellations it confirmed.
@@ -49,7 +49,7 @@
 
 /// Calls that the leader waits for; a reply that comes after it stepped down is dropped.
 #[derive(Debug)]
-pub enum LeadCall {
+pub enum SchedulerCall {
     Extend,
     List {
         prefix: String,
@@ -85,16 +85,16 @@
     pub out: Vec<Effect>,
     next_call: u64,
     /// Calls under way: what the reply is for, and when the call was made.
-    calls: BTreeMap<u64, (Pending, Micros)>,
+    calls: BTreeMap<u64, (CallPurpose, Micros)>,
     /// Requests to the state service on behalf of users.
-    pub reads: Bucket,
+    pub reads: RateLimiter,
     /// Puts on behalf of users.
-    pub writes: Bucket,
+    pub writes: RateLimiter,
     /// Puts of the leader.
-    pub lead_writes: Bucket,
+    pub lead_writes: RateLimiter,
     /// Puts of this node as the holder of partitions.
-    pub holder_writes: Bucket,
-    pub cloud: Bucket,
+    pub holder_writes: RateLimiter,
+    pub cloud: RateLimiter,
     pub last_contact: Option<Micros>,
     /// When this process last stood still and went on. A reply to a call made before may have lain
     /// here all that time: it is no contact and no proof of a grant.
@@ -115,7 +115,7 @@
         path: String,
         body: Vec<u8>,
         timeout: Micros,
-        pending: Pending,
+        pending: CallPurpose,
     ) -> u64 {
         self.next_call += 1;
         let id = self.next_call;
@@ -132,13 +132,13 @@
     }
 
     /// Gets from the state service.
-    pub fn get_state(&mut self, path: String, pending: Pending) -> u64 {
+    pub fn get_state(&mut self, path: String, pending: CallPurpose) -> u64 {
         let nothing = Vec::new();
         self.call(Target::State, "GET", path, nothing, STATE_TIMEOUT, pending)
     }
 
     /// Reads one key of the state service.
-    pub fn read_key(&mut self, key: &str, pending: Pending) -> u64 {
+    pub fn read_key(&mut self, key: &str, pending: CallPurpose) -> u64 {
         self.get_state(format!("/kv/{key}"), pending)
     }
 
@@ -147,7 +147,7 @@
         &mut self,
         path: &str,
         body: &T,
-        pending: Pending,
+        pending: CallPurpose,
     ) -> u64 {
         self.call(
             Target::State,
@@ -216,7 +216,7 @@
     }
 
     /// The puts that may be made under a grant.
-    pub(crate) fn writes_of(&mut self, role: Role) -> &mut Bucket {
+    pub(crate) fn writes_of(&mut self, role: Role) -> &mut RateLimiter {
         match role {
             Role::Leader => &mut self.lead_writes,
             Role::Holder(_) => &mut self.holder_writes,
@@ -231,7 +231,7 @@
             format!("/leases/{lease}"),
             Vec::new(),
             STATE_TIMEOUT,
-            Pending::Ignore,
+            CallPurpose::Ignore,
         );
     }
 
@@ -247,13 +247,13 @@
 pub const CONTACT_SPAN: Micros = 2_500 * MILLI;
 
 /// One controller.
-pub struct Node {
+pub struct Controller {
     pub context: Context,
     pub election: Election,
-    pub lead: Option<Box<Lead>>,
+    pub lead: Option<Box<Scheduler>>,
     pub finished: FinishedJobs,
     pub finished_reads: FinishedReads,
-    pub view: View,
+    pub view: JobView,
     /// What the leader last said of live jobs: completed and running tasks.
     pub progress: BTreeMap<String, (u64, u64)>,
     /// Its part in the partitions of the fleet.
@@ -272,7 +272,7 @@
 /// With fewer puts a second for each member the leader places all tasks.
 const LEAST_HOLDER_WRITES: f64 = 2.0;
 
-impl Node {
+impl Controller {
     /// A controller that has just started; `seed` must differ between processes.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64) -> Self {
         let nodes = settings.siblings.len() as f64 + 1.0;
@@ -284,13 +284,13 @@
             false => LEADER_WRITES,
         };
         let context = Context {
-            reads: Bucket::new(rps * 0.7 / nodes),
+            reads: RateLimiter::new(rps * 0.7 / nodes),
             // A burst of submissions may use most of one second's worth at one node.
-            writes: Bucket::with_depth(user_writes / nodes, write_rps * 0.4),
+            writes: RateLimiter::with_depth(user_writes / nodes, write_rps * 0.4),
             // The end of a job takes several changes at once: under a small rate these must add up.
-            lead_writes: Bucket::with_depth(write_rps * leader_part, write_rps.min(4.0)),
-            holder_writes: Bucket::with_depth(holder_rate, 2.0),
-            cloud: Bucket::new(settings.cloud_rps * 0.8),
+            lead_writes: RateLimiter::with_depth(write_rps * leader_part, write_rps.min(4.0)),
+            holder_writes: RateLimiter::with_depth(holder_rate, 2.0),
+            cloud: RateLimiter::new(settings.cloud_rps * 0.8),
             settings,
             tuning,
             now: Now::default(),
@@ -304,13 +304,13 @@
             token: 0,
             cancellations: Cancellations::default(),
         };
-        Node {
+        Controller {
             election: Election::new(seed),
             context,
             lead: None,
             finished: FinishedJobs::new(20_000),
             finished_reads: FinishedReads::new(),
-            view: View::default(),
+            view: JobView::default(),
             progress: BTreeMap::new(),
             partitions: partitions::Partitions::default(),
             unproven: None,
@@ -369,7 +369,7 @@
     }
 
     /// All grants that this node acts under: as the leader, and as the holder of partitions.
-    pub(crate) fn grants_mut(&mut self) -> impl Iterator<Item = &mut Box<Lead>> {
+    pub(crate) fn grants_mut(&mut self) -> impl Iterator<Item = &mut Box<Scheduler>> {
         let holders = self.partitions.holders.values_mut();
         self.lead.iter_mut().chain(holders)
     }
@@ -479,15 +479,17 @@
         let stale = made < self.context.woke;
         // Any answer but "unavailable" shows that the state service serves this node.
         let of_state = match &pending {
-            Pending::Election(_)
-            | Pending::User(_)
-            | Pending::View(_)
-            | Pending::Catalogue(true) => true,
-            Pending::Lead { what, .. } => !matches!(
+            CallPurpose::Election(_)
+            | CallPurpose::User(_)
+            | CallPurpose::JobView(_)
+            | CallPurpose::Catalogue(true) => true,
+            CallPurpose::Scheduler { what, .. } => !matches!(
                 what,
-                LeadCall::Fleet(_) | LeadCall::Direct { .. } | LeadCall::Orders { .. }
+                SchedulerCall::Fleet(_)
+                    | SchedulerCall::Direct { .. }
+                    | SchedulerCall::Orders { .. }
             ),
-            Pending::PartitionMap(_) | Pending::PartitionClaim { .. } => true,
+            CallPurpose::PartitionMap(_) | CallPurpose::PartitionClaim { .. } => true,
             _ => false,
         };
         if let (true, Outcome::Answer { status, .. }) = (of_state && !stale, &outcome) {
@@ -497,28 +499,32 @@
         }
         match pending {
             // What an election's answer said may have changed meanwhile: its outcome is unknown.
-            Pending::Election(step) if stale => self.on_election(step, Outcome::Unknown),
-            Pending::Election(step) => self.on_election(step, outcome),
+            CallPurpose::Election(step) if stale => self.on_election(step, Outcome::Unknown),
+            CallPurpose::Election(step) => self.on_election(step, outcome),
             // So may what the renewal of a grant said, unless it says that the grant has ended.
-            Pending::Lead {
-                what: LeadCall::Extend,
+            CallPurpose::Scheduler {
+                what: SchedulerCall::Extend,
                 ..
             } if stale && !matches!(outcome, Outcome::Answer { status: 404, .. }) => {}
-            Pending::Lead { token, what } => self.on_lead_reply(token, what, outcome),
+            CallPurpose::Scheduler { token, what } => self.on_lead_reply(token, what, outcome),
             // A claim that was made before a standstill may have ended since.
-            Pending::PartitionClaim { partition, step } if stale => {
+            CallPurpose::PartitionClaim { partition, step } if stale => {
                 self.on_claim(partition, step, Outcome::Unknown)
             }
-            Pending::PartitionClaim { partition, step } => self.on_claim(partition, step, outcome),
-            Pending::PartitionMap(call) => self.on_partition_map(call, outcome),
+            CallPurpose::PartitionClaim { partition, step } => {
+                self.on_claim(partition, step, outcome)
+            }
+            CallPurpose::PartitionMap(call) => self.on_partition_map(call, outcome),
             // What users are told may have changed too: it is asked for anew.
-            Pending::User(user) if stale => self.on_user_reply(user, Outcome::Unknown),
-            Pending::View(what) if stale => self.on_view(what, made, Outcome::Unknown),
-            Pending::User(user) => self.on_user_reply(user, outcome),
-            Pending::View(what) => self.on_view(what, made, outcome),
-            Pending::Catalogue(from_state) => self.on_catalogue(from_state, outcome),
-            Pending::Contact { peer, question } => self.on_contact(peer, question, made, outcome),
-            Pending::Ignore => {}
+            CallPurpose::User(user) if stale => self.on_user_reply(user, Outcome::Unknown),
+            CallPurpose::JobView(what) if stale => self.on_view(what, made, Outcome::Unknown),
+            CallPurpose::User(user) => self.on_user_reply(user, outcome),
+            CallPurpose::JobView(what) => self.on_view(what, made, outcome),
+            CallPurpose::Catalogue(from_state) => self.on_catalogue(from_state, outcome),
+            CallPurpose::Contact { peer, question } => {
+                self.on_contact(peer, question, made, outcome)
+            }
+            CallPurpose::Ignore => {}
         }
     }
 
@@ -529,7 +535,7 @@
             return;
         };
         let machine_types = if from_state {
-            wire::from_cbor::<wire::http::Entry<wire::http::Catalogue>>(&body).map(|e| e.value)
+            wire::from_cbor::<wire::http::KeyValue<wire::http::Catalogue>>(&body).map(|e| e.value)
         } else {
             wire::from_cbor::<wire::http::Catalogue>(&body)
         };
@@ -556,7 +562,7 @@
             self.catalogue_at = now + 500 * MILLI;
             if self.catalogue_from_state {
                 self.context
-                    .read_key(wire::records::CATALOGUE, Pending::Catalogue(true));
+                    .read_key(wire::records::CATALOGUE, CallPurpose::Catalogue(true));
             } else if self.context.cloud.take(now, 1.0) {
                 self.context.call(
                     Target::Cloud,
@@ -564,7 +570,7 @@
                     "/machine_types".into(),
                     Vec::new(),
                     3 * SECOND,
-                    Pending::Catalogue(false),
+                    CallPurpose::Catalogue(false),
                 );
             }
         }
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/pace.rs
@@ -4,18 +4,18 @@
 
 /// A token bucket that holds at most one second's worth.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct RateLimiter {
     rate: f64,
     depth: f64,
     level: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl RateLimiter {
     /// A full bucket that refills `rate` tokens a second.
     pub fn new(rate: f64) -> Self {
         let depth = rate.max(1.0);
-        Bucket {
+        RateLimiter {
             rate,
             depth,
             level: depth,
@@ -25,7 +25,7 @@
 
     /// A full bucket with room for at least `depth` tokens.
     pub fn with_depth(rate: f64, depth: f64) -> Self {
-        let mut bucket = Bucket::new(rate);
+        let mut bucket = RateLimiter::new(rate);
         bucket.depth = bucket.depth.max(depth);
         bucket.level = bucket.depth;
         bucket
--- a/crates/core/src/partitions.rs
+++ b/crates/core/src/partitions.rs
@@ -12,7 +12,7 @@
 //! - [`reports`]: what holders tell the leader;
 //! - [`holder`]: the holder's side.
 
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::Micros;
 use grebewood_partition::{PartitionId, PartitionMap};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 mod reports;
 
 pub use claims::{ClaimStep, MapCall};
-pub use holder::Holding;
+pub use holder::HolderState;
 pub use orders::RemotePartitions;
 
 /// A node's part in the partitions of the fleet.
@@ -33,7 +33,7 @@
     pub map: PartitionMap,
     reader: claims::MapReader,
     /// What this node holds.
-    pub holders: BTreeMap<PartitionId, Box<Lead>>,
+    pub holders: BTreeMap<PartitionId, Box<Scheduler>>,
     /// Claims under way, and when the lease of each was asked for.
     claiming: BTreeMap<PartitionId, Micros>,
     /// No claim before this time.
--- a/crates/core/src/partitions/claims.rs
+++ b/crates/core/src/partitions/claims.rs
@@ -1,14 +1,15 @@
 //! The node's copy of the partition map, its claims on partitions, and giving them back.
 
 use super::Partitions;
-use crate::leadership::{Grant, Lead, Role};
-use crate::node::{Node, Pending, STATE_TIMEOUT};
+use crate::leadership::{FencedLease, Role, Scheduler};
+use crate::node::{CallPurpose, Controller, STATE_TIMEOUT};
 use crate::users::absent;
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_partition::{Claim, PartitionId};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    to_value, Change, Changes, Entry, EntryList, Lease, LeaseRequest, Redirect, Revision, Txn, When,
+    to_value, Condition, KeyValue, KeyValueList, Lease, LeaseRequest, Operation, Redirect,
+    Transaction, TransactionApplied, WatchResponse,
 };
 use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER, PARTITION};
 use grebewood_wire::Value;
@@ -20,7 +21,7 @@
     /// A page of its keys.
     List,
     /// What changed since.
-    Changes,
+    WatchResponse,
 }
 
 /// How far a claim has come.
@@ -70,7 +71,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Reads the map, claims what is assigned to this node, gives back what is not, and lets the
     /// holders and the leader do their part.
     pub(crate) fn run_partitions(&mut self, watch: &mut dyn Stopwatch) {
@@ -98,7 +99,7 @@
             (Some(since), _) => {
                 let block_ms = WATCH / MILLI;
                 let path = format!("/changes?prefix={PARTITION}&since={since}&block_ms={block_ms}");
-                (MapCall::Changes, path, WATCH + 3 * SECOND)
+                (MapCall::WatchResponse, path, WATCH + 3 * SECOND)
             }
             (None, listing) => {
                 let after = listing.as_ref().map(|(_, key)| format!("&since={key}"));
@@ -107,7 +108,7 @@
                 (MapCall::List, path, STATE_TIMEOUT)
             }
         };
-        let pending = Pending::PartitionMap(call);
+        let pending = CallPurpose::PartitionMap(call);
         let nothing = Vec::new();
         self.context
             .call(Target::State, "GET", path, nothing, timeout, pending);
@@ -120,7 +121,7 @@
         reader.next_at = now + AGAIN;
         let body = match (outcome, call) {
             (Outcome::Answer { status: 200, body }, _) => body,
-            (Outcome::Answer { status: 410, .. } | Outcome::TooLarge, MapCall::Changes) => {
+            (Outcome::Answer { status: 410, .. } | Outcome::TooLarge, MapCall::WatchResponse) => {
                 reader.since = None;
                 return;
             }
@@ -128,12 +129,12 @@
         };
         match call {
             MapCall::List => self.take_map_page(&body),
-            MapCall::Changes => self.take_map_changes(&body),
+            MapCall::WatchResponse => self.take_map_changes(&body),
         }
     }
 
     fn take_map_page(&mut self, body: &[u8]) {
-        let list = match wire::from_cbor::<EntryList>(body) {
+        let list = match wire::from_cbor::<KeyValueList>(body) {
             Ok(list) => list,
             Err(e) => return warn!("partition map: {e}"),
         };
@@ -156,7 +157,7 @@
     }
 
     fn take_map_changes(&mut self, body: &[u8]) {
-        let changes = match wire::from_cbor::<Changes>(body) {
+        let changes = match wire::from_cbor::<WatchResponse>(body) {
             Ok(changes) => changes,
             Err(e) => return warn!("partition map: {e}"),
         };
@@ -195,7 +196,7 @@
             let request = LeaseRequest {
                 ttl_ms: self.context.tuning.leader_lease_us / MILLI,
             };
-            let pending = Pending::PartitionClaim {
+            let pending = CallPurpose::PartitionClaim {
                 partition: id,
                 step: ClaimStep::Lease,
             };
@@ -213,7 +214,8 @@
                 Ok(lease) => self.write_claim(id, lease.id),
                 Err(_) => self.claim_failed(id, None),
             },
-            (ClaimStep::Claim { lease }, 200) => match wire::from_cbor::<Revision>(&body) {
+            (ClaimStep::Claim { lease }, 200) => match wire::from_cbor::<TransactionApplied>(&body)
+            {
                 Ok(applied) => self.claimed(id, lease, applied.revision),
                 Err(_) => self.read_claim_back(id, lease),
             },
@@ -236,7 +238,7 @@
         let (Some(partition), Some(term)) = (mine, self.election.partition_term()) else {
             return self.claim_failed(id, Some(lease));
         };
-        let stamp = |key: &str, stamp: u64| When {
+        let stamp = |key: &str, stamp: u64| Condition {
             key: key.to_string(),
             stamp,
         };
@@ -246,19 +248,19 @@
             incarnation: self.election.incarnation(),
             claimed_us: self.context.now.wall,
         };
-        let txn = Txn {
+        let txn = Transaction {
             when: vec![
                 absent(&key),
                 stamp(&partition_key(id), partition.stamp),
                 stamp(LEADER, term),
             ],
-            apply: vec![Change::Put {
+            apply: vec![Operation::Put {
                 put: key,
                 value: to_value(&claim),
                 lease: Some(lease),
             }],
         };
-        let pending = Pending::PartitionClaim {
+        let pending = CallPurpose::PartitionClaim {
             partition: id,
             step: ClaimStep::Claim { lease },
         };
@@ -266,7 +268,7 @@
     }
 
     fn read_claim_back(&mut self, id: PartitionId, lease: u64) {
-        let pending = Pending::PartitionClaim {
+        let pending = CallPurpose::PartitionClaim {
             partition: id,
             step: ClaimStep::ReadBack { lease },
         };
@@ -274,7 +276,7 @@
     }
 
     fn on_claim_read(&mut self, id: PartitionId, lease: u64, body: &[u8]) {
-        let entry = wire::from_cbor::<Entry<PartitionClaim>>(body).ok();
+        let entry = wire::from_cbor::<KeyValue<PartitionClaim>>(body).ok();
         let own = entry.filter(|entry| {
             entry.value.member == self.context.settings.member
                 && entry.value.incarnation == self.election.incarnation()
@@ -300,12 +302,12 @@
         };
         info!("holder of partition {id} with token {token}");
         self.context.token = self.context.token.max(token);
-        let grant = Grant {
+        let grant = FencedLease {
             token,
             lease,
             lease_at,
         };
-        let mut holder = Box::new(Lead::new(&self.context, Role::Holder(id), grant));
+        let mut holder = Box::new(Scheduler::new(&self.context, Role::Holder(id), grant));
         holder.start_loading(&mut self.context);
         self.partitions.holders.insert(id, holder);
     }
@@ -323,7 +325,7 @@
         }
     }
 
-    fn reason_to_leave(&self, id: PartitionId, holder: &Lead) -> Option<&'static str> {
+    fn reason_to_leave(&self, id: PartitionId, holder: &Scheduler) -> Option<&'static str> {
         if !self.election.leader_knows_partitions() {
             return Some("the leader does not understand partitions");
         }
--- a/crates/core/src/partitions/holder.rs
+++ b/crates/core/src/partitions/holder.rs
@@ -1,11 +1,11 @@
 //! The holder of a partition: carries out the leader's orders on its machines and reports to it.
 
-use crate::leadership::{Lead, Role};
-use crate::node::{Context, Node};
+use crate::leadership::{Role, Scheduler};
+use crate::node::{Context, Controller};
 use crate::placement::slots;
-use crate::workers::{Assignment, ExitedAttempt, Machine, Seen, Stop, TaskOnMachine};
+use crate::workers::{Assignment, ExitedAttempt, Machine, ObservedStatus, Stop, TaskOnMachine};
 use crate::{Micros, Stopwatch, SECOND};
-use grebewood_wire::http::{ExitCause, TaskReport, TaskStatus};
+use grebewood_wire::http::{ExitCause, ReportedTask, TaskStatus};
 use grebewood_wire::peer::{
     MachineState, PartitionOrders, PartitionReport, PlacedTask, TaskAttempt, TaskEnd, TaskOutcome,
     TaskState,
@@ -21,7 +21,7 @@
 
 /// What a holder knows beyond its machines.
 #[derive(Clone, Debug, Default)]
-pub struct Holding {
+pub struct HolderState {
     /// Term and number of the last orders.
     last: (u64, u64),
     /// The term of the leader that told all tasks that may be on the machines; 0: none yet.
@@ -37,7 +37,7 @@
     pub(crate) checkins: u64,
 }
 
-impl Holding {
+impl HolderState {
     /// Whether a leader has told all tasks that may be on the machines.
     pub(crate) fn knows_tasks(&self) -> bool {
         self.synced_term > 0
@@ -54,7 +54,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Takes orders for a partition. Only the leader that the state service names may give them.
     pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
         if !self.election.leader_is(&orders.from, orders.term) {
@@ -66,7 +66,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What a peer said of a cancellation is never trusted over state: a job that the state service
     /// still shows as live and not cancelled, in an answer that was asked for since, runs on.
     pub(crate) fn retract_cancellations(&mut self) {
@@ -91,7 +91,7 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// Carries out orders and answers with a report. Orders that are out of order, or meant for another
     /// claim, are dropped: a late copy of one would launch again what has ended since.
     pub(crate) fn carry_out_orders(
@@ -297,7 +297,7 @@
         name: &str,
         job: &str,
         task: u64,
-        reported: &TaskReport,
+        reported: &ReportedTask,
     ) {
         let unknown = ExitCause::Unknown(String::new());
         let cause = reported.cause.clone().unwrap_or(unknown);
@@ -412,10 +412,10 @@
     let silence = 3 * context.settings.report;
     let tasks = machine.assignments.iter().filter_map(|a| {
         let status = match a.seen {
-            Seen::Never => return None,
-            Seen::Fetching => TaskStatus::Fetching,
-            Seen::Running => TaskStatus::Running,
-            Seen::Saving => TaskStatus::Saving,
+            ObservedStatus::Never => return None,
+            ObservedStatus::Fetching => TaskStatus::Fetching,
+            ObservedStatus::Running => TaskStatus::Running,
+            ObservedStatus::Saving => TaskStatus::Saving,
         };
         Some(TaskState { id: a.id(), status })
     });
--- a/crates/core/src/partitions/holder/tests.rs
+++ b/crates/core/src/partitions/holder/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::jobs::Job;
-use crate::leadership::Grant;
+use crate::leadership::FencedLease;
 use crate::test_support::{first_report, job_record, unread_leader, WALL};
-use crate::workers::PendingCheckin;
+use crate::workers::HeldHeartbeat;
 use grebewood_wire::http::Verb;
 
 const MACHINE: &str = "n-000001";
@@ -10,15 +10,15 @@
 const CLAIM: u64 = 9;
 
 /// A node and the holder of a partition with one machine, which has learnt that nothing is on it.
-fn holder() -> (Node, Lead) {
+fn holder() -> (Controller, Scheduler) {
     let mut node = unread_leader(20 * SECOND);
     let now = node.context.now.steady;
-    let grant = Grant {
+    let grant = FencedLease {
         token: CLAIM,
         lease: 1,
         lease_at: now,
     };
-    let mut holder = Lead::new(&node.context, Role::Holder(1), grant);
+    let mut holder = Scheduler::new(&node.context, Role::Holder(1), grant);
     holder.jobs.insert(Job::new(job_record(2), now, WALL));
     let mut machine = Machine::new(&first_report(), None, now);
     (machine.cpus, machine.session, machine.hears) = (8.0, 1, true);
@@ -58,8 +58,8 @@
     }
 }
 
-fn verbs(holder: &mut Lead, context: &Context) -> Vec<Verb> {
-    let pending = PendingCheckin {
+fn verbs(holder: &mut Scheduler, context: &Context) -> Vec<Verb> {
+    let pending = HeldHeartbeat {
         request: 1,
         round: 0,
         machine: MACHINE.into(),
--- a/crates/core/src/partitions/orders.rs
+++ b/crates/core/src/partitions/orders.rs
@@ -1,9 +1,9 @@
 //! The leader's side of partitions: which there are and who is to hold them, orders to the holders, and
 //! what their reports mean for its own books.
 
-use crate::leadership::{Lead, MemberView};
+use crate::leadership::{MemberView, Scheduler};
 use crate::ledger::RecordId;
-use crate::node::{Context, LeadCall, Node};
+use crate::node::{Context, Controller, SchedulerCall};
 use crate::quota::placed_task;
 use crate::workers::ExitedAttempt;
 use crate::{Micros, Target, MILLI, SECOND};
@@ -35,7 +35,7 @@
 
 /// A partition, as its leader sees it.
 #[derive(Clone, Debug)]
-pub(super) struct Remote {
+pub(super) struct RemotePartition {
     pub(super) record: PartitionRecord,
     /// The claim that orders go to: who made it, and its token.
     pub(super) claim: Option<(String, u64)>,
@@ -62,9 +62,9 @@
     pub(super) reserved: BTreeSet<String>,
 }
 
-impl Remote {
-    fn new(record: PartitionRecord) -> Remote {
-        Remote {
+impl RemotePartition {
+    fn new(record: PartitionRecord) -> RemotePartition {
+        RemotePartition {
             record,
             claim: None,
             synced: false,
@@ -99,7 +99,7 @@
 /// All partitions, as the leader sees them.
 #[derive(Clone, Debug, Default)]
 pub struct RemotePartitions {
-    pub(super) by_id: BTreeMap<PartitionId, Remote>,
+    pub(super) by_id: BTreeMap<PartitionId, RemotePartition>,
     planner: Planner,
     plan_at: Micros,
     sequence: u64,
@@ -157,7 +157,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The leader's part: keeps up with claims, plans, and sends orders to the holders that are due.
     pub(crate) fn run_leader_partitions(&mut self) {
         let now = self.context.now.steady;
@@ -207,7 +207,7 @@
         let Some((place, _)) = place else {
             return lead.on_report_of_holder(&mut self.context, partition, claim, None);
         };
-        let pending = lead.pending(LeadCall::Orders { partition, claim });
+        let pending = lead.pending(SchedulerCall::Orders { partition, claim });
         let message = wire::to_peer(&PeerRequest::Partition(orders));
         self.context.call(
             Target::Peer(place),
@@ -220,11 +220,11 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// Takes over the partitions on record, as a new leader.
     pub(crate) fn load_partitions(&mut self, context: &Context, map: &PartitionMap) {
         for (id, partition) in map.iter() {
-            let mut remote = Remote::new(partition.record.clone());
+            let mut remote = RemotePartition::new(partition.record.clone());
             let claim = partition.claim.as_ref();
             remote.claim = claim.map(|c| (c.member.clone(), c.token));
             self.remote.by_id.insert(id, remote);
@@ -375,7 +375,7 @@
         match self.remote.by_id.get_mut(&id) {
             Some(remote) => remote.record = record,
             None => {
-                self.remote.by_id.insert(id, Remote::new(record));
+                self.remote.by_id.insert(id, RemotePartition::new(record));
                 self.hand_machines_over(context, id);
             }
         }
--- a/crates/core/src/partitions/reports.rs
+++ b/crates/core/src/partitions/reports.rs
@@ -1,21 +1,21 @@
 //! What the reports of holders mean for the leader's books.
 
-use super::orders::Remote;
+use super::orders::RemotePartition;
 use crate::jobs::parse_task;
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::node::Context;
 use crate::workers::{Assignment, Machine};
 use crate::{Micros, Outcome, SECOND};
 use grebewood_partition::{Load, PartitionId};
 use grebewood_wire as wire;
-use grebewood_wire::http::{Report, TaskReport, TaskStatus};
+use grebewood_wire::http::{Heartbeat, ReportedTask, TaskStatus};
 use grebewood_wire::peer::{
     MachineState, PartitionReport, PeerAnswer, TaskAttempt, TaskEnd, TaskOutcome,
 };
 use log::warn;
 use std::collections::BTreeSet;
 
-impl Lead {
+impl Scheduler {
     pub(crate) fn on_orders_answered(
         &mut self,
         context: &mut Context,
@@ -213,7 +213,7 @@
             (Some(at), TaskEnd::Exited(cause)) => self.exited(context, name, at, cause, &task_name),
             (None, TaskEnd::Gone) => {}
             (None, TaskEnd::Exited(cause)) => {
-                let task = TaskReport {
+                let task = ReportedTask {
                     task_name: task_name.clone(),
                     attempt: outcome.attempt,
                     status: TaskStatus::Exited,
@@ -228,7 +228,7 @@
     }
 }
 
-impl Remote {
+impl RemotePartition {
     /// Notes how many check-ins the holder has answered since its claim.
     fn note_checkins(&mut self, checkins: u64, now: Micros) {
         let (before, at) = self.checkins;
@@ -246,8 +246,8 @@
 }
 
 /// A machine's state in the form of a report without tasks.
-fn report_of(state: &MachineState) -> Report {
-    Report {
+fn report_of(state: &MachineState) -> Heartbeat {
+    Heartbeat {
         machine: state.machine.clone(),
         address: state.address.clone(),
         machine_type: state.machine_type.clone(),
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -5,11 +5,11 @@
 //! job the next time.
 
 use crate::jobs::{fits_type, Job, JobIndex, Shape, BEGIN_AFTER, EPS};
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::ledger::RecordId;
 use crate::node::Context;
 use crate::quota::Given;
-use crate::workers::{grace, Assignment, Machine, Seen};
+use crate::workers::{grace, Assignment, Machine, ObservedStatus};
 use crate::{micros, Micros, Stopwatch, MILLI, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{Resources, TeamAmounts};
@@ -62,7 +62,7 @@
 }
 
 /// A machine with room, during a round.
-pub(crate) struct Open {
+pub(crate) struct OpenMachine {
     pub name: String,
     pub zone: String,
     pub machine_type: String,
@@ -76,7 +76,7 @@
     pub placed_by: Option<PartitionId>,
 }
 
-impl Open {
+impl OpenMachine {
     /// The room for a task of a service, or of other work.
     fn room(&self, service: bool) -> Room {
         match service {
@@ -98,7 +98,7 @@
     pub level: u8,
 }
 
-impl Lead {
+impl Scheduler {
     pub(crate) fn run_placement(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
         let now = context.now.steady;
         if now < self.placement.next_at {
@@ -215,7 +215,7 @@
     }
 
     /// Machines with free room.
-    pub(crate) fn open_machines(&self, context: &Context) -> Vec<Open> {
+    pub(crate) fn open_machines(&self, context: &Context) -> Vec<OpenMachine> {
         let now = context.now.steady;
         let silence = context.settings.report * 3;
         let grants = self.grants_allotments(context);
@@ -228,7 +228,7 @@
         self.machines
             .values()
             .filter(|m| free(m).0 > EPS && m.usable(now, silence) && !m.reserved)
-            .map(|m| Open {
+            .map(|m| OpenMachine {
                 name: m.name.clone(),
                 zone: m.zone.clone(),
                 machine_type: m.machine_type.clone(),
@@ -247,7 +247,7 @@
     /// room that it could use is kept from the jobs after it, so that the room adds up. Narrow tasks
     /// once took each slot as it became free, and a job of wide ones began after ten minutes. For a
     /// gang as many machines are kept as hold all of it: with one it once waited for good.
-    fn keep_for_beginning(&self, context: &Context, index: JobIndex, open: &mut Vec<Open>) {
+    fn keep_for_beginning(&self, context: &Context, index: JobIndex, open: &mut Vec<OpenMachine>) {
         let Some(job) = self.jobs.get(index) else {
             return;
         };
@@ -303,7 +303,7 @@
 fn zone_for(
     context: &Context,
     job: &Job,
-    pool: &[(&Machine, Room, Vec<Victim>)],
+    pool: &[(&Machine, Room, Vec<PreemptionCandidate>)],
 ) -> Option<String> {
     let spec = &job.spec;
     if !spec.one_zone {
@@ -326,7 +326,7 @@
 
 /// A task that may be stopped for another.
 #[derive(Clone)]
-struct Victim {
+struct PreemptionCandidate {
     ran: Micros,
     priority: Priority,
     attempt: u64,
@@ -365,7 +365,7 @@
     spec: &Submission,
     service: bool,
     candidates: &[(Preference, usize)],
-    open: &'a [Open],
+    open: &'a [OpenMachine],
 ) -> BTreeMap<&'a str, u64> {
     let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
     for (_, at) in candidates {
--- a/crates/core/src/placement/floors.rs
+++ b/crates/core/src/placement/floors.rs
@@ -29,7 +29,7 @@
 /// What teams use beyond their guarantee.
 type Beyond = TeamAmounts;
 
-impl Lead {
+impl Scheduler {
     /// Stops tasks of teams that use more than their guarantee, of whatever priority, where teams below
     /// theirs have work that waits for room. No team is brought below its own guarantee.
     pub(super) fn make_room_for_guarantees(&mut self, context: &mut Context, queue: &[QueuedJob]) {
@@ -172,7 +172,7 @@
     /// A task that may be stopped for a guarantee: replicas and gangs are left alone.
     fn borrowed(&self, context: &Context, a: &Assignment) -> Option<Borrowed> {
         let job = self.jobs.get(a.job)?;
-        if job.shape != Shape::Batch || a.seen == Seen::Saving {
+        if job.shape != Shape::Batch || a.seen == ObservedStatus::Saving {
             return None;
         }
         let saves = job.spec.checkpoint_s > 0.0;
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/order.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     /// Time that a job still needs if it gets all the room that its team's limit allows.
     pub(crate) fn need(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
--- a/crates/core/src/placement/pages.rs
+++ b/crates/core/src/placement/pages.rs
@@ -145,7 +145,7 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     pub(crate) fn page_mut(&mut self, n: u64) -> &mut Page {
         self.pages.page_mut(n)
     }
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     /// Stops tasks of lower priority that can save, for jobs that wait for room or for their
     /// team's quota. Only as much is stopped on a machine as makes room there for a whole task,
     /// and that room is kept from lower priorities until it is taken: narrow tasks that were
@@ -34,7 +34,7 @@
         };
         let mut stopping = TeamAmounts::new();
         // What is free, or will be, and what could be stopped, on each machine.
-        let mut pool: Vec<(&Machine, Room, Vec<Victim>)> = Vec::new();
+        let mut pool: Vec<(&Machine, Room, Vec<PreemptionCandidate>)> = Vec::new();
         for m in self.machines.values().filter(|m| m.usable(now, silence)) {
             let mut room = m.free();
             for a in m.assignments.iter().filter(|a| a.stop.is_some()) {
@@ -144,7 +144,7 @@
         context: &Context,
         m: &Machine,
         guaranteed: &BTreeSet<JobIndex>,
-    ) -> Vec<Victim> {
+    ) -> Vec<PreemptionCandidate> {
         let now = context.now.steady;
         let mut victims = Vec::new();
         for a in &m.assignments {
@@ -163,13 +163,13 @@
             if a.stop.is_some()
                 || job.is_daemon()
                 || job.spec.checkpoint_s <= 0.0
-                || a.seen != Seen::Running
+                || a.seen != ObservedStatus::Running
                 || ran < least_run
                 || a.remaining(now, 0) < 10 * SECOND
             {
                 continue;
             }
-            victims.push(Victim {
+            victims.push(PreemptionCandidate {
                 ran,
                 priority: job.preemption_priority(),
                 attempt: a.attempt,
--- a/crates/core/src/placement/tasks.rs
+++ b/crates/core/src/placement/tasks.rs
@@ -39,7 +39,7 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// What of the job may be placed in this round, if anything.
     fn begin_placing(&self, context: &Context, queued: QueuedJob) -> Option<Placing> {
         let placing = self.prepare_placing(context, queued)?;
@@ -90,10 +90,10 @@
         &self,
         context: &Context,
         placing: &Placing,
-        open: &[Open],
+        open: &[OpenMachine],
     ) -> Vec<(Preference, usize)> {
         let (spec, now) = (&placing.spec, context.now.steady);
-        let fits = |o: &Open| {
+        let fits = |o: &OpenMachine| {
             slots(o.room(placing.service), spec) > 0
                 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
                 && (!o.kept || spec.priority > Priority::Idle)
@@ -111,7 +111,7 @@
         &self,
         index: JobIndex,
         spec: &Submission,
-        open: &Open,
+        open: &OpenMachine,
         now: Micros,
     ) -> Preference {
         let machine = self.machines.get(&open.name);
@@ -128,7 +128,7 @@
         &mut self,
         context: &mut Context,
         queued: QueuedJob,
-        open: &mut Vec<Open>,
+        open: &mut Vec<OpenMachine>,
     ) {
         let Some(mut placing) = self.begin_placing(context, queued) else {
             return;
@@ -165,7 +165,7 @@
         &mut self,
         context: &mut Context,
         placing: &mut Placing,
-        open: &mut Open,
+        open: &mut OpenMachine,
         together: Option<u64>,
     ) -> bool {
         let now = context.now.steady;
@@ -241,7 +241,7 @@
         index: JobIndex,
         (spec, service): (&Submission, bool),
         candidates: &[(Preference, usize)],
-        open: &[Open],
+        open: &[OpenMachine],
         fixed_zone: Option<&str>,
     ) -> u64 {
         let here = |zone: &str| {
@@ -267,7 +267,7 @@
         index: JobIndex,
         (spec, service): (&Submission, bool),
         candidates: &[(Preference, usize)],
-        open: &[Open],
+        open: &[OpenMachine],
     ) -> Option<String> {
         if !spec.one_zone {
             return None;
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -17,12 +17,12 @@
 //! - [`fence`]: on what its writes depend.
 
 use crate::jobs::JobIndex;
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::node::Context;
 use crate::workers::Assignment;
 use crate::{Micros, Settings};
 use grebewood_partition::PartitionId;
-use grebewood_quota::{Allotments, Limits, LimitsInForce, Resources, TeamLimit};
+use grebewood_quota::{Limits, LimitsInForce, QuotaGrants, Resources, TeamQuota};
 use std::collections::{BTreeMap, BTreeSet};
 
 mod delegating;
@@ -42,7 +42,7 @@
     /// The limits in force.
     limits: LimitsInForce,
     /// What of them is allotted to holders.
-    pub(crate) allotments: Allotments,
+    pub(crate) allotments: QuotaGrants,
     /// Tasks that holders are to place.
     pub(crate) delegations: Delegations,
     /// Partitions whose holder places tasks.
@@ -69,7 +69,7 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// Whether holders may be given tasks and allotments now: the limits are on record, and every member
     /// that was heard understands them.
     pub(crate) fn grants_allotments(&self, context: &Context) -> bool {
@@ -95,7 +95,7 @@
     }
 
     /// A team's limits: those in force, or those of the settings where no allotments are granted.
-    pub(crate) fn limit_of(&self, context: &Context, team: &str) -> Option<TeamLimit> {
+    pub(crate) fn limit_of(&self, context: &Context, team: &str) -> Option<TeamQuota> {
         match context.understands_allotments() {
             true => self.quota.limits.in_force().get(team),
             false => Some(context.settings.teams.get(team)?.limit()),
@@ -103,7 +103,7 @@
     }
 
     /// All teams' limits.
-    pub(crate) fn team_limits(&self, context: &Context) -> Vec<(String, TeamLimit)> {
+    pub(crate) fn team_limits(&self, context: &Context) -> Vec<(String, TeamQuota)> {
         let settings = context.settings.limits();
         let limits = match context.understands_allotments() {
             true => self.quota.limits.in_force(),
--- a/crates/core/src/quota/delegating.rs
+++ b/crates/core/src/quota/delegating.rs
@@ -2,10 +2,10 @@
 
 use super::delegations::{Delegation, TaskOfJob};
 use crate::jobs::{JobIndex, EPS};
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::ledger::RecordId;
 use crate::node::Context;
-use crate::placement::{permits, slots, Open, Placing, QueuedJob, Room};
+use crate::placement::{permits, slots, OpenMachine, Placing, QueuedJob, Room};
 use crate::workers::{Assignment, PlannedTask};
 use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
@@ -42,7 +42,7 @@
     Waiting,
 }
 
-impl Lead {
+impl Scheduler {
     /// Charges a task to a partition's allotment, which grows if it has to and the ceiling allows it.
     pub(crate) fn charge(
         &mut self,
@@ -362,7 +362,7 @@
 
     /// Takes back what holders have not placed in time, and what waits for room while there is room
     /// elsewhere.
-    pub(crate) fn recall_stuck(&mut self, context: &Context, open: &[Open]) {
+    pub(crate) fn recall_stuck(&mut self, context: &Context, open: &[OpenMachine]) {
         let now = context.now.steady;
         let mut stuck: Vec<(PartitionId, JobIndex)> = Vec::new();
         for ((index, _), delegation) in self.quota.delegations.iter() {
@@ -392,7 +392,7 @@
         &self,
         context: &Context,
         (partition, index): (PartitionId, JobIndex),
-        open: &[Open],
+        open: &[OpenMachine],
     ) -> bool {
         let Some(job) = self.jobs.get(index) else {
             return true;
--- a/crates/core/src/quota/fence.rs
+++ b/crates/core/src/quota/fence.rs
@@ -6,17 +6,17 @@
 //! grant: from then on no write of a holder succeeds until that leader has given it orders. So a task is
 //! never placed by two, and a write that is carried out late fails.
 
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::node::Context;
 use crate::workers::Assignment;
-use grebewood_wire::http::When;
+use grebewood_wire::http::Condition;
 use grebewood_wire::records::{claim_key, LEADER, LIMITS};
 use log::info;
 
-impl Lead {
+impl Scheduler {
     /// On what all writes under this grant depend; `None`: nothing may be written now.
-    pub(crate) fn write_conditions(&self) -> Option<Vec<When>> {
-        let when = |key: &str, stamp: u64| When {
+    pub(crate) fn write_conditions(&self) -> Option<Vec<Condition>> {
+        let when = |key: &str, stamp: u64| Condition {
             key: key.to_string(),
             stamp,
         };
--- a/crates/core/src/quota/grants.rs
+++ b/crates/core/src/quota/grants.rs
@@ -2,12 +2,12 @@
 
 use super::delegations::TaskOfJob;
 use crate::jobs::JobIndex;
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::node::Context;
 use crate::workers::{Assignment, TaskOnMachine};
 use crate::{Micros, MILLI};
 use grebewood_partition::PartitionId;
-use grebewood_quota::AskBack;
+use grebewood_quota::GrantReduction;
 use grebewood_wire::peer::{
     DelegatedTask, DelegatedWork, PlacedTask, QuotaOrders, QuotaReport, TaskRanges,
 };
@@ -20,7 +20,7 @@
 /// How long a smaller allotment may wait to be written, if no team lacks what is asked back.
 const SHRINK_DELAY: Micros = 500 * MILLI;
 
-impl Lead {
+impl Scheduler {
     /// What the partition's holder is told of allotments; `None` while no limits are on record.
     pub(crate) fn quota_orders(
         &mut self,
@@ -37,9 +37,9 @@
         let over: BTreeSet<String> = over.map(|(team, _)| team.to_string()).collect();
         let pressed = self.quota.pressed.clone();
         let ask_back = |team: &str| match (over.contains(team), pressed.contains(team)) {
-            (true, _) => AskBack::Everything,
-            (false, true) => AskBack::Slack,
-            (false, false) => AskBack::OldSlack,
+            (true, _) => GrantReduction::Everything,
+            (false, true) => GrantReduction::Slack,
+            (false, false) => GrantReduction::OldSlack,
         };
         let now = context.now.steady;
         let allotment = self.quota.allotments.to_tell(id, now, ask_back);
--- a/crates/core/src/quota/limits.rs
+++ b/crates/core/src/quota/limits.rs
@@ -1,15 +1,15 @@
 //! Which limits are in force, and what happens when they are lowered.
 
 use crate::jobs::JobIndex;
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::ledger::RecordId;
 use crate::node::Context;
-use crate::workers::{grace, Assignment, Seen};
+use crate::workers::{grace, Assignment, ObservedStatus};
 use crate::{micros, Micros, SECOND};
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
-use grebewood_wire::http::{from_value, Entry, Shape};
+use grebewood_wire::http::{from_value, KeyValue, Shape};
 use grebewood_wire::peer::TaskAttempt;
-use grebewood_wire::records::{AllotmentRecord, LimitsRecord, TeamLimitRecord, LIMITS, QUOTA};
+use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, TeamQuotaRecord, LIMITS, QUOTA};
 use grebewood_wire::Value;
 use log::{error, info};
 
@@ -18,9 +18,9 @@
 /// The write of lowered limits goes ahead of its turn by so much.
 const LIMITS_AHEAD: Micros = 60 * SECOND;
 
-impl Lead {
+impl Scheduler {
     /// Takes over limits and allotments on record, as a new leader.
-    pub(crate) fn load_quota(&mut self, context: &Context, entries: Vec<Entry<Value>>) {
+    pub(crate) fn load_quota(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         if !context.understands_allotments() {
             return;
         }
@@ -53,7 +53,7 @@
             self.write_limits(context);
         }
         for (id, entry) in allotments {
-            match from_value::<AllotmentRecord>(&entry.value) {
+            match from_value::<QuotaGrantRecord>(&entry.value) {
                 Ok(record) => self.quota.allotments.load(id, &record),
                 Err(e) => {
                     error!("record {}: {e}; counted as all of each ceiling", entry.key);
@@ -86,7 +86,7 @@
         &mut self,
         context: &mut Context,
         member: &str,
-        teams: &[TeamLimitRecord],
+        teams: &[TeamQuotaRecord],
     ) {
         if !self.loaded() || self.is_holder() {
             return;
@@ -206,5 +206,5 @@
 
 /// Whether a worker has reported the task and it is not being stopped.
 fn counts_as_running(a: &Assignment) -> bool {
-    a.seen != Seen::Never && a.stop.is_none()
+    a.seen != ObservedStatus::Never && a.stop.is_none()
 }
--- a/crates/core/src/quota/placing.rs
+++ b/crates/core/src/quota/placing.rs
@@ -1,12 +1,12 @@
 //! The holder's side: it places the tasks that the leader has given it, out of its allotment.
 
-use crate::leadership::{Lead, Role};
+use crate::leadership::{Role, Scheduler};
 use crate::node::Context;
-use crate::placement::{permits, slots, Open, Pages, Preference};
+use crate::placement::{permits, slots, OpenMachine, Pages, Preference};
 use crate::workers::Assignment;
 use crate::{Micros, Stopwatch, MILLI};
 use grebewood_partition::PartitionId;
-use grebewood_quota::{HolderAllotment, Resources};
+use grebewood_quota::{HolderGrant, Resources};
 use grebewood_wire::http::Submission;
 use grebewood_wire::peer::{
     DelegatedWork, PlacedTask, QuotaOrders, QuotaReport, TaskAttempt, TaskRanges,
@@ -38,7 +38,7 @@
 /// What a holder knows of its allotment and of what it is to place.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HolderQuota {
-    pub allotment: HolderAllotment,
+    pub allotment: HolderGrant,
     /// The leader whose tasks may be placed, as long as it is on record; `None`: none has given orders, or
     /// another one may lead.
     pub term: Option<u64>,
@@ -76,7 +76,7 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// The partition that is held under this grant; `None`: it is the leader's.
     pub(crate) fn partition(&self) -> Option<PartitionId> {
         match self.role {
@@ -222,7 +222,7 @@
         &mut self,
         context: &mut Context,
         queued: &QueuedTask,
-        open: &mut Vec<Open>,
+        open: &mut Vec<OpenMachine>,
     ) -> bool {
         let Some(index) = self.jobs.find(&queued.job) else {
             return false;
@@ -260,9 +260,9 @@
         context: &Context,
         queued: &QueuedTask,
         spec: &Submission,
-        open: &[Open],
+        open: &[OpenMachine],
     ) -> Option<usize> {
-        let fits = |o: &Open| {
+        let fits = |o: &OpenMachine| {
             slots(o.free, spec) > 0 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
         };
         let hinted = open.iter().position(|o| o.name == queued.machine);
--- a/crates/core/src/quota/placing/tests.rs
+++ b/crates/core/src/quota/placing/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::jobs::Job;
-use crate::leadership::Grant;
-use crate::node::Node;
+use crate::leadership::FencedLease;
+use crate::node::Controller;
 use crate::test_support::{first_report, job_record, unread_leader, WALL};
-use crate::workers::{Machine, PendingCheckin};
+use crate::workers::{HeldHeartbeat, Machine};
 use crate::{Effect, NoStopwatch, Target, SECOND};
-use grebewood_wire::http::{MachineType, Txn};
+use grebewood_wire::http::{MachineType, Transaction};
 use grebewood_wire::peer::{DelegatedTask, PartitionOrders, PartitionReport};
 use grebewood_wire::records::{allotment_key, claim_key, TeamAmount, LEADER, LIMITS};
 
@@ -30,7 +30,7 @@
 }
 
 /// The holder of partition 1 with one machine, which has learnt that nothing is on it.
-fn holder() -> (Node, Lead) {
+fn holder() -> (Controller, Scheduler) {
     let mut node = unread_leader(20 * SECOND);
     (
         node.context.tuning.partitions_per_zone,
@@ -38,12 +38,12 @@
     ) = (3, 1);
     node.context.catalogue = Some(vec![machine_type()]);
     let now = node.context.now.steady;
-    let grant = Grant {
+    let grant = FencedLease {
         token: CLAIM,
         lease: 1,
         lease_at: now,
     };
-    let mut holder = Lead::new(&node.context, Role::Holder(1), grant);
+    let mut holder = Scheduler::new(&node.context, Role::Holder(1), grant);
     holder.jobs.insert(Job::new(job_record(4), now, WALL));
     let kind = machine_type();
     let mut machine = Machine::new(&first_report(), Some(&kind), now);
@@ -93,17 +93,17 @@
     }
 }
 
-fn give(node: &mut Node, holder: &mut Lead, orders: PartitionOrders) -> PartitionReport {
+fn give(node: &mut Controller, holder: &mut Scheduler, orders: PartitionOrders) -> PartitionReport {
     let report = holder.carry_out_orders(&mut node.context, orders);
     report.expect("a report")
 }
 
-fn run(node: &mut Node, holder: &mut Lead) {
+fn run(node: &mut Controller, holder: &mut Scheduler) {
     holder.run_holder(&mut node.context, &mut NoStopwatch);
 }
 
 /// The transactions that were sent.
-fn txns(node: &mut Node) -> Vec<Txn> {
+fn txns(node: &mut Controller) -> Vec<Transaction> {
     let out = std::mem::take(&mut node.context.out);
     let calls = out.into_iter().filter_map(|effect| match effect {
         Effect::Call(call) if call.path == "/txn" && call.target == Target::State => Some(call),
@@ -114,8 +114,8 @@
         .collect()
 }
 
-fn launches(node: &Node, holder: &mut Lead) -> usize {
-    let pending = PendingCheckin {
+fn launches(node: &Controller, holder: &mut Scheduler) -> usize {
+    let pending = HeldHeartbeat {
         request: 1,
         round: 0,
         machine: MACHINE.into(),
@@ -127,7 +127,7 @@
 }
 
 /// The write of the last flush was carried out.
-fn written(node: &mut Node, holder: &mut Lead) {
+fn written(node: &mut Controller, holder: &mut Scheduler) {
     let batch = holder.ledger.in_flight.take().expect("a flush");
     holder.flushed(&mut node.context, &batch, 40);
 }
@@ -238,7 +238,7 @@
     assert_eq!(ended, Err("its claim has ended".to_string()));
 }
 
-fn give_nothing_writes(node: &mut Node, holder: &mut Lead) {
+fn give_nothing_writes(node: &mut Controller, holder: &mut Scheduler) {
     node.context.out.clear();
     holder
         .ledger
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the platform hands over ([`Settings`]) and what operators may tune ([`Tuning`]).
 
 use crate::{Micros, MILLI, SECOND};
-use grebewood_quota::{Resources, TeamLimit};
+use grebewood_quota::{Resources, TeamQuota};
 use std::collections::BTreeMap;
 
 /// A team's guarantee and limit. A limit of 0 means none of that resource.
@@ -15,8 +15,8 @@
 
 impl Team {
     /// The same in exact amounts.
-    pub fn limit(&self) -> TeamLimit {
-        TeamLimit {
+    pub fn limit(&self) -> TeamQuota {
+        TeamQuota {
             guarantee: Resources::of(self.cpus, self.gpus),
             ceiling: Resources::of(self.cpus_max, self.gpus_max),
         }
@@ -45,17 +45,17 @@
 
 /// What the state service takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StateLimits {
+pub struct StoreLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_bytes: usize,
     pub txn_ops: usize,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// What fits both: limits may be lowered at a moment that nobody announces.
-    pub fn smaller_of(self, next: StateLimits) -> StateLimits {
-        StateLimits {
+    pub fn smaller_of(self, next: StoreLimits) -> StoreLimits {
+        StoreLimits {
             rps: self.rps.min(next.rps),
             write_rps: self.write_rps.min(next.write_rps),
             value_bytes: self.value_bytes.min(next.value_bytes),
@@ -76,7 +76,7 @@
     pub lease: Micros,
     pub cancel: Micros,
     /// What the state service takes now and after an announced change, whichever is less.
-    pub state: StateLimits,
+    pub state: StoreLimits,
     pub cloud_rps: f64,
     pub list_lag: Micros,
     /// Most sockets that this process may have.
@@ -95,7 +95,7 @@
             report: 1_500 * MILLI,
             lease: 10 * SECOND,
             cancel: 30 * SECOND,
-            state: StateLimits {
+            state: StoreLimits {
                 rps: 100.0,
                 write_rps: 20.0,
                 value_bytes: 4096,
--- a/crates/core/src/standby.rs
+++ b/crates/core/src/standby.rs
@@ -7,9 +7,9 @@
 //! such a class was seen, ordinary machines are kept free in each zone.
 
 use crate::jobs::{fits_type, Job, Jobs, EPS};
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::node::Context;
-use crate::placement::{permits, slots, Open};
+use crate::placement::{permits, slots, OpenMachine};
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{Priority, Submission};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
 
 /// What is known of services.
 #[derive(Debug, Default)]
-pub struct Standby {
+pub struct Headroom {
     /// The largest service seen, which the room is measured by, and when one was last live.
     largest: Option<(Submission, Micros)>,
     /// Classes of which a job was seen.
@@ -45,7 +45,7 @@
     }
 }
 
-impl Standby {
+impl Headroom {
     /// Takes note of a job.
     pub fn note(&mut self, job: &Job, now: Micros) {
         if !self.classes.contains(&job.spec.class) && self.classes.len() < MOST_CLASSES {
@@ -159,10 +159,10 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// Marks the room that is kept for services: in each zone that of machines with replicas first,
     /// then of the fullest, until it is as much as wanted.
-    pub(crate) fn keep_standby(&self, context: &Context, open: &mut [Open]) {
+    pub(crate) fn keep_standby(&self, context: &Context, open: &mut [OpenMachine]) {
         let Some((spec, wanted)) = self.standby.wanted() else {
             return;
         };
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -1,14 +1,14 @@
 //! What unit tests of several parts share.
 
 use crate::settings::Sibling;
-use crate::{Input, Micros, NoStopwatch, Node, Now, Settings, Tuning, MILLI, SECOND};
-use grebewood_wire::http::{Priority, Report, Submission};
+use crate::{Controller, Input, Micros, NoStopwatch, Now, Settings, Tuning, MILLI, SECOND};
+use grebewood_wire::http::{Heartbeat, Priority, Submission};
 use grebewood_wire::records::JobRecord;
 
 pub const WALL: u64 = 1_700_000_000 * SECOND;
 
 /// A node that has its grant, and has read nothing yet.
-pub fn unread_leader(now: Micros) -> Node {
+pub fn unread_leader(now: Micros) -> Controller {
     let settings = Settings {
         siblings: vec![Sibling {
             member: "perch-1".into(),
@@ -16,7 +16,7 @@
         }],
         ..Settings::default()
     };
-    let mut node = Node::new(settings, Tuning::default(), 1);
+    let mut node = Controller::new(settings, Tuning::default(), 1);
     tick(&mut node, now);
     node.become_leader(7, 1);
     node
@@ -53,8 +53,8 @@
 }
 
 /// The first report of a machine without tasks, which has seen no token yet.
-pub fn first_report() -> Report {
-    Report {
+pub fn first_report() -> Heartbeat {
+    Heartbeat {
         machine: "n-000001".into(),
         address: "10.1.0.1:9000".into(),
         machine_type: "std".into(),
@@ -75,12 +75,12 @@
     }
 }
 
-pub fn tick(node: &mut Node, now: Micros) {
+pub fn tick(node: &mut Controller, now: Micros) {
     node.step(clocks(now), Input::Tick, &mut NoStopwatch);
 }
 
 /// Time passes, in small steps: a long one would be a standstill.
-pub fn pass(node: &mut Node, from: Micros, to: Micros) {
+pub fn pass(node: &mut Controller, from: Micros, to: Micros) {
     for now in (from..to).step_by(500 * MILLI as usize) {
         tick(node, now);
     }
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -7,11 +7,11 @@
 
 use crate::jobs::{check_fields, check_possible, check_size, valid_id, Refused};
 use crate::ledger::RecordId;
-use crate::node::{Context, Node, Pending};
+use crate::node::{CallPurpose, Context, Controller};
 use crate::{Micros, Now, Outcome, Settings};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    Accepted, Change, Entry, JobStatus, MachineType, Submission, Txn, When,
+    Accepted, Condition, JobStatus, KeyValue, MachineType, Operation, Submission, Transaction,
 };
 use grebewood_wire::records::{
     cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED,
@@ -21,7 +21,7 @@
 
 /// What a user asked for.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum UserAction {
     Submit(Box<Submission>),
     /// A submission that lacks a field or has an invalid one, and why: refused, unless it repeats
     /// that of an accepted job.
@@ -32,11 +32,11 @@
 
 /// How far a user's request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum UserRequestStage {
     /// The transaction that accepts the job.
     Accept,
     /// Waits for a view that is no older than the request.
-    View,
+    JobView,
     ReadFinished,
     /// The transaction that cancels the job.
     Cancel,
@@ -44,11 +44,11 @@
 
 /// A user's request that waits for the state service.
 #[derive(Clone, Debug)]
-pub struct UserCall {
+pub struct UserRequest {
     pub request: u64,
     pub job: String,
-    pub ask: Ask,
-    pub stage: Stage,
+    pub ask: UserAction,
+    pub stage: UserRequestStage,
     pub arrived: Micros,
     /// Tasks and stamp of the live job, once known.
     pub live: Option<(u64, u64)>,
@@ -91,9 +91,9 @@
 }
 
 /// Reads of ends that are under way, by job: requests that came in after the read was sent.
-pub type FinishedReads = BTreeMap<String, Vec<UserCall>>;
+pub type FinishedReads = BTreeMap<String, Vec<UserRequest>>;
 
-impl Node {
+impl Controller {
     pub(crate) fn on_submission(&mut self, id: u64, body: &[u8]) {
         let (job, submission) = match read_submission(body) {
             Ok(read) => read,
@@ -109,7 +109,7 @@
         // A repeated submission of an accepted job must get neither 422 nor 400, whatever it says now
         // and whatever the limits were when it was accepted: it is looked up before it is refused.
         let (ask, possible) = match submission {
-            Err(why) => (Ask::Malformed(why), false),
+            Err(why) => (UserAction::Malformed(why), false),
             Ok(submission) => {
                 let Some(catalogue) = &self.context.catalogue else {
                     return self
@@ -117,7 +117,7 @@
                         .refuse(id, 503, "machine types are not known yet");
                 };
                 let possible = acceptable(&submission, &self.context.settings, catalogue).is_ok();
-                (Ask::Submit(Box::new(submission)), possible)
+                (UserAction::Submit(Box::new(submission)), possible)
             }
         };
         if !self.context.in_contact(crate::node::CONTACT_SPAN) {
@@ -126,11 +126,11 @@
                 .refuse(id, 503, "no contact with the state service");
         }
         let now = self.context.now.steady;
-        let mut call = UserCall {
+        let mut call = UserRequest {
             request: id,
             job,
             ask,
-            stage: Stage::Accept,
+            stage: UserRequestStage::Accept,
             arrived: now,
             live: None,
             doubtful: false,
@@ -138,7 +138,7 @@
         };
         // One that was accepted costs no write, however often it is repeated.
         if !possible || self.view.knows(&call.job) {
-            call.stage = Stage::View;
+            call.stage = UserRequestStage::JobView;
             return self.user_send(call);
         }
         if !self.context.writes.take(now, 1.0) {
@@ -148,22 +148,22 @@
     }
 
     pub(crate) fn on_poll(&mut self, id: u64, job: &str) {
-        self.ask(id, job, Ask::Poll);
+        self.ask(id, job, UserAction::Poll);
     }
 
     pub(crate) fn on_cancel(&mut self, id: u64, job: &str) {
-        self.ask(id, job, Ask::Cancel);
+        self.ask(id, job, UserAction::Cancel);
     }
 
-    fn ask(&mut self, id: u64, job: &str, ask: Ask) {
+    fn ask(&mut self, id: u64, job: &str, ask: UserAction) {
         if !valid_id(job) {
             return self.context.refuse(id, 404, "no such job");
         }
-        let call = UserCall {
+        let call = UserRequest {
             request: id,
             job: job.to_string(),
             ask,
-            stage: Stage::View,
+            stage: UserRequestStage::JobView,
             arrived: self.context.now.steady,
             live: None,
             doubtful: false,
@@ -182,17 +182,17 @@
     }
 
     /// Sends the request of the call's stage to the state service.
-    pub(crate) fn user_send(&mut self, mut call: UserCall) {
+    pub(crate) fn user_send(&mut self, mut call: UserRequest) {
         let now = self.context.now.steady;
         call.rounds += 1;
         if call.rounds > 8 {
             return self.context.refuse(call.request, 503, "too many conflicts");
         }
-        if call.stage == Stage::View {
+        if call.stage == UserRequestStage::JobView {
             return self.wait_for_view(call);
         }
         // Users ask about the same end many times at once: one read answers them all.
-        if call.stage == Stage::ReadFinished {
+        if call.stage == UserRequestStage::ReadFinished {
             if let Some(joined) = self.finished_reads.get_mut(&call.job) {
                 return joined.push(call);
             }
@@ -201,78 +201,82 @@
             return self.context.refuse(call.request, 429, "too many requests");
         }
         match call.stage {
-            Stage::Accept => {
-                let Ask::Submit(spec) = &call.ask else { return };
+            UserRequestStage::Accept => {
+                let UserAction::Submit(spec) = &call.ask else {
+                    return;
+                };
                 let record = JobRecord {
                     spec: (**spec).clone(),
                     accepted_us: self.context.now.wall,
                 };
                 let key = job_key(&call.job);
-                let txn = Txn {
+                let txn = Transaction {
                     when: vec![absent(&key), absent(&format!("{FINISHED}{}", call.job))],
                     apply: vec![put(key, &record)],
                 };
-                self.context.post_state("/txn", &txn, Pending::User(call));
+                self.context
+                    .post_state("/txn", &txn, CallPurpose::User(call));
             }
-            Stage::Cancel => {
+            UserRequestStage::Cancel => {
                 let Some((_, stamp)) = call.live else { return };
                 let key = cancel_key(&call.job);
-                let live = When {
+                let live = Condition {
                     key: job_key(&call.job),
                     stamp,
                 };
                 let record = CancelRecord {
                     cancelled_us: self.context.now.wall,
                 };
-                let txn = Txn {
+                let txn = Transaction {
                     when: vec![live, absent(&key)],
                     apply: vec![put(key, &record)],
                 };
-                self.context.post_state("/txn", &txn, Pending::User(call));
+                self.context
+                    .post_state("/txn", &txn, CallPurpose::User(call));
             }
-            Stage::View => {}
-            Stage::ReadFinished => {
+            UserRequestStage::JobView => {}
+            UserRequestStage::ReadFinished => {
                 let key = format!("{FINISHED}{}", call.job);
                 self.finished_reads.insert(call.job.clone(), Vec::new());
-                self.context.read_key(&key, Pending::User(call));
+                self.context.read_key(&key, CallPurpose::User(call));
             }
         }
     }
 
-    pub(crate) fn on_user_reply(&mut self, mut call: UserCall, outcome: Outcome) {
+    pub(crate) fn on_user_reply(&mut self, mut call: UserRequest, outcome: Outcome) {
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
             Outcome::Unknown | Outcome::TooLarge => (0, Vec::new()),
             Outcome::NotSent => (503, Vec::new()),
         };
-        if call.stage == Stage::ReadFinished {
+        if call.stage == UserRequestStage::ReadFinished {
             self.finished_read(&call.job, status, &body);
         }
         match (call.stage, status) {
-            (Stage::Accept, 200) => {
+            (UserRequestStage::Accept, 200) => {
                 let accepted = Accepted {
                     id: call.job.clone(),
                     status: "pending".into(),
                 };
                 self.context.answer(call.request, 201, &accepted);
             }
-            (Stage::Accept, 409) => {
-                call.stage = Stage::View;
+            (UserRequestStage::Accept, 409) => {
+                call.stage = UserRequestStage::JobView;
                 self.user_send(call);
             }
-            (Stage::Accept, 0) => {
+            (UserRequestStage::Accept, 0) => {
                 // The outcome is unknown: read back before anything is said.
                 call.doubtful = true;
-                call.stage = Stage::View;
+                call.stage = UserRequestStage::JobView;
                 self.user_send(call);
             }
-            (Stage::Cancel, 200) => self.user_cancelled(&call),
-            (Stage::Cancel, 409 | 0) => {
-                call.stage = Stage::View;
+            (UserRequestStage::Cancel, 200) => self.user_cancelled(&call),
+            (UserRequestStage::Cancel, 409 | 0) => {
+                call.stage = UserRequestStage::JobView;
                 self.user_send(call);
             }
-            (Stage::ReadFinished, 200) => {
-                match wire::from_cbor::<Entry<FinishedJobRecord>>(&body) {
+            (UserRequestStage::ReadFinished, 200) => {
+                match wire::from_cbor::<KeyValue<FinishedJobRecord>>(&body) {
                     Ok(entry) => {
                         self.finished.insert(&call.job, entry.value.clone());
                         self.user_finished(call, &entry.value);
@@ -283,7 +287,7 @@
                     }
                 }
             }
-            (Stage::ReadFinished, 404) => self.user_unknown(call),
+            (UserRequestStage::ReadFinished, 404) => self.user_unknown(call),
             (_, 429) => self.context.refuse(call.request, 429, "too many requests"),
             (stage, status) => {
                 debug!("{}: {stage:?} got {status}", call.job);
@@ -298,7 +302,7 @@
     fn finished_read(&mut self, job: &str, status: u16, body: &[u8]) {
         let joined = self.finished_reads.remove(job).unwrap_or_default();
         let found = match status {
-            200 => wire::from_cbor::<Entry<FinishedJobRecord>>(body).ok(),
+            200 => wire::from_cbor::<KeyValue<FinishedJobRecord>>(body).ok(),
             _ => None,
         };
         for call in joined {
@@ -309,13 +313,13 @@
         }
     }
 
-    pub(crate) fn user_found_live(&mut self, mut call: UserCall) {
+    pub(crate) fn user_found_live(&mut self, mut call: UserRequest) {
         match call.ask {
-            Ask::Cancel if self.context.writes.take(self.context.now.steady, 1.0) => {
-                call.stage = Stage::Cancel;
+            UserAction::Cancel if self.context.writes.take(self.context.now.steady, 1.0) => {
+                call.stage = UserRequestStage::Cancel;
                 self.user_send(call);
             }
-            Ask::Cancel => self
+            UserAction::Cancel => self
                 .context
                 .refuse(call.request, 429, "too many cancellations"),
             _ => self.user_live(call),
@@ -323,9 +327,9 @@
     }
 
     /// The job is found under neither key.
-    fn user_unknown(&mut self, call: UserCall) {
+    fn user_unknown(&mut self, call: UserRequest) {
         match &call.ask {
-            Ask::Submit(spec) if !call.doubtful => {
+            UserAction::Submit(spec) if !call.doubtful => {
                 // Only a submission that could not run is looked up first.
                 let refused = self
                     .context
@@ -342,14 +346,16 @@
                     _ => self.context.refuse(call.request, 503, "not accepted yet"),
                 }
             }
-            Ask::Submit(_) => self.context.refuse(call.request, 503, "not accepted yet"),
-            Ask::Malformed(why) => self.context.refuse(call.request, 400, why),
-            Ask::Poll | Ask::Cancel => self.context.refuse(call.request, 404, "no such job"),
+            UserAction::Submit(_) => self.context.refuse(call.request, 503, "not accepted yet"),
+            UserAction::Malformed(why) => self.context.refuse(call.request, 400, why),
+            UserAction::Poll | UserAction::Cancel => {
+                self.context.refuse(call.request, 404, "no such job")
+            }
         }
     }
 
     /// The job is live and not cancelled.
-    fn user_live(&mut self, call: UserCall) {
+    fn user_live(&mut self, call: UserRequest) {
         let (done, running) = match &self.lead {
             Some(lead) => lead.progress_of(&call.job),
             None => self.progress.get(&call.job).copied(),
@@ -357,7 +363,7 @@
         .unwrap_or((0, 0));
         let status = if running > 0 { "running" } else { "pending" };
         match call.ask {
-            Ask::Submit(_) | Ask::Malformed(_) => {
+            UserAction::Submit(_) | UserAction::Malformed(_) => {
                 let accepted = Accepted {
                     id: call.job,
                     status: status.into(),
@@ -376,7 +382,7 @@
         }
     }
 
-    pub(crate) fn user_cancelled(&mut self, call: &UserCall) {
+    pub(crate) fn user_cancelled(&mut self, call: &UserRequest) {
         let tasks = call.live.map_or(0, |(tasks, _)| tasks);
         let finished = FinishedJobRecord {
             status: "aborted".into(),
@@ -394,10 +400,10 @@
         self.user_finished(call.clone(), &finished);
     }
 
-    fn user_finished(&mut self, call: UserCall, finished: &FinishedJobRecord) {
+    fn user_finished(&mut self, call: UserRequest, finished: &FinishedJobRecord) {
         self.progress.remove(&call.job);
         match call.ask {
-            Ask::Poll => {
+            UserAction::Poll => {
                 let done = if finished.status == "done" {
                     finished.tasks
                 } else {
@@ -452,15 +458,15 @@
     check_size(s, settings.state.value_bytes).and_then(|()| check_possible(s, settings, catalogue))
 }
 
-pub(crate) fn absent(key: &str) -> When {
-    When {
+pub(crate) fn absent(key: &str) -> Condition {
+    Condition {
         key: key.to_string(),
         stamp: 0,
     }
 }
 
-pub(crate) fn put<T: serde::Serialize>(key: String, record: &T) -> Change {
-    Change::Put {
+pub(crate) fn put<T: serde::Serialize>(key: String, record: &T) -> Operation {
+    Operation::Put {
         put: key,
         value: wire::http::to_value(record),
         lease: None,
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -7,11 +7,11 @@
 //! too much is read anew. Without requests it is brought up to date every second: so a node knows of
 //! all cancellations as of a moment that is recent, whatever happens next.
 
-use crate::node::{Node, Pending};
-use crate::users::{Ask, Stage, UserCall};
+use crate::node::{CallPurpose, Controller};
+use crate::users::{UserAction, UserRequest, UserRequestStage};
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
-use grebewood_wire::http::{Changes, Entry, EntryList};
+use grebewood_wire::http::{KeyValue, KeyValueList, WatchResponse};
 use grebewood_wire::records::{CancelRecord, JobKey, JobRecord, JOB, OLD_CANCEL};
 use grebewood_wire::Value;
 use log::{debug, error};
@@ -19,10 +19,10 @@
 
 /// A request of the view to the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ViewCall {
+pub enum JobViewCall {
     /// A page of the keys with this prefix.
     List(&'static str),
-    Changes,
+    WatchResponse,
 }
 
 /// What a node knows of a live job.
@@ -53,7 +53,7 @@
 
 /// The view.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct JobView {
     live: BTreeMap<String, LiveJob>,
     /// Jobs that were seen to end, the latest ones: a repeat of their submission costs no write.
     ended: VecDeque<String>,
@@ -68,22 +68,22 @@
     /// When it is brought up to date though nobody asks.
     refresh_at: Micros,
     /// Requests that the reply under way answers, and those that came in after it was sent.
-    asked: Vec<UserCall>,
-    waiting: Vec<UserCall>,
+    asked: Vec<UserRequest>,
+    waiting: Vec<UserRequest>,
 }
 
-impl UserCall {
+impl UserRequest {
     /// Until when it waits for the view.
     fn patient_until(&self) -> Micros {
         self.arrived
             + match self.ask {
-                Ask::Poll => PATIENCE,
+                UserAction::Poll => PATIENCE,
                 _ => LONG_PATIENCE,
             }
     }
 }
 
-impl View {
+impl JobView {
     pub fn get(&self, id: &str) -> Option<&LiveJob> {
         self.live.get(id)
     }
@@ -153,15 +153,15 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Lets a user's request wait for a view that is no older than the request.
-    pub(crate) fn wait_for_view(&mut self, call: UserCall) {
+    pub(crate) fn wait_for_view(&mut self, call: UserRequest) {
         self.view.waiting.push(call);
     }
 
     pub(crate) fn run_view(&mut self) {
         let now = self.context.now.steady;
-        let overdue = |c: &UserCall| now >= c.patient_until();
+        let overdue = |c: &UserRequest| now >= c.patient_until();
         if self.view.waiting.iter().any(overdue) {
             let waiting = std::mem::take(&mut self.view.waiting);
             let (late, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(overdue);
@@ -194,20 +194,20 @@
                     None => String::new(),
                 };
                 let path = format!("/kv?prefix={prefix}{after}&page=400");
-                (path, ViewCall::List(prefix))
+                (path, JobViewCall::List(prefix))
             }
             (None, since) => {
                 v.asked.append(&mut v.waiting);
                 let since = since.unwrap_or(0);
                 let path = format!("/changes?prefix={JOB}&since={since}&block_ms=0");
-                (path, ViewCall::Changes)
+                (path, JobViewCall::WatchResponse)
             }
         };
-        self.context.get_state(path, Pending::View(what));
+        self.context.get_state(path, CallPurpose::JobView(what));
     }
 
     /// Takes the reply to a request of the view that was made at `made`.
-    pub(crate) fn on_view(&mut self, what: ViewCall, made: Micros, outcome: Outcome) {
+    pub(crate) fn on_view(&mut self, what: JobViewCall, made: Micros, outcome: Outcome) {
         let now = self.context.now.steady;
         self.view.busy = false;
         let (status, body) = match outcome {
@@ -218,8 +218,8 @@
             _ => (0, Vec::new()),
         };
         match what {
-            ViewCall::List(_) => {
-                let list = wire::from_cbor::<EntryList>(&body);
+            JobViewCall::List(_) => {
+                let list = wire::from_cbor::<KeyValueList>(&body);
                 match list {
                     Ok(list) if status == 200 => self.on_view_list(list),
                     _ => {
@@ -228,7 +228,7 @@
                     }
                 }
             }
-            ViewCall::Changes => match (status, wire::from_cbor::<Changes>(&body)) {
+            JobViewCall::WatchResponse => match (status, wire::from_cbor::<WatchResponse>(&body)) {
                 (200, Ok(changes)) => {
                     for event in changes.events {
                         if let (Some(key), Some(value)) = (&event.put, &event.value) {
@@ -279,11 +279,11 @@
         }
     }
 
-    fn on_view_list(&mut self, list: EntryList) {
+    fn on_view_list(&mut self, list: KeyValueList) {
         let v = &mut self.view;
         // Later pages may be newer: what changed since the first one is told again.
         v.since.get_or_insert(list.revision);
-        let last = list.entries.last().map(|e: &Entry<Value>| e.key.clone());
+        let last = list.entries.last().map(|e: &KeyValue<Value>| e.key.clone());
         for e in &list.entries {
             v.put(&e.key, &e.value, e.stamp);
         }
@@ -313,7 +313,7 @@
     }
 
     /// The view is no older than the request.
-    fn on_fresh_view(&mut self, mut call: UserCall) {
+    fn on_fresh_view(&mut self, mut call: UserRequest) {
         // A cancellation alone, such as an earlier version may have left behind, makes no live job.
         let live = self.view.get(&call.job).filter(|job| job.stamp > 0);
         match live.cloned() {
@@ -329,7 +329,7 @@
             }
             None => {
                 // Neither live nor over as of now: it was never accepted.
-                call.stage = Stage::ReadFinished;
+                call.stage = UserRequestStage::ReadFinished;
                 self.user_send(call);
             }
         }
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -1,17 +1,17 @@
 //! Machines as their workers report them, and what is known to be on them.
 
 use crate::jobs::{error_backoff, parse_task, Job, JobIndex, EPS};
-use crate::leadership::Lead;
+use crate::leadership::Scheduler;
 use crate::ledger::RecordId;
-use crate::node::{Context, LeadCall, Node};
+use crate::node::{Context, Controller, SchedulerCall};
 use crate::placement::{permits, slots};
 use crate::{micros, Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    CheckinAnswer, Command, DirectCommands, ExitCause, MachineType, Redirect, Report, Submission,
-    TaskReport, TaskStatus, Verb,
+    Command, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, MachineType, Redirect,
+    ReportedTask, Submission, TaskStatus, Verb,
 };
 use grebewood_wire::peer::{PlacedTask, TaskAttempt, TaskEnd};
 use grebewood_wire::records::DONE_SPAN;
@@ -26,10 +26,10 @@
 mod silence;
 mod stops;
 
-use machine::Blame;
+use machine::FailureAttribution;
 pub(crate) use machine::TaskOnMachine;
-pub use machine::{Assignment, ExitedAttempt, Machine, PlannedTask, Seen, Stop};
-pub use pending_checkins::{Parked, PendingCheckin};
+pub use machine::{Assignment, ExitedAttempt, Machine, ObservedStatus, PlannedTask, Stop};
+pub use pending_checkins::{HeldHeartbeat, LongPolls};
 
 /// How long a check-in may wait for a flush before it is answered with what there is.
 const HOLD: Micros = 500 * MILLI;
@@ -73,7 +73,7 @@
     Direct,
 }
 
-impl Lead {
+impl Scheduler {
     /// A machine known only from assignments on record.
     pub(crate) fn recovered_machine(
         &mut self,
@@ -83,7 +83,7 @@
         session: u64,
     ) -> &mut Machine {
         let machine = self.machines.entry(name.to_string()).or_insert_with(|| {
-            let report = Report {
+            let report = Heartbeat {
                 machine: name.to_string(),
                 address: String::new(),
                 machine_type: String::new(),
@@ -133,7 +133,7 @@
         let at = a.decided;
         m.assignments.push(a);
         m.recount();
-        self.count_running(at, index, Seen::Never, seen);
+        self.count_running(at, index, ObservedStatus::Never, seen);
     }
 
     /// The assignment's page will be written without it.
@@ -157,7 +157,7 @@
         m.recount();
         m.idle_since = now;
         self.discount_assignment(context, name, &a);
-        self.count_running(now, a.job, a.seen, Seen::Never);
+        self.count_running(now, a.job, a.seen, ObservedStatus::Never);
         if self.is_holder() {
             self.note_end(name, &a, TaskEnd::Gone);
         }
@@ -180,7 +180,7 @@
 }
 
 /// Stops for the tasks on a machine whose jobs are known to be cancelled.
-fn stop_commands_for_cancelled(context: &Context, report: &Report) -> Vec<Command> {
+fn stop_commands_for_cancelled(context: &Context, report: &Heartbeat) -> Vec<Command> {
     let live = report
         .tasks
         .iter()
--- a/crates/core/src/workers/checkins.rs
+++ b/crates/core/src/workers/checkins.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-impl Lead {
-    pub(super) fn on_checkin(&mut self, context: &mut Context, request: u64, report: Report) {
+impl Scheduler {
+    pub(super) fn on_checkin(&mut self, context: &mut Context, request: u64, report: Heartbeat) {
         let now = context.now.steady;
         self.holding.checkins += 1;
         if !self.loaded() {
@@ -40,7 +40,7 @@
             return self.answer_checkin(context, request, Vec::new());
         };
         m.last_answer = now;
-        let mut pending = PendingCheckin {
+        let mut pending = HeldHeartbeat {
             request,
             round: 0,
             machine,
@@ -73,7 +73,7 @@
         request: u64,
         commands: Vec<Command>,
     ) {
-        let answer = CheckinAnswer {
+        let answer = HeartbeatResponse {
             token: self.token,
             commands,
         };
@@ -90,7 +90,7 @@
 
     /// The commands for the answer to a check-in. Launches go only here: such an answer is never
     /// carried out late. Each launched task is on record, each acknowledged outcome too.
-    pub(crate) fn commands(&mut self, context: &Context, pending: &PendingCheckin) -> Vec<Command> {
+    pub(crate) fn commands(&mut self, context: &Context, pending: &HeldHeartbeat) -> Vec<Command> {
         let now = context.now.steady;
         let mut commands = Vec::new();
         let Some(m) = self.machines.get(&pending.machine) else {
@@ -145,9 +145,9 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub(crate) fn on_checkin(&mut self, id: u64, body: &[u8]) {
-        let report: Report = match wire::from_cbor(body) {
+        let report: Heartbeat = match wire::from_cbor(body) {
             Ok(r) => r,
             Err(e) => return self.context.refuse(id, 400, &e.to_string()),
         };
@@ -194,7 +194,7 @@
 
     /// The partition of a reporting machine. The leader goes by what it read under its grant, other
     /// nodes by their copy of the map: that only decides where a worker is sent.
-    fn partition_to_report_to(&self, report: &Report) -> Option<PartitionId> {
+    fn partition_to_report_to(&self, report: &Heartbeat) -> Option<PartitionId> {
         match &self.lead {
             Some(lead) => lead.remote.partition_of(&report.zone, &report.machine),
             None => self.partitions.map.find(&report.zone, &report.machine),
@@ -202,7 +202,7 @@
     }
 
     /// A check-in of a machine that is in a partition: its holder answers it, others lead it there.
-    fn on_partition_checkin(&mut self, id: u64, partition: PartitionId, report: Report) {
+    fn on_partition_checkin(&mut self, id: u64, partition: PartitionId, report: Heartbeat) {
         let may_renew = self.may_renew();
         let Some(holder) = self.partitions.holders.get_mut(&partition) else {
             return match self.holder_to_report_to(partition) {
--- a/crates/core/src/workers/exits.rs
+++ b/crates/core/src/workers/exits.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     /// Notes that a task is done; the result says when that is durable.
     pub(super) fn completed(
         &mut self,
@@ -121,8 +121,8 @@
             return;
         }
         match (machine.blame(), self.jobs.get_mut(index)) {
-            (Blame::ByTwoJobs, _) => machine.retire_as_faulty(),
-            (Blame::ByOneJob, Some(job)) if job.blamed < MOST_BLAMED_BY_ONE_JOB => {
+            (FailureAttribution::ByTwoJobs, _) => machine.retire_as_faulty(),
+            (FailureAttribution::ByOneJob, Some(job)) if job.blamed < MOST_BLAMED_BY_ONE_JOB => {
                 job.blamed += 1;
                 machine.retire_as_faulty();
             }
@@ -136,7 +136,9 @@
         let suspect = |id: &str| self.jobs.is_suspect(id);
         for machine in self.machines.values_mut().filter(|m| m.faulty) {
             machine.forget_failures(suspect);
-            if machine.blame() == Blame::None && !self.fleet.is_releasing(&machine.name) {
+            if machine.blame() == FailureAttribution::None
+                && !self.fleet.is_releasing(&machine.name)
+            {
                 machine.keep_after_all();
                 self.placement.want(context.now.steady);
             }
@@ -151,7 +153,7 @@
         name: &str,
         job_id: &str,
         task: u64,
-        s: &TaskReport,
+        s: &ReportedTask,
     ) {
         let known = self.machines.get(name).is_some_and(|m| {
             m.exited_attempts
--- a/crates/core/src/workers/machine.rs
+++ b/crates/core/src/workers/machine.rs
@@ -4,7 +4,7 @@
 
 /// What a worker last said of an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum ObservedStatus {
     /// Nothing yet.
     Never,
     Fetching,
@@ -46,7 +46,7 @@
     /// Whether the holder of a partition placed it, so that it is on a page of that holder and counts in
     /// its allotment.
     pub by_holder: bool,
-    pub seen: Seen,
+    pub seen: ObservedStatus,
     /// When it was decided.
     pub decided: Micros,
     /// When it was first seen running.
@@ -87,7 +87,7 @@
             launched: None,
             delivered: true,
             by_holder: false,
-            seen: Seen::Never,
+            seen: ObservedStatus::Never,
             decided: of.now,
             started: None,
             expected: task.expected_us,
@@ -111,15 +111,15 @@
     /// Takes in what the worker says of it.
     pub fn see(&mut self, status: &TaskStatus, now: Micros) {
         self.seen = match status {
-            TaskStatus::Running => Seen::Running,
-            TaskStatus::Saving => Seen::Saving,
-            TaskStatus::Fetching | TaskStatus::Exited => Seen::Fetching,
+            TaskStatus::Running => ObservedStatus::Running,
+            TaskStatus::Saving => ObservedStatus::Saving,
+            TaskStatus::Fetching | TaskStatus::Exited => ObservedStatus::Fetching,
             TaskStatus::Unknown(word) => {
                 warn!("{}/{}: {word:?} as status", self.job_id, self.task);
-                Seen::Fetching
+                ObservedStatus::Fetching
             }
         };
-        if self.seen == Seen::Running && self.started.is_none() {
+        if self.seen == ObservedStatus::Running && self.started.is_none() {
             // When a task of an earlier leader began is not known: halfway, say.
             let ran = if self.recovered() {
                 self.expected / 2
@@ -253,7 +253,7 @@
 
 /// What failures on a machine say of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Blame {
+pub(super) enum FailureAttribution {
     /// Nothing yet.
     None,
     /// Tasks of one job alone fail there: the job may be at fault.
@@ -263,7 +263,7 @@
 }
 
 impl Machine {
-    pub fn new(report: &Report, machine_type: Option<&MachineType>, now: Micros) -> Self {
+    pub fn new(report: &Heartbeat, machine_type: Option<&MachineType>, now: Micros) -> Self {
         Machine {
             name: report.machine.clone(),
             partition: None,
@@ -311,7 +311,7 @@
     /// whose type was not known: without its type's room it would stay empty for good.
     pub(crate) fn describe(
         &mut self,
-        report: &Report,
+        report: &Heartbeat,
         machine_type: Option<&MachineType>,
         now: Micros,
     ) {
@@ -402,14 +402,14 @@
     }
 
     /// What the failures since the last success say of the machine.
-    pub(super) fn blame(&self) -> Blame {
+    pub(super) fn blame(&self) -> FailureAttribution {
         let first = self.errors.first();
         if self.errors.iter().any(|id| Some(id) != first) {
-            return Blame::ByTwoJobs;
+            return FailureAttribution::ByTwoJobs;
         }
         match self.errors.len() >= FAILURES_OF_ONE_JOB {
-            true => Blame::ByOneJob,
-            false => Blame::None,
+            true => FailureAttribution::ByOneJob,
+            false => FailureAttribution::None,
         }
     }
 
--- a/crates/core/src/workers/machine/tests.rs
+++ b/crates/core/src/workers/machine/tests.rs
@@ -41,7 +41,7 @@
         team: "t".into(),
         zone: "a".into(),
         launched: Some((0, 0)),
-        seen: Seen::Never,
+        seen: ObservedStatus::Never,
         decided: 0,
         started: None,
         expected: 20 * SECOND,
@@ -60,23 +60,28 @@
     for _ in 0..10 {
         sound.note_failure("broken-1", broken);
         sound.note_failure("broken-2", broken);
-        assert_eq!(sound.blame(), Blame::None);
+        assert_eq!(sound.blame(), FailureAttribution::None);
     }
     sound.note_failure("req-1", broken);
     sound.note_failure("broken-1", broken);
-    assert_eq!(sound.blame(), Blame::None);
+    assert_eq!(sound.blame(), FailureAttribution::None);
     sound.note_failure("req-2", broken);
-    assert_eq!(sound.blame(), Blame::ByTwoJobs);
+    assert_eq!(sound.blame(), FailureAttribution::ByTwoJobs);
 }
 
 /// One job alone is blamed after its fourth failure, and takes all of them with it once it is suspect.
 #[test]
 fn failures_of_one_job_alone_are_blamed_after_the_fourth() {
     let mut faulty = machine(0);
-    for expected in [Blame::None, Blame::None, Blame::None, Blame::ByOneJob] {
+    for expected in [
+        FailureAttribution::None,
+        FailureAttribution::None,
+        FailureAttribution::None,
+        FailureAttribution::ByOneJob,
+    ] {
         faulty.note_failure("req-1", |_| false);
         assert_eq!(faulty.blame(), expected);
     }
     faulty.forget_failures(|id| id == "req-1");
-    assert_eq!(faulty.blame(), Blame::None);
+    assert_eq!(faulty.blame(), FailureAttribution::None);
 }
--- a/crates/core/src/workers/pending_checkins.rs
+++ b/crates/core/src/workers/pending_checkins.rs
@@ -13,7 +13,7 @@
 
 /// A check-in that is not answered yet.
 #[derive(Clone, Debug)]
-pub struct PendingCheckin {
+pub struct HeldHeartbeat {
     pub request: u64,
     /// The round of placement that it waits for.
     pub round: u64,
@@ -26,12 +26,12 @@
 /// Check-ins of machines with room, which wait for work. Reports may be several seconds apart; work
 /// that comes in between would wait for the next one, since only an answer launches anything.
 #[derive(Debug, Default)]
-pub struct Parked {
-    by_machine: BTreeMap<String, PendingCheckin>,
+pub struct LongPolls {
+    by_machine: BTreeMap<String, HeldHeartbeat>,
     by_time: BTreeSet<(Micros, String)>,
 }
 
-impl Parked {
+impl LongPolls {
     pub fn len(&self) -> usize {
         self.by_machine.len()
     }
@@ -49,13 +49,13 @@
         self.by_time.first().map_or(Micros::MAX, |(at, _)| *at)
     }
 
-    fn insert(&mut self, pending: PendingCheckin) {
+    fn insert(&mut self, pending: HeldHeartbeat) {
         self.by_time
             .insert((pending.until, pending.machine.clone()));
         self.by_machine.insert(pending.machine.clone(), pending);
     }
 
-    fn remove(&mut self, machine: &str) -> Option<PendingCheckin> {
+    fn remove(&mut self, machine: &str) -> Option<HeldHeartbeat> {
         let pending = self.by_machine.remove(machine)?;
         self.by_time
             .remove(&(pending.until, pending.machine.clone()));
@@ -63,7 +63,7 @@
     }
 }
 
-impl Lead {
+impl Scheduler {
     /// Requests of all check-ins that wait.
     pub(crate) fn waiting_checkins(&self) -> Vec<u64> {
         let parked = self.parked.by_machine.values();
@@ -122,7 +122,7 @@
         })
     }
 
-    pub(super) fn park(&mut self, context: &Context, mut pending: PendingCheckin) {
+    pub(super) fn park(&mut self, context: &Context, mut pending: HeldHeartbeat) {
         pending.until = context.now.steady + parked_span(context);
         self.parked.insert(pending);
     }
@@ -171,7 +171,7 @@
             .unwrap_or(0);
     }
 
-    pub(super) fn may_be_answered(&self, context: &Context, h: &PendingCheckin) -> bool {
+    pub(super) fn may_be_answered(&self, context: &Context, h: &HeldHeartbeat) -> bool {
         context.now.steady >= h.until
             || !context.in_contact(2 * SECOND)
             || (self.placement.rounds >= h.round
--- a/crates/core/src/workers/pending_checkins/tests.rs
+++ b/crates/core/src/workers/pending_checkins/tests.rs
@@ -18,7 +18,7 @@
         if !lead.may_park(&node.context, &name) {
             continue;
         }
-        let pending = PendingCheckin {
+        let pending = HeldHeartbeat {
             request: number,
             round: 0,
             machine: name,
--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/workers/reports.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     /// Takes in a report. Returns false if a newer one is known already.
     pub(super) fn on_report(
         &mut self,
         context: &mut Context,
-        report: Report,
+        report: Heartbeat,
         source: Source,
     ) -> bool {
         let now = context.now.steady;
@@ -105,7 +105,7 @@
     }
 
     /// Compares a report, which has seen our token, with what should be on the machine.
-    pub(super) fn take_tasks(&mut self, context: &mut Context, report: &Report, source: Source) {
+    pub(super) fn take_tasks(&mut self, context: &mut Context, report: &Heartbeat, source: Source) {
         let now = context.now.steady;
         let name = &report.machine;
         for s in &report.tasks {
@@ -165,7 +165,7 @@
                 && !listed(&format!("{}/{}", a.job_id, a.task), a.attempt);
             if !absent {
                 at += 1;
-            } else if a.seen == Seen::Never && a.stop.is_none() && !a.recovered() {
+            } else if a.seen == ObservedStatus::Never && a.stop.is_none() && !a.recovered() {
                 // The answer with the launch was lost and is never carried out late: it may be
                 // sent again, under the same attempt, once answers arrive.
                 a.launched = None;
@@ -182,8 +182,17 @@
     }
 
     /// Counts a task of the job that began or ceased to run, as far as seen.
-    pub(crate) fn count_running(&mut self, at: Micros, index: JobIndex, before: Seen, now: Seen) {
-        let (was, is) = (before == Seen::Running, now == Seen::Running);
+    pub(crate) fn count_running(
+        &mut self,
+        at: Micros,
+        index: JobIndex,
+        before: ObservedStatus,
+        now: ObservedStatus,
+    ) {
+        let (was, is) = (
+            before == ObservedStatus::Running,
+            now == ObservedStatus::Running,
+        );
         if was == is {
             return;
         }
--- a/crates/core/src/workers/silence.rs
+++ b/crates/core/src/workers/silence.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     /// Whether no worker reaches this node though there should be some: then another node had
     /// better lead.
     pub(crate) fn cut_from_workers(&self, context: &Context) -> bool {
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/workers/stops.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-impl Lead {
+impl Scheduler {
     /// A worker has a task that is on no page of ours. It is stopped, and counts as taken until
     /// it is proven gone.
     pub(super) fn stop_unrecorded(
         &mut self,
         context: &mut Context,
-        report: &Report,
+        report: &Heartbeat,
         job_id: &str,
         task: u64,
-        s: &TaskReport,
+        s: &ReportedTask,
     ) {
         let now = context.now.steady;
         error!(
@@ -41,7 +41,7 @@
         let assignment = Assignment {
             page,
             launched: Some((report.session, report.sequence)),
-            seen: Seen::Running,
+            seen: ObservedStatus::Running,
             started: Some(now),
             stop: Some(Stop {
                 grace: 0,
@@ -163,7 +163,7 @@
         };
         let address = m.address.clone();
         self.direct.insert(name.to_string(), now);
-        let pending = self.pending(LeadCall::Direct {
+        let pending = self.pending(SchedulerCall::Direct {
             machine: name.to_string(),
         });
         context.call(
@@ -184,7 +184,7 @@
         if status != 200 && status != 409 {
             return warn!("{name}: direct command got {status}");
         }
-        match wire::from_cbor::<Report>(&body) {
+        match wire::from_cbor::<Heartbeat>(&body) {
             Ok(report) if report.machine == name && self.is_own_machine(name) => {
                 self.on_report(context, report, Source::Direct);
                 // It came within the call's time: commands reach this session now.
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -1,12 +1,12 @@
 //! What the ledger writes, in which order, and what it holds to be durable.
 
-use grebewood_core::ledger::{Batch, Ledger, RecordId};
-use grebewood_wire::http::Txn;
+use grebewood_core::ledger::{Batch, RecordId, WriteBuffer};
+use grebewood_wire::http::Transaction;
 
 fn batch(record_ids: &[(RecordId, u64)]) -> Batch {
     Batch {
         record_ids: record_ids.to_vec(),
-        txn: Txn::default(),
+        txn: Transaction::default(),
         proven: 0,
         stamp: 0,
     }
@@ -15,7 +15,7 @@
 /// What moved to another page would be on no page, were the old one written first.
 #[test]
 fn the_old_record_waits_for_the_new_one() {
-    let mut l = Ledger::default();
+    let mut l = WriteBuffer::default();
     let (old, new) = (RecordId::Page(0), RecordId::Page(1));
     let v = l.touch(new.clone(), 5);
     l.touch(old.clone(), 1);
@@ -31,7 +31,7 @@
 /// that matters makes its record matter.
 #[test]
 fn what_only_tidies_up_goes_last() {
-    let mut l = Ledger::default();
+    let mut l = WriteBuffer::default();
     l.touch_lazily(RecordId::Page(0), 1);
     l.touch_lazily(RecordId::Page(1), 2);
     l.touch(RecordId::Page(2), 3);
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_record_that_is_refused_alone_is_postponed() {
-    let mut l = Ledger::default();
+    let mut l = WriteBuffer::default();
     let v = l.touch(RecordId::Stats, 1);
     l.suspect(&[(RecordId::Stats, v)]);
     l.postpone(&RecordId::Stats, 50);
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_change_during_a_flush_stays_dirty() {
-    let mut l = Ledger::default();
+    let mut l = WriteBuffer::default();
     let rec = RecordId::Page(0);
     let v1 = l.touch(rec.clone(), 5);
     let batch = batch(&[(rec.clone(), v1)]);
--- a/crates/core/tests/pace.rs
+++ b/crates/core/tests/pace.rs
@@ -1,11 +1,11 @@
 //! Token buckets.
 
-use grebewood_core::pace::Bucket;
+use grebewood_core::pace::RateLimiter;
 use grebewood_core::SECOND;
 
 #[test]
 fn a_bucket_refills_at_its_rate_and_no_deeper_than_a_second() {
-    let mut b = Bucket::new(4.0);
+    let mut b = RateLimiter::new(4.0);
     assert!((0..4).all(|_| b.take(0, 1.0)));
     assert!(!b.take(0, 1.0));
     assert_eq!(b.ready_at(0, 1.0), SECOND / 4);
--- a/crates/grebewood/src/config.rs
+++ b/crates/grebewood/src/config.rs
@@ -1,6 +1,6 @@
 //! Reads and checks the settings file (TOML) and the operators' tuning file (INI).
 
-use grebewood_core::settings::StateLimits;
+use grebewood_core::settings::StoreLimits;
 use grebewood_core::{micros, Objective, Settings, Sibling, Team, Tuning};
 use grebewood_net::Endpoints;
 use serde::Deserialize;
@@ -154,14 +154,14 @@
     write_rps: f64,
     value_kb: f64,
     txn_ops: usize,
-) -> Result<StateLimits, String> {
+) -> Result<StoreLimits, String> {
     if txn_ops < LEAST_TXN_OPS {
         return Err(format!("{field}.txn_ops: less than {LEAST_TXN_OPS}"));
     }
     if positive(&format!("{field}.value_kb"), value_kb)? < LEAST_VALUE_KB {
         return Err(format!("{field}.value_kb: less than {LEAST_VALUE_KB}"));
     }
-    Ok(StateLimits {
+    Ok(StoreLimits {
         rps: positive(&format!("{field}.rps"), rps)?,
         write_rps: positive(&format!("{field}.write_rps"), write_rps)?,
         value_bytes: (value_kb * 1024.0) as usize,
--- a/crates/grebewood/src/config/tests.rs
+++ b/crates/grebewood/src/config/tests.rs
@@ -53,7 +53,7 @@
 fn the_smaller_of_present_and_next_limits_counts() {
     let next = "txn_ops = 8\n[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nrps = 900.0\n";
     let (settings, _) = parse(&GOOD.replace("txn_ops = 8", next)).expect("good settings");
-    let expected = StateLimits {
+    let expected = StoreLimits {
         rps: 100.0,
         write_rps: 15.0,
         value_bytes: 2048,
--- a/crates/grebewood/src/main.rs
+++ b/crates/grebewood/src/main.rs
@@ -6,7 +6,7 @@
 mod state;
 
 use clap::{Parser, Subcommand};
-use grebewood_core::Node;
+use grebewood_core::Controller;
 use log::{error, info};
 use std::io::Write;
 use std::path::PathBuf;
@@ -77,7 +77,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let seed = time.as_nanos() as u64 ^ (std::process::id() as u64) << 48;
-    let node = Node::new(settings, tuning, seed);
+    let node = Controller::new(settings, tuning, seed);
     grebewood_net::run(node, endpoints).map_err(|e| format!("cannot serve: {e}"))
 }
 
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -3,7 +3,7 @@
 use crate::state::{self, ReadError};
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
 use grebewood_quota::{Limits, Resources};
-use grebewood_wire::http::{from_value, Entry};
+use grebewood_wire::http::{from_value, KeyValue};
 use grebewood_wire::records::{
     partition_of_page, JobKey, JobRecord, LimitsRecord, PageRecord, JOB, LIMITS, PAGE, QUOTA,
 };
@@ -40,7 +40,7 @@
     Ok(Overview::of(&records))
 }
 
-fn take_quota(records: &mut Records, entry: &Entry<Value>) {
+fn take_quota(records: &mut Records, entry: &KeyValue<Value>) {
     if entry.key == LIMITS {
         match from_value::<LimitsRecord>(&entry.value) {
             Ok(record) => records.limits = Some(Limits::from_teams(&record.teams)),
@@ -51,7 +51,7 @@
     }
 }
 
-fn tasks_of_jobs(entries: &[Entry<Value>]) -> BTreeMap<String, TaskOf> {
+fn tasks_of_jobs(entries: &[KeyValue<Value>]) -> BTreeMap<String, TaskOf> {
     let mut jobs = BTreeMap::new();
     for entry in entries {
         let record = from_value::<JobRecord>(&entry.value);
@@ -67,7 +67,7 @@
 }
 
 /// Tasks of jobs that are over are gone, or about to be.
-fn take_page(records: &mut Records, jobs: &BTreeMap<String, TaskOf>, entry: &Entry<Value>) {
+fn take_page(records: &mut Records, jobs: &BTreeMap<String, TaskOf>, entry: &KeyValue<Value>) {
     let Ok(page) = from_value::<PageRecord>(&entry.value) else {
         records.unreadable_pages.push(entry.key.clone());
         return;
--- a/crates/grebewood/src/state.rs
+++ b/crates/grebewood/src/state.rs
@@ -3,7 +3,7 @@
 use grebewood_net::blocking;
 use grebewood_partition::PartitionMap;
 use grebewood_wire::from_cbor;
-use grebewood_wire::http::{Entry, EntryList};
+use grebewood_wire::http::{KeyValue, KeyValueList};
 use grebewood_wire::records::{LeaderRecord, LEADER, PARTITION};
 use grebewood_wire::Value;
 use std::fmt;
@@ -35,7 +35,7 @@
 }
 
 /// All keys with this prefix, page by page.
-pub fn list(state: SocketAddr, prefix: &str) -> Result<Vec<Entry<Value>>, ReadError> {
+pub fn list(state: SocketAddr, prefix: &str) -> Result<Vec<KeyValue<Value>>, ReadError> {
     let mut entries = Vec::new();
     let mut after = String::new();
     loop {
@@ -43,7 +43,7 @@
         if answer.status != 200 {
             return Err(ReadError::Refused(answer.status));
         }
-        let list: EntryList =
+        let list: KeyValueList =
             from_cbor(&answer.body).map_err(|e| ReadError::Unreadable(e.to_string()))?;
         let last = list.entries.last().map(|entry| entry.key.clone());
         entries.extend(list.entries);
@@ -59,7 +59,7 @@
     let answer = get(state, &format!("/kv/{LEADER}"))?;
     match answer.status {
         404 => Ok(None),
-        200 => match from_cbor::<Entry<LeaderRecord>>(&answer.body) {
+        200 => match from_cbor::<KeyValue<LeaderRecord>>(&answer.body) {
             Ok(entry) => Ok(Some(entry.value.member)),
             Err(e) => Err(ReadError::Unreadable(e.to_string())),
         },
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,6 @@
 //! The event loop: one thread, `mio`, the HTTP server on two addresses and the HTTP client.
 //!
-//! The loop hands requests, replies and the passing of time to a [`Node`] and carries out its
+//! The loop hands requests, replies and the passing of time to a [`Controller`] and carries out its
 //! effects. It bounds connections and buffers, gives every wait a deadline, and sleeps until
 //! something happens or is due.
 
@@ -10,7 +10,8 @@
 mod server;
 
 use grebewood_core::{
-    Call, Effect, Input, Interface, Micros, Node, Now, Outcome, Stopwatch, Target, MILLI, SECOND,
+    Call, Controller, Effect, Input, Interface, Micros, Now, Outcome, Stopwatch, Target, MILLI,
+    SECOND,
 };
 use http::{parse_request, parse_response, write_request, write_response, Parsed};
 use log::{debug, info, warn};
@@ -116,7 +117,7 @@
     poll: Poll,
     clock: Clock,
     now: Now,
-    node: Node,
+    node: Controller,
     endpoints: Endpoints,
     conns: Slab<Conn>,
     /// Deadlines of connections, by time; entries may be out of date.
@@ -137,7 +138,7 @@
 }
 
 /// Serves until the process is killed. Returns only if listening or polling fails.
-pub fn run(node: Node, endpoints: Endpoints) -> io::Result<()> {
+pub fn run(node: Controller, endpoints: Endpoints) -> io::Result<()> {
     let poll = Poll::new()?;
     let mut front = TcpListener::bind(endpoints.front)?;
     let mut peer = TcpListener::bind(endpoints.peer_listen)?;
--- a/crates/net/tests/crowded.rs
+++ b/crates/net/tests/crowded.rs
@@ -1,6 +1,6 @@
 //! More workers than sockets: each of them is answered all the same.
 
-use grebewood_core::{Node, Settings, Tuning};
+use grebewood_core::{Controller, Settings, Tuning};
 use grebewood_net::{run, Endpoints};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -47,7 +47,7 @@
         socket_limit: SOCKETS,
     };
     let front = endpoints.front;
-    let node = Node::new(Settings::default(), Tuning::default(), 1);
+    let node = Controller::new(Settings::default(), Tuning::default(), 1);
     std::thread::spawn(move || run(node, endpoints));
     // All of them stay open on the workers' side.
     let mut open = Vec::new();
--- a/crates/quota/src/allotments.rs
+++ b/crates/quota/src/allotments.rs
@@ -10,7 +10,7 @@
 
 use crate::resources::{amount_of, from_list, to_list};
 use crate::{Micros, Resources, TeamAmounts};
-use grebewood_wire::records::{AllotmentRecord, TeamAmount};
+use grebewood_wire::records::{QuotaGrantRecord, TeamAmount};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Number of a partition.
@@ -49,7 +49,7 @@
 
 /// What a partition has.
 #[derive(Clone, Debug, Default)]
-struct PartitionAllotment {
+struct PartitionGrant {
     number: u64,
     shares: BTreeMap<String, Share>,
     /// What is on record whatever becomes of the writes under way: a holder may be told of no more.
@@ -60,7 +60,7 @@
     rendered: TeamAmounts,
 }
 
-impl PartitionAllotment {
+impl PartitionGrant {
     fn share(&mut self, team: &str) -> &mut Share {
         self.shares.entry(team.to_string()).or_default()
     }
@@ -95,7 +95,7 @@
 
 /// What is asked back from the holders of a team's shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskBack {
+pub enum GrantReduction {
     /// What was needed for nothing for a while.
     OldSlack,
     /// What is needed for nothing: others of the team need it.
@@ -110,19 +110,19 @@
 
 /// The allotments of all partitions.
 #[derive(Clone, Debug, Default)]
-pub struct Allotments {
-    partitions: BTreeMap<PartitionId, PartitionAllotment>,
+pub struct QuotaGrants {
+    partitions: BTreeMap<PartitionId, PartitionGrant>,
     /// What counts against each team's ceiling, over all partitions.
     totals: TeamAmounts,
 }
 
-impl Allotments {
+impl QuotaGrants {
     /// Changes a partition's allotment and keeps the totals right.
     fn change<T>(
         &mut self,
         partition: PartitionId,
         teams: &[String],
-        change: impl FnOnce(&mut PartitionAllotment) -> T,
+        change: impl FnOnce(&mut PartitionGrant) -> T,
     ) -> T {
         let entry = self.partitions.entry(partition).or_default();
         let before: Vec<Resources> = teams.iter().map(|team| entry.counted(team)).collect();
@@ -135,7 +135,7 @@
     }
 
     /// Takes over what an earlier leader wrote.
-    pub fn load(&mut self, partition: PartitionId, record: &AllotmentRecord) {
+    pub fn load(&mut self, partition: PartitionId, record: &QuotaGrantRecord) {
         let amounts = from_list(&record.teams);
         self.load_amounts(partition, record.number, amounts);
     }
@@ -161,7 +161,7 @@
     pub fn remove(&mut self, partition: PartitionId) {
         let teams = self.partitions.get(&partition).map(|entry| entry.teams());
         self.change(partition, &teams.unwrap_or_default(), |entry| {
-            *entry = PartitionAllotment::default();
+            *entry = PartitionGrant::default();
         });
         self.partitions.remove(&partition);
     }
@@ -261,7 +261,7 @@
         &mut self,
         partition: PartitionId,
         now: Micros,
-        ask_back: impl Fn(&str) -> AskBack,
+        ask_back: impl Fn(&str) -> GrantReduction,
     ) -> Vec<TeamAmount> {
         let Some(entry) = self.partitions.get_mut(&partition) else {
             return Vec::new();
@@ -272,10 +272,10 @@
             let idle = share.slack_since;
             let idle = idle.is_some_and(|since| now.saturating_sub(since) >= SLACK_FOR);
             let target = match ask_back(team) {
-                AskBack::Everything => Resources::ZERO,
-                AskBack::Slack => share.needed(),
-                AskBack::OldSlack if idle => share.needed(),
-                AskBack::OldSlack => share.allotted,
+                GrantReduction::Everything => Resources::ZERO,
+                GrantReduction::Slack => share.needed(),
+                GrantReduction::OldSlack if idle => share.needed(),
+                GrantReduction::OldSlack => share.allotted,
             };
             let target = target.min(share.allotted);
             let certain = amount_of(&entry.certain, team);
@@ -316,7 +316,7 @@
     }
 
     /// The record as it is to be written now.
-    pub fn render(&mut self, partition: PartitionId, claim: u64) -> AllotmentRecord {
+    pub fn render(&mut self, partition: PartitionId, claim: u64) -> QuotaGrantRecord {
         let teams = self.partitions.get(&partition).map(|entry| entry.teams());
         self.change(partition, &teams.unwrap_or_default(), |entry| {
             entry.number += 1;
@@ -330,7 +330,7 @@
                 *certain = certain.min(amount_of(rendered, team));
             }
             entry.certain.retain(|_, amount| !amount.is_zero());
-            AllotmentRecord {
+            QuotaGrantRecord {
                 number: entry.number,
                 claim,
                 teams: to_list(&entry.rendered),
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -6,14 +6,14 @@
 
 /// The allotment of a partition, as its holder has it.
 #[derive(Clone, Debug, Default)]
-pub struct HolderAllotment {
+pub struct HolderGrant {
     /// What may be used.
     granted: TeamAmounts,
     /// What tasks use, from their choice to the proof that they are gone.
     used: TeamAmounts,
 }
 
-impl HolderAllotment {
+impl HolderGrant {
     /// Takes in what may be used from now on. Messages must be taken in the order in which they were sent.
     pub fn adopt(&mut self, amounts: &[TeamAmount]) {
         self.granted = from_list(amounts);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -31,9 +31,9 @@
 pub mod overview;
 mod resources;
 
-pub use allotments::{Allotments, AskBack};
-pub use holder::HolderAllotment;
-pub use limits::{Limits, LimitsInForce, TeamLimit};
+pub use allotments::{GrantReduction, QuotaGrants};
+pub use holder::HolderGrant;
+pub use limits::{Limits, LimitsInForce, TeamQuota};
 pub use resources::{Resources, TeamAmounts};
 
 /// Whole microseconds of a steady clock.
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -7,23 +7,23 @@
 //! the one on record, and neither does one that is not heard.
 
 use crate::Resources;
-use grebewood_wire::records::{LimitsRecord, TeamLimitRecord};
+use grebewood_wire::records::{LimitsRecord, TeamQuotaRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A team's guarantee and ceiling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TeamLimit {
+pub struct TeamQuota {
     /// What it need not wait for other teams for.
     pub guarantee: Resources,
     /// What its tasks may use at most.
     pub ceiling: Resources,
 }
 
-impl TeamLimit {
+impl TeamQuota {
     /// The lower figure of each.
-    fn lowest(self, other: TeamLimit) -> TeamLimit {
+    fn lowest(self, other: TeamQuota) -> TeamQuota {
         let ceiling = self.ceiling.min(other.ceiling);
-        TeamLimit {
+        TeamQuota {
             guarantee: self.guarantee.min(other.guarantee).min(ceiling),
             ceiling,
         }
@@ -32,27 +32,27 @@
 
 /// The limits of all teams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Limits(BTreeMap<String, TeamLimit>);
+pub struct Limits(BTreeMap<String, TeamQuota>);
 
 impl Limits {
     /// The limits of these teams.
-    pub fn new(teams: impl IntoIterator<Item = (String, TeamLimit)>) -> Limits {
+    pub fn new(teams: impl IntoIterator<Item = (String, TeamQuota)>) -> Limits {
         Limits(teams.into_iter().collect())
     }
 
     /// A team's limits; `None` if there is no such team.
-    pub fn get(&self, team: &str) -> Option<TeamLimit> {
+    pub fn get(&self, team: &str) -> Option<TeamQuota> {
         self.0.get(team).copied()
     }
 
     /// All teams.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, TeamLimit)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, TeamQuota)> {
         self.0.iter().map(|(team, limit)| (team.as_str(), *limit))
     }
 
     /// What a record or message says.
-    pub fn from_teams(teams: &[TeamLimitRecord]) -> Limits {
-        let limit = |team: &TeamLimitRecord| TeamLimit {
+    pub fn from_teams(teams: &[TeamQuotaRecord]) -> Limits {
+        let limit = |team: &TeamQuotaRecord| TeamQuota {
             guarantee: Resources::of(team.cpus, team.gpus),
             ceiling: Resources::of(team.cpus_max, team.gpus_max),
         };
@@ -60,8 +60,8 @@
     }
 
     /// The same for a message.
-    pub fn to_teams(&self) -> Vec<TeamLimitRecord> {
-        let record = |(team, limit): (&str, TeamLimit)| TeamLimitRecord {
+    pub fn to_teams(&self) -> Vec<TeamQuotaRecord> {
+        let record = |(team, limit): (&str, TeamQuota)| TeamQuotaRecord {
             team: team.to_string(),
             cpus: limit.guarantee.cpus(),
             cpus_max: limit.ceiling.cpus(),
@@ -80,7 +80,7 @@
 
     /// Teams whose ceiling lies lower here than in `before`.
     pub fn lowered_since(&self, before: &Limits) -> Vec<String> {
-        let lower = |(team, limit): &(&str, TeamLimit)| {
+        let lower = |(team, limit): &(&str, TeamQuota)| {
             let now = self.get(team).unwrap_or_default();
             !limit.ceiling.fits(now.ceiling)
         };
@@ -152,7 +152,7 @@
     }
 
     /// A team's limits; `None` if no member knows it any more.
-    fn settle_team(&self, team: &str) -> Option<TeamLimit> {
+    fn settle_team(&self, team: &str) -> Option<TeamQuota> {
         let mut figures = self.announced.values().map(|limits| limits.get(team));
         if self.all_heard() && figures.clone().all(|figure| figure.is_none()) {
             return None;
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -1,7 +1,7 @@
 //! What an operator is shown of the teams' limits, from the records in the state service alone.
 
 use crate::{Limits, Resources, TeamAmounts};
-use grebewood_wire::records::{allotment_key, AllotmentRecord, LIMITS};
+use grebewood_wire::records::{allotment_key, QuotaGrantRecord, LIMITS};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -30,7 +30,7 @@
     /// Whether the limits cannot be read.
     pub limits_unreadable: bool,
     /// The allotments; `None`: the record cannot be read.
-    pub allotments: BTreeMap<PartitionId, Option<AllotmentRecord>>,
+    pub allotments: BTreeMap<PartitionId, Option<QuotaGrantRecord>>,
     /// Partitions that somebody holds.
     pub held: BTreeSet<PartitionId>,
     /// All tasks that may be on machines.
--- a/crates/quota/tests/holder.rs
+++ b/crates/quota/tests/holder.rs
@@ -1,6 +1,6 @@
 //! A holder's books.
 
-use grebewood_quota::{HolderAllotment, Resources};
+use grebewood_quota::{HolderGrant, Resources};
 use grebewood_wire::records::TeamAmount;
 
 fn grant(cpus: u64) -> Vec<TeamAmount> {
@@ -15,7 +15,7 @@
 #[test]
 fn what_tasks_use_is_held_whatever_is_granted() {
     let task = Resources::of(2.0, 0.0);
-    let mut holder = HolderAllotment::default();
+    let mut holder = HolderGrant::default();
     holder.adopt(&grant(6));
     holder.take("t", task);
     holder.take("t", task);
@@ -30,7 +30,7 @@
 #[test]
 fn a_team_without_a_grant_may_use_nothing() {
     let task = Resources::of(1.0, 0.0);
-    let mut holder = HolderAllotment::default();
+    let mut holder = HolderGrant::default();
     assert!(!holder.may_use("t", task));
     holder.adopt(&grant(2));
     assert!(holder.may_use("t", task) && !holder.may_use("u", task));
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -1,9 +1,9 @@
 //! Which limits are in force while the members' settings change one after the other.
 
-use grebewood_quota::{Limits, LimitsInForce, Resources, TeamLimit};
+use grebewood_quota::{Limits, LimitsInForce, Resources, TeamQuota};
 
 fn limits(teams: &[(&str, f64, f64)]) -> Limits {
-    let limit = |cpus: f64, most: f64| TeamLimit {
+    let limit = |cpus: f64, most: f64| TeamQuota {
         guarantee: Resources::of(cpus, 0.0),
         ceiling: Resources::of(most, 0.0),
     };
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -2,9 +2,9 @@
 //! late, repeated and reordered. It drives the books of the package, and counts on its own.
 
 use grebewood_quota::{
-    Allotments, AskBack, HolderAllotment, Limits, LimitsInForce, Resources, TeamLimit,
+    GrantReduction, HolderGrant, Limits, LimitsInForce, QuotaGrants, Resources, TeamQuota,
 };
-use grebewood_wire::records::{AllotmentRecord, TeamAmount};
+use grebewood_wire::records::{QuotaGrantRecord, TeamAmount};
 
 pub const PARTITIONS: usize = 3;
 const MEMBERS: [&str; 2] = ["m-0", "m-1"];
@@ -85,7 +85,7 @@
 enum Write {
     Allotment {
         partition: usize,
-        record: AllotmentRecord,
+        record: QuotaGrantRecord,
         leader: u64,
         stamp: u64,
         /// The limits when it was rendered, which the check needs.
@@ -106,7 +106,7 @@
     leader: u64,
     claims: [u64; PARTITIONS],
     limits: (u64, u64),
-    allotments: [(AllotmentRecord, u64); PARTITIONS],
+    allotments: [(QuotaGrantRecord, u64); PARTITIONS],
     /// Tasks on the pages of each holder, and on the leader's.
     pages: [u64; PARTITIONS],
     own: u64,
@@ -117,7 +117,7 @@
     term: u64,
     last: (u64, u64),
     limits: u64,
-    books: HolderAllotment,
+    books: HolderGrant,
     placed: u64,
     ended: u64,
 }
@@ -140,7 +140,7 @@
 struct Leader {
     token: u64,
     limits: LimitsInForce,
-    books: Allotments,
+    books: QuotaGrants,
     known: [Known; PARTITIONS],
     /// The allotment that is being written.
     writing: Option<usize>,
@@ -163,7 +163,7 @@
 }
 
 fn limits_of(ceiling: u64) -> Limits {
-    let limit = TeamLimit {
+    let limit = TeamQuota {
         guarantee: Resources::ZERO,
         ceiling: TASK.times(ceiling),
     };
@@ -334,9 +334,9 @@
     fn send(&mut self, p: usize) {
         let now = self.now;
         let ask_back = match (self.is_over(), self.leader.pressed) {
-            (true, _) => AskBack::Everything,
-            (false, true) => AskBack::Slack,
-            (false, false) => AskBack::OldSlack,
+            (true, _) => GrantReduction::Everything,
+            (false, true) => GrantReduction::Slack,
+            (false, false) => GrantReduction::OldSlack,
         };
         let leader = &mut self.leader;
         let known = &mut leader.known[p];
@@ -528,7 +528,7 @@
     fn apply_allotment(
         &mut self,
         p: usize,
-        record: AllotmentRecord,
+        record: QuotaGrantRecord,
         conditions: (u64, u64),
         answered: bool,
     ) -> bool {
@@ -563,7 +563,7 @@
 
 impl Holder {
     fn new(claim: u64, on_page: u64) -> Holder {
-        let mut books = HolderAllotment::default();
+        let mut books = HolderGrant::default();
         for _ in 0..on_page {
             books.take(TEAM, TASK);
         }
@@ -583,7 +583,7 @@
     fn load(store: &Store, settings: [u64; 2]) -> Leader {
         let recorded = Some(limits_of(store.limits.1));
         let others = MEMBERS.iter().skip(1).map(|m| m.to_string());
-        let mut books = Allotments::default();
+        let mut books = QuotaGrants::default();
         let mut known = [Known::default(); PARTITIONS];
         for (p, known) in known.iter_mut().enumerate() {
             books.load(p as u64, &store.allotments[p].0);
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -1,12 +1,12 @@
 //! What an operator is shown, from the records alone.
 
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
-use grebewood_quota::{Limits, Resources, TeamLimit};
-use grebewood_wire::records::{AllotmentRecord, TeamAmount};
+use grebewood_quota::{Limits, Resources, TeamQuota};
+use grebewood_wire::records::{QuotaGrantRecord, TeamAmount};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn allotment(cpus: u64) -> AllotmentRecord {
-    AllotmentRecord {
+fn allotment(cpus: u64) -> QuotaGrantRecord {
+    QuotaGrantRecord {
         number: 3,
         claim: 9,
         teams: vec![TeamAmount {
@@ -26,7 +26,7 @@
 }
 
 fn records() -> Records {
-    let limit = TeamLimit {
+    let limit = TeamQuota {
         guarantee: Resources::of(8.0, 0.0),
         ceiling: Resources::of(32.0, 0.0),
     };
@@ -76,7 +76,7 @@
     let text = Overview::of(&none).to_text();
     assert!(text.contains("leader: nobody"), "{text}");
     assert!(text.contains("no limits on record"), "{text}");
-    let limit = TeamLimit {
+    let limit = TeamQuota {
         guarantee: Resources::ZERO,
         ceiling: Resources::of(1e12, 0.0),
     };
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -2,10 +2,10 @@
 //! real controllers, and workers that report to them.
 
 use crate::machines::{JobFacts, Machine};
-use crate::state::{Reply, StateService};
+use crate::state::{KeyValueStore, Reply};
 use grebewood_net::blocking;
 use grebewood_wire::http::{
-    Catalogue, CheckinAnswer, ListedMachine, MachineList, MachineNames, MachineType, Redirect,
+    Catalogue, HeartbeatResponse, ListedMachine, MachineList, MachineNames, MachineType, Redirect,
 };
 use grebewood_wire::{from_cbor, to_cbor};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
 
 /// What happened to the tasks of all workers.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ExecutionLog {
     /// Tasks on machines.
     live: BTreeMap<String, String>,
     /// How often each task came onto a machine.
@@ -42,7 +42,7 @@
 /// So many characters of a job's name stand for its team.
 const TEAM_CHARACTERS: usize = "req-1".len();
 
-impl Ledger {
+impl ExecutionLog {
     fn note_most(&mut self) {
         let mut now: BTreeMap<String, u64> = BTreeMap::new();
         for task in self.live.keys() {
@@ -58,8 +58,8 @@
 
 struct Shared {
     began: Instant,
-    state: Mutex<StateService>,
-    ledger: Mutex<Ledger>,
+    state: Mutex<KeyValueStore>,
+    ledger: Mutex<ExecutionLog>,
     facts: BTreeMap<String, JobFacts>,
     released: Mutex<BTreeSet<String>>,
     machines: Vec<String>,
@@ -147,12 +147,12 @@
     }
 
     /// The state service.
-    pub fn state(&self) -> MutexGuard<'_, StateService> {
+    pub fn state(&self) -> MutexGuard<'_, KeyValueStore> {
         lock(&self.0.state)
     }
 
     /// What happened to the tasks.
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
+    pub fn ledger(&self) -> MutexGuard<'_, ExecutionLog> {
         lock(&self.0.ledger)
     }
 
@@ -317,7 +317,7 @@
     }
 
     fn carry_out(&mut self, sent: Micros, body: &[u8]) {
-        let Ok(answer) = from_cbor::<CheckinAnswer>(body) else {
+        let Ok(answer) = from_cbor::<HeartbeatResponse>(body) else {
             return;
         };
         if answer.token < self.machine.token {
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the cloud's machines and their workers.
 
-use grebewood_wire::http::{Command, ExitCause, MachineType, Report, TaskReport};
+use grebewood_wire::http::{Command, ExitCause, Heartbeat, MachineType, ReportedTask};
 use std::collections::BTreeMap;
 
 type Micros = u64;
@@ -100,9 +100,9 @@
         }
     }
 
-    pub fn report(&mut self, now: Micros) -> Report {
+    pub fn report(&mut self, now: Micros) -> Heartbeat {
         self.sequence += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: format!("worker:{}", self.name),
             machine_type: self.machine_type.clone(),
@@ -115,7 +115,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| TaskReport {
+                .map(|t| ReportedTask {
                     task_name: t.task_name.clone(),
                     attempt: t.attempt,
                     status: t.status.into(),
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the state service.
 
-use grebewood_core::settings::StateLimits;
-use grebewood_wire::http::{Change, Txn};
+use grebewood_core::settings::StoreLimits;
+use grebewood_wire::http::{Operation, Transaction};
 use grebewood_wire::{from_cbor, to_cbor, Value};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -40,7 +40,7 @@
 
 /// The store.
 #[derive(Default)]
-pub struct StateService {
+pub struct KeyValueStore {
     items: BTreeMap<String, Item>,
     /// Leases: life and end.
     leases: BTreeMap<u64, (Micros, Micros)>,
@@ -50,7 +50,7 @@
     pub waiting: Vec<Waiting>,
     pub down: bool,
     /// What it takes: more than a second's worth is answered 429, larger ones 400.
-    pub limits: Option<StateLimits>,
+    pub limits: Option<StoreLimits>,
     /// Requests and changes that may still come, and as of when.
     tokens: (f64, f64, Micros),
     /// Until then every change is answered 429.
@@ -99,7 +99,7 @@
     to_cbor(&BTreeMap::from([("epoch", epoch)]))
 }
 
-impl StateService {
+impl KeyValueStore {
     /// Keys with this prefix, their values and stamps.
     pub fn under<'a>(
         &'a self,
@@ -227,16 +227,16 @@
     }
 
     /// Why a transaction is malformed, if it is.
-    fn malformed(&self, txn: &Txn) -> Option<String> {
+    fn malformed(&self, txn: &Transaction) -> Option<String> {
         let limits = self.limits?;
         if txn.apply.len() > limits.txn_ops || txn.when.len() > 4 * limits.txn_ops {
             return Some("too many operations".into());
         }
         txn.apply.iter().find_map(|c| match c {
-            Change::Put { put, value, .. } => {
+            Operation::Put { put, value, .. } => {
                 (json_len(value) > limits.value_bytes).then(|| format!("{put} is too large"))
             }
-            Change::Delete { .. } => None,
+            Operation::Delete { .. } => None,
         })
     }
 
@@ -362,7 +362,7 @@
     }
 
     fn txn(&mut self, now: Micros, body: &[u8]) -> Reply {
-        let Ok(txn) = from_cbor::<Txn>(body) else {
+        let Ok(txn) = from_cbor::<Transaction>(body) else {
             return Reply::Now(400, Vec::new());
         };
         if let Some(why) = self.malformed(&txn) {
@@ -382,7 +382,7 @@
             return Reply::Now(409, to_cbor(&BTreeMap::from([("failed", failed)])));
         }
         let no_lease = txn.apply.iter().any(
-            |c| matches!(c, Change::Put { lease: Some(t), .. } if !self.leases.contains_key(t)),
+            |c| matches!(c, Operation::Put { lease: Some(t), .. } if !self.leases.contains_key(t)),
         );
         if no_lease {
             return Reply::Now(400, to_cbor(&BTreeMap::from([("error", "no such lease")])));
@@ -390,7 +390,7 @@
         self.epoch += 1;
         for change in txn.apply {
             match change {
-                Change::Put { put, value, lease } => {
+                Operation::Put { put, value, lease } => {
                     let item = Item {
                         value,
                         stamp: self.epoch,
@@ -398,7 +398,7 @@
                     };
                     self.change(&put, Some(item));
                 }
-                Change::Delete { delete } => self.change(&delete, None),
+                Operation::Delete { delete } => self.change(&delete, None),
             }
         }
         Reply::Now(200, epoch_body(self.epoch))
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -4,7 +4,7 @@
 //! the same. The samples are the stored records and peer messages that later sources must still read.
 
 use grebewood_core::{Call, Effect, Target};
-use grebewood_wire::http::{Change, Txn};
+use grebewood_wire::http::{Operation, Transaction};
 use grebewood_wire::peer::{PeerAnswer, PeerRequest};
 use grebewood_wire::{from_cbor, from_peer, to_cbor};
 use sha2::{Digest, Sha256};
@@ -91,11 +91,11 @@
     }
 
     fn sample_records(&mut self, body: &[u8]) {
-        let Ok(transaction) = from_cbor::<Txn>(body) else {
+        let Ok(transaction) = from_cbor::<Transaction>(body) else {
             return;
         };
         for change in transaction.apply {
-            if let Change::Put { put, value, .. } = change {
+            if let Operation::Put { put, value, .. } = change {
                 let kind = format!("record {}", key_shape(&put));
                 self.keep_largest(kind, &put, to_cbor(&value));
             }
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -4,16 +4,17 @@
 use crate::measure::{Measures, StepKind};
 use crate::production;
 use crate::script::{Line, Script};
-use crate::state::{Reply, StateService};
+use crate::state::{KeyValueStore, Reply};
 use crate::trace::Trace;
-use grebewood_core::settings::StateLimits;
+use grebewood_core::settings::StoreLimits;
 use grebewood_core::{
-    Effect, Input, Interface, NoStopwatch, Node, Now, Objective, Outcome, Settings, Sibling,
+    Controller, Effect, Input, Interface, NoStopwatch, Now, Objective, Outcome, Settings, Sibling,
     Target, Team, Tuning,
 };
 use grebewood_wire::http::{
-    Change, CheckinAnswer, Command, DirectCommands, JobStatus, ListedMachine, MachineList,
-    MachineNames, MachineType, Priority, Redirect, RentalRequest, Submission, Txn, Verb,
+    Command, DirectCommands, HeartbeatResponse, JobStatus, ListedMachine, MachineList,
+    MachineNames, MachineType, Operation, Priority, ProvisionRequest, Redirect, Submission,
+    Transaction, Verb,
 };
 use grebewood_wire::{from_cbor, to_cbor};
 use std::collections::{BTreeMap, BTreeSet};
@@ -95,7 +96,7 @@
         asker: Asker,
     },
     /// The limits of the state service change.
-    Limits(StateLimits),
+    Limits(StoreLimits),
     Answered(Asker, usize, u16, Vec<u8>),
     /// The answer to a check-in, by machine and flight, reaches its worker over a slow link.
     WorkerAnswer(String, u64, usize, u16, Vec<u8>),
@@ -153,7 +154,7 @@
 const BEGIN_WITHIN: Micros = 240 * S;
 
 struct Slot {
-    node: Option<Node>,
+    node: Option<Controller>,
     process: u64,
     /// It is down until then.
     down_until: Micros,
@@ -175,14 +176,14 @@
     tuning: Tuning,
     /// The limits that the state service announces, and the nodes that do not know of them: they
     /// stand for the version before, whose formats are the same.
-    next_limits: Option<StateLimits>,
+    next_limits: Option<StoreLimits>,
     old: BTreeSet<usize>,
     /// Time of day at the start.
     wall: Micros,
     /// When the last trouble of the script is over.
     untroubled: Micros,
     next_ask: Micros,
-    state: StateService,
+    state: KeyValueStore,
     state_tickets: BTreeMap<u64, Caller>,
     types: Vec<MachineType>,
     capacity: BTreeMap<(String, bool), u64>,
@@ -231,9 +232,9 @@
 }
 
 /// Limits of the state service among a line's options; what is missing stays as it is.
-fn limits_of(line: &Line, prefix: &str, now: StateLimits) -> Result<StateLimits, String> {
+fn limits_of(line: &Line, prefix: &str, now: StoreLimits) -> Result<StoreLimits, String> {
     let number = |key: &str, default| line.number(&format!("{prefix}{key}"), default);
-    Ok(StateLimits {
+    Ok(StoreLimits {
         rps: number("rps", now.rps)?,
         write_rps: number("writes", now.write_rps)?,
         value_bytes: (number("value", now.value_bytes as f64 / 1024.0)? * 1024.0) as usize,
@@ -274,7 +275,7 @@
             wall: WALL,
             untroubled: script.troubles_end(),
             next_ask: ASK_EVERY,
-            state: StateService::default(),
+            state: KeyValueStore::default(),
             state_tickets: BTreeMap::new(),
             types: Vec::new(),
             capacity: BTreeMap::new(),
@@ -416,7 +417,7 @@
                     tuning.allotments = 0;
                 }
                 self.slots[n] = Slot {
-                    node: Some(Node::new(settings, tuning, process)),
+                    node: Some(Controller::new(settings, tuning, process)),
                     process,
                     down_until: 0,
                     frozen_until: 0,
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -53,7 +53,7 @@
                 (200, to_cbor(&BTreeMap::<String, u64>::new()))
             }
             ("POST", "/rentals") => {
-                let Ok(r) = from_cbor::<RentalRequest>(body) else {
+                let Ok(r) = from_cbor::<ProvisionRequest>(body) else {
                     return (400, error("malformed"));
                 };
                 if let Some(known) = self.rentals.get(&r.name) {
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -238,9 +238,9 @@
             }
             return;
         }
-        if let Ok(txn) = from_cbor::<Txn>(body) {
+        if let Ok(txn) = from_cbor::<Transaction>(body) {
             for change in &txn.apply {
-                let Change::Put { put, value, .. } = change else {
+                let Operation::Put { put, value, .. } = change else {
                     continue;
                 };
                 if let Err(e) = production::check_record(put, value) {
@@ -251,8 +251,8 @@
         }
         self.seq += 1;
         let ticket = self.seq;
-        let grant = from_cbor::<Txn>(body).is_ok_and(|txn| {
-            let puts = |c: &Change| matches!(c, Change::Put { put, .. } if put == "leader");
+        let grant = from_cbor::<Transaction>(body).is_ok_and(|txn| {
+            let puts = |c: &Operation| matches!(c, Operation::Put { put, .. } if put == "leader");
             txn.apply.iter().any(puts)
         });
         let reply = self.state.request(self.now, ticket, method, path, body);
@@ -261,7 +261,7 @@
         }
         if let Some(measures) = &mut self.measures {
             measures.requests += 1;
-            if let (Ok(txn), Reply::Now(200, _)) = (from_cbor::<Txn>(body), &reply) {
+            if let (Ok(txn), Reply::Now(200, _)) = (from_cbor::<Transaction>(body), &reply) {
                 measures.changes += txn.apply.len() as u64;
             }
         }
