--- a/crates/testkit/src/world/limits.rs
+++ b/crates/testkit/src/world/limits.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use grebewood_wire::http::from_value;
-use grebewood_wire::records::{AllotmentRecord, LimitsRecord, LIMITS, QUOTA};
+use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, LIMITS, QUOTA};
 
 /// A launch that was on record before a ceiling was lowered may still reach its worker for so long.
 const ON_THE_WAY: Micros = 2 * S;
@@ -108,7 +108,7 @@
         }
         let mut allotted: BTreeMap<String, f64> = BTreeMap::new();
         for (_, value, _) in self.state.under(QUOTA) {
-            let record = from_value::<AllotmentRecord>(value).unwrap_or_default();
+            let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
             for team in record.teams {
                 *allotted.entry(team.team).or_insert(0.0) += team.cpus as f64 / 1e6;
             }
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -471,7 +471,7 @@
             attempt: 1,
             grace_s: None,
         }];
-        to_cbor(&CheckinAnswer { token: 9, commands })
+        to_cbor(&HeartbeatResponse { token: 9, commands })
     };
     let mut w = running();
     for (first, verb, fine) in [
@@ -495,7 +495,7 @@
     let m = w.machine_mut(&holder).expect("a machine");
     let newest = m.report(4 * S);
     let copy = |session, sequence, token| {
-        let report = grebewood_wire::http::Report {
+        let report = grebewood_wire::http::Heartbeat {
             session,
             sequence,
             token,
--- a/crates/testkit/src/world/troubles.rs
+++ b/crates/testkit/src/world/troubles.rs
@@ -2,7 +2,7 @@
 //! who cancel and ask at bad moments.
 
 use super::*;
-use grebewood_wire::http::Report;
+use grebewood_wire::http::Heartbeat;
 use grebewood_wire::peer::PeerAnswer;
 
 /// What happens to a transaction whose answer is lost.
@@ -376,7 +376,7 @@
     /// than that of the copy. The result is whether this leader had no report of the machine under its
     /// grant that was as new.
     pub(super) fn note_report(&mut self, n: usize, body: &[u8], asker: &Asker) -> bool {
-        let Ok(report) = from_cbor::<Report>(body) else {
+        let Ok(report) = from_cbor::<Heartbeat>(body) else {
             return false;
         };
         // The grant under which this node would answer: that of the machine's partition, or the leader's.
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -261,7 +261,8 @@
                 self.met += 1;
             }
             Asker::Copy { first } => {
-                let commands = from_cbor::<CheckinAnswer>(&body).map_or(Vec::new(), |a| a.commands);
+                let commands =
+                    from_cbor::<HeartbeatResponse>(&body).map_or(Vec::new(), |a| a.commands);
                 // A new leader cannot know that the first report it gets is a copy, and what it answers
                 // reaches nobody; but it may not launch before it knows that the machine hears it.
                 let some = |o: &Command| !first || o.verb == Verb::Launch;
@@ -270,9 +271,10 @@
                 }
             }
             Asker::Worker { machine, flight } => {
-                let launches = |a: CheckinAnswer| a.commands.iter().any(|o| o.verb == Verb::Launch);
+                let launches =
+                    |a: HeartbeatResponse| a.commands.iter().any(|o| o.verb == Verb::Launch);
                 if self.slow_launch.contains_key(&machine)
-                    && from_cbor::<CheckinAnswer>(&body).is_ok_and(launches)
+                    && from_cbor::<HeartbeatResponse>(&body).is_ok_and(launches)
                 {
                     let late = self.slow_launch.remove(&machine).unwrap_or(0);
                     let ev = Ev::Answered(Asker::Worker { machine, flight }, node, status, body);
--- a/crates/testkit/src/world/workers.rs
+++ b/crates/testkit/src/world/workers.rs
@@ -31,7 +31,7 @@
         }
         match status {
             200 => {
-                let answer: CheckinAnswer =
+                let answer: HeartbeatResponse =
                     from_cbor(body).map_err(|e| format!("a check-in's answer: {e}"))?;
                 if answer.token < m.token {
                     return Ok(());
--- a/crates/testkit/tests/stored_formats.rs
+++ b/crates/testkit/tests/stored_formats.rs
@@ -5,9 +5,9 @@
 use grebewood_wire::http::{from_value, to_value, Catalogue};
 use grebewood_wire::peer::{PeerAnswer, PeerRequest};
 use grebewood_wire::records::{
-    AllotmentRecord, CancelRecord, DonePageRecord, FinishedJobRecord, JobKey, JobRecord,
-    LeaderRecord, LimitsRecord, PageRecord, PartitionClaim, PartitionKey, PartitionRecord,
-    RentalRecord, StatsRecord,
+    CancelRecord, CompletedTasksPageRecord, FinishedJobRecord, JobKey, JobRecord, LeaderRecord,
+    LimitsRecord, PageRecord, PartitionClaim, PartitionKey, PartitionRecord, ProvisionRecord,
+    QuotaGrantRecord, StatsRecord,
 };
 use grebewood_wire::{from_cbor, from_peer, to_cbor, to_peer, Value};
 use serde::de::DeserializeOwned;
@@ -63,11 +63,11 @@
         "stats" => rewritten::<StatsRecord>(&value),
         "catalogue" => rewritten::<Catalogue>(&value),
         "past" => rewritten::<FinishedJobRecord>(&value),
-        "done" => rewritten::<DonePageRecord>(&value),
+        "done" => rewritten::<CompletedTasksPageRecord>(&value),
         "page" => rewritten::<PageRecord>(&value),
-        "hire" => rewritten::<RentalRecord>(&value),
+        "hire" => rewritten::<ProvisionRecord>(&value),
         "quota" if key == "quota/limits" => rewritten::<LimitsRecord>(&value),
-        "quota" => rewritten::<AllotmentRecord>(&value),
+        "quota" => rewritten::<QuotaGrantRecord>(&value),
         _ => panic!("{key}: no such kind of record"),
     }
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -136,7 +136,7 @@
 
 /// A worker's report: body of `POST /checkin`, and of the answers of `/do` and `/inspect`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine's name.
     #[serde(rename = "perch")]
     pub machine: String,
@@ -166,12 +166,12 @@
     pub recall_s: Option<f64>,
     /// All tasks on the machine, exited ones until they are acknowledged.
     #[serde(rename = "shards", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<ReportedTask>,
 }
 
 /// One task in a worker's report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct ReportedTask {
     /// The task's name: `<job>/<number>`.
     #[serde(rename = "shard")]
     pub task_name: String,
@@ -211,7 +211,7 @@
 
 /// Answer to a check-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct CheckinAnswer {
+pub struct HeartbeatResponse {
     /// The fencing token of who commands.
     #[serde(rename = "warrant")]
     pub token: u64,
@@ -286,7 +286,7 @@
 
 /// Body of `POST /rentals`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RentalRequest {
+pub struct ProvisionRequest {
     /// Name of the request: a repeated one rents nothing twice.
     #[serde(rename = "hire")]
     pub name: String,
@@ -349,7 +349,7 @@
 
 /// One key of the state service with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Entry<T> {
+pub struct KeyValue<T> {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
@@ -361,9 +361,9 @@
 
 /// Answer to a list of keys.
 #[derive(Clone, Debug, Deserialize)]
-pub struct EntryList {
+pub struct KeyValueList {
     /// Keys and values in order.
-    pub entries: Vec<Entry<ciborium::Value>>,
+    pub entries: Vec<KeyValue<ciborium::Value>>,
     /// Whether the list goes on.
     #[serde(default)]
     pub more: bool,
@@ -374,7 +374,7 @@
 
 /// A condition of a transaction: the key has this stamp (0: it does not exist).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct When {
+pub struct Condition {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
@@ -385,7 +385,7 @@
 /// One change of a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Operation {
     /// Writes a key.
     Put {
         /// The key.
@@ -403,28 +403,28 @@
     },
 }
 
-impl Change {
+impl Operation {
     /// The key that it changes.
     pub fn key(&self) -> &str {
         match self {
-            Change::Put { put, .. } => put,
-            Change::Delete { delete } => delete,
+            Operation::Put { put, .. } => put,
+            Operation::Delete { delete } => delete,
         }
     }
 }
 
 /// Body of `POST /txn`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// Conditions, all of which must hold.
-    pub when: Vec<When>,
+    pub when: Vec<Condition>,
     /// Changes, all of which are made or none.
-    pub apply: Vec<Change>,
+    pub apply: Vec<Operation>,
 }
 
 /// Answer that carries the revision of the state service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Revision {
+pub struct TransactionApplied {
     /// The revision.
     #[serde(rename = "epoch")]
     pub revision: u64,
@@ -432,7 +432,7 @@
 
 /// Answer 409 to a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TxnFailed {
+pub struct TransactionConflict {
     /// Keys whose conditions do not hold.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -456,18 +456,18 @@
 
 /// Answer of `GET /changes`.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Changes {
+pub struct WatchResponse {
     /// Revision up to which the changes are told.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// The changes in order.
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 /// One change that a watch reports.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     /// The key, if it was written.
     #[serde(default)]
     pub put: Option<String>,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers: one request, one answer, over `POST /peer`.
 
 use crate::http::{ExitCause, TaskStatus};
-use crate::records::{TeamAmount, TeamLimitRecord};
+use crate::records::{TeamAmount, TeamQuotaRecord};
 use serde::{Deserialize, Serialize};
 
 /// A question or hint to another controller.
@@ -306,7 +306,7 @@
     pub allotments: bool,
     /// The limits of its settings, if it was asked for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub limits: Option<Vec<TeamLimitRecord>>,
+    pub limits: Option<Vec<TeamQuotaRecord>>,
     /// The answer to [`PartitionOrders`].
     #[serde(default)]
     pub report: Option<PartitionReport>,
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -6,17 +6,17 @@
 //! | `job/<id>` | the node that accepts, once | [`JobRecord`] of a job that is not over |
 //! | `job/<id>/cancel` | the node that cancels, once | [`CancelRecord`] |
 //! | `past/<id>` | the leader, once | [`FinishedJobRecord`] of a job that is over; kept forever |
-//! | `done/<n>` | the leader | [`DonePageRecord`]: completed tasks of many jobs |
+//! | `done/<n>` | the leader | [`CompletedTasksPageRecord`]: completed tasks of many jobs |
 //! | `page/<block>/<n>` | the block's holder | [`PageRecord`]: assignments |
-//! | `rental/<name>` | the leader | [`RentalRecord`]: a rental, before it is requested |
+//! | `rental/<name>` | the leader | [`ProvisionRecord`]: a rental, before it is requested |
 //! | `stats` | the leader | [`StatsRecord`]: learnt averages |
 //! | `catalogue` | the leader | the machine types last seen |
 //! | `partition/<n>` | the leader | [`PartitionRecord`]: which machines form it, and who is to hold it |
 //! | `partition/<n>/claim` | its holder, under a lease | [`PartitionClaim`]; its stamp is the fencing token |
 //! | `quota/limits` | the leader | [`LimitsRecord`]: guarantees and ceilings in force |
-//! | `quota/<n>` | the leader | [`AllotmentRecord`]: what of them the holder of partition `n` may use |
+//! | `quota/<n>` | the leader | [`QuotaGrantRecord`]: what of them the holder of partition `n` may use |
 //!
-//! An earlier version wrote `cancel/<id>` for a cancellation and `done/<id>/<n>` ([`DoneRecord`])
+//! An earlier version wrote `cancel/<id>` for a cancellation and `done/<id>/<n>` ([`LegacyCompletedTasksRecord`])
 //! for completed tasks. Both are still read, and removed with their job.
 
 use crate::http::Submission;
@@ -143,7 +143,7 @@
     }
 }
 
-/// Tasks in one [`DoneRecord`].
+/// Tasks in one [`LegacyCompletedTasksRecord`].
 pub const DONE_SPAN: u64 = 2048;
 
 /// Who leads. The stamp of this record is the leader's fencing token.
@@ -197,12 +197,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitsRecord {
     /// The teams.
-    pub teams: Vec<TeamLimitRecord>,
+    pub teams: Vec<TeamQuotaRecord>,
 }
 
 /// A team's guarantee and ceiling.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct TeamLimitRecord {
+pub struct TeamQuotaRecord {
     /// The team.
     pub team: String,
     /// CPUs guaranteed.
@@ -221,7 +221,7 @@
 
 /// What the tasks that the holder of a partition starts may use of the teams' ceilings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct AllotmentRecord {
+pub struct QuotaGrantRecord {
     /// Number of this allotment; it grows with each change.
     pub number: u64,
     /// The fencing token of the claim under which it was granted. Whoever claims the partition next takes
@@ -286,14 +286,14 @@
 
 /// Completed tasks from `n * DONE_SPAN` on, as hexadecimal digits of four tasks each.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DoneRecord {
+pub struct LegacyCompletedTasksRecord {
     /// The digits.
     pub bits: String,
 }
 
-/// Completed tasks of many jobs: `(job, n, bits)` each, with the bits of a [`DoneRecord`].
+/// Completed tasks of many jobs: `(job, n, bits)` each, with the bits of a [`LegacyCompletedTasksRecord`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct DonePageRecord {
+pub struct CompletedTasksPageRecord {
     /// The jobs.
     pub jobs: Vec<(String, u64, String)>,
 }
@@ -323,7 +323,7 @@
 
 /// A rental request, written before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentalRecord {
+pub struct ProvisionRecord {
     /// The machine type.
     pub machine_type: String,
     /// The zone.
--- a/crates/wire/src/validate.rs
+++ b/crates/wire/src/validate.rs
@@ -1,6 +1,6 @@
 //! Checks of what users and workers send, by the protocol's names of the fields.
 
-use crate::http::{Report, Shape, Submission};
+use crate::http::{Heartbeat, Shape, Submission};
 
 /// Most tasks that a job may have.
 pub const MAX_TASKS: u64 = 100_000;
@@ -67,7 +67,7 @@
     }
 }
 
-impl Report {
+impl Heartbeat {
     /// What is wrong with a field, if anything is.
     pub fn invalid_field(&self) -> Option<&'static str> {
         let names = [&self.machine, &self.zone, &self.machine_type];
--- a/crates/wire/tests/names.rs
+++ b/crates/wire/tests/names.rs
@@ -44,7 +44,7 @@
         ("status", "exited".into()),
         ("cause", "done".into()),
     ];
-    let read: Report = from_cbor(&to_cbor(&report(&task))).expect("a report");
+    let read: Heartbeat = from_cbor(&to_cbor(&report(&task))).expect("a report");
     assert_eq!(read.machine, "n-000231");
     assert_eq!(read.address, "10.1.0.232:9000");
     assert_eq!(
@@ -74,7 +74,7 @@
             ("cause", "evicted".into()),
         ])
     };
-    let read: Report = from_cbor(&to_cbor(&task("paused".into()))).expect("a report");
+    let read: Heartbeat = from_cbor(&to_cbor(&task("paused".into()))).expect("a report");
     assert_eq!(read.tasks[0].status, TaskStatus::Unknown("paused".into()));
     assert_eq!(
         read.tasks[0].cause,
@@ -82,10 +82,10 @@
     );
     assert_eq!(to_cbor(&read.tasks[0].status), to_cbor(&"paused"));
     for wrong in [Value::from(7), Value::Null, Value::Array(Vec::new())] {
-        assert!(from_cbor::<Report>(&to_cbor(&task(wrong))).is_err());
+        assert!(from_cbor::<Heartbeat>(&to_cbor(&task(wrong))).is_err());
     }
     let missing = report(&[("shard", Value::from("req-1/0")), ("try", 1.into())]);
-    assert!(from_cbor::<Report>(&to_cbor(&missing)).is_err());
+    assert!(from_cbor::<Heartbeat>(&to_cbor(&missing)).is_err());
 }
 
 #[test]
@@ -135,7 +135,7 @@
         commands: vec![command],
     };
     assert_eq!(keys(&direct), "warrant tenure orders");
-    let answer = CheckinAnswer {
+    let answer = HeartbeatResponse {
         token: 41,
         commands: Vec::new(),
     };
@@ -143,7 +143,7 @@
     let leader = Some("perch-2".to_string());
     assert_eq!(keys(&Redirect { leader }), "steward");
     assert_eq!(keys(&Redirect { leader: None }), "");
-    let rental = RentalRequest {
+    let rental = ProvisionRequest {
         name: "h-1-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -153,13 +153,13 @@
     assert_eq!(keys(&rental), "hire build yard loaner number");
     let machines = Vec::new();
     assert_eq!(keys(&MachineNames { machines }), "perches");
-    let put = Change::Put {
+    let put = Operation::Put {
         put: "a/b".into(),
         value: Value::Null,
         lease: Some(7),
     };
     assert_eq!(keys(&put), "put value tether");
-    let when = When {
+    let when = Condition {
         key: "a/b".into(),
         stamp: 0,
     };
