--- a/crates/core/src/workers.rs
+++ b/crates/core/src/agents.rs
@@ -1,10 +1,10 @@
 //! Machines as their workers report them, and what is known to be on them.
 
+use crate::controller::{Context, Controller, SchedulerCall};
 use crate::jobs::{error_backoff, parse_task, Job, JobIndex, EPS};
 use crate::leadership::Scheduler;
-use crate::ledger::RecordId;
-use crate::node::{Context, Controller, SchedulerCall};
 use crate::placement::{permits, slots};
+use crate::write_buffer::RecordId;
 use crate::{micros, Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
@@ -18,18 +18,18 @@
 use log::{error, info, warn};
 use std::collections::VecDeque;
 
-mod checkins;
 mod exits;
+mod heartbeat_status;
+mod heartbeats;
+mod held_heartbeats;
 mod machine;
-mod pending_checkins;
-mod reports;
-mod silence;
 mod stops;
+mod unreachable;
 
+pub use held_heartbeats::{HeldHeartbeat, LongPolls};
 use machine::FailureAttribution;
 pub(crate) use machine::TaskOnMachine;
 pub use machine::{Assignment, ExitedAttempt, Machine, ObservedStatus, PlannedTask, Stop};
-pub use pending_checkins::{HeldHeartbeat, LongPolls};
 
 /// How long a check-in may wait for a flush before it is answered with what there is.
 const HOLD: Micros = 500 * MILLI;
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     /// A check-in: a worker has only one in flight, and carries out no answer to an earlier one.
-    Checkin,
+    Heartbeat,
     /// The answer to a direct command, which may overtake the answer to a check-in.
     Direct,
 }
@@ -80,7 +80,7 @@
         context: &Context,
         name: &str,
         zone: &str,
-        session: u64,
+        incarnation: u64,
     ) -> &mut Machine {
         let machine = self.machines.entry(name.to_string()).or_insert_with(|| {
             let report = Heartbeat {
@@ -89,17 +89,17 @@
                 machine_type: String::new(),
                 zone: zone.to_string(),
                 spot: true,
-                session,
+                incarnation,
                 sequence: 0,
                 token: 0,
-                recall_s: None,
+                reclaim_s: None,
                 tasks: Vec::new(),
             };
             Machine::new(&report, None, context.now.steady)
         });
-        machine.partition = self.remote.partition_of(&machine.zone, name);
+        machine.partition = self.remote_partitions.partition_of(&machine.zone, name);
         // Reports of earlier sessions are older than what is on record.
-        machine.session = machine.session.max(session);
+        machine.incarnation = machine.incarnation.max(incarnation);
         machine
     }
 
@@ -142,8 +142,8 @@
         // Every page loses something all the time: with many pages the writes must be further apart.
         let pages = self.pages.len() as f64 / (context.settings.state.write_rps * FREE_WRITES);
         let delay = FREE_DELAY.max((pages * 1e6) as Micros);
-        self.ledger
-            .touch_lazily(RecordId::Page(a.page), context.now.steady + delay);
+        self.write_buffer
+            .mark_dirty_lazily(RecordId::Page(a.page), context.now.steady + delay);
     }
 
     /// Removes an assignment of which it is proven that its task is not on the machine and will
--- a/crates/core/src/workers/exits.rs
+++ b/crates/core/src/agents/exits.rs
@@ -14,11 +14,11 @@
         if !job.complete(task) {
             return None;
         }
-        let page = RecordId::Done(self.done_pages.page_of(index, task / DONE_SPAN, job));
+        let page = RecordId::Done(self.completed_pages.page_of(index, task / DONE_SPAN, job));
         self.progress_dirty.insert(index);
         // The worker keeps the result until it is acknowledged: the write can wait for others.
         let due = context.now.steady + DONE_DELAY;
-        Some((page.clone(), self.ledger.touch_by(page, due)))
+        Some((page.clone(), self.write_buffer.mark_dirty_by(page, due)))
     }
 
     /// An assignment's task has exited.
@@ -44,7 +44,7 @@
         match (cause, job) {
             (ExitCause::NoRoom | ExitCause::Busy, _) => {
                 warn!("{task_name}: {name} refused it: {cause}");
-                m.shy_until = now + 3 * SECOND;
+                m.quarantined_until = now + 3 * SECOND;
             }
             // A replica is to run again, however it ended; unless we stopped it, it ended by itself.
             (_, Some(job)) if job.is_daemon() => {
@@ -110,20 +110,22 @@
         let was_suspect = job.is_suspect();
         job.note_failure(name);
         if job.is_suspect() && !was_suspect {
-            self.acquit_machines(context);
+            self.lift_quarantines(context);
         }
         let suspect = |id: &str| self.jobs.is_suspect(id);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         machine.note_failure(&id, suspect);
-        if machine.closing && !machine.emptying {
+        if machine.cordoned && !machine.draining {
             return;
         }
         match (machine.blame(), self.jobs.get_mut(index)) {
             (FailureAttribution::ByTwoJobs, _) => machine.retire_as_faulty(),
-            (FailureAttribution::ByOneJob, Some(job)) if job.blamed < MOST_BLAMED_BY_ONE_JOB => {
-                job.blamed += 1;
+            (FailureAttribution::ByOneJob, Some(job))
+                if job.terminated_for_failures < MOST_BLAMED_BY_ONE_JOB =>
+            {
+                job.terminated_for_failures += 1;
                 machine.retire_as_faulty();
             }
             _ => {}
@@ -132,12 +134,12 @@
 
     /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
     /// others are left that speak against them.
-    pub(super) fn acquit_machines(&mut self, context: &Context) {
+    pub(super) fn lift_quarantines(&mut self, context: &Context) {
         let suspect = |id: &str| self.jobs.is_suspect(id);
         for machine in self.machines.values_mut().filter(|m| m.faulty) {
             machine.forget_failures(suspect);
             if machine.blame() == FailureAttribution::None
-                && !self.fleet.is_releasing(&machine.name)
+                && !self.fleet.is_terminating(&machine.name)
             {
                 machine.keep_after_all();
                 self.placement.want(context.now.steady);
--- a/crates/core/src/workers/reports.rs
+++ b/crates/core/src/agents/heartbeat_status.rs
@@ -4,7 +4,7 @@
 
 impl Scheduler {
     /// Takes in a report. Returns false if a newer one is known already.
-    pub(super) fn on_report(
+    pub(super) fn apply_heartbeat(
         &mut self,
         context: &mut Context,
         report: Heartbeat,
@@ -17,62 +17,62 @@
                 Machine::new(&report, context.machine_type(&report.machine_type), now);
             // One that we wait for gets work at once; of others it must be seen first that our
             // answers reach them.
-            machine.hears = self.fleet.is_booting(&name);
+            machine.receives_responses = self.fleet.is_booting(&name);
             self.machines.insert(name.clone(), machine);
         }
         self.machine_is_up(context, &report);
         let Some(m) = self.machines.get_mut(&name) else {
             return false;
         };
-        if (report.session, report.sequence) <= (m.session, m.sequence) {
+        if (report.incarnation, report.sequence) <= (m.incarnation, m.sequence) {
             return false;
         }
         if m.address.is_empty() || m.cpus <= 0.0 {
             m.describe(&report, context.machine_type(&report.machine_type), now);
         }
         m.address = report.address.clone();
-        m.last_report = now;
-        m.recall_at = report.recall_s.map(|s| now + micros(s));
-        let new_session = report.session > m.session;
-        m.session = report.session;
+        m.last_contact_at = now;
+        m.reclaim_at = report.reclaim_s.map(|s| now + micros(s));
+        let new_session = report.incarnation > m.incarnation;
+        m.incarnation = report.incarnation;
         m.sequence = report.sequence;
-        if source == Source::Checkin {
-            m.checkin = (report.session, report.sequence);
-            m.last_checkin = now;
+        if source == Source::Heartbeat {
+            m.heartbeat = (report.incarnation, report.sequence);
+            m.last_heartbeat = now;
         }
         if report.token == self.token {
             // Until it saw our token, answers of an earlier leader that does not know of its end
             // renewed its lease; a check-in's own answer is yet to come.
             if !m.knows_token && source == Source::Direct {
-                m.last_answer = now;
+                m.last_response = now;
             }
             m.knows_token = true;
         }
         // A worker that has our answer reports here again well before the time after which one
         // without an answer gives up and goes elsewhere.
-        let in_time = now.saturating_sub(m.last_answer) < ANSWER_TIME;
-        if source == Source::Checkin && m.knows_token && in_time && !new_session {
-            m.hears = true;
-            m.deaf_since = None;
+        let in_time = now.saturating_sub(m.last_response) < ANSWER_TIME;
+        if source == Source::Heartbeat && m.knows_token && in_time && !new_session {
+            m.receives_responses = true;
+            m.unreachable_since = None;
         }
-        if new_session && report.session > 1 {
-            m.hears = false;
+        if new_session && report.incarnation > 1 {
+            m.receives_responses = false;
         }
         if new_session {
             m.exited_attempts.clear();
             // A new session: the worker has killed and forgotten every task of the earlier ones.
-            while let Some(at) = self.position(&name, |a| a.session < report.session) {
+            while let Some(at) = self.position(&name, |a| a.incarnation < report.incarnation) {
                 self.free(context, &name, at);
             }
         }
         if report.token == self.token {
             self.take_tasks(context, &report, source);
         }
-        if report.recall_s.is_some() {
+        if report.reclaim_s.is_some() {
             // Nothing is launched here any more: what waited for its record once waited on until
             // the machine was gone.
             self.free_unlaunched(context, &name);
-            self.drain_recalled(context, &name);
+            self.drain_reclaimed(context, &name);
             self.move_replicas(context, &name);
         }
         let mut deaf = false;
@@ -80,13 +80,13 @@
             if !m.assignments.is_empty() {
                 m.idle_since = now;
             }
-            if !m.hears {
+            if !m.receives_responses {
                 deaf = true;
-                let since = *m.deaf_since.get_or_insert(now);
-                if now.saturating_sub(since) > 2 * context.settings.lease && !m.closing {
+                let since = *m.unreachable_since.get_or_insert(now);
+                if now.saturating_sub(since) > 2 * context.settings.lease && !m.cordoned {
                     info!("{name}: reports, but no answer reaches it; to be returned");
-                    m.closing = true;
-                    self.fleet.release(&name, now);
+                    m.cordoned = true;
+                    self.fleet.terminate(&name, now);
                 }
             }
         }
@@ -153,7 +153,7 @@
             // The answer to a check-in may still bring a launch: absence proves nothing here.
             return;
         }
-        let newest = (report.session, report.sequence);
+        let newest = (report.incarnation, report.sequence);
         let mut lost = false;
         let mut at = 0;
         while let Some(a) = self
@@ -177,7 +177,7 @@
             }
         }
         if let (true, Some(m)) = (lost, self.machines.get_mut(name)) {
-            m.hears = false;
+            m.receives_responses = false;
         }
     }
 
--- a/crates/core/src/workers/pending_checkins.rs
+++ b/crates/core/src/agents/held_heartbeats.rs
@@ -6,10 +6,10 @@
 
 /// Longest time that a check-in waits for work. A worker gives up after [`ANSWER_TIME`], and its
 /// answer has yet to travel.
-const MOST_PARKED: Micros = 3 * SECOND;
+const MAX_LONG_POLL: Micros = 3 * SECOND;
 
 /// Check-ins that wait for work may hold one of so many sockets.
-const PARKED_SOCKETS: usize = 2;
+const LONG_POLL_SOCKETS: usize = 2;
 
 /// A check-in that is not answered yet.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     /// The round of placement that it waits for.
     pub round: u64,
     pub machine: String,
-    pub session: u64,
+    pub incarnation: u64,
     pub sequence: u64,
     pub until: Micros,
 }
@@ -65,51 +65,56 @@
 
 impl Scheduler {
     /// Requests of all check-ins that wait.
-    pub(crate) fn waiting_checkins(&self) -> Vec<u64> {
-        let parked = self.parked.by_machine.values();
-        self.pending_checkins
+    pub(crate) fn waiting_heartbeats(&self) -> Vec<u64> {
+        let long_polls = self.long_polls.by_machine.values();
+        self.held_heartbeats
             .iter()
-            .chain(parked)
+            .chain(long_polls)
             .map(|h| h.request)
             .collect()
     }
 
     /// The worker closed the connection of this request.
-    pub(crate) fn forget_checkin(&mut self, request: u64) {
-        self.pending_checkins.retain(|h| h.request != request);
-        let parked = self.parked.by_machine.values();
-        let machine = parked
+    pub(crate) fn forget_heartbeat(&mut self, request: u64) {
+        self.held_heartbeats.retain(|h| h.request != request);
+        let long_polls = self.long_polls.by_machine.values();
+        let machine = long_polls
             .into_iter()
             .find(|h| h.request == request)
             .map(|h| h.machine.clone());
         if let Some(machine) = machine {
-            self.parked.remove(&machine);
+            self.long_polls.remove(&machine);
         }
     }
 
     /// Refuses the machine's check-in that waits, if there is one.
-    pub(crate) fn refuse_pending(&mut self, context: &mut Context, machine: &str, why: &str) {
+    pub(crate) fn refuse_held_heartbeats(
+        &mut self,
+        context: &mut Context,
+        machine: &str,
+        why: &str,
+    ) {
         if let Some(at) = self
-            .pending_checkins
+            .held_heartbeats
             .iter()
             .position(|h| h.machine == machine)
         {
-            let pending = self.pending_checkins.remove(at);
+            let pending = self.held_heartbeats.remove(at);
             context.refuse(pending.request, 503, why);
         }
-        if let Some(pending) = self.parked.remove(machine) {
+        if let Some(pending) = self.long_polls.remove(machine) {
             context.refuse(pending.request, 503, why);
         }
     }
 
     /// Whether a check-in of the machine may wait for work: it has room, and no task of it is likely
     /// to end meanwhile, since the worker can tell so only after our answer.
-    pub(super) fn may_park(&self, context: &Context, machine: &str) -> bool {
+    pub(super) fn may_long_poll(&self, context: &Context, machine: &str) -> bool {
         let now = context.now.steady;
-        let span = parked_span(context);
+        let span = long_poll_span(context);
         // Each of them holds a connection: with more idle machines than sockets the others would
         // find none.
-        if self.parked.len() >= context.settings.sockets / PARKED_SOCKETS {
+        if self.long_polls.len() >= context.settings.sockets / LONG_POLL_SOCKETS {
             return false;
         }
         self.machines.get(machine).is_some_and(|m| {
@@ -122,49 +127,48 @@
         })
     }
 
-    pub(super) fn park(&mut self, context: &Context, mut pending: HeldHeartbeat) {
-        pending.until = context.now.steady + parked_span(context);
-        self.parked.insert(pending);
+    pub(super) fn hold_long_poll(&mut self, context: &Context, mut pending: HeldHeartbeat) {
+        pending.until = context.now.steady + long_poll_span(context);
+        self.long_polls.insert(pending);
     }
 
     /// The machine has got work: the answer to its check-in waits only until that is on record.
-    pub(crate) fn unpark(&mut self, context: &Context, machine: &str) {
-        if let Some(mut pending) = self.parked.remove(machine) {
+    pub(crate) fn wake_long_poll(&mut self, context: &Context, machine: &str) {
+        if let Some(mut pending) = self.long_polls.remove(machine) {
             pending.until = context.now.steady + HOLD;
-            if self.pending_checkins.is_empty() {
-                self.pending_until = pending.until;
+            if self.held_heartbeats.is_empty() {
+                self.held_until = pending.until;
             }
-            self.pending_checkins.push(pending);
+            self.held_heartbeats.push(pending);
         }
     }
 
     /// Answers the check-ins that wait for nothing any more, or have waited long enough.
-    pub(crate) fn run_pending(&mut self, context: &mut Context) {
+    pub(crate) fn run_held_heartbeats(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        while self.parked.next_until() <= now {
-            let Some((_, machine)) = self.parked.by_time.first().cloned() else {
+        while self.long_polls.next_until() <= now {
+            let Some((_, machine)) = self.long_polls.by_time.first().cloned() else {
                 break;
             };
-            if let Some(pending) = self.parked.remove(&machine) {
+            if let Some(pending) = self.long_polls.remove(&machine) {
                 let commands = self.commands(context, &pending);
-                self.answer_checkin(context, pending.request, commands);
+                self.answer_heartbeat(context, pending.request, commands);
             }
         }
-        if self.pending_checkins.is_empty() || !(self.pending_changed || now >= self.pending_until)
-        {
+        if self.held_heartbeats.is_empty() || !(self.held_changed || now >= self.held_until) {
             return;
         }
-        self.pending_changed = false;
-        for h in std::mem::take(&mut self.pending_checkins) {
+        self.held_changed = false;
+        for h in std::mem::take(&mut self.held_heartbeats) {
             if self.may_be_answered(context, &h) {
                 let commands = self.commands(context, &h);
-                self.answer_checkin(context, h.request, commands);
+                self.answer_heartbeat(context, h.request, commands);
             } else {
-                self.pending_checkins.push(h);
+                self.held_heartbeats.push(h);
             }
         }
-        self.pending_until = self
-            .pending_checkins
+        self.held_until = self
+            .held_heartbeats
             .iter()
             .map(|h| h.until)
             .min()
@@ -183,7 +187,7 @@
     fn waits_for_leader(&self, name: &str) -> bool {
         let machine = self.machines.get(name).filter(|_| self.is_holder());
         machine.is_some_and(|m| {
-            let unsettled = |e: &ExitedAttempt| !self.holding.is_settled(e.id());
+            let unsettled = |e: &ExitedAttempt| !self.holder_state.is_settled(e.id());
             m.exited_attempts.iter().any(unsettled)
                 && m.assignments.iter().all(|a| a.launched.is_some())
         })
@@ -194,7 +198,9 @@
             m.assignments.iter().any(|a| {
                 a.launched.is_none()
                     && a.stop.is_none()
-                    && !self.ledger.is_durable(&RecordId::Page(a.page), a.written)
+                    && !self
+                        .write_buffer
+                        .is_durable(&RecordId::Page(a.page), a.written)
             })
         })
     }
@@ -202,8 +208,8 @@
 
 /// How long a check-in may wait for work: the answer comes before the next report is due, so that
 /// the machine is heard as often as without.
-fn parked_span(context: &Context) -> Micros {
-    MOST_PARKED.min(context.settings.report * 3 / 4)
+fn long_poll_span(context: &Context) -> Micros {
+    MAX_LONG_POLL.min(context.settings.report * 3 / 4)
 }
 
 #[cfg(test)]
--- a/crates/core/src/workers/machine.rs
+++ b/crates/core/src/agents/machine.rs
@@ -9,7 +9,7 @@
     Never,
     Fetching,
     Running,
-    Saving,
+    Checkpointing,
 }
 
 /// Why and how a task is to be stopped.
@@ -28,7 +28,7 @@
     pub job_id: String,
     pub task: u64,
     pub attempt: u64,
-    pub session: u64,
+    pub incarnation: u64,
     pub page: u64,
     /// Number of the page's change that holds it; it may be launched once that is durable.
     pub written: u64,
@@ -76,7 +76,7 @@
             job_id: task.job.clone(),
             task: task.task,
             attempt: task.attempt,
-            session: task.session,
+            incarnation: task.incarnation,
             page: 0,
             written: 0,
             cpus: spec.map_or(0.0, |s| s.cpus),
@@ -112,7 +112,7 @@
     pub fn see(&mut self, status: &TaskStatus, now: Micros) {
         self.seen = match status {
             TaskStatus::Running => ObservedStatus::Running,
-            TaskStatus::Saving => ObservedStatus::Saving,
+            TaskStatus::Checkpointing => ObservedStatus::Checkpointing,
             TaskStatus::Fetching | TaskStatus::Exited => ObservedStatus::Fetching,
             TaskStatus::Unknown(word) => {
                 warn!("{}/{}: {word:?} as status", self.job_id, self.task);
@@ -198,20 +198,20 @@
     pub cpus: f64,
     pub gpus: f64,
     pub memory: f64,
-    pub session: u64,
+    pub incarnation: u64,
     pub sequence: u64,
     /// Whether it has reported under our token.
     pub knows_token: bool,
     /// The newest check-in, by (session, sequence). The answer to a direct command may overtake it.
-    pub checkin: (u64, u64),
+    pub heartbeat: (u64, u64),
     /// When it last checked in: only then can anything be launched.
-    pub last_checkin: Micros,
+    pub last_heartbeat: Micros,
     /// When it last checked in or answered a direct command.
-    pub last_report: Micros,
+    pub last_contact_at: Micros,
     /// When we last answered a check-in of it: its lease ends no later than a lease after that.
-    pub last_answer: Micros,
+    pub last_response: Micros,
     /// When the cloud takes it.
-    pub recall_at: Option<Micros>,
+    pub reclaim_at: Option<Micros>,
     pub assignments: Vec<Assignment>,
     /// CPUs, accelerators and memory that the assignments take, and the tasks that its holder is to place.
     pub used: (f64, f64, f64),
@@ -226,24 +226,24 @@
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     /// To be returned: nothing is placed on it any more.
-    pub closing: bool,
+    pub cordoned: bool,
     /// It is closing only to save its price: it takes work again if that waits for room.
-    pub emptying: bool,
+    pub draining: bool,
     /// Jobs whose tasks failed in a row without a success, a name for each task.
     pub errors: Vec<String>,
     /// It is closing because tasks failed here.
     pub faulty: bool,
     /// Nothing is placed on it before this time, after it refused a task.
-    pub shy_until: Micros,
+    pub quarantined_until: Micros,
     /// Idle work is kept off until then: room is being made for work of higher priority.
     pub kept_until: Micros,
     /// When the cloud's list first showed it.
     pub listed: Option<Micros>,
     /// Whether our answers reach it, as far as its reports show. Reports may arrive from a machine
     /// that no answer reaches, and copies of reports from one that is gone: neither gets work.
-    pub hears: bool,
+    pub receives_responses: bool,
     /// Since when it reports without hearing.
-    pub deaf_since: Option<Micros>,
+    pub unreachable_since: Option<Micros>,
 }
 
 /// Failures of one job's tasks in a row that a machine is blamed for.
@@ -275,14 +275,14 @@
             cpus: machine_type.map_or(0.0, |b| b.cpus),
             gpus: machine_type.map_or(0.0, |b| b.gpus),
             memory: machine_type.map_or(0.0, |b| b.memory_gb),
-            session: 0,
+            incarnation: 0,
             sequence: 0,
             knows_token: false,
-            checkin: (0, 0),
-            last_checkin: now,
-            last_report: now,
-            last_answer: now,
-            recall_at: None,
+            heartbeat: (0, 0),
+            last_heartbeat: now,
+            last_contact_at: now,
+            last_response: now,
+            reclaim_at: None,
             assignments: Vec::new(),
             used: (0.0, 0.0, 0.0),
             planned: Vec::new(),
@@ -295,15 +295,15 @@
                 .and_then(|b| b.fetch_gb_per_s)
                 .filter(|r| *r > 0.0)
                 .unwrap_or(1.0),
-            closing: false,
-            emptying: false,
+            cordoned: false,
+            draining: false,
             errors: Vec::new(),
             faulty: false,
-            shy_until: 0,
+            quarantined_until: 0,
             kept_until: 0,
             listed: None,
-            hears: false,
-            deaf_since: None,
+            receives_responses: false,
+            unreachable_since: None,
         }
     }
 
@@ -324,14 +324,14 @@
             planned: std::mem::take(&mut self.planned),
             reserved: self.reserved,
             exited_attempts: std::mem::take(&mut self.exited_attempts),
-            session: self.session,
+            incarnation: self.incarnation,
             sequence: self.sequence,
             knows_token: self.knows_token,
-            closing: self.closing,
-            emptying: self.emptying,
+            cordoned: self.cordoned,
+            draining: self.draining,
             listed: self.listed,
-            hears: self.hears,
-            deaf_since: self.deaf_since,
+            receives_responses: self.receives_responses,
+            unreachable_since: self.unreachable_since,
             ..known
         };
     }
@@ -416,8 +416,8 @@
     /// Takes no new tasks any more, and is returned once it is empty.
     pub(super) fn retire_as_faulty(&mut self) {
         warn!("{}: faulty, to be returned", self.name);
-        self.closing = true;
-        self.emptying = false;
+        self.cordoned = true;
+        self.draining = false;
         self.faulty = true;
     }
 
@@ -427,25 +427,27 @@
             "{}: not faulty, jobs that failed there fail elsewhere too",
             self.name
         );
-        self.closing = false;
+        self.cordoned = false;
         self.faulty = false;
     }
 
     /// Whether new tasks may be placed here.
     pub fn usable(&self, now: Micros, silence: Micros) -> bool {
-        self.hears && self.counts(now, silence)
+        self.receives_responses && self.counts(now, silence)
     }
 
     /// Whether the decider counts on it: also while it has yet to show that our answers reach it.
     /// A new leader, for whom that is all machines, once rented a second fleet meanwhile.
     pub fn counts(&self, now: Micros, silence: Micros) -> bool {
-        let doubtful = self.deaf_since.map_or(0, |at| now.saturating_sub(at));
-        !self.closing
+        let doubtful = self
+            .unreachable_since
+            .map_or(0, |at| now.saturating_sub(at));
+        !self.cordoned
             && doubtful <= ANSWER_TIME
-            && self.recall_at.is_none()
-            && self.session > 0
-            && self.shy_until <= now
-            && now.saturating_sub(self.last_checkin) <= silence
+            && self.reclaim_at.is_none()
+            && self.incarnation > 0
+            && self.quarantined_until <= now
+            && now.saturating_sub(self.last_heartbeat) <= silence
     }
 }
 
--- a/crates/core/src/workers/machine/tests.rs
+++ b/crates/core/src/agents/machine/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::test_support::first_report;
+use crate::test_support::first_heartbeat;
 
 fn machine(now: Micros) -> Machine {
-    let mut m = Machine::new(&first_report(), None, now);
-    m.session = 1;
+    let mut m = Machine::new(&first_heartbeat(), None, now);
+    m.incarnation = 1;
     m
 }
 
@@ -13,12 +13,12 @@
 fn a_machine_that_has_yet_to_hear_counts_for_a_while_but_gets_no_work() {
     let (now, silence) = (100 * SECOND, 5 * SECOND);
     let mut m = machine(now);
-    m.deaf_since = Some(now - SECOND);
+    m.unreachable_since = Some(now - SECOND);
     assert!(m.counts(now, silence) && !m.usable(now, silence));
-    m.deaf_since = Some(now - ANSWER_TIME - SECOND);
+    m.unreachable_since = Some(now - ANSWER_TIME - SECOND);
     assert!(!m.counts(now, silence));
-    m.hears = true;
-    m.deaf_since = None;
+    m.receives_responses = true;
+    m.unreachable_since = None;
     assert!(m.usable(now, silence));
 }
 
@@ -32,7 +32,7 @@
         job_id: "req-1".into(),
         task: 0,
         attempt: 1,
-        session: 1,
+        incarnation: 1,
         page: 0,
         written: 0,
         cpus: 1.0,
--- a/crates/core/src/workers/stops.rs
+++ b/crates/core/src/agents/stops.rs
@@ -32,7 +32,7 @@
         };
         let task = PlacedTask {
             machine: report.machine.clone(),
-            session: report.session,
+            incarnation: report.incarnation,
             job: job_id.to_string(),
             task,
             attempt: s.attempt,
@@ -40,7 +40,7 @@
         };
         let assignment = Assignment {
             page,
-            launched: Some((report.session, report.sequence)),
+            launched: Some((report.incarnation, report.sequence)),
             seen: ObservedStatus::Running,
             started: Some(now),
             stop: Some(Stop {
@@ -58,7 +58,7 @@
         };
         if !self.is_holder() {
             self.page_mut(page).add(&report.machine, &assignment);
-            self.ledger.touch(RecordId::Page(page), now);
+            self.write_buffer.mark_dirty(RecordId::Page(page), now);
         }
         self.hold(&report.machine, assignment);
         self.send_direct(context, &report.machine);
@@ -158,7 +158,7 @@
         }
         let body = DirectCommands {
             token: self.token,
-            session: m.session,
+            incarnation: m.incarnation,
             commands,
         };
         let address = m.address.clone();
@@ -167,7 +167,7 @@
             machine: name.to_string(),
         });
         context.call(
-            Target::Worker(address),
+            Target::Agent(address),
             "POST",
             "/do".into(),
             wire::to_cbor(&body),
@@ -186,11 +186,11 @@
         }
         match wire::from_cbor::<Heartbeat>(&body) {
             Ok(report) if report.machine == name && self.is_own_machine(name) => {
-                self.on_report(context, report, Source::Direct);
+                self.apply_heartbeat(context, report, Source::Direct);
                 // It came within the call's time: commands reach this session now.
                 if let (200, Some(m)) = (status, self.machines.get_mut(name)) {
-                    m.hears = true;
-                    m.deaf_since = None;
+                    m.receives_responses = true;
+                    m.unreachable_since = None;
                     self.placement.want(context.now.steady);
                 }
             }
@@ -208,12 +208,12 @@
     }
 
     /// Stops what cannot finish before the cloud takes the machine.
-    pub(super) fn drain_recalled(&mut self, context: &mut Context, name: &str) {
+    pub(super) fn drain_reclaimed(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
         let Some(m) = self.machines.get(name) else {
             return;
         };
-        let Some(left) = m.recall_at.map(|at| at.saturating_sub(now)) else {
+        let Some(left) = m.reclaim_at.map(|at| at.saturating_sub(now)) else {
             return;
         };
         let mut stops: Vec<(u64, Micros)> = Vec::new();
@@ -225,15 +225,15 @@
             if a.remaining(now, fetch) + SECOND < left {
                 continue;
             }
-            let flush = micros(job.spec.save_s);
+            let flush = micros(job.spec.checkpoint_duration_s);
             if job.is_daemon() {
                 // It serves on until there is room elsewhere, which is rented at once if there is none.
-                let saves = job.spec.checkpoint_s > 0.0;
+                let saves = job.spec.checkpoint_interval_s > 0.0;
                 let last = if saves { grace(flush) } else { 0 } + LAST_MOVE;
                 if left < last {
                     stops.push((a.attempt, if saves { grace(flush) } else { 0 }));
                 }
-            } else if job.spec.checkpoint_s > 0.0 {
+            } else if job.spec.checkpoint_interval_s > 0.0 {
                 if left < flush + 5 * SECOND {
                     stops.push((a.attempt, grace(flush)));
                 }
@@ -249,7 +249,7 @@
     /// Replicas on a machine that is to be returned, or that the cloud takes, never end by themselves:
     /// they are stopped once there is room for them elsewhere.
     pub(super) fn move_replicas(&mut self, context: &mut Context, name: &str) {
-        let going = |m: &&Machine| m.closing || m.recall_at.is_some();
+        let going = |m: &&Machine| m.cordoned || m.reclaim_at.is_some();
         let Some(m) = self.machines.get(name).filter(going) else {
             return;
         };
@@ -258,8 +258,8 @@
             let Some(job) = self.jobs.get(a.job).filter(|j| j.is_daemon()) else {
                 continue;
             };
-            let grace = match job.spec.checkpoint_s > 0.0 {
-                true => grace(micros(job.spec.save_s)),
+            let grace = match job.spec.checkpoint_interval_s > 0.0 {
+                true => grace(micros(job.spec.checkpoint_duration_s)),
                 false => 0,
             };
             // Those that move already mean the same room.
--- a/crates/core/src/workers/silence.rs
+++ b/crates/core/src/agents/unreachable.rs
@@ -5,7 +5,7 @@
 impl Scheduler {
     /// Whether no worker reaches this node though there should be some: then another node had
     /// better lead.
-    pub(crate) fn cut_from_workers(&self, context: &Context) -> bool {
+    pub(crate) fn cut_from_agents(&self, context: &Context) -> bool {
         let now = context.now.steady;
         // A worker that gets no answer for 4 s goes to another node, and its lease should still hold
         // when it finds the next leader there: a report and a half once reports are far apart.
@@ -19,7 +19,7 @@
         let lately = |m: &&Machine| {
             m.partition.is_none()
                 && m.knows_token
-                && now.saturating_sub(m.last_report) < silence * 4
+                && now.saturating_sub(m.last_contact_at) < silence * 4
         };
         match self.machines.values().filter(lately).count() {
             // Copies of a deleted machine's reports make no machine; nor does a page that lists one
@@ -64,22 +64,22 @@
                 self.run_remote_machine(context, &name);
                 continue;
             }
-            let silent = now.saturating_sub(m.last_report);
+            let silent = now.saturating_sub(m.last_contact_at);
             // A machine may answer direct commands and reach no controller: nothing can be launched there.
             // A replica was once placed on such a one again and again, each time for a further session.
-            let unheard = now.saturating_sub(m.last_checkin);
-            let lapsed = m.knows_token && now.saturating_sub(m.last_answer) > lease_end;
+            let unheard = now.saturating_sub(m.last_heartbeat);
+            let lapsed = m.knows_token && now.saturating_sub(m.last_response) > lease_end;
             let jobs = &self.jobs;
             let cancelled = |a: &Assignment| jobs.get(a.job).is_none_or(|j| j.cancelled.is_some());
             if lapsed && m.assignments.iter().any(cancelled) {
                 // A hanging machine may not know yet that its lease has run out, and cancelled tasks must
                 // be gone in time. Their proof is the release: were they freed before it is answered, the
                 // next leader would not know that it is due.
-                self.fleet.release(&name, now);
-                m.closing = true;
+                self.fleet.terminate(&name, now);
+                m.cordoned = true;
             }
-            let session = m.session;
-            let ended = |a: &Assignment| a.session <= session && !cancelled(a);
+            let incarnation = m.incarnation;
+            let ended = |a: &Assignment| a.incarnation <= incarnation && !cancelled(a);
             if lapsed && m.assignments.iter().any(ended) {
                 // The worker has seen our token, so only our answers renew its lease, and the
                 // last one is too old: it has killed every task and is in a new session.
@@ -90,7 +90,7 @@
                     .filter(|a| ended(a))
                     .map(|a| a.attempt)
                     .collect();
-                m.session += 1;
+                m.incarnation += 1;
                 m.sequence = 0;
                 m.exited_attempts.clear();
                 while let Some(at) = self.position(&name, |a| attempts.contains(&a.attempt)) {
@@ -116,11 +116,11 @@
                 silent_serving.push((silent, name.clone()));
             }
             if overdue_cancel || (hearing && unheard > silent_release(lease)) {
-                if self.fleet.release(&name, now) {
+                if self.fleet.terminate(&name, now) {
                     info!("{name}: released, silent for {} s", unheard / SECOND);
                 }
                 if let Some(m) = self.machines.get_mut(&name) {
-                    m.closing = true;
+                    m.cordoned = true;
                 }
             }
             // Reports may be further apart than a worker waits for an answer; then they do not show
@@ -129,10 +129,10 @@
             let Some(m) = self.machines.get(&name) else {
                 continue;
             };
-            if !m.hears
-                && !m.closing
+            if !m.receives_responses
+                && !m.cordoned
                 && silent < 2 * report
-                && now.saturating_sub(m.last_answer) >= ASK_AFTER
+                && now.saturating_sub(m.last_response) >= ASK_AFTER
                 && self.direct.len() < MOST_ASKED
             {
                 self.send_commands(context, &name, true);
@@ -150,7 +150,7 @@
             if !useless.is_empty() {
                 self.stop_on(context, &name, 0, |a| useless.contains(&a.attempt));
             }
-            self.drain_recalled(context, &name);
+            self.drain_reclaimed(context, &name);
             self.move_replicas(context, &name);
             self.send_direct(context, &name);
         }
@@ -164,12 +164,14 @@
         let Some(m) = self.machines.get(name) else {
             return;
         };
-        let unheard = now.saturating_sub(m.last_checkin);
-        let session = m.session;
-        if m.recall_at.is_some() || unheard > 3 * report {
+        let unheard = now.saturating_sub(m.last_heartbeat);
+        let incarnation = m.incarnation;
+        if m.reclaim_at.is_some() || unheard > 3 * report {
             self.free_unlaunched(context, name);
         }
-        while let Some(at) = self.position(name, |a| a.launched.is_none() && a.session != session) {
+        while let Some(at) = self.position(name, |a| {
+            a.launched.is_none() && a.incarnation != incarnation
+        }) {
             self.free(context, name, at);
         }
         let Some(m) = self.machines.get(name) else {
@@ -183,11 +185,15 @@
         // A holder that hears no other machine cannot tell whose silence it is; the leader can.
         let silence = silent_release(context.settings.lease);
         let hearing = now.saturating_sub(self.heard_at) < 3 * report;
-        let patience = match m.partition.is_some_and(|id| self.remote.is_synced(id)) && hearing {
+        let patience = match m
+            .partition
+            .is_some_and(|id| self.remote_partitions.is_synced(id))
+            && hearing
+        {
             true => silence,
             false => 3 * silence,
         };
-        if (overdue || unheard > patience) && self.fleet.release(name, now) {
+        if (overdue || unheard > patience) && self.fleet.terminate(name, now) {
             info!(
                 "{name}: released, its holder has not heard it for {} s",
                 unheard / SECOND
@@ -214,13 +220,13 @@
         for (silence, name) in silent {
             if *silence < context.settings.report * 3 + 2 * SECOND {
                 self.send_commands(context, name, true);
-            } else if silent.len() <= few && self.fleet.release(name, now) {
+            } else if silent.len() <= few && self.fleet.terminate(name, now) {
                 info!(
                     "{name}: released, silent for {} s with replicas on it",
                     silence / SECOND
                 );
                 if let Some(m) = self.machines.get_mut(name) {
-                    m.closing = true;
+                    m.cordoned = true;
                 }
             }
         }
--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -12,9 +12,9 @@
 use std::collections::BTreeMap;
 
 /// Most cancelled jobs that are remembered.
-const MOST_KNOWN: usize = 10_000;
+const MAX_KNOWN: usize = 10_000;
 /// Most cancellations in one answer to another node.
-const MOST_TOLD: usize = 1_000;
+const MAX_TOLD: usize = 1_000;
 
 /// A cancellation of a job that is not known to be over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
 
     /// Drops the oldest of too many. What was told before is not remembered any more then.
     fn bound(&mut self) {
-        while self.known.len() > MOST_KNOWN {
+        while self.known.len() > MAX_KNOWN {
             let oldest = self.known.iter().min_by_key(|(_, k)| k.cancelled_us);
             let Some((id, known)) = oldest.map(|(id, k)| (id.clone(), *k)) else {
                 return;
@@ -100,8 +100,8 @@
         });
         let mut jobs: Vec<(String, u64)> = told.collect();
         // The list must be whole; if it cannot be, it does not say that it is.
-        let whole = jobs.len() <= MOST_TOLD;
-        jobs.truncate(MOST_TOLD);
+        let whole = jobs.len() <= MAX_TOLD;
+        jobs.truncate(MAX_TOLD);
         Confirmed {
             question,
             remembers_us: self
--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -62,7 +62,7 @@
 #[test]
 fn a_list_that_is_not_whole_does_not_say_that_it_is() {
     let mut p = peer(0, "req-0", S);
-    for n in 1..=MOST_TOLD {
+    for n in 1..=MAX_TOLD {
         p.tell(&format!("req-{n}"), S, 5);
     }
     assert_eq!(p.confirmed(1, None, 2 * S).remembers_us, None);
@@ -72,7 +72,7 @@
 #[test]
 fn what_was_dropped_is_not_remembered() {
     let mut p = peer(0, "req-first", 3 * S);
-    for n in 0..MOST_KNOWN {
+    for n in 0..MAX_KNOWN {
         p.learn(&format!("req-{n:05}"), 100 + n as u64);
     }
     assert!(p.get("req-first").is_none());
--- a/crates/core/src/done.rs
+++ b/crates/core/src/completed_tasks.rs
@@ -49,7 +49,7 @@
 
     /// The page that holds the span of the job; one with room is chosen the first time.
     pub fn page_of(&mut self, index: JobIndex, n: u64, job: &mut Job) -> u64 {
-        if let Some(page) = job.done_pages.get(&n) {
+        if let Some(page) = job.completed_pages.get(&n) {
             return *page;
         }
         let need = size(job, n);
@@ -69,7 +69,7 @@
         if p.spans.insert((index, n)) {
             p.bytes += need;
         }
-        job.done_pages.insert(n, page);
+        job.completed_pages.insert(n, page);
     }
 
     /// Moves spans off pages that are larger than a value may be, as an earlier leader with larger
@@ -91,7 +91,7 @@
                 };
                 let p = &mut self.pages[from];
                 p.bytes = p.bytes.saturating_sub(size(job, n));
-                job.done_pages.remove(&n);
+                job.completed_pages.remove(&n);
                 let to = self.page_of(index, n, job);
                 moves.push((from as u64, to));
             }
@@ -111,7 +111,7 @@
 
     /// Forgets a job that is over. Its entries vanish when their pages are next written.
     pub fn drop_job(&mut self, index: JobIndex, job: &Job) {
-        for (n, page) in &job.done_pages {
+        for (n, page) in &job.completed_pages {
             let need = size(job, *n);
             let p = self.page_mut(*page);
             if p.spans.remove(&(index, *n)) {
--- a/crates/core/src/node.rs
+++ b/crates/core/src/controller.rs
@@ -1,11 +1,11 @@
 //! One controller: dispatches inputs to the parts, and keeps what all of them share.
 
 use crate::cancellations::Cancellations;
+use crate::job_view::{JobView, JobViewCall};
 use crate::leadership::Role;
 use crate::leadership::{Election, Scheduler, UnprovenMachines};
-use crate::pace::RateLimiter;
-use crate::users::{FinishedJobs, FinishedReads, UserRequest};
-use crate::view::{JobView, JobViewCall};
+use crate::rate_limiter::RateLimiter;
+use crate::user_requests::{FinishedJobs, FinishedReads, UserRequest};
 use crate::{
     fleet, leadership, partitions, Call, Effect, Input, Interface, Micros, Now, Outcome, Settings,
     Stopwatch, Target, Tuning, MILLI, SECOND,
@@ -91,14 +91,14 @@
     /// Puts on behalf of users.
     pub writes: RateLimiter,
     /// Puts of the leader.
-    pub lead_writes: RateLimiter,
+    pub leader_writes: RateLimiter,
     /// Puts of this node as the holder of partitions.
     pub holder_writes: RateLimiter,
     pub cloud: RateLimiter,
     pub last_contact: Option<Micros>,
     /// When this process last stood still and went on. A reply to a call made before may have lain
     /// here all that time: it is no contact and no proof of a grant.
-    woke: Micros,
+    resumed_at: Micros,
     pub catalogue: Option<Vec<MachineType>>,
     /// Highest fencing token known.
     pub token: u64,
@@ -132,18 +132,18 @@
     }
 
     /// Gets from the state service.
-    pub fn get_state(&mut self, path: String, pending: CallPurpose) -> u64 {
+    pub fn get_from_store(&mut self, path: String, pending: CallPurpose) -> u64 {
         let nothing = Vec::new();
-        self.call(Target::State, "GET", path, nothing, STATE_TIMEOUT, pending)
+        self.call(Target::State, "GET", path, nothing, STORE_TIMEOUT, pending)
     }
 
     /// Reads one key of the state service.
     pub fn read_key(&mut self, key: &str, pending: CallPurpose) -> u64 {
-        self.get_state(format!("/kv/{key}"), pending)
+        self.get_from_store(format!("/kv/{key}"), pending)
     }
 
     /// Posts to the state service.
-    pub fn post_state<T: serde::Serialize>(
+    pub fn post_to_store<T: serde::Serialize>(
         &mut self,
         path: &str,
         body: &T,
@@ -154,7 +154,7 @@
             "POST",
             path.to_string(),
             wire::to_cbor(body),
-            STATE_TIMEOUT,
+            STORE_TIMEOUT,
             pending,
         )
     }
@@ -185,8 +185,8 @@
     }
 
     /// When this process last went on after it had stood still; 0 if it never did.
-    pub fn woke(&self) -> Micros {
-        self.woke
+    pub fn resumed_at(&self) -> Micros {
+        self.resumed_at
     }
 
     /// Whether the state service has answered within `span`.
@@ -200,13 +200,13 @@
     }
 
     /// Whether this node may hold partitions, and lead members that hold some.
-    pub fn understands_partitions(&self) -> bool {
+    pub fn supports_partitions(&self) -> bool {
         self.tuning.partitions_per_zone > 0
     }
 
     /// Whether holders of partitions place tasks, or let this node grant them what they need for it.
-    pub fn understands_allotments(&self) -> bool {
-        self.tuning.grants_allotments()
+    pub fn supports_quota_grants(&self) -> bool {
+        self.tuning.grants_quota()
     }
 
     /// Whether the state service takes enough changes for several members to write assignments: with fewer,
@@ -218,7 +218,7 @@
     /// The puts that may be made under a grant.
     pub(crate) fn writes_of(&mut self, role: Role) -> &mut RateLimiter {
         match role {
-            Role::Leader => &mut self.lead_writes,
+            Role::Leader => &mut self.leader_writes,
             Role::Holder(_) => &mut self.holder_writes,
         }
     }
@@ -230,7 +230,7 @@
             "DELETE",
             format!("/leases/{lease}"),
             Vec::new(),
-            STATE_TIMEOUT,
+            STORE_TIMEOUT,
             CallPurpose::Ignore,
         );
     }
@@ -242,7 +242,7 @@
 }
 
 /// How long the state service may take.
-pub const STATE_TIMEOUT: Micros = 1_500 * MILLI;
+pub const STORE_TIMEOUT: Micros = 1_500 * MILLI;
 /// Without contact for this long, a node takes no requests.
 pub const CONTACT_SPAN: Micros = 2_500 * MILLI;
 
@@ -250,10 +250,10 @@
 pub struct Controller {
     pub context: Context,
     pub election: Election,
-    pub lead: Option<Box<Scheduler>>,
+    pub leader: Option<Box<Scheduler>>,
     pub finished: FinishedJobs,
     pub finished_reads: FinishedReads,
-    pub view: JobView,
+    pub job_view: JobView,
     /// What the leader last said of live jobs: completed and running tasks.
     pub progress: BTreeMap<String, (u64, u64)>,
     /// Its part in the partitions of the fleet.
@@ -261,7 +261,7 @@
     /// What this node left unproven when it last stepped down.
     pub(crate) unproven: Option<UnprovenMachines>,
     catalogue_at: Micros,
-    catalogue_from_state: bool,
+    catalogue_from_store: bool,
     started: bool,
 }
 
@@ -279,7 +279,7 @@
         let (rps, write_rps) = (settings.state.rps, settings.state.write_rps);
         let user_writes = write_rps * (1.0 - LEADER_WRITES);
         let holder_rate = write_rps * HOLDER_WRITES / nodes;
-        let leader_part = match tuning.grants_allotments() && holder_rate >= LEAST_HOLDER_WRITES {
+        let leader_part = match tuning.grants_quota() && holder_rate >= LEAST_HOLDER_WRITES {
             true => LEADER_WRITES - HOLDER_WRITES,
             false => LEADER_WRITES,
         };
@@ -288,7 +288,7 @@
             // A burst of submissions may use most of one second's worth at one node.
             writes: RateLimiter::with_depth(user_writes / nodes, write_rps * 0.4),
             // The end of a job takes several changes at once: under a small rate these must add up.
-            lead_writes: RateLimiter::with_depth(write_rps * leader_part, write_rps.min(4.0)),
+            leader_writes: RateLimiter::with_depth(write_rps * leader_part, write_rps.min(4.0)),
             holder_writes: RateLimiter::with_depth(holder_rate, 2.0),
             cloud: RateLimiter::new(settings.cloud_rps * 0.8),
             settings,
@@ -299,7 +299,7 @@
             next_call: 0,
             calls: BTreeMap::new(),
             last_contact: None,
-            woke: 0,
+            resumed_at: 0,
             catalogue: None,
             token: 0,
             cancellations: Cancellations::default(),
@@ -307,15 +307,15 @@
         Controller {
             election: Election::new(seed),
             context,
-            lead: None,
+            leader: None,
             finished: FinishedJobs::new(20_000),
             finished_reads: FinishedReads::new(),
-            view: JobView::default(),
+            job_view: JobView::default(),
             progress: BTreeMap::new(),
             partitions: partitions::Partitions::default(),
             unproven: None,
             catalogue_at: 0,
-            catalogue_from_state: true,
+            catalogue_from_store: true,
             started: false,
         }
     }
@@ -330,7 +330,7 @@
             info!("{}: started", self.context.settings.member);
         } else if gap > self.context.tuning.leader_lease_us / 2 {
             // Timers fire far more often than that: the process stood still while time went on.
-            self.on_standstill(gap);
+            self.on_process_pause(gap);
         }
         match input {
             Input::Request {
@@ -341,8 +341,8 @@
                 body,
             } => self.on_request(id, interface, &method, &path, &body),
             Input::Gone { id } => {
-                for lead in self.grants_mut() {
-                    lead.forget_checkin(id);
+                for leader in self.schedulers_mut() {
+                    leader.forget_heartbeat(id);
                 }
             }
             Input::Reply { call, outcome } => self.on_reply(call, outcome),
@@ -354,24 +354,24 @@
 
     /// When the next [`Input::Tick`] is due.
     pub fn next_wake(&self) -> Micros {
-        let mut at = self.election.next_wake().min(self.view.next_wake());
+        let mut at = self.election.next_wake().min(self.job_view.next_wake());
         at = at.min(self.unproven_due());
         if self.context.catalogue.is_none() {
             at = at.min(self.catalogue_at);
         }
-        for lead in self.lead.iter().chain(self.partitions.holders.values()) {
-            at = at.min(lead.next_wake());
+        for leader in self.leader.iter().chain(self.partitions.holders.values()) {
+            at = at.min(leader.next_wake());
         }
-        if self.context.understands_partitions() {
+        if self.context.supports_partitions() {
             at = at.min(self.partitions.next_wake());
         }
         at.max(self.context.now.steady + MILLI)
     }
 
     /// All grants that this node acts under: as the leader, and as the holder of partitions.
-    pub(crate) fn grants_mut(&mut self) -> impl Iterator<Item = &mut Box<Scheduler>> {
+    pub(crate) fn schedulers_mut(&mut self) -> impl Iterator<Item = &mut Box<Scheduler>> {
         let holders = self.partitions.holders.values_mut();
-        self.lead.iter_mut().chain(holders)
+        self.leader.iter_mut().chain(holders)
     }
 
     /// Whether this node can take users' requests.
@@ -396,7 +396,7 @@
                         .refuse(id, 503, "no contact with the state service");
                 }
             }
-            "/checkin" if method == "POST" => self.on_checkin(id, body),
+            "/checkin" if method == "POST" => self.on_heartbeat(id, body),
             "/submissions" if method == "POST" => self.on_submission(id, body),
             "/healthz" | "/checkin" | "/submissions" => {
                 self.context.refuse(id, 405, "wrong method for this path")
@@ -455,12 +455,12 @@
         }
         let answer = PeerAnswer {
             member: self.context.settings.member.clone(),
-            state_contact_age_us: self.context.contact_age(),
+            store_contact_age_us: self.context.contact_age(),
             token: self.context.token,
             grant: self.election.grant(),
             confirmed,
-            partitions: self.context.understands_partitions(),
-            allotments: self.context.understands_allotments(),
+            partitions: self.context.supports_partitions(),
+            allotments: self.context.supports_quota_grants(),
             limits,
             report,
         };
@@ -476,7 +476,7 @@
         let Some((pending, made)) = self.context.calls.remove(&call) else {
             return;
         };
-        let stale = made < self.context.woke;
+        let stale = made < self.context.resumed_at;
         // Any answer but "unavailable" shows that the state service serves this node.
         let of_state = match &pending {
             CallPurpose::Election(_)
@@ -506,7 +506,7 @@
                 what: SchedulerCall::Extend,
                 ..
             } if stale && !matches!(outcome, Outcome::Answer { status: 404, .. }) => {}
-            CallPurpose::Scheduler { token, what } => self.on_lead_reply(token, what, outcome),
+            CallPurpose::Scheduler { token, what } => self.on_scheduler_reply(token, what, outcome),
             // A claim that was made before a standstill may have ended since.
             CallPurpose::PartitionClaim { partition, step } if stale => {
                 self.on_claim(partition, step, Outcome::Unknown)
@@ -517,10 +517,10 @@
             CallPurpose::PartitionMap(call) => self.on_partition_map(call, outcome),
             // What users are told may have changed too: it is asked for anew.
             CallPurpose::User(user) if stale => self.on_user_reply(user, Outcome::Unknown),
-            CallPurpose::JobView(what) if stale => self.on_view(what, made, Outcome::Unknown),
+            CallPurpose::JobView(what) if stale => self.on_job_view(what, made, Outcome::Unknown),
             CallPurpose::User(user) => self.on_user_reply(user, outcome),
-            CallPurpose::JobView(what) => self.on_view(what, made, outcome),
-            CallPurpose::Catalogue(from_state) => self.on_catalogue(from_state, outcome),
+            CallPurpose::JobView(what) => self.on_job_view(what, made, outcome),
+            CallPurpose::Catalogue(from_store) => self.on_catalogue(from_store, outcome),
             CallPurpose::Contact { peer, question } => {
                 self.on_contact(peer, question, made, outcome)
             }
@@ -528,31 +528,31 @@
         }
     }
 
-    fn on_catalogue(&mut self, from_state: bool, outcome: Outcome) {
+    fn on_catalogue(&mut self, from_store: bool, outcome: Outcome) {
         let Outcome::Answer { status: 200, body } = outcome else {
             // Not in state yet: the cloud knows. Not at the cloud either: ask state again.
-            self.catalogue_from_state = !from_state;
+            self.catalogue_from_store = !from_store;
             return;
         };
-        let machine_types = if from_state {
+        let machine_types = if from_store {
             wire::from_cbor::<wire::http::KeyValue<wire::http::Catalogue>>(&body).map(|e| e.value)
         } else {
             wire::from_cbor::<wire::http::Catalogue>(&body)
         };
         match machine_types {
             Ok(c) if !c.machine_types.is_empty() => self.context.catalogue = Some(c.machine_types),
-            Ok(_) => self.catalogue_from_state = !from_state,
+            Ok(_) => self.catalogue_from_store = !from_store,
             Err(e) => {
                 warn!("machine types: {e}");
-                self.catalogue_from_state = !from_state;
+                self.catalogue_from_store = !from_store;
             }
         }
     }
 
     /// The process stood still, by its clocks for `gap`.
-    fn on_standstill(&mut self, gap: Micros) {
+    fn on_process_pause(&mut self, gap: Micros) {
         warn!("stood still for {} ms", gap / MILLI);
-        self.context.woke = self.context.now.steady;
+        self.context.resumed_at = self.context.now.steady;
         self.doubt_grant();
     }
 
@@ -560,7 +560,7 @@
         let now = self.context.now.steady;
         if self.context.catalogue.is_none() && now >= self.catalogue_at {
             self.catalogue_at = now + 500 * MILLI;
-            if self.catalogue_from_state {
+            if self.catalogue_from_store {
                 self.context
                     .read_key(wire::records::CATALOGUE, CallPurpose::Catalogue(true));
             } else if self.context.cloud.take(now, 1.0) {
@@ -575,8 +575,8 @@
             }
         }
         self.run_election();
-        self.run_view();
-        self.run_lead(watch);
+        self.run_job_view();
+        self.run_leader(watch);
         self.run_partitions(watch);
         self.run_unproven();
     }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The fleet: renting by the deadline decider, boots, returns, and the cloud's machine list.
 
+use crate::agents::{grace, silent_release, Machine};
+use crate::controller::{Context, SchedulerCall};
 use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
 use crate::leadership::Scheduler;
-use crate::ledger::RecordId;
-use crate::node::{Context, SchedulerCall};
 use crate::placement::{permits, slots};
-use crate::workers::{grace, silent_release, Machine};
+use crate::write_buffer::RecordId;
 use crate::{micros, Micros, Outcome, Target, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
@@ -16,8 +16,8 @@
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
-mod decider;
-mod returns;
+mod autoscaler;
+mod scale_in;
 
 /// A call to the cloud.
 #[derive(Clone, Debug)]
@@ -25,15 +25,15 @@
     Types,
     List,
     PendingProvision { name: String },
-    Release { machines: Vec<String> },
+    Terminate { machines: Vec<String> },
 }
 
 /// How long the removal of what was on a released machine may wait to be written.
-const RELEASED_DELAY: Micros = 2 * SECOND;
+const TERMINATED_DELAY: Micros = 2 * SECOND;
 /// So many boots of a type given up in a row double the time that the next ones get.
 const GIVEN_UP: u32 = 10;
 /// Most names in one release.
-pub(crate) const RELEASE_MOST: usize = 100;
+pub(crate) const MAX_TERMINATIONS: usize = 100;
 const CLOUD_TIMEOUT: Micros = 4 * SECOND;
 
 /// A machine that was rented and has not reported yet.
@@ -69,20 +69,20 @@
 #[derive(Debug)]
 pub struct Fleet {
     boots: BTreeMap<String, Boot>,
-    rentals: BTreeMap<String, PendingProvision>,
+    provisions: BTreeMap<String, PendingProvision>,
     counter: u64,
     /// Machines whose release was answered, and when.
     gone: BTreeMap<String, Micros>,
     /// Machines to be released.
-    releasing: BTreeSet<String>,
-    release_busy: bool,
-    release_at: Micros,
+    terminating: BTreeSet<String>,
+    terminate_busy: bool,
+    terminate_at: Micros,
     list_at: Micros,
     list_busy: bool,
     list: Vec<wire::http::ListedMachine>,
     list_since: Option<String>,
     /// Machines that the list shows as up but that never reported, since when.
-    mute: BTreeMap<String, Micros>,
+    never_reported: BTreeMap<String, Micros>,
     decide_at: Micros,
     pub types_at: Micros,
     types_busy: bool,
@@ -99,17 +99,17 @@
     pub fn new(now: Micros) -> Self {
         Fleet {
             boots: BTreeMap::new(),
-            rentals: BTreeMap::new(),
+            provisions: BTreeMap::new(),
             counter: 0,
             gone: BTreeMap::new(),
-            releasing: BTreeSet::new(),
-            release_busy: false,
-            release_at: now,
+            terminating: BTreeSet::new(),
+            terminate_busy: false,
+            terminate_at: now,
             list_at: now,
             list_busy: false,
             list: Vec::new(),
             list_since: None,
-            mute: BTreeMap::new(),
+            never_reported: BTreeMap::new(),
             decide_at: now + SECOND,
             types_at: now + 60 * SECOND,
             types_busy: false,
@@ -125,8 +125,8 @@
         if !self.list_busy {
             at = at.min(self.list_at);
         }
-        at = at.min(self.release_wake());
-        for h in self.rentals.values() {
+        at = at.min(self.termination_wake());
+        for h in self.provisions.values() {
             if h.written && !h.asking && h.unlisted.is_none() {
                 at = at.min(h.retry_at);
             }
@@ -135,12 +135,12 @@
     }
 
     /// The record of a rental that is still open.
-    pub fn rental_record(&self, name: &str) -> Option<ProvisionRecord> {
-        self.rentals.get(name).map(|h| h.record.clone())
+    pub fn provision_record(&self, name: &str) -> Option<ProvisionRecord> {
+        self.provisions.get(name).map(|h| h.record.clone())
     }
 
-    pub fn rental_written(&mut self, now: Micros, name: &str) {
-        if let Some(h) = self.rentals.get_mut(name) {
+    pub fn provision_written(&mut self, now: Micros, name: &str) {
+        if let Some(h) = self.provisions.get_mut(name) {
             h.written = true;
             h.retry_at = now;
         }
@@ -148,10 +148,10 @@
 
     /// Takes over a rental of an earlier leader: the same request is sent again by its name, which
     /// rents nothing twice.
-    pub fn recover_rental(&mut self, context: &Context, name: String, record: ProvisionRecord) {
+    pub fn recover_provision(&mut self, context: &Context, name: String, record: ProvisionRecord) {
         let now = context.now.steady;
         let age = context.now.wall.saturating_sub(record.requested_us);
-        let rental = PendingProvision {
+        let provision = PendingProvision {
             record,
             requested: now.saturating_sub(age),
             written: true,
@@ -159,7 +159,7 @@
             retry_at: now,
             unlisted: None,
         };
-        self.rentals.insert(name, rental);
+        self.provisions.insert(name, provision);
     }
 
     /// Whether a list of the cloud's was taken in.
@@ -180,16 +180,16 @@
     }
 
     /// When the next release goes out.
-    pub(crate) fn release_wake(&self) -> Micros {
-        match self.releasing.is_empty() || self.release_busy {
+    pub(crate) fn termination_wake(&self) -> Micros {
+        match self.terminating.is_empty() || self.terminate_busy {
             true => Micros::MAX,
-            false => self.release_at,
+            false => self.terminate_at,
         }
     }
 
     /// Whether the machine's return is under way.
-    pub fn is_releasing(&self, name: &str) -> bool {
-        self.releasing.contains(name)
+    pub fn is_terminating(&self, name: &str) -> bool {
+        self.terminating.contains(name)
     }
 
     /// Whether we wait for the machine to come up.
@@ -198,15 +198,15 @@
     }
 
     /// Wants the machine returned. False if that is under way already.
-    pub fn release(&mut self, name: &str, now: Micros) -> bool {
-        self.release_at = self.release_at.min(now);
-        !self.is_gone(name) && self.releasing.insert(name.to_string())
+    pub fn terminate(&mut self, name: &str, now: Micros) -> bool {
+        self.terminate_at = self.terminate_at.min(now);
+        !self.is_gone(name) && self.terminating.insert(name.to_string())
     }
 
     /// Booting machines, including those of rentals that are not answered yet.
     fn booting(&self) -> usize {
         let asked: u64 = self
-            .rentals
+            .provisions
             .values()
             .filter(|h| h.unlisted.is_none())
             .map(|h| h.record.number)
@@ -219,7 +219,7 @@
     /// A machine reports: if it was booting, it is up now.
     pub(crate) fn machine_is_up(&mut self, context: &Context, report: &Heartbeat) {
         let now = context.now.steady;
-        self.fleet.mute.remove(&report.machine);
+        self.fleet.never_reported.remove(&report.machine);
         if let Some(boot) = self.fleet.boots.remove(&report.machine) {
             self.placement.want(now);
             if !boot.up {
@@ -232,7 +232,7 @@
                 }
             }
         }
-        for h in self.fleet.rentals.values_mut() {
+        for h in self.fleet.provisions.values_mut() {
             if let Some(unlisted) = &mut h.unlisted {
                 unlisted.remove(&report.machine);
             }
@@ -243,8 +243,8 @@
         let now = context.now.steady;
         // A release may be what a cancellation waits for. Hires without an outcome, each asked for anew
         // after a second, could take all calls that the cloud's limit leaves.
-        self.send_releases(context);
-        self.send_rentals(context);
+        self.send_terminations(context);
+        self.send_provisions(context);
         if now >= self.fleet.list_at && !self.fleet.list_busy && context.cloud.take(now, 1.0) {
             self.fleet.list_busy = true;
             let since = match &self.fleet.list_since {
@@ -278,32 +278,32 @@
         if now >= self.fleet.decide_at {
             self.fleet.decide_at = now + context.tuning.decider_interval_us;
             self.check_boots(context);
-            self.standby
+            self.headroom
                 .update(context, &self.jobs, self.machines.len());
             self.decide(context);
             self.give_back(context);
             self.consolidate(context);
-            self.close_rentals(context);
+            self.close_provisions(context);
         }
     }
 
-    fn send_rentals(&mut self, context: &mut Context) {
+    fn send_provisions(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let ready: Vec<String> = self
             .fleet
-            .rentals
+            .provisions
             .iter()
             .filter(|(_, h)| h.written && !h.asking && h.unlisted.is_none() && h.retry_at <= now)
             .map(|(n, _)| n.clone())
             .collect();
         for name in ready {
             if !context.cloud.take(now, 1.0) {
-                if let Some(h) = self.fleet.rentals.get_mut(&name) {
+                if let Some(h) = self.fleet.provisions.get_mut(&name) {
                     h.retry_at = context.cloud.ready_at(now, 1.0);
                 }
                 continue;
             }
-            let Some(h) = self.fleet.rentals.get_mut(&name) else {
+            let Some(h) = self.fleet.provisions.get_mut(&name) else {
                 continue;
             };
             h.asking = true;
@@ -327,22 +327,27 @@
     }
 
     /// Sends releases that are due.
-    pub(crate) fn send_releases(&mut self, context: &mut Context) {
+    pub(crate) fn send_terminations(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let f = &mut self.fleet;
-        if f.releasing.is_empty() || f.release_busy || now < f.release_at {
+        if f.terminating.is_empty() || f.terminate_busy || now < f.terminate_at {
             return;
         }
         if !context.cloud.take(now, 1.0) {
-            f.release_at = context.cloud.ready_at(now, 1.0);
+            f.terminate_at = context.cloud.ready_at(now, 1.0);
             return;
         }
-        f.release_busy = true;
-        let machines: Vec<String> = f.releasing.iter().take(RELEASE_MOST).cloned().collect();
+        f.terminate_busy = true;
+        let machines: Vec<String> = f
+            .terminating
+            .iter()
+            .take(MAX_TERMINATIONS)
+            .cloned()
+            .collect();
         let body = MachineNames {
             machines: machines.clone(),
         };
-        let pending = self.pending(SchedulerCall::Fleet(FleetCall::Release { machines }));
+        let pending = self.pending(SchedulerCall::Fleet(FleetCall::Terminate { machines }));
         context.call(
             Target::Cloud,
             "POST",
@@ -367,9 +372,12 @@
                 self.fleet.types_busy = false;
                 match wire::from_cbor::<Catalogue>(&body) {
                     Ok(c) if status == 200 && !c.machine_types.is_empty() => {
-                        let known = self.ledger.stamps.contains_key(wire::records::CATALOGUE);
+                        let known = self
+                            .write_buffer
+                            .mod_revisions
+                            .contains_key(wire::records::CATALOGUE);
                         if !known || context.catalogue.as_ref() != Some(&c.machine_types) {
-                            self.ledger.touch(RecordId::Catalogue, now);
+                            self.write_buffer.mark_dirty(RecordId::Catalogue, now);
                         }
                         context.catalogue = Some(c.machine_types);
                     }
@@ -399,32 +407,34 @@
                     }
                 }
             }
-            FleetCall::PendingProvision { name } => self.on_rental(context, &name, status, &body),
-            FleetCall::Release { machines } => {
-                self.fleet.release_busy = false;
+            FleetCall::PendingProvision { name } => {
+                self.on_provisioned(context, &name, status, &body)
+            }
+            FleetCall::Terminate { machines } => {
+                self.fleet.terminate_busy = false;
                 if status == 200 {
                     for name in machines {
-                        self.released(context, &name);
+                        self.terminated(context, &name);
                     }
                 } else {
-                    self.fleet.release_at = now + SECOND + context.jitter(SECOND / 2);
+                    self.fleet.terminate_at = now + SECOND + context.jitter(SECOND / 2);
                 }
             }
         }
     }
 
     /// A release was answered 200: the machine and all that was on it are gone.
-    pub(crate) fn released(&mut self, context: &mut Context, name: &str) {
+    pub(crate) fn terminated(&mut self, context: &mut Context, name: &str) {
         if let Some(partition) = self.machines.get(name).and_then(|m| m.partition) {
-            self.remote.note_released(partition, name);
+            self.remote_partitions.note_terminated(partition, name);
         }
-        self.fleet.releasing.remove(name);
+        self.fleet.terminating.remove(name);
         self.fleet.gone.insert(name.to_string(), context.now.steady);
         while self.fleet.gone.len() > 20_000 {
             self.fleet.gone.pop_first();
         }
         self.fleet.boots.remove(name);
-        self.fleet.mute.remove(name);
+        self.fleet.never_reported.remove(name);
         while let Some(page) = self
             .machines
             .get(name)
@@ -433,18 +443,18 @@
         {
             self.free(context, name, 0);
             // No report will tell the next leader: it would wait for this machine's lease.
-            let due = context.now.steady + RELEASED_DELAY;
+            let due = context.now.steady + TERMINATED_DELAY;
             if !self.is_holder() {
-                self.ledger.touch_by(RecordId::Page(page), due);
+                self.write_buffer.mark_dirty_by(RecordId::Page(page), due);
             }
         }
         self.machines.remove(name);
-        self.refuse_pending(context, name, "the machine was returned");
+        self.refuse_held_heartbeats(context, name, "the machine was returned");
     }
 
-    fn on_rental(&mut self, context: &mut Context, name: &str, status: u16, body: &[u8]) {
+    fn on_provisioned(&mut self, context: &mut Context, name: &str, status: u16, body: &[u8]) {
         let now = context.now.steady;
-        let Some(h) = self.fleet.rentals.get_mut(name) else {
+        let Some(h) = self.fleet.provisions.get_mut(name) else {
             return;
         };
         h.asking = false;
@@ -463,7 +473,7 @@
                     } else {
                         self.fleet.unavailable.remove(&offer);
                     }
-                    let Some(h) = self.fleet.rentals.get_mut(name) else {
+                    let Some(h) = self.fleet.provisions.get_mut(name) else {
                         return;
                     };
                     let requested = h.requested;
@@ -490,12 +500,12 @@
             },
             503 if wire::from_cbor::<Refusal>(body).is_ok_and(|r| r.error == "no capacity") => {
                 self.no_capacity(now, offer);
-                self.drop_rental(context, name);
+                self.drop_provision(context, name);
             }
             400 => {
                 warn!("{name}: the cloud calls the request malformed");
                 self.no_capacity(now, offer);
-                self.drop_rental(context, name);
+                self.drop_provision(context, name);
             }
             // No clear outcome: the same request again, by the same name.
             _ => h.retry_at = now + SECOND + context.jitter(SECOND / 2),
@@ -508,10 +518,10 @@
         entry.0 = now + ((5 * SECOND) << entry.1.saturating_sub(1)).min(20 * SECOND);
     }
 
-    fn drop_rental(&mut self, context: &Context, name: &str) {
-        if self.fleet.rentals.remove(name).is_some() {
+    fn drop_provision(&mut self, context: &Context, name: &str) {
+        if self.fleet.provisions.remove(name).is_some() {
             // Rendered as a deletion.
-            self.ledger.touch(
+            self.write_buffer.mark_dirty(
                 RecordId::PendingProvision(name.to_string()),
                 context.now.steady,
             );
@@ -520,16 +530,16 @@
 
     /// Ends rentals whose machines the list or their own reports show: from then on a new leader
     /// finds them there.
-    fn close_rentals(&mut self, context: &mut Context) {
+    fn close_provisions(&mut self, context: &mut Context) {
         let closed: Vec<String> = self
             .fleet
-            .rentals
+            .provisions
             .iter()
             .filter(|(_, h)| h.unlisted.as_ref().is_some_and(BTreeSet::is_empty))
             .map(|(n, _)| n.clone())
             .collect();
         for name in closed {
-            self.drop_rental(context, &name);
+            self.drop_provision(context, &name);
         }
     }
 
@@ -541,7 +551,7 @@
         let old = 4 * context.settings.list_lag + 30 * SECOND;
         self.find_taken(context, &list);
         for p in list {
-            for h in self.fleet.rentals.values_mut() {
+            for h in self.fleet.provisions.values_mut() {
                 if let Some(unlisted) = &mut h.unlisted {
                     unlisted.remove(&p.id);
                 }
@@ -550,13 +560,13 @@
                 if now.saturating_sub(*at) > old {
                     // Still there long after its release was answered: release it again.
                     self.fleet.gone.remove(&p.id);
-                    self.fleet.release(&p.id, now);
+                    self.fleet.terminate(&p.id, now);
                 }
                 continue;
             }
             if p.status == "failed" {
                 info!("{}: failed", p.id);
-                self.fleet.release(&p.id, now);
+                self.fleet.terminate(&p.id, now);
                 continue;
             }
             if let Some(boot) = self.fleet.boots.get_mut(&p.id) {
@@ -571,7 +581,7 @@
                 continue;
             }
             if p.status == "running" {
-                self.fleet.mute.entry(p.id.clone()).or_insert(now);
+                self.fleet.never_reported.entry(p.id.clone()).or_insert(now);
             }
             self.fleet.boots.entry(p.id.clone()).or_insert_with(|| {
                 info!("{}: not known until now", p.id);
@@ -603,16 +613,16 @@
             }
             // A list may be older than the one before it, by as much as the lag allows.
             let long_ago = 2 * context.settings.list_lag + 2 * SECOND;
-            let from_state = m.address.is_empty().then_some(self.loaded_at);
-            let since = m.listed.or(from_state);
+            let from_store = m.address.is_empty().then_some(self.loaded_at);
+            let since = m.listed.or(from_store);
             if since.is_some_and(|at| now.saturating_sub(at) > long_ago)
-                && now.saturating_sub(m.last_report) > 2 * context.settings.report + SECOND
+                && now.saturating_sub(m.last_contact_at) > 2 * context.settings.report + SECOND
             {
                 taken.push(m.name.clone());
             }
         }
         for name in taken {
-            if self.fleet.release(&name, now) {
+            if self.fleet.terminate(&name, now) {
                 info!("{name}: gone from the list and silent");
             }
         }
@@ -624,7 +634,7 @@
         let now = context.now.steady;
         let lag = context.settings.list_lag;
         let hearing = now.saturating_sub(self.heard_at) < 3 * context.settings.report;
-        let mut release = Vec::new();
+        let mut terminate = Vec::new();
         let mut vanished = Vec::new();
         // What no list shows because there was none has not vanished: boots were once given up during
         // an outage of the cloud, and rented anew after it.
@@ -632,7 +642,7 @@
         for (name, b) in &self.fleet.boots {
             let limit = self.overdue_after(context, &b.machine_type);
             if !b.up && now.saturating_sub(b.requested) > limit + limit / 2 {
-                release.push(name.clone());
+                terminate.push(name.clone());
             } else if b
                 .listed
                 .is_some_and(|at| last_list.saturating_sub(at) > 3 * lag + 10 * SECOND)
@@ -644,17 +654,17 @@
         // released as late.
         let patience = silent_release(context.settings.lease).max(30 * SECOND);
         if hearing {
-            for (name, since) in &self.fleet.mute {
+            for (name, since) in &self.fleet.never_reported {
                 if now.saturating_sub(*since) > patience {
-                    release.push(name.clone());
+                    terminate.push(name.clone());
                 }
             }
         }
         for name in vanished {
             self.fleet.boots.remove(&name);
         }
-        for name in release {
-            if self.fleet.release(&name, now) {
+        for name in terminate {
+            if self.fleet.terminate(&name, now) {
                 info!("{name}: did not come up, released");
                 if let Some(boot) = self.fleet.boots.get(&name).filter(|b| !b.up) {
                     let machine_type = boot.machine_type.clone();
--- a/crates/core/src/fleet/decider.rs
+++ b/crates/core/src/fleet/autoscaler.rs
@@ -160,7 +160,7 @@
     /// Replicas, by job, on machines that are about to go: they need a slot elsewhere now.
     fn leaving_replicas(&self) -> BTreeMap<JobIndex, u64> {
         let mut leaving = BTreeMap::new();
-        let going = |m: &&Machine| m.closing || m.recall_at.is_some();
+        let going = |m: &&Machine| m.cordoned || m.reclaim_at.is_some();
         for m in self.machines.values().filter(going) {
             for a in &m.assignments {
                 let serves = self.jobs.get(a.job).is_some_and(|j| j.is_daemon());
@@ -191,7 +191,7 @@
         let zones = context.catalogue.iter().flatten().flat_map(|t| &t.zones);
         let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
         // What services are to find when they come takes no time of the fleet's.
-        if let Some((spec, n)) = self.standby.wanted() {
+        if let Some((spec, n)) = self.headroom.wanted() {
             for zone in zones
                 .iter()
                 .filter(|z| spec.zone.as_ref().is_none_or(|y| y == *z))
@@ -252,8 +252,8 @@
                 }
             };
             let n = (placeable as f64)
-                .min(room(limit.ceiling.cpus(), used.cpus(), plan.0, j.spec.cpus))
-                .min(room(limit.ceiling.gpus(), used.gpus(), plan.1, j.spec.gpus));
+                .min(room(limit.limit.cpus(), used.cpus(), plan.0, j.spec.cpus))
+                .min(room(limit.limit.gpus(), used.gpus(), plan.1, j.spec.gpus));
             if n < 0.5 {
                 continue;
             }
@@ -330,7 +330,7 @@
         }
         let asked = self
             .fleet
-            .rentals
+            .provisions
             .values()
             .map(|h| (&h.record, &h.unlisted));
         for (r, _) in asked.filter(|(_, unlisted)| unlisted.is_none()) {
@@ -394,7 +394,7 @@
             };
             // What is kept for services is no room for batch work: counted as such, it once kept all
             // other work of a small fleet waiting for good, since nothing was rented for it.
-            let kept = match self.standby.wanted() {
+            let kept = match self.headroom.wanted() {
                 Some((spec, n)) if permits(context, spec, &s.offer.0, &s.offer.1, s.offer.2) => {
                     let part = (spec.cpus / build.cpus.max(EPS))
                         .max(spec.memory_gb / build.memory_gb.max(EPS));
@@ -430,7 +430,12 @@
                 slots_of(build, &b.zone, b.spot, &work[i])
             }));
         }
-        for h in self.fleet.rentals.values().filter(|h| h.unlisted.is_none()) {
+        for h in self
+            .fleet
+            .provisions
+            .values()
+            .filter(|h| h.unlisted.is_none())
+        {
             let Some(build) = context.machine_type(&h.record.machine_type) else {
                 continue;
             };
@@ -466,7 +471,7 @@
             self.fleet.counter += 1;
             let name = format!("h-{}-{}", self.token, self.fleet.counter);
             info!("{name}: renting {number} of {machine_type} in {zone}, spot {spot}");
-            let rental = PendingProvision {
+            let provision = PendingProvision {
                 record: ProvisionRecord {
                     machine_type,
                     zone,
@@ -480,9 +485,10 @@
                 retry_at: now,
                 unlisted: None,
             };
-            self.fleet.rentals.insert(name.clone(), rental);
+            self.fleet.provisions.insert(name.clone(), provision);
             // The record is durable before the request goes out.
-            self.ledger.touch(RecordId::PendingProvision(name), now);
+            self.write_buffer
+                .mark_dirty(RecordId::PendingProvision(name), now);
         }
     }
 
@@ -541,7 +547,7 @@
                         .unavailable
                         .get(&offer)
                         .is_some_and(|(until, _)| *until > now);
-                    let asked = self.fleet.rentals.values().any(|h| {
+                    let asked = self.fleet.provisions.values().any(|h| {
                         h.unlisted.is_none()
                             && h.record.machine_type == offer.0
                             && h.record.zone == offer.1
--- a/crates/core/src/fleet/returns.rs
+++ b/crates/core/src/fleet/scale_in.rs
@@ -1,6 +1,6 @@
 //! What is returned, and what is emptied so that it can be.
 
-use super::decider::{power, slots_of, Work};
+use super::autoscaler::{power, slots_of, Work};
 use super::*;
 
 /// Beyond one, this part of the machines may be emptied at a time.
@@ -13,15 +13,15 @@
     /// work; and those that are closing, once they are empty.
     pub(super) fn give_back(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        let mut release: Vec<String> = Vec::new();
+        let mut terminate: Vec<String> = Vec::new();
         let mut idle: Vec<(bool, Micros, String)> = Vec::new();
         for m in self.machines.values() {
             let empty = m.assignments.is_empty() && m.planned.is_empty();
             if !empty || !m.exited_attempts.is_empty() {
                 continue;
             }
-            if m.closing || m.recall_at.is_some() {
-                release.push(m.name.clone());
+            if m.cordoned || m.reclaim_at.is_some() {
+                terminate.push(m.name.clone());
                 continue;
             }
             let hold = match m.spot {
@@ -69,18 +69,18 @@
         for name in chosen {
             info!("{name}: idle, returned");
             if let Some(m) = self.machines.get_mut(&name) {
-                m.closing = true;
+                m.cordoned = true;
             }
-            release.push(name);
+            terminate.push(name);
         }
-        for name in release {
+        for name in terminate {
             let Some(m) = self.machines.get_mut(&name) else {
                 continue;
             };
-            m.closing = true;
+            m.cordoned = true;
             let partition = m.partition;
-            if self.may_be_released(partition, &name) {
-                self.fleet.release(&name, now);
+            if self.may_be_terminated(partition, &name) {
+                self.fleet.terminate(&name, now);
             }
         }
     }
@@ -88,14 +88,14 @@
     /// Work has waited long, and the others have no room for it: machines that are being emptied take
     /// work again. They once stood half empty for as long as their last tasks took, while jobs waited
     /// and nothing could be rented.
-    fn stop_emptying(&mut self, now: Micros) {
-        for m in self.machines.values_mut().filter(|m| m.emptying) {
-            if m.assignments.is_empty() || self.fleet.is_releasing(&m.name) {
+    fn stop_draining(&mut self, now: Micros) {
+        for m in self.machines.values_mut().filter(|m| m.draining) {
+            if m.assignments.is_empty() || self.fleet.is_terminating(&m.name) {
                 continue;
             }
             info!("{}: is not emptied any more, work waits", m.name);
-            m.emptying = false;
-            m.closing = false;
+            m.draining = false;
+            m.cordoned = false;
             self.placement.want(now);
         }
     }
@@ -114,7 +114,7 @@
             .map(|(_, j)| now.saturating_sub(j.waiting_since.unwrap_or(now)))
             .max();
         if longest.is_some_and(|waited| waited > WAITED_LONG) {
-            self.stop_emptying(now);
+            self.stop_draining(now);
         }
         if longest.is_some() || now.saturating_sub(self.loaded_at) < context.tuning.idle_hold_us {
             return;
@@ -126,9 +126,9 @@
             .filter(|m| m.usable(now, silence))
             .collect();
         // A few at a time, as the fleet's size has it.
-        let emptying = |m: &&Machine| m.closing && !m.assignments.is_empty();
+        let draining = |m: &&Machine| m.cordoned && !m.assignments.is_empty();
         let most = 1 + usable.len() / EMPTIED_PART;
-        let most = most.saturating_sub(self.machines.values().filter(emptying).count());
+        let most = most.saturating_sub(self.machines.values().filter(draining).count());
         let mut free: f64 = usable.iter().map(|m| m.free().0).sum();
         let mut candidates: Vec<(bool, i64, &Machine)> = usable
             .iter()
@@ -166,8 +166,8 @@
                 });
                 let Some((_, r)) = place else { return false };
                 *r = (r.0 - a.cpus, r.1 - a.gpus, r.2 - a.memory);
-                if spec.checkpoint_s > 0.0 && a.remaining(now, 0) > 20 * SECOND {
-                    stops.push((a.attempt, grace(micros(spec.save_s))));
+                if spec.checkpoint_interval_s > 0.0 && a.remaining(now, 0) > 20 * SECOND {
+                    stops.push((a.attempt, grace(micros(spec.checkpoint_duration_s))));
                 }
                 true
             });
@@ -182,8 +182,8 @@
         for (name, stops) in chosen {
             info!("{name}: being emptied, {} tasks move", stops.len());
             if let Some(m) = self.machines.get_mut(&name) {
-                m.closing = true;
-                m.emptying = true;
+                m.cordoned = true;
+                m.draining = true;
             }
             for (attempt, grace) in stops {
                 self.stop_on(context, &name, grace, |a| a.attempt == attempt);
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn releases_go_before_rents() {
     let mut node = unread_leader(20 * SECOND);
-    let mut lead = node.lead.take().expect("a leader");
+    let mut leader = node.leader.take().expect("a leader");
     let context = &mut node.context;
     for n in 0..20 {
         let record = ProvisionRecord {
@@ -17,14 +17,15 @@
             number: 1,
             requested_us: 0,
         };
-        lead.fleet
-            .recover_rental(context, format!("h-7-{n}"), record);
+        leader
+            .fleet
+            .recover_provision(context, format!("h-7-{n}"), record);
     }
-    lead.fleet.release("n-000001", context.now.steady);
+    leader.fleet.terminate("n-000001", context.now.steady);
     context.cloud.drain(context.now.steady);
     context.now.steady = context.cloud.ready_at(context.now.steady, 1.0) + MILLI;
     context.out.clear();
-    lead.run_fleet(context);
+    leader.run_fleet(context);
     let paths: Vec<&str> = context
         .out
         .iter()
--- a/crates/core/src/standby.rs
+++ b/crates/core/src/headroom.rs
@@ -6,9 +6,9 @@
 //! known of it but that an aim may have a class start sooner than a machine boots: while no job of
 //! such a class was seen, ordinary machines are kept free in each zone.
 
+use crate::controller::Context;
 use crate::jobs::{fits_type, Job, Jobs, EPS};
 use crate::leadership::Scheduler;
-use crate::node::Context;
 use crate::placement::{permits, slots, OpenMachine};
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{Priority, Submission};
@@ -142,8 +142,8 @@
             spread: false,
             spot: false,
             expected_s: 0.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_duration_s: 0.0,
             deadline_s: None,
         })
     }
@@ -162,8 +162,8 @@
 impl Scheduler {
     /// Marks the room that is kept for services: in each zone that of machines with replicas first,
     /// then of the fullest, until it is as much as wanted.
-    pub(crate) fn keep_standby(&self, context: &Context, open: &mut [OpenMachine]) {
-        let Some((spec, wanted)) = self.standby.wanted() else {
+    pub(crate) fn keep_headroom(&self, context: &Context, open: &mut [OpenMachine]) {
+        let Some((spec, wanted)) = self.headroom.wanted() else {
             return;
         };
         let mut order: Vec<(bool, i64, usize)> = open
@@ -190,7 +190,7 @@
             let n = slots(o.free, spec).min(wanted - *sum);
             *sum += n;
             let room = |need: f64| need * n as f64;
-            o.standby = (room(spec.cpus), room(spec.gpus), room(spec.memory_gb));
+            o.headroom = (room(spec.cpus), room(spec.gpus), room(spec.memory_gb));
         }
     }
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/job_view.rs
@@ -7,8 +7,8 @@
 //! too much is read anew. Without requests it is brought up to date every second: so a node knows of
 //! all cancellations as of a moment that is recent, whatever happens next.
 
-use crate::node::{CallPurpose, Controller};
-use crate::users::{UserAction, UserRequest, UserRequestStage};
+use crate::controller::{CallPurpose, Controller};
+use crate::user_requests::{UserAction, UserRequest, UserRequestStage};
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValue, KeyValueList, WatchResponse};
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LiveJob {
     pub tasks: u64,
-    pub stamp: u64,
+    pub mod_revision: u64,
     pub cancelled: bool,
 }
 
@@ -101,7 +101,7 @@
         at
     }
 
-    fn put(&mut self, key: &str, value: &Value, stamp: u64) {
+    fn put(&mut self, key: &str, value: &Value, mod_revision: u64) {
         match JobKey::parse(key) {
             Some(JobKey::Live(id)) => {
                 let tasks = match wire::http::from_value::<JobRecord>(value) {
@@ -112,7 +112,7 @@
                     }
                 };
                 let job = self.entry(id);
-                (job.tasks, job.stamp) = (tasks, stamp);
+                (job.tasks, job.mod_revision) = (tasks, mod_revision);
             }
             Some(JobKey::Cancelled(id)) => self.entry(id).cancelled = true,
             None => {}
@@ -122,7 +122,7 @@
     fn entry(&mut self, id: &str) -> &mut LiveJob {
         self.live.entry(id.to_string()).or_insert(LiveJob {
             tasks: 0,
-            stamp: 0,
+            mod_revision: 0,
             cancelled: false,
         })
     }
@@ -141,7 +141,7 @@
 
     /// Whether the job was accepted for certain: it is live, or was seen to end lately.
     pub fn knows(&self, id: &str) -> bool {
-        self.live.get(id).is_some_and(|j| j.stamp > 0) || self.ended.iter().any(|e| e == id)
+        self.live.get(id).is_some_and(|j| j.mod_revision > 0) || self.ended.iter().any(|e| e == id)
     }
 
     fn restart(&mut self) {
@@ -155,23 +155,23 @@
 
 impl Controller {
     /// Lets a user's request wait for a view that is no older than the request.
-    pub(crate) fn wait_for_view(&mut self, call: UserRequest) {
-        self.view.waiting.push(call);
+    pub(crate) fn wait_for_job_view(&mut self, call: UserRequest) {
+        self.job_view.waiting.push(call);
     }
 
-    pub(crate) fn run_view(&mut self) {
+    pub(crate) fn run_job_view(&mut self) {
         let now = self.context.now.steady;
         let overdue = |c: &UserRequest| now >= c.patient_until();
-        if self.view.waiting.iter().any(overdue) {
-            let waiting = std::mem::take(&mut self.view.waiting);
+        if self.job_view.waiting.iter().any(overdue) {
+            let waiting = std::mem::take(&mut self.job_view.waiting);
             let (late, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(overdue);
-            self.view.waiting = rest;
+            self.job_view.waiting = rest;
             for call in late {
                 self.context
                     .refuse(call.request, 503, "the state service is not in time");
             }
         }
-        let v = &mut self.view;
+        let v = &mut self.job_view;
         let wanted = !v.built || !v.waiting.is_empty() || now >= v.refresh_at;
         if v.busy || now < v.next_at || !wanted {
             return;
@@ -203,13 +203,14 @@
                 (path, JobViewCall::WatchResponse)
             }
         };
-        self.context.get_state(path, CallPurpose::JobView(what));
+        self.context
+            .get_from_store(path, CallPurpose::JobView(what));
     }
 
     /// Takes the reply to a request of the view that was made at `made`.
-    pub(crate) fn on_view(&mut self, what: JobViewCall, made: Micros, outcome: Outcome) {
+    pub(crate) fn on_job_view(&mut self, what: JobViewCall, made: Micros, outcome: Outcome) {
         let now = self.context.now.steady;
-        self.view.busy = false;
+        self.job_view.busy = false;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
             // The same request would bring the same answer for good: the view is read anew, page by
@@ -224,7 +225,7 @@
                     Ok(list) if status == 200 => self.on_view_list(list),
                     _ => {
                         debug!("the view's list got {status}");
-                        self.view.next_at = now + 200 * MILLI;
+                        self.job_view.next_at = now + 200 * MILLI;
                     }
                 }
             }
@@ -232,20 +233,20 @@
                 (200, Ok(changes)) => {
                     for event in changes.events {
                         if let (Some(key), Some(value)) = (&event.put, &event.value) {
-                            self.view.put(key, value, event.stamp);
+                            self.job_view.put(key, value, event.mod_revision);
                             self.note_cancellation(key, value);
                         }
                         if let Some(key) = &event.delete {
-                            self.view.delete(key);
+                            self.job_view.delete(key);
                             // Nothing of a job that is over runs any more.
                             if let Some(JobKey::Live(id)) = JobKey::parse(key) {
                                 self.context.cancellations.forget(id);
                             }
                         }
                     }
-                    self.view.since = self.view.since.max(Some(changes.revision));
+                    self.job_view.since = self.job_view.since.max(Some(changes.revision));
                     self.context.cancellations.read_as_of(made);
-                    for call in std::mem::take(&mut self.view.asked) {
+                    for call in std::mem::take(&mut self.job_view.asked) {
                         if now >= call.patient_until() {
                             let why = "the state service is not in time";
                             self.context.refuse(call.request, 503, why);
@@ -255,9 +256,9 @@
                     }
                 }
                 (503, _) => {
-                    self.view.next_at = now + 200 * MILLI;
-                    self.view.refresh_at = now + REFRESH_AGAIN;
-                    for call in std::mem::take(&mut self.view.asked) {
+                    self.job_view.next_at = now + 200 * MILLI;
+                    self.job_view.refresh_at = now + REFRESH_AGAIN;
+                    for call in std::mem::take(&mut self.job_view.asked) {
                         self.context
                             .refuse(call.request, 503, "the state service is out of reach");
                     }
@@ -265,14 +266,14 @@
                 (status, _) => {
                     debug!("the view's changes got {status}");
                     // The same requests again, as long as they have patience.
-                    let mut again = std::mem::take(&mut self.view.asked);
-                    again.append(&mut self.view.waiting);
-                    self.view.waiting = again;
-                    self.view.next_at = now + 100 * MILLI;
-                    self.view.refresh_at = now + REFRESH_AGAIN;
+                    let mut again = std::mem::take(&mut self.job_view.asked);
+                    again.append(&mut self.job_view.waiting);
+                    self.job_view.waiting = again;
+                    self.job_view.next_at = now + 100 * MILLI;
+                    self.job_view.refresh_at = now + REFRESH_AGAIN;
                     if status != 0 && status != 429 {
                         // Too old, or not to be understood: it is read anew.
-                        self.view.restart();
+                        self.job_view.restart();
                     }
                 }
             },
@@ -280,17 +281,17 @@
     }
 
     fn on_view_list(&mut self, list: KeyValueList) {
-        let v = &mut self.view;
+        let v = &mut self.job_view;
         // Later pages may be newer: what changed since the first one is told again.
         v.since.get_or_insert(list.revision);
         let last = list.entries.last().map(|e: &KeyValue<Value>| e.key.clone());
         for e in &list.entries {
-            v.put(&e.key, &e.value, e.stamp);
+            v.put(&e.key, &e.value, e.mod_revision);
         }
         for e in &list.entries {
             self.note_cancellation(&e.key, &e.value);
         }
-        let v = &mut self.view;
+        let v = &mut self.job_view;
         if list.more && last.is_some() {
             v.after = last;
             return;
@@ -315,16 +316,19 @@
     /// The view is no older than the request.
     fn on_fresh_view(&mut self, mut call: UserRequest) {
         // A cancellation alone, such as an earlier version may have left behind, makes no live job.
-        let live = self.view.get(&call.job).filter(|job| job.stamp > 0);
+        let live = self
+            .job_view
+            .get(&call.job)
+            .filter(|job| job.mod_revision > 0);
         match live.cloned() {
             Some(job) if job.cancelled => {
-                call.live = Some((job.tasks, job.stamp));
+                call.live = Some((job.tasks, job.mod_revision));
                 self.user_cancelled(&call);
             }
             // A job whose record cannot be read (only such a one has no tasks) cannot run, but it stays
             // known: questions about it once went without an answer for good.
             Some(job) => {
-                call.live = Some((job.tasks, job.stamp));
+                call.live = Some((job.tasks, job.mod_revision));
                 self.user_found_live(call);
             }
             None => {
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,6 +1,6 @@
 //! Live jobs: which tasks are done, which are taken, and in what order jobs are served.
 
-use crate::node::Context;
+use crate::controller::Context;
 use crate::{micros, Micros, Settings, SECOND};
 pub use grebewood_wire::http::Shape;
 use grebewood_wire::http::{to_value, MachineType, Priority, Submission};
@@ -157,7 +157,7 @@
     /// Failures in a row without a success, and when to try again.
     pub errors: u32,
     /// Machines that were returned because its tasks alone kept failing there.
-    pub blamed: u32,
+    pub terminated_for_failures: u32,
     /// Machines on which its tasks failed, as many as are needed to suspect it.
     failed_on: BTreeSet<String>,
     pub retry_at: Micros,
@@ -174,7 +174,7 @@
     /// Its age when a task was first seen running.
     pub began_at: Option<Micros>,
     /// The pages that hold its completed tasks, by span.
-    pub done_pages: BTreeMap<u64, u64>,
+    pub completed_pages: BTreeMap<u64, u64>,
     /// Mean run time of its own tasks so far, with their number.
     pub run_mean: (Micros, u32),
     /// Since when tasks have been waiting without a place.
@@ -186,13 +186,13 @@
     /// Whether it has starved once.
     has_starved: bool,
     /// How many of its tasks were stopped for teams below their guarantee.
-    made_way: u64,
+    preempted: u64,
     pub shape: Shape,
     /// Replicas of a daemon that ended by themselves: how often in a row, and when they are started
     /// again.
     pauses: BTreeMap<u64, (u32, Micros)>,
     /// Machines on which a replica ended by itself, until when others come first.
-    shunned: BTreeMap<String, Micros>,
+    avoided_machines: BTreeMap<String, Micros>,
 }
 
 /// A replica that ran for as long as this begins a new row of ends.
@@ -215,7 +215,7 @@
             cancelled: None,
             ending: None,
             errors: 0,
-            blamed: 0,
+            terminated_for_failures: 0,
             failed_on: BTreeSet::new(),
             retry_at: 0,
             running_well_since: 0,
@@ -224,16 +224,16 @@
             delegated: 0,
             waiting_at_holders: 0,
             began_at: None,
-            done_pages: BTreeMap::new(),
+            completed_pages: BTreeMap::new(),
             run_mean: (0, 0),
             waiting_since: Some(now),
             placed_at: 0,
             catch_up: None,
             has_starved: false,
-            made_way: 0,
+            preempted: 0,
             shape: Shape::of(&record.spec).unwrap_or(Shape::Batch),
             pauses: BTreeMap::new(),
-            shunned: BTreeMap::new(),
+            avoided_machines: BTreeMap::new(),
             age_base: now as i64 - age,
             spec: record.spec,
         }
@@ -275,14 +275,17 @@
             n => (SECOND << (n - 2).min(6)).min(LONGEST_PAUSE),
         };
         *until = now + pause;
-        self.shunned.retain(|_, until| *until > now);
-        let shunned = now + 2 * LONGEST_PAUSE;
-        self.shunned.insert(machine.to_string(), shunned);
+        self.avoided_machines.retain(|_, until| *until > now);
+        let avoided_machines = now + 2 * LONGEST_PAUSE;
+        self.avoided_machines
+            .insert(machine.to_string(), avoided_machines);
     }
 
     /// Whether other machines come first for this job.
-    pub fn shuns(&self, machine: &str, now: Micros) -> bool {
-        self.shunned.get(machine).is_some_and(|until| *until > now)
+    pub fn avoids(&self, machine: &str, now: Micros) -> bool {
+        self.avoided_machines
+            .get(machine)
+            .is_some_and(|until| *until > now)
     }
 
     fn pauses(&self, task: u64, now: Micros) -> bool {
@@ -376,20 +379,20 @@
     /// that had starved them.
     pub fn preemption_priority(&self) -> Priority {
         let starved = self.has_starved && self.is_small();
-        match starved || self.has_made_way_enough() {
+        match starved || self.has_been_preempted_enough() {
             true => self.spec.priority.max(Priority::Normal),
             false => self.spec.priority,
         }
     }
 
     /// One of its tasks is stopped for a team below its guarantee.
-    pub fn note_made_way(&mut self) {
-        self.made_way += 1;
+    pub fn note_preempted(&mut self) {
+        self.preempted += 1;
     }
 
     /// Whether so many of its tasks were stopped for others that it is the turn of other jobs.
-    pub fn has_made_way_enough(&self) -> bool {
-        2 * self.made_way >= self.tasks()
+    pub fn has_been_preempted_enough(&self) -> bool {
+        2 * self.preempted >= self.tasks()
     }
 
     /// Notes that a task was placed.
@@ -494,7 +497,7 @@
     pub fn is_suspect(&self) -> bool {
         match self.shape {
             // No replica of a service ever succeeds.
-            Shape::Daemon => self.shunned.len() >= SUSPECT_MACHINES,
+            Shape::Daemon => self.avoided_machines.len() >= SUSPECT_MACHINES,
             _ => self.done_count == 0 && self.failed_on.len() >= SUSPECT_MACHINES,
         }
     }
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -4,18 +4,18 @@
 //! fencing token (`token` on the wire): stamps only grow, so each new leader has a higher one,
 //! and every write of a leader is conditional on it.
 
-use crate::done::CompletedTaskPages;
+use crate::agents::{Assignment, HeldHeartbeat, LongPolls, Machine, Stop, TaskOnMachine};
+use crate::completed_tasks::CompletedTaskPages;
+use crate::controller::{CallPurpose, Context, Controller, SchedulerCall, STORE_TIMEOUT};
 use crate::fleet::Fleet;
+use crate::headroom::Headroom;
 use crate::jobs::{FinalStatus, Job, JobIndex, Jobs};
-use crate::ledger::{Batch, RecordId, Rendered, WriteBuffer};
-use crate::node::{CallPurpose, Context, Controller, SchedulerCall, STATE_TIMEOUT};
 use crate::partitions::{HolderState, RemotePartitions};
 use crate::placement::{Pages, Placement};
 use crate::quota::{HolderQuota, LeaderQuota};
-use crate::standby::Headroom;
 use crate::stats::Stats;
-use crate::users::{absent, put};
-use crate::workers::{Assignment, HeldHeartbeat, LongPolls, Machine, Stop, TaskOnMachine};
+use crate::user_requests::{absent, put};
+use crate::write_buffer::{Batch, RecordId, Rendered, WriteBuffer};
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_partition::{PartitionId, PartitionMap};
 use grebewood_quota::TeamAmounts;
@@ -26,7 +26,7 @@
 };
 use grebewood_wire::peer::{PeerAnswer, PeerRequest, PlacedTask};
 use grebewood_wire::records::{
-    allotment_key, cancel_key, job_key, partition_key, partition_of_page, CancelRecord,
+    cancel_key, job_key, partition_key, partition_of_page, quota_grant_key, CancelRecord,
     CompletedTasksPageRecord, FinishedJobRecord, JobKey, JobRecord, LeaderRecord,
     LegacyCompletedTasksRecord, PageRecord, ProvisionRecord, CATALOGUE, DONE, FINISHED, JOB,
     LEADER, LIMITS, OLD_CANCEL, PAGE, PARTITION, QUOTA, RENTAL, STATS,
@@ -35,9 +35,9 @@
 use log::{error, info, warn};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+mod completion;
 mod contact;
 mod election;
-mod endings;
 mod flush;
 mod loading;
 mod watches;
@@ -72,7 +72,7 @@
     abstain_until: Micros,
     incarnation: u64,
     /// When a lease was last asked for.
-    lease_at: Micros,
+    lease_requested_at: Micros,
     /// What each peer last said, by its place in the settings.
     peers: BTreeMap<usize, PeerView>,
     /// Number of the last question to the peers.
@@ -101,7 +101,7 @@
             next_probe: 0,
             abstain_until: 0,
             incarnation,
-            lease_at: 0,
+            lease_requested_at: 0,
             peers: BTreeMap::new(),
             question: 0,
             next_question: 0,
@@ -123,7 +123,7 @@
     pub fn leader_is(&self, member: &str, token: u64) -> bool {
         self.leader
             .as_ref()
-            .is_some_and(|(l, stamp)| l.member == member && *stamp == token)
+            .is_some_and(|(l, mod_revision)| l.member == member && *mod_revision == token)
     }
 
     /// Whether the leader, as far as one is known, understands partitions.
@@ -134,7 +134,7 @@
     /// The stamp of the leader's record, if there is a leader that understands partitions.
     pub(crate) fn partition_term(&self) -> Option<u64> {
         let leader = self.leader.as_ref().filter(|(l, _)| l.partitions);
-        leader.map(|(_, stamp)| *stamp)
+        leader.map(|(_, mod_revision)| *mod_revision)
     }
 
     /// Distinguishes this process from an earlier one of the same member.
@@ -194,7 +194,7 @@
     /// The lease.
     pub lease: u64,
     /// When the lease was asked for.
-    pub lease_at: Micros,
+    pub lease_requested_at: Micros,
 }
 
 /// Everything the leader works with. It is built from state after the grant, and dropped whole
@@ -202,13 +202,13 @@
 pub struct Scheduler {
     pub(crate) role: Role,
     /// The leader's part in partitions.
-    pub(crate) remote: RemotePartitions,
+    pub(crate) remote_partitions: RemotePartitions,
     /// A holder's part in its partition.
-    pub(crate) holding: HolderState,
+    pub(crate) holder_state: HolderState,
     /// The leader's part in allotments of the teams' limits.
     pub(crate) quota: LeaderQuota,
     /// A holder's part in them.
-    pub(crate) placer: HolderQuota,
+    pub(crate) holder_quota: HolderQuota,
     pub token: u64,
     lease: u64,
     extend_at: Micros,
@@ -227,20 +227,20 @@
     /// Most bytes of a value, and most changes of a transaction. They are those of the settings
     /// until the state service refuses what fits them.
     value_bytes: usize,
-    txn_ops: usize,
-    pub ledger: WriteBuffer,
+    transaction_operations: usize,
+    pub write_buffer: WriteBuffer,
     pub fleet: Fleet,
     pub stats: Stats,
     pub placement: Placement,
-    pub standby: Headroom,
-    pub pending_checkins: Vec<HeldHeartbeat>,
+    pub headroom: Headroom,
+    pub held_heartbeats: Vec<HeldHeartbeat>,
     /// When the first of them is answered whatever it waits for.
-    pub pending_until: Micros,
+    pub held_until: Micros,
     /// Check-ins of machines with room that wait for work.
-    pub parked: LongPolls,
+    pub long_polls: LongPolls,
     /// Something happened that any of them may have waited for.
-    pub pending_changed: bool,
-    pub done_pages: CompletedTaskPages,
+    pub held_changed: bool,
+    pub completed_pages: CompletedTaskPages,
     /// What each team uses, from assignment to proof, but for what holders have placed.
     pub usage: TeamAmounts,
     /// Jobs whose progress changed since the peers were told.
@@ -266,36 +266,37 @@
 }
 
 impl Controller {
-    pub(crate) fn run_lead(&mut self, watch: &mut dyn Stopwatch) {
-        if self.lead.is_none() {
+    pub(crate) fn run_leader(&mut self, watch: &mut dyn Stopwatch) {
+        if self.leader.is_none() {
             return;
         }
         self.check_contact();
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         // Without state nobody else can lead: to step down would only lose what this node knows, as
         // once when its only machine hung with a cancelled task in an outage.
-        if self.context.in_contact(2 * SECOND) && lead.cut_from_workers(&self.context) {
+        if self.context.in_contact(2 * SECOND) && leader.cut_from_agents(&self.context) {
             return self.step_down("no worker reaches this node", true);
         }
-        lead.run(&mut self.context, watch);
+        leader.run(&mut self.context, watch);
     }
 
     /// Takes the reply to a call that was made under the grant with this token.
-    pub(crate) fn on_lead_reply(&mut self, token: u64, what: SchedulerCall, outcome: Outcome) {
-        if let Some(lead) = self.lead.as_mut().filter(|lead| lead.token == token) {
-            if let Err(why) = lead.on_reply(&mut self.context, what, outcome) {
+    pub(crate) fn on_scheduler_reply(&mut self, token: u64, what: SchedulerCall, outcome: Outcome) {
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
+            if let Err(why) = leader.on_reply(&mut self.context, what, outcome) {
                 self.step_down(&why, false);
             }
             return;
         }
         let holder = self.partitions.holders.iter_mut();
-        let Some((id, lead)) = holder.into_iter().find(|(_, lead)| lead.token == token) else {
+        let Some((id, leader)) = holder.into_iter().find(|(_, leader)| leader.token == token)
+        else {
             return;
         };
         let id = *id;
-        if let Err(why) = lead.on_reply(&mut self.context, what, outcome) {
+        if let Err(why) = leader.on_reply(&mut self.context, what, outcome) {
             self.leave_partition(id, &why);
         }
     }
@@ -311,14 +312,14 @@
         let now = context.now.steady;
         Scheduler {
             role,
-            remote: RemotePartitions::default(),
-            holding: HolderState::default(),
+            remote_partitions: RemotePartitions::default(),
+            holder_state: HolderState::default(),
             quota: LeaderQuota::default(),
-            placer: HolderQuota::default(),
+            holder_quota: HolderQuota::default(),
             token: grant.token,
             lease: grant.lease,
             // The lease may be old already, if the state service is slow.
-            extend_at: grant.lease_at + context.tuning.leader_lease_us / 4,
+            extend_at: grant.lease_requested_at + context.tuning.leader_lease_us / 4,
             doubtful: false,
             loading: None,
             began: now,
@@ -328,17 +329,19 @@
             machines: BTreeMap::new(),
             pages: Scheduler::pages_of(role),
             value_bytes: context.settings.state.value_bytes,
-            txn_ops: context.settings.state.txn_ops,
-            ledger: WriteBuffer::default(),
+            transaction_operations: context.settings.state.transaction_operations,
+            write_buffer: WriteBuffer::default(),
             fleet: Fleet::new(now),
             stats: Stats::default(),
             placement: Placement::default(),
-            standby: Headroom::default(),
-            pending_checkins: Vec::new(),
-            parked: LongPolls::default(),
-            pending_until: 0,
-            pending_changed: false,
-            done_pages: CompletedTaskPages::new(page_bytes(context.settings.state.value_bytes)),
+            headroom: Headroom::default(),
+            held_heartbeats: Vec::new(),
+            long_polls: LongPolls::default(),
+            held_until: 0,
+            held_changed: false,
+            completed_pages: CompletedTaskPages::new(page_bytes(
+                context.settings.state.value_bytes,
+            )),
             usage: TeamAmounts::new(),
             progress_dirty: BTreeSet::new(),
             watches: BTreeMap::new(),
@@ -371,7 +374,7 @@
     /// Whether state has been read, and the holder of a partition knows all that may be on its
     /// machines, so that it can act.
     pub fn loaded(&self) -> bool {
-        self.loading.is_none() && (!self.is_holder() || self.holding.knows_tasks())
+        self.loading.is_none() && (!self.is_holder() || self.holder_state.knows_tasks())
     }
 
     /// Whether the live jobs have been read.
@@ -382,7 +385,7 @@
     /// Whether it is known which machines are in partitions.
     pub(crate) fn knows_partitions(&self, context: &Context) -> bool {
         let loading = self.loading.as_ref();
-        !context.understands_partitions()
+        !context.supports_partitions()
             || loading.is_none_or(|loading| !loading.missing.contains_key(PARTITION))
     }
 
@@ -439,11 +442,11 @@
         if self.is_holder() {
             return at.min(self.holder_wake());
         }
-        at = at.min(self.remote.next_wake());
-        if !self.pending_checkins.is_empty() {
-            at = at.min(self.pending_until);
+        at = at.min(self.remote_partitions.next_wake());
+        if !self.held_heartbeats.is_empty() {
+            at = at.min(self.held_until);
         }
-        at.min(self.parked.next_until())
+        at.min(self.long_polls.next_until())
             .min(self.placement.next_at)
             .min(self.next_machine_check)
             .min(self.fleet.next_wake())
@@ -486,12 +489,13 @@
             self.stats_at = now + 20 * SECOND;
             if self.stats.changed {
                 self.stats.changed = false;
-                self.ledger.touch_by(RecordId::Stats, now + SECOND);
+                self.write_buffer
+                    .mark_dirty_by(RecordId::Stats, now + SECOND);
             }
         }
         self.run_flush(context);
         self.run_sweep(context);
-        self.run_pending(context);
+        self.run_held_heartbeats(context);
         if now >= self.progress_at {
             self.progress_at = now + PROGRESS;
             self.send_progress(context);
--- a/crates/core/src/leadership/endings.rs
+++ b/crates/core/src/leadership/completion.rs
@@ -23,11 +23,11 @@
         if job.cancelled.is_some() {
             return;
         }
-        self.holding.note_cancelled(id, now);
+        self.holder_state.note_cancelled(id, now);
         let ago = record.map_or(0, |r| context.now.wall.saturating_sub(r.cancelled_us));
         job.cancelled = Some(now as i64 - ago as i64);
         job.ending = None;
-        self.recall_job(context, index);
+        self.revoke_job(context, index);
         self.stop_job(context, index);
         self.end_if_over(context, index);
     }
@@ -61,7 +61,7 @@
     /// The key of the job's cancellation that is on record.
     pub(super) fn cancellation_key(&self, id: &str) -> String {
         let old = format!("{OLD_CANCEL}{id}");
-        match self.ledger.stamps.contains_key(&old) {
+        match self.write_buffer.mod_revisions.contains_key(&old) {
             true => old,
             false => cancel_key(id),
         }
@@ -86,14 +86,16 @@
             job.ending = ending;
             let id = job.id.clone();
             let key = self.cancellation_key(&id);
-            if ending == Some(FinalStatus::Aborted) && !self.ledger.stamps.contains_key(&key) {
+            if ending == Some(FinalStatus::Aborted)
+                && !self.write_buffer.mod_revisions.contains_key(&key)
+            {
                 // It is known from a peer or a user's request only. A job ends as cancelled only if
                 // that is on record: its stamp is read first.
-                self.ledger.stale.push(key);
+                self.write_buffer.stale.push(key);
             }
             // An end frees what the user waits for, and room in every later read of state.
             let due = context.now.steady.saturating_sub(END_AHEAD);
-            self.ledger.touch_by(RecordId::Over(index), due);
+            self.write_buffer.mark_dirty_by(RecordId::Over(index), due);
         }
     }
 }
--- a/crates/core/src/leadership/contact.rs
+++ b/crates/core/src/leadership/contact.rs
@@ -1,7 +1,7 @@
 //! What a leader does without the state service: whether it may go on, and until when.
 
 use super::*;
-use crate::fleet::RELEASE_MOST;
+use crate::fleet::MAX_TERMINATIONS;
 use grebewood_partition::Member;
 
 /// Without an answer from the state service for this long, a leader doubts its contact.
@@ -27,7 +27,7 @@
     /// Whether one answered that does not understand partitions.
     pub any_without: bool,
     /// Whether one answered that does not understand allotments.
-    pub any_without_allotments: bool,
+    pub any_without_quota_grants: bool,
 }
 
 /// What a peer last said of its contact with the state service.
@@ -69,7 +69,7 @@
                 question,
                 // A little more than that: clocks drift.
                 known_us: known.map(|at| now.saturating_sub(at) + SECOND),
-                limits: self.lead.is_some() && self.context.understands_allotments(),
+                limits: self.leader.is_some() && self.context.supports_quota_grants(),
             });
             self.context.call(
                 Target::Peer(peer),
@@ -102,8 +102,8 @@
         if sibling.is_none_or(|s| s.member != answer.member) {
             return warn!("peer: {} answers in another's place", answer.member);
         }
-        let age = answer.state_contact_age_us;
-        let mut view = PeerView {
+        let age = answer.store_contact_age_us;
+        let mut job_view = PeerView {
             asked,
             contact: age.map(|age| asked.saturating_sub(age)),
             without_contact: age.is_none_or(|age| age >= SILENT),
@@ -112,10 +112,10 @@
             partitions: answer.partitions,
             allotments: answer.allotments,
         };
-        if let (Some(lead), Some(teams)) = (&mut self.lead, &answer.limits) {
+        if let (Some(leader), Some(teams)) = (&mut self.leader, &answer.limits) {
             // One that this leader asked for: an earlier process of the member may have had others.
-            if asked >= lead.began {
-                lead.on_limits_announced(&mut self.context, &answer.member, teams);
+            if asked >= leader.began {
+                leader.on_limits_announced(&mut self.context, &answer.member, teams);
             }
         }
         // Only the answer to this very question says what the peer has confirmed. An earlier
@@ -131,13 +131,13 @@
             if let Some(span) = confirmed.remembers_us {
                 // It began to remember no later than this, by our clock: clocks drift.
                 let from = now.saturating_sub(span - span / 1_000);
-                view.remembers_from = Some(from);
+                job_view.remembers_from = Some(from);
                 self.context.cancellations.covered(peer, asked, from);
             }
         }
         let known = self.election.peers.entry(peer).or_default();
         if asked >= known.asked {
-            *known = view;
+            *known = job_view;
         }
         self.settle_doubt();
     }
@@ -145,8 +145,8 @@
     /// Stops what runs of a job that is known to be cancelled, under whatever grant.
     pub(crate) fn apply_cancellation(&mut self, id: &str) {
         let holders = self.partitions.holders.values_mut();
-        for lead in self.lead.iter_mut().chain(holders) {
-            lead.apply_cancellation(&mut self.context, id);
+        for leader in self.leader.iter_mut().chain(holders) {
+            leader.apply_cancellation(&mut self.context, id);
         }
     }
 
@@ -155,53 +155,56 @@
     pub(crate) fn partition_members(&self) -> MemberView {
         let now = self.context.now.steady;
         let own = &self.context.settings;
-        let mut view = MemberView {
+        let mut job_view = MemberView {
             members: BTreeSet::from([Member {
                 name: own.member.clone(),
                 zone: own.zone.clone(),
             }]),
             all_answer: true,
             any_without: false,
-            any_without_allotments: false,
+            any_without_quota_grants: false,
         };
         for (place, sibling) in own.siblings.iter().enumerate() {
             let peer = self.election.peers.get(&place);
             let Some(peer) = peer.filter(|p| now.saturating_sub(p.asked) < MEMBER_SPAN) else {
-                view.all_answer = false;
+                job_view.all_answer = false;
                 continue;
             };
-            view.any_without_allotments |= !peer.allotments;
+            job_view.any_without_quota_grants |= !peer.allotments;
             if !peer.partitions {
-                view.any_without = true;
+                job_view.any_without = true;
             } else if !peer.without_contact {
-                view.members.insert(Member {
+                job_view.members.insert(Member {
                     name: sibling.member.clone(),
                     zone: sibling.zone.clone(),
                 });
             }
         }
-        view
+        job_view
     }
 
     /// After a standstill without contact: all peers, asked since, have been without contact too,
     /// and remember from before we lost ours that nobody else got a grant. So this is an outage, in
     /// which leases do not run out and nobody can be elected.
     fn settle_doubt(&mut self) {
-        let (woke, lost) = (self.context.woke(), self.context.last_contact.unwrap_or(0));
+        let (resumed_at, lost) = (
+            self.context.resumed_at(),
+            self.context.last_contact.unwrap_or(0),
+        );
         let siblings = 0..self.context.settings.siblings.len();
         let peers: Option<Vec<&PeerView>> = siblings.map(|p| self.election.peers.get(&p)).collect();
         let Some(peers) = peers else { return };
         let outage = peers.iter().all(|peer| {
-            peer.asked >= woke
+            peer.asked >= resumed_at
                 && peer.without_contact
                 && peer.remembers_from.is_some_and(|at| at <= lost)
         });
         if !outage {
             return;
         }
-        if let Some(lead) = &mut self.lead {
-            if peers.iter().all(|peer| peer.grant <= lead.token) {
-                lead.grant_holds();
+        if let Some(leader) = &mut self.leader {
+            if peers.iter().all(|peer| peer.grant <= leader.token) {
+                leader.grant_holds();
             }
         }
         // Nobody had contact at a moment at which a claim of ours could have run out.
@@ -242,16 +245,16 @@
     /// What a peer had confirmed while only this node was refused was once unknown here for as long
     /// as an outage lasted that came right after.
     pub(super) fn check_contact(&mut self) {
-        let Some(lead) = &self.lead else {
+        let Some(leader) = &self.leader else {
             return;
         };
-        if let Some(why) = self.lost_grant(lead) {
+        if let Some(why) = self.lost_grant(leader) {
             self.step_down(why, false);
         }
     }
 
     /// Why this node may act no longer under the grant, if it is so.
-    pub(crate) fn lost_grant(&self, lead: &Scheduler) -> Option<&'static str> {
+    pub(crate) fn lost_grant(&self, leader: &Scheduler) -> Option<&'static str> {
         let now = self.context.now.steady;
         let lost = self.context.last_contact?;
         if now.saturating_sub(lost) >= SILENT {
@@ -261,7 +264,7 @@
             for p in peers {
                 served |= p.contact.is_some_and(|c| c > lapsed);
                 // A later leader says nothing of a claim on a partition.
-                deposed |= lead.role == Role::Leader && p.grant > lead.token;
+                deposed |= leader.role == Role::Leader && p.grant > leader.token;
             }
             if deposed {
                 return Some("a peer knows of a later grant");
@@ -270,7 +273,7 @@
                 return Some("the state service serves a peer, not this node");
             }
         }
-        let blind = lead.loaded() && !self.may_renew();
+        let blind = leader.loaded() && !self.may_renew();
         blind.then_some("cancellations may be unknown here")
     }
 }
@@ -285,9 +288,9 @@
 
 impl Controller {
     /// Takes over what the leader that steps down leaves unproven.
-    pub(crate) fn leave_unproven(&mut self, lead: &Scheduler) {
+    pub(crate) fn leave_unproven(&mut self, leader: &Scheduler) {
         let names =
-            lead.unproven_machines(self.context.now.steady, 2 * self.context.settings.report);
+            leader.unproven_machines(self.context.now.steady, 2 * self.context.settings.report);
         if names.is_empty() {
             return;
         }
@@ -319,7 +322,7 @@
             return;
         }
         info!("released, with cancelled tasks: {}", left.names.join(", "));
-        for machines in left.names.chunks(RELEASE_MOST) {
+        for machines in left.names.chunks(MAX_TERMINATIONS) {
             let machines = machines.to_vec();
             self.context.call(
                 Target::Cloud,
@@ -345,7 +348,7 @@
         };
         self.machines
             .values()
-            .filter(|machine| now.saturating_sub(machine.last_report) > silence)
+            .filter(|machine| now.saturating_sub(machine.last_contact_at) > silence)
             .filter(may_run_cancelled)
             .map(|machine| machine.name.clone())
             .collect()
--- a/crates/core/src/leadership/contact/tests.rs
+++ b/crates/core/src/leadership/contact/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::test_support::{clocks, first_report, job_record, pass, unread_leader, WALL};
+use crate::test_support::{clocks, first_heartbeat, job_record, pass, unread_leader, WALL};
 use crate::{Effect, Input, Interface, NoStopwatch};
 use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, ReportedTask};
 
@@ -13,9 +13,9 @@
             attempt: 5,
             status: "running".into(),
             cause: None,
-            saved: None,
+            checkpointed: None,
         }],
-        ..first_report()
+        ..first_heartbeat()
     };
     let input = Input::Request {
         id: sequence,
@@ -61,8 +61,8 @@
     node.context.cancellations.read_as_of(20 * SECOND);
     assert_eq!(check_in(&mut node, 20 * SECOND, 1).0, 200);
     node.context.tuning.partitions_per_zone = 2;
-    let lead = node.lead.as_mut().expect("a leader");
-    lead.start_loading(&mut node.context);
+    let leader = node.leader.as_mut().expect("a leader");
+    leader.start_loading(&mut node.context);
     assert_eq!(check_in(&mut node, 20 * SECOND, 2).0, 503);
 }
 
@@ -93,7 +93,7 @@
             limits: None,
             report: None,
             member: member.into(),
-            state_contact_age_us: None,
+            store_contact_age_us: None,
             token: 7,
             grant: 7,
             confirmed: Some(grebewood_wire::peer::Confirmed {
@@ -119,11 +119,14 @@
 fn told_leader() -> Controller {
     let mut node = unread_leader(20 * SECOND);
     let record = job_record(1);
-    let lead = node.lead.as_mut().expect("a leader");
-    lead.add_job(&node.context, "job/req-1", &to_value(&record), 5);
+    let leader = node.leader.as_mut().expect("a leader");
+    leader.add_job(&node.context, "job/req-1", &to_value(&record), 5);
     let cancel = CancelRecord { cancelled_us: WALL };
-    lead.on_cancelled(&mut node.context, "req-1", Some(&cancel));
-    assert_eq!(lead.ledger.stale, vec!["job/req-1/cancel".to_string()]);
+    leader.on_cancelled(&mut node.context, "req-1", Some(&cancel));
+    assert_eq!(
+        leader.write_buffer.stale,
+        vec!["job/req-1/cancel".to_string()]
+    );
     node
 }
 
@@ -138,17 +141,17 @@
 fn a_cancellation_without_record_is_taken_back_only_if_the_job_is_not_over() {
     for over in [false, true] {
         let mut node = told_leader();
-        let lead = node.lead.as_mut().expect("a leader");
-        lead.on_refresh(&mut node.context, "job/req-1/cancel", answer(404, &()));
-        let cancelled = |lead: &Scheduler| {
-            let job = lead
+        let leader = node.leader.as_mut().expect("a leader");
+        leader.on_refresh(&mut node.context, "job/req-1/cancel", answer(404, &()));
+        let cancelled = |leader: &Scheduler| {
+            let job = leader
                 .jobs
                 .find("req-1")
-                .and_then(|index| lead.jobs.get(index));
+                .and_then(|index| leader.jobs.get(index));
             job.map(|j| j.cancelled.is_some())
         };
-        assert_eq!(cancelled(lead), Some(true));
-        assert_eq!(lead.ledger.stale, vec!["past/req-1".to_string()]);
+        assert_eq!(cancelled(leader), Some(true));
+        assert_eq!(leader.write_buffer.stale, vec!["past/req-1".to_string()]);
         let finished = FinishedJobRecord {
             status: "aborted".into(),
             tasks: 1,
@@ -162,8 +165,8 @@
             true => answer(200, &finished),
             false => answer(404, &()),
         };
-        lead.on_refresh(&mut node.context, "past/req-1", outcome);
-        assert_eq!(cancelled(lead), (!over).then_some(false));
-        assert!(lead.ledger.stale.is_empty());
+        leader.on_refresh(&mut node.context, "past/req-1", outcome);
+        assert_eq!(cancelled(leader), (!over).then_some(false));
+        assert!(leader.write_buffer.stale.is_empty());
     }
 }
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -8,7 +8,7 @@
         if now < self.election.next_probe {
             return;
         }
-        if self.lead.is_none() {
+        if self.leader.is_none() {
             self.election.next_probe = now + PROBE;
             if !self.election.busy {
                 self.election.busy = true;
@@ -29,7 +29,7 @@
     pub(crate) fn on_election(&mut self, step: ElectionStep, outcome: Outcome) {
         let now = self.context.now.steady;
         self.election.busy = false;
-        if self.lead.is_some() {
+        if self.leader.is_some() {
             return;
         }
         let (status, body) = match outcome {
@@ -39,25 +39,26 @@
         match (step, status) {
             (ElectionStep::Probe, 200) => match wire::from_cbor::<KeyValue<LeaderRecord>>(&body) {
                 Ok(e) => {
-                    self.context.token = self.context.token.max(e.stamp);
-                    self.election.grant = self.election.grant.max(e.stamp);
+                    self.context.token = self.context.token.max(e.mod_revision);
+                    self.election.grant = self.election.grant.max(e.mod_revision);
                     if e.value.member == self.context.settings.member {
                         // A grant of our own that we do not hold: an earlier process of ours had
                         // it, or a claim was applied late. Nobody acts under it, so it goes.
-                        let txn = Transaction {
+                        let transaction = Transaction {
                             when: vec![Condition {
                                 key: LEADER.into(),
-                                stamp: e.stamp,
+                                mod_revision: e.mod_revision,
                             }],
                             apply: vec![Operation::Delete {
                                 delete: LEADER.into(),
                             }],
                         };
-                        self.context.post_state("/txn", &txn, CallPurpose::Ignore);
+                        self.context
+                            .post_to_store("/txn", &transaction, CallPurpose::Ignore);
                         self.election.leader = None;
                         self.election.next_probe = now + 20 * MILLI;
                     } else {
-                        self.election.leader = Some((e.value, e.stamp));
+                        self.election.leader = Some((e.value, e.mod_revision));
                     }
                 }
                 Err(e) => warn!("record {LEADER}: {e}"),
@@ -66,11 +67,11 @@
                 self.election.leader = None;
                 if now >= self.election.abstain_until {
                     self.election.busy = true;
-                    self.election.lease_at = now;
+                    self.election.lease_requested_at = now;
                     let request = LeaseRequest {
                         ttl_ms: self.context.tuning.leader_lease_us / MILLI,
                     };
-                    self.context.post_state(
+                    self.context.post_to_store(
                         "/leases",
                         &request,
                         CallPurpose::Election(ElectionStep::Lease),
@@ -81,7 +82,7 @@
                 if let Ok(lease) = wire::from_cbor::<Lease>(&body) {
                     self.election.busy = true;
                     let record = self.own_leader_record();
-                    let txn = Transaction {
+                    let transaction = Transaction {
                         when: vec![absent(LEADER)],
                         apply: vec![Operation::Put {
                             put: LEADER.into(),
@@ -91,7 +92,7 @@
                     };
                     let step = ElectionStep::Claim { lease: lease.id };
                     self.context
-                        .post_state("/txn", &txn, CallPurpose::Election(step));
+                        .post_to_store("/txn", &transaction, CallPurpose::Election(step));
                 }
             }
             (ElectionStep::Claim { lease }, 200) => {
@@ -113,7 +114,7 @@
                         if e.value.member == self.context.settings.member
                             && e.value.incarnation == self.election.incarnation =>
                     {
-                        self.become_leader(e.stamp, lease)
+                        self.become_leader(e.mod_revision, lease)
                     }
                     _ => self.end_lease(lease),
                 }
@@ -130,8 +131,8 @@
         LeaderRecord {
             member: self.context.settings.member.clone(),
             incarnation: self.election.incarnation,
-            partitions: self.context.understands_partitions(),
-            allotments: self.context.understands_allotments(),
+            partitions: self.context.supports_partitions(),
+            allotments: self.context.supports_quota_grants(),
         }
     }
 
@@ -147,36 +148,36 @@
         let record = self.own_leader_record();
         self.election.leader = Some((record, token));
         self.election.peers.clear();
-        let mut lead = Box::new(Scheduler::new(
+        let mut leader = Box::new(Scheduler::new(
             &self.context,
             Role::Leader,
             FencedLease {
                 token,
                 lease,
-                lease_at: self.election.lease_at,
+                lease_requested_at: self.election.lease_requested_at,
             },
         ));
-        lead.start_loading(&mut self.context);
-        self.lead = Some(lead);
+        leader.start_loading(&mut self.context);
+        self.leader = Some(leader);
     }
 
     /// Stops acting as the leader. `resign`: gives the lease back and abstains for a while.
     pub(crate) fn step_down(&mut self, why: &str, resign: bool) {
-        let Some(lead) = self.lead.take() else {
+        let Some(leader) = self.leader.take() else {
             return;
         };
-        warn!("no longer leader with token {}: {why}", lead.token);
+        warn!("no longer leader with token {}: {why}", leader.token);
         if !resign {
-            self.leave_unproven(&lead);
+            self.leave_unproven(&leader);
         }
-        for request in lead.waiting_checkins() {
+        for request in leader.waiting_heartbeats() {
             self.context.refuse(request, 503, "not the leader any more");
         }
         self.election.leader = None;
         self.election.busy = false;
         self.election.next_probe = self.context.now.steady + 50 * MILLI;
         if resign {
-            self.end_lease(lead.lease);
+            self.end_lease(leader.lease);
             self.election.abstain_until = self.context.now.steady + 10 * SECOND;
         }
     }
@@ -185,24 +186,24 @@
     /// have run out, and others may have acted since. Check-ins that waited were given up.
     pub(crate) fn doubt_grant(&mut self) {
         let now = self.context.now.steady;
-        if self.lead.is_none() && self.partitions.holders.is_empty() {
+        if self.leader.is_none() && self.partitions.holders.is_empty() {
             return;
         }
-        for lead in self
-            .lead
+        for leader in self
+            .leader
             .iter_mut()
             .chain(self.partitions.holders.values_mut())
         {
-            lead.doubtful = true;
-            lead.extend_at = now;
+            leader.doubtful = true;
+            leader.extend_at = now;
             // Nobody could be heard meanwhile: that is no sign of being cut off from the workers.
-            lead.heard_at = now;
-            for request in lead.waiting_checkins() {
+            leader.heard_at = now;
+            for request in leader.waiting_heartbeats() {
                 self.context
                     .refuse(request, 503, "it is not certain who leads");
             }
-            lead.pending_checkins.clear();
-            lead.parked = LongPolls::default();
+            leader.held_heartbeats.clear();
+            leader.long_polls = LongPolls::default();
         }
         self.election.peers.clear();
         self.election.next_probe = now;
--- a/crates/core/src/leadership/flush.rs
+++ b/crates/core/src/leadership/flush.rs
@@ -15,17 +15,17 @@
 
 impl Scheduler {
     /// Whether the state service has failed to take the last writes in time.
-    pub(crate) fn state_is_slow(&self) -> bool {
+    pub(crate) fn store_is_slow(&self) -> bool {
         self.flush_failures > 0
     }
 
     /// Renders a record's current content.
     pub(super) fn render(&mut self, context: &Context, rec: &RecordId) -> Option<Rendered> {
         if let RecordId::Allotment(id) = rec {
-            return self.render_allotment(*id);
+            return self.render_quota_grant(*id);
         }
         let single = |key: String, change: Operation| Rendered {
-            when: vec![self.ledger.unchanged(&key)],
+            when: vec![self.write_buffer.unchanged(&key)],
             apply: vec![change],
         };
         match rec {
@@ -37,7 +37,7 @@
             }
             RecordId::Done(n) => {
                 let key = format!("{DONE}{n}");
-                let record = self.done_pages.record(*n, &self.jobs);
+                let record = self.completed_pages.record(*n, &self.jobs);
                 Some(single(key.clone(), put(key, &record)))
             }
             RecordId::Page(n) => {
@@ -46,9 +46,9 @@
             }
             RecordId::PendingProvision(name) => {
                 let key = format!("{RENTAL}{name}");
-                match self.fleet.rental_record(name) {
+                match self.fleet.provision_record(name) {
                     Some(record) => Some(single(key.clone(), put(key, &record))),
-                    None if self.ledger.stamps.contains_key(&key) => {
+                    None if self.write_buffer.mod_revisions.contains_key(&key) => {
                         Some(single(key.clone(), Operation::Delete { delete: key }))
                     }
                     None => None,
@@ -79,12 +79,12 @@
                 Some(single(LIMITS.into(), put(LIMITS.into(), &record)))
             }
             RecordId::Partition(id) => {
-                let record = self.remote.record(*id)?;
+                let record = self.remote_partitions.record(*id)?;
                 let key = partition_key(*id);
                 Some(single(key.clone(), put(key, record)))
             }
             RecordId::Deleted(key) => {
-                let known = self.ledger.stamps.contains_key(key);
+                let known = self.write_buffer.mod_revisions.contains_key(key);
                 let change = Operation::Delete {
                     delete: key.clone(),
                 };
@@ -100,7 +100,7 @@
                     tasks: job.tasks(),
                 };
                 let mut r = Rendered {
-                    when: vec![absent(&finished), self.ledger.unchanged(&live)],
+                    when: vec![absent(&finished), self.write_buffer.unchanged(&live)],
                     apply: vec![
                         put(finished, &record),
                         Operation::Delete {
@@ -112,15 +112,17 @@
                     // A cancellation that came first wins.
                     FinalStatus::Done => r.when.push(absent(&cancel)),
                     FinalStatus::Aborted => {
-                        r.when.push(self.ledger.unchanged(&cancel));
+                        r.when.push(self.write_buffer.unchanged(&cancel));
                         r.apply.push(Operation::Delete { delete: cancel });
                     }
                 }
                 // A record of an earlier version; if there are more, those are left behind,
                 // which costs room but is harmless.
                 let first = format!("{DONE}{}/0", job.id);
-                if self.ledger.stamps.contains_key(&first) && r.apply.len() < self.txn_ops {
-                    r.when.push(self.ledger.unchanged(&first));
+                if self.write_buffer.mod_revisions.contains_key(&first)
+                    && r.apply.len() < self.transaction_operations
+                {
+                    r.when.push(self.write_buffer.unchanged(&first));
                     r.apply.push(Operation::Delete { delete: first });
                 }
                 Some(r)
@@ -128,106 +130,106 @@
         }
     }
 
-    fn render_allotment(&mut self, id: PartitionId) -> Option<Rendered> {
+    fn render_quota_grant(&mut self, id: PartitionId) -> Option<Rendered> {
         if !self.quota.allotments.differs_from_record(id) {
             return None;
         }
-        let claim = self.remote.claim_token(id).unwrap_or(0);
+        let claim = self.remote_partitions.claim_token(id).unwrap_or(0);
         let record = self.quota.allotments.render(id, claim);
-        let key = allotment_key(id);
+        let key = quota_grant_key(id);
         Some(Rendered {
-            when: vec![self.ledger.unchanged(&key)],
+            when: vec![self.write_buffer.unchanged(&key)],
             apply: vec![put(key, &record)],
         })
     }
 
     /// When the next flush is due.
     pub(super) fn flush_wake(&self) -> Micros {
-        if self.ledger.in_flight.is_some() || self.write_conditions().is_none() {
+        if self.write_buffer.in_flight.is_some() || self.write_conditions().is_none() {
             return Micros::MAX;
         }
-        let due = self.ledger.next_due();
-        due.map_or(Micros::MAX, |due| due.max(self.ledger.not_before))
+        let due = self.write_buffer.next_due();
+        due.map_or(Micros::MAX, |due| due.max(self.write_buffer.not_before))
     }
 
     /// Writes dirty records, as many as one transaction and the rate allow.
     pub(crate) fn run_flush(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        if self.ledger.in_flight.is_some() || now < self.ledger.not_before {
+        if self.write_buffer.in_flight.is_some() || now < self.write_buffer.not_before {
             return;
         }
-        if self.ledger.next_due().is_none_or(|due| due > now) {
+        if self.write_buffer.next_due().is_none_or(|due| due > now) {
             return;
         }
         let Some(when) = self.write_conditions() else {
             return;
         };
-        if let Some(key) = self.ledger.stale.first().cloned() {
+        if let Some(key) = self.write_buffer.stale.first().cloned() {
             let pending = self.pending(SchedulerCall::Refresh { key: key.clone() });
-            self.ledger.back_off(now, STATE_TIMEOUT);
+            self.write_buffer.back_off(now, STORE_TIMEOUT);
             context.read_key(&key, pending);
             return;
         }
         let rate_left = context.writes_of(self.role).available(now);
-        let ops_left = self.txn_ops.min(rate_left);
-        let mut txn = Transaction {
+        let ops_left = self.transaction_operations.min(rate_left);
+        let mut transaction = Transaction {
             when,
             apply: Vec::new(),
         };
-        let mut record_ids = Vec::new();
+        let mut records = Vec::new();
         let mut bytes = 0;
         let mut short = false;
-        for rec in self.ledger.due(now) {
+        for rec in self.write_buffer.due(now) {
             // A record that may be what made a transaction invalid goes alone.
-            if !record_ids.is_empty() && self.ledger.is_suspect(&rec) {
+            if !records.is_empty() && self.write_buffer.is_suspect(&rec) {
                 continue;
             }
-            if self.ledger.must_wait(&rec, &record_ids) {
+            if self.write_buffer.must_wait(&rec, &records) {
                 continue;
             }
             let Some(r) = self.render(context, &rec) else {
-                self.ledger.forget(&rec);
+                self.write_buffer.forget(&rec);
                 continue;
             };
             let size = wire::to_cbor(&r.apply).len();
-            if txn.apply.len() + r.apply.len() > ops_left || bytes + size > 40 * 1024 {
+            if transaction.apply.len() + r.apply.len() > ops_left || bytes + size > 40 * 1024 {
                 short = true;
-                if record_ids.is_empty() && ops_left >= Context::cost(&rec) {
+                if records.is_empty() && ops_left >= Context::cost(&rec) {
                     // Larger than a transaction may be: nothing else waits behind it.
                     warn!("{rec:?}: does not fit a transaction");
-                    self.ledger.postpone(&rec, now + REFUSED_PAUSE);
+                    self.write_buffer.postpone(&rec, now + REFUSED_PAUSE);
                     continue;
                 }
                 break;
             }
             bytes += size;
-            txn.when.extend(r.when);
-            txn.apply.extend(r.apply);
-            record_ids.push((rec.clone(), self.ledger.version(&rec)));
-            if self.ledger.is_suspect(&rec) {
+            transaction.when.extend(r.when);
+            transaction.apply.extend(r.apply);
+            records.push((rec.clone(), self.write_buffer.version(&rec)));
+            if self.write_buffer.is_suspect(&rec) {
                 break;
             }
         }
-        if record_ids.is_empty() {
+        if records.is_empty() {
             if short {
                 let ready = context.writes_of(self.role).ready_at(now, 4.0);
-                self.ledger.not_before = ready.max(now + 5 * MILLI);
+                self.write_buffer.not_before = ready.max(now + 5 * MILLI);
             } else {
                 // All that is due waits for something else.
-                self.ledger.not_before = now + 20 * MILLI;
+                self.write_buffer.not_before = now + 20 * MILLI;
             }
             return;
         }
-        let changes = txn.apply.len() as f64;
+        let changes = transaction.apply.len() as f64;
         context.writes_of(self.role).take(now, changes);
         let pending = self.pending(SchedulerCall::Flush);
-        context.post_state("/txn", &txn, pending);
-        self.ledger.not_before = now + context.tuning.flush_interval_us;
-        self.ledger.in_flight = Some(Batch {
-            record_ids,
-            txn,
+        context.post_to_store("/txn", &transaction, pending);
+        self.write_buffer.not_before = now + context.tuning.flush_interval_us;
+        self.write_buffer.in_flight = Some(Batch {
+            records,
+            transaction,
             proven: 0,
-            stamp: 0,
+            mod_revision: 0,
         });
     }
 
@@ -237,7 +239,7 @@
         outcome: Outcome,
     ) -> Result<(), String> {
         let now = context.now.steady;
-        let Some(batch) = self.ledger.in_flight.take() else {
+        let Some(batch) = self.write_buffer.in_flight.take() else {
             return Ok(());
         };
         match outcome {
@@ -254,12 +256,12 @@
                 let failed = wire::from_cbor::<TransactionConflict>(&body)
                     .map(|f| f.failed)
                     .unwrap_or_default();
-                self.ledger.back_off(now, MILLI);
+                self.write_buffer.back_off(now, MILLI);
                 self.conditions_failed(&failed)?;
                 if failed.is_empty() {
                     // It does not say which: all of them are read, at a pace that leaves room.
-                    let keys = batch.txn.apply.iter().map(|c| c.key().to_string());
-                    self.ledger.stale.extend(keys);
+                    let keys = batch.transaction.apply.iter().map(|c| c.key().to_string());
+                    self.write_buffer.stale.extend(keys);
                     self.flush_failed(context);
                 }
                 for key in failed {
@@ -269,7 +271,7 @@
                     if let Some(JobKey::Cancelled(id)) = JobKey::parse(&key) {
                         self.on_cancelled(context, id, None);
                     }
-                    self.ledger.stale.push(key);
+                    self.write_buffer.stale.push(key);
                 }
             }
             Outcome::Unknown | Outcome::TooLarge => self.read_back(context, batch),
@@ -297,24 +299,25 @@
     /// one that is refused alone becomes smaller.
     fn flush_invalid(&mut self, context: &mut Context, batch: &Batch, why: &str) {
         let now = context.now.steady;
-        self.ledger.back_off(now, context.tuning.flush_interval_us);
-        let [(rec, _)] = &batch.record_ids[..] else {
+        self.write_buffer
+            .back_off(now, context.tuning.flush_interval_us);
+        let [(rec, _)] = &batch.records[..] else {
             warn!(
                 "state service: {} records refused, to be written one by one: {why}",
-                batch.record_ids.len()
+                batch.records.len()
             );
-            self.ledger.suspect(&batch.record_ids);
-            self.txn_ops = (batch.txn.apply.len() / 2).max(LEAST_TXN_OPS);
+            self.write_buffer.suspect(&batch.records);
+            self.transaction_operations = (batch.transaction.apply.len() / 2).max(LEAST_TXN_OPS);
             return;
         };
         let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
         error!("state service: {} refused: {why}", keys.join(", "));
         // It was not the number of changes, then.
-        self.txn_ops = match batch.txn.apply.len() > LEAST_TXN_OPS {
+        self.transaction_operations = match batch.transaction.apply.len() > LEAST_TXN_OPS {
             true => LEAST_TXN_OPS,
-            false => context.settings.state.txn_ops,
+            false => context.settings.state.transaction_operations,
         };
-        let large = batch.txn.apply.iter().any(|c| match c {
+        let large = batch.transaction.apply.iter().any(|c| match c {
             Operation::Put { value, .. } => wire::json_size(value) > LEAST_VALUE,
             Operation::Delete { .. } => false,
         });
@@ -322,13 +325,13 @@
             RecordId::Page(_) | RecordId::Done(_) | RecordId::Stats if large => {
                 self.value_bytes = (self.value_bytes / 2).max(LEAST_VALUE);
                 self.split_pages(context);
-                self.ledger.postpone(rec, now + SECOND);
+                self.write_buffer.postpone(rec, now + SECOND);
             }
             RecordId::Limits | RecordId::Allotment(_) => {
                 self.quota.refused = true;
-                self.ledger.postpone(rec, now + REFUSED_PAUSE);
+                self.write_buffer.postpone(rec, now + REFUSED_PAUSE);
             }
-            _ => self.ledger.postpone(rec, now + REFUSED_PAUSE),
+            _ => self.write_buffer.postpone(rec, now + REFUSED_PAUSE),
         }
     }
 
@@ -339,7 +342,7 @@
         let due = context.now.steady + SPLIT_DELAY;
         let pages = self.split_placements(due);
         let done = self
-            .done_pages
+            .completed_pages
             .split(page_bytes(self.value_bytes), &mut self.jobs)
             .into_iter()
             .map(|(from, to)| (RecordId::Done(from), RecordId::Done(to)));
@@ -348,9 +351,11 @@
             if last.as_ref() == Some(&(from.clone(), to.clone())) {
                 continue;
             }
-            let version = self.ledger.touch_lazily(to.clone(), due);
-            self.ledger.wait_for(from.clone(), to.clone(), version);
-            self.ledger.touch_lazily(from.clone(), due + SECOND);
+            let version = self.write_buffer.mark_dirty_lazily(to.clone(), due);
+            self.write_buffer
+                .wait_for(from.clone(), to.clone(), version);
+            self.write_buffer
+                .mark_dirty_lazily(from.clone(), due + SECOND);
             last = Some((from, to));
         }
     }
@@ -359,18 +364,19 @@
         self.flush_failures = (self.flush_failures + 1).min(4);
         let pause = (100 * MILLI) << self.flush_failures;
         let jitter = context.jitter(pause / 4);
-        self.ledger.back_off(context.now.steady, pause / 2 + jitter);
+        self.write_buffer
+            .back_off(context.now.steady, pause / 2 + jitter);
     }
 
     /// The outcome of a flush is unknown: looks whether it was applied, one key after the other.
     pub(super) fn read_back(&mut self, context: &mut Context, batch: Batch) {
-        match batch.txn.apply.get(batch.proven) {
+        match batch.transaction.apply.get(batch.proven) {
             Some(change) => {
                 let pending = self.pending(SchedulerCall::FlushReadBack);
                 context.read_key(change.key(), pending);
-                self.ledger.in_flight = Some(batch);
+                self.write_buffer.in_flight = Some(batch);
             }
-            None => self.flushed(context, &batch, batch.stamp),
+            None => self.flushed(context, &batch, batch.mod_revision),
         }
     }
 
@@ -383,38 +389,43 @@
         context: &mut Context,
         outcome: Outcome,
     ) -> Result<(), String> {
-        let Some(mut batch) = self.ledger.in_flight.take() else {
+        let Some(mut batch) = self.write_buffer.in_flight.take() else {
             return Ok(());
         };
-        let proven = match (batch.txn.apply.get(batch.proven), outcome) {
+        let proven = match (batch.transaction.apply.get(batch.proven), outcome) {
             (Some(Operation::Put { put, value, .. }), Outcome::Answer { status: 200, body }) => {
-                let known = self.ledger.stamps.get(put).copied().unwrap_or(0);
+                let known = self
+                    .write_buffer
+                    .mod_revisions
+                    .get(put)
+                    .copied()
+                    .unwrap_or(0);
                 wire::from_cbor::<KeyValue<Value>>(&body)
                     .ok()
-                    .filter(|e| e.stamp > known && wire::same_value(&e.value, value))
+                    .filter(|e| e.mod_revision > known && wire::same_value(&e.value, value))
                     // All changes of a transaction have the same stamp.
-                    .filter(|e| batch.stamp == 0 || batch.stamp == e.stamp)
-                    .map(|e| e.stamp)
+                    .filter(|e| batch.mod_revision == 0 || batch.mod_revision == e.mod_revision)
+                    .map(|e| e.mod_revision)
             }
             (Some(Operation::Delete { .. }), Outcome::Answer { status: 404, .. }) => {
-                Some(batch.stamp)
+                Some(batch.mod_revision)
             }
             _ => None,
         };
         match proven {
-            Some(stamp) => {
-                batch.stamp = stamp;
+            Some(mod_revision) => {
+                batch.mod_revision = mod_revision;
                 batch.proven += 1;
                 self.read_back(context, batch);
             }
             None => {
                 // Not applied so far, or it cannot be told. It is written anew; its keys' stamps
                 // are read before that, since one of an earlier flush may have come in between.
-                let keys = batch.txn.apply.iter().map(|c| c.key().to_string());
-                self.ledger.stale.extend(keys);
+                let keys = batch.transaction.apply.iter().map(|c| c.key().to_string());
+                self.write_buffer.stale.extend(keys);
                 self.flush_failed(context);
                 if batch
-                    .record_ids
+                    .records
                     .iter()
                     .any(|(r, _)| matches!(r, RecordId::PendingProvision(_)))
                 {
@@ -441,19 +452,23 @@
             prefix: RENTAL.into(),
         });
         let path = format!("/kv?prefix={RENTAL}&page=200");
-        context.get_state(path, pending);
+        context.get_from_store(path, pending);
     }
 
     /// Deletes rentals on record that are none of ours.
     pub(super) fn on_sweep(&mut self, context: &mut Context, list: Option<KeyValueList>) {
         for e in list.map(|list| list.entries).unwrap_or_default() {
             let name = e.key.strip_prefix(RENTAL).unwrap_or_default();
-            if self.fleet.rental_record(name).is_some() || self.ledger.stamps.contains_key(&e.key) {
+            if self.fleet.provision_record(name).is_some()
+                || self.write_buffer.mod_revisions.contains_key(&e.key)
+            {
                 continue;
             }
             warn!("record {}: put back by a late transaction", e.key);
-            self.ledger.stamps.insert(e.key.clone(), e.stamp);
-            self.ledger.touch(
+            self.write_buffer
+                .mod_revisions
+                .insert(e.key.clone(), e.mod_revision);
+            self.write_buffer.mark_dirty(
                 RecordId::PendingProvision(name.to_string()),
                 context.now.steady,
             );
@@ -464,17 +479,19 @@
     /// was applied after all.
     pub(super) fn on_refresh(&mut self, context: &mut Context, key: &str, outcome: Outcome) {
         let now = context.now.steady;
-        self.ledger.not_before = now;
+        self.write_buffer.not_before = now;
         match outcome {
             Outcome::Answer { status: 200, body } => {
                 match wire::from_cbor::<KeyValue<Value>>(&body) {
                     Ok(e) => {
-                        self.ledger.stamps.insert(key.to_string(), e.stamp);
+                        self.write_buffer
+                            .mod_revisions
+                            .insert(key.to_string(), e.mod_revision);
                         if let Some(id) = key.strip_prefix(FINISHED) {
                             // The end of this job was written before.
                             let ended: Option<FinishedJobRecord> = from_value(&e.value).ok();
                             if let (Some(index), Some(_)) = (self.jobs.find(id), ended) {
-                                self.ledger.forget(&RecordId::Over(index));
+                                self.write_buffer.forget(&RecordId::Over(index));
                                 self.job_ended(index);
                             }
                         }
@@ -483,7 +500,7 @@
                 }
             }
             Outcome::Answer { status: 404, .. } => {
-                self.ledger.stamps.remove(key);
+                self.write_buffer.mod_revisions.remove(key);
                 let said = |id: &str| {
                     let job = self.jobs.find(id).and_then(|index| self.jobs.get(index));
                     job.is_some_and(|j| j.cancelled.is_some())
@@ -493,7 +510,7 @@
                         // The end of the job, which takes its cancellation away, may have been
                         // written late: that is read next.
                         self.unproven.insert(id.to_string());
-                        self.ledger.stale.push(format!("{FINISHED}{id}"));
+                        self.write_buffer.stale.push(format!("{FINISHED}{id}"));
                     }
                 } else if let Some(id) = key.strip_prefix(FINISHED) {
                     if self.unproven.remove(id) && said(id) {
@@ -503,13 +520,13 @@
             }
             _ => return self.flush_failed(context),
         }
-        self.ledger.stale.retain(|k| k != key);
+        self.write_buffer.stale.retain(|k| k != key);
     }
 
     pub(crate) fn flushed(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
-        self.ledger.applied(batch, revision);
-        self.pending_changed = true;
-        for (rec, _) in &batch.record_ids {
+        self.write_buffer.applied(batch, revision);
+        self.held_changed = true;
+        for (rec, _) in &batch.records {
             match rec {
                 RecordId::Over(index) => {
                     if let Some(j) = self.jobs.get(*index) {
@@ -528,11 +545,11 @@
                     self.job_ended(*index)
                 }
                 RecordId::PendingProvision(name) => {
-                    self.fleet.rental_written(context.now.steady, name)
+                    self.fleet.provision_written(context.now.steady, name)
                 }
                 RecordId::Allotment(id) => {
                     self.quota.allotments.written(*id);
-                    self.write_allotment(context, *id, 0);
+                    self.write_quota_grant(context, *id, 0);
                 }
                 RecordId::Limits => self.placement.want(context.now.steady),
                 _ => {}
@@ -552,11 +569,11 @@
                 format!("{FINISHED}{}", job.id),
                 format!("{DONE}{}/0", job.id),
             ] {
-                self.ledger.stamps.remove(&key);
+                self.write_buffer.mod_revisions.remove(&key);
             }
-            self.done_pages.drop_job(index, &job);
+            self.completed_pages.drop_job(index, &job);
             self.progress_dirty.remove(&index);
-            self.ledger.forget(&RecordId::Over(index));
+            self.write_buffer.forget(&RecordId::Over(index));
             self.ended.push_back(job.id);
             if self.ended.len() > 200 {
                 self.ended.pop_front();
--- a/crates/core/src/leadership/loading.rs
+++ b/crates/core/src/leadership/loading.rs
@@ -7,8 +7,8 @@
         let mut loading = Loading::default();
         // Whoever claims a partition does so under a leader that understands them. To one that does not
         // they mean nothing: its token is higher than that of every claim.
-        let partitions = context.understands_partitions().then_some(PARTITION);
-        let quota = context.understands_allotments().then_some(QUOTA);
+        let partitions = context.supports_partitions().then_some(PARTITION);
+        let quota = context.supports_quota_grants().then_some(QUOTA);
         let of_leader = [DONE, PAGE, RENTAL, STATS, CATALOGUE];
         let of_leader = of_leader.into_iter().chain(partitions).chain(quota);
         let mut prefixes: Vec<String> = vec![JOB.into(), OLD_CANCEL.into()];
@@ -54,7 +54,7 @@
                 ),
             };
             let pending = CallPurpose::Scheduler { token, what };
-            context.get_state(path, pending);
+            context.get_from_store(path, pending);
         }
     }
 
@@ -105,10 +105,12 @@
             .and_then(|l| l.entries.remove(PARTITION));
         let mut map = PartitionMap::default();
         for entry in entries.unwrap_or_default() {
-            if let Err(why) = map.put(&entry.key, &entry.value, entry.stamp) {
+            if let Err(why) = map.put(&entry.key, &entry.value, entry.mod_revision) {
                 error!("record {}: {why}; set aside", entry.key);
             }
-            self.ledger.stamps.insert(entry.key, entry.stamp);
+            self.write_buffer
+                .mod_revisions
+                .insert(entry.key, entry.mod_revision);
         }
         self.load_partitions(context, &map);
     }
@@ -157,7 +159,7 @@
             }
             live
         });
-        let (mut pages, rentals) = (take(PAGE), take(RENTAL));
+        let (mut pages, provisions) = (take(PAGE), take(RENTAL));
         let (stats, catalogue, quota) = (take(STATS), take(CATALOGUE), take(QUOTA));
         if let Some(id) = self.partition() {
             // The prefix is that of other pages, too.
@@ -165,31 +167,39 @@
             pages.retain(|e| page_number(&e.key).and_then(partition_of_page) == Some(id));
         }
         for e in jobs {
-            self.add_job(context, &e.key, &e.value, e.stamp);
+            self.add_job(context, &e.key, &e.value, e.mod_revision);
         }
         for e in dones {
-            self.ledger.stamps.insert(e.key.clone(), e.stamp);
+            self.write_buffer
+                .mod_revisions
+                .insert(e.key.clone(), e.mod_revision);
             self.load_done(context, &e.key, &e.value);
         }
         if self.role == Role::Leader {
             self.load_quota(context, quota);
         }
         for e in pages {
-            self.ledger.stamps.insert(e.key.clone(), e.stamp);
+            self.write_buffer
+                .mod_revisions
+                .insert(e.key.clone(), e.mod_revision);
             self.load_page(context, &e.key, &e.value);
         }
-        for e in rentals {
-            self.ledger.stamps.insert(e.key.clone(), e.stamp);
+        for e in provisions {
+            self.write_buffer
+                .mod_revisions
+                .insert(e.key.clone(), e.mod_revision);
             match from_value::<ProvisionRecord>(&e.value) {
-                Ok(rental) => {
+                Ok(provision) => {
                     let name = e.key.trim_start_matches(RENTAL).to_string();
-                    self.fleet.recover_rental(context, name, rental);
+                    self.fleet.recover_provision(context, name, provision);
                 }
                 Err(err) => error!("record {}: {err}", e.key),
             }
         }
         for e in stats {
-            self.ledger.stamps.insert(e.key, e.stamp);
+            self.write_buffer
+                .mod_revisions
+                .insert(e.key, e.mod_revision);
             match from_value(&e.value) {
                 Ok(record) => self.stats = Stats::load(&record),
                 Err(err) => error!("record {STATS}: {err}"),
@@ -197,7 +207,9 @@
         }
         let known = !catalogue.is_empty();
         for e in catalogue {
-            self.ledger.stamps.insert(e.key, e.stamp);
+            self.write_buffer
+                .mod_revisions
+                .insert(e.key, e.mod_revision);
         }
         if !known {
             self.fleet.types_at = now;
@@ -211,7 +223,9 @@
         };
         self.watches.insert(JOB, watch);
         for e in &cancels {
-            self.ledger.stamps.insert(e.key.clone(), e.stamp);
+            self.write_buffer
+                .mod_revisions
+                .insert(e.key.clone(), e.mod_revision);
         }
         for e in &cancels {
             let record = from_value::<CancelRecord>(&e.value);
@@ -252,7 +266,7 @@
         }
         // Before anything is placed: in the first second of each leader batch tasks once took the room
         // that was kept for services.
-        self.standby
+        self.headroom
             .update(context, &self.jobs, self.machines.len());
         info!(
             "loaded {} jobs, {} machines with tasks",
@@ -261,7 +275,13 @@
         );
     }
 
-    pub(super) fn add_job(&mut self, context: &Context, key: &str, value: &Value, stamp: u64) {
+    pub(super) fn add_job(
+        &mut self,
+        context: &Context,
+        key: &str,
+        value: &Value,
+        mod_revision: u64,
+    ) {
         let Some(id) = key.strip_prefix(JOB) else {
             return;
         };
@@ -270,9 +290,11 @@
         }
         match from_value::<JobRecord>(value) {
             Ok(record) if record.spec.id == id => {
-                self.ledger.stamps.insert(key.to_string(), stamp);
+                self.write_buffer
+                    .mod_revisions
+                    .insert(key.to_string(), mod_revision);
                 let job = Job::new(record, context.now.steady, context.now.wall);
-                self.standby.note(&job, context.now.steady);
+                self.headroom.note(&job, context.now.steady);
                 self.jobs.insert(job);
                 self.placement.want(context.now.steady);
             }
@@ -317,17 +339,20 @@
                     };
                     if let Some(job) = self.jobs.get_mut(index) {
                         job.load_done(n, &bits);
-                        match job.done_pages.get(&n) {
-                            None => self.done_pages.adopt(page, index, n, job),
+                        match job.completed_pages.get(&n) {
+                            None => self.completed_pages.adopt(page, index, n, job),
                             // On two pages, after a move that was half written: this one drops it
                             // once the other has the bits of both.
                             Some(other) => {
                                 let other = RecordId::Done(*other);
-                                self.done_pages.bar(page);
+                                self.completed_pages.bar(page);
                                 let due = now + SECOND;
-                                let version = self.ledger.touch_lazily(other.clone(), due);
-                                self.ledger.wait_for(RecordId::Done(page), other, version);
-                                self.ledger.touch_lazily(RecordId::Done(page), due);
+                                let version =
+                                    self.write_buffer.mark_dirty_lazily(other.clone(), due);
+                                self.write_buffer
+                                    .wait_for(RecordId::Done(page), other, version);
+                                self.write_buffer
+                                    .mark_dirty_lazily(RecordId::Done(page), due);
                             }
                         }
                     }
@@ -338,7 +363,7 @@
                 // at once when they are started again.
                 error!("record {key}: unreadable; its tasks may run again");
                 if let Ok(page) = page {
-                    self.done_pages.set_aside(page);
+                    self.completed_pages.set_aside(page);
                 }
             }
         }
@@ -350,7 +375,7 @@
             // Nothing can be said of what it lists: no task of any live job may be started
             // until every machine has been heard or released, which `quarantine` sees to.
             error!("record {key}: unreadable; waiting for proof from all machines");
-            self.placement.quarantine_until =
+            self.placement.blocked_until =
                 context.now.steady + context.settings.lease * 2 + 10 * SECOND;
             if let Some(n) = number {
                 self.page_mut(n).broken = true;
@@ -385,7 +410,8 @@
                 }
                 if known {
                     let due = context.now.steady + SECOND;
-                    self.ledger.touch_lazily(RecordId::Page(number), due);
+                    self.write_buffer
+                        .mark_dirty_lazily(RecordId::Page(number), due);
                     continue;
                 }
                 let job = index.and_then(|index| self.jobs.get_mut(index));
@@ -397,7 +423,7 @@
                 let spec = spec.as_ref();
                 let task = PlacedTask {
                     machine: m.machine.clone(),
-                    session: m.session,
+                    incarnation: m.incarnation,
                     job: job_id,
                     task,
                     attempt,
@@ -427,19 +453,19 @@
                     let allotments = &mut self.quota.allotments;
                     allotments.place(partition, &assignment.team, assignment.amount());
                 }
-                self.recovered_machine(context, &m.machine, &m.zone, m.session);
+                self.recovered_machine(context, &m.machine, &m.zone, m.incarnation);
                 self.hold(&m.machine, assignment);
             }
         }
         if let Some(partition) = placed_in.filter(|_| !kept) {
-            self.write_allotment(context, partition, 0);
+            self.write_quota_grant(context, partition, 0);
         }
     }
 
     /// The partition whose holder writes the page with this number; `None`: it is the leader's.
     pub(crate) fn written_by_holder(&self, context: &Context, page: u64) -> Option<PartitionId> {
-        let partition = partition_of_page(page).filter(|_| context.understands_allotments());
-        partition.filter(|id| self.is_holder() || self.remote.record(*id).is_some())
+        let partition = partition_of_page(page).filter(|_| context.supports_quota_grants());
+        partition.filter(|id| self.is_holder() || self.remote_partitions.record(*id).is_some())
     }
 }
 
--- a/crates/core/src/leadership/watches.rs
+++ b/crates/core/src/leadership/watches.rs
@@ -24,7 +24,7 @@
                         prefix: prefix.to_string(),
                     },
                     format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE}"),
-                    STATE_TIMEOUT,
+                    STORE_TIMEOUT,
                 )
             } else {
                 (
@@ -87,11 +87,13 @@
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
             match JobKey::parse(key) {
                 Some(JobKey::Live(id)) => {
-                    self.add_job(context, key, value, event.stamp);
+                    self.add_job(context, key, value, event.mod_revision);
                     self.apply_cancellation(context, id);
                 }
                 Some(JobKey::Cancelled(id)) if self.jobs.find(id).is_some() => {
-                    self.ledger.stamps.insert(key.clone(), event.stamp);
+                    self.write_buffer
+                        .mod_revisions
+                        .insert(key.clone(), event.mod_revision);
                     let record = from_value(value).ok();
                     self.on_cancelled(context, id, record.as_ref());
                 }
@@ -134,7 +136,7 @@
                 put: Some(e.key),
                 delete: None,
                 value: Some(e.value),
-                stamp: e.stamp,
+                mod_revision: e.mod_revision,
             };
             self.on_event(context, event);
         }
--- a/crates/core/src/leadership/watches/tests.rs
+++ b/crates/core/src/leadership/watches/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
+use crate::job_view::JobViewCall;
 use crate::test_support::unread_leader;
-use crate::view::JobViewCall;
 use crate::Effect;
 
 fn page(first: u64, revision: u64, more: bool) -> KeyValueList {
     let entry = KeyValue {
         key: job_key(&format!("req-{first}")),
         value: Value::Null,
-        stamp: first,
+        mod_revision: first,
     };
     KeyValueList {
         entries: vec![entry],
@@ -18,8 +18,8 @@
 
 /// The paths of the requests that the leader makes now.
 fn requests(node: &mut Controller) -> Vec<String> {
-    let lead = node.lead.as_mut().expect("a leader");
-    lead.run_watches(&mut node.context);
+    let leader = node.leader.as_mut().expect("a leader");
+    leader.run_watches(&mut node.context);
     let effects = std::mem::take(&mut node.context.out);
     let paths = effects.into_iter().filter_map(|effect| match effect {
         Effect::Call(call) => Some(call.path),
@@ -30,8 +30,8 @@
 
 fn watching_leader() -> Controller {
     let mut node = unread_leader(20 * SECOND);
-    let lead = node.lead.as_mut().expect("a leader");
-    lead.watches.insert(JOB, Watch::default());
+    let leader = node.leader.as_mut().expect("a leader");
+    leader.watches.insert(JOB, Watch::default());
     node.context.out.clear();
     node
 }
@@ -45,11 +45,11 @@
         body: Vec::new(),
     };
     let take = |node: &mut Controller, list| {
-        let lead = node.lead.as_mut().expect("a leader");
-        lead.on_relist(&mut node.context, JOB, Some(list));
+        let leader = node.leader.as_mut().expect("a leader");
+        leader.on_relist(&mut node.context, JOB, Some(list));
     };
-    let lead = node.lead.as_mut().expect("a leader");
-    lead.on_watch(&mut node.context, JOB, too_old);
+    let leader = node.leader.as_mut().expect("a leader");
+    leader.on_watch(&mut node.context, JOB, too_old);
     assert_eq!(requests(&mut node), ["/kv?prefix=job/&page=1000"]);
     take(&mut node, page(1, 40, true));
     assert_eq!(
@@ -68,14 +68,14 @@
 fn changes_that_are_too_many_to_take_are_read_page_by_page() {
     let mut node = watching_leader();
     requests(&mut node);
-    let lead = node.lead.as_mut().expect("a leader");
-    lead.on_watch(&mut node.context, JOB, Outcome::TooLarge);
+    let leader = node.leader.as_mut().expect("a leader");
+    leader.on_watch(&mut node.context, JOB, Outcome::TooLarge);
     assert_eq!(requests(&mut node), ["/kv?prefix=job/&page=1000"]);
 
     let now = node.context.now.steady;
-    node.on_view(JobViewCall::WatchResponse, now, Outcome::TooLarge);
+    node.on_job_view(JobViewCall::WatchResponse, now, Outcome::TooLarge);
     node.context.now.steady += SECOND;
-    node.run_view();
+    node.run_job_view();
     let paths = requests(&mut node);
     assert!(
         paths.iter().any(|p| p.starts_with("/kv?prefix=job/")),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,27 +5,27 @@
 //! each input, and randomness from a seed. State in the state service is the truth; what a
 //! `Controller` holds in memory is a cache of it.
 
+pub mod agents;
 pub mod cancellations;
-pub mod done;
+pub mod completed_tasks;
+pub mod controller;
 pub mod fleet;
+pub mod headroom;
+pub mod job_view;
 pub mod jobs;
 pub mod leadership;
-pub mod ledger;
-pub mod node;
-pub mod pace;
 pub mod partitions;
 pub mod placement;
 pub mod quota;
+pub mod rate_limiter;
 pub mod settings;
-pub mod standby;
 pub mod stats;
 #[cfg(test)]
 mod test_support;
-pub mod users;
-pub mod view;
-pub mod workers;
+pub mod user_requests;
+pub mod write_buffer;
 
-pub use node::Controller;
+pub use controller::Controller;
 pub use settings::{Objective, Settings, Sibling, Team, Tuning};
 
 /// Whole microseconds, of a steady clock unless said otherwise.
@@ -65,7 +65,7 @@
     State,
     Cloud,
     /// A worker, by its address.
-    Worker(String),
+    Agent(String),
     /// A sibling, by its place in the settings.
     Peer(usize),
 }
--- a/crates/core/src/partitions/claims.rs
+++ b/crates/core/src/partitions/claims.rs
@@ -1,9 +1,9 @@
 //! The node's copy of the partition map, its claims on partitions, and giving them back.
 
 use super::Partitions;
+use crate::controller::{CallPurpose, Controller, STORE_TIMEOUT};
 use crate::leadership::{FencedLease, Role, Scheduler};
-use crate::node::{CallPurpose, Controller, STATE_TIMEOUT};
-use crate::users::absent;
+use crate::user_requests::absent;
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_partition::{Claim, PartitionId};
 use grebewood_wire as wire;
@@ -75,7 +75,7 @@
     /// Reads the map, claims what is assigned to this node, gives back what is not, and lets the
     /// holders and the leader do their part.
     pub(crate) fn run_partitions(&mut self, watch: &mut dyn Stopwatch) {
-        if !self.context.understands_partitions() {
+        if !self.context.supports_partitions() {
             return;
         }
         self.read_partition_map();
@@ -105,7 +105,7 @@
                 let after = listing.as_ref().map(|(_, key)| format!("&since={key}"));
                 let after = after.unwrap_or_default();
                 let path = format!("/kv?prefix={PARTITION}{after}&page=200");
-                (MapCall::List, path, STATE_TIMEOUT)
+                (MapCall::List, path, STORE_TIMEOUT)
             }
         };
         let pending = CallPurpose::PartitionMap(call);
@@ -148,7 +148,7 @@
         let as_of = first.map_or(list.revision, |(revision, _)| revision);
         let last = list.entries.last().map(|entry| entry.key.clone());
         for entry in &list.entries {
-            put_in_map(map, &entry.key, &entry.value, entry.stamp);
+            put_in_map(map, &entry.key, &entry.value, entry.mod_revision);
         }
         match last.filter(|_| list.more) {
             Some(key) => reader.listing = Some((as_of, key)),
@@ -167,10 +167,10 @@
         reader.since = reader.since.max(Some(changes.revision));
         for event in changes.events {
             if let (Some(key), Some(value)) = (&event.put, &event.value) {
-                put_in_map(map, key, value, event.stamp);
+                put_in_map(map, key, value, event.mod_revision);
             }
             if let Some(key) = &event.delete {
-                map.delete(key, event.stamp);
+                map.delete(key, event.mod_revision);
             }
         }
     }
@@ -200,7 +200,7 @@
                 partition: id,
                 step: ClaimStep::Lease,
             };
-            self.context.post_state("/leases", &request, pending);
+            self.context.post_to_store("/leases", &request, pending);
         }
     }
 
@@ -238,9 +238,9 @@
         let (Some(partition), Some(term)) = (mine, self.election.partition_term()) else {
             return self.claim_failed(id, Some(lease));
         };
-        let stamp = |key: &str, stamp: u64| Condition {
+        let mod_revision = |key: &str, mod_revision: u64| Condition {
             key: key.to_string(),
-            stamp,
+            mod_revision,
         };
         let key = claim_key(id);
         let claim = PartitionClaim {
@@ -248,11 +248,11 @@
             incarnation: self.election.incarnation(),
             claimed_us: self.context.now.wall,
         };
-        let txn = Transaction {
+        let transaction = Transaction {
             when: vec![
                 absent(&key),
-                stamp(&partition_key(id), partition.stamp),
-                stamp(LEADER, term),
+                mod_revision(&partition_key(id), partition.mod_revision),
+                mod_revision(LEADER, term),
             ],
             apply: vec![Operation::Put {
                 put: key,
@@ -264,7 +264,7 @@
             partition: id,
             step: ClaimStep::Claim { lease },
         };
-        self.context.post_state("/txn", &txn, pending);
+        self.context.post_to_store("/txn", &transaction, pending);
     }
 
     fn read_claim_back(&mut self, id: PartitionId, lease: u64) {
@@ -282,7 +282,7 @@
                 && entry.value.incarnation == self.election.incarnation()
         });
         match own {
-            Some(entry) => self.claimed(id, lease, entry.stamp),
+            Some(entry) => self.claimed(id, lease, entry.mod_revision),
             None => self.claim_failed(id, Some(lease)),
         }
     }
@@ -297,7 +297,7 @@
 
     /// This node holds the partition.
     fn claimed(&mut self, id: PartitionId, lease: u64, token: u64) {
-        let Some(lease_at) = self.partitions.claiming.remove(&id) else {
+        let Some(lease_requested_at) = self.partitions.claiming.remove(&id) else {
             return self.context.end_lease(lease);
         };
         info!("holder of partition {id} with token {token}");
@@ -305,7 +305,7 @@
         let grant = FencedLease {
             token,
             lease,
-            lease_at,
+            lease_requested_at,
         };
         let mut holder = Box::new(Scheduler::new(&self.context, Role::Holder(id), grant));
         holder.start_loading(&mut self.context);
@@ -329,7 +329,7 @@
         if !self.election.leader_knows_partitions() {
             return Some("the leader does not understand partitions");
         }
-        if self.context.in_contact(2 * SECOND) && holder.cut_from_workers(&self.context) {
+        if self.context.in_contact(2 * SECOND) && holder.cut_from_agents(&self.context) {
             return Some(CUT_OFF);
         }
         // While the map is listed anew it says nothing.
@@ -358,7 +358,7 @@
         warn!("no longer holder of partition {id}: {why}");
         self.leave_unproven(&holder);
         let next = self.holder_to_report_to(id);
-        for request in holder.waiting_checkins() {
+        for request in holder.waiting_heartbeats() {
             let leader = next.clone();
             self.context.answer(request, 421, &Redirect { leader });
         }
@@ -379,8 +379,13 @@
 
 const CUT_OFF: &str = "no worker reaches this node";
 
-fn put_in_map(map: &mut grebewood_partition::PartitionMap, key: &str, value: &Value, stamp: u64) {
-    if let Err(why) = map.put(key, value, stamp) {
+fn put_in_map(
+    map: &mut grebewood_partition::PartitionMap,
+    key: &str,
+    value: &Value,
+    mod_revision: u64,
+) {
+    if let Err(why) = map.put(key, value, mod_revision) {
         error!("record {key}: {why}; set aside");
     }
 }
