--- a/crates/core/src/partitions/holder.rs
+++ b/crates/core/src/partitions/holder.rs
@@ -1,9 +1,9 @@
 //! The holder of a partition: carries out the leader's orders on its machines and reports to it.
 
+use crate::agents::{Assignment, ExitedAttempt, Machine, ObservedStatus, Stop, TaskOnMachine};
+use crate::controller::{Context, Controller};
 use crate::leadership::{Role, Scheduler};
-use crate::node::{Context, Controller};
 use crate::placement::slots;
-use crate::workers::{Assignment, ExitedAttempt, Machine, ObservedStatus, Stop, TaskOnMachine};
 use crate::{Micros, Stopwatch, SECOND};
 use grebewood_wire::http::{ExitCause, ReportedTask, TaskStatus};
 use grebewood_wire::peer::{
@@ -34,7 +34,7 @@
     /// When this node learned of a job's cancellation.
     cancelled: BTreeMap<String, Micros>,
     /// Check-ins answered since the claim.
-    pub(crate) checkins: u64,
+    pub(crate) heartbeats: u64,
 }
 
 impl HolderState {
@@ -71,20 +71,20 @@
     /// still shows as live and not cancelled, in an answer that was asked for since, runs on.
     pub(crate) fn retract_cancellations(&mut self) {
         let read_up_to = self.context.cancellations.read_up_to();
-        let (view, holders) = (&self.view, self.partitions.holders.values_mut());
+        let (job_view, holders) = (&self.job_view, self.partitions.holders.values_mut());
         for holder in holders {
             let jobs = &holder.jobs;
             holder
-                .holding
+                .holder_state
                 .cancelled
                 .retain(|id, _| jobs.find(id).is_some());
-            let learned = holder.holding.cancelled.iter();
+            let learned = holder.holder_state.cancelled.iter();
             let wrong = learned.filter(|(id, at)| {
-                **at < read_up_to && view.get(id).is_some_and(|job| !job.cancelled)
+                **at < read_up_to && job_view.get(id).is_some_and(|job| !job.cancelled)
             });
             let wrong: Vec<String> = wrong.map(|(id, _)| id.clone()).collect();
             for id in wrong {
-                holder.holding.cancelled.remove(&id);
+                holder.holder_state.cancelled.remove(&id);
                 holder.retract_cancellation(&mut self.context, &id);
             }
         }
@@ -100,27 +100,27 @@
         orders: PartitionOrders,
     ) -> Option<PartitionReport> {
         let number = (orders.term, orders.sequence);
-        if orders.claim != self.token || number <= self.holding.last || self.doubtful() {
+        if orders.claim != self.token || number <= self.holder_state.last || self.doubtful() {
             return None;
         }
-        self.holding.last = number;
+        self.holder_state.last = number;
         if !self.jobs_are_read() {
             return Some(self.partition_report(context, orders.seen, orders.term, Vec::new()));
         }
         if let Some(tasks) = &orders.sync {
             self.reconcile(context, orders.term, tasks);
         }
-        if self.holding.synced_term == orders.term {
+        if self.holder_state.synced_term == orders.term {
             self.adopt_quota(context, orders.term, orders.quota.as_deref());
         }
         for attempt in &orders.acknowledged {
-            self.holding.outcomes.remove(attempt);
+            self.holder_state.outcomes.remove(attempt);
         }
-        for machine in &orders.released {
-            self.released(context, machine);
+        for machine in &orders.terminated {
+            self.terminated(context, machine);
         }
         let mut accepted = Vec::new();
-        if self.holding.synced_term == orders.term {
+        if self.holder_state.synced_term == orders.term {
             for task in &orders.launches {
                 if self.take_over(context, task) {
                     accepted.push(task.id());
@@ -131,14 +131,14 @@
             let ordered = |a: &Assignment| a.id() == stop.id;
             self.stop_on(context, &stop.machine, stop.grace_us, ordered);
         }
-        self.pending_changed = true;
+        self.held_changed = true;
         Some(self.partition_report(context, orders.seen, orders.term, accepted))
     }
 
     /// Compares what the leader says may be on the machines with what is known here. What it does not
     /// know any more was never launched, or has ended by its books: it is dropped, or stopped.
     fn reconcile(&mut self, context: &mut Context, term: u64, tasks: &[PlacedTask]) {
-        let first = !self.holding.knows_tasks();
+        let first = !self.holder_state.knows_tasks();
         let listed: BTreeSet<TaskAttempt> = tasks.iter().map(PlacedTask::id).collect();
         self.settle_placed(context, &listed);
         let names: Vec<String> = self.machines.keys().cloned().collect();
@@ -148,7 +148,7 @@
             self.stop_on(context, &name, 0, unknown);
         }
         for task in tasks {
-            let known = self.has_attempt(task) || !self.holding.is_settled(Some(task.id()));
+            let known = self.has_attempt(task) || !self.holder_state.is_settled(Some(task.id()));
             if known {
                 continue;
             }
@@ -164,7 +164,7 @@
                 false => self.adopt(context, task),
             }
         }
-        self.holding.synced_term = term;
+        self.holder_state.synced_term = term;
         if first {
             self.loaded_at = context.now.steady;
             self.heard_at = context.now.steady;
@@ -184,7 +184,7 @@
     /// launched here: either a report shows it, or it is gone.
     fn adopt(&mut self, context: &mut Context, task: &PlacedTask) {
         let zone = self.holder_zone(&task.machine);
-        self.recovered_machine(context, &task.machine, &zone, task.session);
+        self.recovered_machine(context, &task.machine, &zone, task.incarnation);
         let mut assignment = self.assignment_of(context, task, zone);
         assignment.launched = Some((0, 0));
         let job = self.jobs.get(assignment.job);
@@ -204,7 +204,7 @@
 
     /// Takes over a task that is to be launched. False: not yet, since its job is not known here.
     fn take_over(&mut self, context: &mut Context, task: &PlacedTask) -> bool {
-        if self.has_attempt(task) || !self.holding.is_settled(Some(task.id())) {
+        if self.has_attempt(task) || !self.holder_state.is_settled(Some(task.id())) {
             return true;
         }
         if self.jobs.find(&task.job).is_none() {
@@ -214,7 +214,9 @@
         let silence = 3 * context.settings.report;
         let machine = self.machines.get(&task.machine);
         let fits = machine.is_some_and(|m| {
-            m.session == task.session && m.usable(now, silence) && self.has_room(context, m, task)
+            m.incarnation == task.incarnation
+                && m.usable(now, silence)
+                && self.has_room(context, m, task)
         });
         let zone = self.holder_zone(&task.machine);
         let assignment = self.assignment_of(context, task, zone);
@@ -225,7 +227,7 @@
             return true;
         }
         self.hold(&task.machine, assignment);
-        self.unpark(context, &task.machine);
+        self.wake_long_poll(context, &task.machine);
         true
     }
 
@@ -262,7 +264,7 @@
     }
 
     fn note_outcome(&mut self, outcome: TaskOutcome) {
-        let outcomes = &mut self.holding.outcomes;
+        let outcomes = &mut self.holder_state.outcomes;
         outcomes.entry(outcome.id()).or_insert(outcome);
     }
 
@@ -320,21 +322,21 @@
             self.run_placing(context, watch);
             self.run_flush(context);
         }
-        self.send_releases(context);
-        self.run_pending(context);
+        self.send_terminations(context);
+        self.run_held_heartbeats(context);
     }
 
     /// When a holder has to act next.
     pub(crate) fn holder_wake(&self) -> Micros {
-        let mut at = self.next_machine_check.min(self.parked.next_until());
-        if !self.pending_checkins.is_empty() {
-            at = at.min(self.pending_until);
+        let mut at = self.next_machine_check.min(self.long_polls.next_until());
+        if !self.held_heartbeats.is_empty() {
+            at = at.min(self.held_until);
         }
         if self.placement.backlog {
             at = at.min(self.placement.next_at);
         }
         match self.loaded() {
-            true => at.min(self.fleet.release_wake()),
+            true => at.min(self.fleet.termination_wake()),
             false => Micros::MAX,
         }
     }
@@ -352,18 +354,18 @@
         accepted: Vec<TaskAttempt>,
     ) -> PartitionReport {
         self.note_states(context);
-        let states = self.holding.states.values();
+        let states = self.holder_state.states.values();
         let mut changed: Vec<&(u64, MachineState)> =
             states.filter(|(version, _)| *version > seen).collect();
         changed.sort_by_key(|(version, _)| *version);
         changed.truncate(MOST_STATES);
         let version = changed.last().map_or(seen, |(version, _)| *version);
-        let outcomes = self.holding.outcomes.values();
-        let outcomes = outcomes.filter(|outcome| !self.placer.is_told_later(outcome.id()));
+        let outcomes = self.holder_state.outcomes.values();
+        let outcomes = outcomes.filter(|outcome| !self.holder_quota.is_told_later(outcome.id()));
         let outcomes = outcomes.take(MOST_OUTCOMES);
         PartitionReport {
             claim: self.token,
-            synced: self.holding.synced_term == term,
+            synced: self.holder_state.synced_term == term,
             accepted,
             outcomes: outcomes.cloned().collect(),
             machines: changed
@@ -372,7 +374,7 @@
                 .collect(),
             gone: self.fleet.gone_within(context.now.steady, GONE_TOLD),
             version,
-            checkins: self.holding.checkins,
+            heartbeats: self.holder_state.heartbeats,
             quota: self.quota_report(context),
         }
     }
@@ -380,7 +382,7 @@
     /// Gives each machine whose state has changed since it was last told the next version.
     fn note_states(&mut self, context: &Context) {
         let machines = &self.machines;
-        self.holding
+        self.holder_state
             .states
             .retain(|name, _| machines.contains_key(name));
         for (name, machine) in &self.machines {
@@ -388,11 +390,13 @@
                 continue;
             }
             let state = machine_state(context, machine);
-            let known = self.holding.states.get(name);
+            let known = self.holder_state.states.get(name);
             if known.is_none_or(|(_, known)| !same_state(known, &state)) {
-                self.holding.version += 1;
-                let version = self.holding.version;
-                self.holding.states.insert(name.clone(), (version, state));
+                self.holder_state.version += 1;
+                let version = self.holder_state.version;
+                self.holder_state
+                    .states
+                    .insert(name.clone(), (version, state));
             }
         }
     }
@@ -400,9 +404,10 @@
 
 /// Whether two states say the same; the time to a recall runs by itself.
 fn same_state(a: &MachineState, b: &MachineState) -> bool {
-    a.session == b.session
-        && (a.counts, a.hears, a.closing) == (b.counts, b.hears, b.closing)
-        && a.recall_us.is_some() == b.recall_us.is_some()
+    a.incarnation == b.incarnation
+        && (a.counts, a.receives_responses, a.cordoned)
+            == (b.counts, b.receives_responses, b.cordoned)
+        && a.reclaim_us.is_some() == b.reclaim_us.is_some()
         && a.tasks == b.tasks
         && a.address == b.address
 }
@@ -415,7 +420,7 @@
             ObservedStatus::Never => return None,
             ObservedStatus::Fetching => TaskStatus::Fetching,
             ObservedStatus::Running => TaskStatus::Running,
-            ObservedStatus::Saving => TaskStatus::Saving,
+            ObservedStatus::Checkpointing => TaskStatus::Checkpointing,
         };
         Some(TaskState { id: a.id(), status })
     });
@@ -425,11 +430,11 @@
         machine_type: machine.machine_type.clone(),
         zone: machine.zone.clone(),
         spot: machine.spot,
-        session: machine.session,
+        incarnation: machine.incarnation,
         counts: machine.counts(now, silence),
-        hears: machine.hears,
-        closing: machine.closing,
-        recall_us: machine.recall_at.map(|at| at.saturating_sub(now)),
+        receives_responses: machine.receives_responses,
+        cordoned: machine.cordoned,
+        reclaim_us: machine.reclaim_at.map(|at| at.saturating_sub(now)),
         tasks: tasks.collect(),
     }
 }
--- a/crates/core/src/partitions/holder/tests.rs
+++ b/crates/core/src/partitions/holder/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
+use crate::agents::HeldHeartbeat;
 use crate::jobs::Job;
 use crate::leadership::FencedLease;
-use crate::test_support::{first_report, job_record, unread_leader, WALL};
-use crate::workers::HeldHeartbeat;
+use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
 use grebewood_wire::http::Verb;
 
 const MACHINE: &str = "n-000001";
@@ -16,12 +16,16 @@
     let grant = FencedLease {
         token: CLAIM,
         lease: 1,
-        lease_at: now,
+        lease_requested_at: now,
     };
     let mut holder = Scheduler::new(&node.context, Role::Holder(1), grant);
     holder.jobs.insert(Job::new(job_record(2), now, WALL));
-    let mut machine = Machine::new(&first_report(), None, now);
-    (machine.cpus, machine.session, machine.hears) = (8.0, 1, true);
+    let mut machine = Machine::new(&first_heartbeat(), None, now);
+    (
+        machine.cpus,
+        machine.incarnation,
+        machine.receives_responses,
+    ) = (8.0, 1, true);
     holder.machines.insert(MACHINE.into(), machine);
     let sync = PartitionOrders {
         sync: Some(Vec::new()),
@@ -46,7 +50,7 @@
 fn launch(sequence: u64) -> PartitionOrders {
     let task = PlacedTask {
         machine: MACHINE.into(),
-        session: 1,
+        incarnation: 1,
         job: "req-1".into(),
         task: 0,
         attempt: 70,
@@ -63,7 +67,7 @@
         request: 1,
         round: 0,
         machine: MACHINE.into(),
-        session: 1,
+        incarnation: 1,
         sequence: 2,
         until: 0,
     };
--- a/crates/core/src/partitions/orders.rs
+++ b/crates/core/src/partitions/orders.rs
@@ -1,11 +1,11 @@
 //! The leader's side of partitions: which there are and who is to hold them, orders to the holders, and
 //! what their reports mean for its own books.
 
+use crate::agents::ExitedAttempt;
+use crate::controller::{Context, Controller, SchedulerCall};
 use crate::leadership::{MemberView, Scheduler};
-use crate::ledger::RecordId;
-use crate::node::{Context, Controller, SchedulerCall};
 use crate::quota::placed_task;
-use crate::workers::ExitedAttempt;
+use crate::write_buffer::RecordId;
 use crate::{Micros, Target, MILLI, SECOND};
 use grebewood_partition::map::partition_of;
 use grebewood_partition::{
@@ -15,7 +15,7 @@
 use grebewood_wire as wire;
 use grebewood_wire::peer::{PartitionOrders, PeerRequest, PlacedTask, TaskAttempt, TaskStop};
 use grebewood_wire::records::{
-    allotment_key, pages_of_partition, partition_of_page, PartitionRecord,
+    pages_of_partition, partition_of_page, quota_grant_key, PartitionRecord,
 };
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,9 +48,9 @@
     /// Attempts whose outcome was taken in and may be acknowledged once it is on record.
     pub(super) settling: BTreeSet<TaskAttempt>,
     /// Machines that were released since the last message.
-    pub(super) released: Vec<String>,
+    pub(super) terminated: Vec<String>,
     /// Check-ins that the holder had answered at a time, and their rate.
-    pub(super) checkins: (u64, Micros),
+    pub(super) heartbeats: (u64, Micros),
     pub(super) load: Load,
     /// When its holder last answered.
     pub(super) answered_at: Micros,
@@ -72,8 +72,8 @@
             next_poll: 0,
             busy: false,
             settling: BTreeSet::new(),
-            released: Vec::new(),
-            checkins: (0, 0),
+            terminated: Vec::new(),
+            heartbeats: (0, 0),
             load: 0.0,
             answered_at: 0,
             placed_seen: 0,
@@ -89,7 +89,7 @@
         self.busy = false;
         self.next_poll = 0;
         self.settling.clear();
-        self.checkins = (0, 0);
+        self.heartbeats = (0, 0);
         self.placed_seen = 0;
         self.reserving.clear();
         self.reserved.clear();
@@ -118,24 +118,32 @@
 
     /// The partition of a machine.
     pub(crate) fn partition_of(&self, zone: &str, machine: &str) -> Option<PartitionId> {
-        let records = self.by_id.iter().map(|(id, remote)| (*id, &remote.record));
+        let records = self
+            .by_id
+            .iter()
+            .map(|(id, remote_partitions)| (*id, &remote_partitions.record));
         partition_of(records, zone, machine)
     }
 
     /// Whether the partition's holder is in touch and knows its tasks.
     pub(crate) fn is_synced(&self, id: PartitionId) -> bool {
-        self.by_id.get(&id).is_some_and(|remote| remote.synced)
+        self.by_id
+            .get(&id)
+            .is_some_and(|remote_partitions| remote_partitions.synced)
     }
 
     /// The number of the last task placed by the partition's holder that is known.
     pub(crate) fn placed_seen(&self, id: PartitionId) -> u64 {
-        self.by_id.get(&id).map_or(0, |remote| remote.placed_seen)
+        self.by_id
+            .get(&id)
+            .map_or(0, |remote_partitions| remote_partitions.placed_seen)
     }
 
     /// Whether the partition's holder has answered that it places nothing new on the machine.
     pub(crate) fn is_reserved(&self, id: PartitionId, machine: &str) -> bool {
-        let remote = self.by_id.get(&id);
-        remote.is_some_and(|remote| remote.reserved.contains(machine))
+        let remote_partitions = self.by_id.get(&id);
+        remote_partitions
+            .is_some_and(|remote_partitions| remote_partitions.reserved.contains(machine))
     }
 
     /// The fencing token of the partition's claim.
@@ -146,13 +154,15 @@
 
     /// The record of a partition, as it is to be written.
     pub(crate) fn record(&self, id: PartitionId) -> Option<&PartitionRecord> {
-        self.by_id.get(&id).map(|remote| &remote.record)
+        self.by_id
+            .get(&id)
+            .map(|remote_partitions| &remote_partitions.record)
     }
 
     /// A machine of the partition was released.
-    pub(crate) fn note_released(&mut self, id: PartitionId, machine: &str) {
-        if let Some(remote) = self.by_id.get_mut(&id) {
-            remote.released.push(machine.to_string());
+    pub(crate) fn note_terminated(&mut self, id: PartitionId, machine: &str) {
+        if let Some(remote_partitions) = self.by_id.get_mut(&id) {
+            remote_partitions.terminated.push(machine.to_string());
         }
     }
 }
@@ -161,27 +171,30 @@
     /// The leader's part: keeps up with claims, plans, and sends orders to the holders that are due.
     pub(crate) fn run_leader_partitions(&mut self) {
         let now = self.context.now.steady;
-        let due = self.lead.as_ref().is_some_and(|l| now >= l.remote.plan_at);
+        let due = self
+            .leader
+            .as_ref()
+            .is_some_and(|l| now >= l.remote_partitions.plan_at);
         // Members are looked at only for the planner: this runs with every input.
         let members = due.then(|| self.partition_members());
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !lead.loaded() || lead.doubtful() {
+        if !leader.loaded() || leader.doubtful() {
             return;
         }
-        lead.follow_claims(&self.partitions.map);
-        if let Some(why) = lead.folded() {
+        leader.follow_claims(&self.partitions.map);
+        if let Some(why) = leader.folded() {
             return self.step_down(why, true);
         }
-        if let Some(why) = lead.quota.lost {
+        if let Some(why) = leader.quota.lost {
             return self.step_down(why, false);
         }
         if let Some(members) = members {
-            lead.pause_allotments(&self.context, members.any_without_allotments);
-            lead.plan_partitions(&mut self.context, &self.partitions.map, &members);
+            leader.pause_quota_grants(&self.context, members.any_without_quota_grants);
+            leader.plan_partitions(&mut self.context, &self.partitions.map, &members);
         }
-        for orders in lead.due_orders(&self.context) {
+        for orders in leader.due_orders(&self.context) {
             self.send_orders(orders);
         }
     }
@@ -189,14 +202,14 @@
     /// Sends orders to the member that holds the partition, which may be this one.
     fn send_orders(&mut self, orders: PartitionOrders) {
         let (partition, claim) = (orders.partition, orders.claim);
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let holder = lead.holder_of(partition);
+        let holder = leader.holder_of(partition);
         if holder.as_deref() == Some(self.context.settings.member.as_str()) {
             let report = self.on_orders(orders);
-            if let Some(lead) = self.lead.as_mut() {
-                lead.on_report_of_holder(&mut self.context, partition, claim, report);
+            if let Some(leader) = self.leader.as_mut() {
+                leader.on_report_of_holder(&mut self.context, partition, claim, report);
             }
             return;
         }
@@ -205,9 +218,9 @@
             .enumerate()
             .find(|(_, s)| holder.as_deref() == Some(s.member.as_str()));
         let Some((place, _)) = place else {
-            return lead.on_report_of_holder(&mut self.context, partition, claim, None);
+            return leader.on_report_of_holder(&mut self.context, partition, claim, None);
         };
-        let pending = lead.pending(SchedulerCall::Orders { partition, claim });
+        let pending = leader.pending(SchedulerCall::Orders { partition, claim });
         let message = wire::to_peer(&PeerRequest::Partition(orders));
         self.context.call(
             Target::Peer(place),
@@ -224,10 +237,10 @@
     /// Takes over the partitions on record, as a new leader.
     pub(crate) fn load_partitions(&mut self, context: &Context, map: &PartitionMap) {
         for (id, partition) in map.iter() {
-            let mut remote = RemotePartition::new(partition.record.clone());
+            let mut remote_partitions = RemotePartition::new(partition.record.clone());
             let claim = partition.claim.as_ref();
-            remote.claim = claim.map(|c| (c.member.clone(), c.token));
-            self.remote.by_id.insert(id, remote);
+            remote_partitions.claim = claim.map(|c| (c.member.clone(), c.token));
+            self.remote_partitions.by_id.insert(id, remote_partitions);
         }
         if map.unreadable().next().is_some() {
             self.fold(context, "a partition's record cannot be read", map.keys());
@@ -237,37 +250,41 @@
     /// Gives all partitions up. Their machines may have seen tokens that are higher than this leader's,
     /// so the next one looks after them.
     fn fold(&mut self, context: &Context, why: &'static str, keys: Vec<String>) {
-        if self.remote.folding.is_none() {
+        if self.remote_partitions.folding.is_none() {
             warn!("partitions are given up: {why}");
-            self.remote.folding = Some(why);
+            self.remote_partitions.folding = Some(why);
         }
-        let allotments = self.remote.by_id.keys().map(|id| allotment_key(*id));
-        let allotments = allotments.filter(|key| self.ledger.stamps.contains_key(key));
+        let allotments = self
+            .remote_partitions
+            .by_id
+            .keys()
+            .map(|id| quota_grant_key(*id));
+        let allotments = allotments.filter(|key| self.write_buffer.mod_revisions.contains_key(key));
         let allotments: Vec<String> = allotments.collect();
         for key in keys.into_iter().chain(allotments) {
             let id = RecordId::Deleted(key.clone());
-            self.ledger.touch(id, context.now.steady);
-            self.remote.deleted.insert(key);
+            self.write_buffer.mark_dirty(id, context.now.steady);
+            self.remote_partitions.deleted.insert(key);
         }
     }
 
     /// Why this leader has to make room for the next one, once the partitions are off the record.
     fn folded(&self) -> Option<&'static str> {
-        let why = self.remote.folding?;
-        let mut left = self.remote.deleted.iter();
-        let dirty = |key: &String| self.ledger.is_dirty(&RecordId::Deleted(key.clone()));
+        let why = self.remote_partitions.folding?;
+        let mut left = self.remote_partitions.deleted.iter();
+        let dirty = |key: &String| self.write_buffer.is_dirty(&RecordId::Deleted(key.clone()));
         (!left.any(dirty)).then_some(why)
     }
 
     /// Takes in who has claimed what.
     fn follow_claims(&mut self, map: &PartitionMap) {
-        for (id, remote) in &mut self.remote.by_id {
+        for (id, remote_partitions) in &mut self.remote_partitions.by_id {
             let Some(partition) = map.get(*id) else {
                 continue;
             };
             let claim = partition.claim.as_ref();
             // The map may be older than what this leader read itself.
-            let known = remote.claim.as_ref().map(|(_, token)| *token);
+            let known = remote_partitions.claim.as_ref().map(|(_, token)| *token);
             let news = match claim {
                 Some(claim) => known.is_none_or(|known| claim.token > known),
                 None => known.is_some(),
@@ -275,29 +292,34 @@
             if !news {
                 continue;
             }
-            remote.claim_changed(claim.map(|c| (c.member.clone(), c.token)));
+            remote_partitions.claim_changed(claim.map(|c| (c.member.clone(), c.token)));
             let machines = self.machines.values_mut();
             for machine in machines.filter(|m| m.partition == Some(*id)) {
                 // Until its holder says so nothing can be launched there.
-                machine.hears = false;
+                machine.receives_responses = false;
             }
         }
     }
 
     /// Who holds the partition.
     fn holder_of(&self, id: PartitionId) -> Option<String> {
-        let claim = self.remote.by_id.get(&id)?.claim.as_ref()?;
+        let claim = self.remote_partitions.by_id.get(&id)?.claim.as_ref()?;
         Some(claim.0.clone())
     }
 
     /// Lets the planner make, reassign and move partitions.
-    fn plan_partitions(&mut self, context: &mut Context, map: &PartitionMap, view: &MemberView) {
+    fn plan_partitions(
+        &mut self,
+        context: &mut Context,
+        map: &PartitionMap,
+        job_view: &MemberView,
+    ) {
         let now = context.now.steady;
-        if self.remote.folding.is_some() {
+        if self.remote_partitions.folding.is_some() {
             return;
         }
-        self.remote.plan_at = now + PLAN_INTERVAL;
-        if view.any_without && !self.remote.by_id.is_empty() {
+        self.remote_partitions.plan_at = now + PLAN_INTERVAL;
+        if job_view.any_without && !self.remote_partitions.by_id.is_empty() {
             return self.fold(context, "a member does not understand them", map.keys());
         }
         let zones: BTreeSet<String> = context
@@ -306,20 +328,24 @@
             .flatten()
             .flat_map(|t| t.zones.iter().cloned())
             .collect();
-        let loads = self.remote.by_id.iter().map(|(id, r)| (*id, r.load));
+        let loads = self
+            .remote_partitions
+            .by_id
+            .iter()
+            .map(|(id, r)| (*id, r.load));
         let loads: BTreeMap<PartitionId, Load> = loads.collect();
-        let synced = self.remote.by_id.values().all(|r| r.synced);
+        let synced = self.remote_partitions.by_id.values().all(|r| r.synced);
         let settled = now.saturating_sub(self.loaded_at) > SETTLING;
-        let known = map.iter().count() == self.remote.by_id.len();
+        let known = map.iter().count() == self.remote_partitions.by_id.len();
         let plan = Plan {
             map,
             zones: &zones,
-            members: &view.members,
+            members: &job_view.members,
             loads: &loads,
             out_of_touch: &self.out_of_touch(context),
             next_id: self.next_partition_id(),
-            may_create: known && view.all_answer && !view.any_without,
-            at_rest: settled && synced && !self.state_is_slow(),
+            may_create: known && job_view.all_answer && !job_view.any_without,
+            at_rest: settled && synced && !self.store_is_slow(),
             now,
             wall: context.now.wall,
         };
@@ -329,7 +355,7 @@
             hysteresis: context.tuning.partition_hysteresis,
             paused: context.tuning.partition_moves_paused != 0,
         };
-        let assignments = self.remote.planner.round(&settings, &plan);
+        let assignments = self.remote_partitions.planner.round(&settings, &plan);
         for PartitionAssignment { id, record } in assignments {
             self.assign_partition(context, id, record);
         }
@@ -339,9 +365,13 @@
     fn out_of_touch(&self, context: &Context) -> BTreeSet<PartitionId> {
         let now = context.now.steady;
         let waiting = |id: &PartitionId| self.quota.delegations.has(*id);
-        let partitions = self.remote.by_id.iter().filter(|(id, _)| waiting(id));
-        let silent = partitions.filter(|(_, remote)| {
-            let since = remote.answered_at.max(self.loaded_at);
+        let partitions = self
+            .remote_partitions
+            .by_id
+            .iter()
+            .filter(|(id, _)| waiting(id));
+        let silent = partitions.filter(|(_, remote_partitions)| {
+            let since = remote_partitions.answered_at.max(self.loaded_at);
             now.saturating_sub(since) > OUT_OF_TOUCH
         });
         silent.map(|(id, _)| *id).collect()
@@ -354,11 +384,11 @@
             let Some(pages) = pages_of_partition(*id) else {
                 return false;
             };
-            self.pages.any_in(pages.clone()) || self.ledger.is_any_page_dirty(pages)
+            self.pages.any_in(pages.clone()) || self.write_buffer.is_any_page_dirty(pages)
         };
         let with_pages = self.pages.numbers().filter_map(partition_of_page);
         let left = with_pages.filter(left).max();
-        let known = self.remote.by_id.keys().max().copied();
+        let known = self.remote_partitions.by_id.keys().max().copied();
         left.max(known).unwrap_or(0) + 1
     }
 
@@ -372,40 +402,50 @@
         record: PartitionRecord,
     ) {
         info!("partition {id}: to {}, {}", record.holder, record.reason);
-        match self.remote.by_id.get_mut(&id) {
-            Some(remote) => remote.record = record,
+        match self.remote_partitions.by_id.get_mut(&id) {
+            Some(remote_partitions) => remote_partitions.record = record,
             None => {
-                self.remote.by_id.insert(id, RemotePartition::new(record));
+                self.remote_partitions
+                    .by_id
+                    .insert(id, RemotePartition::new(record));
                 self.hand_machines_over(context, id);
             }
         }
-        self.ledger
-            .touch(RecordId::Partition(id), context.now.steady);
+        self.write_buffer
+            .mark_dirty(RecordId::Partition(id), context.now.steady);
     }
 
     /// The leader's own machines of a new partition become its holder's.
     fn hand_machines_over(&mut self, context: &mut Context, id: PartitionId) {
         let mut names = Vec::new();
         for machine in self.machines.values_mut() {
-            let partition = self.remote.partition_of(&machine.zone, &machine.name);
+            let partition = self
+                .remote_partitions
+                .partition_of(&machine.zone, &machine.name);
             if machine.partition.is_none() && partition == Some(id) {
                 machine.partition = Some(id);
-                machine.hears = false;
+                machine.receives_responses = false;
                 machine.exited_attempts.clear();
                 names.push(machine.name.clone());
             }
         }
         for name in names {
-            self.refuse_pending(context, &name, "the machine is in a partition now");
+            self.refuse_held_heartbeats(context, &name, "the machine is in a partition now");
         }
     }
 
     /// The messages that are due.
     fn due_orders(&mut self, context: &Context) -> Vec<PartitionOrders> {
         let now = context.now.steady;
-        let due = self.remote.by_id.iter().filter(|(_, remote)| {
-            remote.claim.is_some() && !remote.busy && now >= remote.next_poll
-        });
+        let due = self
+            .remote_partitions
+            .by_id
+            .iter()
+            .filter(|(_, remote_partitions)| {
+                remote_partitions.claim.is_some()
+                    && !remote_partitions.busy
+                    && now >= remote_partitions.next_poll
+            });
         let due: Vec<PartitionId> = due.map(|(id, _)| *id).collect();
         due.into_iter()
             .filter_map(|id| self.orders(context, id))
@@ -414,14 +454,14 @@
 
     fn orders(&mut self, context: &Context, id: PartitionId) -> Option<PartitionOrders> {
         let now = context.now.steady;
-        let sequence = self.remote.sequence + 1;
-        let remote = self.remote.by_id.get_mut(&id)?;
-        let (_, claim) = remote.claim.clone()?;
-        remote.busy = true;
-        remote.next_poll = now + context.tuning.partition_poll_us;
-        let (synced, seen) = (remote.synced, remote.seen);
-        let released = std::mem::take(&mut remote.released);
-        self.remote.sequence = sequence;
+        let sequence = self.remote_partitions.sequence + 1;
+        let remote_partitions = self.remote_partitions.by_id.get_mut(&id)?;
+        let (_, claim) = remote_partitions.claim.clone()?;
+        remote_partitions.busy = true;
+        remote_partitions.next_poll = now + context.tuning.partition_poll_us;
+        let (synced, seen) = (remote_partitions.synced, remote_partitions.seen);
+        let terminated = std::mem::take(&mut remote_partitions.terminated);
+        self.remote_partitions.sequence = sequence;
         let mut orders = PartitionOrders {
             from: context.settings.member.clone(),
             term: self.token,
@@ -429,7 +469,7 @@
             partition: id,
             claim,
             acknowledged: self.settled_attempts(id),
-            released,
+            terminated,
             seen,
             ..PartitionOrders::default()
         };
@@ -438,13 +478,13 @@
             false => {
                 orders.sync = Some(self.handed_over(id));
                 // Its pages may list what was on machines that are gone.
-                orders.released = self.fleet.gone_within(now, Micros::MAX);
+                orders.terminated = self.fleet.gone_within(now, Micros::MAX);
             }
         }
         orders.quota = self.quota_orders(context, id, synced).map(Box::new);
-        if let Some(remote) = self.remote.by_id.get_mut(&id) {
+        if let Some(remote_partitions) = self.remote_partitions.by_id.get_mut(&id) {
             let reserved = orders.quota.iter().flat_map(|quota| &quota.reserved);
-            remote.reserving = reserved.cloned().collect();
+            remote_partitions.reserving = reserved.cloned().collect();
         }
         Some(orders)
     }
@@ -461,25 +501,25 @@
 
     fn add_launches_and_stops(&mut self, context: &Context, orders: &mut PartitionOrders) {
         let now = context.now.steady;
-        let (ledger, jobs) = (&self.ledger, &self.jobs);
+        let (write_buffer, jobs) = (&self.write_buffer, &self.jobs);
         let machines = self.machines.values_mut();
         for m in machines.filter(|m| m.partition == Some(orders.partition)) {
-            let (name, recalled, session) = (&m.name, m.recall_at.is_some(), m.session);
+            let (name, revoked, incarnation) = (&m.name, m.reclaim_at.is_some(), m.incarnation);
             for a in &mut m.assignments {
                 let full = orders.launches.len() >= MOST_ORDERS;
                 let alive = jobs
                     .get(a.job)
                     .is_some_and(|j| j.cancelled.is_none() && !j.is_done(a.task));
-                let written = ledger.is_durable(&RecordId::Page(a.page), a.written);
+                let written = write_buffer.is_durable(&RecordId::Page(a.page), a.written);
                 let new = a.launched.is_none()
                     && a.stop.is_none()
                     && alive
                     && written
-                    && !recalled
-                    && a.session == session;
+                    && !revoked
+                    && a.incarnation == incarnation;
                 // From now on it may be there, whatever becomes of the message.
                 if new && !full {
-                    a.launched = Some((session, 0));
+                    a.launched = Some((incarnation, 0));
                 }
                 if a.may_exist() && !a.delivered && !a.recovered() && !full {
                     orders.launches.push(placed_task(name, a));
@@ -503,7 +543,7 @@
 
     /// Attempts whose outcome is on record.
     fn settled_attempts(&mut self, id: PartitionId) -> Vec<TaskAttempt> {
-        let Some(remote) = self.remote.by_id.get(&id) else {
+        let Some(remote_partitions) = self.remote_partitions.by_id.get(&id) else {
             return Vec::new();
         };
         let unsettled: BTreeSet<TaskAttempt> = self
@@ -514,7 +554,7 @@
             .filter(|e| !self.is_durable(&e.after, e.job))
             .filter_map(ExitedAttempt::id)
             .collect();
-        let settling = remote.settling.iter().copied();
+        let settling = remote_partitions.settling.iter().copied();
         settling
             .filter(|attempt| !unsettled.contains(attempt))
             .take(MOST_ORDERS)
--- a/crates/core/src/partitions/reports.rs
+++ b/crates/core/src/partitions/reports.rs
@@ -1,10 +1,10 @@
 //! What the reports of holders mean for the leader's books.
 
 use super::orders::RemotePartition;
+use crate::agents::{Assignment, Machine};
+use crate::controller::Context;
 use crate::jobs::parse_task;
 use crate::leadership::Scheduler;
-use crate::node::Context;
-use crate::workers::{Assignment, Machine};
 use crate::{Micros, Outcome, SECOND};
 use grebewood_partition::{Load, PartitionId};
 use grebewood_wire as wire;
@@ -45,25 +45,25 @@
         report: Option<PartitionReport>,
     ) {
         let now = context.now.steady;
-        let Some(remote) = self.remote.by_id.get_mut(&id) else {
+        let Some(remote_partitions) = self.remote_partitions.by_id.get_mut(&id) else {
             return;
         };
-        if remote.claim.as_ref().map(|c| c.1) != Some(claim) {
+        if remote_partitions.claim.as_ref().map(|c| c.1) != Some(claim) {
             return;
         }
-        remote.busy = false;
+        remote_partitions.busy = false;
         let Some(report) = report.filter(|report| report.claim == claim) else {
             return;
         };
-        let newly_synced = report.synced && !remote.synced;
-        remote.synced |= report.synced;
-        remote.answered_at = now;
-        remote.seen = report.version;
+        let newly_synced = report.synced && !remote_partitions.synced;
+        remote_partitions.synced |= report.synced;
+        remote_partitions.answered_at = now;
+        remote_partitions.seen = report.version;
         if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
-            remote.placed_seen = quota.version;
-            remote.reserved = std::mem::take(&mut remote.reserving);
+            remote_partitions.placed_seen = quota.version;
+            remote_partitions.reserved = std::mem::take(&mut remote_partitions.reserving);
         }
-        remote.note_checkins(report.checkins, now);
+        remote_partitions.note_heartbeats(report.heartbeats, now);
         if newly_synced {
             self.note_delivered(id, Assignment::may_exist);
         }
@@ -73,7 +73,7 @@
         }
         for machine in &report.gone {
             if self.machines.contains_key(machine) {
-                self.released(context, machine);
+                self.terminated(context, machine);
             }
         }
         for state in &report.machines {
@@ -107,9 +107,9 @@
         let mut heard = false;
         for machine in self.machines.values_mut() {
             if machine.partition == Some(id) && machine.counted_by_holder {
-                machine.last_checkin = now;
-                machine.last_report = now;
-                machine.last_answer = now;
+                machine.last_heartbeat = now;
+                machine.last_contact_at = now;
+                machine.last_response = now;
                 heard = true;
             }
         }
@@ -137,13 +137,13 @@
         machine.partition = Some(id);
         machine.address.clone_from(&state.address);
         // The holder may have expected a session that the next one finds has not begun.
-        machine.session = state.session;
-        machine.hears = state.hears;
+        machine.incarnation = state.incarnation;
+        machine.receives_responses = state.receives_responses;
         // Whether it may be deaf is its holder's to tell.
-        machine.deaf_since = None;
+        machine.unreachable_since = None;
         machine.counted_by_holder = state.counts;
-        machine.closing |= state.closing;
-        machine.recall_at = state.recall_us.map(|left| now + left);
+        machine.cordoned |= state.cordoned;
+        machine.reclaim_at = state.reclaim_us.map(|left| now + left);
         if !machine.assignments.is_empty() {
             machine.idle_since = now;
         }
@@ -179,11 +179,13 @@
         outcomes: Vec<TaskOutcome>,
     ) {
         let told: BTreeSet<TaskAttempt> = outcomes.iter().map(TaskOutcome::id).collect();
-        let news: Vec<TaskOutcome> = match self.remote.by_id.get_mut(&id) {
-            Some(remote) => {
+        let news: Vec<TaskOutcome> = match self.remote_partitions.by_id.get_mut(&id) {
+            Some(remote_partitions) => {
                 // What is told no more was acknowledged.
-                remote.settling.retain(|attempt| told.contains(attempt));
-                let settling = &mut remote.settling;
+                remote_partitions
+                    .settling
+                    .retain(|attempt| told.contains(attempt));
+                let settling = &mut remote_partitions.settling;
                 let new = outcomes.into_iter().filter(|o| settling.insert(o.id()));
                 new.collect()
             }
@@ -218,7 +220,7 @@
                     attempt: outcome.attempt,
                     status: TaskStatus::Exited,
                     cause: Some(cause.clone()),
-                    saved: None,
+                    checkpointed: None,
                 };
                 if let Some((job, number)) = parse_task(&task_name) {
                     self.exited_unknown(context, name, job, number, &task);
@@ -230,18 +232,18 @@
 
 impl RemotePartition {
     /// Notes how many check-ins the holder has answered since its claim.
-    fn note_checkins(&mut self, checkins: u64, now: Micros) {
-        let (before, at) = self.checkins;
+    fn note_heartbeats(&mut self, heartbeats: u64, now: Micros) {
+        let (before, at) = self.heartbeats;
         let span = now.saturating_sub(at);
         if span < SECOND && at > 0 {
             return;
         }
         if at > 0 {
-            let rate = checkins.saturating_sub(before) as Load * SECOND as Load / span as Load;
+            let rate = heartbeats.saturating_sub(before) as Load * SECOND as Load / span as Load;
             // A mean over some seconds: one alone says little with reports that are seconds apart.
             self.load = self.load * 0.8 + rate * 0.2;
         }
-        self.checkins = (checkins, now);
+        self.heartbeats = (heartbeats, now);
     }
 }
 
@@ -253,10 +255,10 @@
         machine_type: state.machine_type.clone(),
         zone: state.zone.clone(),
         spot: state.spot,
-        session: state.session,
+        incarnation: state.incarnation,
         sequence: 0,
         token: 0,
-        recall_s: None,
+        reclaim_s: None,
         tasks: Vec::new(),
     }
 }
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -4,12 +4,12 @@
 //! the free room allow. It has a time budget: a round that runs out of it goes on with the next
 //! job the next time.
 
+use crate::agents::{grace, Assignment, Machine, ObservedStatus};
+use crate::controller::Context;
 use crate::jobs::{fits_type, Job, JobIndex, Shape, BEGIN_AFTER, EPS};
 use crate::leadership::Scheduler;
-use crate::ledger::RecordId;
-use crate::node::Context;
 use crate::quota::Given;
-use crate::workers::{grace, Assignment, Machine, ObservedStatus};
+use crate::write_buffer::RecordId;
 use crate::{micros, Micros, Stopwatch, MILLI, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{Resources, TeamAmounts};
@@ -18,10 +18,10 @@
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
 
-mod floors;
-mod order;
+mod guarantees;
 mod pages;
 mod preemption;
+mod queue;
 mod tasks;
 
 pub use pages::Pages;
@@ -45,7 +45,7 @@
     /// Where the last round stopped for lack of time.
     resume: Option<JobIndex>,
     /// Nothing is placed before this time: a page could not be read.
-    pub quarantine_until: Micros,
+    pub blocked_until: Micros,
     next_preemption: Micros,
     /// Rounds so far.
     pub rounds: u64,
@@ -71,7 +71,7 @@
     /// Room is being made on it for work of higher priority.
     kept: bool,
     /// What of its room is kept for services.
-    pub standby: Room,
+    pub headroom: Room,
     /// The partition whose holder places tasks on it.
     pub placed_by: Option<PartitionId>,
 }
@@ -82,9 +82,9 @@
         match service {
             true => self.free,
             false => (
-                self.free.0 - self.standby.0,
-                self.free.1 - self.standby.1,
-                self.free.2 - self.standby.2,
+                self.free.0 - self.headroom.0,
+                self.free.1 - self.headroom.1,
+                self.free.2 - self.headroom.2,
             ),
         }
     }
@@ -107,12 +107,12 @@
         self.placement.next_at = now + context.tuning.placement_interval_us;
         self.placement.not_before = self.placement.next_at;
         self.placement.rounds += 1;
-        self.pending_changed = true;
+        self.held_changed = true;
         if !self.placement.wanted && self.placement.resume.is_none() {
             // Rounds without news are needed only for what time itself changes.
             self.placement.next_at = now + SECOND;
         }
-        if now < self.placement.quarantine_until || self.has_unreadable_tasks() {
+        if now < self.placement.blocked_until || self.has_unreadable_tasks() {
             return;
         }
         self.placement.wanted = false;
@@ -120,7 +120,7 @@
         self.jobs.begin_catch_ups(now);
         let queue = self.queue(context);
         let mut open = self.open_machines(context);
-        self.keep_standby(context, &mut open);
+        self.keep_headroom(context, &mut open);
         let mut order = queue.clone();
         // What is left of a team's limit is kept for a job that has waited long and needs more of it:
         // narrow tasks once took it as it became free, and a job of wide ones, or a gang, never began.
@@ -161,9 +161,9 @@
             self.place_job(context, queued, &mut open);
             self.keep_for_beginning(context, queued.index, &mut open);
         }
-        if self.grants_allotments(context) {
+        if self.grants_quota(context) {
             self.delegate_ahead(context, &queue, &kept);
-            self.recall_stuck(context, &open);
+            self.revoke_stuck(context, &open);
         }
         self.placement.backlog = queue.iter().any(|queued| {
             let job = self.jobs.get(queued.index);
@@ -181,11 +181,11 @@
     /// Whether the job's team may have one more of its tasks; all that wait of a gang.
     pub(crate) fn has_quota(&self, context: &Context, index: JobIndex) -> bool {
         let job = self.jobs.get(index);
-        job.is_some_and(|job| self.fits_limit(context, job, Resources::ZERO))
+        job.is_some_and(|job| self.job_fits_limit(context, job, Resources::ZERO))
     }
 
     /// Whether a task of the job, or a whole gang, is within its team's limit once so much is freed.
-    fn fits_limit(&self, context: &Context, job: &Job, freed: Resources) -> bool {
+    fn job_fits_limit(&self, context: &Context, job: &Job, freed: Resources) -> bool {
         let spec = &job.spec;
         let n = match job.shape {
             Shape::Gang => job.waiting().max(1),
@@ -194,7 +194,7 @@
         let wanted = Resources::of(spec.cpus, spec.gpus).times(n);
         let used = self.needed_by(&spec.team).minus(freed);
         self.limit_of(context, &spec.team)
-            .is_some_and(|limit| used.plus(wanted).fits(limit.ceiling))
+            .is_some_and(|limit| used.plus(wanted).fits(limit.limit))
     }
 
     /// Whether the team may have one more of the job's tasks, or a whole gang, once what of the team's
@@ -211,14 +211,14 @@
                 .filter(|a| a.team == *team && a.remaining(now, 0) < KEPT_FOR)
                 .fold(Resources::ZERO, |sum, a| sum.plus(a.amount()))
         });
-        self.fits_limit(context, job, *freed)
+        self.job_fits_limit(context, job, *freed)
     }
 
     /// Machines with free room.
     pub(crate) fn open_machines(&self, context: &Context) -> Vec<OpenMachine> {
         let now = context.now.steady;
         let silence = context.settings.report * 3;
-        let grants = self.grants_allotments(context);
+        let grants = self.grants_quota(context);
         let promised = self.promised_room();
         let free = |m: &Machine| {
             let free = m.free();
@@ -235,7 +235,7 @@
                 spot: m.spot,
                 free: free(m),
                 kept: m.kept_until > now,
-                standby: (0.0, 0.0, 0.0),
+                headroom: (0.0, 0.0, 0.0),
                 placed_by: m
                     .partition
                     .filter(|id| grants && self.may_delegate_to(context, *id)),
--- a/crates/core/src/placement/floors.rs
+++ b/crates/core/src/placement/guarantees.rs
@@ -74,18 +74,18 @@
         }
         for (attempt, grace) in stops {
             info!("{attempt:?}: stopped for a team below its guarantee");
-            self.note_made_way(attempt);
+            self.note_preempted(attempt);
             self.stop_attempt(context, attempt, grace);
         }
     }
 
-    fn note_made_way(&mut self, attempt: TaskAttempt) {
+    fn note_preempted(&mut self, attempt: TaskAttempt) {
         let index = self
             .assignments()
             .find(|a| a.id() == attempt)
             .map(|a| a.job);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
-            job.note_made_way();
+            job.note_preempted();
         }
     }
 
@@ -172,20 +172,20 @@
     /// A task that may be stopped for a guarantee: replicas and gangs are left alone.
     fn borrowed(&self, context: &Context, a: &Assignment) -> Option<Borrowed> {
         let job = self.jobs.get(a.job)?;
-        if job.shape != Shape::Batch || a.seen == ObservedStatus::Saving {
+        if job.shape != Shape::Batch || a.seen == ObservedStatus::Checkpointing {
             return None;
         }
-        let saves = job.spec.checkpoint_s > 0.0;
+        let saves = job.spec.checkpoint_interval_s > 0.0;
         let now = context.now.steady;
         Some(Borrowed {
-            aged: job.has_made_way_enough() || job.preemption_priority() > job.spec.priority,
+            aged: job.has_been_preempted_enough() || job.preemption_priority() > job.spec.priority,
             ran: a.started.map_or(0, |at| now.saturating_sub(at)),
             attempt: a.id(),
             team: a.team.clone(),
             amount: a.amount(),
             room: (a.cpus, a.gpus, a.memory),
             grace: match saves {
-                true => grace(micros(job.spec.save_s)),
+                true => grace(micros(job.spec.checkpoint_duration_s)),
                 false => 0,
             },
         })
--- a/crates/core/src/placement/pages.rs
+++ b/crates/core/src/placement/pages.rs
@@ -191,7 +191,7 @@
                 a.page = to;
                 if !a.may_exist() {
                     // Not launched yet: that waits for the new page.
-                    a.written = self.ledger.touch(RecordId::Page(to), due);
+                    a.written = self.write_buffer.mark_dirty(RecordId::Page(to), due);
                 }
                 let new = a.clone();
                 self.page_mut(from).remove(name, &old);
@@ -214,15 +214,16 @@
             };
             let mut groups: BTreeMap<u64, Vec<(String, u64, u64)>> = BTreeMap::new();
             for a in m.assignments.iter().filter(|a| a.page == n) {
-                groups
-                    .entry(a.session)
-                    .or_default()
-                    .push((a.job_id.clone(), a.task, a.attempt));
+                groups.entry(a.incarnation).or_default().push((
+                    a.job_id.clone(),
+                    a.task,
+                    a.attempt,
+                ));
             }
-            for (session, t) in groups {
+            for (incarnation, t) in groups {
                 record.machines.push(MachineAssignments {
                     machine: name.clone(),
-                    session,
+                    incarnation,
                     zone: m.zone.clone(),
                     assignments: t,
                 });
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -60,8 +60,8 @@
             let used = self.needed_by(&spec.team);
             let freed = stopping.get(&spec.team).copied().unwrap_or_default();
             let mut quota = (
-                limit.ceiling.cpus() - used.cpus() + freed.cpus(),
-                limit.ceiling.gpus() - used.gpus() + freed.gpus(),
+                limit.limit.cpus() - used.cpus() + freed.cpus(),
+                limit.limit.gpus() - used.gpus() + freed.gpus(),
             );
             let within =
                 |quota: (f64, f64)| quota.0 + EPS >= spec.cpus && quota.1 + EPS >= spec.gpus;
@@ -162,7 +162,7 @@
             };
             if a.stop.is_some()
                 || job.is_daemon()
-                || job.spec.checkpoint_s <= 0.0
+                || job.spec.checkpoint_interval_s <= 0.0
                 || a.seen != ObservedStatus::Running
                 || ran < least_run
                 || a.remaining(now, 0) < 10 * SECOND
@@ -175,7 +175,7 @@
                 attempt: a.attempt,
                 guaranteed: guaranteed.contains(&a.job),
                 team: a.team.clone(),
-                grace: grace(micros(job.spec.save_s)),
+                grace: grace(micros(job.spec.checkpoint_duration_s)),
                 cpus: a.cpus,
                 gpus: a.gpus,
                 memory: a.memory,
--- a/crates/core/src/placement/order.rs
+++ b/crates/core/src/placement/queue.rs
@@ -9,7 +9,7 @@
         let left = job.tasks().saturating_sub(job.done_count) as f64;
         let team = self.limit_of(context, &job.spec.team);
         let cpus = job.spec.cpus.max(EPS);
-        let most = team.map_or(left, |limit| (limit.ceiling.cpus() / cpus).floor());
+        let most = team.map_or(left, |limit| (limit.limit.cpus() / cpus).floor());
         let rounds = (left / most.clamp(1.0, 1e6)).max(1.0);
         (run as f64 * rounds) as Micros
     }
--- a/crates/core/src/placement/tasks.rs
+++ b/crates/core/src/placement/tasks.rs
@@ -1,7 +1,7 @@
 //! The tasks of one job: how many may be placed, and on which machines.
 
 use super::*;
-use crate::workers::TaskOnMachine;
+use crate::agents::TaskOnMachine;
 use grebewood_wire::peer::PlacedTask;
 
 /// A job some of whose tasks are being placed.
@@ -44,8 +44,8 @@
     fn begin_placing(&self, context: &Context, queued: QueuedJob) -> Option<Placing> {
         let placing = self.prepare_placing(context, queued)?;
         let team = &placing.spec.team;
-        let ceiling = self.limit_of(context, team)?.ceiling;
-        let in_quota = self.needed_by(team).plus(placing.task).fits(ceiling);
+        let limit = self.limit_of(context, team)?.limit;
+        let in_quota = self.needed_by(team).plus(placing.task).fits(limit);
         in_quota.then_some(placing)
     }
 
@@ -67,7 +67,7 @@
         // What has waited too long may take the room that is kept, too: not only for its beginning. The
         // rest of an array once waited for minutes beside it when nothing more could be rented.
         // Once there are no services any more, that goes for whatever waits long.
-        let yields = self.standby.may_yield() && job.waits_long(now);
+        let yields = self.headroom.may_yield() && job.waits_long(now);
         let service =
             job.shape == Shape::Daemon || job.must_begin(now) || job.starves(now) || yields;
         Some(Placing {
@@ -116,11 +116,11 @@
     ) -> Preference {
         let machine = self.machines.get(&open.name);
         let image = machine.is_some_and(|m| m.has_image(&spec.image));
-        let away = !self.parked.contains(&open.name);
+        let away = !self.long_polls.contains(&open.name);
         let job = self.jobs.get(index);
-        let shunned = job.is_some_and(|job| job.shuns(&open.name, now));
+        let avoided_machines = job.is_some_and(|job| job.avoids(&open.name, now));
         let room = (open.free.0 * 1e3) as i64;
-        (shunned, !image, away, !open.spot, room)
+        (avoided_machines, !image, away, !open.spot, room)
     }
 
     /// Places as many tasks of a job as the team's limit and the machines allow.
@@ -141,7 +141,7 @@
             let zone = fixed_zone.as_deref();
             let room = self.gang_room(queued.index, kind, &candidates, open, zone);
             let all = placing.task.times(placing.left);
-            if room < placing.left || !self.fits_ceiling(context, &placing.spec.team, all) {
+            if room < placing.left || !self.fits_limit(context, &placing.spec.team, all) {
                 return;
             }
             // The tasks of one start of a gang share its attempt number.
@@ -183,7 +183,7 @@
             let team = &placing.spec.team;
             let in_quota = match holder {
                 Some(partition) => self.charge(context, partition, team, placing.task),
-                None => self.fits_ceiling(context, team, placing.task),
+                None => self.fits_limit(context, team, placing.task),
             };
             if !in_quota {
                 // What another partition does not use of its allotment may do here.
@@ -302,15 +302,15 @@
             _ => 0,
         };
         let written = self
-            .ledger
-            .touch_by(RecordId::Page(page), now.saturating_sub(ahead));
+            .write_buffer
+            .mark_dirty_by(RecordId::Page(page), now.saturating_sub(ahead));
         let by_holder = self.is_holder();
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
         let placed = PlacedTask {
             machine: name.to_string(),
-            session: m.session,
+            incarnation: m.incarnation,
             job: spec.id.clone(),
             task,
             attempt,
@@ -345,6 +345,6 @@
         self.page_mut(page).add(name, &assignment);
         self.hold(name, assignment);
         // Its answer carries the launch once the page is written.
-        self.unpark(context, name);
+        self.wake_long_poll(context, name);
     }
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -16,25 +16,25 @@
 //! - [`placing`]: the holder's side;
 //! - [`fence`]: on what its writes depend.
 
+use crate::agents::Assignment;
+use crate::controller::Context;
 use crate::jobs::JobIndex;
 use crate::leadership::Scheduler;
-use crate::node::Context;
-use crate::workers::Assignment;
 use crate::{Micros, Settings};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{Limits, LimitsInForce, QuotaGrants, Resources, TeamQuota};
 use std::collections::{BTreeMap, BTreeSet};
 
-mod delegating;
+mod delegation_policy;
 mod delegations;
-mod fence;
-mod grants;
+mod holder_messages;
+mod holder_placement;
 mod limits;
-mod placing;
+mod write_conditions;
 
-pub(crate) use delegating::Given;
+pub(crate) use delegation_policy::Given;
 pub(crate) use delegations::Delegations;
-pub(crate) use placing::{placed_task, HolderQuota};
+pub(crate) use holder_placement::{placed_task, HolderQuota};
 
 /// The leader's part.
 #[derive(Clone, Debug, Default)]
@@ -72,14 +72,14 @@
 impl Scheduler {
     /// Whether holders may be given tasks and allotments now: the limits are on record, and every member
     /// that was heard understands them.
-    pub(crate) fn grants_allotments(&self, context: &Context) -> bool {
+    pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         let able = self.enforces_guarantees(context) && context.holders_can_write();
         able && !self.quota.paused && !self.quota.refused
     }
 
     /// Whether room is made for teams below their guarantee.
     pub(crate) fn enforces_guarantees(&self, context: &Context) -> bool {
-        context.understands_allotments() && self.limits_are_on_record()
+        context.supports_quota_grants() && self.limits_are_on_record()
     }
 
     /// Whether the partition's holder places tasks.
@@ -96,7 +96,7 @@
 
     /// A team's limits: those in force, or those of the settings where no allotments are granted.
     pub(crate) fn limit_of(&self, context: &Context, team: &str) -> Option<TeamQuota> {
-        match context.understands_allotments() {
+        match context.supports_quota_grants() {
             true => self.quota.limits.in_force().get(team),
             false => Some(context.settings.teams.get(team)?.limit()),
         }
@@ -105,7 +105,7 @@
     /// All teams' limits.
     pub(crate) fn team_limits(&self, context: &Context) -> Vec<(String, TeamQuota)> {
         let settings = context.settings.limits();
-        let limits = match context.understands_allotments() {
+        let limits = match context.supports_quota_grants() {
             true => self.quota.limits.in_force(),
             false => &settings,
         };
@@ -122,23 +122,18 @@
     }
 
     /// What of a team's ceiling is neither used nor allotted.
-    pub(crate) fn room_under_ceiling(&self, context: &Context, team: &str) -> Resources {
+    pub(crate) fn room_under_limit(&self, context: &Context, team: &str) -> Resources {
         let limit = self.limit_of(context, team).unwrap_or_default();
         let own = self.usage.get(team).copied().unwrap_or_default();
         limit
-            .ceiling
+            .limit
             .minus(own)
             .minus(self.quota.allotments.total(team))
     }
 
     /// Whether so much of a team's ceiling is left. If not, what holders do not need is asked back.
-    pub(crate) fn fits_ceiling(
-        &mut self,
-        context: &Context,
-        team: &str,
-        amount: Resources,
-    ) -> bool {
-        let fits = amount.fits(self.room_under_ceiling(context, team));
+    pub(crate) fn fits_limit(&mut self, context: &Context, team: &str, amount: Resources) -> bool {
+        let fits = amount.fits(self.room_under_limit(context, team));
         if !fits {
             self.quota.pressed.insert(team.to_string());
         }
@@ -148,7 +143,7 @@
     /// Counts what an assignment takes of its team's limit, until it is proven gone.
     pub(crate) fn count_assignment(&mut self, a: &Assignment) {
         if a.by_holder && self.is_holder() {
-            self.placer.allotment.take(&a.team, a.amount());
+            self.holder_quota.allotment.take(&a.team, a.amount());
             return;
         }
         // What a holder placed is charged to its allotment when the leader learns of it.
@@ -161,7 +156,7 @@
     /// The assignment on this machine is proven gone.
     pub(crate) fn discount_assignment(&mut self, context: &Context, machine: &str, a: &Assignment) {
         match (a.by_holder, self.is_holder()) {
-            (true, true) => self.placer.allotment.give_back(&a.team, a.amount()),
+            (true, true) => self.holder_quota.allotment.give_back(&a.team, a.amount()),
             (true, false) => {
                 let partition = self.machines.get(machine).and_then(|m| m.partition);
                 if let Some(partition) = partition {
--- a/crates/core/src/quota/delegating.rs
+++ b/crates/core/src/quota/delegation_policy.rs
@@ -1,12 +1,12 @@
 //! What the leader gives to holders to place, and what it takes back.
 
 use super::delegations::{Delegation, TaskOfJob};
+use crate::agents::{Assignment, PlannedTask};
+use crate::controller::Context;
 use crate::jobs::{JobIndex, EPS};
 use crate::leadership::Scheduler;
-use crate::ledger::RecordId;
-use crate::node::Context;
 use crate::placement::{permits, slots, OpenMachine, Placing, QueuedJob, Room};
-use crate::workers::{Assignment, PlannedTask};
+use crate::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
@@ -51,19 +51,19 @@
         team: &str,
         amount: Resources,
     ) -> bool {
-        let ceiling = self.limit_of(context, team).unwrap_or_default().ceiling;
+        let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let needed = self.needed_by(team).plus(amount);
         // What is allotted for nothing is no room under a ceiling that was lowered.
-        if !needed.fits(ceiling) || self.is_over_ceiling(context, team) {
+        if !needed.fits(limit) || self.is_over_limit(context, team) {
             self.quota.pressed.insert(team.to_string());
             return false;
         }
-        let room = self.room_under_ceiling(context, team);
+        let room = self.room_under_limit(context, team);
         let promised = self.quota.delegations.waiting(partition, team);
         let allotments = &mut self.quota.allotments;
         let queued = allotments.queue(partition, team, amount, promised, room);
         match queued {
-            Ok(()) => self.write_allotment(context, partition, 0),
+            Ok(()) => self.write_quota_grant(context, partition, 0),
             Err(_) => {
                 self.quota.pressed.insert(team.to_string());
             }
@@ -72,7 +72,7 @@
     }
 
     /// The partition's allotment is written, if it is not what is on record, after this time.
-    pub(crate) fn write_allotment(
+    pub(crate) fn write_quota_grant(
         &mut self,
         context: &Context,
         partition: PartitionId,
@@ -80,7 +80,8 @@
     ) {
         if self.quota.allotments.differs_from_record(partition) {
             let due = context.now.steady + delay;
-            self.ledger.touch_by(RecordId::Allotment(partition), due);
+            self.write_buffer
+                .mark_dirty_by(RecordId::Allotment(partition), due);
         }
     }
 
@@ -175,14 +176,14 @@
     }
 
     /// Takes a job's tasks back from all holders, as far as they are not placed.
-    pub(crate) fn recall_job(&mut self, context: &Context, index: JobIndex) {
+    pub(crate) fn revoke_job(&mut self, context: &Context, index: JobIndex) {
         let theirs = self.quota.delegations.of_job(index);
         let theirs: Vec<(TaskOfJob, PartitionId, bool)> = theirs
             .map(|(task, delegation)| (task, delegation.partition, delegation.sent))
             .collect();
         for (task, partition, sent) in theirs {
             match sent {
-                true => self.quota.delegations.recall(partition, index),
+                true => self.quota.delegations.revoke(partition, index),
                 false => self.give_task_back(context, task),
             }
         }
@@ -277,8 +278,8 @@
         kept: &BTreeSet<String>,
     ) {
         let for_leader = self.level_for_leader(context, queue);
-        self.recall_ahead(|d| for_leader.is_some_and(|level| d.level >= level));
-        self.recall_ahead(|d| kept.contains(&d.team));
+        self.revoke_ahead(|d| for_leader.is_some_and(|level| d.level >= level));
+        self.revoke_ahead(|d| kept.contains(&d.team));
         let mut soon = self.soon_free(context);
         let mut left = self.soon_left(context);
         for queued in queue {
@@ -291,7 +292,7 @@
                 continue;
             };
             let team = &placing.spec.team;
-            if kept.contains(team) || self.is_over_ceiling(context, team) {
+            if kept.contains(team) || self.is_over_limit(context, team) {
                 continue;
             }
             for machine in &mut soon {
@@ -304,7 +305,7 @@
             // What is left of the room is for more of its tasks, not for less urgent ones, which would fill
             // it first: what was stopped for a team below its guarantee once went to others again.
             if placing.has_more() && self.has_quota(context, queued.index) {
-                self.recall_ahead(|d| d.level > queued.level);
+                self.revoke_ahead(|d| d.level > queued.level);
                 break;
             }
         }
@@ -323,13 +324,13 @@
     }
 
     /// Takes back what waits for room at holders, as far as it is chosen.
-    fn recall_ahead(&mut self, chosen: impl Fn(&Delegation) -> bool) {
+    fn revoke_ahead(&mut self, chosen: impl Fn(&Delegation) -> bool) {
         let delegations = self.quota.delegations.iter();
         let later = delegations.filter(|(_, d)| d.waits && chosen(d));
         let later: BTreeSet<(PartitionId, JobIndex)> =
             later.map(|((index, _), d)| (d.partition, index)).collect();
         for (partition, index) in later {
-            self.quota.delegations.recall(partition, index);
+            self.quota.delegations.revoke(partition, index);
         }
     }
 
@@ -362,13 +363,13 @@
 
     /// Takes back what holders have not placed in time, and what waits for room while there is room
     /// elsewhere.
-    pub(crate) fn recall_stuck(&mut self, context: &Context, open: &[OpenMachine]) {
+    pub(crate) fn revoke_stuck(&mut self, context: &Context, open: &[OpenMachine]) {
         let now = context.now.steady;
         let mut stuck: Vec<(PartitionId, JobIndex)> = Vec::new();
         for ((index, _), delegation) in self.quota.delegations.iter() {
             let key = (delegation.partition, index);
             let known = stuck.last() == Some(&key);
-            if known || self.quota.delegations.is_recalled(key.0, key.1) {
+            if known || self.quota.delegations.is_revoked(key.0, key.1) {
                 continue;
             }
             let waited = now.saturating_sub(delegation.since);
@@ -384,7 +385,7 @@
             }
         }
         for (partition, index) in stuck {
-            self.quota.delegations.recall(partition, index);
+            self.quota.delegations.revoke(partition, index);
         }
     }
 
--- a/crates/core/src/quota/delegations.rs
+++ b/crates/core/src/quota/delegations.rs
@@ -37,7 +37,7 @@
     by_task: BTreeMap<TaskOfJob, Delegation>,
     by_partition: BTreeMap<PartitionId, BTreeSet<TaskOfJob>>,
     /// Jobs whose tasks are asked back, and those of them that the last message asked for.
-    recalled: BTreeMap<PartitionId, BTreeSet<JobIndex>>,
+    revoked: BTreeMap<PartitionId, BTreeSet<JobIndex>>,
     asked_back: BTreeMap<PartitionId, BTreeSet<JobIndex>>,
     /// What the tasks that wait for room at a holder take of each team's limit.
     waiting: BTreeMap<PartitionId, TeamAmounts>,
@@ -109,19 +109,19 @@
     }
 
     /// Asks the job's tasks back from the partition's holder.
-    pub fn recall(&mut self, partition: PartitionId, job: JobIndex) {
-        self.recalled.entry(partition).or_default().insert(job);
+    pub fn revoke(&mut self, partition: PartitionId, job: JobIndex) {
+        self.revoked.entry(partition).or_default().insert(job);
     }
 
     /// Whether the job's tasks are being asked back from the partition's holder.
-    pub fn is_recalled(&self, partition: PartitionId, job: JobIndex) -> bool {
-        let recalled = self.recalled.get(&partition);
-        recalled.is_some_and(|jobs| jobs.contains(&job))
+    pub fn is_revoked(&self, partition: PartitionId, job: JobIndex) -> bool {
+        let revoked = self.revoked.get(&partition);
+        revoked.is_some_and(|jobs| jobs.contains(&job))
     }
 
     /// The names of jobs whose tasks are asked back from the partition's holder, for a message to it.
     pub fn ask_back(&mut self, partition: PartitionId) -> Vec<String> {
-        let jobs = self.recalled.get(&partition).cloned().unwrap_or_default();
+        let jobs = self.revoked.get(&partition).cloned().unwrap_or_default();
         let mut names = BTreeMap::new();
         for ((job, _), delegation) in self.of_partition(partition) {
             names.insert(job, delegation.job_id.clone());
@@ -152,8 +152,8 @@
         let theirs: Vec<TaskOfJob> = theirs.into_iter().flatten().copied().collect();
         // What it was asked for it has dropped: from now on it may be given such tasks again.
         let asked = self.asked_back.remove(&partition).unwrap_or_default();
-        if let Some(recalled) = self.recalled.get_mut(&partition) {
-            recalled.retain(|job| !asked.contains(job));
+        if let Some(revoked) = self.revoked.get_mut(&partition) {
+            revoked.retain(|job| !asked.contains(job));
         }
         let mut returned = Vec::new();
         for task in theirs {
--- a/crates/core/src/quota/delegations/tests.rs
+++ b/crates/core/src/quota/delegations/tests.rs
@@ -46,14 +46,14 @@
 #[test]
 fn a_recall_is_over_once_it_is_answered() {
     let mut delegations = two_tasks();
-    delegations.recall(1, 4);
+    delegations.revoke(1, 4);
     // An answer to a message before the recall ends nothing.
     delegations.returned(1, &BTreeSet::new());
-    assert!(delegations.is_recalled(1, 4));
+    assert!(delegations.is_revoked(1, 4));
     assert_eq!(delegations.ask_back(1), ["req-1"]);
-    assert!(delegations.is_recalled(1, 4));
+    assert!(delegations.is_revoked(1, 4));
     delegations.returned(1, &BTreeSet::new());
-    assert!(!delegations.is_recalled(1, 4));
+    assert!(!delegations.is_revoked(1, 4));
 }
 
 #[test]
--- a/crates/core/src/quota/grants.rs
+++ b/crates/core/src/quota/holder_messages.rs
@@ -1,10 +1,10 @@
 //! The leader's side of the messages: what a holder is told, and what its answer means.
 
 use super::delegations::TaskOfJob;
+use crate::agents::{Assignment, TaskOnMachine};
+use crate::controller::Context;
 use crate::jobs::JobIndex;
 use crate::leadership::Scheduler;
-use crate::node::Context;
-use crate::workers::{Assignment, TaskOnMachine};
 use crate::{Micros, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_quota::GrantReduction;
@@ -28,12 +28,12 @@
         id: PartitionId,
         synced: bool,
     ) -> Option<QuotaOrders> {
-        if !context.understands_allotments() {
+        if !context.supports_quota_grants() {
             return None;
         }
-        let limits = self.ledger.stamps.get(LIMITS).copied()?;
+        let limits = self.write_buffer.mod_revisions.get(LIMITS).copied()?;
         let teams = self.quota.limits.in_force().iter();
-        let over = teams.filter(|(team, _)| self.is_over_ceiling(context, team));
+        let over = teams.filter(|(team, _)| self.is_over_limit(context, team));
         let over: BTreeSet<String> = over.map(|(team, _)| team.to_string()).collect();
         let pressed = self.quota.pressed.clone();
         let ask_back = |team: &str| match (over.contains(team), pressed.contains(team)) {
@@ -52,9 +52,9 @@
             limits,
             allotment,
             work,
-            recalled: self.quota.delegations.ask_back(id),
+            revoked: self.quota.delegations.ask_back(id),
             reserved: self.reserved_machines(id),
-            seen: self.remote.placed_seen(id),
+            seen: self.remote_partitions.placed_seen(id),
         })
     }
 
@@ -64,7 +64,7 @@
         let new = delegations
             .of_partition(id)
             .filter(|((index, _), delegation)| {
-                !delegation.confirmed && !delegations.is_recalled(id, *index)
+                !delegation.confirmed && !delegations.is_revoked(id, *index)
             });
         let mut work: BTreeMap<JobIndex, DelegatedWork> = BTreeMap::new();
         let mut sent: Vec<TaskOfJob> = Vec::new();
@@ -90,7 +90,7 @@
     fn reserved_machines(&self, id: PartitionId) -> Vec<String> {
         let machines = self.machines.values();
         let theirs = machines.filter(|m| m.partition == Some(id));
-        let reserved = theirs.filter(|m| m.closing || self.fleet.is_releasing(&m.name));
+        let reserved = theirs.filter(|m| m.cordoned || self.fleet.is_terminating(&m.name));
         reserved.map(|m| m.name.clone()).collect()
     }
 
@@ -122,7 +122,7 @@
             true => SHRINK_DELAY,
             false => 0,
         };
-        self.write_allotment(context, id, delay);
+        self.write_quota_grant(context, id, delay);
     }
 
     /// A holder has answered that it places nothing.
@@ -171,9 +171,12 @@
             // proven anew it counts.
             debug!("{}/{}: on a holder's page", placed.job, placed.task);
         }
-        let zone = self.remote.record(id).map(|record| record.zone.clone());
+        let zone = self
+            .remote_partitions
+            .record(id)
+            .map(|record| record.zone.clone());
         let zone = zone.unwrap_or_default();
-        self.recovered_machine(context, &placed.machine, &zone, placed.session);
+        self.recovered_machine(context, &placed.machine, &zone, placed.incarnation);
         let job = index.and_then(|index| self.jobs.get_mut(index));
         let spec = job.map(|job| {
             if delegation.is_none() {
@@ -184,7 +187,7 @@
             job.spec.clone()
         });
         let assignment = Assignment {
-            launched: Some((placed.session, 0)),
+            launched: Some((placed.incarnation, 0)),
             by_holder: true,
             ..Assignment::new(TaskOnMachine {
                 task: placed,
@@ -204,8 +207,8 @@
     }
 
     /// The members that were heard lately say whether all of them understand allotments.
-    pub(crate) fn pause_allotments(&mut self, context: &Context, paused: bool) {
-        if !context.understands_allotments() || self.quota.paused == paused {
+    pub(crate) fn pause_quota_grants(&mut self, context: &Context, paused: bool) {
+        if !context.supports_quota_grants() || self.quota.paused == paused {
             return;
         }
         info!(
@@ -217,14 +220,14 @@
             let jobs = self.jobs.iter().filter(|(_, job)| job.delegated > 0);
             let delegated: Vec<JobIndex> = jobs.map(|(index, _)| index).collect();
             for index in delegated {
-                self.recall_job(context, index);
+                self.revoke_job(context, index);
             }
         }
     }
 
     /// A machine that is to be returned may be released: nothing new is placed on it meanwhile.
-    pub(crate) fn may_be_released(&self, partition: Option<PartitionId>, machine: &str) -> bool {
+    pub(crate) fn may_be_terminated(&self, partition: Option<PartitionId>, machine: &str) -> bool {
         let holder = partition.filter(|id| self.holder_places(*id));
-        holder.is_none_or(|id| self.remote.is_reserved(id, machine))
+        holder.is_none_or(|id| self.remote_partitions.is_reserved(id, machine))
     }
 }
--- a/crates/core/src/quota/placing.rs
+++ b/crates/core/src/quota/holder_placement.rs
@@ -1,9 +1,9 @@
 //! The holder's side: it places the tasks that the leader has given it, out of its allotment.
 
+use crate::agents::Assignment;
+use crate::controller::Context;
 use crate::leadership::{Role, Scheduler};
-use crate::node::Context;
 use crate::placement::{permits, slots, OpenMachine, Pages, Preference};
-use crate::workers::Assignment;
 use crate::{Micros, Stopwatch, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{HolderGrant, Resources};
@@ -99,13 +99,13 @@
     /// Whether the holder places tasks, if the leader gives it some.
     pub(crate) fn places_tasks(&self, context: &Context) -> bool {
         let pages = self.partition().and_then(pages_of_partition);
-        context.understands_allotments() && pages.is_some()
+        context.supports_quota_grants() && pages.is_some()
     }
 
     /// A new leader says what may be on the machines: what is not on record by then is not launched any
     /// more, since it may place that anew.
     pub(crate) fn settle_placed(&mut self, context: &mut Context, listed: &BTreeSet<TaskAttempt>) {
-        self.placer.queue.clear();
+        self.holder_quota.queue.clear();
         let durable: BTreeSet<TaskAttempt> = self
             .assignments()
             .filter(|a| a.by_holder && self.is_on_record(a))
@@ -124,20 +124,22 @@
         quota: Option<&QuotaOrders>,
     ) {
         let Some(quota) = quota.filter(|_| self.places_tasks(context)) else {
-            self.placer.queue.clear();
-            self.placer.allotment.suspend();
-            self.placer.term = None;
+            self.holder_quota.queue.clear();
+            self.holder_quota.allotment.suspend();
+            self.holder_quota.term = None;
             return;
         };
-        let placer = &mut self.placer;
-        placer.allotment.adopt(&quota.allotment);
-        placer.term = Some(term);
-        placer.limits = Some(quota.limits);
-        placer.placed.retain(|(number, _)| *number > quota.seen);
-        let recalled = &quota.recalled;
-        placer
+        let holder_quota = &mut self.holder_quota;
+        holder_quota.allotment.adopt(&quota.allotment);
+        holder_quota.term = Some(term);
+        holder_quota.limits = Some(quota.limits);
+        holder_quota
+            .placed
+            .retain(|(number, _)| *number > quota.seen);
+        let revoked = &quota.revoked;
+        holder_quota
             .queue
-            .retain(|queued| !recalled.contains(&queued.job));
+            .retain(|queued| !revoked.contains(&queued.job));
         for (name, machine) in &mut self.machines {
             machine.reserved = quota.reserved.contains(name);
         }
@@ -155,16 +157,16 @@
             .collect();
         for given in &work.tasks {
             let known = here.contains(&given.task)
-                || self.placer.is_queued(&work.job, given.task)
-                || self.placer.is_untold(&work.job, given.task);
+                || self.holder_quota.is_queued(&work.job, given.task)
+                || self.holder_quota.is_untold(&work.job, given.task);
             if known {
                 continue;
             }
-            self.placer.came += 1;
-            self.placer.queue.insert(QueuedTask {
+            self.holder_quota.came += 1;
+            self.holder_quota.queue.insert(QueuedTask {
                 ahead: given.waits,
                 level: work.level,
-                number: self.placer.came,
+                number: self.holder_quota.came,
                 job: work.job.clone(),
                 task: given.task,
                 machine: given.machine.clone(),
@@ -183,14 +185,14 @@
         self.placement.wanted = false;
         self.placement.next_at = now + PLACE_INTERVAL;
         self.placement.rounds += 1;
-        self.pending_changed = true;
+        self.held_changed = true;
         self.forget_idle_work();
-        self.placement.backlog = !self.placer.queue.is_empty();
-        if !self.placement.backlog || self.placer.term.is_none() {
+        self.placement.backlog = !self.holder_quota.queue.is_empty();
+        if !self.placement.backlog || self.holder_quota.term.is_none() {
             return;
         }
         let mut open = self.open_machines(context);
-        let queue: Vec<QueuedTask> = self.placer.queue.iter().cloned().collect();
+        let queue: Vec<QueuedTask> = self.holder_quota.queue.iter().cloned().collect();
         for queued in queue {
             if open.is_empty() {
                 break;
@@ -201,16 +203,16 @@
                 break;
             }
             if self.place_queued(context, &queued, &mut open) {
-                self.placer.queue.remove(&queued);
+                self.holder_quota.queue.remove(&queued);
             }
         }
-        self.placement.backlog = !self.placer.queue.is_empty();
+        self.placement.backlog = !self.holder_quota.queue.is_empty();
     }
 
     /// Work of jobs that were cancelled is not held any longer; the leader takes it back.
     fn forget_idle_work(&mut self) {
         let jobs = &self.jobs;
-        self.placer.queue.retain(|queued| {
+        self.holder_quota.queue.retain(|queued| {
             let job = jobs.find(&queued.job).and_then(|index| jobs.get(index));
             // One that is not known here yet may still come.
             job.is_none_or(|job| job.cancelled.is_none())
@@ -231,7 +233,7 @@
             return false;
         };
         let amount = Resources::of(spec.cpus, spec.gpus);
-        if !self.placer.allotment.may_use(&spec.team, amount) {
+        if !self.holder_quota.allotment.may_use(&spec.team, amount) {
             return false;
         }
         let Some(at) = self.choose_machine(context, queued, &spec, open) else {
@@ -279,8 +281,8 @@
 
     /// Whether the assignment is on its page for certain.
     pub(crate) fn is_on_record(&self, a: &Assignment) -> bool {
-        let page = crate::ledger::RecordId::Page(a.page);
-        self.ledger.is_durable(&page, a.written)
+        let page = crate::write_buffer::RecordId::Page(a.page);
+        self.write_buffer.is_durable(&page, a.written)
     }
 
     /// What was placed and has come on record is told to the leader from now on.
@@ -292,15 +294,15 @@
                 .iter_mut()
                 .filter(|a| a.by_holder && !a.delivered)
             {
-                let page = crate::ledger::RecordId::Page(a.page);
-                if self.ledger.is_durable(&page, a.written) {
+                let page = crate::write_buffer::RecordId::Page(a.page);
+                if self.write_buffer.is_durable(&page, a.written) {
                     a.delivered = true;
                     placed.push(placed_task(name, a));
                 }
             }
         }
         for task in placed {
-            self.placer.note_placed(task);
+            self.holder_quota.note_placed(task);
         }
     }
 
@@ -309,11 +311,13 @@
         if !self.places_tasks(context) {
             return None;
         }
-        let placer = &self.placer;
-        let told: Vec<&(u64, PlacedTask)> = placer.placed.iter().take(MOST_PLACED).collect();
-        let version = told.last().map_or(placer.version, |(number, _)| *number);
+        let holder_quota = &self.holder_quota;
+        let told: Vec<&(u64, PlacedTask)> = holder_quota.placed.iter().take(MOST_PLACED).collect();
+        let version = told
+            .last()
+            .map_or(holder_quota.version, |(number, _)| *number);
         Some(QuotaReport {
-            held: placer.allotment.held(),
+            held: holder_quota.allotment.held(),
             waiting: self.waiting_ranges(),
             placed: told.into_iter().map(|(_, task)| task.clone()).collect(),
             version,
@@ -323,11 +327,11 @@
     /// Tasks that are to be placed, are being written, or are told of later.
     fn waiting_ranges(&self) -> Vec<TaskRanges> {
         let mut tasks: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
-        let queued = self.placer.queue.iter();
+        let queued = self.holder_quota.queue.iter();
         let queued = queued.map(|queued| (queued.job.as_str(), queued.task));
         let unwritten = self.assignments().filter(|a| a.by_holder && !a.delivered);
         let unwritten = unwritten.map(|a| (a.job_id.as_str(), a.task));
-        let later = self.placer.placed.iter().skip(MOST_PLACED);
+        let later = self.holder_quota.placed.iter().skip(MOST_PLACED);
         let later = later.map(|(_, placed)| (placed.job.as_str(), placed.task));
         for (job, task) in queued.chain(unwritten).chain(later) {
             tasks.entry(job).or_default().insert(task);
@@ -346,7 +350,7 @@
 pub(crate) fn placed_task(machine: &str, a: &Assignment) -> PlacedTask {
     PlacedTask {
         machine: machine.to_string(),
-        session: a.session,
+        incarnation: a.incarnation,
         job: a.job_id.clone(),
         task: a.task,
         attempt: a.attempt,
--- a/crates/core/src/quota/placing/tests.rs
+++ b/crates/core/src/quota/holder_placement/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
+use crate::agents::{HeldHeartbeat, Machine};
+use crate::controller::Controller;
 use crate::jobs::Job;
 use crate::leadership::FencedLease;
-use crate::node::Controller;
-use crate::test_support::{first_report, job_record, unread_leader, WALL};
-use crate::workers::{HeldHeartbeat, Machine};
+use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
 use crate::{Effect, NoStopwatch, Target, SECOND};
 use grebewood_wire::http::{MachineType, Transaction};
 use grebewood_wire::peer::{DelegatedTask, PartitionOrders, PartitionReport};
-use grebewood_wire::records::{allotment_key, claim_key, TeamAmount, LEADER, LIMITS};
+use grebewood_wire::records::{claim_key, quota_grant_key, TeamAmount, LEADER, LIMITS};
 
 const MACHINE: &str = "n-000001";
 const TERM: u64 = 7;
@@ -41,13 +41,13 @@
     let grant = FencedLease {
         token: CLAIM,
         lease: 1,
-        lease_at: now,
+        lease_requested_at: now,
     };
     let mut holder = Scheduler::new(&node.context, Role::Holder(1), grant);
     holder.jobs.insert(Job::new(job_record(4), now, WALL));
     let kind = machine_type();
-    let mut machine = Machine::new(&first_report(), Some(&kind), now);
-    (machine.session, machine.hears) = (1, true);
+    let mut machine = Machine::new(&first_heartbeat(), Some(&kind), now);
+    (machine.incarnation, machine.receives_responses) = (1, true);
     holder.machines.insert(MACHINE.into(), machine);
     let sync = PartitionOrders {
         sync: Some(Vec::new()),
@@ -119,7 +119,7 @@
         request: 1,
         round: 0,
         machine: MACHINE.into(),
-        session: 1,
+        incarnation: 1,
         sequence: 2,
         until: 0,
     };
@@ -128,7 +128,7 @@
 
 /// The write of the last flush was carried out.
 fn written(node: &mut Controller, holder: &mut Scheduler) {
-    let batch = holder.ledger.in_flight.take().expect("a flush");
+    let batch = holder.write_buffer.in_flight.take().expect("a flush");
     holder.flushed(&mut node.context, &batch, 40);
 }
 
@@ -149,15 +149,15 @@
     run(&mut node, &mut holder);
     let txns = txns(&mut node);
     assert_eq!(txns.len(), 1);
-    let stamp = |key: &str| {
+    let mod_revision = |key: &str| {
         let condition = txns[0].when.iter().find(|when| when.key == key);
-        condition.map(|when| when.stamp)
+        condition.map(|when| when.mod_revision)
     };
-    assert_eq!(stamp(&claim_key(1)), Some(CLAIM));
-    assert_eq!(stamp(LEADER), Some(TERM));
-    assert_eq!(stamp(LIMITS), Some(LIMITS_STAMP));
-    assert_eq!(stamp("page/0/1000"), Some(0));
-    assert_eq!(stamp(&allotment_key(1)), None);
+    assert_eq!(mod_revision(&claim_key(1)), Some(CLAIM));
+    assert_eq!(mod_revision(LEADER), Some(TERM));
+    assert_eq!(mod_revision(LIMITS), Some(LIMITS_STAMP));
+    assert_eq!(mod_revision("page/0/1000"), Some(0));
+    assert_eq!(mod_revision(&quota_grant_key(1)), None);
 }
 
 #[test]
@@ -204,7 +204,7 @@
     assert_eq!(holder.assignments().count(), 3);
     let listed = PlacedTask {
         machine: MACHINE.into(),
-        session: 1,
+        incarnation: 1,
         job: "req-1".into(),
         task: on_record.task,
         attempt: on_record.attempt,
@@ -240,9 +240,10 @@
 
 fn give_nothing_writes(node: &mut Controller, holder: &mut Scheduler) {
     node.context.out.clear();
-    holder
-        .ledger
-        .touch(crate::ledger::RecordId::Page(1000), node.context.now.steady);
+    holder.write_buffer.mark_dirty(
+        crate::write_buffer::RecordId::Page(1000),
+        node.context.now.steady,
+    );
     run(node, holder);
     assert_eq!(txns(node).len(), 0);
 }
@@ -259,7 +260,7 @@
     assert_eq!(holder.assignments().count(), 0);
     let mut recalling = orders(3, 4, &[]);
     if let Some(quota) = &mut recalling.quota {
-        quota.recalled = vec!["req-1".into()];
+        quota.revoked = vec!["req-1".into()];
     }
     let report = give(&mut node, &mut holder, recalling);
     assert_eq!(waiting(&report), []);
@@ -290,7 +291,7 @@
     let launch = PartitionOrders {
         launches: vec![PlacedTask {
             machine: MACHINE.into(),
-            session: 1,
+            incarnation: 1,
             job: "req-1".into(),
             task: 3,
             attempt: 70,
--- a/crates/core/src/quota/limits.rs
+++ b/crates/core/src/quota/limits.rs
@@ -1,10 +1,10 @@
 //! Which limits are in force, and what happens when they are lowered.
 
+use crate::agents::{grace, Assignment, ObservedStatus};
+use crate::controller::Context;
 use crate::jobs::JobIndex;
 use crate::leadership::Scheduler;
-use crate::ledger::RecordId;
-use crate::node::Context;
-use crate::workers::{grace, Assignment, ObservedStatus};
+use crate::write_buffer::RecordId;
 use crate::{micros, Micros, SECOND};
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
 use grebewood_wire::http::{from_value, KeyValue, Shape};
@@ -21,13 +21,15 @@
 impl Scheduler {
     /// Takes over limits and allotments on record, as a new leader.
     pub(crate) fn load_quota(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
-        if !context.understands_allotments() {
+        if !context.supports_quota_grants() {
             return;
         }
         let mut recorded = None;
         let mut allotments = Vec::new();
         for entry in entries {
-            self.ledger.stamps.insert(entry.key.clone(), entry.stamp);
+            self.write_buffer
+                .mod_revisions
+                .insert(entry.key.clone(), entry.mod_revision);
             if entry.key == LIMITS {
                 match from_value::<LimitsRecord>(&entry.value) {
                     Ok(record) => recorded = Some(Limits::from_teams(&record.teams)),
@@ -36,12 +38,12 @@
                 continue;
             }
             let id = entry.key.strip_prefix(QUOTA).and_then(|n| n.parse().ok());
-            match id.filter(|id| self.remote.record(*id).is_some()) {
+            match id.filter(|id| self.remote_partitions.record(*id).is_some()) {
                 Some(id) => allotments.push((id, entry)),
                 None => {
                     let due = context.now.steady + SECOND;
                     let stale = RecordId::Deleted(entry.key);
-                    self.ledger.touch_lazily(stale, due);
+                    self.write_buffer.mark_dirty_lazily(stale, due);
                 }
             }
         }
@@ -58,7 +60,7 @@
                 Err(e) => {
                     error!("record {}: {e}; counted as all of each ceiling", entry.key);
                     let in_force = self.quota.limits.in_force().iter();
-                    let ceilings = in_force.map(|(team, limit)| (team.to_string(), limit.ceiling));
+                    let ceilings = in_force.map(|(team, limit)| (team.to_string(), limit.limit));
                     let ceilings: TeamAmounts = ceilings.collect();
                     self.quota.allotments.load_unreadable(id, ceilings);
                 }
@@ -68,12 +70,13 @@
 
     /// Whether the limits in force are on record, so that holders' writes can depend on them.
     pub(super) fn limits_are_on_record(&self) -> bool {
-        self.ledger.stamps.contains_key(LIMITS) && !self.ledger.is_dirty(&RecordId::Limits)
+        self.write_buffer.mod_revisions.contains_key(LIMITS)
+            && !self.write_buffer.is_dirty(&RecordId::Limits)
     }
 
     fn write_limits(&mut self, context: &Context) {
         let due = context.now.steady.saturating_sub(LIMITS_AHEAD);
-        self.ledger.touch_by(RecordId::Limits, due);
+        self.write_buffer.mark_dirty_by(RecordId::Limits, due);
     }
 
     /// The limits in force, as a record.
@@ -123,23 +126,23 @@
         let theirs = jobs.filter(|(_, job)| job.delegated > 0 && teams.contains(&job.spec.team));
         let theirs: Vec<JobIndex> = theirs.map(|(index, _)| index).collect();
         for index in theirs {
-            self.recall_job(context, index);
+            self.revoke_job(context, index);
         }
     }
 
     /// Whether more of the team's ceiling is used or allotted than there is.
-    pub(super) fn is_over_ceiling(&self, context: &Context, team: &str) -> bool {
-        let ceiling = self.limit_of(context, team).unwrap_or_default().ceiling;
+    pub(super) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
+        let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
         let used = own.plus(self.quota.allotments.total(team));
-        !used.fits(ceiling)
+        !used.fits(limit)
     }
 
     /// Stops what runs of a team beyond its ceiling, which was lowered: the youngest tasks first, of those
     /// that save their progress or never end by themselves. All others run to their end.
     pub(crate) fn enforce_limits(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        if !context.understands_allotments() || now < self.quota.enforced_at + ENFORCE_INTERVAL {
+        if !context.supports_quota_grants() || now < self.quota.enforced_at + ENFORCE_INTERVAL {
             return;
         }
         self.quota.enforced_at = now;
@@ -150,8 +153,8 @@
             *sum = sum.plus(a.amount());
         }
         for (team, running) in running {
-            let ceiling = self.limit_of(context, &team).unwrap_or_default().ceiling;
-            let excess = running.minus(ceiling);
+            let limit = self.limit_of(context, &team).unwrap_or_default().limit;
+            let excess = running.minus(limit);
             if !excess.is_zero() {
                 self.drain(context, &team, excess);
             }
@@ -165,13 +168,13 @@
             let Some(job) = self.jobs.get(a.job) else {
                 continue;
             };
-            let saves = job.spec.checkpoint_s > 0.0;
+            let saves = job.spec.checkpoint_interval_s > 0.0;
             // A gang without one of its tasks is none.
             if job.shape == Shape::Gang || !(saves || job.is_daemon()) {
                 continue;
             }
             let time = match saves {
-                true => grace(micros(job.spec.save_s)),
+                true => grace(micros(job.spec.checkpoint_duration_s)),
                 false => 0,
             };
             victims.push(Drained {
--- a/crates/core/src/quota/fence.rs
+++ b/crates/core/src/quota/write_conditions.rs
@@ -6,9 +6,9 @@
 //! grant: from then on no write of a holder succeeds until that leader has given it orders. So a task is
 //! never placed by two, and a write that is carried out late fails.
 
+use crate::agents::Assignment;
+use crate::controller::Context;
 use crate::leadership::Scheduler;
-use crate::node::Context;
-use crate::workers::Assignment;
 use grebewood_wire::http::Condition;
 use grebewood_wire::records::{claim_key, LEADER, LIMITS};
 use log::info;
@@ -16,17 +16,17 @@
 impl Scheduler {
     /// On what all writes under this grant depend; `None`: nothing may be written now.
     pub(crate) fn write_conditions(&self) -> Option<Vec<Condition>> {
-        let when = |key: &str, stamp: u64| Condition {
+        let when = |key: &str, mod_revision: u64| Condition {
             key: key.to_string(),
-            stamp,
+            mod_revision,
         };
         let Some(partition) = self.partition() else {
             return Some(vec![when(LEADER, self.token)]);
         };
         Some(vec![
             when(&claim_key(partition), self.token),
-            when(LEADER, self.placer.term?),
-            when(LIMITS, self.placer.limits?),
+            when(LEADER, self.holder_quota.term?),
+            when(LIMITS, self.holder_quota.limits?),
         ])
     }
 
@@ -44,11 +44,11 @@
         }
         if is(LEADER) {
             info!("partition {partition}: nothing is placed until the next leader gives orders");
-            self.placer.term = None;
+            self.holder_quota.term = None;
         }
         if is(LIMITS) {
             // The leader tells which ones are in force now.
-            self.placer.limits = None;
+            self.holder_quota.limits = None;
         }
         Ok(())
     }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -18,7 +18,7 @@
     pub fn limit(&self) -> TeamQuota {
         TeamQuota {
             guarantee: Resources::of(self.cpus, self.gpus),
-            ceiling: Resources::of(self.cpus_max, self.gpus_max),
+            limit: Resources::of(self.cpus_max, self.gpus_max),
         }
     }
 }
@@ -49,7 +49,7 @@
     pub rps: f64,
     pub write_rps: f64,
     pub value_bytes: usize,
-    pub txn_ops: usize,
+    pub transaction_operations: usize,
 }
 
 impl StoreLimits {
@@ -59,7 +59,7 @@
             rps: self.rps.min(next.rps),
             write_rps: self.write_rps.min(next.write_rps),
             value_bytes: self.value_bytes.min(next.value_bytes),
-            txn_ops: self.txn_ops.min(next.txn_ops),
+            transaction_operations: self.transaction_operations.min(next.transaction_operations),
         }
     }
 }
@@ -99,7 +99,7 @@
                 rps: 100.0,
                 write_rps: 20.0,
                 value_bytes: 4096,
-                txn_ops: 8,
+                transaction_operations: 8,
             },
             cloud_rps: 8.0,
             list_lag: 3 * SECOND,
@@ -134,7 +134,7 @@
 
 impl Tuning {
     /// Whether holders of partitions place tasks out of allotments.
-    pub fn grants_allotments(&self) -> bool {
+    pub fn grants_quota(&self) -> bool {
         self.allotments > 0 && self.partitions_per_zone > 0
     }
 }
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -42,8 +42,8 @@
         image: "img".into(),
         image_gb: 1.0,
         expected_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
     };
     JobRecord {
@@ -53,17 +53,17 @@
 }
 
 /// The first report of a machine without tasks, which has seen no token yet.
-pub fn first_report() -> Heartbeat {
+pub fn first_heartbeat() -> Heartbeat {
     Heartbeat {
         machine: "n-000001".into(),
         address: "10.1.0.1:9000".into(),
         machine_type: "std".into(),
         zone: "a".into(),
         spot: true,
-        session: 1,
+        incarnation: 1,
         sequence: 1,
         token: 0,
-        recall_s: None,
+        reclaim_s: None,
         tasks: Vec::new(),
     }
 }
--- a/crates/core/src/users.rs
+++ b/crates/core/src/user_requests.rs
@@ -1,13 +1,13 @@
 //! Users' requests: submissions, polls and cancellations, at any node.
 //!
-//! Every node serves users from its [`crate::view`], which is brought up to date after a request
+//! Every node serves users from its [`crate::job_view`], which is brought up to date after a request
 //! came in, so that no node can give an answer older than another's. A live job has a `job/<id>`
 //! key; when it is over, one transaction puts `past/<id>` and deletes what is under `job/<id>`. So
 //! a job that is not live in the view, and after that has no end on record, was never accepted.
 
+use crate::controller::{CallPurpose, Context, Controller};
 use crate::jobs::{check_fields, check_possible, check_size, valid_id, Refused};
-use crate::ledger::RecordId;
-use crate::node::{CallPurpose, Context, Controller};
+use crate::write_buffer::RecordId;
 use crate::{Micros, Now, Outcome, Settings};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
@@ -120,7 +120,7 @@
                 (UserAction::Submit(Box::new(submission)), possible)
             }
         };
-        if !self.context.in_contact(crate::node::CONTACT_SPAN) {
+        if !self.context.in_contact(crate::controller::CONTACT_SPAN) {
             return self
                 .context
                 .refuse(id, 503, "no contact with the state service");
@@ -137,7 +137,7 @@
             rounds: 0,
         };
         // One that was accepted costs no write, however often it is repeated.
-        if !possible || self.view.knows(&call.job) {
+        if !possible || self.job_view.knows(&call.job) {
             call.stage = UserRequestStage::JobView;
             return self.user_send(call);
         }
@@ -173,7 +173,7 @@
             let finished = finished.clone();
             return self.user_finished(call, &finished);
         }
-        if !self.context.in_contact(crate::node::CONTACT_SPAN) {
+        if !self.context.in_contact(crate::controller::CONTACT_SPAN) {
             return self
                 .context
                 .refuse(id, 503, "no contact with the state service");
@@ -189,7 +189,7 @@
             return self.context.refuse(call.request, 503, "too many conflicts");
         }
         if call.stage == UserRequestStage::JobView {
-            return self.wait_for_view(call);
+            return self.wait_for_job_view(call);
         }
         // Users ask about the same end many times at once: one read answers them all.
         if call.stage == UserRequestStage::ReadFinished {
@@ -210,29 +210,31 @@
                     accepted_us: self.context.now.wall,
                 };
                 let key = job_key(&call.job);
-                let txn = Transaction {
+                let transaction = Transaction {
                     when: vec![absent(&key), absent(&format!("{FINISHED}{}", call.job))],
                     apply: vec![put(key, &record)],
                 };
                 self.context
-                    .post_state("/txn", &txn, CallPurpose::User(call));
+                    .post_to_store("/txn", &transaction, CallPurpose::User(call));
             }
             UserRequestStage::Cancel => {
-                let Some((_, stamp)) = call.live else { return };
+                let Some((_, mod_revision)) = call.live else {
+                    return;
+                };
                 let key = cancel_key(&call.job);
                 let live = Condition {
                     key: job_key(&call.job),
-                    stamp,
+                    mod_revision,
                 };
                 let record = CancelRecord {
                     cancelled_us: self.context.now.wall,
                 };
-                let txn = Transaction {
+                let transaction = Transaction {
                     when: vec![live, absent(&key)],
                     apply: vec![put(key, &record)],
                 };
                 self.context
-                    .post_state("/txn", &txn, CallPurpose::User(call));
+                    .post_to_store("/txn", &transaction, CallPurpose::User(call));
             }
             UserRequestStage::JobView => {}
             UserRequestStage::ReadFinished => {
@@ -356,8 +358,8 @@
 
     /// The job is live and not cancelled.
     fn user_live(&mut self, call: UserRequest) {
-        let (done, running) = match &self.lead {
-            Some(lead) => lead.progress_of(&call.job),
+        let (done, running) = match &self.leader {
+            Some(leader) => leader.progress_of(&call.job),
             None => self.progress.get(&call.job).copied(),
         }
         .unwrap_or((0, 0));
@@ -394,8 +396,8 @@
         let Now { steady, wall } = self.context.now;
         self.context.cancellations.tell(&call.job, steady, wall);
         let holders = self.partitions.holders.values_mut();
-        for lead in self.lead.iter_mut().chain(holders) {
-            lead.on_cancelled(&mut self.context, &call.job, None);
+        for leader in self.leader.iter_mut().chain(holders) {
+            leader.on_cancelled(&mut self.context, &call.job, None);
         }
         self.user_finished(call.clone(), &finished);
     }
@@ -461,7 +463,7 @@
 pub(crate) fn absent(key: &str) -> Condition {
     Condition {
         key: key.to_string(),
-        stamp: 0,
+        mod_revision: 0,
     }
 }
 
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/write_buffer.rs
@@ -64,18 +64,18 @@
 /// Records of one transaction.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    pub record_ids: Vec<(RecordId, u64)>,
-    pub txn: Transaction,
+    pub records: Vec<(RecordId, u64)>,
+    pub transaction: Transaction,
     /// After a flush without an answer: how many of its changes were found carried out, and their
     /// stamp, once one of them is known to have it.
     pub proven: usize,
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 impl Batch {
     /// Keys put by this batch.
     pub fn puts(&self) -> impl Iterator<Item = &str> {
-        self.txn.apply.iter().filter_map(|c| match c {
+        self.transaction.apply.iter().filter_map(|c| match c {
             Operation::Put { put, .. } => Some(put.as_str()),
             Operation::Delete { .. } => None,
         })
@@ -83,7 +83,7 @@
 
     /// Keys deleted by this batch.
     pub fn deletes(&self) -> impl Iterator<Item = &str> {
-        self.txn.apply.iter().filter_map(|c| match c {
+        self.transaction.apply.iter().filter_map(|c| match c {
             Operation::Delete { delete } => Some(delete.as_str()),
             Operation::Put { .. } => None,
         })
@@ -97,7 +97,7 @@
     /// Dirty records by the time at which they are due.
     queue: BTreeSet<(Micros, RecordId)>,
     /// Stamps of the keys in the state service, as far as known; absent: the key is absent.
-    pub stamps: BTreeMap<String, u64>,
+    pub mod_revisions: BTreeMap<String, u64>,
     seq: u64,
     /// The transaction under way.
     pub in_flight: Option<Batch>,
@@ -121,18 +121,18 @@
 
     /// Notes a change of the record that is to be written at once; the result is the number
     /// under which it becomes durable.
-    pub fn touch(&mut self, rec: RecordId, now: Micros) -> u64 {
-        self.touch_by(rec, now)
+    pub fn mark_dirty(&mut self, rec: RecordId, now: Micros) -> u64 {
+        self.mark_dirty_by(rec, now)
     }
 
     /// Notes a change that may wait until `due`, for others to share its write.
-    pub fn touch_by(&mut self, rec: RecordId, due: Micros) -> u64 {
+    pub fn mark_dirty_by(&mut self, rec: RecordId, due: Micros) -> u64 {
         self.note(rec, due, false)
     }
 
     /// Notes a change that only tidies up: it may wait until `due`, and longer while the rate is
     /// short.
-    pub fn touch_lazily(&mut self, rec: RecordId, due: Micros) -> u64 {
+    pub fn mark_dirty_lazily(&mut self, rec: RecordId, due: Micros) -> u64 {
         self.note(rec, due, true)
     }
 
@@ -193,9 +193,9 @@
     }
 
     /// The records' transaction was called invalid: from now on each of them goes alone.
-    pub fn suspect(&mut self, record_ids: &[(RecordId, u64)]) {
+    pub fn suspect(&mut self, records: &[(RecordId, u64)]) {
         self.suspects
-            .extend(record_ids.iter().map(|(rec, _)| rec.clone()));
+            .extend(records.iter().map(|(rec, _)| rec.clone()));
     }
 
     pub fn is_suspect(&self, rec: &RecordId) -> bool {
@@ -227,10 +227,10 @@
     pub fn due(&self, now: Micros) -> Vec<RecordId> {
         let due = self.queue.iter().take_while(|(due, _)| *due <= now);
         let is_lazy = |rec: &RecordId| self.slots.get(rec).is_some_and(|s| s.lazy);
-        let (lazy, mut record_ids): (Vec<RecordId>, Vec<RecordId>) =
+        let (lazy, mut records): (Vec<RecordId>, Vec<RecordId>) =
             due.map(|(_, rec)| rec.clone()).partition(is_lazy);
-        record_ids.extend(lazy);
-        record_ids
+        records.extend(lazy);
+        records
     }
 
     /// When the first dirty record is due.
@@ -246,19 +246,19 @@
     pub fn unchanged(&self, key: &str) -> Condition {
         Condition {
             key: key.to_string(),
-            stamp: self.stamps.get(key).copied().unwrap_or(0),
+            mod_revision: self.mod_revisions.get(key).copied().unwrap_or(0),
         }
     }
 
     /// The batch under way was applied at revision `revision`.
     pub fn applied(&mut self, batch: &Batch, revision: u64) {
         for key in batch.puts() {
-            self.stamps.insert(key.to_string(), revision);
+            self.mod_revisions.insert(key.to_string(), revision);
         }
         for key in batch.deletes() {
-            self.stamps.remove(key);
+            self.mod_revisions.remove(key);
         }
-        for (rec, version) in &batch.record_ids {
+        for (rec, version) in &batch.records {
             self.suspects.remove(rec);
             if let Some(slot) = self.slots.get_mut(rec) {
                 slot.durable = slot.durable.max(*version);
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -24,8 +24,8 @@
         spread: false,
         spot: true,
         expected_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
     }
 }
@@ -53,7 +53,7 @@
         pauses.push((now - from) / SECOND);
     }
     assert_eq!(pauses, [0, 1, 2, 0, 1, 2, 4, 8, 16, 30, 30, 30]);
-    assert!(job.shuns("n-000001", now) && !job.shuns("n-000002", now));
+    assert!(job.avoids("n-000001", now) && !job.avoids("n-000002", now));
 }
 
 #[test]
--- a/crates/core/tests/pace.rs
+++ b/crates/core/tests/rate_limiter.rs
@@ -1,6 +1,6 @@
 //! Token buckets.
 
-use grebewood_core::pace::RateLimiter;
+use grebewood_core::rate_limiter::RateLimiter;
 use grebewood_core::SECOND;
 
 #[test]
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -1,14 +1,14 @@
 //! What the ledger writes, in which order, and what it holds to be durable.
 
-use grebewood_core::ledger::{Batch, RecordId, WriteBuffer};
+use grebewood_core::write_buffer::{Batch, RecordId, WriteBuffer};
 use grebewood_wire::http::Transaction;
 
-fn batch(record_ids: &[(RecordId, u64)]) -> Batch {
+fn batch(records: &[(RecordId, u64)]) -> Batch {
     Batch {
-        record_ids: record_ids.to_vec(),
-        txn: Transaction::default(),
+        records: records.to_vec(),
+        transaction: Transaction::default(),
         proven: 0,
-        stamp: 0,
+        mod_revision: 0,
     }
 }
 
@@ -17,8 +17,8 @@
 fn the_old_record_waits_for_the_new_one() {
     let mut l = WriteBuffer::default();
     let (old, new) = (RecordId::Page(0), RecordId::Page(1));
-    let v = l.touch(new.clone(), 5);
-    l.touch(old.clone(), 1);
+    let v = l.mark_dirty(new.clone(), 5);
+    l.mark_dirty(old.clone(), 1);
     l.wait_for(old.clone(), new.clone(), v);
     assert!(l.must_wait(&old, &[]));
     assert!(!l.must_wait(&old, &[(new.clone(), v)]));
@@ -32,15 +32,15 @@
 #[test]
 fn what_only_tidies_up_goes_last() {
     let mut l = WriteBuffer::default();
-    l.touch_lazily(RecordId::Page(0), 1);
-    l.touch_lazily(RecordId::Page(1), 2);
-    l.touch(RecordId::Page(2), 3);
+    l.mark_dirty_lazily(RecordId::Page(0), 1);
+    l.mark_dirty_lazily(RecordId::Page(1), 2);
+    l.mark_dirty(RecordId::Page(2), 3);
     assert_eq!(
         l.due(3),
         vec![RecordId::Page(2), RecordId::Page(0), RecordId::Page(1)]
     );
-    l.touch(RecordId::Page(1), 3);
-    l.touch_lazily(RecordId::Page(1), 3);
+    l.mark_dirty(RecordId::Page(1), 3);
+    l.mark_dirty_lazily(RecordId::Page(1), 3);
     assert_eq!(
         l.due(3),
         vec![RecordId::Page(1), RecordId::Page(2), RecordId::Page(0)]
@@ -50,7 +50,7 @@
 #[test]
 fn a_record_that_is_refused_alone_is_postponed() {
     let mut l = WriteBuffer::default();
-    let v = l.touch(RecordId::Stats, 1);
+    let v = l.mark_dirty(RecordId::Stats, 1);
     l.suspect(&[(RecordId::Stats, v)]);
     l.postpone(&RecordId::Stats, 50);
     assert!(l.is_suspect(&RecordId::Stats) && l.due(49).is_empty());
@@ -63,9 +63,9 @@
 fn a_change_during_a_flush_stays_dirty() {
     let mut l = WriteBuffer::default();
     let rec = RecordId::Page(0);
-    let v1 = l.touch(rec.clone(), 5);
+    let v1 = l.mark_dirty(rec.clone(), 5);
     let batch = batch(&[(rec.clone(), v1)]);
-    let v2 = l.touch(rec.clone(), 6);
+    let v2 = l.mark_dirty(rec.clone(), 6);
     l.applied(&batch, 9);
     assert!(l.is_durable(&rec, v1));
     assert!(!l.is_durable(&rec, v2));
--- a/crates/grebewood/src/config.rs
+++ b/crates/grebewood/src/config.rs
@@ -165,7 +165,7 @@
         rps: positive(&format!("{field}.rps"), rps)?,
         write_rps: positive(&format!("{field}.write_rps"), write_rps)?,
         value_bytes: (value_kb * 1024.0) as usize,
-        txn_ops,
+        transaction_operations: txn_ops,
     })
 }
 
--- a/crates/grebewood/src/config/tests.rs
+++ b/crates/grebewood/src/config/tests.rs
@@ -57,7 +57,7 @@
         rps: 100.0,
         write_rps: 15.0,
         value_bytes: 2048,
-        txn_ops: 4,
+        transaction_operations: 4,
     };
     assert_eq!(settings.state, expected);
 }
--- a/crates/grebewood/src/main.rs
+++ b/crates/grebewood/src/main.rs
@@ -3,7 +3,7 @@
 mod config;
 mod partitions;
 mod quota;
-mod state;
+mod store;
 
 use clap::{Parser, Subcommand};
 use grebewood_core::Controller;
--- a/crates/grebewood/src/partitions.rs
+++ b/crates/grebewood/src/partitions.rs
@@ -1,14 +1,14 @@
 //! `grebewood partitions`: who holds which machines.
 
-use crate::state::{self, ReadError};
+use crate::store::{self, ReadError};
 use grebewood_partition::overview::Overview;
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Reads the overview.
 pub fn read(server: SocketAddr) -> Result<Overview, ReadError> {
-    let map = state::partitions(server)?;
-    let leader = state::leader(server)?;
+    let map = store::partitions(server)?;
+    let leader = store::leader(server)?;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -1,6 +1,6 @@
 //! `grebewood quota`: what the teams may use, and what they do.
 
-use crate::state::{self, ReadError};
+use crate::store::{self, ReadError};
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
 use grebewood_quota::{Limits, Resources};
 use grebewood_wire::http::{from_value, KeyValue};
@@ -21,19 +21,19 @@
 /// Reads the overview.
 pub fn read(server: SocketAddr) -> Result<Overview, ReadError> {
     let mut records = Records {
-        leader: state::leader(server)?,
+        leader: store::leader(server)?,
         ..Records::default()
     };
-    let map = state::partitions(server)?;
+    let map = store::partitions(server)?;
     let held = map
         .iter()
         .filter(|(_, partition)| partition.claim.is_some());
     records.held = held.map(|(id, _)| id).collect();
-    for entry in state::list(server, QUOTA)? {
+    for entry in store::list(server, QUOTA)? {
         take_quota(&mut records, &entry);
     }
-    let pages = state::list(server, PAGE)?;
-    let jobs = tasks_of_jobs(&state::list(server, JOB)?);
+    let pages = store::list(server, PAGE)?;
+    let jobs = tasks_of_jobs(&store::list(server, JOB)?);
     for page in &pages {
         take_page(&mut records, &jobs, page);
     }
--- a/crates/grebewood/src/state.rs
+++ b/crates/grebewood/src/store.rs
@@ -72,7 +72,7 @@
     let mut map = PartitionMap::default();
     for entry in list(state, PARTITION)? {
         // What cannot be read is part of what is shown.
-        let _ = map.put(&entry.key, &entry.value, entry.stamp);
+        let _ = map.put(&entry.key, &entry.value, entry.mod_revision);
     }
     Ok(map)
 }
--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -59,8 +59,8 @@
         image: "img".into(),
         image_gb: 0.1,
         expected_s: 4.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
     }
 }
--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -107,10 +107,14 @@
     assert!(json.contains("\"assigned_to\": \"m-"), "{json}");
 
     cluster.end();
-    let ledger = cluster.ledger();
-    assert_eq!(ledger.twice, Vec::<String>::new());
-    assert_eq!(ledger.completed.len() as u64, JOBS as u64 * TASKS);
-    let repeated: Vec<_> = ledger.completed.iter().filter(|(_, n)| **n != 1).collect();
+    let write_buffer = cluster.write_buffer();
+    assert_eq!(write_buffer.twice, Vec::<String>::new());
+    assert_eq!(write_buffer.completed.len() as u64, JOBS as u64 * TASKS);
+    let repeated: Vec<_> = write_buffer
+        .completed
+        .iter()
+        .filter(|(_, n)| **n != 1)
+        .collect();
     assert!(
         repeated.is_empty(),
         "completed more than once: {repeated:?}"
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -138,16 +138,16 @@
     assert!(placed_by_holders, "no holder has placed anything");
 
     cluster.end();
-    let ledger = cluster.ledger();
-    assert_eq!(ledger.twice, Vec::<String>::new());
-    assert_eq!(ledger.completed.len(), jobs.len() * TASKS as usize);
+    let write_buffer = cluster.write_buffer();
+    assert_eq!(write_buffer.twice, Vec::<String>::new());
+    assert_eq!(write_buffer.completed.len(), jobs.len() * TASKS as usize);
     for (team, limits) in TEAMS.iter().enumerate() {
-        let most = ledger.most.get(&format!("req-{}", team + 1)).copied();
+        let most = write_buffer.most.get(&format!("req-{}", team + 1)).copied();
         let most = most.unwrap_or(0);
-        let ceiling = limits.cpus_max as u64;
+        let limit = limits.cpus_max as u64;
         assert!(
-            most > 0 && most <= ceiling,
-            "{}: {most} of {ceiling}",
+            most > 0 && most <= limit,
+            "{}: {most} of {limit}",
             limits.name
         );
     }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -180,8 +180,8 @@
                 if response.close || surplus || ended {
                     self.close(key);
                 } else {
-                    let worker = |f: &Flight| matches!(f.call.target, Target::Worker(_));
-                    let idle = match self.flights.get(&id).is_some_and(worker) {
+                    let agent = |f: &Flight| matches!(f.call.target, Target::Agent(_));
+                    let idle = match self.flights.get(&id).is_some_and(agent) {
                         true => WORKER_IDLE_TIME,
                         false => CLIENT_IDLE_TIME,
                     };
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -58,7 +58,7 @@
         request: Option<u64>,
         close: bool,
         /// It has carried a check-in.
-        worker: bool,
+        agent: bool,
     },
     /// Ours to somebody.
     Client {
@@ -125,7 +125,7 @@
     /// Server connections, and how many there may be.
     served: usize,
     /// Those of them that have carried a check-in.
-    workers: usize,
+    agents: usize,
     requests: BTreeMap<u64, usize>,
     next_request: u64,
     flights: BTreeMap<u64, Flight>,
@@ -162,7 +162,7 @@
         conns: Slab::new(),
         deadlines: BTreeSet::new(),
         served: 0,
-        workers: 0,
+        agents: 0,
         requests: BTreeMap::new(),
         next_request: 0,
         flights: BTreeMap::new(),
@@ -285,11 +285,9 @@
         self.deadlines.remove(&(conn.deadline, key));
         let _ = self.poll.registry().deregister(&mut conn.stream);
         match conn.kind {
-            Kind::Server {
-                request, worker, ..
-            } => {
+            Kind::Server { request, agent, .. } => {
                 self.served -= 1;
-                self.workers -= usize::from(worker);
+                self.agents -= usize::from(agent);
                 if let Some(id) = request {
                     self.requests.remove(&id);
                     self.inputs.push_back(Input::Gone { id });
@@ -414,7 +412,7 @@
         match target {
             Target::State => Some(self.endpoints.state),
             Target::Cloud => Some(self.endpoints.cloud),
-            Target::Worker(addr) => addr.parse().ok(),
+            Target::Agent(addr) => addr.parse().ok(),
             Target::Peer(n) => self.endpoints.peers.get(*n).copied(),
         }
     }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Requester {
     User,
-    Worker,
+    Agent,
 }
 
 /// Largest body of a request at this interface.
@@ -45,7 +45,7 @@
                         interface,
                         request: None,
                         close: false,
-                        worker: false,
+                        agent: false,
                     };
                     let deadline = self.now.steady + REQUEST_TIME;
                     if let Some(key) = self.add_conn(stream, kind, deadline) {
@@ -67,7 +67,7 @@
     /// more machines than sockets the rest was refused for good, and their leases ran out. Idle
     /// connections of users do not count: there are always as many as there is room for.
     fn is_crowded(&self) -> bool {
-        self.workers * 10 >= self.serve_limit() * CROWDED_TENTHS
+        self.agents * 10 >= self.serve_limit() * CROWDED_TENTHS
     }
 
     /// Closes an idle connection to make room: of a user if there is one, else of a worker, which
@@ -75,7 +75,7 @@
     pub(super) fn close_idle_server(&mut self) -> bool {
         let idle = self
             .idle_server(Requester::User)
-            .or_else(|| self.idle_server(Requester::Worker));
+            .or_else(|| self.idle_server(Requester::Agent));
         if let Some(key) = idle {
             self.close(key);
         }
@@ -84,16 +84,16 @@
 
     /// The connection of such a requester that has been idle for longest.
     fn idle_server(&self, requester: Requester) -> Option<usize> {
-        let wanted = requester == Requester::Worker;
+        let wanted = requester == Requester::Agent;
         let is_idle = |conn: &Conn| {
             let front = matches!(
                 conn.kind,
                 Kind::Server {
                     request: None,
                     interface: Interface::Front,
-                    worker,
+                    agent,
                     ..
-                } if worker == wanted
+                } if agent == wanted
             );
             front && conn.input.is_empty() && conn.output.is_empty()
         };
@@ -116,7 +116,7 @@
             interface,
             request,
             close,
-            worker,
+            agent,
         } = &mut conn.kind
         else {
             return;
@@ -143,9 +143,9 @@
                 let id = self.next_request;
                 *request = Some(id);
                 *close = r.close;
-                if r.path == "/checkin" && !*worker {
-                    *worker = true;
-                    self.workers += 1;
+                if r.path == "/checkin" && !*agent {
+                    *agent = true;
+                    self.agents += 1;
                 }
                 let input = Input::Request {
                     id,
@@ -198,11 +198,11 @@
             request,
             close,
             interface,
-            worker,
+            agent,
         } = &mut conn.kind
         {
             *request = None;
-            *close |= *worker && crowded;
+            *close |= *agent && crowded;
             let content = match interface {
                 Interface::Front => "application/cbor",
                 Interface::Peer => "application/msgpack",
--- a/crates/net/tests/crowded.rs
+++ b/crates/net/tests/crowded.rs
@@ -51,14 +51,10 @@
     std::thread::spawn(move || run(node, endpoints));
     // All of them stay open on the workers' side.
     let mut open = Vec::new();
-    for worker in 0..WORKERS {
+    for agent in 0..WORKERS {
         let mut stream = connect(front);
         // An empty body is no report: what matters is that there is an answer.
-        assert_eq!(
-            check_in(&mut stream),
-            "HTTP/1.1 400 Bad Request",
-            "{worker}"
-        );
+        assert_eq!(check_in(&mut stream), "HTTP/1.1 400 Bad Request", "{agent}");
         open.push(stream);
     }
 }
--- a/crates/partition/src/lib.rs
+++ b/crates/partition/src/lib.rs
@@ -10,10 +10,10 @@
 
 #![warn(missing_docs)]
 
+pub mod hash_slots;
 pub mod map;
 pub mod overview;
 pub mod plan;
-pub mod slots;
 
 pub use map::{Claim, Partition, PartitionId, PartitionMap, Phase};
 pub use plan::{Assignment, Load, Member, Plan, Planner, PlannerSettings};
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -1,6 +1,6 @@
 //! The partition map, as the records in the state service have it.
 
-use crate::slots::{slot_of, SLOTS};
+use crate::hash_slots::{slot_of, SLOTS};
 use grebewood_wire::http::from_value;
 use grebewood_wire::records::{PartitionClaim, PartitionKey, PartitionRecord};
 use grebewood_wire::Value;
@@ -28,7 +28,7 @@
     /// What the leader wrote.
     pub record: PartitionRecord,
     /// The stamp of its record.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Who holds it.
     pub claim: Option<Claim>,
 }
@@ -122,11 +122,11 @@
 
     /// Takes in a key that was written. The error says why its value is set aside; what was known of
     /// the partition before stays, since its machines' range never changes.
-    pub fn put(&mut self, key: &str, value: &Value, stamp: u64) -> Result<(), String> {
+    pub fn put(&mut self, key: &str, value: &Value, mod_revision: u64) -> Result<(), String> {
         let outcome = match PartitionKey::parse(key) {
             None => Err("no key of a partition".to_string()),
-            Some(PartitionKey::Record(id)) => self.put_record(id, value, stamp),
-            Some(PartitionKey::Claim(id)) => self.put_claim(id, value, stamp),
+            Some(PartitionKey::Record(id)) => self.put_record(id, value, mod_revision),
+            Some(PartitionKey::Claim(id)) => self.put_claim(id, value, mod_revision),
         };
         match &outcome {
             Ok(()) => self.unreadable.remove(key),
@@ -135,7 +135,12 @@
         outcome
     }
 
-    fn put_record(&mut self, id: PartitionId, value: &Value, stamp: u64) -> Result<(), String> {
+    fn put_record(
+        &mut self,
+        id: PartitionId,
+        value: &Value,
+        mod_revision: u64,
+    ) -> Result<(), String> {
         let record: PartitionRecord = from_value(value).map_err(|e| e.to_string())?;
         if record.first_slot >= record.end_slot || record.end_slot > SLOTS {
             return Err("no range of slots".into());
@@ -145,15 +150,15 @@
         }
         let early = self.early_claims.remove(&id);
         match self.partitions.get_mut(&id) {
-            Some(known) if stamp < known.stamp => {}
+            Some(known) if mod_revision < known.mod_revision => {}
             Some(known) => {
                 known.record = record;
-                known.stamp = stamp;
+                known.mod_revision = mod_revision;
             }
             None => {
                 let partition = Partition {
                     record,
-                    stamp,
+                    mod_revision,
                     claim: early,
                 };
                 self.partitions.insert(id, partition);
@@ -162,18 +167,23 @@
         Ok(())
     }
 
-    fn put_claim(&mut self, id: PartitionId, value: &Value, stamp: u64) -> Result<(), String> {
+    fn put_claim(
+        &mut self,
+        id: PartitionId,
+        value: &Value,
+        mod_revision: u64,
+    ) -> Result<(), String> {
         let record: PartitionClaim = from_value(value).map_err(|e| e.to_string())?;
         let claim = Claim {
             member: record.member,
             incarnation: record.incarnation,
             claimed_us: record.claimed_us,
-            token: stamp,
+            token: mod_revision,
         };
         match self.partitions.get_mut(&id) {
             Some(partition) => {
                 let known = partition.claim.as_ref().map_or(0, |c| c.token);
-                if stamp >= known {
+                if mod_revision >= known {
                     partition.claim = Some(claim);
                 }
             }
@@ -185,17 +195,17 @@
     }
 
     /// Takes in that a key was removed at this revision.
-    pub fn delete(&mut self, key: &str, stamp: u64) {
+    pub fn delete(&mut self, key: &str, mod_revision: u64) {
         self.unreadable.remove(key);
         match PartitionKey::parse(key) {
             Some(PartitionKey::Record(id)) => {
                 self.partitions
-                    .retain(|known, p| *known != id || p.stamp > stamp);
+                    .retain(|known, p| *known != id || p.mod_revision > mod_revision);
             }
             Some(PartitionKey::Claim(id)) => {
                 self.early_claims.remove(&id);
                 if let Some(partition) = self.partitions.get_mut(&id) {
-                    let older = |claim: &Claim| claim.token <= stamp;
+                    let older = |claim: &Claim| claim.token <= mod_revision;
                     if partition.claim.as_ref().is_some_and(older) {
                         partition.claim = None;
                     }
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -2,8 +2,8 @@
 //! rebalancer, which moves one partition at a time from the member with the most load to the one with
 //! the least.
 
+use crate::hash_slots::ranges;
 use crate::map::{PartitionId, PartitionMap, Phase};
-use crate::slots::ranges;
 use grebewood_wire::records::PartitionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/partition/tests/map.rs
+++ b/crates/partition/tests/map.rs
@@ -1,6 +1,6 @@
 //! The map: who looks after a machine, and what becomes of records that come late or cannot be read.
 
-use grebewood_partition::slots::{ranges, slot_of, SLOTS};
+use grebewood_partition::hash_slots::{ranges, slot_of, SLOTS};
 use grebewood_partition::{PartitionMap, Phase};
 use grebewood_wire::http::to_value;
 use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, PartitionRecord};
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -1,6 +1,6 @@
 //! The planner: first assignments, lost holders, and balance.
 
-use grebewood_partition::slots::ranges;
+use grebewood_partition::hash_slots::ranges;
 use grebewood_partition::{
     Assignment, Load, Member, PartitionId, PartitionMap, Plan, Planner, PlannerSettings,
 };
@@ -20,7 +20,7 @@
     at_rest: bool,
     may_create: bool,
     now: u64,
-    stamp: u64,
+    mod_revision: u64,
 }
 
 impl Cluster {
@@ -43,7 +43,7 @@
             at_rest: true,
             may_create: true,
             now: 0,
-            stamp: 0,
+            mod_revision: 0,
         }
     }
 
@@ -65,9 +65,9 @@
         };
         let assignments = self.planner.round(&self.settings, &plan);
         for Assignment { id, record } in &assignments {
-            self.stamp += 1;
+            self.mod_revision += 1;
             let value = to_value(record);
-            let written = self.map.put(&partition_key(*id), &value, self.stamp);
+            let written = self.map.put(&partition_key(*id), &value, self.mod_revision);
             assert_eq!(written, Ok(()));
             if self.members.iter().any(|m| m.name == record.holder) {
                 self.claim(*id, &record.holder);
@@ -77,13 +77,15 @@
     }
 
     fn claim(&mut self, id: PartitionId, member: &str) {
-        self.stamp += 1;
+        self.mod_revision += 1;
         let claim = PartitionClaim {
             member: member.into(),
             incarnation: 1,
             claimed_us: self.now,
         };
-        let written = self.map.put(&claim_key(id), &to_value(&claim), self.stamp);
+        let written = self
+            .map
+            .put(&claim_key(id), &to_value(&claim), self.mod_revision);
         assert_eq!(written, Ok(()));
     }
 
@@ -91,9 +93,9 @@
         self.members.retain(|m| m.name != member);
         let theirs = self.map.iter().filter(|(_, p)| p.record.holder == member);
         let theirs: Vec<PartitionId> = theirs.map(|(id, _)| id).collect();
-        self.stamp += 1;
+        self.mod_revision += 1;
         for id in theirs {
-            self.map.delete(&claim_key(id), self.stamp);
+            self.map.delete(&claim_key(id), self.mod_revision);
         }
     }
 
--- a/crates/quota/src/allotments.rs
+++ b/crates/quota/src/grants.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 struct Share {
     /// What its holder may use, as far as this leader has decided.
-    allotted: Resources,
+    granted: Resources,
     /// What the tasks take that are known to be placed.
     placed: Resources,
     /// What the tasks take that are to be placed, and for which there is room.
@@ -38,7 +38,7 @@
     }
 
     fn note_slack(&mut self, now: Micros) {
-        match self.allotted.fits(self.needed()) {
+        match self.granted.fits(self.needed()) {
             true => self.slack_since = None,
             false => {
                 self.slack_since.get_or_insert(now);
@@ -68,7 +68,7 @@
     /// What counts against the team's ceiling.
     fn counted(&self, team: &str) -> Resources {
         let share = self.shares.get(team);
-        let known = share.map(|share| share.allotted.max(share.placed));
+        let known = share.map(|share| share.granted.max(share.placed));
         let possible = amount_of(&self.possible, team);
         known.unwrap_or_default().max(possible)
     }
@@ -78,10 +78,10 @@
         share.map_or(Resources::ZERO, Share::needed)
     }
 
-    fn allotted(&self) -> TeamAmounts {
+    fn granted(&self) -> TeamAmounts {
         let shares = self.shares.iter();
-        let some = shares.filter(|(_, share)| !share.allotted.is_zero());
-        some.map(|(team, share)| (team.clone(), share.allotted))
+        let some = shares.filter(|(_, share)| !share.granted.is_zero());
+        some.map(|(team, share)| (team.clone(), share.granted))
             .collect()
     }
 
@@ -106,7 +106,7 @@
 
 /// What was asked for exceeds what the team may still use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OverCeiling;
+pub struct OverLimit;
 
 /// The allotments of all partitions.
 #[derive(Clone, Debug, Default)]
@@ -150,7 +150,7 @@
         self.change(partition, &teams, |entry| {
             entry.number = number;
             for (team, amount) in &amounts {
-                entry.share(team).allotted = *amount;
+                entry.share(team).granted = *amount;
             }
             entry.certain = amounts.clone();
             entry.possible = amounts;
@@ -181,8 +181,8 @@
     pub fn slack(&self, partition: PartitionId, team: &str) -> Resources {
         let entry = self.partitions.get(&partition);
         entry.map_or(Resources::ZERO, |entry| {
-            let allotted = entry.shares.get(team).map(|share| share.allotted);
-            allotted.unwrap_or_default().minus(entry.needed(team))
+            let granted = entry.shares.get(team).map(|share| share.granted);
+            granted.unwrap_or_default().minus(entry.needed(team))
         })
     }
 
@@ -196,16 +196,16 @@
         amount: Resources,
         promised: Resources,
         room: Resources,
-    ) -> Result<(), OverCeiling> {
+    ) -> Result<(), OverLimit> {
         let entry = self.partitions.entry(partition).or_default();
         let needed = entry.needed(team).plus(promised).plus(amount);
         if !needed.minus(entry.counted(team)).fits(room) {
-            return Err(OverCeiling);
+            return Err(OverLimit);
         }
         self.change(partition, &[team.to_string()], |entry| {
             let share = entry.share(team);
             share.queued = share.queued.plus(amount);
-            share.allotted = share.allotted.max(needed);
+            share.granted = share.granted.max(needed);
             share.slack_since = None;
         });
         Ok(())
@@ -250,7 +250,7 @@
             self.change(partition, &[team.to_string()], |entry| {
                 let certain = amount_of(&entry.certain, team);
                 let share = entry.share(team);
-                share.allotted = share.allotted.min(certain);
+                share.granted = share.granted.min(certain);
             });
         }
     }
@@ -275,9 +275,9 @@
                 GrantReduction::Everything => Resources::ZERO,
                 GrantReduction::Slack => share.needed(),
                 GrantReduction::OldSlack if idle => share.needed(),
-                GrantReduction::OldSlack => share.allotted,
+                GrantReduction::OldSlack => share.granted,
             };
-            let target = target.min(share.allotted);
+            let target = target.min(share.granted);
             let certain = amount_of(&entry.certain, team);
             told.insert(team.clone(), target.min(certain));
         }
@@ -299,8 +299,8 @@
             for team in &teams {
                 let most = amount_of(&held, team);
                 let share = entry.share(team);
-                let needed = share.needed().min(share.allotted);
-                share.allotted = most.max(needed);
+                let needed = share.needed().min(share.granted);
+                share.granted = most.max(needed);
                 share.note_slack(now);
             }
         });
@@ -310,8 +310,8 @@
     pub fn differs_from_record(&self, partition: PartitionId) -> bool {
         let entry = self.partitions.get(&partition);
         entry.is_some_and(|entry| {
-            let allotted = entry.allotted();
-            allotted != entry.certain || allotted != entry.possible
+            let granted = entry.granted();
+            granted != entry.certain || granted != entry.possible
         })
     }
 
@@ -320,7 +320,7 @@
         let teams = self.partitions.get(&partition).map(|entry| entry.teams());
         self.change(partition, &teams.unwrap_or_default(), |entry| {
             entry.number += 1;
-            entry.rendered = entry.allotted();
+            entry.rendered = entry.granted();
             for (team, amount) in &entry.rendered {
                 let possible = entry.possible.entry(team.clone()).or_default();
                 *possible = possible.max(*amount);
@@ -349,7 +349,7 @@
             entry.possible = entry.rendered.clone();
             let on_record = &entry.certain;
             entry.shares.retain(|team, share| {
-                let used = !share.allotted.is_zero() || !share.needed().is_zero();
+                let used = !share.granted.is_zero() || !share.needed().is_zero();
                 used || on_record.contains_key(team)
             });
         });
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -25,14 +25,14 @@
 
 #![warn(missing_docs)]
 
-pub mod allotments;
-pub mod holder;
+pub mod grants;
+pub mod holder_grant;
 pub mod limits;
 pub mod overview;
 mod resources;
 
-pub use allotments::{GrantReduction, QuotaGrants};
-pub use holder::HolderGrant;
+pub use grants::{GrantReduction, QuotaGrants};
+pub use holder_grant::HolderGrant;
 pub use limits::{Limits, LimitsInForce, TeamQuota};
 pub use resources::{Resources, TeamAmounts};
 
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -16,16 +16,16 @@
     /// What it need not wait for other teams for.
     pub guarantee: Resources,
     /// What its tasks may use at most.
-    pub ceiling: Resources,
+    pub limit: Resources,
 }
 
 impl TeamQuota {
     /// The lower figure of each.
     fn lowest(self, other: TeamQuota) -> TeamQuota {
-        let ceiling = self.ceiling.min(other.ceiling);
+        let limit = self.limit.min(other.limit);
         TeamQuota {
-            guarantee: self.guarantee.min(other.guarantee).min(ceiling),
-            ceiling,
+            guarantee: self.guarantee.min(other.guarantee).min(limit),
+            limit,
         }
     }
 }
@@ -54,7 +54,7 @@
     pub fn from_teams(teams: &[TeamQuotaRecord]) -> Limits {
         let limit = |team: &TeamQuotaRecord| TeamQuota {
             guarantee: Resources::of(team.cpus, team.gpus),
-            ceiling: Resources::of(team.cpus_max, team.gpus_max),
+            limit: Resources::of(team.cpus_max, team.gpus_max),
         };
         Limits::new(teams.iter().map(|team| (team.team.clone(), limit(team))))
     }
@@ -64,9 +64,9 @@
         let record = |(team, limit): (&str, TeamQuota)| TeamQuotaRecord {
             team: team.to_string(),
             cpus: limit.guarantee.cpus(),
-            cpus_max: limit.ceiling.cpus(),
+            cpus_max: limit.limit.cpus(),
             gpus: limit.guarantee.gpus(),
-            gpus_max: limit.ceiling.gpus(),
+            gpus_max: limit.limit.gpus(),
         };
         self.iter().map(record).collect()
     }
@@ -82,7 +82,7 @@
     pub fn lowered_since(&self, before: &Limits) -> Vec<String> {
         let lower = |(team, limit): &(&str, TeamQuota)| {
             let now = self.get(team).unwrap_or_default();
-            !limit.ceiling.fits(now.ceiling)
+            !limit.limit.fits(now.limit)
         };
         let lowered = before.iter().filter(lower);
         lowered.map(|(team, _)| team.to_string()).collect()
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -1,7 +1,7 @@
 //! What an operator is shown of the teams' limits, from the records in the state service alone.
 
 use crate::{Limits, Resources, TeamAmounts};
-use grebewood_wire::records::{allotment_key, QuotaGrantRecord, LIMITS};
+use grebewood_wire::records::{quota_grant_key, QuotaGrantRecord, LIMITS};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -47,9 +47,11 @@
     /// What is guaranteed to it.
     pub guarantee: Amount,
     /// What it may use at most.
-    pub ceiling: Amount,
+    #[serde(rename = "ceiling")]
+    pub limit: Amount,
     /// What of that is allotted to holders of partitions.
-    pub allotted: Amount,
+    #[serde(rename = "allotted")]
+    pub granted: Amount,
     /// What its tasks use that are on record.
     pub used: Amount,
     /// What of all this nobody can tell now whether it is used.
@@ -94,11 +96,11 @@
         theirs.fold(Resources::ZERO, |sum, task| sum.plus(task.amount))
     }
 
-    fn allotted(&self, team: &str, partition: PartitionId, ceiling: Resources) -> Resources {
+    fn granted(&self, team: &str, partition: PartitionId, limit: Resources) -> Resources {
         match self.allotments.get(&partition) {
             None => Resources::ZERO,
             // It may have been all of it.
-            Some(None) => ceiling,
+            Some(None) => limit,
             Some(Some(record)) => {
                 let amounts: TeamAmounts = crate::resources::from_list(&record.teams);
                 crate::resources::amount_of(&amounts, team)
@@ -112,19 +114,19 @@
         let partitions: BTreeSet<PartitionId> =
             self.allotments.keys().copied().chain(with_tasks).collect();
         let mut used = self.used(team, None);
-        let (mut allotted, mut in_doubt) = (Resources::ZERO, Resources::ZERO);
+        let (mut granted, mut in_doubt) = (Resources::ZERO, Resources::ZERO);
         let mut reasons = Vec::new();
         for partition in partitions {
-            let share = self.allotted(team, partition, limit.ceiling);
+            let share = self.granted(team, partition, limit.limit);
             let by_tasks = self.used(team, Some(partition));
-            allotted = allotted.plus(share);
+            granted = granted.plus(share);
             used = used.plus(by_tasks);
             let most = share.max(by_tasks);
             if most.is_zero() {
                 continue;
             }
             if matches!(self.allotments.get(&partition), Some(None)) {
-                reasons.push(format!("{} cannot be read", allotment_key(partition)));
+                reasons.push(format!("{} cannot be read", quota_grant_key(partition)));
                 in_doubt = in_doubt.plus(most);
             } else if !self.held.contains(&partition) {
                 reasons.push(format!("partition {partition} has no holder"));
@@ -134,8 +136,8 @@
         Row {
             team: team.to_string(),
             guarantee: limit.guarantee.into(),
-            ceiling: limit.ceiling.into(),
-            allotted: allotted.into(),
+            limit: limit.limit.into(),
+            granted: granted.into(),
             used: used.into(),
             in_doubt: in_doubt.into(),
             reasons,
@@ -159,7 +161,7 @@
         unreadable.extend(records.limits_unreadable.then(|| LIMITS.to_string()));
         let allotments = records.allotments.iter();
         let broken = allotments.filter(|(_, record)| record.is_none());
-        unreadable.extend(broken.map(|(partition, _)| allotment_key(*partition)));
+        unreadable.extend(broken.map(|(partition, _)| quota_grant_key(*partition)));
         unreadable.extend(records.unreadable_pages.iter().cloned());
         Overview {
             leader: records.leader.clone(),
@@ -190,8 +192,8 @@
             let _ = write!(text, "{:<20}", row.team);
             for amount in [
                 row.guarantee,
-                row.ceiling,
-                row.allotted,
+                row.limit,
+                row.granted,
                 row.used,
                 row.in_doubt,
             ] {
--- a/crates/quota/tests/interleavings.rs
+++ b/crates/quota/tests/interleavings.rs
@@ -32,7 +32,7 @@
         1 => partition.prop_map(Step::HolderEnds),
         1 => Just(Step::LeaderEnds),
         1 => (0..2usize, 0..=MOST)
-            .prop_map(|(member, ceiling)| Step::Settings { member, ceiling }),
+            .prop_map(|(member, limit)| Step::Settings { member, limit }),
         3 => Just(Step::Wait),
         16 => (0..PARTITIONS).prop_map(Step::Exchange),
         16 => (0..PARTITIONS).prop_map(Step::Start),
@@ -56,8 +56,8 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let started = std::cell::Cell::new(0u64);
     let steps = prop::collection::vec(step(), 1..STEPS);
-    let outcome = runner.run(&(1..=MOST, steps), |(ceiling, steps)| {
-        let mut cluster = Cluster::new(ceiling);
+    let outcome = runner.run(&(1..=MOST, steps), |(limit, steps)| {
+        let mut cluster = Cluster::new(limit);
         for step in steps {
             cluster.step(step).map_err(TestCaseError::fail)?;
         }
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -5,7 +5,7 @@
 fn limits(teams: &[(&str, f64, f64)]) -> Limits {
     let limit = |cpus: f64, most: f64| TeamQuota {
         guarantee: Resources::of(cpus, 0.0),
-        ceiling: Resources::of(most, 0.0),
+        limit: Resources::of(most, 0.0),
     };
     let teams = teams.iter();
     Limits::new(teams.map(|(team, cpus, most)| (team.to_string(), limit(*cpus, *most))))
@@ -15,8 +15,8 @@
     ["m-1".to_string(), "m-2".to_string()]
 }
 
-fn ceiling(in_force: &LimitsInForce, team: &str) -> Option<f64> {
-    Some(in_force.in_force().get(team)?.ceiling.cpus())
+fn limit(in_force: &LimitsInForce, team: &str) -> Option<f64> {
+    Some(in_force.in_force().get(team)?.limit.cpus())
 }
 
 /// A leader with old settings once one member has the lower figure.
@@ -25,12 +25,12 @@
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(high.clone()), "m-0", high.clone(), others());
     assert!(in_force.announce("m-1", low.clone()));
-    assert_eq!(ceiling(&in_force, "t"), Some(12.0));
+    assert_eq!(limit(&in_force, "t"), Some(12.0));
     // Of the third nothing is known; then it has the old figure still.
     assert!(!in_force.announce("m-2", high.clone()));
-    assert_eq!(ceiling(&in_force, "t"), Some(12.0));
+    assert_eq!(limit(&in_force, "t"), Some(12.0));
     assert!(in_force.announce("m-1", high));
-    assert_eq!(ceiling(&in_force, "t"), Some(32.0));
+    assert_eq!(limit(&in_force, "t"), Some(32.0));
 }
 
 /// A member with the old figure becomes the leader, and then one that was not heard for long is the first to have
@@ -39,12 +39,12 @@
 fn a_new_leader_acts_on_no_higher_figure_than_the_one_on_record() {
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(low.clone()), "m-0", high.clone(), others());
-    assert_eq!(ceiling(&in_force, "t"), Some(12.0));
+    assert_eq!(limit(&in_force, "t"), Some(12.0));
     in_force.announce("m-1", high.clone());
-    assert_eq!(ceiling(&in_force, "t"), Some(12.0));
+    assert_eq!(limit(&in_force, "t"), Some(12.0));
     // Nor on a higher one than its own.
     let in_force = LimitsInForce::new(Some(high), "m-0", low, others());
-    assert_eq!(ceiling(&in_force, "t"), Some(12.0));
+    assert_eq!(limit(&in_force, "t"), Some(12.0));
 }
 
 #[test]
@@ -62,17 +62,17 @@
     );
     let mut in_force = LimitsInForce::new(Some(with.clone()), "m-0", with.clone(), others());
     in_force.announce("m-1", without.clone());
-    assert_eq!(ceiling(&in_force, "t"), Some(0.0));
-    assert_eq!(ceiling(&in_force, "u"), Some(8.0));
+    assert_eq!(limit(&in_force, "t"), Some(0.0));
+    assert_eq!(limit(&in_force, "u"), Some(8.0));
     in_force.announce("m-2", without.clone());
     in_force.announce("m-0", without);
-    assert_eq!(ceiling(&in_force, "t"), None);
+    assert_eq!(limit(&in_force, "t"), None);
     for member in ["m-0", "m-1"] {
         in_force.announce(member, with.clone());
-        assert_eq!(ceiling(&in_force, "t"), Some(0.0));
+        assert_eq!(limit(&in_force, "t"), Some(0.0));
     }
     in_force.announce("m-2", with);
-    assert_eq!(ceiling(&in_force, "t"), Some(32.0));
+    assert_eq!(limit(&in_force, "t"), Some(32.0));
 }
 
 #[test]
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -48,7 +48,7 @@
     /// A member is started again with another ceiling in its settings, and the leader hears of it.
     Settings {
         member: usize,
-        ceiling: u64,
+        limit: u64,
     },
     /// Time passes.
     Wait,
@@ -87,7 +87,7 @@
         partition: usize,
         record: QuotaGrantRecord,
         leader: u64,
-        stamp: u64,
+        mod_revision: u64,
         /// The limits when it was rendered, which the check needs.
         limits: u64,
     },
@@ -162,10 +162,10 @@
     pub started: u64,
 }
 
-fn limits_of(ceiling: u64) -> Limits {
+fn limits_of(limit: u64) -> Limits {
     let limit = TeamQuota {
         guarantee: Resources::ZERO,
-        ceiling: TASK.times(ceiling),
+        limit: TASK.times(limit),
     };
     Limits::new([(TEAM.to_string(), limit)])
 }
@@ -175,11 +175,11 @@
 }
 
 impl Cluster {
-    pub fn new(ceiling: u64) -> Cluster {
+    pub fn new(limit: u64) -> Cluster {
         let mut store = Store {
             revision: 10,
             leader: 1,
-            limits: (2, ceiling),
+            limits: (2, limit),
             ..Store::default()
         };
         let mut holders = Vec::new();
@@ -187,7 +187,7 @@
             *claim = 3 + partition as u64;
             holders.push(Holder::new(*claim, 0));
         }
-        let settings = [ceiling; 2];
+        let settings = [limit; 2];
         Cluster {
             leader: Leader::load(&store, settings),
             store,
@@ -207,7 +207,7 @@
             Step::Queue(p) => self.queue(p % PARTITIONS),
             Step::Own => self.start_own()?,
             Step::OwnEnds => self.store.own = self.store.own.saturating_sub(1),
-            Step::WriteAllotment(p) => self.write_allotment(p % PARTITIONS),
+            Step::WriteAllotment(p) => self.write_quota_grant(p % PARTITIONS),
             Step::CarryOut { which, answered } => self.carry_out(which, answered)?,
             Step::ReadBack => self.read_back(),
             Step::Send(p) => self.send(p % PARTITIONS),
@@ -218,7 +218,7 @@
             Step::TaskEnds(p) => self.task_ends(p % PARTITIONS),
             Step::HolderEnds(p) => self.holder_ends(p % PARTITIONS),
             Step::LeaderEnds => self.leader_ends(),
-            Step::Settings { member, ceiling } => self.change_settings(member % 2, ceiling),
+            Step::Settings { member, limit } => self.change_settings(member % 2, limit),
             Step::Wait => self.now += 1_000_000,
             Step::Exchange(p) => self.exchange(p % PARTITIONS)?,
             Step::Start(p) => {
@@ -230,7 +230,7 @@
     }
 
     fn exchange(&mut self, p: usize) -> Result<(), String> {
-        self.write_allotment(p);
+        self.write_quota_grant(p);
         self.carry_out(self.writes.len().saturating_sub(1), true)?;
         self.leader.known[p].waits_for = None;
         self.send(p);
@@ -247,22 +247,22 @@
 
     /// Something was started: no more may be on record than the ceiling on record.
     fn check_start(&self) -> Result<(), String> {
-        let (live, ceiling) = (self.live(), self.store.limits.1);
-        match live <= ceiling {
+        let (live, limit) = (self.live(), self.store.limits.1);
+        match live <= limit {
             true => Ok(()),
-            false => Err(format!("{live} tasks started under a ceiling of {ceiling}")),
+            false => Err(format!("{live} tasks started under a ceiling of {limit}")),
         }
     }
 
     /// An allotment has grown: what the next leader reads must fit the ceiling.
     fn check_records(&self) -> Result<(), String> {
-        let allotted = self.store.allotments.iter();
-        let allotted: u64 = allotted.map(|(record, _)| amount(&record.teams)).sum();
-        let (own, ceiling) = (self.store.own, self.store.limits.1);
-        match allotted + own <= ceiling {
+        let granted = self.store.allotments.iter();
+        let granted: u64 = granted.map(|(record, _)| amount(&record.teams)).sum();
+        let (own, limit) = (self.store.own, self.store.limits.1);
+        match granted + own <= limit {
             true => Ok(()),
             false => Err(format!(
-                "{allotted} allotted and {own} of the leader, of {ceiling}"
+                "{granted} allotted and {own} of the leader, of {limit}"
             )),
         }
     }
@@ -271,17 +271,17 @@
 
     fn room(&self) -> Resources {
         let in_force = self.leader.limits.in_force().get(TEAM);
-        let ceiling = in_force.unwrap_or_default().ceiling;
+        let limit = in_force.unwrap_or_default().limit;
         let own = TASK.times(self.store.own);
         let total = self.leader.books.total(TEAM);
-        ceiling.minus(own.plus(total))
+        limit.minus(own.plus(total))
     }
 
     fn is_over(&self) -> bool {
         let in_force = self.leader.limits.in_force().get(TEAM);
         let own = TASK.times(self.store.own);
         !own.plus(self.leader.books.total(TEAM))
-            .fits(in_force.unwrap_or_default().ceiling)
+            .fits(in_force.unwrap_or_default().limit)
     }
 
     fn queue(&mut self, p: usize) {
@@ -306,7 +306,7 @@
         Ok(())
     }
 
-    fn write_allotment(&mut self, p: usize) {
+    fn write_quota_grant(&mut self, p: usize) {
         let leader = &mut self.leader;
         if leader.writing.is_some() || !leader.books.differs_from_record(p as u64) {
             return;
@@ -316,7 +316,7 @@
             partition: p,
             record: leader.books.render(p as u64, self.store.claims[p]),
             leader: leader.token,
-            stamp: self.store.allotments[p].1,
+            mod_revision: self.store.allotments[p].1,
             limits: self.store.limits.0,
         });
     }
@@ -409,9 +409,9 @@
         self.write_limits();
     }
 
-    fn change_settings(&mut self, member: usize, ceiling: u64) {
-        self.settings[member] = ceiling;
-        let limits = limits_of(ceiling);
+    fn change_settings(&mut self, member: usize, limit: u64) {
+        self.settings[member] = limit;
+        let limits = limits_of(limit);
         if self.leader.limits.announce(MEMBERS[member], limits) {
             self.write_limits();
         }
@@ -420,13 +420,13 @@
     /// The leader writes the limits itself, so it starts nothing beyond them meanwhile.
     fn write_limits(&mut self) {
         let in_force = self.leader.limits.in_force().get(TEAM);
-        let ceiling = in_force.unwrap_or_default().ceiling.cpus / TASK.cpus;
-        if ceiling < self.store.limits.1 {
+        let limit = in_force.unwrap_or_default().limit.cpus / TASK.cpus;
+        if limit < self.store.limits.1 {
             self.leader.books.drop_growth(TEAM);
         }
-        if ceiling != self.store.limits.1 {
+        if limit != self.store.limits.1 {
             self.store.revision += 1;
-            self.store.limits = (self.store.revision, ceiling);
+            self.store.limits = (self.store.revision, limit);
         }
     }
 
@@ -505,10 +505,11 @@
                 partition,
                 record,
                 leader,
-                stamp,
+                mod_revision,
                 limits,
             } => {
-                let grew = self.apply_allotment(partition, record, (leader, stamp), answered);
+                let grew =
+                    self.apply_allotment(partition, record, (leader, mod_revision), answered);
                 // Where the ceiling was lowered meanwhile, nothing is started out of it.
                 match grew && limits == self.store.limits.0 {
                     true => self.check_records(),
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -28,7 +28,7 @@
 fn records() -> Records {
     let limit = TeamQuota {
         guarantee: Resources::of(8.0, 0.0),
-        ceiling: Resources::of(32.0, 0.0),
+        limit: Resources::of(32.0, 0.0),
     };
     Records {
         leader: Some("m-0".into()),
@@ -43,7 +43,7 @@
 #[test]
 fn a_team_is_shown_with_what_it_uses_wherever_that_is() {
     let row = &Overview::of(&records()).teams[0];
-    assert_eq!((row.allotted.cpus, row.used.cpus), (10.0, 8.0));
+    assert_eq!((row.granted.cpus, row.used.cpus), (10.0, 8.0));
     assert_eq!((row.in_doubt.cpus, row.reasons.len()), (0.0, 0));
 }
 
@@ -78,7 +78,7 @@
     assert!(text.contains("no limits on record"), "{text}");
     let limit = TeamQuota {
         guarantee: Resources::ZERO,
-        ceiling: Resources::of(1e12, 0.0),
+        limit: Resources::of(1e12, 0.0),
     };
     none.limits = Some(Limits::new([("guest".to_string(), limit)]));
     assert!(Overview::of(&none).to_text().contains("no limit"));
--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -49,16 +49,16 @@
                 total_s / LENGTH_S as f64,
             );
         }
-        let checkins = measures
+        let heartbeats = measures
             .steps
-            .get(&StepKind::Checkin)
+            .get(&StepKind::Heartbeat)
             .map_or(0, |h| h.len());
         let before = allocated();
         world.end_leader();
         println!(
             "| {machines} | all | {:.0} check-ins a second, {:.1} changes and {:.1} requests of state a \
              second, leader's memory {} KiB | | | | |",
-            checkins as f64 / LENGTH_S as f64,
+            heartbeats as f64 / LENGTH_S as f64,
             measures.changes as f64 / LENGTH_S as f64,
             measures.requests as f64 / LENGTH_S as f64,
             before.saturating_sub(allocated()) / 1024,
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -59,9 +59,9 @@
 struct Shared {
     began: Instant,
     state: Mutex<KeyValueStore>,
-    ledger: Mutex<ExecutionLog>,
+    write_buffer: Mutex<ExecutionLog>,
     facts: BTreeMap<String, JobFacts>,
-    released: Mutex<BTreeSet<String>>,
+    terminated: Mutex<BTreeSet<String>>,
     machines: Vec<String>,
     over: AtomicBool,
 }
@@ -134,9 +134,9 @@
         Cluster(Arc::new(Shared {
             began: Instant::now(),
             state: Mutex::default(),
-            ledger: Mutex::default(),
+            write_buffer: Mutex::default(),
             facts,
-            released: Mutex::default(),
+            terminated: Mutex::default(),
             machines: (0..machines).map(|n| format!("n-{n:06}")).collect(),
             over: AtomicBool::new(false),
         }))
@@ -152,8 +152,8 @@
     }
 
     /// What happened to the tasks.
-    pub fn ledger(&self) -> MutexGuard<'_, ExecutionLog> {
-        lock(&self.0.ledger)
+    pub fn write_buffer(&self) -> MutexGuard<'_, ExecutionLog> {
+        lock(&self.0.write_buffer)
     }
 
     /// Ends the workers.
@@ -201,7 +201,7 @@
                 ("GET", "/rentals") => (200, to_cbor(&cluster.machine_list(&machine_type))),
                 ("POST", "/rentals/release") => {
                     let names = from_cbor::<MachineNames>(body).map(|n| n.machines);
-                    lock(&cluster.0.released).extend(names.unwrap_or_default());
+                    lock(&cluster.0.terminated).extend(names.unwrap_or_default());
                     (200, to_cbor(&BTreeMap::<String, u64>::new()))
                 }
                 _ => (503, to_cbor(&BTreeMap::from([("error", "no capacity")]))),
@@ -210,12 +210,12 @@
     }
 
     fn machine_list(&self, machine_type: &MachineType) -> MachineList {
-        let released = lock(&self.0.released);
+        let terminated = lock(&self.0.terminated);
         let listed = self
             .0
             .machines
             .iter()
-            .filter(|name| !released.contains(*name));
+            .filter(|name| !terminated.contains(*name));
         let listed = listed.map(|name| ListedMachine {
             id: name.clone(),
             address: None,
@@ -237,44 +237,44 @@
             let mut machine = Machine::new(name, machine_type, "a");
             machine.up = true;
             machine.lease_from = self.now();
-            let worker = Worker {
+            let agent = Agent {
                 cluster: self.clone(),
                 machine,
                 fronts: fronts.clone(),
                 front: fronts.values().nth(n % fronts.len()).copied(),
             };
-            std::thread::spawn(move || worker.run());
+            std::thread::spawn(move || agent.run());
         }
     }
 }
 
-struct Worker {
+struct Agent {
     cluster: Cluster,
     machine: Machine,
     fronts: BTreeMap<String, SocketAddr>,
     front: Option<SocketAddr>,
 }
 
-impl Worker {
+impl Agent {
     fn run(mut self) {
         let shared = self.cluster.0.clone();
         while !shared.over.load(Ordering::Relaxed) {
             std::thread::sleep(STEP);
-            if lock(&shared.released).contains(&self.machine.name) {
+            if lock(&shared.terminated).contains(&self.machine.name) {
                 self.forget_all();
                 return;
             }
             let now = self.cluster.now();
-            let session = self.machine.session;
+            let incarnation = self.machine.incarnation;
             let (done, changed) = self.machine.advance(now, LEASE, &shared.facts);
-            if self.machine.session != session {
+            if self.machine.incarnation != incarnation {
                 self.forget_all();
             }
             {
-                let mut ledger = self.cluster.ledger();
+                let mut write_buffer = self.cluster.write_buffer();
                 for task in done {
-                    ledger.live.remove(&task);
-                    *ledger.completed.entry(task).or_insert(0) += 1;
+                    write_buffer.live.remove(&task);
+                    *write_buffer.completed.entry(task).or_insert(0) += 1;
                 }
             }
             if changed || now >= self.machine.next_report {
@@ -284,9 +284,9 @@
     }
 
     fn forget_all(&self) {
-        let mut ledger = self.cluster.ledger();
+        let mut write_buffer = self.cluster.write_buffer();
         let here = self.machine.name.clone();
-        ledger.live.retain(|_, machine| *machine != here);
+        write_buffer.live.retain(|_, machine| *machine != here);
     }
 
     fn report(&mut self, now: Micros) {
@@ -329,20 +329,22 @@
         let came = self
             .machine
             .carry_out(self.cluster.now(), &answer.commands, facts);
-        let mut ledger = self.cluster.ledger();
+        let mut write_buffer = self.cluster.write_buffer();
         for task in came {
-            *ledger.starts.entry(task.clone()).or_insert(0) += 1;
-            let other = ledger.live.insert(task.clone(), self.machine.name.clone());
+            *write_buffer.starts.entry(task.clone()).or_insert(0) += 1;
+            let other = write_buffer
+                .live
+                .insert(task.clone(), self.machine.name.clone());
             if other.is_some_and(|other| other != self.machine.name) {
-                ledger.twice.push(task);
+                write_buffer.twice.push(task);
             }
         }
         // What was stopped is gone; what goes on is live.
         let here = self.machine.name.clone();
         let live: BTreeSet<&str> = self.machine.live().map(|t| t.task_name.as_str()).collect();
-        ledger
+        write_buffer
             .live
             .retain(|task, machine| *machine != here || live.contains(task.as_str()));
-        ledger.note_most();
+        write_buffer.note_most();
     }
 }
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -12,7 +12,7 @@
     pub attempt: u64,
     pub status: &'static str,
     pub cause: Option<&'static str>,
-    pub saved: bool,
+    pub checkpointed: bool,
     /// When its present state ends.
     pub ends: Micros,
     pub cpus: f64,
@@ -49,8 +49,8 @@
     /// Until then it reaches no controller, while direct commands reach it.
     pub mute_until: Micros,
     pub faulty: bool,
-    pub recall_at: Option<Micros>,
-    pub session: u64,
+    pub reclaim_at: Option<Micros>,
+    pub incarnation: u64,
     pub sequence: u64,
     pub token: u64,
     /// When the last answered report was sent, or the session began.
@@ -61,7 +61,7 @@
     /// The report in flight: when it was sent, and its session.
     pub in_flight: Option<(u64, Micros, u64)>,
     pub next_report: Micros,
-    pub last_report: Micros,
+    pub last_contact_at: Micros,
     pub told_token: u64,
     /// When a higher token last made it report at once.
     pub token_told: Option<Micros>,
@@ -85,8 +85,8 @@
             cut_until: 0,
             mute_until: 0,
             faulty: false,
-            recall_at: None,
-            session: 1,
+            reclaim_at: None,
+            incarnation: 1,
             sequence: 0,
             token: 0,
             lease_from: 0,
@@ -94,7 +94,7 @@
             node: 0,
             in_flight: None,
             next_report: 0,
-            last_report: 0,
+            last_contact_at: 0,
             told_token: 0,
             token_told: None,
         }
@@ -108,10 +108,12 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             sequence: self.sequence,
             token: self.token,
-            recall_s: self.recall_at.map(|at| at.saturating_sub(now) as f64 / 1e6),
+            reclaim_s: self
+                .reclaim_at
+                .map(|at| at.saturating_sub(now) as f64 / 1e6),
             tasks: self
                 .tasks
                 .iter()
@@ -120,7 +122,7 @@
                     attempt: t.attempt,
                     status: t.status.into(),
                     cause: t.cause.map(ExitCause::from),
-                    saved: t.cause.is_some().then_some(t.saved),
+                    checkpointed: t.cause.is_some().then_some(t.checkpointed),
                 })
                 .collect(),
         }
@@ -158,7 +160,7 @@
                         attempt: o.attempt,
                         status: "fetching",
                         cause: None,
-                        saved: false,
+                        checkpointed: false,
                         ends: now + 500_000,
                         cpus: job.map_or(0.0, |j| j.cpus),
                     };
@@ -210,7 +212,7 @@
     /// Its tasks are killed and forgotten.
     pub fn new_session(&mut self, now: Micros) {
         self.tasks.clear();
-        self.session += 1;
+        self.incarnation += 1;
         self.sequence = 0;
         self.lease_from = now;
         self.in_flight = None;
@@ -248,7 +250,7 @@
                 "saving" => {
                     t.status = "exited";
                     t.cause = Some("stopped");
-                    t.saved = true;
+                    t.checkpointed = true;
                 }
                 _ => {
                     t.status = "exited";
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StepKind {
     /// A worker's check-in.
-    Checkin,
+    Heartbeat,
     /// Any other request.
     Request,
     /// A reply to a call.
@@ -25,7 +25,7 @@
     /// The kind of a step with this input.
     pub fn of(input: &Input) -> StepKind {
         match input {
-            Input::Request { path, .. } if path == "/checkin" => StepKind::Checkin,
+            Input::Request { path, .. } if path == "/checkin" => StepKind::Heartbeat,
             Input::Request { .. } | Input::Gone { .. } => StepKind::Request,
             Input::Reply { .. } => StepKind::Reply,
             Input::Tick => StepKind::Tick,
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 struct Item {
     value: Value,
-    stamp: u64,
+    mod_revision: u64,
     lease: Option<u64>,
 }
 
@@ -19,7 +19,7 @@
 struct Logged {
     key: String,
     value: Option<Value>,
-    stamp: u64,
+    mod_revision: u64,
 }
 
 /// A watch that waits for a change.
@@ -81,7 +81,8 @@
 struct ItemOut<'a> {
     k: &'a str,
     value: &'a Value,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    mod_revision: u64,
 }
 
 #[derive(Serialize)]
@@ -92,7 +93,8 @@
     delete: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
     value: Option<&'a Value>,
-    stamp: u64,
+    #[serde(rename = "stamp")]
+    mod_revision: u64,
 }
 
 fn epoch_body(epoch: u64) -> Vec<u8> {
@@ -109,7 +111,7 @@
             .items
             .iter()
             .filter(move |(key, _)| key.starts_with(prefix));
-        items.map(|(key, item)| (key.as_str(), &item.value, item.stamp))
+        items.map(|(key, item)| (key.as_str(), &item.value, item.mod_revision))
     }
 
     fn change(&mut self, key: &str, item: Option<Item>) {
@@ -127,7 +129,7 @@
         self.log.push_back(Logged {
             key: key.to_string(),
             value,
-            stamp: self.epoch,
+            mod_revision: self.epoch,
         });
         if self.log.len() > 10_000 {
             self.log.pop_front();
@@ -180,7 +182,7 @@
         self.epoch += 1;
         let item = Item {
             value: Value::Text("unreadable".into()),
-            stamp: self.epoch,
+            mod_revision: self.epoch,
             ..item
         };
         self.change(key, Some(item));
@@ -188,11 +190,11 @@
     }
 
     /// Puts a record there that was written before, with its stamp.
-    pub fn load(&mut self, key: &str, value: Value, stamp: u64) {
-        self.epoch = self.epoch.max(stamp);
+    pub fn load(&mut self, key: &str, value: Value, mod_revision: u64) {
+        self.epoch = self.epoch.max(mod_revision);
         let item = Item {
             value,
-            stamp,
+            mod_revision,
             lease: None,
         };
         self.items.insert(key.to_string(), item);
@@ -203,7 +205,7 @@
         self.epoch += 1;
         let item = Item {
             value,
-            stamp: self.epoch,
+            mod_revision: self.epoch,
             lease: None,
         };
         self.change(key, Some(item));
@@ -227,12 +229,14 @@
     }
 
     /// Why a transaction is malformed, if it is.
-    fn malformed(&self, txn: &Transaction) -> Option<String> {
+    fn malformed(&self, transaction: &Transaction) -> Option<String> {
         let limits = self.limits?;
-        if txn.apply.len() > limits.txn_ops || txn.when.len() > 4 * limits.txn_ops {
+        if transaction.apply.len() > limits.transaction_operations
+            || transaction.when.len() > 4 * limits.transaction_operations
+        {
             return Some("too many operations".into());
         }
-        txn.apply.iter().find_map(|c| match c {
+        transaction.apply.iter().find_map(|c| match c {
             Operation::Put { put, value, .. } => {
                 (json_len(value) > limits.value_bytes).then(|| format!("{put} is too large"))
             }
@@ -283,7 +287,7 @@
                 });
                 Reply::Later
             }
-            ("POST", "/txn") => self.txn(now, body),
+            ("POST", "/txn") => self.transaction(now, body),
             ("POST", "/leases") => {
                 let life: BTreeMap<String, u64> = from_cbor(body).unwrap_or_default();
                 let life = life.get("life_ms").copied().unwrap_or(1_000) * 1_000;
@@ -300,7 +304,7 @@
                             to_cbor(&ItemOut {
                                 k: key,
                                 value: &i.value,
-                                stamp: i.stamp,
+                                mod_revision: i.mod_revision,
                             }),
                         ),
                         None => Reply::Now(404, epoch_body(self.epoch)),
@@ -348,7 +352,7 @@
             .map(|(k, i)| ItemOut {
                 k,
                 value: &i.value,
-                stamp: i.stamp,
+                mod_revision: i.mod_revision,
             })
             .collect();
         let more = entries.len() > page;
@@ -361,39 +365,39 @@
         Reply::Now(200, to_cbor(&out))
     }
 
-    fn txn(&mut self, now: Micros, body: &[u8]) -> Reply {
-        let Ok(txn) = from_cbor::<Transaction>(body) else {
+    fn transaction(&mut self, now: Micros, body: &[u8]) -> Reply {
+        let Ok(transaction) = from_cbor::<Transaction>(body) else {
             return Reply::Now(400, Vec::new());
         };
-        if let Some(why) = self.malformed(&txn) {
+        if let Some(why) = self.malformed(&transaction) {
             self.refused += 1;
             return Reply::Now(400, to_cbor(&BTreeMap::from([("error", why)])));
         }
-        if !self.may(now, 0.0, txn.apply.len() as f64) {
+        if !self.may(now, 0.0, transaction.apply.len() as f64) {
             return Reply::Now(429, Vec::new());
         }
-        let failed: Vec<String> = txn
+        let failed: Vec<String> = transaction
             .when
             .iter()
-            .filter(|w| self.items.get(&w.key).map_or(0, |i| i.stamp) != w.stamp)
+            .filter(|w| self.items.get(&w.key).map_or(0, |i| i.mod_revision) != w.mod_revision)
             .map(|w| w.key.clone())
             .collect();
         if !failed.is_empty() {
             return Reply::Now(409, to_cbor(&BTreeMap::from([("failed", failed)])));
         }
-        let no_lease = txn.apply.iter().any(
+        let no_lease = transaction.apply.iter().any(
             |c| matches!(c, Operation::Put { lease: Some(t), .. } if !self.leases.contains_key(t)),
         );
         if no_lease {
             return Reply::Now(400, to_cbor(&BTreeMap::from([("error", "no such lease")])));
         }
         self.epoch += 1;
-        for change in txn.apply {
+        for change in transaction.apply {
             match change {
                 Operation::Put { put, value, lease } => {
                     let item = Item {
                         value,
-                        stamp: self.epoch,
+                        mod_revision: self.epoch,
                         lease,
                     };
                     self.change(&put, Some(item));
@@ -419,12 +423,12 @@
         self.waiting.retain(|w| {
             let events: Vec<EventOut> = log
                 .iter()
-                .filter(|l| l.stamp > w.since && l.key.starts_with(&w.prefix))
+                .filter(|l| l.mod_revision > w.since && l.key.starts_with(&w.prefix))
                 .map(|l| EventOut {
                     put: l.value.is_some().then_some(l.key.as_str()),
                     delete: l.value.is_none().then_some(l.key.as_str()),
                     value: l.value.as_ref(),
-                    stamp: l.stamp,
+                    mod_revision: l.mod_revision,
                 })
                 .collect();
             if events.is_empty() && now < w.until {
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -125,7 +125,7 @@
     match target {
         Target::State => "state".into(),
         Target::Cloud => "cloud".into(),
-        Target::Worker(address) => format!("worker {address}"),
+        Target::Agent(address) => format!("worker {address}"),
         Target::Peer(place) => format!("peer {place}"),
     }
 }
@@ -143,11 +143,11 @@
     part(!orders.launches.is_empty(), "launches");
     part(!orders.stops.is_empty(), "stops");
     part(!orders.acknowledged.is_empty(), "acknowledged");
-    part(!orders.released.is_empty(), "released");
+    part(!orders.terminated.is_empty(), "released");
     if let Some(quota) = &orders.quota {
         part(true, "quota");
         part(!quota.work.is_empty(), "work");
-        part(!quota.recalled.is_empty(), "recalled");
+        part(!quota.revoked.is_empty(), "recalled");
         part(!quota.reserved.is_empty(), "reserved");
     }
     parts.join("+")
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -19,21 +19,21 @@
 use grebewood_wire::{from_cbor, to_cbor};
 use std::collections::{BTreeMap, BTreeSet};
 
+mod agents;
 mod checks;
 mod cloud;
 mod controllers;
+mod faults;
 mod limits;
 mod script;
 mod setup;
 #[cfg(test)]
 mod tests;
-mod troubles;
 mod users;
-mod workers;
 
 use checks::Checks;
+use faults::Troubles;
 use limits::LimitChanges;
-use troubles::Troubles;
 
 type Micros = u64;
 const S: Micros = 1_000_000;
@@ -67,7 +67,7 @@
         body: Vec<u8>,
         sent: Micros,
     },
-    Worker {
+    Agent {
         machine: String,
         flight: u64,
     },
@@ -86,7 +86,7 @@
     Input(usize, u64, Input),
     State(Caller, &'static str, String, Vec<u8>),
     Cloud(Caller, &'static str, String, Vec<u8>),
-    Worker(Caller, String, Vec<u8>),
+    Agent(Caller, String, Vec<u8>),
     Request {
         node: usize,
         interface: Interface,
@@ -184,13 +184,13 @@
     untroubled: Micros,
     next_ask: Micros,
     state: KeyValueStore,
-    state_tickets: BTreeMap<u64, Caller>,
+    store_tickets: BTreeMap<u64, Caller>,
     types: Vec<MachineType>,
     capacity: BTreeMap<(String, bool), u64>,
     boot: Micros,
     boots_never: bool,
     cloud_down: bool,
-    rentals: BTreeMap<String, Vec<String>>,
+    provisions: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, Machine>,
     next_machine: u64,
     jobs: BTreeMap<String, JobSeen>,
@@ -238,7 +238,7 @@
         rps: number("rps", now.rps)?,
         write_rps: number("writes", now.write_rps)?,
         value_bytes: (number("value", now.value_bytes as f64 / 1024.0)? * 1024.0) as usize,
-        txn_ops: number("ops", now.txn_ops as f64)? as usize,
+        transaction_operations: number("ops", now.transaction_operations as f64)? as usize,
     })
 }
 
@@ -276,13 +276,13 @@
             untroubled: script.troubles_end(),
             next_ask: ASK_EVERY,
             state: KeyValueStore::default(),
-            state_tickets: BTreeMap::new(),
+            store_tickets: BTreeMap::new(),
             types: Vec::new(),
             capacity: BTreeMap::new(),
             boot: 10 * S,
             boots_never: false,
             cloud_down: false,
-            rentals: BTreeMap::new(),
+            provisions: BTreeMap::new(),
             machines: BTreeMap::new(),
             next_machine: 0,
             jobs: BTreeMap::new(),
@@ -443,7 +443,7 @@
                 Ok(())
             }
             Ev::State(caller, method, path, body) => {
-                self.state_request(caller, method, &path, &body);
+                self.store_request(caller, method, &path, &body);
                 Ok(())
             }
             Ev::Cloud(caller, method, path, body) => {
@@ -451,7 +451,7 @@
                 self.reply(caller, "cloud", 100 * MS, status, body);
                 Ok(())
             }
-            Ev::Worker(caller, address, body) => self.direct(caller, &address, &body),
+            Ev::Agent(caller, address, body) => self.direct(caller, &address, &body),
             Ev::Request {
                 node,
                 interface,
@@ -464,7 +464,7 @@
                     return self.answered(asker, node, 0, Vec::new());
                 }
                 let mut asker = asker;
-                if matches!(asker, Asker::Copy { .. } | Asker::Worker { .. }) {
+                if matches!(asker, Asker::Copy { .. } | Asker::Agent { .. }) {
                     let first = self.note_report(node, &body, &asker);
                     if let Asker::Copy { first: it } = &mut asker {
                         *it = first;
--- a/crates/testkit/src/world/workers.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -16,10 +16,10 @@
         let Some(m) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        let Some((id, sent, session)) = m.in_flight else {
+        let Some((id, sent, incarnation)) = m.in_flight else {
             return Ok(());
         };
-        if id != flight || m.gone || session != m.session {
+        if id != flight || m.gone || incarnation != m.incarnation {
             return Ok(());
         }
         if self.lose_answer.remove(name) || now < m.deaf_until.max(m.cut_until) {
@@ -159,13 +159,13 @@
         if now < m.hangs_until {
             // Carried out when the machine resumes.
             let at = m.hangs_until + MS;
-            self.push(at, Ev::Worker(caller, address.into(), body.to_vec()));
+            self.push(at, Ev::Agent(caller, address.into(), body.to_vec()));
             return Ok(());
         }
         let Ok(commands) = from_cbor::<DirectCommands>(body) else {
             return Ok(());
         };
-        let (status, came) = if commands.token < m.token || commands.session != m.session {
+        let (status, came) = if commands.token < m.token || commands.incarnation != m.incarnation {
             (409, Vec::new())
         } else {
             m.token = commands.token;
@@ -180,7 +180,7 @@
         let now = self.now;
         self.state.expire(now);
         for (ticket, body) in self.state.ready(now) {
-            if let Some(caller) = self.state_tickets.remove(&ticket) {
+            if let Some(caller) = self.store_tickets.remove(&ticket) {
                 // The open watches of a node that is refused wait, as in an outage.
                 let refused = self.refused.iter().filter(|(n, _)| *n == caller.node);
                 let until = refused.map(|(_, until)| *until).max().unwrap_or(0);
@@ -220,7 +220,7 @@
             m.lease_from = now;
             m.next_report = now;
         }
-        if m.recall_at.is_some_and(|at| at <= now) {
+        if m.reclaim_at.is_some_and(|at| at <= now) {
             m.gone = true;
         }
         if !m.up || m.gone {
@@ -248,10 +248,10 @@
         if m.told_token < m.token && rested && m.in_flight.is_none() {
             m.token_told = Some(now);
             m.told_token = m.token;
-            m.next_report = m.next_report.min((m.last_report + S / 2).max(now));
+            m.next_report = m.next_report.min((m.last_contact_at + S / 2).max(now));
         }
         if changed {
-            m.next_report = m.next_report.min((m.last_report + S / 2).max(now));
+            m.next_report = m.next_report.min((m.last_contact_at + S / 2).max(now));
         }
         if let Some((_, sent, _)) = m.in_flight {
             if now < sent + 4 * S {
@@ -271,13 +271,13 @@
         }
         self.seq += 1;
         let flight = self.seq;
-        m.in_flight = Some((flight, now, m.session));
-        m.last_report = now;
+        m.in_flight = Some((flight, now, m.incarnation));
+        m.last_contact_at = now;
         m.next_report = now + self.settings.report;
         m.told_token = m.token;
         let body = to_cbor(&m.report(now));
         let (node, cut_until) = (m.node, m.cut_until);
-        let asker = Asker::Worker {
+        let asker = Asker::Agent {
             machine: name.into(),
             flight,
         };
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -142,15 +142,15 @@
         }
         let none = BTreeMap::new();
         let mut waits = BTreeMap::new();
-        let hears = |m: &&Machine| {
+        let receives_responses = |m: &&Machine| {
             let until = m.hangs_until.max(m.deaf_until).max(m.cut_until);
-            let well = !m.faulty && m.recall_at.is_none();
+            let well = !m.faulty && m.reclaim_at.is_none();
             m.up && !m.gone && well && now >= until.max(m.mute_until)
         };
         let rooms: Vec<(&Machine, f64, f64)> = self
             .machines
             .values()
-            .filter(hears)
+            .filter(receives_responses)
             .map(|m| {
                 let memory = self.types.iter().find(|t| t.name == m.machine_type);
                 let jobs = m.live().filter_map(|t| self.jobs.get(job_of(&t.task_name)));
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -56,7 +56,7 @@
                 let Ok(r) = from_cbor::<ProvisionRequest>(body) else {
                     return (400, error("malformed"));
                 };
-                if let Some(known) = self.rentals.get(&r.name) {
+                if let Some(known) = self.provisions.get(&r.name) {
                     let machines = known.clone();
                     return (200, to_cbor(&MachineNames { machines }));
                 }
@@ -77,7 +77,7 @@
                 let machines: Vec<String> = (0..n)
                     .map(|_| self.rent(&r.machine_type, &r.zone, r.spot))
                     .collect();
-                self.rentals.insert(r.name, machines.clone());
+                self.provisions.insert(r.name, machines.clone());
                 (200, to_cbor(&MachineNames { machines }))
             }
             _ => (404, Vec::new()),
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -21,7 +21,7 @@
                 slot.unsure = false;
             }
         }
-        let leads = node.lead.is_some();
+        let leads = node.leader.is_some();
         let kind = StepKind::of(&input);
         let began = Instant::now();
         let effects = node.step(now, input, &mut NoStopwatch);
@@ -93,8 +93,8 @@
         match effect {
             Effect::Answer { id, status, .. } => {
                 let asker = self.requests.get(&(n, *id));
-                let worker = matches!(asker, Some(Asker::Worker { .. } | Asker::Copy { .. }));
-                (worker && *status == 200).then_some("answers a worker")
+                let agent = matches!(asker, Some(Asker::Agent { .. } | Asker::Copy { .. }));
+                (agent && *status == 200).then_some("answers a worker")
             }
             Effect::Call(call) if call.path.ends_with("/extend") => {
                 self.slots[n].renewals.insert(call.id);
@@ -102,7 +102,7 @@
             }
             Effect::Call(call) => match call.target {
                 Target::Cloud if call.method == "POST" => Some("rents or releases"),
-                Target::Worker(_) => Some("commands a worker"),
+                Target::Agent(_) => Some("commands a worker"),
                 // A leader's writes depend on its grant; any node accepts and cancels.
                 Target::State if call.path == "/txn" => String::from_utf8_lossy(&call.body)
                     .contains("leader")
@@ -133,7 +133,7 @@
                 let Some(mut at) = self.arrival(n, "state", 2 * MS) else {
                     return;
                 };
-                if call.path == "/txn" && self.lose_txn(n, at, &call) {
+                if call.path == "/txn" && self.lose_transaction(n, at, &call) {
                     return;
                 }
                 if call.path == "/txn" && self.leads(n) {
@@ -158,9 +158,9 @@
                     self.push(at, Ev::Cloud(caller, call.method, call.path, call.body));
                 }
             }
-            Target::Worker(address) => {
+            Target::Agent(address) => {
                 if let Some(at) = self.arrival(n, "workers", 2 * MS) {
-                    self.push(at, Ev::Worker(caller, address, call.body));
+                    self.push(at, Ev::Agent(caller, address, call.body));
                 }
             }
             Target::Peer(p) => {
@@ -210,7 +210,7 @@
         status: u16,
         body: Vec<u8>,
     ) {
-        let lag = if what == "state" { self.state_lag() } else { 0 };
+        let lag = if what == "state" { self.store_lag() } else { 0 };
         if let Some(at) = self.arrival(caller.node, what, delay + lag) {
             let input = Input::Reply {
                 call: caller.call,
@@ -224,10 +224,10 @@
         self.slots[n]
             .node
             .as_ref()
-            .is_some_and(|node| node.lead.is_some())
+            .is_some_and(|node| node.leader.is_some())
     }
 
-    pub(super) fn state_request(&mut self, caller: Caller, method: &str, path: &str, body: &[u8]) {
+    pub(super) fn store_request(&mut self, caller: Caller, method: &str, path: &str, body: &[u8]) {
         let refused = self
             .refused
             .iter()
@@ -238,8 +238,8 @@
             }
             return;
         }
-        if let Ok(txn) = from_cbor::<Transaction>(body) {
-            for change in &txn.apply {
+        if let Ok(transaction) = from_cbor::<Transaction>(body) {
+            for change in &transaction.apply {
                 let Operation::Put { put, value, .. } = change else {
                     continue;
                 };
@@ -251,9 +251,9 @@
         }
         self.seq += 1;
         let ticket = self.seq;
-        let grant = from_cbor::<Transaction>(body).is_ok_and(|txn| {
+        let grant = from_cbor::<Transaction>(body).is_ok_and(|transaction| {
             let puts = |c: &Operation| matches!(c, Operation::Put { put, .. } if put == "leader");
-            txn.apply.iter().any(puts)
+            transaction.apply.iter().any(puts)
         });
         let reply = self.state.request(self.now, ticket, method, path, body);
         if grant && matches!(reply, Reply::Now(200, _)) {
@@ -261,8 +261,9 @@
         }
         if let Some(measures) = &mut self.measures {
             measures.requests += 1;
-            if let (Ok(txn), Reply::Now(200, _)) = (from_cbor::<Transaction>(body), &reply) {
-                measures.changes += txn.apply.len() as u64;
+            if let (Ok(transaction), Reply::Now(200, _)) = (from_cbor::<Transaction>(body), &reply)
+            {
+                measures.changes += transaction.apply.len() as u64;
             }
         }
         match reply {
@@ -271,7 +272,7 @@
                 self.reply(caller, "state", 2 * MS, status, body)
             }
             Reply::Later => {
-                self.state_tickets.insert(ticket, caller);
+                self.store_tickets.insert(ticket, caller);
             }
         }
     }
