--- a/crates/testkit/src/world/troubles.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -250,7 +250,12 @@
     // ---- the state service ----
 
     /// Sends a transaction whose answer is lost, if this one's is; no: it goes its usual way.
-    pub(super) fn lose_txn(&mut self, n: usize, at: Micros, call: &grebewood_core::Call) -> bool {
+    pub(super) fn lose_transaction(
+        &mut self,
+        n: usize,
+        at: Micros,
+        call: &grebewood_core::Call,
+    ) -> bool {
         let (now, leads) = (self.now, self.leads(n));
         let t = &mut self.troubles;
         let mut how = t.late_txn.remove(&Some(n));
@@ -301,7 +306,7 @@
     }
 
     /// How much longer the state service takes to answer.
-    pub(super) fn state_lag(&self) -> Micros {
+    pub(super) fn store_lag(&self) -> Micros {
         let (until, by) = self.troubles.slow_state;
         if self.now < until {
             by
@@ -350,7 +355,7 @@
     /// A node has made a step: if it has a new grant, what was kept for it arrives at once.
     pub(super) fn deliver_kept(&mut self, n: usize) {
         let node = self.slots[n].node.as_ref();
-        let token = node.and_then(|n| n.lead.as_ref()).map_or(0, |l| l.token);
+        let token = node.and_then(|n| n.leader.as_ref()).map_or(0, |l| l.token);
         if token <= self.troubles.highest {
             return;
         }
@@ -384,22 +389,22 @@
             let partitions = &node.partitions;
             let partition = partitions.map.find(&report.zone, &report.machine);
             let holder = partition.and_then(|id| partitions.holders.get(&id));
-            holder.or(node.lead.as_ref())
+            holder.or(node.leader.as_ref())
         });
-        let Some(lead) = grant else {
+        let Some(leader) = grant else {
             return false;
         };
         // Before it has read its records, and in doubt of its grant, it takes no report in.
-        let read = lead.loaded() && lead.loaded_at > 0;
-        let (token, takes) = (lead.token, read && !lead.doubtful());
+        let read = leader.loaded() && leader.loaded_at > 0;
+        let (token, takes) = (leader.token, read && !leader.doubtful());
         let t = &mut self.troubles;
         if matches!(asker, Asker::Copy { .. }) && report.token < token {
             t.copied += 1;
         }
         let heard = t.heard.entry((report.machine, n, token)).or_default();
-        let first = (report.session, report.sequence) > *heard;
+        let first = (report.incarnation, report.sequence) > *heard;
         if takes {
-            *heard = (report.session, report.sequence).max(*heard);
+            *heard = (report.incarnation, report.sequence).max(*heard);
         }
         first
     }
@@ -416,7 +421,7 @@
             process: 0,
             ..caller
         };
-        let ev = Ev::Worker(nobody, format!("worker:{name}"), body.to_vec());
+        let ev = Ev::Agent(nobody, format!("worker:{name}"), body.to_vec());
         self.push(self.now + late, ev);
         true
     }
--- a/crates/testkit/src/world/limits.rs
+++ b/crates/testkit/src/world/limits.rs
@@ -106,11 +106,11 @@
         if self.measures.is_none() {
             return;
         }
-        let mut allotted: BTreeMap<String, f64> = BTreeMap::new();
+        let mut granted: BTreeMap<String, f64> = BTreeMap::new();
         for (_, value, _) in self.state.under(QUOTA) {
             let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
             for team in record.teams {
-                *allotted.entry(team.team).or_insert(0.0) += team.cpus as f64 / 1e6;
+                *granted.entry(team.team).or_insert(0.0) += team.cpus as f64 / 1e6;
             }
         }
         let used = self.used();
@@ -123,9 +123,9 @@
         let mut idle = Vec::new();
         for (team, limit) in &self.settings.teams {
             let used = used.get(team.as_str()).map_or(0.0, |used| used.0);
-            let allotted = allotted.get(team).copied().unwrap_or(0.0);
+            let granted = granted.get(team).copied().unwrap_or(0.0);
             if waits(team) {
-                let part = (allotted - used).max(0.0) / limit.cpus_max;
+                let part = (granted - used).max(0.0) / limit.cpus_max;
                 idle.push((part * 1_000.0) as u64);
             }
         }
@@ -156,12 +156,12 @@
             if more && settled && uses > cpus + SLACK {
                 return Err(format!("{team} uses {uses}, more than the {cpus} in force"));
             }
-            let ceiling = Ceiling {
+            let limit = Ceiling {
                 cpus,
                 lowered,
                 used: uses,
             };
-            next.insert(team, ceiling);
+            next.insert(team, limit);
         }
         self.limit_changes.on_record = next;
         Ok(())
--- a/crates/testkit/src/world/script.rs
+++ b/crates/testkit/src/world/script.rs
@@ -58,9 +58,9 @@
     /// The phases of all partitions on record.
     fn partition_phases(&self) -> Vec<&'static str> {
         let mut map = PartitionMap::default();
-        for (key, value, stamp) in self.state.under("partition/") {
+        for (key, value, mod_revision) in self.state.under("partition/") {
             // What cannot be read is told by the map itself.
-            let _ = map.put(key, value, stamp);
+            let _ = map.put(key, value, mod_revision);
         }
         let overview = Overview::of(&map, None, 0);
         overview.partitions.iter().map(|row| row.phase).collect()
@@ -286,7 +286,7 @@
             "kill" => self.machine_mut(line.word(1)?)?.gone = true,
             "recall" => {
                 let at = now + line.time("in", 10.0)?;
-                self.machine_mut(line.word(1)?)?.recall_at = Some(at);
+                self.machine_mut(line.word(1)?)?.reclaim_at = Some(at);
             }
             "boots" => match line.word(1)?.parse::<f64>() {
                 Ok(s) => {
@@ -338,8 +338,8 @@
             spread: line.yes("spread", false),
             spot: line.yes("spot", true),
             expected_s: line.number("expected", run)?,
-            checkpoint_s: if saves { 10.0 } else { 0.0 },
-            save_s: line.number("flush", 2.0)?,
+            checkpoint_interval_s: if saves { 10.0 } else { 0.0 },
+            checkpoint_duration_s: line.number("flush", 2.0)?,
             deadline_s: match line.options.contains_key("due") {
                 true => Some(line.number("due", 0.0)?),
                 false => None,
@@ -348,7 +348,7 @@
         let facts = JobFacts {
             cpus: spec.cpus,
             run: (run * 1e6) as Micros,
-            flush: (spec.save_s * 1e6) as Micros,
+            flush: (spec.checkpoint_duration_s * 1e6) as Micros,
             saves,
             fails: line.yes("fails", false),
         };
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -141,7 +141,7 @@
                     return Err("no such machine".into());
                 };
                 m.up_at = Some(if word(5)? == "up" { 0 } else { number(5)? });
-                (m.session, m.sequence, m.token) = (number(6)?, number(7)?, number(8)?);
+                (m.incarnation, m.sequence, m.token) = (number(6)?, number(7)?, number(8)?);
             }
             "task" => {
                 let task_name = word(2)?.to_string();
@@ -151,7 +151,7 @@
                     attempt: number(3)?,
                     status: status.ok_or("no such state")?,
                     cause: (word(5)? == "done").then_some("done"),
-                    saved: false,
+                    checkpointed: false,
                     ends: number(6)?,
                     cpus: 0.0,
                     task_name,
@@ -161,7 +161,7 @@
             }
             "hire" => {
                 let machines = words[2..].iter().map(|w| w.to_string()).collect();
-                self.rentals.insert(word(1)?.into(), machines);
+                self.provisions.insert(word(1)?.into(), machines);
             }
             "job" => {
                 let yes = |key: &str| option(key).map(|v| v == "true");
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -43,7 +43,7 @@
         attempt: 1 << 30,
         status: "running",
         cause: None,
-        saved: false,
+        checkpointed: false,
         ends: 2_000 * S,
         cpus,
     }
@@ -494,26 +494,26 @@
     let (holder, _) = holder_and_other(&w, "req-1");
     let m = w.machine_mut(&holder).expect("a machine");
     let newest = m.report(4 * S);
-    let copy = |session, sequence, token| {
+    let copy = |incarnation, sequence, token| {
         let report = grebewood_wire::http::Heartbeat {
-            session,
+            incarnation,
             sequence,
             token,
             ..newest.clone()
         };
         to_cbor(&report)
     };
-    let (session, sequence, token) = (newest.session, newest.sequence, newest.token);
+    let (incarnation, sequence, token) = (newest.incarnation, newest.sequence, newest.token);
     let asker = Asker::Copy { first: false };
     // The world played on so far: all but the newest one came under this grant.
-    assert!(!w.note_report(leader, &copy(session, sequence - 1, token), &asker));
-    assert!(w.note_report(leader, &copy(session, sequence, token), &asker));
-    assert!(!w.note_report(leader, &copy(session, sequence, token), &asker));
-    assert!(w.note_report(leader, &copy(session + 1, 1, token), &asker));
-    assert!(!w.note_report(leader, &copy(session, sequence + 9, token), &asker));
+    assert!(!w.note_report(leader, &copy(incarnation, sequence - 1, token), &asker));
+    assert!(w.note_report(leader, &copy(incarnation, sequence, token), &asker));
+    assert!(!w.note_report(leader, &copy(incarnation, sequence, token), &asker));
+    assert!(w.note_report(leader, &copy(incarnation + 1, 1, token), &asker));
+    assert!(!w.note_report(leader, &copy(incarnation, sequence + 9, token), &asker));
     // Nobody else leads.
     let other = (leader + 1) % 3;
-    assert!(!w.note_report(other, &copy(session, sequence, token), &asker));
+    assert!(!w.note_report(other, &copy(incarnation, sequence, token), &asker));
     // Copies of older tokens count as a meeting; reports themselves do not.
     let count = |n: &str| Line {
         words: vec!["copied".into(), n.into()],
@@ -526,13 +526,13 @@
             - 1
     };
     assert_eq!(met(&mut w), 0);
-    w.note_report(leader, &copy(session, sequence, token - 1), &asker);
+    w.note_report(leader, &copy(incarnation, sequence, token - 1), &asker);
     assert_eq!(met(&mut w), 1);
-    let worker = Asker::Worker {
+    let agent = Asker::Agent {
         machine: holder.clone(),
         flight: 1,
     };
-    w.note_report(leader, &copy(session, sequence, token - 1), &worker);
+    w.note_report(leader, &copy(incarnation, sequence, token - 1), &agent);
     assert_eq!(met(&mut w), 1);
 }
 
@@ -540,7 +540,7 @@
 fn a_direct_command_is_carried_out_late_and_answered_to_nobody() {
     let mut w = running();
     let (holder, _) = holder_and_other(&w, "req-1");
-    let (session, token) = (w.machines[&holder].session, w.machines[&holder].token);
+    let (incarnation, token) = (w.machines[&holder].incarnation, w.machines[&holder].token);
     let first = w.machines[&holder].tasks[0].clone();
     let commands = vec![Command {
         verb: "stop".into(),
@@ -550,7 +550,7 @@
     }];
     let body = to_cbor(&DirectCommands {
         token,
-        session,
+        incarnation,
         commands,
     });
     let line = Line {
@@ -576,7 +576,7 @@
     let ((at, _), late) = w.queue.pop_first().expect("a late command");
     assert_eq!((at, w.queue.len()), (w.now + 6 * S, 0));
     w.now = at;
-    let Ev::Worker(nobody, address, body) = late else {
+    let Ev::Agent(nobody, address, body) = late else {
         panic!("no command")
     };
     w.direct(nobody, &address, &body).expect("no fault");
@@ -608,25 +608,27 @@
     let many = [("for", "20"), ("every", "3"), ("late", "8")];
     w.script(line("late txns", &many)).expect("a trouble");
     w.queue.clear();
-    let lost: Vec<bool> = (0..7).map(|i| w.lose_txn(i % 3, w.now, &call)).collect();
+    let lost: Vec<bool> = (0..7)
+        .map(|i| w.lose_transaction(i % 3, w.now, &call))
+        .collect();
     assert_eq!(lost, [false, false, true, false, false, true, false]);
     let at: Vec<Micros> = w.queue.keys().map(|(at, _)| *at).collect();
     assert_eq!(at, [w.now + 8 * S; 2]);
     w.now += 20 * S;
-    assert!((0..6).all(|_| !w.lose_txn(0, w.now, &call)));
+    assert!((0..6).all(|_| !w.lose_transaction(0, w.now, &call)));
     // The next one of a node, or of whoever leads.
     let leader = (0..3).find(|n| w.leads(*n)).expect("a leader");
     let other = (leader + 1) % 3;
     w.queue.clear();
     let at_once = [("node", "leader"), ("at_once", "yes")];
     w.script(line("late txn", &at_once)).expect("a trouble");
-    assert!(!w.lose_txn(other, w.now, &call));
-    assert!(w.lose_txn(leader, w.now, &call) && !w.lose_txn(leader, w.now, &call));
+    assert!(!w.lose_transaction(other, w.now, &call));
+    assert!(w.lose_transaction(leader, w.now, &call) && !w.lose_transaction(leader, w.now, &call));
     assert!(w.queue.keys().all(|(at, _)| *at == w.now));
     let node = other.to_string();
     w.script(line("late txn", &[("node", &node)]))
         .expect("a trouble");
-    assert!(!w.lose_txn(leader, w.now, &call) && w.lose_txn(other, w.now, &call));
+    assert!(!w.lose_transaction(leader, w.now, &call) && w.lose_transaction(other, w.now, &call));
 }
 
 #[test]
@@ -732,7 +734,7 @@
     #[derive(serde::Serialize, serde::Deserialize)]
     struct Answer {
         member: String,
-        state_contact_age_us: Option<u64>,
+        store_contact_age_us: Option<u64>,
         token: u64,
         #[serde(default)]
         load: u64,
@@ -766,7 +768,7 @@
         assert_eq!((node, got), (1, load), "{old:?}");
         let answer = to_peer(&Answer {
             member: "perch-1".into(),
-            state_contact_age_us: None,
+            store_contact_age_us: None,
             token: 1,
             load: 5,
         });
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -270,14 +270,14 @@
                     return Err("the late copy of a report is answered with commands".into());
                 }
             }
-            Asker::Worker { machine, flight } => {
+            Asker::Agent { machine, flight } => {
                 let launches =
                     |a: HeartbeatResponse| a.commands.iter().any(|o| o.verb == Verb::Launch);
                 if self.slow_launch.contains_key(&machine)
                     && from_cbor::<HeartbeatResponse>(&body).is_ok_and(launches)
                 {
                     let late = self.slow_launch.remove(&machine).unwrap_or(0);
-                    let ev = Ev::Answered(Asker::Worker { machine, flight }, node, status, body);
+                    let ev = Ev::Answered(Asker::Agent { machine, flight }, node, status, body);
                     self.push(self.now + late, ev);
                     return Ok(());
                 }
--- a/crates/testkit/tests/troubles.rs
+++ b/crates/testkit/tests/faults.rs
@@ -28,12 +28,16 @@
 
 #[test]
 fn a_mute_machine_loses_its_tasks_with_its_lease() {
-    let mute = "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 mute of=req-1 for=15\n\
+    let never_reported =
+        "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 mute of=req-1 for=15\n\
                 at 45 starts req-1 2\nend 46\n";
-    holds(mute);
-    fails(&mute.replace("for=15", "for=3"), "1 starts, not 2");
+    holds(never_reported);
     fails(
-        &mute.replace("of=req-1", "of=req-2"),
+        &never_reported.replace("for=15", "for=3"),
+        "1 starts, not 2",
+    );
+    fails(
+        &never_reported.replace("of=req-1", "of=req-2"),
         "no machine holds a task",
     );
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP bodies. Fields have the standard terms; the protocol's words are their serde names.
 
 use crate::amount;
-pub use crate::words::{ExitCause, TaskStatus, Verb};
+pub use crate::protocol_names::{ExitCause, TaskStatus, Verb};
 use serde::{Deserialize, Serialize};
 
 /// Body of `POST /submissions`.
@@ -57,10 +57,10 @@
     pub expected_s: f64,
     /// Progress between two checkpoints; 0: a task never saves.
     #[serde(rename = "savepoint_s", deserialize_with = "amount::required")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs to save when it is stopped.
     #[serde(rename = "flush_s", deserialize_with = "amount::required")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// When the job should be complete, measured from its submission.
     #[serde(rename = "due_s", default, deserialize_with = "amount::optional")]
     pub deadline_s: Option<f64>,
@@ -154,7 +154,7 @@
     pub spot: bool,
     /// Session of the worker; a new one begins whenever its lease expires.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Sequence number of the report. The report with the larger session and sequence is the newer one.
     #[serde(rename = "tally")]
     pub sequence: u64,
@@ -163,7 +163,8 @@
     pub token: u64,
     /// Time until the cloud takes the machine back, if that is announced.
     #[serde(default, deserialize_with = "amount::optional")]
-    pub recall_s: Option<f64>,
+    #[serde(rename = "recall_s")]
+    pub reclaim_s: Option<f64>,
     /// All tasks on the machine, exited ones until they are acknowledged.
     #[serde(rename = "shards", default)]
     pub tasks: Vec<ReportedTask>,
@@ -185,7 +186,8 @@
     pub cause: Option<ExitCause>,
     /// Whether its progress was saved as it was stopped.
     #[serde(default)]
-    pub saved: Option<bool>,
+    #[serde(rename = "saved")]
+    pub checkpointed: Option<bool>,
 }
 
 /// A command to a worker.
@@ -228,7 +230,7 @@
     pub token: u64,
     /// The session that the commands are for.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// To be carried out in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -356,7 +358,8 @@
     /// Its value.
     pub value: T,
     /// Revision of the key's last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// Answer to a list of keys.
@@ -379,7 +382,8 @@
     #[serde(rename = "k")]
     pub key: String,
     /// The stamp that it must have.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// One change of a transaction.
@@ -478,7 +482,8 @@
     #[serde(default)]
     pub value: Option<ciborium::Value>,
     /// Revision of the change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// Turns a record into a CBOR value.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -9,9 +9,9 @@
 
 pub mod http;
 pub mod peer;
+mod protocol_names;
 pub mod records;
 pub mod validate;
-mod words;
 
 pub use ciborium::Value;
 use serde::{de::DeserializeOwned, Serialize};
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -60,7 +60,8 @@
     /// Attempts whose outcome is on record.
     pub acknowledged: Vec<TaskAttempt>,
     /// Machines whose release was answered.
-    pub released: Vec<String>,
+    #[serde(rename = "released")]
+    pub terminated: Vec<String>,
     /// The version up to which the leader knows the states of machines.
     pub seen: u64,
     /// What the holder may place itself. `None` from a leader that grants no allotments.
@@ -81,7 +82,8 @@
     /// Tasks that the holder is to place. They are repeated until it says that it has them.
     pub work: Vec<DelegatedWork>,
     /// Jobs whose tasks are to be given back, as far as they are not placed.
-    pub recalled: Vec<String>,
+    #[serde(rename = "recalled")]
+    pub revoked: Vec<String>,
     /// Machines on which nothing new is to be placed.
     pub reserved: Vec<String>,
     /// The number up to which the leader knows what the holder has placed.
@@ -130,7 +132,8 @@
     /// The machine.
     pub machine: String,
     /// The worker's session.
-    pub session: u64,
+    #[serde(rename = "session")]
+    pub incarnation: u64,
     /// The job.
     pub job: String,
     /// The task's number.
@@ -180,7 +183,8 @@
     /// The version of the last of these states.
     pub version: u64,
     /// Check-ins answered since the claim.
-    pub checkins: u64,
+    #[serde(rename = "checkins")]
+    pub heartbeats: u64,
     /// What the holder has placed itself. `None` from a holder that places nothing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<QuotaReport>,
@@ -261,15 +265,19 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// The worker's session.
-    pub session: u64,
+    #[serde(rename = "session")]
+    pub incarnation: u64,
     /// Whether it counts for what the fleet can do.
     pub counts: bool,
     /// Whether answers reach it, so that tasks can be launched there.
-    pub hears: bool,
+    #[serde(rename = "hears")]
+    pub receives_responses: bool,
     /// Whether it is to be returned.
-    pub closing: bool,
+    #[serde(rename = "closing")]
+    pub cordoned: bool,
     /// Time until the cloud takes it, if that is announced.
-    pub recall_us: Option<u64>,
+    #[serde(rename = "recall_us")]
+    pub reclaim_us: Option<u64>,
     /// Its tasks, as last reported.
     pub tasks: Vec<TaskState>,
 }
@@ -289,7 +297,8 @@
     /// Who answers.
     pub member: String,
     /// Microseconds since the state service last answered it, if it ever did.
-    pub state_contact_age_us: Option<u64>,
+    #[serde(rename = "state_contact_age_us")]
+    pub store_contact_age_us: Option<u64>,
     /// The highest fencing token it knows of.
     pub token: u64,
     /// The highest fencing token of a grant that it read from state or holds.
--- a/crates/wire/src/words.rs
+++ b/crates/wire/src/protocol_names.rs
@@ -62,7 +62,7 @@
         /// It runs.
         Running = "running",
         /// It was told to stop and saves a checkpoint.
-        Saving = "saving",
+        Checkpointing = "saving",
         /// It has ended; [`ExitCause`] says how.
         Exited = "exited",
     }
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -8,7 +8,7 @@
 //! | `past/<id>` | the leader, once | [`FinishedJobRecord`] of a job that is over; kept forever |
 //! | `done/<n>` | the leader | [`CompletedTasksPageRecord`]: completed tasks of many jobs |
 //! | `page/<block>/<n>` | the block's holder | [`PageRecord`]: assignments |
-//! | `rental/<name>` | the leader | [`ProvisionRecord`]: a rental, before it is requested |
+//! | `hire/<name>` | the leader | [`ProvisionRecord`]: a rental, before it is requested |
 //! | `stats` | the leader | [`StatsRecord`]: learnt averages |
 //! | `catalogue` | the leader | the machine types last seen |
 //! | `partition/<n>` | the leader | [`PartitionRecord`]: which machines form it, and who is to hold it |
@@ -54,7 +54,7 @@
 pub const LIMITS: &str = "quota/limits";
 
 /// The key of a partition's allotment.
-pub fn allotment_key(partition: u64) -> String {
+pub fn quota_grant_key(partition: u64) -> String {
     format!("{QUOTA}{partition}")
 }
 
@@ -313,7 +313,7 @@
     pub machine: String,
     /// The worker's session.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// The machine's zone.
     pub zone: String,
     /// `(job, task, attempt)` each.
--- a/crates/wire/src/validate.rs
+++ b/crates/wire/src/validate.rs
@@ -48,8 +48,8 @@
             ("memory_gb", self.memory_gb),
             ("pull_gb", self.image_gb),
             ("expected_s", self.expected_s),
-            ("savepoint_s", self.checkpoint_s),
-            ("flush_s", self.save_s),
+            ("savepoint_s", self.checkpoint_interval_s),
+            ("flush_s", self.checkpoint_duration_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         let valid_amount = |amount: f64| (0.0..=MAX_AMOUNT).contains(&amount);
@@ -71,7 +71,7 @@
     /// What is wrong with a field, if anything is.
     pub fn invalid_field(&self) -> Option<&'static str> {
         let names = [&self.machine, &self.zone, &self.machine_type];
-        let valid = names.iter().all(|name| valid_name(name)) && self.session > 0;
+        let valid = names.iter().all(|name| valid_name(name)) && self.incarnation > 0;
         (!valid).then_some("perch, yard, build or tenure is invalid")
     }
 }
--- a/crates/wire/tests/names.rs
+++ b/crates/wire/tests/names.rs
@@ -51,8 +51,8 @@
         (read.machine_type.as_str(), read.zone.as_str()),
         ("g8", "a")
     );
-    assert_eq!((read.session, read.sequence, read.token), (1, 88, 41));
-    assert!(read.spot && read.recall_s.is_none());
+    assert_eq!((read.incarnation, read.sequence, read.token), (1, 88, 41));
+    assert!(read.spot && read.reclaim_s.is_none());
     let task = &read.tasks[0];
     assert_eq!((task.task_name.as_str(), task.attempt), ("req-000398/0", 3));
     assert_eq!(task.status, TaskStatus::Exited);
@@ -131,7 +131,7 @@
     assert_eq!(keys(&launch), "verb shard try");
     let direct = DirectCommands {
         token: 41,
-        session: 1,
+        incarnation: 1,
         commands: vec![command],
     };
     assert_eq!(keys(&direct), "warrant tenure orders");
@@ -143,14 +143,14 @@
     let leader = Some("perch-2".to_string());
     assert_eq!(keys(&Redirect { leader }), "steward");
     assert_eq!(keys(&Redirect { leader: None }), "");
-    let rental = ProvisionRequest {
+    let provision = ProvisionRequest {
         name: "h-1-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         number: 12,
     };
-    assert_eq!(keys(&rental), "hire build yard loaner number");
+    assert_eq!(keys(&provision), "hire build yard loaner number");
     let machines = Vec::new();
     assert_eq!(keys(&MachineNames { machines }), "perches");
     let put = Operation::Put {
@@ -161,7 +161,7 @@
     assert_eq!(keys(&put), "put value tether");
     let when = Condition {
         key: "a/b".into(),
-        stamp: 0,
+        mod_revision: 0,
     };
     assert_eq!(keys(&when), "k stamp");
     assert_eq!(keys(&LeaseRequest { ttl_ms: 5_000 }), "life_ms");
@@ -176,7 +176,7 @@
     assert_eq!(keys(&finished), "status shards");
     let assignments = MachineAssignments {
         machine: "n-000231".into(),
-        session: 1,
+        incarnation: 1,
         zone: "a".into(),
         assignments: vec![("req-1".into(), 0, 1)],
     };
