--- a/crates/core/src/agents.rs
+++ b/crates/core/src/agents.rs
@@ -1,22 +1,12 @@
 //! Machines as their workers report them, and what is known to be on them.
 
-use crate::controller::{Context, Controller, SchedulerCall};
-use crate::jobs::{error_backoff, parse_task, Job, JobIndex, EPS};
-use crate::leadership::Scheduler;
-use crate::placement::{permits, slots};
+use crate::context::Context;
+use crate::jobs::parse_task;
+use crate::scheduler::Scheduler;
 use crate::write_buffer::RecordId;
-use crate::{micros, Micros, Outcome, Target, MILLI, SECOND};
-use grebewood_partition::PartitionId;
-use grebewood_quota::Resources;
-use grebewood_wire as wire;
-use grebewood_wire::http::{
-    Command, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, MachineType, Redirect,
-    ReportedTask, Submission, TaskStatus, Verb,
-};
-use grebewood_wire::peer::{PlacedTask, TaskAttempt, TaskEnd};
-use grebewood_wire::records::DONE_SPAN;
-use log::{error, info, warn};
-use std::collections::VecDeque;
+use crate::{Micros, MILLI, SECOND};
+use grebewood_wire::http::{Command, ExitCause, Heartbeat, TaskStatus, Verb};
+use grebewood_wire::peer::TaskEnd;
 
 mod exits;
 mod heartbeat_status;
@@ -27,7 +17,6 @@
 mod unreachable;
 
 pub use held_heartbeats::{HeldHeartbeat, LongPolls};
-use machine::FailureAttribution;
 pub(crate) use machine::TaskOnMachine;
 pub use machine::{Assignment, ExitedAttempt, Machine, ObservedStatus, PlannedTask, Stop};
 
@@ -140,7 +129,7 @@
     fn remove_from_page(&mut self, context: &Context, name: &str, a: &Assignment) {
         self.page_mut(a.page).remove(name, a);
         // Every page loses something all the time: with many pages the writes must be further apart.
-        let pages = self.pages.len() as f64 / (context.settings.state.write_rps * FREE_WRITES);
+        let pages = self.pages.len() as f64 / (context.settings.store.write_rps * FREE_WRITES);
         let delay = FREE_DELAY.max((pages * 1e6) as Micros);
         self.write_buffer
             .mark_dirty_lazily(RecordId::Page(a.page), context.now.steady + delay);
--- a/crates/core/src/agents/exits.rs
+++ b/crates/core/src/agents/exits.rs
@@ -1,6 +1,15 @@
 //! Tasks that exited, and who is to blame for those that failed.
 
-use super::*;
+use super::machine::FailureAttribution;
+use super::{ExitedAttempt, DONE_DELAY, LEAST_STAY, MOST_BLAMED_BY_ONE_JOB};
+use crate::context::Context;
+use crate::jobs::{error_backoff, JobIndex};
+use crate::scheduler::Scheduler;
+use crate::write_buffer::RecordId;
+use crate::SECOND;
+use grebewood_wire::http::{ExitCause, ReportedTask};
+use grebewood_wire::records::DONE_SPAN;
+use log::{info, warn};
 
 impl Scheduler {
     /// Notes that a task is done; the result says when that is durable.
--- a/crates/core/src/agents/heartbeat_status.rs
+++ b/crates/core/src/agents/heartbeat_status.rs
@@ -1,6 +1,12 @@
 //! Reports: what they say of a machine and of the tasks on it.
 
-use super::*;
+use super::{Machine, ObservedStatus, Source, ANSWER_TIME, NO_CAUSE};
+use crate::context::Context;
+use crate::jobs::{parse_task, JobIndex};
+use crate::scheduler::Scheduler;
+use crate::{micros, Micros};
+use grebewood_wire::http::{Heartbeat, TaskStatus};
+use log::{info, warn};
 
 impl Scheduler {
     /// Takes in a report. Returns false if a newer one is known already.
@@ -83,7 +89,7 @@
             if !m.receives_responses {
                 deaf = true;
                 let since = *m.unreachable_since.get_or_insert(now);
-                if now.saturating_sub(since) > 2 * context.settings.lease && !m.cordoned {
+                if now.saturating_sub(since) > 2 * context.settings.agent_lease && !m.cordoned {
                     info!("{name}: reports, but no answer reaches it; to be returned");
                     m.cordoned = true;
                     self.fleet.terminate(&name, now);
--- a/crates/core/src/agents/heartbeats.rs
+++ b/crates/core/src/agents/heartbeats.rs
@@ -1,6 +1,16 @@
 //! Check-ins: who may answer them, and the commands that the answers carry.
 
-use super::*;
+use super::{
+    stop_command, stop_commands_for_cancelled, HeldHeartbeat, Source, HOLD, MOST_COMMANDS,
+};
+use crate::context::Context;
+use crate::controller::Controller;
+use crate::jobs::{JobIndex, EPS};
+use crate::scheduler::Scheduler;
+use crate::write_buffer::RecordId;
+use grebewood_partition::PartitionId;
+use grebewood_wire as wire;
+use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, Redirect, Verb};
 
 impl Scheduler {
     pub(super) fn on_heartbeat(&mut self, context: &mut Context, request: u64, report: Heartbeat) {
@@ -49,7 +59,9 @@
             until: now + HOLD,
         };
         // Room that jobs wait for: the answer waits for the next round of placement.
-        if self.placement.backlog && m.free().0 > EPS && m.usable(now, 3 * context.settings.report)
+        if self.placement.backlog
+            && m.free().0 > EPS
+            && m.usable(now, 3 * context.settings.heartbeat_interval)
         {
             self.placement.want(now);
             pending.round = self.placement.rounds + 1;
--- a/crates/core/src/agents/held_heartbeats.rs
+++ b/crates/core/src/agents/held_heartbeats.rs
@@ -1,7 +1,12 @@
 //! Check-ins whose answers wait: for a flush or a round of placement, or, from machines with room,
 //! for work to come.
 
-use super::*;
+use super::{ExitedAttempt, HOLD};
+use crate::context::Context;
+use crate::jobs::EPS;
+use crate::scheduler::Scheduler;
+use crate::write_buffer::RecordId;
+use crate::{Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Longest time that a check-in waits for work. A worker gives up after [`ANSWER_TIME`], and its
@@ -119,7 +124,7 @@
         }
         self.machines.get(machine).is_some_and(|m| {
             m.free().0 > EPS
-                && m.usable(now, 3 * context.settings.report)
+                && m.usable(now, 3 * context.settings.heartbeat_interval)
                 && m.exited_attempts.is_empty()
                 && m.assignments.iter().all(|a| {
                     a.stop.is_none() && a.remaining(now, 0) > (2 * span).max(a.expected / 2)
@@ -209,7 +214,7 @@
 /// How long a check-in may wait for work: the answer comes before the next report is due, so that
 /// the machine is heard as often as without.
 fn long_poll_span(context: &Context) -> Micros {
-    MAX_LONG_POLL.min(context.settings.report * 3 / 4)
+    MAX_LONG_POLL.min(context.settings.heartbeat_interval * 3 / 4)
 }
 
 #[cfg(test)]
--- a/crates/core/src/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/agents/held_heartbeats/tests.rs
@@ -1,5 +1,7 @@
-use super::*;
+use super::HeldHeartbeat;
+use crate::agents::Machine;
 use crate::test_support::{first_heartbeat, unread_leader};
+use crate::SECOND;
 
 /// Each check-in that waits holds a connection: with more idle machines than sockets, those that come
 /// later found none, and their leases ran out.
--- a/crates/core/src/agents/machine.rs
+++ b/crates/core/src/agents/machine.rs
@@ -1,6 +1,15 @@
 //! What is known of a machine, and of the tasks given to it.
 
-use super::*;
+use super::ANSWER_TIME;
+use crate::jobs::{parse_task, JobIndex};
+use crate::write_buffer::RecordId;
+use crate::{Micros, SECOND};
+use grebewood_partition::PartitionId;
+use grebewood_quota::Resources;
+use grebewood_wire::http::{Heartbeat, MachineType, Submission, TaskStatus};
+use grebewood_wire::peer::{PlacedTask, TaskAttempt};
+use log::{info, warn};
+use std::collections::VecDeque;
 
 /// What a worker last said of an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/core/src/agents/machine/tests.rs
+++ b/crates/core/src/agents/machine/tests.rs
@@ -1,5 +1,7 @@
-use super::*;
+use super::{Assignment, FailureAttribution, Machine, ObservedStatus};
+use crate::agents::ANSWER_TIME;
 use crate::test_support::first_heartbeat;
+use crate::{Micros, SECOND};
 
 fn machine(now: Micros) -> Machine {
     let mut m = Machine::new(&first_heartbeat(), None, now);
--- a/crates/core/src/agents/stops.rs
+++ b/crates/core/src/agents/stops.rs
@@ -1,6 +1,20 @@
 //! Stops, direct commands, and what has to leave a machine.
 
-use super::*;
+use super::{
+    grace, stop_command, Assignment, Machine, ObservedStatus, Source, Stop, TaskOnMachine,
+    DIRECT_INTERVAL, LAST_MOVE, MOST_COMMANDS,
+};
+use crate::calls::SchedulerCall;
+use crate::context::Context;
+use crate::jobs::JobIndex;
+use crate::placement::{permits, slots};
+use crate::scheduler::Scheduler;
+use crate::write_buffer::RecordId;
+use crate::{micros, Micros, Outcome, Target, SECOND};
+use grebewood_wire as wire;
+use grebewood_wire::http::{DirectCommands, Heartbeat, ReportedTask, Submission};
+use grebewood_wire::peer::{PlacedTask, TaskAttempt};
+use log::{error, warn};
 
 impl Scheduler {
     /// A worker has a task that is on no page of ours. It is stopped, and counts as taken until
@@ -274,7 +288,7 @@
 
     /// How many tasks of the job the machines of a zone have room for.
     pub(super) fn room_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
-        let (now, silence) = (context.now.steady, 3 * context.settings.report);
+        let (now, silence) = (context.now.steady, 3 * context.settings.heartbeat_interval);
         self.machines
             .values()
             .filter(|m| m.zone == zone && m.usable(now, silence))
--- a/crates/core/src/agents/unreachable.rs
+++ b/crates/core/src/agents/unreachable.rs
@@ -1,6 +1,14 @@
 //! Machines that are silent, and what is proven about them.
 
-use super::*;
+use super::{
+    lease_end, silent_release, Assignment, Machine, ANSWER_TIME, ASK_AFTER, MOST_ASKED,
+    MOST_SILENT_PART,
+};
+use crate::context::Context;
+use crate::jobs::Job;
+use crate::scheduler::Scheduler;
+use crate::{Micros, SECOND};
+use log::info;
 
 impl Scheduler {
     /// Whether no worker reaches this node though there should be some: then another node had
@@ -9,7 +17,7 @@
         let now = context.now.steady;
         // A worker that gets no answer for 4 s goes to another node, and its lease should still hold
         // when it finds the next leader there: a report and a half once reports are far apart.
-        let report = context.settings.report;
+        let report = context.settings.heartbeat_interval;
         let silence = (report * 5 / 2).min((report * 3 / 2).max(ANSWER_TIME));
         let since = now.saturating_sub(self.heard_at.max(self.loaded_at));
         if !self.loaded() || context.settings.siblings.is_empty() || since <= silence {
@@ -48,7 +56,7 @@
         }
         self.next_machine_check = now + SECOND;
         let s = &context.settings;
-        let (lease, cancel, report) = (s.lease, s.cancel, s.report);
+        let (lease, cancel, report) = (s.agent_lease, s.cancel_timeout, s.heartbeat_interval);
         let lease_end = lease_end(lease);
         // Silence of all machines is our own cut, not theirs.
         let hearing = now.saturating_sub(self.heard_at) < 3 * report;
@@ -160,7 +168,10 @@
     /// What the leader itself sees to on a machine that the holder of a partition looks after.
     fn run_remote_machine(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
-        let (report, cancel) = (context.settings.report, context.settings.cancel);
+        let (report, cancel) = (
+            context.settings.heartbeat_interval,
+            context.settings.cancel_timeout,
+        );
         let Some(m) = self.machines.get(name) else {
             return;
         };
@@ -183,7 +194,7 @@
             ago.is_some_and(|ago| ago > cancel * 5 / 8)
         });
         // A holder that hears no other machine cannot tell whose silence it is; the leader can.
-        let silence = silent_release(context.settings.lease);
+        let silence = silent_release(context.settings.agent_lease);
         let hearing = now.saturating_sub(self.heard_at) < 3 * report;
         let patience = match m
             .partition
@@ -218,7 +229,7 @@
         let now = context.now.steady;
         let few = 1 + self.machines.len() / MOST_SILENT_PART;
         for (silence, name) in silent {
-            if *silence < context.settings.report * 3 + 2 * SECOND {
+            if *silence < context.settings.heartbeat_interval * 3 + 2 * SECOND {
                 self.send_commands(context, name, true);
             } else if silent.len() <= few && self.fleet.terminate(name, now) {
                 info!(
--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -1,5 +1,5 @@
-use super::*;
-use crate::SECOND;
+use super::{Cancellations, MAX_KNOWN, MAX_TOLD};
+use crate::{Micros, SECOND};
 
 const S: Micros = SECOND;
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,248 +1,21 @@
 //! One controller: dispatches inputs to the parts, and keeps what all of them share.
 
-use crate::cancellations::Cancellations;
-use crate::job_view::{JobView, JobViewCall};
-use crate::leadership::Role;
-use crate::leadership::{Election, Scheduler, UnprovenMachines};
-use crate::rate_limiter::RateLimiter;
-use crate::user_requests::{FinishedJobs, FinishedReads, UserRequest};
+use crate::calls::{CallPurpose, SchedulerCall};
+use crate::context::Context;
+use crate::election::Election;
+use crate::election::UnprovenMachines;
+use crate::job_view::JobView;
+use crate::scheduler::Scheduler;
+use crate::user_requests::{FinishedJobs, FinishedReads};
 use crate::{
-    fleet, leadership, partitions, Call, Effect, Input, Interface, Micros, Now, Outcome, Settings,
-    Stopwatch, Target, Tuning, MILLI, SECOND,
+    partitions, Effect, Input, Interface, Micros, Now, Outcome, Settings, Stopwatch, Target,
+    Tuning, MILLI, SECOND,
 };
-use grebewood_partition::PartitionId;
 use grebewood_wire as wire;
-use grebewood_wire::http::{MachineType, Refusal};
 use grebewood_wire::peer::{PeerAnswer, PeerRequest};
 use log::{debug, info, warn};
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// What a reply is for.
-#[derive(Debug)]
-pub enum CallPurpose {
-    Election(leadership::ElectionStep),
-    Scheduler {
-        token: u64,
-        what: SchedulerCall,
-    },
-    User(UserRequest),
-    JobView(JobViewCall),
-    /// The machine types, from state (true) or from the cloud.
-    Catalogue(bool),
-    /// A peer's contact with state and the cancellations it confirmed.
-    Contact {
-        peer: usize,
-        question: u64,
-    },
-    /// The node's copy of the partition map.
-    PartitionMap(partitions::MapCall),
-    /// A claim on a partition.
-    PartitionClaim {
-        partition: PartitionId,
-        step: partitions::ClaimStep,
-    },
-    /// Nothing depends on the reply.
-    Ignore,
-}
-
-/// Calls that the leader waits for; a reply that comes after it stepped down is dropped.
-#[derive(Debug)]
-pub enum SchedulerCall {
-    Extend,
-    List {
-        prefix: String,
-    },
-    Read {
-        key: &'static str,
-    },
-    Watch {
-        prefix: &'static str,
-    },
-    Flush,
-    FlushReadBack,
-    Refresh {
-        key: String,
-    },
-    Fleet(fleet::FleetCall),
-    Direct {
-        machine: String,
-    },
-    /// Orders to the holder of a partition, under this claim.
-    Orders {
-        partition: PartitionId,
-        claim: u64,
-    },
-}
-
-/// What all parts of a node share.
-pub struct Context {
-    pub settings: Settings,
-    pub tuning: Tuning,
-    pub now: Now,
-    pub rng: SmallRng,
-    pub out: Vec<Effect>,
-    next_call: u64,
-    /// Calls under way: what the reply is for, and when the call was made.
-    calls: BTreeMap<u64, (CallPurpose, Micros)>,
-    /// Requests to the state service on behalf of users.
-    pub reads: RateLimiter,
-    /// Puts on behalf of users.
-    pub writes: RateLimiter,
-    /// Puts of the leader.
-    pub leader_writes: RateLimiter,
-    /// Puts of this node as the holder of partitions.
-    pub holder_writes: RateLimiter,
-    pub cloud: RateLimiter,
-    pub last_contact: Option<Micros>,
-    /// When this process last stood still and went on. A reply to a call made before may have lain
-    /// here all that time: it is no contact and no proof of a grant.
-    resumed_at: Micros,
-    pub catalogue: Option<Vec<MachineType>>,
-    /// Highest fencing token known.
-    pub token: u64,
-    /// Which confirmed cancellations this node knows of.
-    pub cancellations: Cancellations,
-}
-
-impl Context {
-    /// Sends a call; `pending` says what its reply is for.
-    pub fn call(
-        &mut self,
-        target: Target,
-        method: &'static str,
-        path: String,
-        body: Vec<u8>,
-        timeout: Micros,
-        pending: CallPurpose,
-    ) -> u64 {
-        self.next_call += 1;
-        let id = self.next_call;
-        self.calls.insert(id, (pending, self.now.steady));
-        self.out.push(Effect::Call(Call {
-            id,
-            target,
-            method,
-            path,
-            body,
-            timeout,
-        }));
-        id
-    }
-
-    /// Gets from the state service.
-    pub fn get_from_store(&mut self, path: String, pending: CallPurpose) -> u64 {
-        let nothing = Vec::new();
-        self.call(Target::State, "GET", path, nothing, STORE_TIMEOUT, pending)
-    }
-
-    /// Reads one key of the state service.
-    pub fn read_key(&mut self, key: &str, pending: CallPurpose) -> u64 {
-        self.get_from_store(format!("/kv/{key}"), pending)
-    }
-
-    /// Posts to the state service.
-    pub fn post_to_store<T: serde::Serialize>(
-        &mut self,
-        path: &str,
-        body: &T,
-        pending: CallPurpose,
-    ) -> u64 {
-        self.call(
-            Target::State,
-            "POST",
-            path.to_string(),
-            wire::to_cbor(body),
-            STORE_TIMEOUT,
-            pending,
-        )
-    }
-
-    pub fn answer<T: serde::Serialize>(&mut self, id: u64, status: u16, body: &T) {
-        self.out.push(Effect::Answer {
-            id,
-            status,
-            body: wire::to_cbor(body),
-            retry_after: None,
-        });
-    }
-
-    /// Refuses a request at once; a temporary refusal says when to come back.
-    pub fn refuse(&mut self, id: u64, status: u16, why: &str) {
-        let temporary = matches!(status, 429 | 503 | 504);
-        self.out.push(Effect::Answer {
-            id,
-            status,
-            body: wire::to_cbor(&Refusal { error: why.into() }),
-            retry_after: temporary.then_some(1),
-        });
-    }
-
-    pub fn contact_age(&self) -> Option<Micros> {
-        self.last_contact
-            .map(|at| self.now.steady.saturating_sub(at))
-    }
-
-    /// When this process last went on after it had stood still; 0 if it never did.
-    pub fn resumed_at(&self) -> Micros {
-        self.resumed_at
-    }
-
-    /// Whether the state service has answered within `span`.
-    pub fn in_contact(&self, span: Micros) -> bool {
-        self.contact_age().is_some_and(|age| age <= span)
-    }
-
-    /// A random time up to `most`.
-    pub fn jitter(&mut self, most: Micros) -> Micros {
-        self.rng.gen_range(0..=most)
-    }
-
-    /// Whether this node may hold partitions, and lead members that hold some.
-    pub fn supports_partitions(&self) -> bool {
-        self.tuning.partitions_per_zone > 0
-    }
-
-    /// Whether holders of partitions place tasks, or let this node grant them what they need for it.
-    pub fn supports_quota_grants(&self) -> bool {
-        self.tuning.grants_quota()
-    }
-
-    /// Whether the state service takes enough changes for several members to write assignments: with fewer,
-    /// tasks wait longer for their holder's turn than for the leader.
-    pub fn holders_can_write(&self) -> bool {
-        self.holder_writes.rate() >= LEAST_HOLDER_WRITES
-    }
-
-    /// The puts that may be made under a grant.
-    pub(crate) fn writes_of(&mut self, role: Role) -> &mut RateLimiter {
-        match role {
-            Role::Leader => &mut self.leader_writes,
-            Role::Holder(_) => &mut self.holder_writes,
-        }
-    }
-
-    /// Gives a lease back, and with it what is attached to it.
-    pub(crate) fn end_lease(&mut self, lease: u64) {
-        self.call(
-            Target::State,
-            "DELETE",
-            format!("/leases/{lease}"),
-            Vec::new(),
-            STORE_TIMEOUT,
-            CallPurpose::Ignore,
-        );
-    }
-
-    /// The machine type with this name.
-    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
-        self.catalogue.as_ref()?.iter().find(|t| t.name == name)
-    }
-}
-
-/// How long the state service may take.
-pub const STORE_TIMEOUT: Micros = 1_500 * MILLI;
 /// Without contact for this long, a node takes no requests.
 pub const CONTACT_SPAN: Micros = 2_500 * MILLI;
 
@@ -265,45 +38,10 @@
     started: bool,
 }
 
-/// The share of the state service's write rate that the leader takes.
-const LEADER_WRITES: f64 = 0.7;
-/// What of it all holders of partitions take together if they write assignments.
-const HOLDER_WRITES: f64 = 0.2;
-/// With fewer puts a second for each member the leader places all tasks.
-const LEAST_HOLDER_WRITES: f64 = 2.0;
-
 impl Controller {
     /// A controller that has just started; `seed` must differ between processes.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64) -> Self {
-        let nodes = settings.siblings.len() as f64 + 1.0;
-        let (rps, write_rps) = (settings.state.rps, settings.state.write_rps);
-        let user_writes = write_rps * (1.0 - LEADER_WRITES);
-        let holder_rate = write_rps * HOLDER_WRITES / nodes;
-        let leader_part = match tuning.grants_quota() && holder_rate >= LEAST_HOLDER_WRITES {
-            true => LEADER_WRITES - HOLDER_WRITES,
-            false => LEADER_WRITES,
-        };
-        let context = Context {
-            reads: RateLimiter::new(rps * 0.7 / nodes),
-            // A burst of submissions may use most of one second's worth at one node.
-            writes: RateLimiter::with_depth(user_writes / nodes, write_rps * 0.4),
-            // The end of a job takes several changes at once: under a small rate these must add up.
-            leader_writes: RateLimiter::with_depth(write_rps * leader_part, write_rps.min(4.0)),
-            holder_writes: RateLimiter::with_depth(holder_rate, 2.0),
-            cloud: RateLimiter::new(settings.cloud_rps * 0.8),
-            settings,
-            tuning,
-            now: Now::default(),
-            rng: SmallRng::seed_from_u64(seed),
-            out: Vec::new(),
-            next_call: 0,
-            calls: BTreeMap::new(),
-            last_contact: None,
-            resumed_at: 0,
-            catalogue: None,
-            token: 0,
-            cancellations: Cancellations::default(),
-        };
+        let context = Context::new(settings, tuning, seed);
         Controller {
             election: Election::new(seed),
             context,
@@ -349,7 +87,7 @@
             Input::Tick => {}
         }
         self.run_timers(watch);
-        std::mem::take(&mut self.context.out)
+        std::mem::take(&mut self.context.effects)
     }
 
     /// When the next [`Input::Tick`] is due.
@@ -464,7 +202,7 @@
             limits,
             report,
         };
-        self.context.out.push(Effect::Answer {
+        self.context.effects.push(Effect::Answer {
             id,
             status: 200,
             body: wire::to_peer(&answer),
@@ -473,10 +211,10 @@
     }
 
     fn on_reply(&mut self, call: u64, outcome: Outcome) {
-        let Some((pending, made)) = self.context.calls.remove(&call) else {
+        let Some((pending, made)) = self.context.take_call(call) else {
             return;
         };
-        let stale = made < self.context.resumed_at;
+        let stale = made < self.context.resumed_at();
         // Any answer but "unavailable" shows that the state service serves this node.
         let of_state = match &pending {
             CallPurpose::Election(_)
@@ -552,7 +290,7 @@
     /// The process stood still, by its clocks for `gap`.
     fn on_process_pause(&mut self, gap: Micros) {
         warn!("stood still for {} ms", gap / MILLI);
-        self.context.resumed_at = self.context.now.steady;
+        self.context.note_resumed();
         self.doubt_grant();
     }
 
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/election/candidacy.rs
@@ -1,6 +1,19 @@
 //! The election: candidacy, claims, and stepping down.
 
-use super::*;
+use super::PROBE;
+use crate::agents::LongPolls;
+use crate::calls::{CallPurpose, ElectionStep};
+use crate::context::Role;
+use crate::controller::Controller;
+use crate::scheduler::{FencedLease, Scheduler};
+use crate::user_requests::absent;
+use crate::{Outcome, MILLI, SECOND};
+use grebewood_wire as wire;
+use grebewood_wire::http::{
+    Condition, KeyValue, Lease, LeaseRequest, Operation, Transaction, TransactionApplied,
+};
+use grebewood_wire::records::{LeaderRecord, LEADER};
+use log::{info, warn};
 
 impl Controller {
     pub(crate) fn run_election(&mut self) {
--- a/crates/core/src/leadership/contact.rs
+++ b/crates/core/src/election/contact.rs
@@ -1,8 +1,18 @@
 //! What a leader does without the state service: whether it may go on, and until when.
 
-use super::*;
+use crate::agents::Machine;
+use crate::calls::CallPurpose;
+use crate::context::Role;
+use crate::controller::Controller;
 use crate::fleet::MAX_TERMINATIONS;
+use crate::scheduler::Scheduler;
+use crate::{Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_partition::Member;
+use grebewood_wire as wire;
+use grebewood_wire::http::MachineNames;
+use grebewood_wire::peer::{PeerAnswer, PeerRequest};
+use log::{info, warn};
+use std::collections::BTreeSet;
 
 /// Without an answer from the state service for this long, a leader doubts its contact.
 const SILENT: Micros = 2 * SECOND;
@@ -52,7 +62,7 @@
 impl Controller {
     /// Asks the peers whether they have contact with the state service, and what they confirmed.
     /// While the leader has contact itself this only keeps its view of the peers fresh.
-    pub(super) fn ask_peers(&mut self) {
+    pub(crate) fn ask_peers(&mut self) {
         let now = self.context.now.steady;
         let pause = if self.context.in_contact(SILENT / 2) {
             ASK
@@ -221,7 +231,7 @@
     /// cancellations: the leases that it renews last must run out within `cancel_s` of that moment.
     fn blind_bound(&self) -> Micros {
         let s = &self.context.settings;
-        let bound = s.cancel.saturating_sub(s.lease) * 8 / 10;
+        let bound = s.cancel_timeout.saturating_sub(s.agent_lease) * 8 / 10;
         bound.saturating_sub(2 * SECOND).max(SECOND)
     }
 
@@ -244,7 +254,7 @@
     ///
     /// What a peer had confirmed while only this node was refused was once unknown here for as long
     /// as an outage lasted that came right after.
-    pub(super) fn check_contact(&mut self) {
+    pub(crate) fn check_contact(&mut self) {
         let Some(leader) = &self.leader else {
             return;
         };
@@ -289,8 +299,10 @@
 impl Controller {
     /// Takes over what the leader that steps down leaves unproven.
     pub(crate) fn leave_unproven(&mut self, leader: &Scheduler) {
-        let names =
-            leader.unproven_machines(self.context.now.steady, 2 * self.context.settings.report);
+        let names = leader.unproven_machines(
+            self.context.now.steady,
+            2 * self.context.settings.heartbeat_interval,
+        );
         if names.is_empty() {
             return;
         }
--- a/crates/core/src/leadership/contact/tests.rs
+++ b/crates/core/src/election/contact/tests.rs
@@ -1,7 +1,13 @@
-use super::*;
+use crate::controller::Controller;
+use crate::scheduler::Scheduler;
 use crate::test_support::{clocks, first_heartbeat, job_record, pass, unread_leader, WALL};
-use crate::{Effect, Input, Interface, NoStopwatch};
-use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, ReportedTask};
+use crate::{Effect, Input, Interface, Micros, NoStopwatch, Outcome, MILLI, SECOND};
+use grebewood_wire as wire;
+use grebewood_wire::http::{to_value, Command, Heartbeat, HeartbeatResponse, ReportedTask};
+use grebewood_wire::peer::PeerAnswer;
+use grebewood_wire::records::{CancelRecord, FinishedJobRecord};
+use grebewood_wire::Value;
+use std::collections::BTreeMap;
 
 /// What a worker with a task of `req-1` is answered.
 fn check_in(node: &mut Controller, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
@@ -46,7 +52,7 @@
     assert_eq!(check_in(&mut node, 21 * SECOND, 2).0, 200);
     // Neither state nor its peer has told anything since.
     let bound = node.blind_bound();
-    assert!(bound + node.context.settings.lease < node.context.settings.cancel);
+    assert!(bound + node.context.settings.agent_lease < node.context.settings.cancel_timeout);
     let late = 20 * SECOND + bound + MILLI;
     pass(&mut node, 21 * SECOND, late);
     assert_eq!(check_in(&mut node, late, 3).0, 503);
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,16 +1,14 @@
 //! The fleet: renting by the deadline decider, boots, returns, and the cloud's machine list.
 
-use crate::agents::{grace, silent_release, Machine};
-use crate::controller::{Context, SchedulerCall};
-use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
-use crate::leadership::Scheduler;
-use crate::placement::{permits, slots};
+use crate::agents::silent_release;
+use crate::calls::{FleetCall, SchedulerCall};
+use crate::context::Context;
+use crate::scheduler::Scheduler;
 use crate::write_buffer::RecordId;
 use crate::{micros, Micros, Outcome, Target, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    Catalogue, Heartbeat, MachineList, MachineNames, MachineType, ProvisionRequest, Refusal,
-    Submission,
+    Catalogue, Heartbeat, MachineList, MachineNames, ProvisionRequest, Refusal,
 };
 use grebewood_wire::records::ProvisionRecord;
 use log::{info, warn};
@@ -19,15 +17,6 @@
 mod autoscaler;
 mod scale_in;
 
-/// A call to the cloud.
-#[derive(Clone, Debug)]
-pub enum FleetCall {
-    Types,
-    List,
-    PendingProvision { name: String },
-    Terminate { machines: Vec<String> },
-}
-
 /// How long the removal of what was on a released machine may wait to be written.
 const TERMINATED_DELAY: Micros = 2 * SECOND;
 /// So many boots of a type given up in a row double the time that the next ones get.
@@ -616,7 +605,8 @@
             let from_store = m.address.is_empty().then_some(self.loaded_at);
             let since = m.listed.or(from_store);
             if since.is_some_and(|at| now.saturating_sub(at) > long_ago)
-                && now.saturating_sub(m.last_contact_at) > 2 * context.settings.report + SECOND
+                && now.saturating_sub(m.last_contact_at)
+                    > 2 * context.settings.heartbeat_interval + SECOND
             {
                 taken.push(m.name.clone());
             }
@@ -633,7 +623,7 @@
     fn check_boots(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let lag = context.settings.list_lag;
-        let hearing = now.saturating_sub(self.heard_at) < 3 * context.settings.report;
+        let hearing = now.saturating_sub(self.heard_at) < 3 * context.settings.heartbeat_interval;
         let mut terminate = Vec::new();
         let mut vanished = Vec::new();
         // What no list shows because there was none has not vanished: boots were once given up during
@@ -652,7 +642,7 @@
         }
         // A machine that is cut off for longer than this has lost its tasks; one that is silent is
         // released as late.
-        let patience = silent_release(context.settings.lease).max(30 * SECOND);
+        let patience = silent_release(context.settings.agent_lease).max(30 * SECOND);
         if hearing {
             for (name, since) in &self.fleet.never_reported {
                 if now.saturating_sub(*since) > patience {
--- a/crates/core/src/fleet/autoscaler.rs
+++ b/crates/core/src/fleet/autoscaler.rs
@@ -6,7 +6,18 @@
 //! less its remaining boot delay, floored at zero. If work exceeds power, machines are added
 //! greedily by price per unit of the gap they close.
 
-use super::*;
+use super::{Offer, PendingProvision};
+use crate::agents::Machine;
+use crate::context::Context;
+use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
+use crate::placement::{permits, slots};
+use crate::scheduler::Scheduler;
+use crate::write_buffer::RecordId;
+use crate::{micros, Micros, SECOND};
+use grebewood_wire::http::{MachineType, Submission};
+use grebewood_wire::records::ProvisionRecord;
+use log::info;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Most machines in one rental request.
 const RENT_MOST: u64 = 50;
@@ -291,7 +302,7 @@
     /// may be rented; of these where there is the most, booting machines included. Half of the room
     /// in each of two zones once seemed to do, nothing was rented, and the gang waited for good.
     fn gang_zone(&self, context: &Context, job: &Job, n: f64) -> Option<String> {
-        let (now, silence) = (context.now.steady, context.settings.report * 3);
+        let (now, silence) = (context.now.steady, context.settings.heartbeat_interval * 3);
         let spec = &job.spec;
         let mut have: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
         for t in context
@@ -347,7 +358,7 @@
     /// The machines that are up, by offer, as the decider sees them.
     pub(super) fn supply(&self, context: &Context) -> Vec<Supply> {
         let now = context.now.steady;
-        let silence = context.settings.report * 3;
+        let silence = context.settings.heartbeat_interval * 3;
         let mut by_offer: BTreeMap<(&str, &str, bool), Supply> = BTreeMap::new();
         for m in self.machines.values() {
             if !m.counts(now, silence) || m.cpus <= 0.0 {
--- a/crates/core/src/fleet/scale_in.rs
+++ b/crates/core/src/fleet/scale_in.rs
@@ -1,7 +1,13 @@
 //! What is returned, and what is emptied so that it can be.
 
 use super::autoscaler::{power, slots_of, Work};
-use super::*;
+use crate::agents::{grace, Machine};
+use crate::context::Context;
+use crate::jobs::EPS;
+use crate::placement::{permits, slots};
+use crate::scheduler::Scheduler;
+use crate::{micros, Micros, SECOND};
+use log::info;
 
 /// Beyond one, this part of the machines may be emptied at a time.
 const EMPTIED_PART: usize = 20;
@@ -119,7 +125,7 @@
         if longest.is_some() || now.saturating_sub(self.loaded_at) < context.tuning.idle_hold_us {
             return;
         }
-        let silence = context.settings.report * 3;
+        let silence = context.settings.heartbeat_interval * 3;
         let usable: Vec<&Machine> = self
             .machines
             .values()
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -1,6 +1,6 @@
-use super::*;
 use crate::test_support::unread_leader;
-use crate::{Effect, MILLI};
+use crate::{Effect, Target, MILLI, SECOND};
+use grebewood_wire::records::ProvisionRecord;
 
 /// With one call left under the cloud's limit, a release that a cancellation may wait for goes before
 /// the rentals that are asked for again and again.
@@ -24,10 +24,10 @@
     leader.fleet.terminate("n-000001", context.now.steady);
     context.cloud.drain(context.now.steady);
     context.now.steady = context.cloud.ready_at(context.now.steady, 1.0) + MILLI;
-    context.out.clear();
+    context.effects.clear();
     leader.run_fleet(context);
     let paths: Vec<&str> = context
-        .out
+        .effects
         .iter()
         .filter_map(|e| match e {
             Effect::Call(call) if call.target == Target::Cloud => Some(call.path.as_str()),
--- a/crates/core/src/headroom.rs
+++ b/crates/core/src/headroom.rs
@@ -6,10 +6,10 @@
 //! known of it but that an aim may have a class start sooner than a machine boots: while no job of
 //! such a class was seen, ordinary machines are kept free in each zone.
 
-use crate::controller::Context;
+use crate::context::Context;
 use crate::jobs::{fits_type, Job, Jobs, EPS};
-use crate::leadership::Scheduler;
 use crate::placement::{permits, slots, OpenMachine};
+use crate::scheduler::Scheduler;
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{Priority, Submission};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/job_view.rs
+++ b/crates/core/src/job_view.rs
@@ -7,8 +7,8 @@
 //! too much is read anew. Without requests it is brought up to date every second: so a node knows of
 //! all cancellations as of a moment that is recent, whatever happens next.
 
-use crate::controller::{CallPurpose, Controller};
-use crate::user_requests::{UserAction, UserRequest, UserRequestStage};
+use crate::calls::{CallPurpose, JobViewCall, UserAction, UserRequest, UserRequestStage};
+use crate::controller::Controller;
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValue, KeyValueList, WatchResponse};
@@ -17,14 +17,6 @@
 use log::{debug, error};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request of the view to the state service.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JobViewCall {
-    /// A page of the keys with this prefix.
-    List(&'static str),
-    WatchResponse,
-}
-
 /// What a node knows of a live job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LiveJob {
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,14 +1,15 @@
 //! Live jobs: which tasks are done, which are taken, and in what order jobs are served.
 
-use crate::controller::Context;
+use crate::context::Context;
 use crate::{micros, Micros, Settings, SECOND};
-pub use grebewood_wire::http::Shape;
 use grebewood_wire::http::{to_value, MachineType, Priority, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::{JobRecord, DONE_SPAN};
-pub use grebewood_wire::validate::{valid_id, MAX_TASKS};
 use std::collections::{BTreeMap, BTreeSet};
 
+pub use grebewood_wire::http::Shape;
+pub use grebewood_wire::validate::{valid_id, MAX_TASKS};
+
 /// Place of a job in the job table.
 pub type JobIndex = u32;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,18 +6,21 @@
 //! `Controller` holds in memory is a cache of it.
 
 pub mod agents;
+pub mod calls;
 pub mod cancellations;
 pub mod completed_tasks;
+pub mod context;
 pub mod controller;
+pub mod election;
 pub mod fleet;
 pub mod headroom;
 pub mod job_view;
 pub mod jobs;
-pub mod leadership;
 pub mod partitions;
 pub mod placement;
 pub mod quota;
 pub mod rate_limiter;
+pub mod scheduler;
 pub mod settings;
 pub mod stats;
 #[cfg(test)]
@@ -62,7 +65,7 @@
 /// Whom a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
-    State,
+    Store,
     Cloud,
     /// A worker, by its address.
     Agent(String),
--- a/crates/core/src/partitions.rs
+++ b/crates/core/src/partitions.rs
@@ -12,7 +12,7 @@
 //! - [`reports`]: what holders tell the leader;
 //! - [`holder`]: the holder's side.
 
-use crate::leadership::Scheduler;
+use crate::scheduler::Scheduler;
 use crate::Micros;
 use grebewood_partition::{PartitionId, PartitionMap};
 use std::collections::BTreeMap;
@@ -22,7 +22,6 @@
 mod orders;
 mod reports;
 
-pub use claims::{ClaimStep, MapCall};
 pub use holder::HolderState;
 pub use orders::RemotePartitions;
 
--- a/crates/core/src/partitions/claims.rs
+++ b/crates/core/src/partitions/claims.rs
@@ -1,8 +1,10 @@
 //! The node's copy of the partition map, its claims on partitions, and giving them back.
 
 use super::Partitions;
-use crate::controller::{CallPurpose, Controller, STORE_TIMEOUT};
-use crate::leadership::{FencedLease, Role, Scheduler};
+use crate::calls::{CallPurpose, ClaimStep, MapCall};
+use crate::context::{Role, STORE_TIMEOUT};
+use crate::controller::Controller;
+use crate::scheduler::{FencedLease, Scheduler};
 use crate::user_requests::absent;
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_partition::{Claim, PartitionId};
@@ -11,36 +13,11 @@
     to_value, Condition, KeyValue, KeyValueList, Lease, LeaseRequest, Operation, Redirect,
     Transaction, TransactionApplied, WatchResponse,
 };
-use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER, PARTITION};
+use grebewood_wire::records::PARTITION;
+use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER};
 use grebewood_wire::Value;
 use log::{error, info, warn};
 
-/// A request for the map.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MapCall {
-    /// A page of its keys.
-    List,
-    /// What changed since.
-    WatchResponse,
-}
-
-/// How far a claim has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimStep {
-    /// Asks for a lease.
-    Lease,
-    /// Writes the claim under this lease.
-    Claim {
-        /// The lease.
-        lease: u64,
-    },
-    /// Reads it back, since the outcome is not known.
-    ReadBack {
-        /// The lease.
-        lease: u64,
-    },
-}
-
 /// How long a watch of the map stays open.
 const WATCH: Micros = 10 * SECOND;
 /// Between two attempts to read the map.
@@ -111,7 +88,7 @@
         let pending = CallPurpose::PartitionMap(call);
         let nothing = Vec::new();
         self.context
-            .call(Target::State, "GET", path, nothing, timeout, pending);
+            .call(Target::Store, "GET", path, nothing, timeout, pending);
     }
 
     pub(crate) fn on_partition_map(&mut self, call: MapCall, outcome: Outcome) {
--- a/crates/core/src/partitions/holder.rs
+++ b/crates/core/src/partitions/holder.rs
@@ -1,9 +1,10 @@
 //! The holder of a partition: carries out the leader's orders on its machines and reports to it.
 
 use crate::agents::{Assignment, ExitedAttempt, Machine, ObservedStatus, Stop, TaskOnMachine};
-use crate::controller::{Context, Controller};
-use crate::leadership::{Role, Scheduler};
+use crate::context::{Context, Role};
+use crate::controller::Controller;
 use crate::placement::slots;
+use crate::scheduler::Scheduler;
 use crate::{Micros, Stopwatch, SECOND};
 use grebewood_wire::http::{ExitCause, ReportedTask, TaskStatus};
 use grebewood_wire::peer::{
@@ -211,7 +212,7 @@
             return false;
         }
         let now = context.now.steady;
-        let silence = 3 * context.settings.report;
+        let silence = 3 * context.settings.heartbeat_interval;
         let machine = self.machines.get(&task.machine);
         let fits = machine.is_some_and(|m| {
             m.incarnation == task.incarnation
@@ -414,7 +415,7 @@
 
 fn machine_state(context: &Context, machine: &Machine) -> MachineState {
     let now = context.now.steady;
-    let silence = 3 * context.settings.report;
+    let silence = 3 * context.settings.heartbeat_interval;
     let tasks = machine.assignments.iter().filter_map(|a| {
         let status = match a.seen {
             ObservedStatus::Never => return None,
--- a/crates/core/src/partitions/holder/tests.rs
+++ b/crates/core/src/partitions/holder/tests.rs
@@ -1,9 +1,12 @@
-use super::*;
-use crate::agents::HeldHeartbeat;
+use crate::agents::{HeldHeartbeat, Machine};
+use crate::context::{Context, Role};
+use crate::controller::Controller;
 use crate::jobs::Job;
-use crate::leadership::FencedLease;
+use crate::scheduler::{FencedLease, Scheduler};
 use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
-use grebewood_wire::http::Verb;
+use crate::SECOND;
+use grebewood_wire::http::{ExitCause, Verb};
+use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskEnd};
 
 const MACHINE: &str = "n-000001";
 const TERM: u64 = 7;
--- a/crates/core/src/partitions/orders.rs
+++ b/crates/core/src/partitions/orders.rs
@@ -2,9 +2,12 @@
 //! what their reports mean for its own books.
 
 use crate::agents::ExitedAttempt;
-use crate::controller::{Context, Controller, SchedulerCall};
-use crate::leadership::{MemberView, Scheduler};
+use crate::calls::SchedulerCall;
+use crate::context::Context;
+use crate::controller::Controller;
+use crate::election::MemberView;
 use crate::quota::placed_task;
+use crate::scheduler::Scheduler;
 use crate::write_buffer::RecordId;
 use crate::{Micros, Target, MILLI, SECOND};
 use grebewood_partition::map::partition_of;
--- a/crates/core/src/partitions/reports.rs
+++ b/crates/core/src/partitions/reports.rs
@@ -2,9 +2,9 @@
 
 use super::orders::RemotePartition;
 use crate::agents::{Assignment, Machine};
-use crate::controller::Context;
+use crate::context::Context;
 use crate::jobs::parse_task;
-use crate::leadership::Scheduler;
+use crate::scheduler::Scheduler;
 use crate::{Micros, Outcome, SECOND};
 use grebewood_partition::{Load, PartitionId};
 use grebewood_wire as wire;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -4,18 +4,15 @@
 //! the free room allow. It has a time budget: a round that runs out of it goes on with the next
 //! job the next time.
 
-use crate::agents::{grace, Assignment, Machine, ObservedStatus};
-use crate::controller::Context;
-use crate::jobs::{fits_type, Job, JobIndex, Shape, BEGIN_AFTER, EPS};
-use crate::leadership::Scheduler;
-use crate::quota::Given;
-use crate::write_buffer::RecordId;
-use crate::{micros, Micros, Stopwatch, MILLI, SECOND};
+use crate::agents::Machine;
+use crate::context::Context;
+use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
+use crate::scheduler::Scheduler;
+use crate::{Micros, Stopwatch, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{Resources, TeamAmounts};
 use grebewood_wire::http::{Priority, Submission};
-use grebewood_wire::records::{MachineAssignments, PageRecord};
-use log::{debug, info};
+use log::debug;
 use std::collections::{BTreeMap, BTreeSet};
 
 mod guarantees;
@@ -217,7 +214,7 @@
     /// Machines with free room.
     pub(crate) fn open_machines(&self, context: &Context) -> Vec<OpenMachine> {
         let now = context.now.steady;
-        let silence = context.settings.report * 3;
+        let silence = context.settings.heartbeat_interval * 3;
         let grants = self.grants_quota(context);
         let promised = self.promised_room();
         let free = |m: &Machine| {
--- a/crates/core/src/placement/guarantees.rs
+++ b/crates/core/src/placement/guarantees.rs
@@ -1,7 +1,16 @@
 //! Room for teams below their guarantee: what other teams run beyond theirs makes way.
 
-use super::*;
+use super::{permits, slots, QueuedJob, Room};
+use crate::agents::{grace, Assignment, ObservedStatus};
+use crate::context::Context;
+use crate::jobs::{JobIndex, Shape};
+use crate::scheduler::Scheduler;
+use crate::{micros, Micros};
+use grebewood_quota::{Resources, TeamAmounts};
+use grebewood_wire::http::Submission;
 use grebewood_wire::peer::TaskAttempt;
+use log::{debug, info};
+use std::collections::BTreeSet;
 
 /// A task that may be stopped, since its team runs more than its guarantee.
 struct Borrowed {
@@ -142,7 +151,7 @@
     }
 
     fn lenders(&self, context: &Context, within: &BTreeSet<JobIndex>) -> Vec<Lender> {
-        let (now, silence) = (context.now.steady, 3 * context.settings.report);
+        let (now, silence) = (context.now.steady, 3 * context.settings.heartbeat_interval);
         let machines = self.machines.values().filter(|m| m.usable(now, silence));
         machines
             .map(|m| {
--- a/crates/core/src/placement/pages.rs
+++ b/crates/core/src/placement/pages.rs
@@ -1,7 +1,13 @@
 //! Pages of assignments: which page takes which, and what is written.
 
-use super::*;
-use grebewood_wire::records::{partition_of_page, HOLDER_PAGES_END};
+use crate::agents::Assignment;
+use crate::scheduler::Scheduler;
+use crate::write_buffer::RecordId;
+use crate::Micros;
+use grebewood_wire::records::{
+    partition_of_page, MachineAssignments, PageRecord, HOLDER_PAGES_END,
+};
+use std::collections::BTreeMap;
 use std::ops::Range;
 
 /// A page of assignments: which machines are on it, and how large it is.
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -1,6 +1,14 @@
 //! Stopping tasks of lower priority for jobs that wait.
 
-use super::*;
+use super::{permits, slots, zone_for, PreemptionCandidate, QueuedJob, Room};
+use crate::agents::{grace, Machine, ObservedStatus};
+use crate::context::Context;
+use crate::jobs::{Job, JobIndex, Shape, BEGIN_AFTER, EPS};
+use crate::scheduler::Scheduler;
+use crate::{micros, Micros, SECOND};
+use grebewood_quota::TeamAmounts;
+use grebewood_wire::http::Priority;
+use std::collections::BTreeSet;
 
 impl Scheduler {
     /// Stops tasks of lower priority that can save, for jobs that wait for room or for their
@@ -25,7 +33,7 @@
         if queue.is_empty() {
             return;
         }
-        let silence = context.settings.report * 3;
+        let silence = context.settings.heartbeat_interval * 3;
         // Where guarantees are enforced, work within them is served before all other, and does not make
         // way for it.
         let guaranteed = match self.enforces_guarantees(context) {
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -1,6 +1,13 @@
 //! The order in which waiting jobs are served.
 
-use super::*;
+use super::QueuedJob;
+use crate::context::Context;
+use crate::jobs::{Job, JobIndex, Shape, EPS};
+use crate::scheduler::Scheduler;
+use crate::Micros;
+use grebewood_quota::Resources;
+use grebewood_wire::http::Priority;
+use std::collections::{BTreeMap, BTreeSet};
 
 impl Scheduler {
     /// Time that a job still needs if it gets all the room that its team's limit allows.
--- a/crates/core/src/placement/tasks.rs
+++ b/crates/core/src/placement/tasks.rs
@@ -1,8 +1,19 @@
 //! The tasks of one job: how many may be placed, and on which machines.
 
-use super::*;
-use crate::agents::TaskOnMachine;
+use super::{
+    permits, room_by_zone, slots, OpenMachine, Preference, QueuedJob, HIGH_AHEAD, PROD_AHEAD,
+};
+use crate::agents::{Assignment, TaskOnMachine};
+use crate::context::Context;
+use crate::jobs::{JobIndex, Shape, EPS};
+use crate::quota::Given;
+use crate::scheduler::Scheduler;
+use crate::write_buffer::RecordId;
+use crate::{Micros, MILLI};
+use grebewood_quota::Resources;
+use grebewood_wire::http::{Priority, Submission};
 use grebewood_wire::peer::PlacedTask;
+use log::info;
 
 /// A job some of whose tasks are being placed.
 pub(crate) struct Placing {
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -17,9 +17,9 @@
 //! - [`fence`]: on what its writes depend.
 
 use crate::agents::Assignment;
-use crate::controller::Context;
+use crate::context::Context;
 use crate::jobs::JobIndex;
-use crate::leadership::Scheduler;
+use crate::scheduler::Scheduler;
 use crate::{Micros, Settings};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{Limits, LimitsInForce, QuotaGrants, Resources, TeamQuota};
--- a/crates/core/src/quota/delegation_policy.rs
+++ b/crates/core/src/quota/delegation_policy.rs
@@ -2,10 +2,10 @@
 
 use super::delegations::{Delegation, TaskOfJob};
 use crate::agents::{Assignment, PlannedTask};
-use crate::controller::Context;
+use crate::context::Context;
 use crate::jobs::{JobIndex, EPS};
-use crate::leadership::Scheduler;
 use crate::placement::{permits, slots, OpenMachine, Placing, QueuedJob, Room};
+use crate::scheduler::Scheduler;
 use crate::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
@@ -235,7 +235,7 @@
 
     /// Machines on which tasks will leave room soon, less what waits for it already.
     fn soon_free(&self, context: &Context) -> Vec<SoonFree> {
-        let (now, silence) = (context.now.steady, 3 * context.settings.report);
+        let (now, silence) = (context.now.steady, 3 * context.settings.heartbeat_interval);
         let mut soon: BTreeMap<&str, SoonFree> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.usable(now, silence)) {
             let partition = m.partition.filter(|id| self.may_delegate_to(context, *id));
--- a/crates/core/src/quota/delegations/tests.rs
+++ b/crates/core/src/quota/delegations/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+use super::{Delegation, Delegations};
+use grebewood_partition::PartitionId;
+use grebewood_quota::Resources;
+use std::collections::BTreeSet;
 
 fn delegation(partition: PartitionId, waits: bool) -> Delegation {
     Delegation {
--- a/crates/core/src/quota/holder_messages.rs
+++ b/crates/core/src/quota/holder_messages.rs
@@ -2,9 +2,9 @@
 
 use super::delegations::TaskOfJob;
 use crate::agents::{Assignment, TaskOnMachine};
-use crate::controller::Context;
+use crate::context::Context;
 use crate::jobs::JobIndex;
-use crate::leadership::Scheduler;
+use crate::scheduler::Scheduler;
 use crate::{Micros, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_quota::GrantReduction;
--- a/crates/core/src/quota/holder_placement.rs
+++ b/crates/core/src/quota/holder_placement.rs
@@ -1,9 +1,9 @@
 //! The holder's side: it places the tasks that the leader has given it, out of its allotment.
 
 use crate::agents::Assignment;
-use crate::controller::Context;
-use crate::leadership::{Role, Scheduler};
+use crate::context::{Context, Role};
 use crate::placement::{permits, slots, OpenMachine, Pages, Preference};
+use crate::scheduler::Scheduler;
 use crate::{Micros, Stopwatch, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{HolderGrant, Resources};
--- a/crates/core/src/quota/holder_placement/tests.rs
+++ b/crates/core/src/quota/holder_placement/tests.rs
@@ -1,12 +1,14 @@
-use super::*;
-use crate::agents::{HeldHeartbeat, Machine};
+use crate::agents::{Assignment, HeldHeartbeat, Machine};
+use crate::context::Role;
 use crate::controller::Controller;
 use crate::jobs::Job;
-use crate::leadership::FencedLease;
+use crate::scheduler::{FencedLease, Scheduler};
 use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
 use crate::{Effect, NoStopwatch, Target, SECOND};
 use grebewood_wire::http::{MachineType, Transaction};
-use grebewood_wire::peer::{DelegatedTask, PartitionOrders, PartitionReport};
+use grebewood_wire::peer::{
+    DelegatedTask, DelegatedWork, PartitionOrders, PartitionReport, PlacedTask, QuotaOrders,
+};
 use grebewood_wire::records::{claim_key, quota_grant_key, TeamAmount, LEADER, LIMITS};
 
 const MACHINE: &str = "n-000001";
@@ -104,9 +106,9 @@
 
 /// The transactions that were sent.
 fn txns(node: &mut Controller) -> Vec<Transaction> {
-    let out = std::mem::take(&mut node.context.out);
+    let out = std::mem::take(&mut node.context.effects);
     let calls = out.into_iter().filter_map(|effect| match effect {
-        Effect::Call(call) if call.path == "/txn" && call.target == Target::State => Some(call),
+        Effect::Call(call) if call.path == "/txn" && call.target == Target::Store => Some(call),
         _ => None,
     });
     calls
@@ -239,7 +241,7 @@
 }
 
 fn give_nothing_writes(node: &mut Controller, holder: &mut Scheduler) {
-    node.context.out.clear();
+    node.context.effects.clear();
     holder.write_buffer.mark_dirty(
         crate::write_buffer::RecordId::Page(1000),
         node.context.now.steady,
--- a/crates/core/src/quota/limits.rs
+++ b/crates/core/src/quota/limits.rs
@@ -1,9 +1,9 @@
 //! Which limits are in force, and what happens when they are lowered.
 
 use crate::agents::{grace, Assignment, ObservedStatus};
-use crate::controller::Context;
+use crate::context::Context;
 use crate::jobs::JobIndex;
-use crate::leadership::Scheduler;
+use crate::scheduler::Scheduler;
 use crate::write_buffer::RecordId;
 use crate::{micros, Micros, SECOND};
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
--- a/crates/core/src/quota/write_conditions.rs
+++ b/crates/core/src/quota/write_conditions.rs
@@ -7,8 +7,8 @@
 //! never placed by two, and a write that is carried out late fails.
 
 use crate::agents::Assignment;
-use crate::controller::Context;
-use crate::leadership::Scheduler;
+use crate::context::Context;
+use crate::scheduler::Scheduler;
 use grebewood_wire::http::Condition;
 use grebewood_wire::records::{claim_key, LEADER, LIMITS};
 use log::info;
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,158 +1,44 @@
-//! Who leads: the election by a lease in the state service, and the leader's working state.
+//! The working state of a member that looks after machines: the leader's, or that of a partition's holder.
 //!
-//! The record `leader` is put under a lease on the condition that it is absent. Its stamp is the
-//! fencing token (`token` on the wire): stamps only grow, so each new leader has a higher one,
-//! and every write of a leader is conditional on it.
+//! It is built from the key-value store after the lease was granted, and dropped whole when the lease is lost.
 
-use crate::agents::{Assignment, HeldHeartbeat, LongPolls, Machine, Stop, TaskOnMachine};
+use crate::agents::{HeldHeartbeat, LongPolls, Machine};
+use crate::calls::{CallPurpose, SchedulerCall};
 use crate::completed_tasks::CompletedTaskPages;
-use crate::controller::{CallPurpose, Context, Controller, SchedulerCall, STORE_TIMEOUT};
+use crate::context::{Context, Role};
+use crate::controller::Controller;
 use crate::fleet::Fleet;
 use crate::headroom::Headroom;
-use crate::jobs::{FinalStatus, Job, JobIndex, Jobs};
+use crate::jobs::{JobIndex, Jobs};
 use crate::partitions::{HolderState, RemotePartitions};
 use crate::placement::{Pages, Placement};
 use crate::quota::{HolderQuota, LeaderQuota};
 use crate::stats::Stats;
-use crate::user_requests::{absent, put};
-use crate::write_buffer::{Batch, RecordId, Rendered, WriteBuffer};
+use crate::write_buffer::{RecordId, WriteBuffer};
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
-use grebewood_partition::{PartitionId, PartitionMap};
 use grebewood_quota::TeamAmounts;
 use grebewood_wire as wire;
-use grebewood_wire::http::{
-    from_value, to_value, Condition, KeyValue, KeyValueList, Lease, LeaseRequest, MachineNames,
-    Operation, Transaction, TransactionApplied, TransactionConflict, WatchEvent, WatchResponse,
-};
-use grebewood_wire::peer::{PeerAnswer, PeerRequest, PlacedTask};
-use grebewood_wire::records::{
-    cancel_key, job_key, partition_key, partition_of_page, quota_grant_key, CancelRecord,
-    CompletedTasksPageRecord, FinishedJobRecord, JobKey, JobRecord, LeaderRecord,
-    LegacyCompletedTasksRecord, PageRecord, ProvisionRecord, CATALOGUE, DONE, FINISHED, JOB,
-    LEADER, LIMITS, OLD_CANCEL, PAGE, PARTITION, QUOTA, RENTAL, STATS,
-};
+use grebewood_wire::http::KeyValue;
+use grebewood_wire::peer::PeerRequest;
+use grebewood_wire::records::PARTITION;
 use grebewood_wire::Value;
-use log::{error, info, warn};
+use log::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod completion;
-mod contact;
-mod election;
 mod flush;
 mod loading;
 mod watches;
 
-pub(crate) use contact::MemberView;
-use contact::PeerView;
-pub(crate) use contact::UnprovenMachines;
-
-/// A call of the election.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ElectionStep {
-    /// Reads who leads.
-    Probe,
-    Lease,
-    Claim {
-        lease: u64,
-    },
-    /// Reads back after a claim without a clear outcome.
-    ReadBack {
-        lease: u64,
-    },
-}
-
-/// A node's view of who leads.
-#[derive(Debug)]
-pub struct Election {
-    /// The leader and the record's stamp, as last read.
-    leader: Option<(LeaderRecord, u64)>,
-    busy: bool,
-    next_probe: Micros,
-    /// No candidacy before this time.
-    abstain_until: Micros,
-    incarnation: u64,
-    /// When a lease was last asked for.
-    lease_requested_at: Micros,
-    /// What each peer last said, by its place in the settings.
-    peers: BTreeMap<usize, PeerView>,
-    /// Number of the last question to the peers.
-    question: u64,
-    /// When a holder of partitions that does not lead asks its peers next.
-    next_question: Micros,
-    /// The highest fencing token of a grant that was read from state, or is our own.
-    grant: u64,
-}
-
 /// The number of an attempt carries the token under which it was given, above so many bits of a count.
 const ATTEMPT_BITS: u32 = 20;
 /// By how much the writes of ends go ahead of their turn.
 const END_AHEAD: Micros = 10 * SECOND;
-const PROBE: Micros = 500 * MILLI;
 /// How often peers are told of changed progress, so that polls at any node show short tasks too.
 const PROGRESS: Micros = 500 * MILLI;
 /// Every so many times they are told all of it.
 const PROGRESS_WHOLE: u32 = 5;
 
-impl Election {
-    pub fn new(incarnation: u64) -> Self {
-        Election {
-            leader: None,
-            busy: false,
-            next_probe: 0,
-            abstain_until: 0,
-            incarnation,
-            lease_requested_at: 0,
-            peers: BTreeMap::new(),
-            question: 0,
-            next_question: 0,
-            grant: 0,
-        }
-    }
-
-    /// The highest fencing token of a grant that this node knows of from state, never from a
-    /// message.
-    pub fn grant(&self) -> u64 {
-        self.grant
-    }
-
-    pub fn next_wake(&self) -> Micros {
-        self.next_probe
-    }
-
-    /// Whether `member` leads under this token, as far as known.
-    pub fn leader_is(&self, member: &str, token: u64) -> bool {
-        self.leader
-            .as_ref()
-            .is_some_and(|(l, mod_revision)| l.member == member && *mod_revision == token)
-    }
-
-    /// Whether the leader, as far as one is known, understands partitions.
-    pub(crate) fn leader_knows_partitions(&self) -> bool {
-        self.leader.as_ref().is_none_or(|(l, _)| l.partitions)
-    }
-
-    /// The stamp of the leader's record, if there is a leader that understands partitions.
-    pub(crate) fn partition_term(&self) -> Option<u64> {
-        let leader = self.leader.as_ref().filter(|(l, _)| l.partitions);
-        leader.map(|(_, mod_revision)| *mod_revision)
-    }
-
-    /// Distinguishes this process from an earlier one of the same member.
-    pub(crate) fn incarnation(&self) -> u64 {
-        self.incarnation
-    }
-
-    /// The leader's name.
-    pub fn leader(&self) -> Option<&str> {
-        self.leader.as_ref().map(|(l, _)| l.member.as_str())
-    }
-
-    /// Reads who leads as soon as possible.
-    pub fn probe_now(&mut self) {
-        self.next_probe = 0;
-    }
-}
-
 /// How far the leader has read its state.
 #[derive(Debug, Default)]
 struct Loading {
@@ -177,15 +63,6 @@
     relisted_as_of: Option<u64>,
 }
 
-/// What a node is to the machines that it looks after.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    /// It decides for the whole fleet, and looks after the machines that are in no partition.
-    Leader,
-    /// It looks after the machines of this partition, on the leader's orders.
-    Holder(PartitionId),
-}
-
 /// A grant in the state service: a record under a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct FencedLease {
@@ -210,14 +87,14 @@
     /// A holder's part in them.
     pub(crate) holder_quota: HolderQuota,
     pub token: u64,
-    lease: u64,
-    extend_at: Micros,
+    pub(crate) lease: u64,
+    pub(crate) extend_at: Micros,
     /// The process stood still, and whether the grant still holds is not known yet. Until it is,
     /// nothing is launched, stopped, written, rented or answered to a worker.
-    doubtful: bool,
+    pub(crate) doubtful: bool,
     loading: Option<Loading>,
     /// When the grant was won; state was read after that.
-    began: Micros,
+    pub(crate) began: Micros,
     pub loaded_at: Micros,
     pub jobs: Jobs,
     /// Jobs that ended lately, so that a late list cannot bring them back.
@@ -328,8 +205,8 @@
             ended: VecDeque::new(),
             machines: BTreeMap::new(),
             pages: Scheduler::pages_of(role),
-            value_bytes: context.settings.state.value_bytes,
-            transaction_operations: context.settings.state.transaction_operations,
+            value_bytes: context.settings.store.value_bytes,
+            transaction_operations: context.settings.store.transaction_operations,
             write_buffer: WriteBuffer::default(),
             fleet: Fleet::new(now),
             stats: Stats::default(),
@@ -340,7 +217,7 @@
             held_until: 0,
             held_changed: false,
             completed_pages: CompletedTaskPages::new(page_bytes(
-                context.settings.state.value_bytes,
+                context.settings.store.value_bytes,
             )),
             usage: TeamAmounts::new(),
             progress_dirty: BTreeSet::new(),
@@ -399,7 +276,7 @@
         self.doubtful
     }
 
-    fn grant_holds(&mut self) {
+    pub(crate) fn grant_holds(&mut self) {
         if self.doubtful {
             self.doubtful = false;
             info!("the grant with token {} still holds", self.token);
@@ -469,7 +346,7 @@
             let path = format!("/leases/{}/extend", self.lease);
             let pending = self.pending(SchedulerCall::Extend);
             let timeout = context.tuning.leader_lease_us / 4;
-            context.call(Target::State, "POST", path, Vec::new(), timeout, pending);
+            context.call(Target::Store, "POST", path, Vec::new(), timeout, pending);
         }
         if self.doubtful {
             return;
--- a/crates/core/src/leadership/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -1,6 +1,12 @@
 //! Cancellations and the ends of jobs.
 
-use super::*;
+use super::{Scheduler, END_AHEAD};
+use crate::context::Context;
+use crate::jobs::{FinalStatus, JobIndex};
+use crate::write_buffer::RecordId;
+use grebewood_wire::records::OLD_CANCEL;
+use grebewood_wire::records::{cancel_key, CancelRecord};
+use log::error;
 
 impl Scheduler {
     /// Notes that the job is cancelled: nothing of it starts any more, and what may run is
--- a/crates/core/src/leadership/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -1,6 +1,25 @@
 //! The ledger's traffic: what the leader writes, and what becomes of it.
 
-use super::*;
+use super::{page_bytes, Scheduler};
+use crate::calls::SchedulerCall;
+use crate::context::{Context, STORE_TIMEOUT};
+use crate::jobs::{FinalStatus, JobIndex};
+use crate::user_requests::{absent, put};
+use crate::write_buffer::{Batch, RecordId, Rendered};
+use crate::{Micros, Outcome, MILLI, SECOND};
+use grebewood_partition::PartitionId;
+use grebewood_wire as wire;
+use grebewood_wire::http::{
+    from_value, to_value, KeyValue, KeyValueList, Operation, Transaction, TransactionApplied,
+    TransactionConflict,
+};
+use grebewood_wire::records::{
+    cancel_key, job_key, partition_key, quota_grant_key, FinishedJobRecord, JobKey, CATALOGUE,
+    FINISHED, LIMITS, RENTAL, STATS,
+};
+use grebewood_wire::records::{DONE, OLD_CANCEL, PAGE};
+use grebewood_wire::Value;
+use log::{error, info, warn};
 
 /// The fewest changes and the smallest value that the leader works with.
 const LEAST_TXN_OPS: usize = 3;
@@ -315,7 +334,7 @@
         // It was not the number of changes, then.
         self.transaction_operations = match batch.transaction.apply.len() > LEAST_TXN_OPS {
             true => LEAST_TXN_OPS,
-            false => context.settings.state.transaction_operations,
+            false => context.settings.store.transaction_operations,
         };
         let large = batch.transaction.apply.iter().any(|c| match c {
             Operation::Put { value, .. } => wire::json_size(value) > LEAST_VALUE,
@@ -477,7 +496,7 @@
 
     /// Takes the stamp of a key that differs from what we knew: an earlier transaction of ours
     /// was applied after all.
-    pub(super) fn on_refresh(&mut self, context: &mut Context, key: &str, outcome: Outcome) {
+    pub(crate) fn on_refresh(&mut self, context: &mut Context, key: &str, outcome: Outcome) {
         let now = context.now.steady;
         self.write_buffer.not_before = now;
         match outcome {
--- a/crates/core/src/leadership/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -1,6 +1,24 @@
 //! How a new leader reads its state back.
 
-use super::*;
+use super::{Loading, Scheduler, Watch};
+use crate::agents::{Assignment, Stop, TaskOnMachine};
+use crate::calls::{CallPurpose, SchedulerCall};
+use crate::context::{Context, Role};
+use crate::jobs::{Job, JobIndex};
+use crate::stats::Stats;
+use crate::write_buffer::RecordId;
+use crate::{Outcome, MILLI, SECOND};
+use grebewood_partition::{PartitionId, PartitionMap};
+use grebewood_wire as wire;
+use grebewood_wire::http::{from_value, KeyValue, KeyValueList};
+use grebewood_wire::peer::PlacedTask;
+use grebewood_wire::records::{
+    job_key, partition_of_page, CancelRecord, CompletedTasksPageRecord, JobKey, JobRecord,
+    LegacyCompletedTasksRecord, PageRecord, ProvisionRecord, CATALOGUE, DONE, JOB, OLD_CANCEL,
+    PAGE, PARTITION, QUOTA, RENTAL, STATS,
+};
+use grebewood_wire::Value;
+use log::{error, info, warn};
 
 impl Scheduler {
     pub(crate) fn start_loading(&mut self, context: &mut Context) {
@@ -275,7 +293,7 @@
         );
     }
 
-    pub(super) fn add_job(
+    pub(crate) fn add_job(
         &mut self,
         context: &Context,
         key: &str,
@@ -376,7 +394,7 @@
             // until every machine has been heard or released, which `quarantine` sees to.
             error!("record {key}: unreadable; waiting for proof from all machines");
             self.placement.blocked_until =
-                context.now.steady + context.settings.lease * 2 + 10 * SECOND;
+                context.now.steady + context.settings.agent_lease * 2 + 10 * SECOND;
             if let Some(n) = number {
                 self.page_mut(n).broken = true;
             }
--- a/crates/core/src/leadership/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -1,6 +1,13 @@
 //! Watches of the state service.
 
-use super::*;
+use super::Scheduler;
+use crate::calls::{CallPurpose, SchedulerCall};
+use crate::context::{Context, STORE_TIMEOUT};
+use crate::{Outcome, Target, MILLI, SECOND};
+use grebewood_wire as wire;
+use grebewood_wire::http::{from_value, KeyValueList, WatchEvent, WatchResponse};
+use grebewood_wire::records::JobKey;
+use log::warn;
 
 /// Keys in one page of a list that is read anew.
 const RELIST_PAGE: usize = 1_000;
@@ -34,7 +41,7 @@
                 )
             };
             let pending = CallPurpose::Scheduler { token, what };
-            context.call(Target::State, "GET", path, Vec::new(), timeout, pending);
+            context.call(Target::Store, "GET", path, Vec::new(), timeout, pending);
         }
     }
 
--- a/crates/core/src/leadership/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -1,7 +1,11 @@
-use super::*;
-use crate::job_view::JobViewCall;
+use crate::calls::JobViewCall;
+use crate::controller::Controller;
+use crate::scheduler::Watch;
 use crate::test_support::unread_leader;
-use crate::Effect;
+use crate::{Effect, Outcome, SECOND};
+use grebewood_wire::http::{KeyValue, KeyValueList};
+use grebewood_wire::records::{job_key, JOB};
+use grebewood_wire::Value;
 
 fn page(first: u64, revision: u64, more: bool) -> KeyValueList {
     let entry = KeyValue {
@@ -20,7 +24,7 @@
 fn requests(node: &mut Controller) -> Vec<String> {
     let leader = node.leader.as_mut().expect("a leader");
     leader.run_watches(&mut node.context);
-    let effects = std::mem::take(&mut node.context.out);
+    let effects = std::mem::take(&mut node.context.effects);
     let paths = effects.into_iter().filter_map(|effect| match effect {
         Effect::Call(call) => Some(call.path),
         Effect::Answer { .. } => None,
@@ -32,7 +36,7 @@
     let mut node = unread_leader(20 * SECOND);
     let leader = node.leader.as_mut().expect("a leader");
     leader.watches.insert(JOB, Watch::default());
-    node.context.out.clear();
+    node.context.effects.clear();
     node
 }
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -72,11 +72,11 @@
     pub siblings: Vec<Sibling>,
     pub teams: BTreeMap<String, Team>,
     pub objectives: Vec<Objective>,
-    pub report: Micros,
-    pub lease: Micros,
-    pub cancel: Micros,
+    pub heartbeat_interval: Micros,
+    pub agent_lease: Micros,
+    pub cancel_timeout: Micros,
     /// What the state service takes now and after an announced change, whichever is less.
-    pub state: StoreLimits,
+    pub store: StoreLimits,
     pub cloud_rps: f64,
     pub list_lag: Micros,
     /// Most sockets that this process may have.
@@ -92,10 +92,10 @@
             siblings: Vec::new(),
             teams: BTreeMap::new(),
             objectives: Vec::new(),
-            report: 1_500 * MILLI,
-            lease: 10 * SECOND,
-            cancel: 30 * SECOND,
-            state: StoreLimits {
+            heartbeat_interval: 1_500 * MILLI,
+            agent_lease: 10 * SECOND,
+            cancel_timeout: 30 * SECOND,
+            store: StoreLimits {
                 rps: 100.0,
                 write_rps: 20.0,
                 value_bytes: 4096,
--- a/crates/core/src/stats/tests.rs
+++ b/crates/core/src/stats/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use super::{Mean, Stats};
+use grebewood_wire::http::to_value;
+use grebewood_wire::json_size;
 
 /// Classes are the users' words: their averages once could have grown beyond any value.
 #[test]
--- a/crates/core/src/user_requests.rs
+++ b/crates/core/src/user_requests.rs
@@ -5,58 +5,21 @@
 //! key; when it is over, one transaction puts `past/<id>` and deletes what is under `job/<id>`. So
 //! a job that is not live in the view, and after that has no end on record, was never accepted.
 
-use crate::controller::{CallPurpose, Context, Controller};
+use crate::calls::{CallPurpose, UserAction, UserRequest, UserRequestStage};
+use crate::context::Context;
+use crate::controller::Controller;
 use crate::jobs::{check_fields, check_possible, check_size, valid_id, Refused};
 use crate::write_buffer::RecordId;
-use crate::{Micros, Now, Outcome, Settings};
+use crate::{Now, Outcome, Settings};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
     Accepted, Condition, JobStatus, KeyValue, MachineType, Operation, Submission, Transaction,
 };
-use grebewood_wire::records::{
-    cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED,
-};
+use grebewood_wire::records::FINISHED;
+use grebewood_wire::records::{cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord};
 use log::{debug, warn};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a user asked for.
-#[derive(Clone, Debug)]
-pub enum UserAction {
-    Submit(Box<Submission>),
-    /// A submission that lacks a field or has an invalid one, and why: refused, unless it repeats
-    /// that of an accepted job.
-    Malformed(String),
-    Poll,
-    Cancel,
-}
-
-/// How far a user's request has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UserRequestStage {
-    /// The transaction that accepts the job.
-    Accept,
-    /// Waits for a view that is no older than the request.
-    JobView,
-    ReadFinished,
-    /// The transaction that cancels the job.
-    Cancel,
-}
-
-/// A user's request that waits for the state service.
-#[derive(Clone, Debug)]
-pub struct UserRequest {
-    pub request: u64,
-    pub job: String,
-    pub ask: UserAction,
-    pub stage: UserRequestStage,
-    pub arrived: Micros,
-    /// Tasks and stamp of the live job, once known.
-    pub live: Option<(u64, u64)>,
-    /// The accepting transaction had no clear outcome.
-    doubtful: bool,
-    rounds: u8,
-}
-
 /// Jobs that are over, which never changes: a bounded cache.
 #[derive(Debug)]
 pub struct FinishedJobs {
@@ -457,7 +420,7 @@
     settings: &Settings,
     catalogue: &[MachineType],
 ) -> Result<(), Refused> {
-    check_size(s, settings.state.value_bytes).and_then(|()| check_possible(s, settings, catalogue))
+    check_size(s, settings.store.value_bytes).and_then(|()| check_possible(s, settings, catalogue))
 }
 
 pub(crate) fn absent(key: &str) -> Condition {
--- a/crates/grebewood/src/config/tests.rs
+++ b/crates/grebewood/src/config/tests.rs
@@ -31,8 +31,8 @@
 #[test]
 fn settings_are_read_and_unknown_fields_ignored() {
     let (settings, endpoints) = parse(GOOD).expect("good settings");
-    assert_eq!(settings.lease, 10_000_000);
-    assert_eq!(settings.state.value_bytes, 8192);
+    assert_eq!(settings.agent_lease, 10_000_000);
+    assert_eq!(settings.store.value_bytes, 8192);
     assert_eq!(endpoints.socket_limit, 1_024);
 }
 
@@ -59,7 +59,7 @@
         value_bytes: 2048,
         transaction_operations: 4,
     };
-    assert_eq!(settings.state, expected);
+    assert_eq!(settings.store, expected);
 }
 
 #[test]
--- a/crates/grebewood/src/main.rs
+++ b/crates/grebewood/src/main.rs
@@ -83,13 +83,13 @@
 
 fn show_partitions(config: &std::path::Path, json: bool) -> Result<(), String> {
     let (_, endpoints) = config::load(config)?;
-    let overview = partitions::read(endpoints.state).map_err(|e| e.to_string())?;
+    let overview = partitions::read(endpoints.store).map_err(|e| e.to_string())?;
     print(&overview, json, overview.to_text())
 }
 
 fn show_quota(config: &std::path::Path, json: bool) -> Result<(), String> {
     let (_, endpoints) = config::load(config)?;
-    let overview = quota::read(endpoints.state).map_err(|e| e.to_string())?;
+    let overview = quota::read(endpoints.store).map_err(|e| e.to_string())?;
     print(&overview, json, overview.to_text())
 }
 
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -5,7 +5,7 @@
 impl Loop {
     /// Most connections to one address.
     pub(super) fn conn_limit(&self, addr: SocketAddr) -> usize {
-        if addr == self.endpoints.state {
+        if addr == self.endpoints.store {
             48.min(self.endpoints.socket_limit / 8).max(4)
         } else if addr == self.endpoints.cloud {
             6
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -28,7 +28,7 @@
 pub struct Endpoints {
     pub front: SocketAddr,
     pub peer_listen: SocketAddr,
-    pub state: SocketAddr,
+    pub store: SocketAddr,
     pub cloud: SocketAddr,
     pub peers: Vec<SocketAddr>,
     /// Most sockets this process may have.
@@ -410,7 +410,7 @@
 
     fn address(&self, target: &Target) -> Option<SocketAddr> {
         match target {
-            Target::State => Some(self.endpoints.state),
+            Target::Store => Some(self.endpoints.store),
             Target::Cloud => Some(self.endpoints.cloud),
             Target::Agent(addr) => addr.parse().ok(),
             Target::Peer(n) => self.endpoints.peers.get(*n).copied(),
--- a/crates/net/tests/crowded.rs
+++ b/crates/net/tests/crowded.rs
@@ -41,7 +41,7 @@
     let endpoints = Endpoints {
         front: free_address(),
         peer_listen: free_address(),
-        state: free_address(),
+        store: free_address(),
         cloud: free_address(),
         peers: Vec::new(),
         socket_limit: SOCKETS,
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -60,7 +60,7 @@
         self.field(call.path.as_bytes());
         self.field(&call.body);
         self.field(&call.timeout.to_be_bytes());
-        if call.target == Target::State && call.path == "/txn" {
+        if call.target == Target::Store && call.path == "/txn" {
             self.sample_records(&call.body);
         }
         if matches!(call.target, Target::Peer(_)) {
@@ -123,7 +123,7 @@
 
 fn target_name(target: &Target) -> String {
     match target {
-        Target::State => "state".into(),
+        Target::Store => "state".into(),
         Target::Cloud => "cloud".into(),
         Target::Agent(address) => format!("worker {address}"),
         Target::Peer(place) => format!("peer {place}"),
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -311,7 +311,7 @@
         for line in &script.setup {
             w.set_up(line, &mut nodes)?;
         }
-        w.state.limits = Some(w.settings.state);
+        w.state.limits = Some(w.settings.store);
         for n in 0..nodes {
             w.slots.push(Slot {
                 node: None,
@@ -398,7 +398,7 @@
             Ev::Start(n) => {
                 let mut settings = self.settings.clone();
                 if let (Some(next), false) = (self.next_limits, self.old.contains(&n)) {
-                    settings.state = settings.state.smaller_of(next);
+                    settings.store = settings.store.smaller_of(next);
                 }
                 self.limit_changes.apply(n, &mut settings.teams);
                 settings.member = format!("perch-{n}");
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -102,7 +102,7 @@
             let spec = &seen.spec;
             if seen
                 .cancelled_at
-                .is_some_and(|at| self.now > at + self.settings.cancel)
+                .is_some_and(|at| self.now > at + self.settings.cancel_timeout)
             {
                 return Err(format!("ran_cancelled: {task_name} starts"));
             }
@@ -226,7 +226,7 @@
         if !m.up || m.gone {
             return Ok(());
         }
-        let (done, changed) = m.advance(now, self.settings.lease, &self.facts);
+        let (done, changed) = m.advance(now, self.settings.agent_lease, &self.facts);
         for task_name in done {
             if let Some((job, _)) = task_name.rsplit_once('/') {
                 if let Some(seen) = self.jobs.get_mut(job) {
@@ -244,7 +244,7 @@
         // A higher token counts as a change once in half a lease.
         let rested = m
             .token_told
-            .is_none_or(|at| now >= at + self.settings.lease / 2);
+            .is_none_or(|at| now >= at + self.settings.agent_lease / 2);
         if m.told_token < m.token && rested && m.in_flight.is_none() {
             m.token_told = Some(now);
             m.told_token = m.token;
@@ -273,7 +273,7 @@
         let flight = self.seq;
         m.in_flight = Some((flight, now, m.incarnation));
         m.last_contact_at = now;
-        m.next_report = now + self.settings.report;
+        m.next_report = now + self.settings.heartbeat_interval;
         m.told_token = m.token;
         let body = to_cbor(&m.report(now));
         let (node, cut_until) = (m.node, m.cut_until);
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -87,7 +87,7 @@
                     .jobs
                     .get(job_of(&t.task_name))
                     .and_then(|j| j.cancelled_at);
-                if told.is_some_and(|at| self.now > at + self.settings.cancel) {
+                if told.is_some_and(|at| self.now > at + self.settings.cancel_timeout) {
                     return Err(format!("ran_cancelled: {} is on {}", t.task_name, m.name));
                 }
             }
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -104,7 +104,7 @@
                 Target::Cloud if call.method == "POST" => Some("rents or releases"),
                 Target::Agent(_) => Some("commands a worker"),
                 // A leader's writes depend on its grant; any node accepts and cancels.
-                Target::State if call.path == "/txn" => String::from_utf8_lossy(&call.body)
+                Target::Store if call.path == "/txn" => String::from_utf8_lossy(&call.body)
                     .contains("leader")
                     .then_some("writes as the leader"),
                 _ => None,
@@ -129,7 +129,7 @@
     pub(super) fn send(&mut self, caller: Caller, call: grebewood_core::Call) {
         let n = caller.node;
         match call.target {
-            Target::State => {
+            Target::Store => {
                 let Some(mut at) = self.arrival(n, "state", 2 * MS) else {
                     return;
                 };
--- a/crates/testkit/src/world/script.rs
+++ b/crates/testkit/src/world/script.rs
@@ -172,7 +172,7 @@
             }
             "limits" => {
                 let limits =
-                    limits_of(&line, "", self.state.limits.unwrap_or(self.settings.state))?;
+                    limits_of(&line, "", self.state.limits.unwrap_or(self.settings.store))?;
                 self.push(now, Ev::Limits(limits));
             }
             "busy" => self.state.busy_until = now + line.time("for", 10.0)?,
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -13,15 +13,15 @@
             }
             "workers" => {
                 let s = &mut self.settings;
-                s.report = line.time("report", 1.5)?;
-                s.lease = line.time("lease", 10.0)?;
-                s.cancel = line.time("cancel", 30.0)?;
+                s.heartbeat_interval = line.time("report", 1.5)?;
+                s.agent_lease = line.time("lease", 10.0)?;
+                s.cancel_timeout = line.time("cancel", 30.0)?;
             }
             "state" => {
-                let s = self.settings.state;
-                self.settings.state = limits_of(line, "", s)?;
+                let s = self.settings.store;
+                self.settings.store = limits_of(line, "", s)?;
                 if line.options.keys().any(|k| k.starts_with("next_")) {
-                    self.next_limits = Some(limits_of(line, "next_", self.settings.state)?);
+                    self.next_limits = Some(limits_of(line, "next_", self.settings.store)?);
                 }
             }
             "tuning" => {
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -182,7 +182,7 @@
     broken(w.script(line("0")), "1 tasks of cancelled jobs started");
     assert_eq!(w.check_moment(), Ok(()));
     // Later than that it is a breach, and so is that it is there; on a machine that hangs, too.
-    w.now = confirmed + w.settings.cancel + 1;
+    w.now = confirmed + w.settings.cancel_timeout + 1;
     broken(w.came(&name, &task_name), "ran_cancelled");
     w.machine_mut(&name).expect("a machine").hangs_until = 900 * S;
     broken(w.check_moment(), "ran_cancelled");
@@ -599,7 +599,7 @@
     };
     let call = grebewood_core::Call {
         id: 1,
-        target: Target::State,
+        target: Target::Store,
         method: "POST",
         path: "/txn".into(),
         body: Vec::new(),
