--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -130,7 +130,7 @@
     /// Tasks and stamp of the live job, once known.
     pub live: Option<(u64, u64)>,
     /// The accepting transaction had no clear outcome.
-    pub(crate) doubtful: bool,
+    pub(crate) uncertain: bool,
     pub(crate) rounds: u8,
 }
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -303,7 +303,7 @@
     fn on_process_pause(&mut self, gap: Micros) {
         warn!("stood still for {} ms", gap / MILLI);
         self.context.note_resumed();
-        self.doubt_grant();
+        self.suspend_uncertain_leases();
     }
 
     fn run_timers(&mut self, watch: &mut dyn Stopwatch) {
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -198,7 +198,7 @@
 
     /// After a standstill, the first thing is to learn whether this node still leads: its lease may
     /// have run out, and others may have acted since. Check-ins that waited were given up.
-    pub(crate) fn doubt_grant(&mut self) {
+    pub(crate) fn suspend_uncertain_leases(&mut self) {
         let now = self.context.now.steady;
         if self.leader.is_none() && self.partitions.holders.is_empty() {
             return;
@@ -208,10 +208,10 @@
             .iter_mut()
             .chain(self.partitions.holders.values_mut())
         {
-            leader.doubtful = true;
+            leader.uncertain = true;
             leader.extend_at = now;
             // Nobody could be heard meanwhile: that is no sign of being cut off from the workers.
-            leader.heard_at = now;
+            leader.last_heartbeat_at = now;
             for request in leader.waiting_heartbeats() {
                 self.context
                     .refuse(request, 503, "it is not certain who leads");
--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -23,7 +23,7 @@
         let blind = unread && !self.may_renew();
         match &mut self.leader {
             // It may have come in during the standstill, and the grant may have run out.
-            Some(leader) if leader.doubtful() => {
+            Some(leader) if leader.uncertain() => {
                 self.context.refuse(id, 503, "it is not certain who leads");
             }
             // Its machine may be in a partition: an answer would take it from its holder.
@@ -80,7 +80,7 @@
                     .refuse(id, 503, "its partition is not held yet"),
             };
         };
-        if holder.doubtful() {
+        if holder.uncertain() {
             return self
                 .context
                 .refuse(id, 503, "it is not certain who holds it");
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -304,7 +304,7 @@
                 Some(_) => {}
             }
         }
-        self.lost_grant(holder)
+        self.lease_lost_reason(holder)
     }
 
     /// Gives a partition back. Its machines' tasks go on; the next holder learns of them. What waits
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -60,14 +60,14 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !leader.loaded() || leader.doubtful() {
+        if !leader.loaded() || leader.uncertain() {
             return;
         }
         leader.follow_claims(&self.partitions.map);
-        if let Some(why) = leader.folded() {
+        if let Some(why) = leader.dissolved() {
             return self.step_down(why, true);
         }
-        if let Some(why) = leader.quota.lost {
+        if let Some(why) = leader.leader_quota.lost {
             return self.step_down(why, false);
         }
         if let Some(members) = members {
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -121,7 +121,7 @@
         if asked >= known.asked {
             *known = job_view;
         }
-        self.settle_doubt();
+        self.resolve_uncertainty();
     }
 
     /// Stops what runs of a job that is known to be cancelled, under whatever grant.
@@ -168,7 +168,7 @@
     /// After a standstill without contact: all peers, asked since, have been without contact too,
     /// and remember from before we lost ours that nobody else got a grant. So this is an outage, in
     /// which leases do not run out and nobody can be elected.
-    fn settle_doubt(&mut self) {
+    fn resolve_uncertainty(&mut self) {
         let (resumed_at, lost) = (
             self.context.resumed_at(),
             self.context.last_contact.unwrap_or(0),
@@ -186,7 +186,7 @@
         }
         if let Some(leader) = &mut self.leader {
             if peers.iter().all(|peer| peer.grant <= leader.token) {
-                leader.grant_holds();
+                leader.confirm_lease();
             }
         }
         // Nobody had contact at a moment at which a claim of ours could have run out.
@@ -194,7 +194,7 @@
         let later = |peer: &&PeerView| peer.contact.is_some_and(|at| at > unbroken);
         if !peers.iter().any(later) {
             for holder in self.partitions.holders.values_mut() {
-                holder.grant_holds();
+                holder.confirm_lease();
             }
         }
     }
@@ -230,13 +230,13 @@
         let Some(leader) = &self.leader else {
             return;
         };
-        if let Some(why) = self.lost_grant(leader) {
+        if let Some(why) = self.lease_lost_reason(leader) {
             self.step_down(why, false);
         }
     }
 
     /// Why this node may act no longer under the grant, if it is so.
-    pub(crate) fn lost_grant(&self, leader: &Scheduler) -> Option<&'static str> {
+    pub(crate) fn lease_lost_reason(&self, leader: &Scheduler) -> Option<&'static str> {
         let now = self.context.now.steady;
         let lost = self.context.last_contact?;
         if now.saturating_sub(lost) >= SILENT {
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -63,7 +63,7 @@
             stage: UserRequestStage::Accept,
             arrived: now,
             live: None,
-            doubtful: false,
+            uncertain: false,
             rounds: 0,
         };
         // One that was accepted costs no write, however often it is repeated.
@@ -96,7 +96,7 @@
             stage: UserRequestStage::JobView,
             arrived: self.context.now.steady,
             live: None,
-            doubtful: false,
+            uncertain: false,
             rounds: 0,
         };
         if let Some(finished) = self.finished.get(job) {
@@ -198,7 +198,7 @@
             }
             (UserRequestStage::Accept, 0) => {
                 // The outcome is unknown: read back before anything is said.
-                call.doubtful = true;
+                call.uncertain = true;
                 call.stage = UserRequestStage::JobView;
                 self.user_send(call);
             }
@@ -261,7 +261,7 @@
     /// The job is found under neither key.
     fn user_unknown(&mut self, call: UserRequest) {
         match &call.ask {
-            UserAction::Submit(spec) if !call.doubtful => {
+            UserAction::Submit(spec) if !call.uncertain => {
                 // Only a submission that could not run is looked up first.
                 let refused = self
                     .context
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -95,7 +95,7 @@
     /// A holder's part in its partition.
     pub(crate) holder_state: HolderState,
     /// The leader's part in allotments of the teams' limits.
-    pub(crate) quota: LeaderQuota,
+    pub(crate) leader_quota: LeaderQuota,
     /// A holder's part in them.
     pub(crate) holder_quota: HolderQuota,
     pub token: u64,
@@ -103,7 +103,7 @@
     pub(crate) extend_at: Micros,
     /// The process stood still, and whether the grant still holds is not known yet. Until it is,
     /// nothing is launched, stopped, written, rented or answered to a worker.
-    pub(crate) doubtful: bool,
+    pub(crate) uncertain: bool,
     loading: Option<Loading>,
     /// When the grant was won; state was read after that.
     pub(crate) began: Micros,
@@ -141,7 +141,7 @@
     progress_round: u32,
     stats_at: Micros,
     /// When a worker last reported.
-    pub heard_at: Micros,
+    pub last_heartbeat_at: Micros,
     /// Machines with a direct call under way, and when the last one was sent.
     pub direct: BTreeMap<String, Micros>,
     flush_failures: u32,
@@ -166,13 +166,13 @@
             role,
             remote_partitions: RemotePartitions::default(),
             holder_state: HolderState::default(),
-            quota: LeaderQuota::default(),
+            leader_quota: LeaderQuota::default(),
             holder_quota: HolderQuota::default(),
             token: grant.token,
             lease: grant.lease,
             // The lease may be old already, if the state service is slow.
             extend_at: grant.lease_requested_at + context.tuning.leader_lease_us / 4,
-            doubtful: false,
+            uncertain: false,
             loading: None,
             began: now,
             loaded_at: 0,
@@ -202,7 +202,7 @@
             progress_at: now,
             progress_round: 0,
             stats_at: now + 20 * SECOND,
-            heard_at: now,
+            last_heartbeat_at: now,
             direct: BTreeMap::new(),
             flush_failures: 0,
             sweep_at: 0,
@@ -247,13 +247,13 @@
     }
 
     /// Whether the grant may have run out while the process stood still.
-    pub fn doubtful(&self) -> bool {
-        self.doubtful
+    pub fn uncertain(&self) -> bool {
+        self.uncertain
     }
 
-    pub(crate) fn grant_holds(&mut self) {
-        if self.doubtful {
-            self.doubtful = false;
+    pub(crate) fn confirm_lease(&mut self) {
+        if self.uncertain {
+            self.uncertain = false;
             info!("the grant with token {} still holds", self.token);
         }
     }
@@ -278,7 +278,7 @@
 
     pub fn next_wake(&self) -> Micros {
         let mut at = self.extend_at;
-        if self.doubtful {
+        if self.uncertain {
             return at;
         }
         if let Some(loading) = &self.loading {
@@ -316,14 +316,14 @@
         let now = context.now.steady;
         if now >= self.extend_at {
             // A reply may be lost: the next renewal goes out all the same.
-            let parts = if self.doubtful { 12 } else { 4 };
+            let parts = if self.uncertain { 12 } else { 4 };
             self.extend_at = now + context.tuning.leader_lease_us / parts;
             let path = format!("/leases/{}/extend", self.lease);
             let pending = self.pending(SchedulerCall::Extend);
             let timeout = context.tuning.leader_lease_us / 4;
             context.call(Target::Store, "POST", path, Vec::new(), timeout, pending);
         }
-        if self.doubtful {
+        if self.uncertain {
             return;
         }
         if self.loading.is_some() {
@@ -366,7 +366,7 @@
                     return Err("the lease has ended".into());
                 }
                 if matches!(outcome, Outcome::Answer { status: 200, .. }) {
-                    self.grant_holds();
+                    self.confirm_lease();
                 } else {
                     self.extend_at = self
                         .extend_at
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -79,7 +79,7 @@
     }
 
     /// Puts an assignment on a machine, and counts it until its proof of absence.
-    pub(crate) fn hold(&mut self, name: &str, a: Assignment) {
+    pub(crate) fn add_assignment(&mut self, name: &str, a: Assignment) {
         if !self.machines.contains_key(name) {
             return;
         }
@@ -106,7 +106,7 @@
 
     /// Removes an assignment of which it is proven that its task is not on the machine and will
     /// not come there.
-    pub(crate) fn free(&mut self, context: &mut Context, name: &str, at: usize) {
+    pub(crate) fn remove_assignment(&mut self, context: &mut Context, name: &str, at: usize) {
         let now = context.now.steady;
         let Some(m) = self.machines.get_mut(name) else {
             return;
@@ -132,7 +132,7 @@
                 job.waiting_since = Some(now);
             }
         }
-        self.placement.want(context.now.steady);
+        self.placement.request_round(context.now.steady);
         self.end_if_over(context, a.job);
     }
 }
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -105,7 +105,7 @@
         if failed {
             self.note_failure(context, name, a.job);
         }
-        self.free(context, name, at);
+        self.remove_assignment(context, name, at);
         if let Some(m) = self.machines.get_mut(name) {
             m.exited_attempts.push(ExitedAttempt {
                 task_name: task_name.to_string(),
@@ -124,12 +124,12 @@
             return;
         };
         let id = job.id.clone();
-        let was_suspect = job.is_suspect();
+        let was_suspect = job.is_likely_faulty();
         job.note_failure(name);
-        if job.is_suspect() && !was_suspect {
+        if job.is_likely_faulty() && !was_suspect {
             self.lift_quarantines(context);
         }
-        let suspect = |id: &str| self.jobs.is_suspect(id);
+        let suspect = |id: &str| self.jobs.is_likely_faulty(id);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -152,14 +152,14 @@
     /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
     /// others are left that speak against them.
     pub(crate) fn lift_quarantines(&mut self, context: &Context) {
-        let suspect = |id: &str| self.jobs.is_suspect(id);
+        let suspect = |id: &str| self.jobs.is_likely_faulty(id);
         for machine in self.machines.values_mut().filter(|m| m.faulty) {
             machine.forget_failures(suspect);
             if machine.blame() == FailureAttribution::None
                 && !self.fleet.is_terminating(&machine.name)
             {
                 machine.keep_after_all();
-                self.placement.want(context.now.steady);
+                self.placement.request_round(context.now.steady);
             }
         }
     }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -72,7 +72,7 @@
             m.exited_attempts.clear();
             // A new session: the worker has killed and forgotten every task of the earlier ones.
             while let Some(at) = self.position(&name, |a| a.incarnation < report.incarnation) {
-                self.free(context, &name, at);
+                self.remove_assignment(context, &name, at);
             }
         }
         if report.token == self.token {
@@ -110,7 +110,7 @@
     /// that reaches the worker.
     pub(crate) fn free_unlaunched(&mut self, context: &mut Context, name: &str) {
         while let Some(at) = self.position(name, |a| a.launched.is_none()) {
-            self.free(context, name, at);
+            self.remove_assignment(context, name, at);
         }
     }
 
@@ -141,7 +141,7 @@
                     };
                     let a = &mut m.assignments[at];
                     let before = a.seen;
-                    a.see(&s.status, now);
+                    a.observe(&s.status, now);
                     let (index, seen) = (a.job, a.seen);
                     self.count_running(now, index, before, seen);
                 }
@@ -183,7 +183,7 @@
                 at += 1;
             } else {
                 // A later report that has seen our token, without the task: it is gone.
-                self.free(context, name, at);
+                self.remove_assignment(context, name, at);
             }
         }
         if let (true, Some(m)) = (lost, self.machines.get_mut(name)) {
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -13,7 +13,7 @@
 pub(crate) const HOLD: Micros = 500 * MILLI;
 
 /// Most commands in one answer, so that it stays below the size limit.
-pub(crate) const MOST_COMMANDS: usize = 300;
+pub(crate) const MAX_COMMANDS: usize = 300;
 
 /// Stops for the tasks on a machine whose jobs are known to be cancelled.
 fn stop_commands_for_cancelled(context: &Context, report: &Heartbeat) -> Vec<Command> {
@@ -26,7 +26,7 @@
         context.cancellations.get(job)?;
         Some(stop_command(job, task, s.attempt, 0))
     })
-    .take(MOST_COMMANDS)
+    .take(MAX_COMMANDS)
     .collect()
 }
 
@@ -49,7 +49,7 @@
         let now = context.now.steady;
         self.holder_state.heartbeats += 1;
         if !self.loaded() {
-            self.heard_at = now;
+            self.last_heartbeat_at = now;
             // Renews the lease and announces the token while state is still being read, which an
             // outage may make long: cancelled tasks must be gone in time all the same.
             let commands = stop_commands_for_cancelled(context, &report);
@@ -75,7 +75,7 @@
             }
             return self.answer_heartbeat(context, request, Vec::new());
         }
-        self.heard_at = now;
+        self.last_heartbeat_at = now;
         // A worker reports one at a time: the one before was given up.
         self.refuse_held_heartbeats(context, &machine, "overtaken by a later report");
         let Some(m) = self.machines.get_mut(&machine) else {
@@ -95,7 +95,7 @@
             && m.free().0 > EPS
             && m.usable(now, 3 * context.settings.heartbeat_interval)
         {
-            self.placement.want(now);
+            self.placement.request_round(now);
             pending.round = self.placement.rounds + 1;
         }
         if self.may_be_answered(context, &pending) {
@@ -146,7 +146,7 @@
         }
         for r in &m.exited_attempts {
             let settled = self.is_durable(&r.after, r.job) && self.holder_state.is_settled(r.id());
-            if commands.len() < MOST_COMMANDS && settled {
+            if commands.len() < MAX_COMMANDS && settled {
                 commands.push(Command {
                     verb: Verb::Acknowledge,
                     task_name: r.task_name.clone(),
@@ -161,7 +161,7 @@
         };
         let revoked = m.reclaim_at.is_some();
         for a in &mut m.assignments {
-            if commands.len() >= MOST_COMMANDS {
+            if commands.len() >= MAX_COMMANDS {
                 break;
             }
             if let Some(stop) = &mut a.stop {
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -2,10 +2,10 @@
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::{grace, stop_command, MOST_COMMANDS};
+use crate::scheduler::agents::heartbeats::{grace, stop_command, MAX_COMMANDS};
 use crate::scheduler::agents::Source;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{permits, tasks_that_fit};
 use crate::state::jobs::JobIndex;
 use crate::state::machine::{Assignment, Machine, ObservedStatus, Stop, TaskOnMachine};
 use crate::state::write_buffer::RecordId;
@@ -79,7 +79,7 @@
             self.page_mut(page).add(&report.machine, &assignment);
             self.write_buffer.mark_dirty(RecordId::Page(page), now);
         }
-        self.hold(&report.machine, assignment);
+        self.add_assignment(&report.machine, assignment);
         self.send_direct(context, &report.machine);
     }
 
@@ -107,7 +107,7 @@
     ) {
         let now = context.now.steady;
         while let Some(at) = self.position(name, |a| test(a) && !a.may_exist()) {
-            self.free(context, name, at);
+            self.remove_assignment(context, name, at);
         }
         let mut any = false;
         if let Some(m) = self.machines.get_mut(name) {
@@ -151,7 +151,7 @@
     /// shows that the machine hears us.
     pub(crate) fn send_commands(&mut self, context: &mut Context, name: &str, ask: bool) {
         let now = context.now.steady;
-        if self.doubtful() || self.direct.contains_key(name) {
+        if self.uncertain() || self.direct.contains_key(name) {
             return;
         }
         let Some(m) = self.machines.get_mut(name) else {
@@ -164,7 +164,7 @@
         let mut commands = Vec::new();
         for a in m.assignments.iter_mut().filter(|a| a.launched.is_some()) {
             if let Some(stop) = &mut a.stop {
-                if commands.len() < MOST_COMMANDS
+                if commands.len() < MAX_COMMANDS
                     && stop.sent.is_none_or(|at| now >= at + DIRECT_INTERVAL)
                 {
                     stop.sent = Some(now);
@@ -210,7 +210,7 @@
                 if let (200, Some(m)) = (status, self.machines.get_mut(name)) {
                     m.receives_responses = true;
                     m.unreachable_since = None;
-                    self.placement.want(context.now.steady);
+                    self.placement.request_round(context.now.steady);
                 }
             }
             Ok(report) if report.machine == name => {}
@@ -298,7 +298,7 @@
             .values()
             .filter(|m| m.zone == zone && m.usable(now, silence))
             .filter(|m| permits(context, spec, &m.machine_type, &m.zone, m.spot))
-            .map(|m| slots(m.free(), spec))
+            .map(|m| tasks_that_fit(m.free(), spec))
             .sum()
     }
 }
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -37,7 +37,7 @@
         // when it finds the next leader there: a report and a half once reports are far apart.
         let report = context.settings.heartbeat_interval;
         let silence = (report * 5 / 2).min((report * 3 / 2).max(ANSWER_TIME));
-        let since = now.saturating_sub(self.heard_at.max(self.loaded_at));
+        let since = now.saturating_sub(self.last_heartbeat_at.max(self.loaded_at));
         if !self.loaded() || context.settings.siblings.is_empty() || since <= silence {
             return false;
         }
@@ -77,7 +77,7 @@
         let (lease, cancel, report) = (s.agent_lease, s.cancel_timeout, s.heartbeat_interval);
         let lease_end = lease_end(lease);
         // Silence of all machines is our own cut, not theirs.
-        let hearing = now.saturating_sub(self.heard_at) < 3 * report;
+        let hearing = now.saturating_sub(self.last_heartbeat_at) < 3 * report;
         // A new leader waits for the machines' first reports, to stop what it can without a release.
         let new = now.saturating_sub(self.loaded_at) < report * 3 / 2 + SECOND;
         let names: Vec<String> = self.machines.keys().cloned().collect();
@@ -120,7 +120,7 @@
                 m.sequence = 0;
                 m.exited_attempts.clear();
                 while let Some(at) = self.position(&name, |a| attempts.contains(&a.attempt)) {
-                    self.free(context, &name, at);
+                    self.remove_assignment(context, &name, at);
                 }
             }
             if unheard > 3 * report {
@@ -201,7 +201,7 @@
         while let Some(at) = self.position(name, |a| {
             a.launched.is_none() && a.incarnation != incarnation
         }) {
-            self.free(context, name, at);
+            self.remove_assignment(context, name, at);
         }
         let Some(m) = self.machines.get(name) else {
             return;
@@ -213,7 +213,7 @@
         });
         // A holder that hears no other machine cannot tell whose silence it is; the leader can.
         let silence = silent_release(context.settings.agent_lease);
-        let hearing = now.saturating_sub(self.heard_at) < 3 * report;
+        let hearing = now.saturating_sub(self.last_heartbeat_at) < 3 * report;
         let patience = match m
             .partition
             .is_some_and(|id| self.remote_partitions.is_synced(id))
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -63,7 +63,7 @@
             error!("{id}: said to be cancelled, but not on record");
             job.cancelled = None;
             job.ending = None;
-            self.placement.want(context.now.steady);
+            self.placement.request_round(context.now.steady);
         }
     }
 
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -154,11 +154,11 @@
     }
 
     fn render_quota_grant(&mut self, id: PartitionId) -> Option<Rendered> {
-        if !self.quota.allotments.differs_from_record(id) {
+        if !self.leader_quota.allotments.differs_from_record(id) {
             return None;
         }
         let claim = self.remote_partitions.claim_token(id).unwrap_or(0);
-        let record = self.quota.allotments.render(id, claim);
+        let record = self.leader_quota.allotments.render(id, claim);
         let key = quota_grant_key(id);
         Some(Rendered {
             when: vec![self.write_buffer.unchanged(&key)],
@@ -204,7 +204,7 @@
         let mut short = false;
         for rec in self.write_buffer.due(now) {
             // A record that may be what made a transaction invalid goes alone.
-            if !records.is_empty() && self.write_buffer.is_suspect(&rec) {
+            if !records.is_empty() && self.write_buffer.is_isolated(&rec) {
                 continue;
             }
             if self.write_buffer.must_wait(&rec, &records) {
@@ -229,7 +229,7 @@
             transaction.when.extend(r.when);
             transaction.apply.extend(r.apply);
             records.push((rec.clone(), self.write_buffer.version(&rec)));
-            if self.write_buffer.is_suspect(&rec) {
+            if self.write_buffer.is_isolated(&rec) {
                 break;
             }
         }
@@ -329,7 +329,7 @@
                 "state service: {} records refused, to be written one by one: {why}",
                 batch.records.len()
             );
-            self.write_buffer.suspect(&batch.records);
+            self.write_buffer.isolate(&batch.records);
             self.transaction_operations = (batch.transaction.apply.len() / 2).max(LEAST_TXN_OPS);
             return;
         };
@@ -351,7 +351,7 @@
                 self.write_buffer.postpone(rec, now + SECOND);
             }
             RecordId::Limits | RecordId::Allotment(_) => {
-                self.quota.refused = true;
+                self.leader_quota.refused = true;
                 self.write_buffer.postpone(rec, now + REFUSED_PAUSE);
             }
             _ => self.write_buffer.postpone(rec, now + REFUSED_PAUSE),
@@ -571,10 +571,10 @@
                     self.fleet.provision_written(context.now.steady, name)
                 }
                 RecordId::Allotment(id) => {
-                    self.quota.allotments.written(*id);
+                    self.leader_quota.allotments.written(*id);
                     self.write_quota_grant(context, *id, 0);
                 }
-                RecordId::Limits => self.placement.want(context.now.steady),
+                RecordId::Limits => self.placement.request_round(context.now.steady),
                 _ => {}
             }
         }
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -2,7 +2,7 @@
 
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::slots;
+use crate::state::bin_packing::tasks_that_fit;
 use crate::state::machine::{
     Assignment, ExitedAttempt, Machine, ObservedStatus, Stop, TaskOnMachine,
 };
@@ -32,7 +32,7 @@
         orders: PartitionOrders,
     ) -> Option<PartitionReport> {
         let number = (orders.term, orders.sequence);
-        if orders.claim != self.token || number <= self.holder_state.last || self.doubtful() {
+        if orders.claim != self.token || number <= self.holder_state.last || self.uncertain() {
             return None;
         }
         self.holder_state.last = number;
@@ -54,7 +54,7 @@
         let mut accepted = Vec::new();
         if self.holder_state.synced_term == orders.term {
             for task in &orders.launches {
-                if self.take_over(context, task) {
+                if self.accept_launch(context, task) {
                     accepted.push(task.id());
                 }
             }
@@ -99,7 +99,7 @@
         self.holder_state.synced_term = term;
         if first {
             self.loaded_at = context.now.steady;
-            self.heard_at = context.now.steady;
+            self.last_heartbeat_at = context.now.steady;
             info!("partition: {} tasks may be on its machines", tasks.len());
         }
     }
@@ -126,7 +126,7 @@
             since: context.now.steady,
             sent: None,
         });
-        self.hold(&task.machine, assignment);
+        self.add_assignment(&task.machine, assignment);
     }
 
     fn holder_zone(&self, machine: &str) -> String {
@@ -135,7 +135,7 @@
     }
 
     /// Takes over a task that is to be launched. False: not yet, since its job is not known here.
-    fn take_over(&mut self, context: &mut Context, task: &PlacedTask) -> bool {
+    fn accept_launch(&mut self, context: &mut Context, task: &PlacedTask) -> bool {
         if self.has_attempt(task) || !self.holder_state.is_settled(Some(task.id())) {
             return true;
         }
@@ -158,7 +158,7 @@
             self.note_end(&task.machine, &assignment, TaskEnd::Gone);
             return true;
         }
-        self.hold(&task.machine, assignment);
+        self.add_assignment(&task.machine, assignment);
         self.wake_long_poll(context, &task.machine);
         true
     }
@@ -169,7 +169,8 @@
             .jobs
             .find(&task.job)
             .and_then(|index| self.jobs.get(index));
-        !self.places_tasks(context) || job.is_none_or(|job| slots(machine.free(), &job.spec) > 0)
+        !self.places_tasks(context)
+            || job.is_none_or(|job| tasks_that_fit(machine.free(), &job.spec) > 0)
     }
 
     fn assignment_of(&self, context: &Context, task: &PlacedTask, zone: String) -> Assignment {
@@ -221,7 +222,7 @@
             job: Some(assignment.job),
         });
         self.note_end(name, &assignment, TaskEnd::Exited(cause.clone()));
-        self.free(context, name, at);
+        self.remove_assignment(context, name, at);
     }
 
     /// A worker reports the exit of an attempt that the leader did not speak of: it has that on record,
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -3,7 +3,7 @@
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
 use crate::state::assignment_pages::Pages;
-use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{permits, tasks_that_fit};
 use crate::state::bin_packing::{OpenMachine, Preference};
 use crate::state::holder_quota::{QueuedTask, MOST_PLACED};
 use crate::state::machine::placed_task;
@@ -93,7 +93,7 @@
         for work in &quota.work {
             self.take_work(work);
         }
-        self.placement.want(context.now.steady);
+        self.placement.request_round(context.now.steady);
     }
 
     fn take_work(&mut self, work: &DelegatedWork) {
@@ -212,7 +212,8 @@
         open: &[OpenMachine],
     ) -> Option<usize> {
         let fits = |o: &OpenMachine| {
-            slots(o.free, spec) > 0 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
+            tasks_that_fit(o.free, spec) > 0
+                && permits(context, spec, &o.machine_type, &o.zone, o.spot)
         };
         let hinted = open.iter().position(|o| o.name == queued.machine);
         if let Some(at) = hinted.filter(|at| fits(&open[*at])) {
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::OpenMachine;
-use crate::state::bin_packing::{permits, slots, Room};
+use crate::state::bin_packing::{permits, tasks_that_fit, Room};
 use crate::state::delegations::{Delegation, TaskOfJob};
 use crate::state::jobs::{JobIndex, EPS};
 use crate::state::machine::{Assignment, PlannedTask};
@@ -52,17 +52,17 @@
         let needed = self.needed_by(team).plus(amount);
         // What is allotted for nothing is no room under a ceiling that was lowered.
         if !needed.fits(limit) || self.is_over_limit(context, team) {
-            self.quota.pressed.insert(team.to_string());
+            self.leader_quota.pressed.insert(team.to_string());
             return false;
         }
         let room = self.room_under_limit(context, team);
-        let promised = self.quota.delegations.waiting(partition, team);
-        let allotments = &mut self.quota.allotments;
+        let promised = self.leader_quota.delegations.waiting(partition, team);
+        let allotments = &mut self.leader_quota.allotments;
         let queued = allotments.queue(partition, team, amount, promised, room);
         match queued {
             Ok(()) => self.write_quota_grant(context, partition, 0),
             Err(_) => {
-                self.quota.pressed.insert(team.to_string());
+                self.leader_quota.pressed.insert(team.to_string());
             }
         }
         queued.is_ok()
@@ -75,7 +75,7 @@
         partition: PartitionId,
         delay: Micros,
     ) {
-        if self.quota.allotments.differs_from_record(partition) {
+        if self.leader_quota.allotments.differs_from_record(partition) {
             let due = context.now.steady + delay;
             self.write_buffer
                 .mark_dirty_by(RecordId::Allotment(partition), due);
@@ -124,13 +124,13 @@
             "{}/{task}: to the holder of partition {partition}, {given:?}",
             spec.id
         );
-        let delegations = &mut self.quota.delegations;
+        let delegations = &mut self.leader_quota.delegations;
         delegations.insert((placing.index, task), delegation);
     }
 
     /// A task is no longer with a holder to be placed: it is placed, or was given back.
     pub(crate) fn end_delegation(&mut self, task: TaskOfJob) -> Option<Delegation> {
-        let delegation = self.quota.delegations.remove(task)?;
+        let delegation = self.leader_quota.delegations.remove(task)?;
         if let Some(m) = self.machines.get_mut(&delegation.machine) {
             m.unplan(task.0, task.1);
         }
@@ -156,10 +156,12 @@
         if !delegation.waits {
             if now.saturating_sub(delegation.since) > PLACED_WITHIN {
                 let until = now + SLOW_FOR;
-                self.quota.slow_until.insert(delegation.partition, until);
+                self.leader_quota
+                    .slow_until
+                    .insert(delegation.partition, until);
             }
             let (partition, amount) = (delegation.partition, delegation.amount);
-            let allotments = &mut self.quota.allotments;
+            let allotments = &mut self.leader_quota.allotments;
             allotments.unqueue(partition, &delegation.team, amount, now);
         }
         if let Some(job) = self.jobs.get_mut(task.0) {
@@ -168,19 +170,19 @@
                 job.waiting_since = Some(now);
             }
         }
-        self.placement.want(now);
+        self.placement.request_round(now);
         self.end_if_over(context, task.0);
     }
 
     /// Takes a job's tasks back from all holders, as far as they are not placed.
     pub(crate) fn revoke_job(&mut self, context: &Context, index: JobIndex) {
-        let theirs = self.quota.delegations.of_job(index);
+        let theirs = self.leader_quota.delegations.of_job(index);
         let theirs: Vec<(TaskOfJob, PartitionId, bool)> = theirs
             .map(|(task, delegation)| (task, delegation.partition, delegation.sent))
             .collect();
         for (task, partition, sent) in theirs {
             match sent {
-                true => self.quota.delegations.revoke(partition, index),
+                true => self.leader_quota.delegations.revoke(partition, index),
                 false => self.give_task_back(context, task),
             }
         }
@@ -189,7 +191,12 @@
     /// The room on each machine that is promised to tasks that wait for it.
     pub(crate) fn promised_room(&self) -> BTreeMap<&str, Room> {
         let mut promised = BTreeMap::new();
-        for ((index, _), delegation) in self.quota.delegations.iter().filter(|(_, d)| d.waits) {
+        for ((index, _), delegation) in self
+            .leader_quota
+            .delegations
+            .iter()
+            .filter(|(_, d)| d.waits)
+        {
             let Some(spec) = self.jobs.get(index).map(|job| &job.spec) else {
                 continue;
             };
@@ -223,8 +230,8 @@
             }
         }
         for ((partition, team), left) in &mut left {
-            let slack = self.quota.allotments.slack(*partition, team);
-            let waiting = self.quota.delegations.waiting(*partition, team);
+            let slack = self.leader_quota.allotments.slack(*partition, team);
+            let waiting = self.leader_quota.delegations.waiting(*partition, team);
             *left = left.plus(slack).minus(waiting);
         }
         left
@@ -255,7 +262,12 @@
                 soon.insert(&m.name, machine);
             }
         }
-        for ((index, _), delegation) in self.quota.delegations.iter().filter(|(_, d)| d.waits) {
+        for ((index, _), delegation) in self
+            .leader_quota
+            .delegations
+            .iter()
+            .filter(|(_, d)| d.waits)
+        {
             let machine = soon.get_mut(delegation.machine.as_str());
             if let (Some(machine), Some(job)) = (machine, self.jobs.get(index)) {
                 machine.take(&job.spec);
@@ -322,12 +334,12 @@
 
     /// Takes back what waits for room at holders, as far as it is chosen.
     fn revoke_ahead(&mut self, chosen: impl Fn(&Delegation) -> bool) {
-        let delegations = self.quota.delegations.iter();
+        let delegations = self.leader_quota.delegations.iter();
         let later = delegations.filter(|(_, d)| d.waits && chosen(d));
         let later: BTreeSet<(PartitionId, JobIndex)> =
             later.map(|((index, _), d)| (d.partition, index)).collect();
         for (partition, index) in later {
-            self.quota.delegations.revoke(partition, index);
+            self.leader_quota.delegations.revoke(partition, index);
         }
     }
 
@@ -345,7 +357,7 @@
             return;
         }
         let task = placing.task;
-        while slots(machine.room, &spec) > 0 && task.fits(*left) && placing.has_more() {
+        while tasks_that_fit(machine.room, &spec) > 0 && task.fits(*left) && placing.has_more() {
             let job = self.jobs.get_mut(placing.index);
             let Some(task) = job.and_then(|job| job.take_next(now)) else {
                 return;
@@ -363,10 +375,10 @@
     pub(crate) fn revoke_stuck(&mut self, context: &Context, open: &[OpenMachine]) {
         let now = context.now.steady;
         let mut stuck: Vec<(PartitionId, JobIndex)> = Vec::new();
-        for ((index, _), delegation) in self.quota.delegations.iter() {
+        for ((index, _), delegation) in self.leader_quota.delegations.iter() {
             let key = (delegation.partition, index);
             let known = stuck.last() == Some(&key);
-            if known || self.quota.delegations.is_revoked(key.0, key.1) {
+            if known || self.leader_quota.delegations.is_revoked(key.0, key.1) {
                 continue;
             }
             let waited = now.saturating_sub(delegation.since);
@@ -382,7 +394,7 @@
             }
         }
         for (partition, index) in stuck {
-            self.quota.delegations.revoke(partition, index);
+            self.leader_quota.delegations.revoke(partition, index);
         }
     }
 
@@ -398,7 +410,8 @@
         let spec = &job.spec;
         let mut elsewhere = open.iter().filter(|o| o.placed_by != Some(partition));
         elsewhere.any(|o| {
-            slots(o.free, spec) > 0 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
+            tasks_that_fit(o.free, spec) > 0
+                && permits(context, spec, &o.machine_type, &o.zone, o.spot)
         })
     }
 }
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -34,7 +34,7 @@
         let now = context.now.steady;
         self.fleet.never_reported.remove(&report.machine);
         if let Some(boot) = self.fleet.boots.remove(&report.machine) {
-            self.placement.want(now);
+            self.placement.request_round(now);
             if !boot.up {
                 let took = now.saturating_sub(boot.requested);
                 info!("{}: up after {} s", report.machine, took / SECOND);
@@ -254,7 +254,7 @@
             .and_then(|m| m.assignments.first())
             .map(|a| a.page)
         {
-            self.free(context, name, 0);
+            self.remove_assignment(context, name, 0);
             // No report will tell the next leader: it would wait for this machine's lease.
             let due = context.now.steady + TERMINATED_DELAY;
             if !self.is_holder() {
@@ -447,7 +447,8 @@
     fn check_boots(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let lag = context.settings.list_lag;
-        let hearing = now.saturating_sub(self.heard_at) < 3 * context.settings.heartbeat_interval;
+        let hearing =
+            now.saturating_sub(self.last_heartbeat_at) < 3 * context.settings.heartbeat_interval;
         let mut terminate = Vec::new();
         let mut vanished = Vec::new();
         // What no list shows because there was none has not vanished: boots were once given up during
--- a/crates/core/src/scheduler/leader/fleet/autoscaler.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler.rs
@@ -8,7 +8,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{permits, tasks_that_fit};
 use crate::state::fleet::{Offer, PendingProvision};
 use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
 use crate::state::machine::Machine;
@@ -132,7 +132,7 @@
         && work.zone.as_ref().is_none_or(|z| z == zone)
         && fits_type(spec, t);
     if permitted {
-        slots((t.cpus, t.gpus, t.memory_gb), spec) as f64
+        tasks_that_fit((t.cpus, t.gpus, t.memory_gb), spec) as f64
     } else {
         0.0
     }
@@ -332,11 +332,16 @@
             }
         };
         for m in self.machines.values().filter(|m| m.counts(now, silence)) {
-            add(&m.machine_type, &m.zone, m.spot, slots(m.free(), spec));
+            add(
+                &m.machine_type,
+                &m.zone,
+                m.spot,
+                tasks_that_fit(m.free(), spec),
+            );
         }
         let whole = |machine_type: &str| {
             let t = context.machine_type(machine_type);
-            t.map_or(0, |t| slots((t.cpus, t.gpus, t.memory_gb), spec))
+            t.map_or(0, |t| tasks_that_fit((t.cpus, t.gpus, t.memory_gb), spec))
         };
         for b in self.fleet.boots.values() {
             add(&b.machine_type, &b.zone, b.spot, whole(&b.machine_type));
@@ -582,7 +587,7 @@
                 let slots = catalogue
                     .iter()
                     .filter(|t| fits_type(w.spec, t))
-                    .map(|t| slots((t.cpus, t.gpus, t.memory_gb), w.spec) as f64)
+                    .map(|t| tasks_that_fit((t.cpus, t.gpus, t.memory_gb), w.spec) as f64)
                     .fold(1.0, f64::max);
                 w.n * w.t / slots
             })
--- a/crates/core/src/scheduler/leader/fleet/scale_in.rs
+++ b/crates/core/src/scheduler/leader/fleet/scale_in.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::fleet::autoscaler::{power, slots_of, Work};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{permits, tasks_that_fit};
 use crate::state::jobs::EPS;
 use crate::state::machine::Machine;
 use crate::{micros, Micros, SECOND};
@@ -104,7 +104,7 @@
             info!("{}: is not emptied any more, work waits", m.name);
             m.draining = false;
             m.cordoned = false;
-            self.placement.want(now);
+            self.placement.request_round(now);
         }
     }
 
@@ -169,7 +169,7 @@
                 let spec = &job.spec;
                 let place = rooms.iter_mut().find(|(o, r)| {
                     (o.spot || !m.spot)
-                        && slots(*r, spec) > 0
+                        && tasks_that_fit(*r, spec) > 0
                         && permits(context, spec, &o.machine_type, &o.zone, o.spot)
                 });
                 let Some((_, r)) = place else { return false };
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::OpenMachine;
-use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{permits, tasks_that_fit};
 use crate::state::jobs::{Job, EPS};
 use std::collections::BTreeMap;
 
@@ -18,7 +18,8 @@
             .iter()
             .enumerate()
             .filter(|(_, o)| {
-                slots(o.free, spec) > 0 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
+                tasks_that_fit(o.free, spec) > 0
+                    && permits(context, spec, &o.machine_type, &o.zone, o.spot)
             })
             .map(|(at, o)| {
                 let serves = self.machines.get(&o.name).is_some_and(|m| {
@@ -35,7 +36,7 @@
             let sum = kept.entry(o.zone.clone()).or_insert(0);
             // No more than is wanted: a whole machine was kept at first, and in a fleet of two none was
             // left for others.
-            let n = slots(o.free, spec).min(wanted - *sum);
+            let n = tasks_that_fit(o.free, spec).min(wanted - *sum);
             *sum += n;
             let room = |need: f64| need * n as f64;
             o.headroom = (room(spec.cpus), room(spec.gpus), room(spec.memory_gb));
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -88,7 +88,7 @@
             self.on_held(context, id, &quota);
         }
         self.refresh_machines(context, id);
-        self.placement.want(now);
+        self.placement.request_round(now);
     }
 
     /// The holder has taken these assignments over.
@@ -113,7 +113,7 @@
             }
         }
         if heard {
-            self.heard_at = now;
+            self.last_heartbeat_at = now;
         }
     }
 
@@ -165,7 +165,7 @@
             return;
         };
         let before = a.seen;
-        a.see(status, now);
+        a.observe(status, now);
         let (index, seen) = (a.job, a.seen);
         self.count_running(now, index, before, seen);
     }
@@ -210,7 +210,7 @@
             assignments.position(|a| a.id() == outcome.id())
         });
         match (at, &outcome.end) {
-            (Some(at), TaskEnd::Gone) => self.free(context, name, at),
+            (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
             (Some(at), TaskEnd::Exited(cause)) => self.exited(context, name, at, cause, &task_name),
             (None, TaskEnd::Gone) => {}
             (None, TaskEnd::Exited(cause)) => {
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -43,16 +43,16 @@
             self.remote_partitions.by_id.insert(id, remote_partitions);
         }
         if map.unreadable().next().is_some() {
-            self.fold(context, "a partition's record cannot be read", map.keys());
+            self.dissolve_partitions(context, "a partition's record cannot be read", map.keys());
         }
     }
 
     /// Gives all partitions up. Their machines may have seen tokens that are higher than this leader's,
     /// so the next one looks after them.
-    fn fold(&mut self, context: &Context, why: &'static str, keys: Vec<String>) {
-        if self.remote_partitions.folding.is_none() {
+    fn dissolve_partitions(&mut self, context: &Context, why: &'static str, keys: Vec<String>) {
+        if self.remote_partitions.dissolving.is_none() {
             warn!("partitions are given up: {why}");
-            self.remote_partitions.folding = Some(why);
+            self.remote_partitions.dissolving = Some(why);
         }
         let allotments = self
             .remote_partitions
@@ -69,8 +69,8 @@
     }
 
     /// Why this leader has to make room for the next one, once the partitions are off the record.
-    pub(crate) fn folded(&self) -> Option<&'static str> {
-        let why = self.remote_partitions.folding?;
+    pub(crate) fn dissolved(&self) -> Option<&'static str> {
+        let why = self.remote_partitions.dissolving?;
         let mut left = self.remote_partitions.deleted.iter();
         let dirty = |key: &String| self.write_buffer.is_dirty(&RecordId::Deleted(key.clone()));
         (!left.any(dirty)).then_some(why)
@@ -115,12 +115,16 @@
         job_view: &MemberView,
     ) {
         let now = context.now.steady;
-        if self.remote_partitions.folding.is_some() {
+        if self.remote_partitions.dissolving.is_some() {
             return;
         }
         self.remote_partitions.plan_at = now + PLAN_INTERVAL;
         if job_view.any_without && !self.remote_partitions.by_id.is_empty() {
-            return self.fold(context, "a member does not understand them", map.keys());
+            return self.dissolve_partitions(
+                context,
+                "a member does not understand them",
+                map.keys(),
+            );
         }
         let zones: BTreeSet<String> = context
             .catalogue
@@ -164,7 +168,7 @@
     /// Partitions whose holder was given tasks and has not answered for a while.
     fn out_of_touch(&self, context: &Context) -> BTreeSet<PartitionId> {
         let now = context.now.steady;
-        let waiting = |id: &PartitionId| self.quota.delegations.has(*id);
+        let waiting = |id: &PartitionId| self.leader_quota.delegations.has(*id);
         let partitions = self
             .remote_partitions
             .by_id
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -5,7 +5,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, slots, OpenMachine};
+use crate::state::bin_packing::{permits, tasks_that_fit, OpenMachine};
 use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
 use crate::state::machine::Machine;
 use crate::{Micros, Stopwatch, SECOND};
@@ -49,7 +49,7 @@
             return;
         }
         self.placement.wanted = false;
-        self.quota.pressed.clear();
+        self.leader_quota.pressed.clear();
         self.jobs.begin_catch_ups(now);
         let queue = self.queue(context);
         let mut open = self.open_machines(context);
@@ -206,7 +206,7 @@
             .filter(|o| permits(context, spec, &o.machine_type, &o.zone, o.spot))
             .filter_map(|o| {
                 let m = self.machines.get(&o.name)?;
-                let whole = slots((m.cpus, m.gpus, m.memory), spec);
+                let whole = tasks_that_fit((m.cpus, m.gpus, m.memory), spec);
                 Some((-o.free.0, o.name.as_str(), o.zone.as_str(), whole))
             })
             .collect();
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, slots, Room};
+use crate::state::bin_packing::{permits, tasks_that_fit, Room};
 use crate::state::jobs::JobIndex;
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::{micros, Micros};
@@ -66,7 +66,7 @@
             let mut need = job.placeable(context.now.steady) + job.waiting_at_holders;
             // Room that is free or will be is counted first.
             for lender in lenders.iter_mut().filter(|l| l.permits(context, spec)) {
-                while need > 0 && task.fits(*missing) && slots(lender.room, spec) > 0 {
+                while need > 0 && task.fits(*missing) && tasks_that_fit(lender.room, spec) > 0 {
                     lender.take(spec);
                     *missing = missing.minus(task);
                     need -= 1;
@@ -234,7 +234,7 @@
         let mut gain = self.room;
         let mut chosen = Vec::new();
         for (at, b) in self.borrowed.iter().enumerate() {
-            if slots(gain, spec) > 0 {
+            if tasks_that_fit(gain, spec) > 0 {
                 break;
             }
             let of_team = left.get(&b.team).copied().unwrap_or_default();
@@ -245,7 +245,7 @@
             gain = (gain.0 + b.room.0, gain.1 + b.room.1, gain.2 + b.room.2);
             chosen.push(at);
         }
-        if slots(gain, spec) == 0 || chosen.is_empty() {
+        if tasks_that_fit(gain, spec) == 0 || chosen.is_empty() {
             return None;
         }
         debug!("{}: {} tasks make way", self.name, chosen.len());
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::placement::{PreemptionCandidate, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, slots, Room};
+use crate::state::bin_packing::{permits, tasks_that_fit, Room};
 use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, EPS};
 use crate::state::machine::{Machine, ObservedStatus};
 use crate::{micros, Micros, SECOND};
@@ -32,7 +32,7 @@
         if permits(context, spec, &m.machine_type, &m.zone, m.spot) {
             let lower = victims.iter().filter(|v| v.priority < spec.priority);
             let gain = lower.fold(*room, |r, v| (r.0 + v.cpus, r.1 + v.gpus, r.2 + v.memory));
-            *zones.entry(&m.zone).or_insert(0) += slots(gain, spec);
+            *zones.entry(&m.zone).or_insert(0) += tasks_that_fit(gain, spec);
         }
     }
     let best = zones.into_iter().max_by_key(|(_, n)| *n);
@@ -117,7 +117,7 @@
             let stops_before = stops.len();
             // What is free, or will be, is counted first.
             for (m, room, _) in &mut pool {
-                while need > 0 && within(quota) && slots(*room, spec) > 0 && fits_here(m) {
+                while need > 0 && within(quota) && tasks_that_fit(*room, spec) > 0 && fits_here(m) {
                     *room = (room.0 - task.0, room.1 - task.1, room.2 - task.2);
                     quota = (quota.0 - task.0, quota.1 - task.1);
                     need -= 1;
@@ -137,7 +137,7 @@
                     let mut quota_gain = quota;
                     let mut chosen = Vec::new();
                     for (at, v) in victims.iter().enumerate() {
-                        if slots(gain, spec) > 0 && within(quota_gain) {
+                        if tasks_that_fit(gain, spec) > 0 && within(quota_gain) {
                             break;
                         }
                         let first = v.guaranteed && !guaranteed.contains(&index);
@@ -150,7 +150,7 @@
                             quota_gain = (quota_gain.0 + v.cpus, quota_gain.1 + v.gpus);
                         }
                     }
-                    if slots(gain, spec) == 0 || !within(quota_gain) {
+                    if tasks_that_fit(gain, spec) == 0 || !within(quota_gain) {
                         break;
                     }
                     for at in chosen.into_iter().rev() {
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{permits, tasks_that_fit};
 use crate::state::bin_packing::{OpenMachine, Preference};
 use crate::state::jobs::{JobIndex, EPS};
 use crate::state::machine::{Assignment, TaskOnMachine};
@@ -31,7 +31,7 @@
     let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
     for (_, at) in candidates {
         let o = &open[*at];
-        *zones.entry(&o.zone).or_insert(0) += slots(o.room(service), spec);
+        *zones.entry(&o.zone).or_insert(0) += tasks_that_fit(o.room(service), spec);
     }
     zones
 }
@@ -126,7 +126,7 @@
     ) -> Vec<(Preference, usize)> {
         let (spec, now) = (&placing.spec, context.now.steady);
         let fits = |o: &OpenMachine| {
-            slots(o.room(placing.service), spec) > 0
+            tasks_that_fit(o.room(placing.service), spec) > 0
                 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
                 && (!o.kept || spec.priority > Priority::Idle)
         };
@@ -202,7 +202,7 @@
     ) -> bool {
         let now = context.now.steady;
         let holder = open.placed_by.filter(|_| placing.by_holders);
-        while slots(open.room(placing.service), &placing.spec) > 0 {
+        while tasks_that_fit(open.room(placing.service), &placing.spec) > 0 {
             let Some(job) = self.jobs.get_mut(placing.index) else {
                 return false;
             };
@@ -375,7 +375,7 @@
         m.use_image(&spec.image, spec.image_gb);
         m.idle_since = now;
         self.page_mut(page).add(name, &assignment);
-        self.hold(name, assignment);
+        self.add_assignment(name, assignment);
         // Its answer carries the launch once the page is written.
         self.wake_long_poll(context, name);
     }
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -52,19 +52,20 @@
         let settings = &context.settings;
         let others = settings.siblings.iter().map(|s| s.member.clone());
         let own = settings.limits();
-        self.quota.limits = LimitsInForce::new(recorded.clone(), &settings.member, own, others);
-        if recorded.as_ref() != Some(self.quota.limits.in_force()) {
+        self.leader_quota.limits =
+            LimitsInForce::new(recorded.clone(), &settings.member, own, others);
+        if recorded.as_ref() != Some(self.leader_quota.limits.in_force()) {
             self.write_limits(context);
         }
         for (id, entry) in allotments {
             match from_value::<QuotaGrantRecord>(&entry.value) {
-                Ok(record) => self.quota.allotments.load(id, &record),
+                Ok(record) => self.leader_quota.allotments.load(id, &record),
                 Err(e) => {
                     error!("record {}: {e}; counted as all of each ceiling", entry.key);
-                    let in_force = self.quota.limits.in_force().iter();
+                    let in_force = self.leader_quota.limits.in_force().iter();
                     let ceilings = in_force.map(|(team, limit)| (team.to_string(), limit.limit));
                     let ceilings: TeamAmounts = ceilings.collect();
-                    self.quota.allotments.load_unreadable(id, ceilings);
+                    self.leader_quota.allotments.load_unreadable(id, ceilings);
                 }
             }
         }
@@ -83,7 +84,7 @@
 
     /// The limits in force, as a record.
     pub(crate) fn limits_record(&self) -> LimitsRecord {
-        self.quota.limits.in_force().to_record()
+        self.leader_quota.limits.in_force().to_record()
     }
 
     /// A member has answered this leader what its settings say.
@@ -96,23 +97,23 @@
         if !self.loaded() || self.is_holder() {
             return;
         }
-        let before = self.quota.limits.in_force().clone();
+        let before = self.leader_quota.limits.in_force().clone();
         if !self
-            .quota
+            .leader_quota
             .limits
             .announce(member, Limits::from_teams(teams))
         {
             return;
         }
-        let lowered = self.quota.limits.in_force().lowered_since(&before);
+        let lowered = self.leader_quota.limits.in_force().lowered_since(&before);
         info!("limits in force have changed, as {member} has them; lowered for {lowered:?}");
         for team in &lowered {
-            self.quota.allotments.drop_growth(team);
+            self.leader_quota.allotments.drop_growth(team);
         }
         // What is decided and not under way must not come on record after the lower figure.
         self.undo_unlaunched(context, &lowered);
         self.write_limits(context);
-        self.placement.want(context.now.steady);
+        self.placement.request_round(context.now.steady);
     }
 
     /// Takes back what was placed for these teams and not launched.
@@ -121,7 +122,7 @@
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
             while let Some(at) = self.position(&name, undone) {
-                self.free(context, &name, at);
+                self.remove_assignment(context, &name, at);
             }
         }
         let jobs = self.jobs.iter();
@@ -136,7 +137,7 @@
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
-        let used = own.plus(self.quota.allotments.total(team));
+        let used = own.plus(self.leader_quota.allotments.total(team));
         !used.fits(limit)
     }
 
@@ -144,10 +145,12 @@
     /// that save their progress or never end by themselves. All others run to their end.
     pub(crate) fn enforce_limits(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        if !context.supports_quota_grants() || now < self.quota.enforced_at + ENFORCE_INTERVAL {
+        if !context.supports_quota_grants()
+            || now < self.leader_quota.enforced_at + ENFORCE_INTERVAL
+        {
             return;
         }
-        self.quota.enforced_at = now;
+        self.leader_quota.enforced_at = now;
         let mut running = TeamAmounts::new();
         // Only what workers have reported: what an earlier leader's pages list may be gone.
         for a in self.assignments().filter(|a| counts_as_running(a)) {
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -33,27 +33,27 @@
             return None;
         }
         let limits = self.write_buffer.mod_revisions.get(LIMITS).copied()?;
-        let teams = self.quota.limits.in_force().iter();
+        let teams = self.leader_quota.limits.in_force().iter();
         let over = teams.filter(|(team, _)| self.is_over_limit(context, team));
         let over: BTreeSet<String> = over.map(|(team, _)| team.to_string()).collect();
-        let pressed = self.quota.pressed.clone();
+        let pressed = self.leader_quota.pressed.clone();
         let ask_back = |team: &str| match (over.contains(team), pressed.contains(team)) {
             (true, _) => GrantReduction::Everything,
             (false, true) => GrantReduction::Slack,
             (false, false) => GrantReduction::OldSlack,
         };
         let now = context.now.steady;
-        let allotment = self.quota.allotments.to_tell(id, now, ask_back);
+        let allotment = self.leader_quota.allotments.to_tell(id, now, ask_back);
         let work = match synced {
             true => self.work_to_send(id),
             false => Vec::new(),
         };
         Some(QuotaOrders {
-            number: self.quota.allotments.number(id),
+            number: self.leader_quota.allotments.number(id),
             limits,
             allotment,
             work,
-            revoked: self.quota.delegations.ask_back(id),
+            revoked: self.leader_quota.delegations.ask_back(id),
             reserved: self.reserved_machines(id),
             seen: self.remote_partitions.placed_seen(id),
         })
@@ -61,7 +61,7 @@
 
     /// Tasks that the holder has not said to have.
     fn work_to_send(&mut self, id: PartitionId) -> Vec<DelegatedWork> {
-        let delegations = &self.quota.delegations;
+        let delegations = &self.leader_quota.delegations;
         let new = delegations
             .of_partition(id)
             .filter(|((index, _), delegation)| {
@@ -83,7 +83,7 @@
             });
             sent.push((index, task));
         }
-        self.quota.delegations.note_sent(&sent);
+        self.leader_quota.delegations.note_sent(&sent);
         work.into_values().collect()
     }
 
@@ -103,14 +103,14 @@
         id: PartitionId,
         quota: &QuotaReport,
     ) {
-        if self.quota.placing.insert(id) {
+        if self.leader_quota.placing.insert(id) {
             info!("partition {id}: its holder places tasks");
         }
         for task in &quota.placed {
             self.take_placed(context, id, task);
         }
         let waiting = self.tasks_in(&quota.waiting);
-        for task in self.quota.delegations.returned(id, &waiting) {
+        for task in self.leader_quota.delegations.returned(id, &waiting) {
             self.give_task_back(context, task);
         }
     }
@@ -118,8 +118,8 @@
     /// Takes in what a holder will use at most.
     pub(crate) fn on_held(&mut self, context: &Context, id: PartitionId, quota: &QuotaReport) {
         let now = context.now.steady;
-        self.quota.allotments.on_held(id, &quota.held, now);
-        let delay = match self.quota.pressed.is_empty() {
+        self.leader_quota.allotments.on_held(id, &quota.held, now);
+        let delay = match self.leader_quota.pressed.is_empty() {
             true => SHRINK_DELAY,
             false => 0,
         };
@@ -128,10 +128,10 @@
 
     /// A holder has answered that it places nothing.
     pub(crate) fn on_places_nothing(&mut self, id: PartitionId) {
-        self.quota.placing.remove(&id);
-        if self.quota.delegations.has(id) {
+        self.leader_quota.placing.remove(&id);
+        if self.leader_quota.delegations.has(id) {
             // The one before it may have placed some of them, and only pages tell.
-            self.quota.lost = Some("a holder does not tell what was placed before it");
+            self.leader_quota.lost = Some("a holder does not tell what was placed before it");
         }
     }
 
@@ -163,7 +163,7 @@
         let index = self.jobs.find(&placed.job);
         let task = index.map(|index| (index, placed.task));
         let theirs = task.filter(|task| {
-            let delegation = self.quota.delegations.get(*task);
+            let delegation = self.leader_quota.delegations.get(*task);
             delegation.is_some_and(|delegation| delegation.partition == id)
         });
         let delegation = theirs.and_then(|task| self.end_delegation(task));
@@ -201,22 +201,22 @@
         let (team, amount) = (&assignment.team, assignment.amount());
         if delegation.is_some_and(|delegation| !delegation.waits) {
             let now = context.now.steady;
-            self.quota.allotments.unqueue(id, team, amount, now);
+            self.leader_quota.allotments.unqueue(id, team, amount, now);
         }
-        self.quota.allotments.place(id, team, amount);
-        self.hold(&placed.machine, assignment);
+        self.leader_quota.allotments.place(id, team, amount);
+        self.add_assignment(&placed.machine, assignment);
     }
 
     /// The members that were heard lately say whether all of them understand allotments.
     pub(crate) fn pause_quota_grants(&mut self, context: &Context, paused: bool) {
-        if !context.supports_quota_grants() || self.quota.paused == paused {
+        if !context.supports_quota_grants() || self.leader_quota.paused == paused {
             return;
         }
         info!(
             "allotments are {}",
             if paused { "paused" } else { "granted" }
         );
-        self.quota.paused = paused;
+        self.leader_quota.paused = paused;
         if paused {
             let jobs = self.jobs.iter().filter(|(_, job)| job.delegated > 0);
             let delegated: Vec<JobIndex> = jobs.map(|(index, _)| index).collect();
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -233,7 +233,7 @@
             self.fleet.types_at = now;
         }
         self.loaded_at = now;
-        self.heard_at = now;
+        self.last_heartbeat_at = now;
         self.placement.next_at = now;
         let watch = Watch {
             since: loading.revisions.get(JOB).copied().unwrap_or(0),
@@ -314,7 +314,7 @@
                 let job = Job::new(record, context.now.steady, context.now.wall);
                 self.headroom.note(&job, context.now.steady);
                 self.jobs.insert(job);
-                self.placement.want(context.now.steady);
+                self.placement.request_round(context.now.steady);
             }
             Ok(_) => error!("record {key}: holds another job; set aside"),
             Err(e) => {
@@ -468,11 +468,11 @@
                 if kept {
                     self.page_mut(number).add(&m.machine, &assignment);
                 } else if let Some(partition) = placed_in {
-                    let allotments = &mut self.quota.allotments;
+                    let allotments = &mut self.leader_quota.allotments;
                     allotments.place(partition, &assignment.team, assignment.amount());
                 }
                 self.recovered_machine(context, &m.machine, &m.zone, m.incarnation);
-                self.hold(&m.machine, assignment);
+                self.add_assignment(&m.machine, assignment);
             }
         }
         if let Some(partition) = placed_in.filter(|_| !kept) {
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -21,7 +21,7 @@
     /// that was heard understands them.
     pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         let able = self.enforces_guarantees(context) && context.holders_can_write();
-        able && !self.quota.paused && !self.quota.refused
+        able && !self.leader_quota.paused && !self.leader_quota.refused
     }
 
     /// Whether room is made for teams below their guarantee.
@@ -31,12 +31,12 @@
 
     /// Whether the partition's holder places tasks.
     pub(crate) fn holder_places(&self, partition: PartitionId) -> bool {
-        self.quota.placing.contains(&partition)
+        self.leader_quota.placing.contains(&partition)
     }
 
     /// Whether the partition's holder is to be given tasks now: it places them in time.
     pub(crate) fn may_delegate_to(&self, context: &Context, partition: PartitionId) -> bool {
-        let slow_until = self.quota.slow_until.get(&partition);
+        let slow_until = self.leader_quota.slow_until.get(&partition);
         let slow = slow_until.is_some_and(|until| context.now.steady < *until);
         self.holder_places(partition) && !slow
     }
@@ -44,7 +44,7 @@
     /// A team's limits: those in force, or those of the settings where no allotments are granted.
     pub(crate) fn limit_of(&self, context: &Context, team: &str) -> Option<TeamQuota> {
         match context.supports_quota_grants() {
-            true => self.quota.limits.in_force().get(team),
+            true => self.leader_quota.limits.in_force().get(team),
             false => Some(context.settings.teams.get(team)?.limit()),
         }
     }
@@ -53,7 +53,7 @@
     pub(crate) fn team_limits(&self, context: &Context) -> Vec<(String, TeamQuota)> {
         let settings = context.settings.limits();
         let limits = match context.supports_quota_grants() {
-            true => self.quota.limits.in_force(),
+            true => self.leader_quota.limits.in_force(),
             false => &settings,
         };
         let limits = limits.iter();
@@ -65,7 +65,7 @@
     /// What a team's tasks take, those included that holders are to place.
     pub(crate) fn needed_by(&self, team: &str) -> Resources {
         let own = self.usage.get(team).copied().unwrap_or_default();
-        own.plus(self.quota.allotments.needed(team))
+        own.plus(self.leader_quota.allotments.needed(team))
     }
 
     /// What of a team's ceiling is neither used nor allotted.
@@ -75,14 +75,14 @@
         limit
             .limit
             .minus(own)
-            .minus(self.quota.allotments.total(team))
+            .minus(self.leader_quota.allotments.total(team))
     }
 
     /// Whether so much of a team's ceiling is left. If not, what holders do not need is asked back.
     pub(crate) fn fits_limit(&mut self, context: &Context, team: &str, amount: Resources) -> bool {
         let fits = amount.fits(self.room_under_limit(context, team));
         if !fits {
-            self.quota.pressed.insert(team.to_string());
+            self.leader_quota.pressed.insert(team.to_string());
         }
         fits
     }
@@ -108,7 +108,7 @@
                 let partition = self.machines.get(machine).and_then(|m| m.partition);
                 if let Some(partition) = partition {
                     let now = context.now.steady;
-                    let allotments = &mut self.quota.allotments;
+                    let allotments = &mut self.leader_quota.allotments;
                     allotments.remove_placed(partition, &a.team, a.amount(), now);
                 }
             }
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -69,7 +69,7 @@
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
             while let Some(at) = self.position(&name, dropped) {
-                self.free(context, &name, at);
+                self.remove_assignment(context, &name, at);
             }
         }
     }
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -24,7 +24,7 @@
 }
 
 /// How many tasks of the job fit into the free room.
-pub(crate) fn slots(free: (f64, f64, f64), spec: &Submission) -> u64 {
+pub(crate) fn tasks_that_fit(free: (f64, f64, f64), spec: &Submission) -> u64 {
     let fit = |have: f64, need: f64| {
         if need <= EPS {
             f64::MAX
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -7,7 +7,7 @@
 //! machines are kept free in each zone.
 
 use crate::context::Context;
-use crate::state::bin_packing::slots;
+use crate::state::bin_packing::tasks_that_fit;
 use crate::state::jobs::{fits_type, Job, Jobs};
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{Priority, Submission};
@@ -92,7 +92,7 @@
                     .iter()
                     .flatten()
                     .filter(|t| fits_type(spec, t))
-                    .map(|t| slots((t.cpus, t.gpus, t.memory_gb), spec))
+                    .map(|t| tasks_that_fit((t.cpus, t.gpus, t.memory_gb), spec))
                     .min();
                 let machine = machine.unwrap_or(0);
                 // In a small fleet it must not take the room of all others: a tenth at most, or one
--- a/crates/core/src/state/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -495,7 +495,7 @@
     /// Whether the job itself is likely to be at fault: its tasks failed on several machines, and none
     /// has ever succeeded. Jobs submitted with a mistake fail everywhere; when two of them met on a
     /// machine it was once returned as faulty, fifty sound ones on one day.
-    pub fn is_suspect(&self) -> bool {
+    pub fn is_likely_faulty(&self) -> bool {
         match self.shape {
             // No replica of a service ever succeeds.
             Shape::Daemon => self.avoided_machines.len() >= SUSPECT_MACHINES,
@@ -645,9 +645,9 @@
 
     /// Whether failures of the job's tasks say nothing of a machine; of a job that is over nothing is
     /// known.
-    pub fn is_suspect(&self, id: &str) -> bool {
+    pub fn is_likely_faulty(&self, id: &str) -> bool {
         let job = self.find(id).and_then(|index| self.get(index));
-        job.is_none_or(Job::is_suspect)
+        job.is_none_or(Job::is_likely_faulty)
     }
 
     /// The places of all jobs.
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -120,7 +120,7 @@
     }
 
     /// Takes in what the worker says of it.
-    pub fn see(&mut self, status: &TaskStatus, now: Micros) {
+    pub fn observe(&mut self, status: &TaskStatus, now: Micros) {
         self.seen = match status {
             TaskStatus::Running => ObservedStatus::Running,
             TaskStatus::Checkpointing => ObservedStatus::Checkpointing,
@@ -451,11 +451,11 @@
     /// Whether the decider counts on it: also while it has yet to show that our answers reach it.
     /// A new leader, for whom that is all machines, once rented a second fleet meanwhile.
     pub fn counts(&self, now: Micros, silence: Micros) -> bool {
-        let doubtful = self
+        let uncertain = self
             .unreachable_since
             .map_or(0, |at| now.saturating_sub(at));
         !self.cordoned
-            && doubtful <= ANSWER_TIME
+            && uncertain <= ANSWER_TIME
             && self.reclaim_at.is_none()
             && self.incarnation > 0
             && self.quarantined_until <= now
--- a/crates/core/src/state/placement.rs
+++ b/crates/core/src/state/placement.rs
@@ -24,7 +24,7 @@
 
 impl Placement {
     /// Something changed that may let a task be placed: a round is due now.
-    pub fn want(&mut self, now: Micros) {
+    pub fn request_round(&mut self, now: Micros) {
         self.wanted = true;
         self.next_at = self.next_at.min(now.max(self.not_before));
     }
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -78,7 +78,7 @@
     pub(crate) plan_at: Micros,
     pub(crate) sequence: u64,
     /// The partitions are being given up, and why: their keys are being deleted.
-    pub(crate) folding: Option<&'static str>,
+    pub(crate) dissolving: Option<&'static str>,
     /// Keys that are to be deleted.
     pub(crate) deleted: BTreeSet<String>,
 }
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -7,7 +7,7 @@
 //!
 //! What moves from one record to another is first written to the new one: the old one waits until that is durable
 //! ([`WriteBuffer::wait_for`]), so that it is on record at every moment. Records whose transaction the store
-//! called invalid go alone from then on ([`WriteBuffer::suspect`]), so that a single one cannot keep others from being
+//! called invalid go alone from then on ([`WriteBuffer::isolate`]), so that a single one cannot keep others from being
 //! written.
 
 use crate::state::jobs::JobIndex;
@@ -107,7 +107,7 @@
     /// What must be durable before a record may be written.
     waits: BTreeMap<RecordId, Vec<(RecordId, u64)>>,
     /// Records of a transaction that was called invalid: each goes alone.
-    suspects: BTreeSet<RecordId>,
+    isolated: BTreeSet<RecordId>,
 }
 
 impl WriteBuffer {
@@ -192,13 +192,13 @@
     }
 
     /// The records' transaction was called invalid: from now on each of them goes alone.
-    pub fn suspect(&mut self, records: &[(RecordId, u64)]) {
-        self.suspects
+    pub fn isolate(&mut self, records: &[(RecordId, u64)]) {
+        self.isolated
             .extend(records.iter().map(|(rec, _)| rec.clone()));
     }
 
-    pub fn is_suspect(&self, rec: &RecordId) -> bool {
-        self.suspects.contains(rec)
+    pub fn is_isolated(&self, rec: &RecordId) -> bool {
+        self.isolated.contains(rec)
     }
 
     /// The record is dirty, but is not tried again before `until`.
@@ -215,7 +215,7 @@
 
     /// Forgets a record that needs no writing any more.
     pub fn forget(&mut self, rec: &RecordId) {
-        self.suspects.remove(rec);
+        self.isolated.remove(rec);
         self.waits.remove(rec);
         if let Some(slot) = self.slots.remove(rec) {
             self.queue.remove(&(slot.due, rec.clone()));
@@ -258,7 +258,7 @@
             self.mod_revisions.remove(key);
         }
         for (rec, version) in &batch.records {
-            self.suspects.remove(rec);
+            self.isolated.remove(rec);
             if let Some(slot) = self.slots.get_mut(rec) {
                 slot.durable = slot.durable.max(*version);
                 if slot.durable >= slot.version {
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -51,12 +51,12 @@
 fn a_record_that_is_refused_alone_is_postponed() {
     let mut l = WriteBuffer::default();
     let v = l.mark_dirty(RecordId::Stats, 1);
-    l.suspect(&[(RecordId::Stats, v)]);
+    l.isolate(&[(RecordId::Stats, v)]);
     l.postpone(&RecordId::Stats, 50);
-    assert!(l.is_suspect(&RecordId::Stats) && l.due(49).is_empty());
+    assert!(l.is_isolated(&RecordId::Stats) && l.due(49).is_empty());
     assert_eq!(l.due(50), vec![RecordId::Stats]);
     l.applied(&batch(&[(RecordId::Stats, v)]), 9);
-    assert!(!l.is_suspect(&RecordId::Stats) && l.due(90).is_empty());
+    assert!(!l.is_isolated(&RecordId::Stats) && l.due(90).is_empty());
 }
 
 #[test]
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -396,7 +396,7 @@
         };
         // Before it has read its records, and in doubt of its grant, it takes no report in.
         let read = leader.loaded() && leader.loaded_at > 0;
-        let (token, takes) = (leader.token, read && !leader.doubtful());
+        let (token, takes) = (leader.token, read && !leader.uncertain());
         let t = &mut self.troubles;
         if matches!(asker, Asker::Copy { .. }) && report.token < token {
             t.copied += 1;
