--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -90,9 +90,9 @@
             sequence,
             until: now + HOLD,
         };
-        // Room that jobs wait for: the answer waits for the next round of placement.
+        // MachineResources that jobs wait for: the answer waits for the next round of placement.
         if self.placement.backlog
-            && m.free().0 > EPS
+            && m.free().cpus > EPS
             && m.usable(now, 3 * context.settings.heartbeat_interval)
         {
             self.placement.request_round(now);
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -72,7 +72,7 @@
             return false;
         }
         self.machines.get(machine).is_some_and(|m| {
-            m.free().0 > EPS
+            m.free().cpus > EPS
                 && m.usable(now, 3 * context.settings.heartbeat_interval)
                 && m.exited_attempts.is_empty()
                 && m.assignments.iter().all(|a| {
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -3,7 +3,7 @@
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
 use crate::state::assignment_pages::Pages;
-use crate::state::bin_packing::{permits, tasks_that_fit};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::bin_packing::{OpenMachine, Preference};
 use crate::state::holder_quota::{QueuedTask, MOST_PLACED};
 use crate::state::machine::placed_task;
@@ -193,13 +193,8 @@
         let stay = (attempt, queued.expected);
         debug!("{}/{}: placed on {name}", queued.job, queued.task);
         self.assign(context, &name, index, queued.task, &spec, stay);
-        let free = open[at].free;
-        open[at].free = (
-            free.0 - spec.cpus,
-            free.1 - spec.gpus,
-            free.2 - spec.memory_gb,
-        );
-        open.retain(|o| o.free.0 > 0.0);
+        open[at].free = open[at].free - MachineResources::of_task(&spec);
+        open.retain(|o| o.free.cpus > 0.0);
         true
     }
 
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -4,8 +4,7 @@
 use crate::scheduler::leader::placement::tasks::Placing;
 use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::OpenMachine;
-use crate::state::bin_packing::{permits, tasks_that_fit, Room};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
 use crate::state::delegations::{Delegation, TaskOfJob};
 use crate::state::jobs::{JobIndex, EPS};
 use crate::state::machine::{Assignment, PlannedTask};
@@ -36,7 +35,7 @@
     machine_type: String,
     zone: String,
     spot: bool,
-    room: Room,
+    room: MachineResources,
 }
 
 impl Scheduler {
@@ -98,7 +97,7 @@
             m.plan(PlannedTask {
                 job: placing.index,
                 task,
-                room: (spec.cpus, spec.gpus, spec.memory_gb),
+                room: MachineResources::of_task(spec),
             });
             m.use_image(&spec.image, spec.image_gb);
             m.idle_since = now;
@@ -189,7 +188,7 @@
     }
 
     /// The room on each machine that is promised to tasks that wait for it.
-    pub(crate) fn promised_room(&self) -> BTreeMap<&str, Room> {
+    pub(crate) fn promised_room(&self) -> BTreeMap<&str, MachineResources> {
         let mut promised = BTreeMap::new();
         for ((index, _), delegation) in self
             .leader_quota
@@ -201,12 +200,8 @@
                 continue;
             };
             let room = promised.entry(delegation.machine.as_str());
-            let room: &mut Room = room.or_insert((0.0, 0.0, 0.0));
-            *room = (
-                room.0 + spec.cpus,
-                room.1 + spec.gpus,
-                room.2 + spec.memory_gb,
-            );
+            let room: &mut MachineResources = room.or_default();
+            *room = *room + MachineResources::of_task(spec);
         }
         promised
     }
@@ -248,9 +243,9 @@
             };
             let mut room = m.free();
             for a in m.assignments.iter().filter(|a| leaves_soon(a, now)) {
-                room = (room.0 + a.cpus, room.1 + a.gpus, room.2 + a.memory);
+                room = room + a.resources();
             }
-            if room.0 > m.free().0 {
+            if room.cpus > m.free().cpus {
                 let machine = SoonFree {
                     name: m.name.clone(),
                     partition,
@@ -273,7 +268,7 @@
                 machine.take(&job.spec);
             }
         }
-        soon.into_values().filter(|m| m.room.0 > EPS).collect()
+        soon.into_values().filter(|m| m.room.cpus > EPS).collect()
     }
 
     /// Gives holders tasks for the room that is freed soon, in the order in which jobs are served. Their
@@ -310,7 +305,7 @@
                     self.delegate_for_later(context, &mut placing, machine, left);
                 }
             }
-            soon.retain(|machine| machine.room.0 > EPS);
+            soon.retain(|machine| machine.room.cpus > EPS);
             // What is left of the room is for more of its tasks, not for less urgent ones, which would fill
             // it first: what was stopped for a team below its guarantee once went to others again.
             if placing.has_more() && self.has_quota(context, queued.index) {
@@ -423,11 +418,6 @@
 
 impl SoonFree {
     fn take(&mut self, spec: &Submission) {
-        let room = self.room;
-        self.room = (
-            room.0 - spec.cpus,
-            room.1 - spec.gpus,
-            room.2 - spec.memory_gb,
-        );
+        self.room = self.room - MachineResources::of_task(spec);
     }
 }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler.rs
@@ -8,7 +8,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::fleet::{Offer, PendingProvision};
 use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
 use crate::state::machine::Machine;
@@ -132,7 +132,7 @@
         && work.zone.as_ref().is_none_or(|z| z == zone)
         && fits_type(spec, t);
     if permitted {
-        tasks_that_fit((t.cpus, t.gpus, t.memory_gb), spec) as f64
+        tasks_that_fit(MachineResources::of_type(t), spec) as f64
     } else {
         0.0
     }
@@ -276,7 +276,7 @@
                 // The rest of a job bound to one zone has no use for room elsewhere: with some there,
                 // nothing was once rented in its own, and it waited for its first tasks to end.
                 _ if j.bound_zone().is_some() => vec![(j.bound_zone().map(str::to_string), n)],
-                // Room in two zones is none for a gang that is to be in one.
+                // MachineResources in two zones is none for a gang that is to be in one.
                 Shape::Gang if j.spec.one_zone => vec![(self.gang_zone(context, j, n), n)],
                 // Tasks that run one after the other can wait for room anywhere.
                 Shape::Batch => Vec::new(),
@@ -341,7 +341,7 @@
         }
         let whole = |machine_type: &str| {
             let t = context.machine_type(machine_type);
-            t.map_or(0, |t| tasks_that_fit((t.cpus, t.gpus, t.memory_gb), spec))
+            t.map_or(0, |t| tasks_that_fit(MachineResources::of_type(t), spec))
         };
         for b in self.fleet.boots.values() {
             add(&b.machine_type, &b.zone, b.spot, whole(&b.machine_type));
@@ -420,7 +420,7 @@
                 }
                 _ => 0.0,
             };
-            // Room that is free now counts whole, room freed within `d` by the part of `d` left.
+            // MachineResources that is free now counts whole, room freed within `d` by the part of `d` left.
             add(power(work, total, None, |i| {
                 // What needs its slots now does not wait for others to end.
                 let free = match work[i].is_batch() {
@@ -587,7 +587,7 @@
                 let slots = catalogue
                     .iter()
                     .filter(|t| fits_type(w.spec, t))
-                    .map(|t| tasks_that_fit((t.cpus, t.gpus, t.memory_gb), w.spec) as f64)
+                    .map(|t| tasks_that_fit(MachineResources::of_type(t), w.spec) as f64)
                     .fold(1.0, f64::max);
                 w.n * w.t / slots
             })
--- a/crates/core/src/scheduler/leader/fleet/scale_in.rs
+++ b/crates/core/src/scheduler/leader/fleet/scale_in.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::fleet::autoscaler::{power, slots_of, Work};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::jobs::EPS;
 use crate::state::machine::Machine;
 use crate::{micros, Micros, SECOND};
@@ -137,16 +137,16 @@
         let draining = |m: &&Machine| m.cordoned && !m.assignments.is_empty();
         let most = 1 + usable.len() / EMPTIED_PART;
         let most = most.saturating_sub(self.machines.values().filter(draining).count());
-        let mut free: f64 = usable.iter().map(|m| m.free().0).sum();
+        let mut free: f64 = usable.iter().map(|m| m.free().cpus).sum();
         let mut candidates: Vec<(bool, i64, &Machine)> = usable
             .iter()
-            .filter(|m| !m.assignments.is_empty() && m.free().0 > m.cpus * 0.25)
-            .map(|m| (m.spot, -(m.free().0 * 1e3) as i64, *m))
+            .filter(|m| !m.assignments.is_empty() && m.free().cpus > m.cpus * 0.25)
+            .map(|m| (m.spot, -(m.free().cpus * 1e3) as i64, *m))
             .collect();
         candidates.sort_by(|a, b| (a.0, a.1, &a.2.name).cmp(&(b.0, b.1, &b.2.name)));
-        let mut rooms: Vec<(&Machine, (f64, f64, f64))> = usable
+        let mut rooms: Vec<(&Machine, MachineResources)> = usable
             .iter()
-            .filter(|o| o.free().0 > EPS)
+            .filter(|o| o.free().cpus > EPS)
             .map(|o| (*o, o.free()))
             .collect();
         let mut chosen = Vec::new();
@@ -173,7 +173,7 @@
                         && permits(context, spec, &o.machine_type, &o.zone, o.spot)
                 });
                 let Some((_, r)) = place else { return false };
-                *r = (r.0 - a.cpus, r.1 - a.gpus, r.2 - a.memory);
+                *r = *r - a.resources();
                 if spec.checkpoint_interval_s > 0.0 && a.remaining(now, 0) > 20 * SECOND {
                     stops.push((a.attempt, grace(micros(spec.checkpoint_duration_s))));
                 }
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -2,8 +2,8 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::OpenMachine;
 use crate::state::bin_packing::{permits, tasks_that_fit};
+use crate::state::bin_packing::{MachineResources, OpenMachine};
 use crate::state::jobs::{Job, EPS};
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
                     let mut jobs = m.assignments.iter().map(|a| a.job);
                     jobs.any(|index| self.jobs.get(index).is_some_and(Job::is_daemon))
                 });
-                (!serves, (o.free.0 / EPS) as i64, at)
+                (!serves, (o.free.cpus / EPS) as i64, at)
             })
             .collect();
         order.sort();
@@ -38,8 +38,7 @@
             // left for others.
             let n = tasks_that_fit(o.free, spec).min(wanted - *sum);
             *sum += n;
-            let room = |need: f64| need * n as f64;
-            o.headroom = (room(spec.cpus), room(spec.gpus), room(spec.memory_gb));
+            o.headroom = MachineResources::of_task(spec).times(n as f64);
         }
     }
 }
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -5,7 +5,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, OpenMachine};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
 use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
 use crate::state::machine::Machine;
 use crate::{Micros, Stopwatch, SECOND};
@@ -156,11 +156,11 @@
         let free = |m: &Machine| {
             let free = m.free();
             let taken = promised.get(m.name.as_str());
-            taken.map_or(free, |t| (free.0 - t.0, free.1 - t.1, free.2 - t.2))
+            taken.map_or(free, |taken| free - *taken)
         };
         self.machines
             .values()
-            .filter(|m| free(m).0 > EPS && m.usable(now, silence) && !m.reserved)
+            .filter(|m| free(m).cpus > EPS && m.usable(now, silence) && !m.reserved)
             .map(|m| OpenMachine {
                 name: m.name.clone(),
                 zone: m.zone.clone(),
@@ -168,7 +168,7 @@
                 spot: m.spot,
                 free: free(m),
                 kept: m.kept_until > now,
-                headroom: (0.0, 0.0, 0.0),
+                headroom: MachineResources::default(),
                 placed_by: m
                     .partition
                     .filter(|id| grants && self.may_delegate_to(context, *id)),
@@ -206,8 +206,8 @@
             .filter(|o| permits(context, spec, &o.machine_type, &o.zone, o.spot))
             .filter_map(|o| {
                 let m = self.machines.get(&o.name)?;
-                let whole = tasks_that_fit((m.cpus, m.gpus, m.memory), spec);
-                Some((-o.free.0, o.name.as_str(), o.zone.as_str(), whole))
+                let whole = tasks_that_fit(m.resources(), spec);
+                Some((-o.free.cpus, o.name.as_str(), o.zone.as_str(), whole))
             })
             .collect();
         room.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
@@ -241,9 +241,7 @@
     guaranteed: bool,
     team: String,
     grace: Micros,
-    cpus: f64,
-    gpus: f64,
-    memory: f64,
+    resources: MachineResources,
 }
 
 /// How a task is given to a holder.
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, Room};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::jobs::JobIndex;
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::{micros, Micros};
@@ -24,7 +24,7 @@
     attempt: TaskAttempt,
     team: String,
     amount: Resources,
-    room: Room,
+    room: MachineResources,
     grace: Micros,
 }
 
@@ -34,7 +34,7 @@
     machine_type: String,
     zone: String,
     spot: bool,
-    room: Room,
+    room: MachineResources,
     borrowed: Vec<Borrowed>,
 }
 
@@ -64,7 +64,7 @@
             };
             let task = Resources::of(spec.cpus, spec.gpus);
             let mut need = job.placeable(context.now.steady) + job.waiting_at_holders;
-            // Room that is free or will be is counted first.
+            // MachineResources that is free or will be is counted first.
             for lender in lenders.iter_mut().filter(|l| l.permits(context, spec)) {
                 while need > 0 && task.fits(*missing) && tasks_that_fit(lender.room, spec) > 0 {
                     lender.take(spec);
@@ -167,7 +167,7 @@
                     borrowed: Vec::new(),
                 };
                 for a in &m.assignments {
-                    let room = (a.cpus, a.gpus, a.memory);
+                    let room = a.resources();
                     match a.stop {
                         Some(_) => lender.give(room),
                         // What a team runs within its guarantee is not borrowed.
@@ -195,7 +195,7 @@
             attempt: a.id(),
             team: a.team.clone(),
             amount: a.amount(),
-            room: (a.cpus, a.gpus, a.memory),
+            room: a.resources(),
             grace: match saves {
                 true => grace(micros(job.spec.checkpoint_duration_s)),
                 false => 0,
@@ -209,13 +209,12 @@
         permits(context, spec, &self.machine_type, &self.zone, self.spot)
     }
 
-    fn give(&mut self, room: Room) {
-        let free = self.room;
-        self.room = (free.0 + room.0, free.1 + room.1, free.2 + room.2);
+    fn give(&mut self, room: MachineResources) {
+        self.room = self.room + room;
     }
 
     fn take(&mut self, spec: &Submission) {
-        self.give((-spec.cpus, -spec.gpus, -spec.memory_gb));
+        self.room = self.room - MachineResources::of_task(spec);
     }
 
     /// The first to be stopped comes first: the youngest, of whatever priority. With the lowest priority
@@ -242,7 +241,7 @@
                 continue;
             }
             left.insert(b.team.clone(), of_team.minus(b.amount));
-            gain = (gain.0 + b.room.0, gain.1 + b.room.1, gain.2 + b.room.2);
+            gain = gain + b.room;
             chosen.push(at);
         }
         if tasks_that_fit(gain, spec) == 0 || chosen.is_empty() {
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::placement::{PreemptionCandidate, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, Room};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, EPS};
 use crate::state::machine::{Machine, ObservedStatus};
 use crate::{micros, Micros, SECOND};
@@ -18,7 +18,7 @@
 fn zone_for(
     context: &Context,
     job: &Job,
-    pool: &[(&Machine, Room, Vec<PreemptionCandidate>)],
+    pool: &[(&Machine, MachineResources, Vec<PreemptionCandidate>)],
 ) -> Option<String> {
     let spec = &job.spec;
     if !spec.one_zone {
@@ -31,7 +31,7 @@
     for (m, room, victims) in pool {
         if permits(context, spec, &m.machine_type, &m.zone, m.spot) {
             let lower = victims.iter().filter(|v| v.priority < spec.priority);
-            let gain = lower.fold(*room, |r, v| (r.0 + v.cpus, r.1 + v.gpus, r.2 + v.memory));
+            let gain = lower.fold(*room, |sum, v| sum + v.resources);
             *zones.entry(&m.zone).or_insert(0) += tasks_that_fit(gain, spec);
         }
     }
@@ -71,16 +71,16 @@
         };
         let mut stopping = TeamAmounts::new();
         // What is free, or will be, and what could be stopped, on each machine.
-        let mut pool: Vec<(&Machine, Room, Vec<PreemptionCandidate>)> = Vec::new();
+        let mut pool: Vec<(&Machine, MachineResources, Vec<PreemptionCandidate>)> = Vec::new();
         for m in self.machines.values().filter(|m| m.usable(now, silence)) {
             let mut room = m.free();
             for a in m.assignments.iter().filter(|a| a.stop.is_some()) {
-                room = (room.0 + a.cpus, room.1 + a.gpus, room.2 + a.memory);
+                room = room + a.resources();
                 let freed = stopping.entry(a.team.clone()).or_default();
                 *freed = freed.plus(a.amount());
             }
             let victims = self.victims(context, m, &guaranteed);
-            if room.0 > EPS || !victims.is_empty() {
+            if room.cpus > EPS || !victims.is_empty() {
                 pool.push((m, room, victims));
             }
         }
@@ -102,7 +102,7 @@
             );
             let within =
                 |quota: (f64, f64)| quota.0 + EPS >= spec.cpus && quota.1 + EPS >= spec.gpus;
-            let task = (spec.cpus, spec.gpus, spec.memory_gb);
+            let task = MachineResources::of_task(spec);
             // Room in a zone that may take none of its tasks, given where the others are, is none:
             // tasks there were once stopped for it, came back, and were stopped again.
             let zone = zone_for(context, j, &pool);
@@ -118,8 +118,8 @@
             // What is free, or will be, is counted first.
             for (m, room, _) in &mut pool {
                 while need > 0 && within(quota) && tasks_that_fit(*room, spec) > 0 && fits_here(m) {
-                    *room = (room.0 - task.0, room.1 - task.1, room.2 - task.2);
-                    quota = (quota.0 - task.0, quota.1 - task.1);
+                    *room = *room - task;
+                    quota = (quota.0 - task.cpus, quota.1 - task.gpus);
                     need -= 1;
                 }
             }
@@ -145,9 +145,12 @@
                             continue;
                         }
                         chosen.push(at);
-                        gain = (gain.0 + v.cpus, gain.1 + v.gpus, gain.2 + v.memory);
+                        gain = gain + v.resources;
                         if v.team == spec.team {
-                            quota_gain = (quota_gain.0 + v.cpus, quota_gain.1 + v.gpus);
+                            quota_gain = (
+                                quota_gain.0 + v.resources.cpus,
+                                quota_gain.1 + v.resources.gpus,
+                            );
                         }
                     }
                     if tasks_that_fit(gain, spec) == 0 || !within(quota_gain) {
@@ -157,8 +160,8 @@
                         let v = victims.remove(at);
                         stops.push((m.name.clone(), v.attempt, v.grace));
                     }
-                    *room = (gain.0 - task.0, gain.1 - task.1, gain.2 - task.2);
-                    quota = (quota_gain.0 - task.0, quota_gain.1 - task.1);
+                    *room = gain - task;
+                    quota = (quota_gain.0 - task.cpus, quota_gain.1 - task.gpus);
                     need -= 1;
                 }
             }
@@ -213,9 +216,7 @@
                 guaranteed: guaranteed.contains(&a.job),
                 team: a.team.clone(),
                 grace: grace(micros(job.spec.checkpoint_duration_s)),
-                cpus: a.cpus,
-                gpus: a.gpus,
-                memory: a.memory,
+                resources: a.resources(),
             });
         }
         victims
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit};
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::bin_packing::{OpenMachine, Preference};
 use crate::state::jobs::{JobIndex, EPS};
 use crate::state::machine::{Assignment, TaskOnMachine};
@@ -151,7 +151,7 @@
         let away = !self.long_polls.contains(&open.name);
         let job = self.jobs.get(index);
         let avoided_machines = job.is_some_and(|job| job.avoids(&open.name, now));
-        let room = (open.free.0 * 1e3) as i64;
+        let room = (open.free.cpus * 1e3) as i64;
         (avoided_machines, !image, away, !open.spot, room)
     }
 
@@ -188,7 +188,7 @@
                 break;
             }
         }
-        open.retain(|o| o.free.0 > EPS);
+        open.retain(|o| o.free.cpus > EPS);
     }
 
     /// Places tasks of the job on a machine, or gives them to the holder that places them there. False:
@@ -235,13 +235,7 @@
                 }
                 None => self.assign_task(context, placing, &open.name, task, together),
             }
-            let spec = &placing.spec;
-            let free = open.free;
-            open.free = (
-                free.0 - spec.cpus,
-                free.1 - spec.gpus,
-                free.2 - spec.memory_gb,
-            );
+            open.free = open.free - MachineResources::of_task(&placing.spec);
         }
         true
     }
@@ -369,7 +363,7 @@
                 spec.id,
                 m.zone,
                 age / MILLI,
-                m.free().0
+                m.free().cpus
             );
         }
         m.use_image(&spec.image, spec.image_gb);
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -7,7 +7,7 @@
 //! machines are kept free in each zone.
 
 use crate::context::Context;
-use crate::state::bin_packing::tasks_that_fit;
+use crate::state::bin_packing::{tasks_that_fit, MachineResources};
 use crate::state::jobs::{fits_type, Job, Jobs};
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{Priority, Submission};
@@ -19,7 +19,7 @@
 /// Machines' worth of room that is kept free in each zone at least.
 const LEAST: u64 = 2;
 
-/// Room is kept for so long after the last service ended.
+/// MachineResources is kept for so long after the last service ended.
 const KEPT_AFTER: Micros = 120 * SECOND;
 
 /// Most classes that are remembered: their names are the users' words.
@@ -92,7 +92,7 @@
                     .iter()
                     .flatten()
                     .filter(|t| fits_type(spec, t))
-                    .map(|t| tasks_that_fit((t.cpus, t.gpus, t.memory_gb), spec))
+                    .map(|t| tasks_that_fit(MachineResources::of_type(t), spec))
                     .min();
                 let machine = machine.unwrap_or(0);
                 // In a small fleet it must not take the room of all others: a tenth at most, or one
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,5 +1,6 @@
 //! What is known of a machine, and of the tasks assigned to it.
 
+use crate::state::bin_packing::MachineResources;
 use crate::state::jobs::{parse_task, JobIndex};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
@@ -141,6 +142,15 @@
         }
     }
 
+    /// What it takes of its machine.
+    pub fn resources(&self) -> MachineResources {
+        MachineResources {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            memory_gb: self.memory,
+        }
+    }
+
     /// What it takes of its team's limit.
     pub fn amount(&self) -> Resources {
         Resources::of(self.cpus, self.gpus)
@@ -191,7 +201,7 @@
     pub job: JobIndex,
     pub task: u64,
     /// CPUs, accelerators and memory.
-    pub room: (f64, f64, f64),
+    pub room: MachineResources,
 }
 
 /// A machine.
@@ -225,7 +235,7 @@
     pub reclaim_at: Option<Micros>,
     pub assignments: Vec<Assignment>,
     /// CPUs, accelerators and memory that the assignments take, and the tasks that its holder is to place.
-    pub used: (f64, f64, f64),
+    pub used: MachineResources,
     /// Tasks that the holder of its partition is to place, probably here.
     pub planned: Vec<PlannedTask>,
     /// The leader has the machine's partition place nothing new on it.
@@ -296,7 +306,7 @@
             last_response: now,
             reclaim_at: None,
             assignments: Vec::new(),
-            used: (0.0, 0.0, 0.0),
+            used: MachineResources::default(),
             planned: Vec::new(),
             reserved: false,
             exited_attempts: Vec::new(),
@@ -348,19 +358,25 @@
         };
     }
 
+    /// All that it has.
+    pub fn resources(&self) -> MachineResources {
+        MachineResources {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            memory_gb: self.memory,
+        }
+    }
+
     /// Free CPUs, accelerators and memory. Everything counts from assignment to proof.
-    pub fn free(&self) -> (f64, f64, f64) {
-        let (c, g, m) = self.used;
-        (self.cpus - c, self.gpus - g, self.memory - m)
+    pub fn free(&self) -> MachineResources {
+        self.resources() - self.used
     }
 
     /// Sums up anew what the assignments take, after one came or went.
     pub(crate) fn recount(&mut self) {
-        let rooms = self.assignments.iter().map(|a| (a.cpus, a.gpus, a.memory));
-        let rooms = rooms.chain(self.planned.iter().map(|p| p.room));
-        self.used = rooms.fold((0.0, 0.0, 0.0), |sum, room| {
-            (sum.0 + room.0, sum.1 + room.1, sum.2 + room.2)
-        });
+        let taken = self.assignments.iter().map(Assignment::resources);
+        let taken = taken.chain(self.planned.iter().map(|planned| planned.room));
+        self.used = taken.fold(MachineResources::default(), |sum, task| sum + task);
     }
 
     /// The holder of its partition is to place a task, probably here.
