--- a/crates/core/src/scheduler/store_contact.rs
+++ b/crates/core/src/scheduler/store_contact.rs
@@ -1,24 +1,27 @@
-//! How long a leader may go on without contact to the key-value store.
+//! Which machines matter when the leader decides how long it may go on without contact to the key-value store.
 
 use crate::scheduler::Scheduler;
 use crate::state::machine::Machine;
 use crate::Micros;
 
 impl Scheduler {
-    /// Machines that do not answer and on which cancelled tasks are not proven gone.
-    pub(crate) fn unproven_machines(&self, now: Micros, silence: Micros) -> Vec<String> {
-        let may_run_cancelled = |machine: &&Machine| {
-            let mut live = machine.assignments.iter().filter(|a| a.may_exist());
-            live.any(|a| {
-                let job = self.jobs.get(a.job);
-                job.is_some_and(|job| job.cancelled.is_some())
-            })
-        };
-        self.machines
-            .values()
-            .filter(|machine| now.saturating_sub(machine.last_contact_at) > silence)
-            .filter(may_run_cancelled)
+    /// The names of machines that have been unreachable for longer than `max_silence` and on which tasks of cancelled
+    /// jobs are not proven gone.
+    pub(crate) fn unproven_machines(&self, now: Micros, max_silence: Micros) -> Vec<String> {
+        let machines = self.machines.values();
+        let silent =
+            machines.filter(|machine| now.saturating_sub(machine.last_contact_at) > max_silence);
+        silent
+            .filter(|machine| self.may_run_cancelled_tasks(machine))
             .map(|machine| machine.name.clone())
             .collect()
     }
+
+    fn may_run_cancelled_tasks(&self, machine: &Machine) -> bool {
+        let mut assignments = machine.assignments.iter();
+        assignments.any(|assignment| {
+            let job = self.jobs.get(assignment.job);
+            assignment.may_exist() && job.is_some_and(|job| job.cancelled.is_some())
+        })
+    }
 }
