--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,11 +1,13 @@
-//! The working state of a controller that looks after machines under a fenced lease: the leader, or a partition's holder.
+//! The working state of a controller that looks after machines under a fenced lease: the leader, or the holder of a
+//! partition.
 //!
-//! It is built from the key-value store once the lease is granted, and dropped whole when the lease is lost. Modules
-//! under `leader` run for the leader only, those under `holder` for the holder of a partition only; the others
+//! It is built from the key-value store once the lease is granted, and dropped as a whole when the lease is lost.
+//! Modules under `leader` run for the leader only, those under `holder` for the holder of a partition only; the others
 //! run for both.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, Role};
+use crate::scheduler::store_reads::{Loading, Watch};
 use crate::state::assignment_pages::Pages;
 use crate::state::completed_tasks::CompletedTaskPages;
 use crate::state::fleet::Fleet;
@@ -19,14 +21,10 @@
 use crate::state::quota::LeaderQuota;
 use crate::state::remote_partitions::RemotePartitions;
 use crate::state::stats::Stats;
-use crate::state::write_buffer::{RecordId, WriteBuffer};
-use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
+use crate::state::write_buffer::WriteBuffer;
+use crate::{Micros, SECOND};
 use grebewood_quota::TeamAmounts;
-use grebewood_wire as wire;
-use grebewood_wire::http::KeyValue;
-use grebewood_wire::peer::PeerRequest;
 use grebewood_wire::records::PARTITION;
-use grebewood_wire::Value;
 use log::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -37,194 +35,208 @@
 pub(crate) mod holder;
 pub(crate) mod leader;
 pub(crate) mod loading;
+pub(crate) mod progress;
 pub(crate) mod quota;
+pub(crate) mod replies;
 pub(crate) mod store_contact;
+pub(crate) mod store_reads;
+pub(crate) mod timers;
 pub(crate) mod watches;
 pub(crate) mod write_conditions;
 
-/// The number of an attempt carries the token under which it was given, above so many bits of a count.
+/// The number of an attempt is the fencing token under which it was given, followed by so many bits of a counter.
 const ATTEMPT_BITS: u32 = 20;
 
-/// How often peers are told of changed progress, so that polls at any node show short tasks too.
-const PROGRESS: Micros = 500 * MILLI;
+/// How often changed statistics are written.
+const STATS_INTERVAL: Micros = 20 * SECOND;
 
-/// Every so many times they are told all of it.
-const PROGRESS_WHOLE: u32 = 5;
+/// The lease is renewed so many times within its time to live.
+const RENEWALS_PER_LEASE: Micros = 4;
 
-/// How far the leader has read its state.
-#[derive(Debug, Default)]
-struct Loading {
-    /// Reads under way or to be repeated, by prefix or key, with where a list goes on.
-    missing: BTreeMap<String, Option<String>>,
-    retry: BTreeMap<String, Micros>,
-    entries: BTreeMap<String, Vec<KeyValue<Value>>>,
-    revisions: BTreeMap<String, u64>,
-}
-
-/// A watch of a prefix.
-#[derive(Clone, Debug, Default)]
-struct Watch {
-    since: u64,
-    open: bool,
-    retry_at: Micros,
-    /// The keys must be listed again.
-    relist: bool,
-    /// The last key of the pages that were listed again so far.
-    relisted_to: Option<String>,
-    /// The revision of the first of these pages.
-    relisted_as_of: Option<u64>,
-}
-
-/// A grant in the state service: a record under a lease.
+/// A fenced lease in the key-value store: a record that is attached to a lease and whose mod_revision fences off
+/// earlier owners.
 #[derive(Clone, Copy, Debug)]
 pub struct FencedLease {
-    /// The record's stamp, which is the fencing token.
+    /// The record's mod_revision, which is the fencing token.
     pub token: u64,
-    /// The lease.
+    /// The number of the lease.
     pub lease: u64,
-    /// When the lease was asked for.
+    /// When the lease was requested, in microseconds of the steady clock.
     pub lease_requested_at: Micros,
 }
 
-/// Everything the leader works with. It is built from state after the grant, and dropped whole
-/// when the leader steps down.
+/// The working state under one fenced lease. All times are microseconds of the steady clock.
+///
+/// The fields stand in three groups: those that the leader and holders of partitions share, those that only the leader
+/// uses, and those that only a holder uses.
 pub struct Scheduler {
+    // Shared by the leader and by holders of partitions: the lease.
     pub(crate) role: Role,
-    /// The leader's part in partitions.
-    pub(crate) remote_partitions: RemotePartitions,
-    /// A holder's part in its partition.
-    pub(crate) holder_state: HolderState,
-    /// The leader's part in allotments of the teams' limits.
-    pub(crate) leader_quota: LeaderQuota,
-    /// A holder's part in them.
-    pub(crate) holder_quota: HolderQuota,
+    /// The fencing token.
     pub token: u64,
     pub(crate) lease: u64,
+    /// When the lease is renewed next.
     pub(crate) extend_at: Micros,
-    /// The process stood still, and whether the grant still holds is not known yet. Until it is,
-    /// nothing is launched, stopped, written, rented or answered to a worker.
+    /// Whether the process was paused and the lease may have expired meanwhile. Until it is known to hold, no task is
+    /// launched or stopped, nothing is written, no machine is provisioned, and no heartbeat is answered.
     pub(crate) uncertain: bool,
-    loading: Option<Loading>,
-    /// When the grant was won; state was read after that.
+    /// When the lease was acquired; the records were read after that.
     pub(crate) began: Micros,
+
+    // Shared: records in the key-value store.
+    /// The reads with which the term begins, until all of them are done.
+    loading: Option<Loading>,
+    /// When all records had been read.
     pub loaded_at: Micros,
-    pub jobs: Jobs,
-    /// Jobs that ended lately, so that a late list cannot bring them back.
-    ended: VecDeque<String>,
-    pub machines: BTreeMap<String, Machine>,
-    pub pages: Pages,
-    /// Most bytes of a value, and most changes of a transaction. They are those of the settings
-    /// until the state service refuses what fits them.
+    watches: BTreeMap<&'static str, Watch>,
+    /// What has to be written.
+    pub write_buffer: WriteBuffer,
+    /// Flushes in a row that failed.
+    flush_failures: u32,
+    /// Most bytes of a value: that of the settings until the store refuses a value that fits it.
     value_bytes: usize,
+    /// Most operations of a transaction: that of the settings until the store refuses a transaction that fits it.
     transaction_operations: usize,
-    pub write_buffer: WriteBuffer,
-    pub fleet: Fleet,
+    /// The assignment pages that this scheduler writes.
+    pub pages: Pages,
+
+    // Shared: jobs.
+    /// Live jobs.
+    pub jobs: Jobs,
+    /// Jobs that ended lately, so that a late list cannot bring them back.
+    recently_ended: VecDeque<String>,
+    /// Keys of jobs whose records cannot be read.
+    unreadable_jobs: Vec<String>,
+    /// Jobs taken as cancelled whose cancellation was not found on record: whether they are over is yet to be read.
+    unconfirmed_cancellations: BTreeSet<String>,
+    /// Averages learned from what was seen.
     pub stats: Stats,
+    /// State of the placement rounds.
     pub placement: Placement,
-    pub headroom: Headroom,
+    /// Attempts numbered so far under this lease.
+    attempts: u64,
+
+    // Shared: machines and their agents.
+    /// Machines by name.
+    pub machines: BTreeMap<String, Machine>,
+    /// Machines that are being provisioned or terminated, or that are gone.
+    pub fleet: Fleet,
+    /// Heartbeats that are held until there is something to tell their agents.
     pub held_heartbeats: Vec<HeldHeartbeat>,
-    /// When the first of them is answered whatever it waits for.
+    /// When the first of them is answered in any case.
     pub held_until: Micros,
-    /// Check-ins of machines with room that wait for work.
-    pub long_polls: LongPolls,
-    /// Something happened that any of them may have waited for.
+    /// Whether something happened that any of them may have waited for.
     pub held_changed: bool,
-    pub completed_pages: CompletedTaskPages,
-    /// What each team uses, from assignment to proof, but for what holders have placed.
+    /// Heartbeats of machines with free resources that wait for tasks.
+    pub long_polls: LongPolls,
+    /// When any agent last sent a heartbeat.
+    pub last_heartbeat_at: Micros,
+    /// Machines with a direct command in flight, with the time at which the last one was sent.
+    pub direct: BTreeMap<String, Micros>,
+    /// When machines are next checked for being unreachable.
+    pub next_machine_check: Micros,
+
+    // The leader only.
+    /// Partitions and what their holders have told.
+    pub(crate) remote_partitions: RemotePartitions,
+    /// The teams' limits, and quota grants to holders.
+    pub(crate) leader_quota: LeaderQuota,
+    /// What each team uses, from assignment until proof that the task is gone, without what holders have placed.
     pub usage: TeamAmounts,
+    /// Free resources that are kept for services.
+    pub headroom: Headroom,
+    /// The pages of completed tasks.
+    pub completed_pages: CompletedTaskPages,
     /// Jobs whose progress changed since the peers were told.
     pub progress_dirty: BTreeSet<JobIndex>,
-    watches: BTreeMap<&'static str, Watch>,
-    pub attempts: u64,
-    pub next_machine_check: Micros,
-    progress_at: Micros,
+    next_progress_at: Micros,
+    /// Messages of progress sent so far.
     progress_round: u32,
-    stats_at: Micros,
-    /// When a worker last reported.
-    pub last_heartbeat_at: Micros,
-    /// Machines with a direct call under way, and when the last one was sent.
-    pub direct: BTreeMap<String, Micros>,
-    flush_failures: u32,
-    /// When the rentals on record are next compared with ours, and until when that goes on.
-    sweep_at: Micros,
-    sweep_until: Micros,
-    corrupt: Vec<String>,
-    /// Jobs said to be cancelled whose cancellation was not found on record; whether they are over
-    /// is yet to be read.
-    unproven: BTreeSet<String>,
+    next_stats_at: Micros,
+    /// When the provision requests on record are next compared with ours.
+    provision_sweep_at: Micros,
+    /// When that ends.
+    provision_sweep_until: Micros,
+
+    // The holder of a partition only.
+    /// What the leader has told, and what it is to be told.
+    pub(crate) holder_state: HolderState,
+    /// The quota grant, and the tasks that are to be placed under it.
+    pub(crate) holder_quota: HolderQuota,
 }
 
-/// Most bytes of a page in a value of this size.
+/// Most bytes of a page if a value may have this many: sizes of pages are upper bounds, except for the frame of the
+/// record.
 fn page_bytes(value_bytes: usize) -> usize {
     value_bytes * 9 / 10
 }
 
 impl Scheduler {
-    pub(crate) fn new(context: &Context, role: Role, grant: FencedLease) -> Self {
+    pub(crate) fn new(context: &Context, role: Role, lease: FencedLease) -> Self {
         let now = context.now.steady;
+        let store = &context.settings.store;
         Scheduler {
             role,
-            remote_partitions: RemotePartitions::default(),
-            holder_state: HolderState::default(),
-            leader_quota: LeaderQuota::default(),
-            holder_quota: HolderQuota::default(),
-            token: grant.token,
-            lease: grant.lease,
-            // The lease may be old already, if the state service is slow.
-            extend_at: grant.lease_requested_at + context.tuning.leader_lease_us / 4,
+            token: lease.token,
+            lease: lease.lease,
+            // The lease may be old already, if the store is slow.
+            extend_at: lease.lease_requested_at
+                + context.tuning.leader_lease_us / RENEWALS_PER_LEASE,
             uncertain: false,
-            loading: None,
             began: now,
+            loading: None,
             loaded_at: 0,
-            jobs: Jobs::default(),
-            ended: VecDeque::new(),
-            machines: BTreeMap::new(),
-            pages: Scheduler::pages_of(role),
-            value_bytes: context.settings.store.value_bytes,
-            transaction_operations: context.settings.store.transaction_operations,
+            watches: BTreeMap::new(),
             write_buffer: WriteBuffer::default(),
-            fleet: Fleet::new(now),
+            flush_failures: 0,
+            value_bytes: store.value_bytes,
+            transaction_operations: store.transaction_operations,
+            pages: Scheduler::pages_of(role),
+            jobs: Jobs::default(),
+            recently_ended: VecDeque::new(),
+            unreadable_jobs: Vec::new(),
+            unconfirmed_cancellations: BTreeSet::new(),
             stats: Stats::default(),
             placement: Placement::default(),
-            headroom: Headroom::default(),
+            attempts: 0,
+            machines: BTreeMap::new(),
+            fleet: Fleet::new(now),
             held_heartbeats: Vec::new(),
-            long_polls: LongPolls::default(),
             held_until: 0,
             held_changed: false,
-            completed_pages: CompletedTaskPages::new(page_bytes(
-                context.settings.store.value_bytes,
-            )),
+            long_polls: LongPolls::default(),
+            last_heartbeat_at: now,
+            direct: BTreeMap::new(),
+            next_machine_check: now,
+            remote_partitions: RemotePartitions::default(),
+            leader_quota: LeaderQuota::default(),
             usage: TeamAmounts::new(),
+            headroom: Headroom::default(),
+            completed_pages: CompletedTaskPages::new(page_bytes(store.value_bytes)),
             progress_dirty: BTreeSet::new(),
-            watches: BTreeMap::new(),
-            attempts: 0,
-            next_machine_check: now,
-            progress_at: now,
+            next_progress_at: now,
             progress_round: 0,
-            stats_at: now + 20 * SECOND,
-            last_heartbeat_at: now,
-            direct: BTreeMap::new(),
-            flush_failures: 0,
-            sweep_at: 0,
-            sweep_until: 0,
-            corrupt: Vec::new(),
-            unproven: BTreeSet::new(),
+            next_stats_at: now + STATS_INTERVAL,
+            provision_sweep_at: 0,
+            provision_sweep_until: 0,
+            holder_state: HolderState::default(),
+            holder_quota: HolderQuota::default(),
         }
     }
 
-    /// Most bytes of a page: sizes are upper bounds, but for the frame of the record.
+    /// Most bytes of a page.
     pub(crate) fn page_bytes(&self) -> usize {
         page_bytes(self.value_bytes)
     }
 
     /// Whether a machine may have a task of a job whose record cannot be read.
     pub(crate) fn has_unreadable_tasks(&self) -> bool {
-        let unknown = |m: &Machine| m.assignments.iter().any(|a| a.team.is_empty());
-        !self.corrupt.is_empty() && self.machines.values().any(unknown)
+        // The team of such a task is not known.
+        !self.unreadable_jobs.is_empty() && self.assignments().any(|a| a.team.is_empty())
     }
 
-    /// Whether state has been read, and the holder of a partition knows all that may be on its
-    /// machines, so that it can act.
+    /// Whether all records have been read and, for the holder of a partition, all tasks that may be on its machines are
+    /// known, so that it can act.
     pub fn loaded(&self) -> bool {
         self.loading.is_none() && (!self.is_holder() || self.holder_state.knows_tasks())
     }
@@ -237,27 +249,28 @@
     /// Whether it is known which machines are in partitions.
     pub(crate) fn knows_partitions(&self, context: &Context) -> bool {
         let loading = self.loading.as_ref();
-        !context.supports_partitions()
-            || loading.is_none_or(|loading| !loading.missing.contains_key(PARTITION))
+        !context.supports_partitions() || loading.is_none_or(|loading| loading.has_read(PARTITION))
     }
 
-    /// The lease of its grant.
+    /// The number of the lease.
     pub(crate) fn lease(&self) -> u64 {
         self.lease
     }
 
-    /// Whether the grant may have run out while the process stood still.
+    /// Whether the lease may have expired while the process was paused.
     pub fn uncertain(&self) -> bool {
         self.uncertain
     }
 
+    /// The lease is known to hold.
     pub(crate) fn confirm_lease(&mut self) {
         if self.uncertain {
             self.uncertain = false;
-            info!("the grant with token {} still holds", self.token);
+            info!(token = self.token; "lease still holds after a pause of the process");
         }
     }
 
+    /// The purpose of a call that this scheduler makes.
     pub(crate) fn pending(&self, what: SchedulerCall) -> CallPurpose {
         CallPurpose::Scheduler {
             token: self.token,
@@ -265,179 +278,20 @@
         }
     }
 
-    /// A number for an attempt. It carries the token, so no leader ever reuses one of another.
+    /// A new number for an attempt. It contains the fencing token, so no leader or holder ever reuses one of another.
     pub fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
         (self.token << ATTEMPT_BITS) + self.attempts
     }
 
-    /// Whether the number of the attempt was given under this grant.
+    /// Whether the number of the attempt was given under this lease.
     pub(crate) fn has_numbered(&self, attempt: u64) -> bool {
         attempt >> ATTEMPT_BITS == self.token
     }
 
-    pub fn next_wake(&self) -> Micros {
-        let mut at = self.extend_at;
-        if self.uncertain {
-            return at;
-        }
-        if let Some(loading) = &self.loading {
-            for t in loading.retry.values() {
-                at = at.min(*t);
-            }
-            return at;
-        }
-        for w in self.watches.values().filter(|w| !w.open) {
-            at = at.min(w.retry_at);
-        }
-        at = at.min(self.flush_wake());
-        if self.is_holder() {
-            return at.min(self.holder_wake());
-        }
-        at = at.min(self.remote_partitions.next_wake());
-        if !self.held_heartbeats.is_empty() {
-            at = at.min(self.held_until);
-        }
-        at.min(self.long_polls.next_until())
-            .min(self.placement.next_at)
-            .min(self.next_machine_check)
-            .min(self.fleet.next_wake())
-            .min(self.progress_at)
-    }
-
-    /// Tasks completed and running of a live job, for display.
+    /// Tasks of a live job that are completed and that are running, for display.
     pub fn progress_of(&self, id: &str) -> Option<(u64, u64)> {
         let job = self.jobs.get(self.jobs.find(id)?)?;
-        Some((job.done_count, job.running as u64))
-    }
-
-    /// All timers of the leader.
-    pub(crate) fn run(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
-        let now = context.now.steady;
-        if now >= self.extend_at {
-            // A reply may be lost: the next renewal goes out all the same.
-            let parts = if self.uncertain { 12 } else { 4 };
-            self.extend_at = now + context.tuning.leader_lease_us / parts;
-            let path = format!("/leases/{}/extend", self.lease);
-            let pending = self.pending(SchedulerCall::Extend);
-            let timeout = context.tuning.leader_lease_us / 4;
-            context.call(Target::Store, "POST", path, Vec::new(), timeout, pending);
-        }
-        if self.uncertain {
-            return;
-        }
-        if self.loading.is_some() {
-            return self.run_loading(context);
-        }
-        self.run_watches(context);
-        if self.is_holder() {
-            return self.run_holder(context, watch);
-        }
-        self.run_machines(context);
-        self.enforce_limits(context);
-        self.run_placement(context, watch);
-        self.run_fleet(context);
-        if now >= self.stats_at {
-            self.stats_at = now + 20 * SECOND;
-            if self.stats.changed {
-                self.stats.changed = false;
-                self.write_buffer
-                    .mark_dirty_by(RecordId::Stats, now + SECOND);
-            }
-        }
-        self.run_flush(context);
-        self.run_sweep(context);
-        self.run_held_heartbeats(context);
-        if now >= self.progress_at {
-            self.progress_at = now + PROGRESS;
-            self.send_progress(context);
-        }
-    }
-
-    pub(crate) fn on_reply(
-        &mut self,
-        context: &mut Context,
-        what: SchedulerCall,
-        outcome: Outcome,
-    ) -> Result<(), String> {
-        match what {
-            SchedulerCall::Extend => {
-                if let Outcome::Answer { status: 404, .. } = outcome {
-                    return Err("the lease has ended".into());
-                }
-                if matches!(outcome, Outcome::Answer { status: 200, .. }) {
-                    self.confirm_lease();
-                } else {
-                    self.extend_at = self
-                        .extend_at
-                        .min(context.now.steady + context.tuning.leader_lease_us / 12);
-                }
-                Ok(())
-            }
-            SchedulerCall::List { prefix } => {
-                self.on_list(context, &prefix, outcome);
-                Ok(())
-            }
-            SchedulerCall::Read { key } => {
-                self.on_read(context, key, outcome);
-                Ok(())
-            }
-            SchedulerCall::Watch { prefix } => {
-                self.on_watch(context, prefix, outcome);
-                Ok(())
-            }
-            SchedulerCall::Flush => self.on_flush(context, outcome),
-            SchedulerCall::FlushReadBack => self.on_read_back(context, outcome),
-            SchedulerCall::Refresh { key } => {
-                self.on_refresh(context, &key, outcome);
-                Ok(())
-            }
-            SchedulerCall::Fleet(call) => {
-                self.on_fleet(context, call, outcome);
-                Ok(())
-            }
-            SchedulerCall::Direct { machine } => {
-                self.on_direct(context, &machine, outcome);
-                Ok(())
-            }
-            SchedulerCall::Orders { partition, claim } => {
-                self.on_orders_answered(context, partition, claim, outcome);
-                Ok(())
-            }
-        }
-    }
-
-    fn send_progress(&mut self, context: &mut Context) {
-        // A node that was not there missed what did not change since: all of it goes out again
-        // now and then.
-        self.progress_round += 1;
-        if self.progress_round.is_multiple_of(PROGRESS_WHOLE) {
-            self.progress_dirty
-                .extend(self.jobs.iter().map(|(index, _)| index));
-        }
-        let mut changed = Vec::new();
-        while let (Some(index), true) = (self.progress_dirty.pop_first(), changed.len() < 500) {
-            if let Some(j) = self.jobs.get(index) {
-                changed.push((j.id.clone(), j.done_count, j.running as u64));
-            }
-        }
-        if changed.is_empty() {
-            return;
-        }
-        let message = wire::to_peer(&PeerRequest::Progress {
-            from: context.settings.member.clone(),
-            token: self.token,
-            jobs: changed,
-        });
-        for peer in 0..context.settings.siblings.len() {
-            context.call(
-                Target::Peer(peer),
-                "POST",
-                "/peer".into(),
-                message.clone(),
-                900 * MILLI,
-                CallPurpose::Ignore,
-            );
-        }
+        Some((job.done_count, u64::from(job.running)))
     }
 }
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -1,96 +1,122 @@
-//! Writes assignments to pages, and splits pages that have become too large.
+//! Assignment pages: moves assignments off pages that have become too large, and renders pages.
 
+use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::assignment_pages::Page;
+use crate::state::machine::Machine;
 use crate::state::write_buffer::RecordId;
 use crate::Micros;
-use grebewood_wire::records::{MachineAssignments, PageRecord};
+use grebewood_partition::PartitionId;
+use grebewood_wire::records::{partition_of_page, MachineAssignments, PageRecord};
 use std::collections::BTreeMap;
 
 impl Scheduler {
-    pub(crate) fn page_mut(&mut self, n: u64) -> &mut Page {
-        self.pages.page_mut(n)
+    pub(crate) fn page_mut(&mut self, number: u64) -> &mut Page {
+        self.pages.page_mut(number)
     }
 
-    /// A page with room for one more assignment.
+    /// The partition whose holder writes the page with this number; `None`: the leader does.
+    pub(crate) fn written_by_holder(&self, context: &Context, page: u64) -> Option<PartitionId> {
+        let partition = partition_of_page(page).filter(|_| context.supports_quota_grants());
+        partition.filter(|id| self.is_holder() || self.remote_partitions.record(*id).is_some())
+    }
+
+    /// The number of a page with room for one more assignment.
     pub(crate) fn page_with_room(&mut self) -> u64 {
-        let most = self.page_bytes();
-        self.pages.with_room(most)
+        let max_bytes = self.page_bytes();
+        self.pages.with_room(max_bytes)
     }
 
-    /// Moves assignments off pages that are larger than a value may be. The result says from which
-    /// page to which.
+    /// Moves assignments off pages that are larger than a value may be. The result says from which page to which.
     pub(crate) fn split_placements(&mut self, due: Micros) -> Vec<(RecordId, RecordId)> {
-        let most = self.page_bytes();
+        let max_bytes = self.page_bytes();
         for page in self.pages.by_number.values_mut() {
-            page.barred |= page.bytes > most;
+            page.closed |= page.bytes > max_bytes;
         }
         let mut moves = Vec::new();
-        let numbers: Vec<u64> = self.pages.by_number.keys().copied().collect();
+        let numbers: Vec<u64> = self.pages.numbers().collect();
         for from in numbers {
-            if self.page_mut(from).bytes <= most || self.page_mut(from).broken {
+            let page = self.page_mut(from);
+            if page.unreadable || page.bytes <= max_bytes {
                 continue;
             }
-            let names: Vec<String> = self.page_mut(from).machines.keys().cloned().collect();
-            let here = names.iter().filter_map(|name| {
-                let assignments = &self.machines.get(name)?.assignments;
-                let at = assignments.iter().enumerate();
-                Some(
-                    at.filter(|(_, a)| a.page == from)
-                        .map(move |(at, _)| (name, at)),
-                )
-            });
-            let here: Vec<(&String, usize)> = here.flatten().collect();
-            for (name, at) in here.into_iter().rev() {
-                if self.page_mut(from).bytes <= most {
+            for (machine, position) in self.assignments_on_page(from).into_iter().rev() {
+                if self.page_mut(from).bytes <= max_bytes {
                     break;
                 }
-                let to = self.page_with_room();
-                let Some(a) = self.machines.get_mut(name).map(|m| &mut m.assignments[at]) else {
-                    continue;
-                };
-                let old = a.clone();
-                a.page = to;
-                if !a.may_exist() {
-                    // Not launched yet: that waits for the new page.
-                    a.written = self.write_buffer.mark_dirty(RecordId::Page(to), due);
-                }
-                let new = a.clone();
-                self.page_mut(from).remove(name, &old);
-                self.page_mut(to).add(name, &new);
-                moves.push((RecordId::Page(from), RecordId::Page(to)));
+                let to = self.move_assignment(&machine, position, from, due);
+                moves.extend(to.map(|to| (RecordId::Page(from), RecordId::Page(to))));
             }
         }
         moves
     }
 
-    /// The current content of a page.
-    pub(crate) fn page_record(&self, n: u64) -> PageRecord {
-        let mut record = PageRecord::default();
-        let Some(page) = self.pages.by_number.get(&n) else {
-            return record;
+    /// The assignments on a page: the name of the machine, and the position among the machine's assignments.
+    fn assignments_on_page(&self, number: u64) -> Vec<(String, usize)> {
+        let Some(page) = self.pages.by_number.get(&number) else {
+            return Vec::new();
         };
-        for name in page.machines.keys() {
-            let Some(m) = self.machines.get(name) else {
-                continue;
-            };
-            let mut groups: BTreeMap<u64, Vec<(String, u64, u64)>> = BTreeMap::new();
-            for a in m.assignments.iter().filter(|a| a.page == n) {
-                groups.entry(a.incarnation).or_default().push((
-                    a.job_id.clone(),
-                    a.task,
-                    a.attempt,
-                ));
-            }
-            for (incarnation, t) in groups {
-                record.machines.push(MachineAssignments {
-                    machine: name.clone(),
-                    incarnation,
-                    zone: m.zone.clone(),
-                    assignments: t,
-                });
-            }
+        let machines = page.machines.keys();
+        let assignments = machines.filter_map(|name| {
+            let assignments = self.machines.get(name)?.assignments.iter().enumerate();
+            let on_page = assignments.filter(|(_, assignment)| assignment.page == number);
+            Some(on_page.map(|(position, _)| (name.clone(), position)))
+        });
+        assignments.flatten().collect()
+    }
+
+    /// Moves an assignment to a page with room, whose number is the result.
+    fn move_assignment(
+        &mut self,
+        machine: &str,
+        position: usize,
+        from: u64,
+        due: Micros,
+    ) -> Option<u64> {
+        let to = self.page_with_room();
+        let assignments = &mut self.machines.get_mut(machine)?.assignments;
+        let assignment = &mut assignments[position];
+        assignment.page = to;
+        if !assignment.may_exist() {
+            // It is launched once it is durable on the new page.
+            assignment.written = self.write_buffer.mark_dirty(RecordId::Page(to), due);
         }
-        record
+        let assignment = assignment.clone();
+        self.page_mut(from).remove(machine, &assignment);
+        self.page_mut(to).add(machine, &assignment);
+        Some(to)
     }
+
+    /// The current content of a page.
+    pub(crate) fn page_record(&self, number: u64) -> PageRecord {
+        let page = self.pages.by_number.get(&number);
+        let names = page.into_iter().flat_map(|page| page.machines.keys());
+        let machines = names.filter_map(|name| self.machines.get(name));
+        PageRecord {
+            machines: machines
+                .flat_map(|machine| assignments_by_incarnation(machine, number))
+                .collect(),
+        }
+    }
+}
+
+/// The assignments of a machine on this page, grouped by the incarnation of the agent that is to run them.
+fn assignments_by_incarnation(machine: &Machine, page: u64) -> Vec<MachineAssignments> {
+    let mut groups: BTreeMap<u64, Vec<(String, u64, u64)>> = BTreeMap::new();
+    let on_page = machine.assignments.iter();
+    for assignment in on_page.filter(|assignment| assignment.page == page) {
+        let group = groups.entry(assignment.incarnation).or_default();
+        let job = assignment.job_id.clone();
+        group.push((job, assignment.task, assignment.attempt));
+    }
+    let groups = groups.into_iter().map(|(incarnation, assignments)| {
+        let (machine, zone) = (machine.name.clone(), machine.zone.clone());
+        MachineAssignments {
+            machine,
+            incarnation,
+            zone,
+            assignments,
+        }
+    });
+    groups.collect()
 }
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -1,4 +1,4 @@
-//! Cancellations and the completion of jobs.
+//! Cancellations and the end of jobs.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -8,20 +8,22 @@
 use grebewood_wire::records::{cancel_key, CancelRecord, OLD_CANCEL};
 use log::error;
 
-/// By how much the writes of ends go ahead of their turn.
+/// The end of a job is written ahead of changes that have been due for less than this: it is what the user waits for,
+/// and it makes every later read of all records smaller.
 const END_AHEAD: Micros = 10 * SECOND;
 
 impl Scheduler {
-    /// Notes that the job is cancelled: nothing of it starts any more, and what may run is
-    /// stopped. `record` says since when: the time to `cancel_s` runs on whoever leads. With every
-    /// new leader it once began anew, and a machine that could not be reached was kept too long.
+    /// Notes that the job is cancelled: no task of it is started any more, and those that may run are stopped.
+    ///
+    /// `record` says since when: the time that a cancellation may take runs on under the next leader. When it began
+    /// anew with every leader, a machine that could not be reached was kept too long.
     pub(crate) fn on_cancelled(
         &mut self,
         context: &mut Context,
         id: &str,
         record: Option<&CancelRecord>,
     ) {
-        // What a peer said of a job that another leader accepted meanwhile waits for its record.
+        // A job that another leader accepted meanwhile may not be known yet: its cancellation waits for its record.
         let Some(index) = self.jobs.find(id) else {
             return;
         };
@@ -33,78 +35,86 @@
             return;
         }
         self.holder_state.note_cancelled(id, now);
-        let ago = record.map_or(0, |r| context.now.wall.saturating_sub(r.cancelled_us));
-        job.cancelled = Some(now as i64 - ago as i64);
+        let age = record.map_or(0, |record| {
+            context.now.wall.saturating_sub(record.cancelled_us)
+        });
+        job.cancelled = Some(now as i64 - age as i64);
         job.ending = None;
         self.revoke_job(context, index);
         self.stop_job(context, index);
         self.end_if_over(context, index);
     }
 
-    /// Applies what the node knows of the job's cancellation, from wherever.
+    /// Applies a cancellation of the job that this controller knows of, from whatever source.
     pub(crate) fn apply_cancellation(&mut self, context: &mut Context, id: &str) {
-        let known = context.cancellations.get(id).map(|k| CancelRecord {
-            cancelled_us: k.cancelled_us,
-        });
-        if let Some(record) = known.filter(|_| self.loaded()) {
-            self.on_cancelled(context, id, Some(&record));
+        if !self.loaded() {
+            return;
         }
+        let Some(known) = context.cancellations.get(id) else {
+            return;
+        };
+        let record = CancelRecord {
+            cancelled_us: known.cancelled_us,
+        };
+        self.on_cancelled(context, id, Some(&record));
     }
 
-    /// State has no cancellation of this job after all: what was said of it was wrong, and the job
-    /// runs. Only its record may end it.
+    /// The store has no cancellation of this job after all: what was known of it was wrong, and the job runs. Only its
+    /// record may end it.
     pub(crate) fn retract_cancellation(&mut self, context: &mut Context, id: &str) {
         context.cancellations.forget(id);
-        let job = self
-            .jobs
-            .find(id)
-            .and_then(|index| self.jobs.get_mut(index));
-        if let Some(job) = job.filter(|j| j.cancelled.is_some()) {
-            error!("{id}: said to be cancelled, but not on record");
+        let index = self.jobs.find(id);
+        let job = index.and_then(|index| self.jobs.get_mut(index));
+        if let Some(job) = job.filter(|job| job.cancelled.is_some()) {
+            error!(job = id; "job was taken as cancelled, but its cancellation is not on record");
             job.cancelled = None;
             job.ending = None;
             self.placement.request_round(context.now.steady);
         }
     }
 
-    /// The key of the job's cancellation that is on record.
+    /// The key under which the job's cancellation is on record, or would be.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
-        let old = format!("{OLD_CANCEL}{id}");
-        match self.write_buffer.mod_revisions.contains_key(&old) {
-            true => old,
+        let legacy = format!("{OLD_CANCEL}{id}");
+        match self.write_buffer.is_on_record(&legacy) {
+            true => legacy,
             false => cancel_key(id),
         }
     }
 
-    /// Starts writing the end of a job if it has come to it.
+    /// Writes the end of a job if it is over.
     pub(crate) fn end_if_over(&mut self, context: &Context, index: JobIndex) {
-        // The leader ends jobs.
+        // Only the leader ends jobs.
         if self.is_holder() {
             return;
         }
-        let off_machines = self.is_off_machines(index);
-        let Some(job) = self.jobs.get_mut(index) else {
+        let Some(ending) = self.final_status(index) else {
             return;
         };
-        let ending = if job.cancelled.is_some() {
-            off_machines.then_some(FinalStatus::Aborted)
-        } else {
-            job.all_done().then_some(FinalStatus::Done)
+        let Some(job) = self.jobs.get_mut(index) else {
+            return;
         };
-        if ending.is_some() && ending != job.ending {
-            job.ending = ending;
-            let id = job.id.clone();
-            let key = self.cancellation_key(&id);
-            if ending == Some(FinalStatus::Aborted)
-                && !self.write_buffer.mod_revisions.contains_key(&key)
-            {
-                // It is known from a peer or a user's request only. A job ends as cancelled only if
-                // that is on record: its stamp is read first.
-                self.write_buffer.stale.push(key);
-            }
-            // An end frees what the user waits for, and room in every later read of state.
-            let due = context.now.steady.saturating_sub(END_AHEAD);
-            self.write_buffer.mark_dirty_by(RecordId::Over(index), due);
+        if job.ending == Some(ending) {
+            return;
+        }
+        job.ending = Some(ending);
+        let id = job.id.clone();
+        let cancellation = self.cancellation_key(&id);
+        if ending == FinalStatus::Aborted && !self.write_buffer.is_on_record(&cancellation) {
+            // The cancellation is known from a peer or from a user's request only. A job ends as cancelled only if its
+            // cancellation is on record: the mod_revision is read first.
+            self.write_buffer.stale.push(cancellation);
+        }
+        let due = context.now.steady.saturating_sub(END_AHEAD);
+        self.write_buffer.mark_dirty_by(RecordId::Over(index), due);
+    }
+
+    /// How the job ends if it is over now.
+    fn final_status(&self, index: JobIndex) -> Option<FinalStatus> {
+        let job = self.jobs.get(index)?;
+        if job.cancelled.is_some() {
+            return self.is_off_machines(index).then_some(FinalStatus::Aborted);
         }
+        job.all_done().then_some(FinalStatus::Done)
     }
 }
--- /dev/null
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -0,0 +1,110 @@
+//! What follows when the store calls a transaction invalid: a value or the transaction is larger than it takes now.
+
+use crate::context::Context;
+use crate::scheduler::flush::REFUSED_PAUSE;
+use crate::scheduler::{page_bytes, Scheduler};
+use crate::state::write_buffer::{Batch, RecordId};
+use crate::{Micros, MILLI, SECOND};
+use grebewood_wire as wire;
+use grebewood_wire::http::Operation;
+use log::{error, warn};
+
+/// A transaction may always have so many operations, as far as this controller is concerned.
+const MIN_TRANSACTION_OPERATIONS: usize = 3;
+
+/// A value may always have so many bytes, as far as this controller is concerned.
+const MIN_VALUE_BYTES: usize = 700;
+
+/// How long the parts of a page that is too large may wait: what is new is written first.
+const SPLIT_DELAY: Micros = 500 * MILLI;
+
+impl Scheduler {
+    /// The same transaction would be refused for good, so each of its records is written alone; and one that is
+    /// refused alone becomes smaller.
+    pub(crate) fn on_flush_refused(&mut self, context: &Context, batch: &Batch, answer: &str) {
+        let now = context.now.steady;
+        self.write_buffer
+            .back_off(now, context.tuning.flush_interval_us);
+        match &batch.records[..] {
+            [(record, _)] => self.on_record_refused(context, batch, record, answer),
+            records => {
+                let count = records.len();
+                warn!(records = count, error = answer; "store refused a transaction, its records are written one by one");
+                self.write_buffer.isolate(records);
+                let operations = batch.transaction.apply.len() / 2;
+                self.transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
+            }
+        }
+    }
+
+    /// The transaction of this record alone was called invalid.
+    fn on_record_refused(
+        &mut self,
+        context: &Context,
+        batch: &Batch,
+        record: &RecordId,
+        answer: &str,
+    ) {
+        let now = context.now.steady;
+        let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
+        error!(key = keys.join(", "), error = answer; "store refused a record");
+        // It was not the number of operations, then.
+        let operations = batch.transaction.apply.len();
+        self.transaction_operations = match operations > MIN_TRANSACTION_OPERATIONS {
+            true => MIN_TRANSACTION_OPERATIONS,
+            false => context.settings.store.transaction_operations,
+        };
+        match record {
+            RecordId::Page(_) | RecordId::Done(_) | RecordId::Stats if has_large_value(batch) => {
+                self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
+                self.split_pages(context);
+                self.write_buffer.postpone(record, now + SECOND);
+            }
+            RecordId::Limits | RecordId::Allotment(_) => {
+                self.leader_quota.refused = true;
+                self.write_buffer.postpone(record, now + REFUSED_PAUSE);
+            }
+            _ => self.write_buffer.postpone(record, now + REFUSED_PAUSE),
+        }
+    }
+
+    /// Moves content off pages that are larger than a value may be. The pages that it moves to are written first, then
+    /// the old ones: until then the old ones stay as an earlier leader wrote them and list all of it.
+    pub(crate) fn split_pages(&mut self, context: &Context) {
+        let due = context.now.steady + SPLIT_DELAY;
+        let assignments = self.split_placements(due);
+        let completed_tasks = self
+            .completed_pages
+            .split(page_bytes(self.value_bytes), &mut self.jobs)
+            .into_iter()
+            .map(|(from, to)| (RecordId::Done(from), RecordId::Done(to)));
+        let mut moves: Vec<(RecordId, RecordId)> = assignments;
+        moves.extend(completed_tasks);
+        moves.dedup();
+        for (from, to) in moves {
+            self.write_moved_content(from, to, due, due + SECOND);
+        }
+    }
+
+    /// Writes the record to which content was moved, and only then the one from which it was.
+    pub(crate) fn write_moved_content(
+        &mut self,
+        from: RecordId,
+        to: RecordId,
+        to_due: Micros,
+        from_due: Micros,
+    ) {
+        let version = self.write_buffer.mark_dirty_lazily(to.clone(), to_due);
+        self.write_buffer.wait_for(from.clone(), to, version);
+        self.write_buffer.mark_dirty_lazily(from, from_due);
+    }
+}
+
+/// Whether one of the batch's values is larger than each value may be.
+fn has_large_value(batch: &Batch) -> bool {
+    let mut operations = batch.transaction.apply.iter();
+    operations.any(|operation| match operation {
+        Operation::Put { value, .. } => wire::json_size(value) > MIN_VALUE_BYTES,
+        Operation::Delete { .. } => false,
+    })
+}
--- /dev/null
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -0,0 +1,146 @@
+//! Renders records into the conditions and operations that write their current content.
+
+use crate::context::Context;
+use crate::scheduler::Scheduler;
+use crate::state::jobs::{FinalStatus, JobIndex};
+use crate::state::write_buffer::{RecordId, RecordWrite};
+use crate::transactions::{absent, put};
+use grebewood_partition::PartitionId;
+use grebewood_wire as wire;
+use grebewood_wire::http::{to_value, Operation};
+use grebewood_wire::records::{
+    job_key, partition_key, quota_grant_key, FinishedJobRecord, CATALOGUE, DONE, FINISHED, LIMITS,
+    PAGE, RENTAL, STATS,
+};
+use log::warn;
+use serde::Serialize;
+
+impl Scheduler {
+    /// Renders a record's current content; `None`: it need not be written any more.
+    pub(crate) fn render(&mut self, context: &Context, record: &RecordId) -> Option<RecordWrite> {
+        match record {
+            RecordId::Allotment(partition) => self.render_quota_grant(*partition),
+            RecordId::Page(number) => self.render_assignments(context, *number),
+            RecordId::Done(number) => {
+                let content = self.completed_pages.record(*number, &self.jobs);
+                Some(self.put_unchanged(format!("{DONE}{number}"), &content))
+            }
+            RecordId::PendingProvision(machine) => self.render_provision(machine),
+            RecordId::Stats => {
+                let content = self.stats.record_within(self.value_bytes);
+                Some(self.put_unchanged(STATS.into(), &content))
+            }
+            RecordId::Catalogue => self.render_catalogue(context),
+            RecordId::Limits => self.render_limits(),
+            RecordId::Partition(id) => {
+                let content = self.remote_partitions.record(*id)?;
+                Some(self.put_unchanged(partition_key(*id), content))
+            }
+            RecordId::Deleted(key) => self.delete_unchanged(key),
+            RecordId::Over(index) => self.render_job_end(*index),
+        }
+    }
+
+    /// Puts a key on the condition that it has not changed.
+    fn put_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
+        RecordWrite {
+            conditions: vec![self.write_buffer.unchanged(&key)],
+            operations: vec![put(key, content)],
+        }
+    }
+
+    /// Deletes a key on the condition that it has not changed; `None`: there is no such key.
+    fn delete_unchanged(&self, key: &str) -> Option<RecordWrite> {
+        self.write_buffer.is_on_record(key).then(|| RecordWrite {
+            conditions: vec![self.write_buffer.unchanged(key)],
+            operations: vec![delete(key)],
+        })
+    }
+
+    fn render_quota_grant(&mut self, partition: PartitionId) -> Option<RecordWrite> {
+        if !self.leader_quota.allotments.differs_from_record(partition) {
+            return None;
+        }
+        let claim = self.remote_partitions.claim_token(partition).unwrap_or(0);
+        let content = self.leader_quota.allotments.render(partition, claim);
+        Some(self.put_unchanged(quota_grant_key(partition), &content))
+    }
+
+    fn render_assignments(&self, context: &Context, page: u64) -> Option<RecordWrite> {
+        if !self.is_holder() && self.written_by_holder(context, page).is_some() {
+            return None;
+        }
+        let key = format!("{PAGE}0/{page}");
+        Some(self.put_unchanged(key, &self.page_record(page)))
+    }
+
+    fn render_provision(&self, machine: &str) -> Option<RecordWrite> {
+        let key = format!("{RENTAL}{machine}");
+        match self.fleet.provision_record(machine) {
+            Some(content) => Some(self.put_unchanged(key, &content)),
+            None => self.delete_unchanged(&key),
+        }
+    }
+
+    fn render_catalogue(&self, context: &Context) -> Option<RecordWrite> {
+        let machine_types = context.catalogue.clone()?;
+        let content = wire::http::Catalogue { machine_types };
+        if wire::json_size(&to_value(&content)) > self.value_bytes {
+            // With a part of the catalogue on record, jobs that can run would be refused. Without a record each
+            // controller asks the cloud.
+            warn!(key = CATALOGUE; "record is too large for the store and is not written");
+            return None;
+        }
+        Some(self.put_unchanged(CATALOGUE.into(), &content))
+    }
+
+    fn render_limits(&self) -> Option<RecordWrite> {
+        let content = self.limits_record();
+        if wire::json_size(&to_value(&content)) > self.value_bytes {
+            warn!(key = LIMITS; "record is too large for the store, no quota is granted to holders");
+            return None;
+        }
+        Some(self.put_unchanged(LIMITS.into(), &content))
+    }
+
+    /// The end of a job: its final status is written, and its live records are deleted.
+    fn render_job_end(&self, index: JobIndex) -> Option<RecordWrite> {
+        let job = self.jobs.get(index)?;
+        let ending = job.ending?;
+        let (live, finished) = (job_key(&job.id), format!("{FINISHED}{}", job.id));
+        let cancellation = self.cancellation_key(&job.id);
+        let content = FinishedJobRecord {
+            status: ending.status().into(),
+            tasks: job.tasks(),
+        };
+        let mut write = RecordWrite {
+            conditions: vec![absent(&finished), self.write_buffer.unchanged(&live)],
+            operations: vec![put(finished, &content), delete(&live)],
+        };
+        match ending {
+            // A cancellation that is on record before the end takes precedence.
+            FinalStatus::Done => write.conditions.push(absent(&cancellation)),
+            FinalStatus::Aborted => self.add_deletion(&mut write, &cancellation),
+        }
+        // A record of an earlier version. If there are more of them, those are left behind, which costs space but is
+        // harmless.
+        let legacy = format!("{DONE}{}/0", job.id);
+        if self.write_buffer.is_on_record(&legacy)
+            && write.operations.len() < self.transaction_operations
+        {
+            self.add_deletion(&mut write, &legacy);
+        }
+        Some(write)
+    }
+
+    fn add_deletion(&self, write: &mut RecordWrite, key: &str) {
+        write.conditions.push(self.write_buffer.unchanged(key));
+        write.operations.push(delete(key));
+    }
+}
+
+fn delete(key: &str) -> Operation {
+    Operation::Delete {
+        delete: key.to_string(),
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -0,0 +1,201 @@
+//! Reads the assignment pages back.
+
+use crate::context::Context;
+use crate::scheduler::loading::page_number;
+use crate::scheduler::Scheduler;
+use crate::state::jobs::JobIndex;
+use crate::state::machine::{Assignment, Stop, TaskOnMachine};
+use crate::state::write_buffer::RecordId;
+use crate::SECOND;
+use grebewood_partition::PartitionId;
+use grebewood_wire::http::{from_value, KeyValue, Submission};
+use grebewood_wire::peer::{PlacedTask, TaskAttempt};
+use grebewood_wire::records::{job_key, MachineAssignments, PageRecord};
+use grebewood_wire::Value;
+use log::error;
+
+/// How an assignment counts as launched that an earlier leader or holder wrote: before every heartbeat.
+const LAUNCHED_EARLIER: (u64, u64) = (0, 0);
+
+/// Which page is being read.
+#[derive(Clone, Copy)]
+struct LoadedPage {
+    number: u64,
+    /// The partition whose holder writes the page; `None`: the leader does.
+    written_by: Option<PartitionId>,
+    /// Whether this scheduler writes the page.
+    is_ours: bool,
+}
+
+/// A task of a job whose record can be read, or of one whose record cannot.
+#[derive(Clone, Copy)]
+enum LoadedJob {
+    Known(JobIndex),
+    Unreadable,
+}
+
+impl Scheduler {
+    /// Takes all assignment pages.
+    pub(crate) fn load_assignment_pages(
+        &mut self,
+        context: &mut Context,
+        entries: Vec<KeyValue<Value>>,
+    ) {
+        for entry in entries {
+            self.write_buffer
+                .note_revision(&entry.key, entry.mod_revision);
+            self.load_assignment_page(context, &entry);
+        }
+    }
+
+    fn load_assignment_page(&mut self, context: &mut Context, entry: &KeyValue<Value>) {
+        let number = page_number(&entry.key);
+        let (Some(number), Ok(record)) = (number, from_value::<PageRecord>(&entry.value)) else {
+            return self.on_unreadable_page(context, &entry.key, number);
+        };
+        let written_by = self.written_by_holder(context, number);
+        let page = LoadedPage {
+            number,
+            written_by,
+            is_ours: written_by.is_some() == self.is_holder(),
+        };
+        if page.is_ours {
+            self.page_mut(number);
+        }
+        for machine in &record.machines {
+            for (job, task, attempt) in &machine.assignments {
+                let (task, attempt) = (*task, *attempt);
+                let attempt = TaskAttempt { attempt, task };
+                self.load_assignment(context, page, machine, job, attempt);
+            }
+        }
+        if let Some(partition) = written_by.filter(|_| !page.is_ours) {
+            self.write_quota_grant(context, partition, 0);
+        }
+    }
+
+    /// Nothing can be said of what the page lists: no task of any live job may be started until every machine has sent
+    /// a heartbeat or was terminated.
+    fn on_unreadable_page(&mut self, context: &Context, key: &str, number: Option<u64>) {
+        error!(key = key; "record cannot be read, nothing is placed until all machines have been heard");
+        self.placement.blocked_until =
+            context.now.steady + context.settings.agent_lease * 2 + 10 * SECOND;
+        if let Some(number) = number {
+            self.page_mut(number).unreadable = true;
+        }
+    }
+
+    fn load_assignment(
+        &mut self,
+        context: &Context,
+        page: LoadedPage,
+        machine: &MachineAssignments,
+        job: &str,
+        attempt: TaskAttempt,
+    ) {
+        // A job that is not found is over; whatever still runs of it is stopped when the agent's heartbeat lists it.
+        let Some(loaded_job) = self.find_loaded_job(job) else {
+            return;
+        };
+        if self.is_assigned(&machine.machine, job, attempt) {
+            // The assignment is on two pages, after a move of which only the first half was written: this page drops it.
+            if page.is_ours {
+                let due = context.now.steady + SECOND;
+                self.write_buffer
+                    .mark_dirty_lazily(RecordId::Page(page.number), due);
+            }
+            return;
+        }
+        let spec = self.take_task(loaded_job, attempt.task, &machine.zone);
+        let task = PlacedTask {
+            machine: machine.machine.clone(),
+            incarnation: machine.incarnation,
+            job: job.to_string(),
+            task: attempt.task,
+            attempt: attempt.attempt,
+            expected_us: spec
+                .as_ref()
+                .map_or(SECOND, |spec| self.stats.expected_stay(spec)),
+        };
+        let task = TaskOnMachine {
+            task: &task,
+            job: loaded_job.index(),
+            spec: spec.as_ref(),
+            zone: machine.zone.clone(),
+            now: context.now.steady,
+        };
+        let assignment = recovered_assignment(page, loaded_job, task);
+        self.count_on_page(page, &machine.machine, &assignment);
+        self.recovered_machine(
+            context,
+            &machine.machine,
+            &machine.zone,
+            machine.incarnation,
+        );
+        self.add_assignment(&machine.machine, assignment);
+    }
+
+    /// The job of an assignment; `None`: it is over.
+    fn find_loaded_job(&self, job: &str) -> Option<LoadedJob> {
+        match self.jobs.find(job) {
+            Some(index) => Some(LoadedJob::Known(index)),
+            None => {
+                let is_unreadable = self.unreadable_jobs.contains(&job_key(job));
+                is_unreadable.then_some(LoadedJob::Unreadable)
+            }
+        }
+    }
+
+    fn is_assigned(&self, machine: &str, job: &str, attempt: TaskAttempt) -> bool {
+        let is_this = |a: &Assignment| a.id() == attempt && a.job_id == job;
+        self.position(machine, is_this).is_some()
+    }
+
+    /// Takes the task of its job, if the job is known; the result is the job's description.
+    fn take_task(&mut self, job: LoadedJob, task: u64, zone: &str) -> Option<Submission> {
+        let job = self.jobs.get_mut(job.index()?)?;
+        job.take(task);
+        *job.zones.entry(zone.to_string()).or_insert(0) += 1;
+        Some(job.spec.clone())
+    }
+
+    /// Counts the assignment on its page, or in the quota grant of the holder that writes the page.
+    fn count_on_page(&mut self, page: LoadedPage, machine: &str, assignment: &Assignment) {
+        if page.is_ours {
+            self.page_mut(page.number).add(machine, assignment);
+        } else if let Some(partition) = page.written_by {
+            let grants = &mut self.leader_quota.allotments;
+            grants.place(partition, &assignment.team, assignment.amount());
+        }
+    }
+}
+
+impl LoadedJob {
+    fn index(self) -> Option<JobIndex> {
+        match self {
+            LoadedJob::Known(index) => Some(index),
+            LoadedJob::Unreadable => None,
+        }
+    }
+}
+
+fn recovered_assignment(page: LoadedPage, job: LoadedJob, task: TaskOnMachine) -> Assignment {
+    // Of a job whose record cannot be read neither the team nor the resources are known: its tasks are stopped, and
+    // nothing is placed until they are proven gone.
+    let stop = match job {
+        LoadedJob::Known(_) => None,
+        LoadedJob::Unreadable => Some(Stop {
+            grace: 0,
+            since: task.now,
+            sent: None,
+        }),
+    };
+    Assignment {
+        page: page.number,
+        launched: Some(LAUNCHED_EARLIER),
+        delivered: false,
+        by_holder: page.written_by.is_some(),
+        stop,
+        ..Assignment::new(task)
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -0,0 +1,110 @@
+//! Reads jobs and their cancellations back.
+
+use crate::context::Context;
+use crate::scheduler::Scheduler;
+use crate::state::jobs::{Job, JobIndex};
+use grebewood_wire::http::{from_value, KeyValue};
+use grebewood_wire::records::{CancelRecord, JobKey, JobRecord, JOB};
+use grebewood_wire::Value;
+use log::error;
+
+impl Scheduler {
+    /// Adds the live jobs. The result are all cancellations: those of an earlier version, then those that are listed
+    /// with the jobs.
+    pub(crate) fn load_jobs(
+        &mut self,
+        context: &Context,
+        jobs: Vec<KeyValue<Value>>,
+        legacy_cancellations: Vec<KeyValue<Value>>,
+    ) -> Vec<KeyValue<Value>> {
+        let is_cancellation = |entry: &KeyValue<Value>| {
+            matches!(JobKey::parse(&entry.key), Some(JobKey::Cancelled(_)))
+        };
+        let (cancellations, live): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_cancellation);
+        for entry in live {
+            self.add_job(context, &entry.key, &entry.value, entry.mod_revision);
+        }
+        let mut all_cancellations = legacy_cancellations;
+        all_cancellations.extend(cancellations);
+        all_cancellations
+    }
+
+    /// Adds a live job from its record, unless it is known or has ended.
+    pub(crate) fn add_job(
+        &mut self,
+        context: &Context,
+        key: &str,
+        value: &Value,
+        mod_revision: u64,
+    ) {
+        let Some(id) = key.strip_prefix(JOB) else {
+            return;
+        };
+        if self.jobs.find(id).is_some() || self.recently_ended.iter().any(|ended| ended == id) {
+            return;
+        }
+        match from_value::<JobRecord>(value) {
+            Ok(record) if record.spec.id == id => {
+                self.write_buffer.note_revision(key, mod_revision);
+                let job = Job::new(record, context.now.steady, context.now.wall);
+                self.headroom.note(&job, context.now.steady);
+                self.jobs.insert(job);
+                self.placement.request_round(context.now.steady);
+            }
+            Ok(_) => error!(key = key; "record holds another job and is left as it is"),
+            Err(error) => {
+                if !self.unreadable_jobs.iter().any(|known| known == key) {
+                    error!(key = key, error:% = error; "record cannot be read and is left as it is");
+                    self.unreadable_jobs.push(key.to_string());
+                }
+            }
+        }
+    }
+
+    /// Applies the cancellations on record, then those that this controller knows of from later requests or from its
+    /// peers.
+    pub(crate) fn load_cancellations(
+        &mut self,
+        context: &mut Context,
+        entries: &[KeyValue<Value>],
+    ) {
+        for entry in entries {
+            self.write_buffer
+                .note_revision(&entry.key, entry.mod_revision);
+        }
+        for entry in entries {
+            let record = from_value::<CancelRecord>(&entry.value);
+            if let Err(error) = &record {
+                error!(key = entry.key, error:% = error; "record cannot be read and counts as a cancellation");
+            }
+            if let Some(JobKey::Cancelled(job)) = JobKey::parse(&entry.key) {
+                self.on_cancelled(context, job, record.ok().as_ref());
+            }
+        }
+        let known = context.cancellations.jobs();
+        let known: Vec<String> = known.map(|(job, _)| job.into()).collect();
+        for job in known {
+            self.apply_cancellation(context, &job);
+        }
+        context.cancellations.read_as_of(self.began);
+    }
+
+    /// Ends the jobs all of whose tasks are completed.
+    pub(crate) fn end_completed_jobs(&mut self, context: &Context) {
+        let completed = self.jobs.iter().filter(|(_, job)| job.all_done());
+        let completed: Vec<JobIndex> = completed.map(|(index, _)| index).collect();
+        for index in completed {
+            self.end_if_over(context, index);
+        }
+    }
+
+    /// Jobs with completed tasks have begun, at their present age at the latest.
+    pub(crate) fn note_started_jobs(&mut self, context: &Context) {
+        for index in self.jobs.indices() {
+            let job = self.jobs.get_mut(index);
+            if let Some(job) = job.filter(|job| job.done_count > 0) {
+                job.began_at = Some(job.age(context.now.steady));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -0,0 +1,109 @@
+//! Builds the working state once all records have been read.
+
+use crate::context::{Context, Role};
+use crate::scheduler::loading::{holder_pages_prefix, page_number};
+use crate::scheduler::store_reads::{Loading, Watch};
+use crate::scheduler::Scheduler;
+use crate::state::stats::Stats;
+use grebewood_wire::http::{from_value, KeyValue};
+use grebewood_wire::records::{
+    partition_of_page, ProvisionRecord, CATALOGUE, DONE, JOB, OLD_CANCEL, PAGE, QUOTA, RENTAL,
+    STATS,
+};
+use grebewood_wire::Value;
+use log::{error, info};
+
+impl Scheduler {
+    /// Builds the working state if everything has been read.
+    pub(crate) fn finish_loading(&mut self, context: &mut Context) {
+        if !self.loading.as_ref().is_some_and(Loading::is_finished) {
+            return;
+        }
+        let Some(mut loading) = self.loading.take() else {
+            return;
+        };
+        let cancellations = self.load_jobs(context, loading.take(JOB), loading.take(OLD_CANCEL));
+        self.load_completed_tasks(context, loading.take(DONE));
+        if self.role == Role::Leader {
+            self.load_quota(context, loading.take(QUOTA));
+        }
+        let pages = self.own_pages(&mut loading);
+        self.load_assignment_pages(context, pages);
+        self.load_provisions(context, loading.take(RENTAL));
+        self.load_stats(loading.take(STATS));
+        self.load_catalogue(context, loading.take(CATALOGUE));
+        self.start_timers(context);
+        let watch = Watch::since(loading.revision(JOB));
+        self.watches.insert(JOB, watch);
+        self.load_cancellations(context, &cancellations);
+        self.note_durable_placements();
+        // An earlier leader may have written pages under larger limits of the store.
+        self.split_pages(context);
+        self.end_completed_jobs(context);
+        self.note_started_jobs(context);
+        // Before anything is placed: otherwise, in the first second of each leader, batch tasks took the room that is
+        // kept for services.
+        self.headroom
+            .update(context, &self.jobs, self.machines.len());
+        info!(
+            token = self.token,
+            jobs = self.jobs.len(),
+            machines_with_tasks = self.machines.len();
+            "records loaded"
+        );
+    }
+
+    /// The assignment pages that are read under this fenced lease.
+    fn own_pages(&self, loading: &mut Loading) -> Vec<KeyValue<Value>> {
+        let Some(partition) = self.partition() else {
+            return loading.take(PAGE);
+        };
+        // The prefix is that of pages of some other partitions, too.
+        let mut pages = loading.take(&holder_pages_prefix(partition));
+        pages.retain(|page| page_number(&page.key).and_then(partition_of_page) == Some(partition));
+        pages
+    }
+
+    fn load_provisions(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
+        for entry in entries {
+            self.write_buffer
+                .note_revision(&entry.key, entry.mod_revision);
+            match from_value::<ProvisionRecord>(&entry.value) {
+                Ok(provision) => {
+                    let machine = entry.key.trim_start_matches(RENTAL).to_string();
+                    self.fleet.recover_provision(context, machine, provision);
+                }
+                Err(error) => error!(key = entry.key, error:% = error; "record cannot be read"),
+            }
+        }
+    }
+
+    fn load_stats(&mut self, entries: Vec<KeyValue<Value>>) {
+        for entry in entries {
+            self.write_buffer
+                .note_revision(&entry.key, entry.mod_revision);
+            match from_value(&entry.value) {
+                Ok(record) => self.stats = Stats::load(&record),
+                Err(error) => error!(key = STATS, error:% = error; "record cannot be read"),
+            }
+        }
+    }
+
+    /// The catalogue itself is read by each controller on its own: here only whether it is on record matters.
+    fn load_catalogue(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
+        if entries.is_empty() {
+            self.fleet.types_at = context.now.steady;
+        }
+        for entry in entries {
+            self.write_buffer
+                .note_revision(&entry.key, entry.mod_revision);
+        }
+    }
+
+    fn start_timers(&mut self, context: &Context) {
+        let now = context.now.steady;
+        self.loaded_at = now;
+        self.last_heartbeat_at = now;
+        self.placement.next_at = now;
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/progress.rs
@@ -0,0 +1,69 @@
+//! Tells the other controllers how far jobs have come, so that each of them can answer polls with it.
+
+use crate::calls::CallPurpose;
+use crate::context::Context;
+use crate::scheduler::Scheduler;
+use crate::{Micros, Target, MILLI};
+use grebewood_wire as wire;
+use grebewood_wire::peer::PeerRequest;
+
+/// How often the others are told of changed progress: often enough for polls to show short tasks.
+const PROGRESS_INTERVAL: Micros = 500 * MILLI;
+
+/// With every fifth message all jobs count as changed.
+const ROUNDS_PER_FULL_UPDATE: u32 = 5;
+
+/// Most jobs in one message.
+const MAX_JOBS: usize = 500;
+
+const PROGRESS_TIMEOUT: Micros = 900 * MILLI;
+
+impl Scheduler {
+    /// Sends changed progress if that is due.
+    pub(crate) fn run_progress(&mut self, context: &mut Context) {
+        if context.now.steady >= self.next_progress_at {
+            self.next_progress_at = context.now.steady + PROGRESS_INTERVAL;
+            self.send_progress(context);
+        }
+    }
+
+    fn send_progress(&mut self, context: &mut Context) {
+        // A controller that could not be reached missed what has not changed since: all of it is sent again at times.
+        self.progress_round += 1;
+        if self.progress_round.is_multiple_of(ROUNDS_PER_FULL_UPDATE) {
+            let all = self.jobs.iter().map(|(index, _)| index);
+            self.progress_dirty.extend(all);
+        }
+        let jobs = self.take_changed_progress();
+        if jobs.is_empty() {
+            return;
+        }
+        let message = wire::to_peer(&PeerRequest::Progress {
+            from: context.settings.member.clone(),
+            token: self.token,
+            jobs,
+        });
+        for peer in 0..context.settings.siblings.len() {
+            context.call(
+                Target::Peer(peer),
+                "POST",
+                "/peer".into(),
+                message.clone(),
+                PROGRESS_TIMEOUT,
+                CallPurpose::Ignore,
+            );
+        }
+    }
+
+    /// Jobs with the numbers of their completed and running tasks.
+    fn take_changed_progress(&mut self) -> Vec<(String, u64, u64)> {
+        let mut changed = Vec::new();
+        while let (Some(index), true) = (self.progress_dirty.pop_first(), changed.len() < MAX_JOBS)
+        {
+            if let Some(job) = self.jobs.get(index) {
+                changed.push((job.id.clone(), job.done_count, u64::from(job.running)));
+            }
+        }
+        changed
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/replies.rs
@@ -0,0 +1,45 @@
+//! Takes the replies to a scheduler's calls.
+
+use crate::calls::SchedulerCall;
+use crate::context::Context;
+use crate::scheduler::timers::URGENT_RENEWALS_PER_LEASE;
+use crate::scheduler::Scheduler;
+use crate::Outcome;
+
+impl Scheduler {
+    /// Takes the reply to a call. The error says why the fenced lease is lost.
+    pub(crate) fn on_reply(
+        &mut self,
+        context: &mut Context,
+        what: SchedulerCall,
+        outcome: Outcome,
+    ) -> Result<(), String> {
+        match what {
+            SchedulerCall::Extend => return self.on_lease_renewed(context, &outcome),
+            SchedulerCall::Flush => return self.on_flush(context, outcome),
+            SchedulerCall::FlushReadBack => return self.on_read_back(context, outcome),
+            SchedulerCall::List { prefix } => self.on_list(context, &prefix, outcome),
+            SchedulerCall::Read { key } => self.on_read(context, key, outcome),
+            SchedulerCall::Watch { prefix } => self.on_watch(context, prefix, outcome),
+            SchedulerCall::Refresh { key } => self.on_refresh(context, &key, outcome),
+            SchedulerCall::Fleet(call) => self.on_fleet(context, call, outcome),
+            SchedulerCall::Direct { machine } => self.on_direct(context, &machine, outcome),
+            SchedulerCall::Orders { partition, claim } => {
+                self.on_orders_answered(context, partition, claim, outcome);
+            }
+        }
+        Ok(())
+    }
+
+    fn on_lease_renewed(&mut self, context: &Context, outcome: &Outcome) -> Result<(), String> {
+        match outcome {
+            Outcome::Answer { status: 200, .. } => self.confirm_lease(),
+            Outcome::Answer { status: 404, .. } => return Err("the lease has ended".into()),
+            _ => {
+                let pause = context.tuning.leader_lease_us / URGENT_RENEWALS_PER_LEASE;
+                self.extend_at = self.extend_at.min(context.now.steady + pause);
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/timers.rs
@@ -0,0 +1,106 @@
+//! What a scheduler does as time passes.
+
+use crate::calls::SchedulerCall;
+use crate::context::Context;
+use crate::scheduler::store_reads::Watch;
+use crate::scheduler::{Scheduler, RENEWALS_PER_LEASE, STATS_INTERVAL};
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, Stopwatch, Target, SECOND};
+
+/// While it is not known whether the lease still holds, and after a failed renewal, renewals are tried so many times
+/// within its time to live.
+pub(crate) const URGENT_RENEWALS_PER_LEASE: Micros = 12;
+
+/// How long changed statistics may wait for their write.
+const STATS_DELAY: Micros = SECOND;
+
+impl Scheduler {
+    /// When [`Scheduler::run`] is next due, in microseconds of the steady clock.
+    pub fn next_wake(&self) -> Micros {
+        if self.uncertain {
+            return self.extend_at;
+        }
+        if let Some(loading) = &self.loading {
+            let next_read = loading.next_due().unwrap_or(Micros::MAX);
+            return self.extend_at.min(next_read);
+        }
+        let watches = self.watches.values().filter_map(Watch::next_due);
+        let shared = watches.fold(self.extend_at, Micros::min);
+        let shared = shared.min(self.flush_wake());
+        match self.is_holder() {
+            true => shared.min(self.holder_wake()),
+            false => shared.min(self.leader_wake()),
+        }
+    }
+
+    fn leader_wake(&self) -> Micros {
+        let held = match self.held_heartbeats.is_empty() {
+            true => Micros::MAX,
+            false => self.held_until,
+        };
+        self.remote_partitions
+            .next_wake()
+            .min(held)
+            .min(self.long_polls.next_until())
+            .min(self.placement.next_at)
+            .min(self.next_machine_check)
+            .min(self.fleet.next_wake())
+            .min(self.next_progress_at)
+    }
+
+    /// Does everything that is due.
+    pub(crate) fn run(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
+        if context.now.steady >= self.extend_at {
+            self.renew_lease(context);
+        }
+        if self.uncertain {
+            return;
+        }
+        if self.loading.is_some() {
+            return self.run_loading(context);
+        }
+        self.run_watches(context);
+        match self.is_holder() {
+            true => self.run_holder(context, watch),
+            false => self.run_leader(context, watch),
+        }
+    }
+
+    fn run_leader(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
+        self.run_machines(context);
+        self.enforce_limits(context);
+        self.run_placement(context, watch);
+        self.run_fleet(context);
+        self.run_stats(context);
+        self.run_flush(context);
+        self.run_provision_sweep(context);
+        self.run_held_heartbeats(context);
+        self.run_progress(context);
+    }
+
+    /// Sends a renewal of the lease. Its reply may be lost: the next renewal is sent all the same.
+    fn renew_lease(&mut self, context: &mut Context) {
+        let renewals = match self.uncertain {
+            true => URGENT_RENEWALS_PER_LEASE,
+            false => RENEWALS_PER_LEASE,
+        };
+        self.extend_at = context.now.steady + context.tuning.leader_lease_us / renewals;
+        let path = format!("/leases/{}/extend", self.lease);
+        let purpose = self.pending(SchedulerCall::Extend);
+        let timeout = context.tuning.leader_lease_us / RENEWALS_PER_LEASE;
+        context.call(Target::Store, "POST", path, Vec::new(), timeout, purpose);
+    }
+
+    fn run_stats(&mut self, context: &Context) {
+        let now = context.now.steady;
+        if now < self.next_stats_at {
+            return;
+        }
+        self.next_stats_at = now + STATS_INTERVAL;
+        if self.stats.changed {
+            self.stats.changed = false;
+            self.write_buffer
+                .mark_dirty_by(RecordId::Stats, now + STATS_DELAY);
+        }
+    }
+}
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -1,50 +1,59 @@
-//! Watches of the key-value store: jobs, cancellations and claims as they change.
+//! Watches of the key-value store: jobs and cancellations as they change.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, STORE_TIMEOUT};
+use crate::scheduler::store_reads::WatchRequest;
 use crate::scheduler::Scheduler;
-use crate::{Outcome, Target, MILLI, SECOND};
+use crate::{Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{from_value, KeyValueList, WatchEvent, WatchResponse};
 use grebewood_wire::records::JobKey;
+use grebewood_wire::Value;
 use log::warn;
 
-/// Keys in one page of a list that is read anew.
+/// Keys in one page of a list that is read again.
 const RELIST_PAGE: usize = 1_000;
 
+/// How long a watch may take: the store answers it after ten seconds at the latest.
+const WATCH_TIMEOUT: Micros = 13 * SECOND;
+
+/// Pause after an answer, for changes to gather.
+const PAUSE: Micros = 20 * MILLI;
+
+/// Pause after a request that failed.
+const RETRY_PAUSE: Micros = 300 * MILLI;
+
+/// Pause after an answer that cannot be read.
+const UNREADABLE_PAUSE: Micros = SECOND;
+
+const GONE: u16 = 410;
+
 impl Scheduler {
+    /// Sends the requests of watches that are due.
     pub(crate) fn run_watches(&mut self, context: &mut Context) {
-        let now = context.now.steady;
         let token = self.token;
-        for (prefix, w) in &mut self.watches {
-            if w.open || now < w.retry_at {
+        for (prefix, watch) in &mut self.watches {
+            let Some(request) = watch.start_request(context.now.steady) else {
                 continue;
-            }
-            w.open = true;
-            let (what, path, timeout) = if w.relist {
-                let after = match &w.relisted_to {
-                    Some(key) => format!("&since={key}"),
-                    None => String::new(),
-                };
-                (
-                    SchedulerCall::List {
-                        prefix: prefix.to_string(),
-                    },
-                    format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE}"),
-                    STORE_TIMEOUT,
-                )
-            } else {
-                (
-                    SchedulerCall::Watch { prefix },
-                    format!("/changes?prefix={prefix}&since={}&block_ms=10000", w.since),
-                    13 * SECOND,
-                )
             };
-            let pending = CallPurpose::Scheduler { token, what };
-            context.call(Target::Store, "GET", path, Vec::new(), timeout, pending);
+            let (what, path, timeout) = match request {
+                WatchRequest::List { after } => {
+                    let after = after.map_or(String::new(), |key| format!("&since={key}"));
+                    let prefix = prefix.to_string();
+                    let path = format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE}");
+                    (SchedulerCall::List { prefix }, path, STORE_TIMEOUT)
+                }
+                WatchRequest::Changes { since } => {
+                    let path = format!("/changes?prefix={prefix}&since={since}&block_ms=10000");
+                    (SchedulerCall::Watch { prefix }, path, WATCH_TIMEOUT)
+                }
+            };
+            let purpose = CallPurpose::Scheduler { token, what };
+            context.call(Target::Store, "GET", path, Vec::new(), timeout, purpose);
         }
     }
 
+    /// Takes the answer to a watch.
     pub(crate) fn on_watch(
         &mut self,
         context: &mut Context,
@@ -52,100 +61,81 @@
         outcome: Outcome,
     ) {
         let now = context.now.steady;
-        let mut events = Vec::new();
-        if let Some(w) = self.watches.get_mut(prefix) {
-            w.open = false;
-            match outcome {
-                Outcome::Answer { status: 200, body } => {
-                    match wire::from_cbor::<WatchResponse>(&body) {
-                        Ok(changes) => {
-                            w.since = w.since.max(changes.revision);
-                            w.retry_at = now + 20 * MILLI;
-                            events = changes.events;
-                        }
-                        Err(e) => {
-                            warn!("watch {prefix}: {e}");
-                            w.retry_at = now + SECOND;
+        let Some(watch) = self.watches.get_mut(prefix) else {
+            return;
+        };
+        match outcome {
+            Outcome::Answer { status: 200, body } => {
+                match wire::from_cbor::<WatchResponse>(&body) {
+                    Ok(changes) => {
+                        watch.advance(&changes);
+                        watch.end_request(now + PAUSE);
+                        for event in changes.events {
+                            self.on_event(context, event);
                         }
                     }
+                    Err(error) => {
+                        warn!(key = prefix, error:% = error; "answer to a watch cannot be read");
+                        watch.end_request(now + UNREADABLE_PAUSE);
+                    }
                 }
-                // Too old, or more than can be taken at once, which would be the same the next time.
-                Outcome::Answer { status: 410, .. } | Outcome::TooLarge => {
-                    w.relist = true;
-                    w.relisted_to = None;
-                    w.relisted_as_of = None;
-                    w.retry_at = now;
-                }
-                _ => w.retry_at = now + 300 * MILLI,
             }
-        }
-        for event in events {
-            self.on_event(context, event);
+            // Too old, or more than can be taken at once, which would be the same the next time.
+            Outcome::Answer { status: GONE, .. } | Outcome::TooLarge => {
+                watch.start_relist();
+                watch.end_request(now);
+            }
+            _ => watch.end_request(now + RETRY_PAUSE),
         }
     }
 
-    pub(crate) fn on_event(&mut self, context: &mut Context, event: WatchEvent) {
+    fn on_event(&mut self, context: &mut Context, event: WatchEvent) {
         if let (Some(key), true) = (&event.delete, self.is_holder()) {
-            // The leader ended it: what is left of it on machines belongs to no job.
-            if let Some(JobKey::Live(id)) = JobKey::parse(key) {
-                self.jobs.find(id).and_then(|index| self.jobs.remove(index));
+            // The leader ended the job: what is left of it on machines belongs to no job.
+            if let Some(JobKey::Live(job)) = JobKey::parse(key) {
+                let index = self.jobs.find(job);
+                index.and_then(|index| self.jobs.remove(index));
             }
         }
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
-            match JobKey::parse(key) {
-                Some(JobKey::Live(id)) => {
-                    self.add_job(context, key, value, event.mod_revision);
-                    self.apply_cancellation(context, id);
-                }
-                Some(JobKey::Cancelled(id)) if self.jobs.find(id).is_some() => {
-                    self.write_buffer
-                        .mod_revisions
-                        .insert(key.clone(), event.mod_revision);
-                    let record = from_value(value).ok();
-                    self.on_cancelled(context, id, record.as_ref());
-                }
-                _ => {}
+            self.on_put(context, key, value, event.mod_revision);
+        }
+    }
+
+    fn on_put(&mut self, context: &mut Context, key: &str, value: &Value, mod_revision: u64) {
+        match JobKey::parse(key) {
+            Some(JobKey::Live(job)) => {
+                self.add_job(context, key, value, mod_revision);
+                self.apply_cancellation(context, job);
+            }
+            Some(JobKey::Cancelled(job)) if self.jobs.find(job).is_some() => {
+                self.write_buffer.note_revision(key, mod_revision);
+                let record = from_value(value).ok();
+                self.on_cancelled(context, job, record.as_ref());
             }
+            _ => {}
         }
     }
 
-    /// A watch was too old and a page of its keys was listed again. The watch goes on from the
-    /// revision of the first page: what changed while the others were read is told again. With one
-    /// page for all, a leader of more than a thousand live jobs once never learned of the rest.
+    /// Takes a page of a watch's keys, which are listed again since the changes were too old or too many. With a single
+    /// page for all of them a leader of more than a thousand live jobs never learned of the rest.
     pub(crate) fn on_relist(
         &mut self,
         context: &mut Context,
         prefix: &str,
-        list: Option<KeyValueList>,
+        page: Option<KeyValueList>,
     ) {
         let now = context.now.steady;
-        let Some(w) = self.watches.get_mut(prefix) else {
-            return;
-        };
-        w.open = false;
-        let Some(list) = list else {
-            w.retry_at = now + 300 * MILLI;
+        let Some(watch) = self.watches.get_mut(prefix) else {
             return;
         };
-        let as_of = *w.relisted_as_of.get_or_insert(list.revision);
-        w.relisted_to = match list.more {
-            true => list.entries.last().map(|entry| entry.key.clone()),
-            false => None,
+        let Some(page) = page else {
+            return watch.end_request(now + RETRY_PAUSE);
         };
-        w.retry_at = now;
-        if w.relisted_to.is_none() {
-            w.relist = false;
-            w.relisted_as_of = None;
-            w.since = as_of;
-        }
-        for e in list.entries {
-            let event = WatchEvent {
-                put: Some(e.key),
-                delete: None,
-                value: Some(e.value),
-                mod_revision: e.mod_revision,
-            };
-            self.on_event(context, event);
+        watch.end_request(now);
+        watch.add_page(&page);
+        for entry in page.entries {
+            self.on_put(context, &entry.key, &entry.value, entry.mod_revision);
         }
     }
 }
--- a/crates/core/src/state/assignment_pages.rs
+++ b/crates/core/src/state/assignment_pages.rs
@@ -1,77 +1,89 @@
-//! Pages of assignments: which page takes which assignment, and how large each is.
+//! Assignment pages: which page takes which assignment, and how large each is.
 
 use crate::state::machine::Assignment;
 use grebewood_wire::records::{partition_of_page, HOLDER_PAGES_END};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
+/// Bytes that a machine takes in the record's JSON form besides its name and zone, as an upper bound.
+const MACHINE_FRAME_BYTES: usize = 60;
+
+/// What an assignment takes in the record's JSON form besides its values, with a blank after each separator.
+const ASSIGNMENT_FRAME: &str = "[\"\", , ], ";
+
+/// A page takes another assignment if it has room for so many bytes.
+const ASSIGNMENT_BYTES: usize = 160;
+
 /// A page of assignments: which machines are on it, and how large it is.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
+    /// Machines by name, with the number of their assignments on this page.
     pub(crate) machines: BTreeMap<String, usize>,
+    /// An upper bound of the record's size in its JSON form.
     pub(crate) bytes: usize,
-    /// Its record cannot be read; it is kept as it is.
-    pub broken: bool,
-    /// Its write may wait for that of another: it takes nothing new.
-    pub(crate) barred: bool,
+    /// Whether its record cannot be read; it is left as it is.
+    pub unreadable: bool,
+    /// Whether it takes no further assignments: its write may wait for that of another page.
+    pub(crate) closed: bool,
 }
 
 impl Page {
-    /// What an assignment and, as an upper bound, a machine take in the record's JSON form, with a
-    /// blank after each separator.
-    fn assignment_size(a: &Assignment) -> usize {
-        a.job_id.len() + digits(a.task) + digits(a.attempt) + "[\"\", , ], ".len()
+    fn assignment_bytes(assignment: &Assignment) -> usize {
+        let values = assignment.job_id.len() + digits(assignment.task) + digits(assignment.attempt);
+        values + ASSIGNMENT_FRAME.len()
     }
 
-    fn machine_size(machine: &str, a: &Assignment) -> usize {
-        machine.len() + a.zone.len() + 60
+    fn machine_bytes(machine: &str, assignment: &Assignment) -> usize {
+        machine.len() + assignment.zone.len() + MACHINE_FRAME_BYTES
     }
 
     /// Notes an assignment on a machine.
-    pub fn add(&mut self, machine: &str, a: &Assignment) {
-        let n = self.machines.entry(machine.to_string()).or_insert(0);
-        if *n == 0 {
-            self.bytes += Page::machine_size(machine, a);
+    pub fn add(&mut self, machine: &str, assignment: &Assignment) {
+        let count = self.machines.entry(machine.to_string()).or_insert(0);
+        if *count == 0 {
+            self.bytes += Page::machine_bytes(machine, assignment);
         }
-        *n += 1;
-        self.bytes += Page::assignment_size(a);
+        *count += 1;
+        self.bytes += Page::assignment_bytes(assignment);
     }
 
     /// Notes that an assignment is gone.
-    pub fn remove(&mut self, machine: &str, a: &Assignment) {
-        let Some(n) = self.machines.get_mut(machine) else {
+    pub fn remove(&mut self, machine: &str, assignment: &Assignment) {
+        let Some(count) = self.machines.get_mut(machine) else {
             return;
         };
-        *n -= 1;
-        let mut freed = Page::assignment_size(a);
-        if *n == 0 {
+        *count -= 1;
+        let mut freed = Page::assignment_bytes(assignment);
+        if *count == 0 {
             self.machines.remove(machine);
-            freed += Page::machine_size(machine, a);
+            freed += Page::machine_bytes(machine, assignment);
         }
         self.bytes = self.bytes.saturating_sub(freed);
     }
+
+    /// Whether the page takes one more assignment, if a page may have `max_bytes`.
+    fn has_room(&self, max_bytes: usize) -> bool {
+        !self.unreadable && !self.closed && self.bytes + ASSIGNMENT_BYTES <= max_bytes
+    }
 }
 
 /// Decimal digits of a number.
-fn digits(n: u64) -> usize {
-    n.checked_ilog10().unwrap_or(0) as usize + 1
+fn digits(number: u64) -> usize {
+    number.checked_ilog10().unwrap_or(0) as usize + 1
 }
 
-/// The room that is looked for on a page for each new assignment.
-const ASSIGNMENT_BYTES: usize = 160;
-
-/// The pages that one writer keeps.
+/// The assignment pages that one scheduler writes.
 #[derive(Clone, Debug, Default)]
 pub struct Pages {
     pub(crate) by_number: BTreeMap<u64, Page>,
     /// The page that takes new assignments.
     open: u64,
-    /// The numbers that a holder may use; `None`: all but those of holders.
+    /// The numbers that a holder may use; `None`: the leader uses all others.
     range: Option<Range<u64>>,
 }
 
 impl Pages {
-    /// The pages of the holder of a partition.
+    /// The pages of the holder of a partition, which have the numbers of this range.
     pub fn of_holder(range: Range<u64>) -> Pages {
         Pages {
             by_number: BTreeMap::new(),
@@ -80,61 +92,59 @@
         }
     }
 
-    /// How many there are.
+    /// The number of pages.
     pub fn len(&self) -> usize {
         self.by_number.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no pages.
     pub fn is_empty(&self) -> bool {
         self.by_number.is_empty()
     }
 
-    /// The page with this number, which is there from now on.
-    pub fn page_mut(&mut self, n: u64) -> &mut Page {
-        self.by_number.entry(n).or_default()
+    /// The page with this number, which is created if there is none.
+    pub fn page_mut(&mut self, number: u64) -> &mut Page {
+        self.by_number.entry(number).or_default()
     }
 
-    /// Whether new assignments may go to the page with this number. Leftovers of holders whose
-    /// partitions are gone only lose what is on them.
-    fn takes_new(&self, n: u64) -> bool {
+    /// Whether new assignments may go to the page with this number. The leader only removes from pages of holders, of
+    /// which some are left when their partitions are gone.
+    fn may_grow(&self, number: u64) -> bool {
         match &self.range {
-            Some(range) => range.contains(&n),
-            None => partition_of_page(n).is_none(),
+            Some(range) => range.contains(&number),
+            None => partition_of_page(number).is_none(),
         }
     }
 
     /// The lowest number that is not used yet.
     fn next_number(&self) -> u64 {
-        let numbers = match &self.range {
+        let mut numbers = match &self.range {
             Some(range) => range.clone(),
             None => 0..u64::MAX,
         };
-        let mut free = numbers.filter(|n| self.takes_new(*n) && !self.by_number.contains_key(n));
-        free.next().unwrap_or(HOLDER_PAGES_END)
+        let is_free = |number: &u64| self.may_grow(*number) && !self.by_number.contains_key(number);
+        numbers.find(is_free).unwrap_or(HOLDER_PAGES_END)
     }
 
-    /// A page with room for one more assignment, if pages hold `most` bytes; one that will be written
-    /// anyway if there is one. Assignments of one moment share a page; when it is full, the emptiest
-    /// comes next, so that few pages are written.
-    pub(crate) fn with_room(&mut self, most: usize) -> u64 {
-        let fits = |p: &Page| !p.broken && !p.barred && p.bytes + ASSIGNMENT_BYTES <= most;
-        if self.by_number.get(&self.open).is_some_and(fits) && self.takes_new(self.open) {
+    /// A page with room for one more assignment, if pages may have `max_bytes`. Assignments of one moment share a page,
+    /// which is written once for all of them; when it is full, the emptiest comes next, so that few pages are written.
+    pub(crate) fn with_room(&mut self, max_bytes: usize) -> u64 {
+        let open = self.by_number.get(&self.open);
+        if open.is_some_and(|page| page.has_room(max_bytes)) && self.may_grow(self.open) {
             return self.open;
         }
-        let half_empty = self
-            .by_number
-            .iter()
-            .filter(|(n, page)| fits(page) && page.bytes * 2 <= most && self.takes_new(**n));
-        let emptiest = half_empty.min_by_key(|(n, page)| (page.bytes, **n));
-        let emptiest = emptiest.map(|(n, _)| *n);
-        let n = emptiest.unwrap_or_else(|| self.next_number());
-        self.page_mut(n);
-        self.open = n;
-        n
+        let half_empty = self.by_number.iter().filter(|(number, page)| {
+            page.has_room(max_bytes) && page.bytes * 2 <= max_bytes && self.may_grow(**number)
+        });
+        let emptiest = half_empty.min_by_key(|(number, page)| (page.bytes, **number));
+        let emptiest = emptiest.map(|(number, _)| *number);
+        let number = emptiest.unwrap_or_else(|| self.next_number());
+        self.page_mut(number);
+        self.open = number;
+        number
     }
 
-    /// Their numbers.
+    /// The numbers of the pages.
     pub(crate) fn numbers(&self) -> impl Iterator<Item = u64> + '_ {
         self.by_number.keys().copied()
     }
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -1,36 +1,50 @@
-//! Pages of completed tasks.
+//! Records of completed tasks, one for each page of them.
 //!
-//! Tasks of many jobs end every second, while the store takes some ten writes a second. So the completed tasks of
-//! many jobs share a record, which is written every few seconds: until then the agents keep the results, since an exited task is
-//! acknowledged only when its end is durable.
+//! Tasks of many jobs end every second, while the store takes some ten writes a second. So the completed tasks of many
+//! jobs share a record, which is written every few seconds. Until then the agents keep the results, since the exit of a
+//! task is acknowledged only when it is durable.
+//!
+//! The tasks of a job are divided into spans of [`DONE_SPAN`] tasks; each span is on one page.
 
 use crate::state::jobs::{Job, JobIndex, Jobs};
 use grebewood_wire::records::{CompletedTasksPageRecord, DONE_SPAN};
 use std::collections::BTreeSet;
 
-/// A page: which spans of which jobs are on it, and how large it may become.
+/// A page: which spans of which jobs are on it.
 #[derive(Clone, Debug, Default)]
 struct CompletedTaskPage {
     spans: BTreeSet<(JobIndex, u64)>,
+    /// Its size once all tasks of its spans are completed.
     bytes: usize,
-    /// Its write may wait for that of another: it takes nothing new.
-    barred: bool,
+    /// Whether it takes no further spans: its write may wait for that of another page, or its record cannot be read.
+    closed: bool,
 }
 
-/// All pages.
+/// All pages of completed tasks.
 #[derive(Clone, Debug)]
 pub struct CompletedTaskPages {
     pages: Vec<CompletedTaskPage>,
+    /// Most bytes of a page.
     page_bytes: usize,
 }
 
-/// What a span takes in the record's JSON form, once all of its tasks are done.
-fn size(job: &Job, n: u64) -> usize {
-    let tasks = job.tasks().saturating_sub(n * DONE_SPAN).min(DONE_SPAN);
-    job.id.len() + tasks.div_ceil(4) as usize + 24
+/// Page numbers are those of our own keys and are dense; one beyond this limit can only come from a foreign record.
+const MAX_PAGE_NUMBER: u64 = 10_000;
+
+/// Most bytes that a span takes in the record's JSON form besides the job's id and its bits.
+const SPAN_FRAME_BYTES: usize = 24;
+
+/// Tasks in one hexadecimal digit.
+const TASKS_PER_DIGIT: u64 = 4;
+
+/// Bytes that a span takes in the record's JSON form once all of its tasks are completed.
+fn span_bytes(job: &Job, span: u64) -> usize {
+    let tasks = job.tasks().saturating_sub(span * DONE_SPAN).min(DONE_SPAN);
+    job.id.len() + tasks.div_ceil(TASKS_PER_DIGIT) as usize + SPAN_FRAME_BYTES
 }
 
 impl CompletedTaskPages {
+    /// No pages yet; each of them may have so many bytes.
     pub fn new(page_bytes: usize) -> Self {
         CompletedTaskPages {
             pages: Vec::new(),
@@ -39,98 +53,90 @@
     }
 
     fn page_mut(&mut self, page: u64) -> &mut CompletedTaskPage {
-        // Page numbers come from our own keys and are dense; a wild one would only cost room.
-        let page = page.min(10_000) as usize;
+        let page = page.min(MAX_PAGE_NUMBER) as usize;
         if self.pages.len() <= page {
             self.pages.resize(page + 1, CompletedTaskPage::default());
         }
         &mut self.pages[page]
     }
 
-    /// The page that holds the span of the job; one with room is chosen the first time.
-    pub fn page_of(&mut self, index: JobIndex, n: u64, job: &mut Job) -> u64 {
-        if let Some(page) = job.completed_pages.get(&n) {
+    /// The page that holds the span of the job; the first time, one that has room for it is chosen.
+    pub fn page_of(&mut self, index: JobIndex, span: u64, job: &mut Job) -> u64 {
+        if let Some(page) = job.completed_pages.get(&span) {
             return *page;
         }
-        let need = size(job, n);
-        let at = self
-            .pages
-            .iter()
-            .position(|p| !p.barred && p.bytes + need <= self.page_bytes)
-            .unwrap_or(self.pages.len()) as u64;
-        self.adopt(at, index, n, job);
-        at
+        let bytes = span_bytes(job, span);
+        let max_bytes = self.page_bytes;
+        let has_room = |page: &CompletedTaskPage| !page.closed && page.bytes + bytes <= max_bytes;
+        let page = self.pages.iter().position(has_room);
+        let page = page.unwrap_or(self.pages.len()) as u64;
+        self.adopt(page, index, span, job);
+        page
     }
 
     /// Notes that the page holds the span.
-    pub fn adopt(&mut self, page: u64, index: JobIndex, n: u64, job: &mut Job) {
-        let need = size(job, n);
-        let p = self.page_mut(page);
-        if p.spans.insert((index, n)) {
-            p.bytes += need;
+    pub fn adopt(&mut self, page: u64, index: JobIndex, span: u64, job: &mut Job) {
+        let bytes = span_bytes(job, span);
+        let holder = self.page_mut(page);
+        if holder.spans.insert((index, span)) {
+            holder.bytes += bytes;
         }
-        job.completed_pages.insert(n, page);
+        job.completed_pages.insert(span, page);
     }
 
-    /// Moves spans off pages that are larger than a value may be, as an earlier leader with larger
-    /// limits wrote them. The result says from which page to which.
+    /// Moves spans off pages that are larger than a value may be, as an earlier leader wrote them under larger limits
+    /// of the store. The result says from which page to which.
     pub fn split(&mut self, page_bytes: usize, jobs: &mut Jobs) -> Vec<(u64, u64)> {
         self.page_bytes = page_bytes;
         let mut moves = Vec::new();
         for page in &mut self.pages {
-            page.barred |= page.bytes > page_bytes;
+            page.closed |= page.bytes > page_bytes;
         }
         for from in 0..self.pages.len() {
-            // One that is set aside has no spans.
+            // A page whose record cannot be read has no spans.
             while self.pages[from].bytes > page_bytes && self.pages[from].spans.len() > 1 {
-                let Some((index, n)) = self.pages[from].spans.pop_last() else {
+                let Some((index, span)) = self.pages[from].spans.pop_last() else {
                     break;
                 };
                 let Some(job) = jobs.get_mut(index) else {
                     continue;
                 };
-                let p = &mut self.pages[from];
-                p.bytes = p.bytes.saturating_sub(size(job, n));
-                job.completed_pages.remove(&n);
-                let to = self.page_of(index, n, job);
+                let page = &mut self.pages[from];
+                page.bytes = page.bytes.saturating_sub(span_bytes(job, span));
+                job.completed_pages.remove(&span);
+                let to = self.page_of(index, span, job);
                 moves.push((from as u64, to));
             }
         }
         moves
     }
 
-    /// The page's write waits for that of another.
-    pub fn bar(&mut self, page: u64) {
-        self.page_mut(page).barred = true;
-    }
-
-    /// The page cannot be read: nothing is written to it.
-    pub fn set_aside(&mut self, page: u64) {
-        self.page_mut(page).barred = true;
+    /// The page takes no further spans: its write waits for that of another page, or its record cannot be read.
+    pub fn close(&mut self, page: u64) {
+        self.page_mut(page).closed = true;
     }
 
     /// Forgets a job that is over. Its entries vanish when their pages are next written.
     pub fn drop_job(&mut self, index: JobIndex, job: &Job) {
-        for (n, page) in &job.completed_pages {
-            let need = size(job, *n);
-            let p = self.page_mut(*page);
-            if p.spans.remove(&(index, *n)) {
-                p.bytes = p.bytes.saturating_sub(need);
+        for (span, page) in &job.completed_pages {
+            let bytes = span_bytes(job, *span);
+            let page = self.page_mut(*page);
+            if page.spans.remove(&(index, *span)) {
+                page.bytes = page.bytes.saturating_sub(bytes);
             }
         }
     }
 
     /// The current content of a page.
     pub fn record(&self, page: u64, jobs: &Jobs) -> CompletedTasksPageRecord {
-        let spans = self.pages.get(page as usize).map(|p| &p.spans);
-        let jobs = spans
-            .into_iter()
-            .flatten()
-            .filter_map(|(index, n)| {
-                let job = jobs.get(*index)?;
-                Some((job.id.clone(), *n, job.done_bits(*n)))
-            })
-            .collect();
-        CompletedTasksPageRecord { jobs }
+        let page = self.pages.get(page as usize);
+        let spans = page.into_iter().flat_map(|page| &page.spans);
+        let entries = spans.filter_map(|(index, span)| {
+            let job = jobs.get(*index)?;
+            Some((job.id.clone(), *span, job.done_bits(*span)))
+        });
+        CompletedTasksPageRecord {
+            jobs: entries.collect(),
+        }
     }
 }
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -1,4 +1,4 @@
-//! What the ledger writes, in which order, and what it holds to be durable.
+//! Tests of the write buffer: what it writes, in which order, and what it takes to be durable.
 
 use grebewood_core::state::write_buffer::{Batch, RecordId, WriteBuffer};
 use grebewood_wire::http::Transaction;
@@ -7,67 +7,67 @@
     Batch {
         records: records.to_vec(),
         transaction: Transaction::default(),
-        proven: 0,
-        mod_revision: 0,
+        confirmed_operations: 0,
+        confirmed_revision: 0,
     }
 }
 
-/// What moved to another page would be on no page, were the old one written first.
+/// If the old record were written first, content that moves to another page would be on no page for a while.
 #[test]
 fn the_old_record_waits_for_the_new_one() {
-    let mut l = WriteBuffer::default();
+    let mut buffer = WriteBuffer::default();
     let (old, new) = (RecordId::Page(0), RecordId::Page(1));
-    let v = l.mark_dirty(new.clone(), 5);
-    l.mark_dirty(old.clone(), 1);
-    l.wait_for(old.clone(), new.clone(), v);
-    assert!(l.must_wait(&old, &[]));
-    assert!(!l.must_wait(&old, &[(new.clone(), v)]));
-    assert!(l.must_wait(&old, &[]));
-    l.applied(&batch(&[(new, v)]), 9);
-    assert!(!l.must_wait(&old, &[]));
+    let version = buffer.mark_dirty(new.clone(), 5);
+    buffer.mark_dirty(old.clone(), 1);
+    buffer.wait_for(old.clone(), new.clone(), version);
+    assert!(buffer.must_wait(&old, &[]));
+    assert!(!buffer.must_wait(&old, &[(new.clone(), version)]));
+    assert!(buffer.must_wait(&old, &[]));
+    buffer.applied(&batch(&[(new, version)]), 9);
+    assert!(!buffer.must_wait(&old, &[]));
 }
 
-/// Under a short rate, tidying up must not keep new assignments from being written; a change
-/// that matters makes its record matter.
+/// While the write rate is short, tidying up must not keep new assignments from being written. A record with both
+/// kinds of changes is written in its turn.
 #[test]
-fn what_only_tidies_up_goes_last() {
-    let mut l = WriteBuffer::default();
-    l.mark_dirty_lazily(RecordId::Page(0), 1);
-    l.mark_dirty_lazily(RecordId::Page(1), 2);
-    l.mark_dirty(RecordId::Page(2), 3);
+fn lazy_changes_are_written_last() {
+    let mut buffer = WriteBuffer::default();
+    buffer.mark_dirty_lazily(RecordId::Page(0), 1);
+    buffer.mark_dirty_lazily(RecordId::Page(1), 2);
+    buffer.mark_dirty(RecordId::Page(2), 3);
     assert_eq!(
-        l.due(3),
+        buffer.due(3),
         vec![RecordId::Page(2), RecordId::Page(0), RecordId::Page(1)]
     );
-    l.mark_dirty(RecordId::Page(1), 3);
-    l.mark_dirty_lazily(RecordId::Page(1), 3);
+    buffer.mark_dirty(RecordId::Page(1), 3);
+    buffer.mark_dirty_lazily(RecordId::Page(1), 3);
     assert_eq!(
-        l.due(3),
+        buffer.due(3),
         vec![RecordId::Page(1), RecordId::Page(2), RecordId::Page(0)]
     );
 }
 
 #[test]
 fn a_record_that_is_refused_alone_is_postponed() {
-    let mut l = WriteBuffer::default();
-    let v = l.mark_dirty(RecordId::Stats, 1);
-    l.isolate(&[(RecordId::Stats, v)]);
-    l.postpone(&RecordId::Stats, 50);
-    assert!(l.is_isolated(&RecordId::Stats) && l.due(49).is_empty());
-    assert_eq!(l.due(50), vec![RecordId::Stats]);
-    l.applied(&batch(&[(RecordId::Stats, v)]), 9);
-    assert!(!l.is_isolated(&RecordId::Stats) && l.due(90).is_empty());
+    let mut buffer = WriteBuffer::default();
+    let version = buffer.mark_dirty(RecordId::Stats, 1);
+    buffer.isolate(&[(RecordId::Stats, version)]);
+    buffer.postpone(&RecordId::Stats, 50);
+    assert!(buffer.is_isolated(&RecordId::Stats) && buffer.due(49).is_empty());
+    assert_eq!(buffer.due(50), vec![RecordId::Stats]);
+    buffer.applied(&batch(&[(RecordId::Stats, version)]), 9);
+    assert!(!buffer.is_isolated(&RecordId::Stats) && buffer.due(90).is_empty());
 }
 
 #[test]
 fn a_change_during_a_flush_stays_dirty() {
-    let mut l = WriteBuffer::default();
-    let rec = RecordId::Page(0);
-    let v1 = l.mark_dirty(rec.clone(), 5);
-    let batch = batch(&[(rec.clone(), v1)]);
-    let v2 = l.mark_dirty(rec.clone(), 6);
-    l.applied(&batch, 9);
-    assert!(l.is_durable(&rec, v1));
-    assert!(!l.is_durable(&rec, v2));
-    assert_eq!(l.due(5), vec![rec]);
+    let mut buffer = WriteBuffer::default();
+    let record = RecordId::Page(0);
+    let first_version = buffer.mark_dirty(record.clone(), 5);
+    let batch = batch(&[(record.clone(), first_version)]);
+    let second_version = buffer.mark_dirty(record.clone(), 6);
+    buffer.applied(&batch, 9);
+    assert!(buffer.is_durable(&record, first_version));
+    assert!(!buffer.is_durable(&record, second_version));
+    assert_eq!(buffer.due(5), vec![record]);
 }
