--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! The working state of a controller that looks after machines under a fenced lease: the leader, or the holder of a
 //! partition.
 //!
-//! It is built from the key-value store once the lease is granted, and dropped as a whole when the lease is lost.
+//! It is built from the key-value store once the lease is acquired, and dropped as a whole when the lease is lost.
 //! Modules under `leader` run for the leader only, those under `holder` for the holder of a partition only; the others
 //! run for both.
 
@@ -44,13 +44,13 @@
 pub(crate) mod watches;
 pub(crate) mod write_conditions;
 
-/// The number of an attempt is the fencing token under which it was given, followed by so many bits of a counter.
+/// Bits of the counter in the number of an attempt; the bits above are the fencing token under which it was given.
 const ATTEMPT_BITS: u32 = 20;
 
 /// How often changed statistics are written.
 const STATS_INTERVAL: Micros = 20 * SECOND;
 
-/// The lease is renewed so many times within its time to live.
+/// Renewals within the lease's time to live.
 const RENEWALS_PER_LEASE: Micros = 4;
 
 /// A fenced lease in the key-value store: a record that is attached to a lease and whose mod_revision fences off
@@ -91,7 +91,7 @@
     watches: BTreeMap<&'static str, Watch>,
     /// What has to be written.
     pub write_buffer: WriteBuffer,
-    /// Flushes in a row that failed.
+    /// Flushes in a row that failed, up to a limit.
     flush_failures: u32,
     /// Most bytes of a value: that of the settings until the store refuses a value that fits it.
     value_bytes: usize,
@@ -165,7 +165,7 @@
     pub(crate) holder_quota: HolderQuota,
 }
 
-/// Most bytes of a page if a value may have this many: sizes of pages are upper bounds, except for the frame of the
+/// Most bytes of a page if a value may have `value_bytes`: sizes of pages are upper bounds, except for the frame of the
 /// record.
 fn page_bytes(value_bytes: usize) -> usize {
     value_bytes * 9 / 10
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -76,9 +76,10 @@
     /// The key under which the job's cancellation is on record, or would be.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
         let legacy = format!("{OLD_CANCEL}{id}");
-        match self.write_buffer.is_on_record(&legacy) {
-            true => legacy,
-            false => cancel_key(id),
+        if self.write_buffer.is_on_record(&legacy) {
+            legacy
+        } else {
+            cancel_key(id)
         }
     }
 
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -19,7 +19,7 @@
 /// Most bytes of the operations of a transaction, in their CBOR form.
 const TRANSACTION_BYTES: usize = 40 * 1024;
 
-/// How long a record waits that does not fit a transaction, or that the store refused alone.
+/// How long a record waits that does not fit a transaction, or that the store refused when it was written alone.
 const REFUSED_PAUSE: Micros = 5 * SECOND;
 
 /// How long the next flush waits if all records that are due wait for others.
@@ -28,14 +28,14 @@
 /// How long the next flush waits at least if the write rate permits nothing.
 const RATE_LIMITED_PAUSE: Micros = 5 * MILLI;
 
-/// A flush that the write rate held back is tried again once the rate permits so many operations.
+/// A flush that the write rate held back is tried again once the rate permits this number of operations.
 const OPERATIONS_OF_NEXT_FLUSH: f64 = 4.0;
 
-/// The pause after a failed flush is doubled for each failure in a row, up to so many times.
-const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Failures in a row beyond this number do not lengthen the pause any more.
+const MAX_COUNTED_FAILURES: u32 = 4;
 
-/// Half of the pause that is doubled.
-const BACKOFF_UNIT: Micros = 100 * MILLI;
+/// The pause after a failed flush, without jitter; it is doubled with each further failure in a row.
+const FIRST_BACKOFF: Micros = 100 * MILLI;
 
 /// The next transaction while it is put together.
 struct TransactionDraft {
@@ -80,7 +80,7 @@
 }
 
 impl Scheduler {
-    /// Whether the store has failed to take the last writes in time.
+    /// Whether the last flushes have failed.
     pub(crate) fn store_is_slow(&self) -> bool {
         self.flush_failures > 0
     }
@@ -106,9 +106,10 @@
             return self.refresh_revision(context, key);
         }
         let draft = self.draft_transaction(context, conditions);
-        match draft.records.is_empty() {
-            true => self.delay_flush(context, &draft),
-            false => self.send_flush(context, draft),
+        if draft.records.is_empty() {
+            self.delay_flush(context, &draft)
+        } else {
+            self.send_flush(context, draft)
         }
     }
 
@@ -162,16 +163,15 @@
         !self.write_buffer.must_wait(record, others)
     }
 
-    /// Nothing can be written now: says when to try again.
+    /// Nothing can be written now: sets when to try again.
     fn delay_flush(&mut self, context: &mut Context, draft: &TransactionDraft) {
         let now = context.now.steady;
-        self.write_buffer.not_before = match draft.is_full {
-            true => {
-                let writes = context.writes_of(self.role);
-                let ready = writes.ready_at(now, OPERATIONS_OF_NEXT_FLUSH);
-                ready.max(now + RATE_LIMITED_PAUSE)
-            }
-            false => now + BLOCKED_PAUSE,
+        self.write_buffer.not_before = if draft.is_full {
+            let writes = context.writes_of(self.role);
+            let ready = writes.ready_at(now, OPERATIONS_OF_NEXT_FLUSH);
+            ready.max(now + RATE_LIMITED_PAUSE)
+        } else {
+            now + BLOCKED_PAUSE
         };
     }
 
@@ -205,10 +205,10 @@
 
     /// A flush failed: the next one waits for longer, the more of them have failed in a row.
     fn flush_failed(&mut self, context: &mut Context) {
-        self.flush_failures = (self.flush_failures + 1).min(MAX_BACKOFF_DOUBLINGS);
-        let pause = BACKOFF_UNIT << self.flush_failures;
-        let jitter = context.jitter(pause / 4);
+        self.flush_failures = (self.flush_failures + 1).min(MAX_COUNTED_FAILURES);
+        let pause = FIRST_BACKOFF << (self.flush_failures - 1);
+        let jitter = context.jitter(pause / 2);
         self.write_buffer
-            .back_off(context.now.steady, pause / 2 + jitter);
+            .back_off(context.now.steady, pause + jitter);
     }
 }
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -10,7 +10,7 @@
 use grebewood_wire::records::{cancel_key, job_key, JobKey, DONE, FINISHED, OLD_CANCEL};
 use log::{info, warn};
 
-/// So many ids of jobs that ended last are kept.
+/// Most ids of recently ended jobs that are kept.
 const MAX_RECENTLY_ENDED: usize = 200;
 
 /// Most bytes of an answer that are logged.
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -7,6 +7,7 @@
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
+use crate::scheduler::store_reads::LIST_PAGE;
 use crate::scheduler::Scheduler;
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
@@ -37,7 +38,7 @@
         let purpose = self.pending(SchedulerCall::List {
             prefix: RENTAL.into(),
         });
-        let path = format!("/kv?prefix={RENTAL}&page=200");
+        let path = format!("/kv?prefix={RENTAL}&page={LIST_PAGE}");
         context.get_from_store(path, purpose);
     }
 
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -9,10 +9,10 @@
 use grebewood_wire::http::Operation;
 use log::{error, warn};
 
-/// A transaction may always have so many operations, as far as this controller is concerned.
+/// The limit of operations in a transaction is never lowered below this.
 const MIN_TRANSACTION_OPERATIONS: usize = 3;
 
-/// A value may always have so many bytes, as far as this controller is concerned.
+/// The limit of bytes in a value is never lowered below this.
 const MIN_VALUE_BYTES: usize = 700;
 
 /// How long the parts of a page that is too large may wait: what is new is written first.
@@ -20,7 +20,7 @@
 
 impl Scheduler {
     /// The same transaction would be refused for good, so each of its records is written alone; and one that is
-    /// refused alone becomes smaller.
+    /// refused alone is made smaller.
     pub(crate) fn on_flush_refused(&mut self, context: &Context, batch: &Batch, answer: &str) {
         let now = context.now.steady;
         self.write_buffer
@@ -50,9 +50,10 @@
         error!(key = keys.join(", "), error = answer; "store refused a record");
         // It was not the number of operations, then.
         let operations = batch.transaction.apply.len();
-        self.transaction_operations = match operations > MIN_TRANSACTION_OPERATIONS {
-            true => MIN_TRANSACTION_OPERATIONS,
-            false => context.settings.store.transaction_operations,
+        self.transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
+            MIN_TRANSACTION_OPERATIONS
+        } else {
+            context.settings.store.transaction_operations
         };
         match record {
             RecordId::Page(_) | RecordId::Done(_) | RecordId::Stats if has_large_value(batch) => {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Whether one of the batch's values is larger than each value may be.
+/// Whether one of the batch's values is larger than the smallest limit.
 fn has_large_value(batch: &Batch) -> bool {
     let mut operations = batch.transaction.apply.iter();
     operations.any(|operation| match operation {
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::Context;
-use crate::scheduler::store_reads::Loading;
+use crate::scheduler::store_reads::{Loading, LIST_PAGE};
 use crate::scheduler::Scheduler;
 use crate::{Micros, Outcome, MILLI};
 use grebewood_partition::{PartitionId, PartitionMap};
@@ -64,7 +64,7 @@
                 None => {
                     let last_key = loading.last_key(&read);
                     let after = last_key.map_or(String::new(), |key| format!("&since={key}"));
-                    let path = format!("/kv?prefix={read}{after}&page=200");
+                    let path = format!("/kv?prefix={read}{after}&page={LIST_PAGE}");
                     (path, SchedulerCall::List { prefix: read })
                 }
             };
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -45,18 +45,20 @@
 
     /// A team's guaranteed share and limit: those in force, or those of the settings if quota grants are not supported.
     pub(crate) fn limit_of(&self, context: &Context, team: &str) -> Option<TeamQuota> {
-        match context.supports_quota_grants() {
-            true => self.leader_quota.limits.in_force().get(team),
-            false => Some(context.settings.teams.get(team)?.limit()),
+        if context.supports_quota_grants() {
+            self.leader_quota.limits.in_force().get(team)
+        } else {
+            Some(context.settings.teams.get(team)?.limit())
         }
     }
 
     /// The guaranteed shares and limits of all teams.
     pub(crate) fn team_limits(&self, context: &Context) -> Vec<(String, TeamQuota)> {
         let settings = context.settings.limits();
-        let limits = match context.supports_quota_grants() {
-            true => self.leader_quota.limits.in_force(),
-            false => &settings,
+        let limits = if context.supports_quota_grants() {
+            self.leader_quota.limits.in_force()
+        } else {
+            &settings
         };
         let limits = limits.iter();
         let owned = limits.map(|(team, limit)| (team.to_string(), limit));
@@ -81,7 +83,8 @@
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Whether so much of a team's limit is left. If not, what holders do not need of their quota grants is asked back.
+    /// Whether the amount fits what is left of a team's limit. If not, the holders are asked to give back what they do not
+    /// need of their quota grants.
     pub(crate) fn fits_limit(&mut self, context: &Context, team: &str, amount: Resources) -> bool {
         let fits = amount.fits(self.room_under_limit(context, team));
         if !fits {
--- a/crates/core/src/scheduler/store_reads.rs
+++ b/crates/core/src/scheduler/store_reads.rs
@@ -5,6 +5,9 @@
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
 
+/// Keys in one page of a list.
+pub(crate) const LIST_PAGE: usize = 200;
+
 /// The reads with which a leader or holder begins: lists of prefixes and single keys, by prefix or key.
 #[derive(Debug, Default)]
 pub(crate) struct Loading {
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -7,8 +7,8 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, Stopwatch, Target, SECOND};
 
-/// While it is not known whether the lease still holds, and after a failed renewal, renewals are tried so many times
-/// within its time to live.
+/// Renewals within the lease's time to live after a failed renewal, and while it is not known whether the lease still
+/// holds.
 pub(crate) const URGENT_RENEWALS_PER_LEASE: Micros = 12;
 
 /// How long changed statistics may wait for their write.
@@ -27,16 +27,18 @@
         let watches = self.watches.values().filter_map(Watch::next_due);
         let shared = watches.fold(self.extend_at, Micros::min);
         let shared = shared.min(self.flush_wake());
-        match self.is_holder() {
-            true => shared.min(self.holder_wake()),
-            false => shared.min(self.leader_wake()),
+        if self.is_holder() {
+            shared.min(self.holder_wake())
+        } else {
+            shared.min(self.leader_wake())
         }
     }
 
     fn leader_wake(&self) -> Micros {
-        let held = match self.held_heartbeats.is_empty() {
-            true => Micros::MAX,
-            false => self.held_until,
+        let held = if self.held_heartbeats.is_empty() {
+            Micros::MAX
+        } else {
+            self.held_until
         };
         self.remote_partitions
             .next_wake()
@@ -60,9 +62,10 @@
             return self.run_loading(context);
         }
         self.run_watches(context);
-        match self.is_holder() {
-            true => self.run_holder(context, watch),
-            false => self.run_leader(context, watch),
+        if self.is_holder() {
+            self.run_holder(context, watch)
+        } else {
+            self.run_leader(context, watch)
         }
     }
 
@@ -80,9 +83,10 @@
 
     /// Sends a renewal of the lease. Its reply may be lost: the next renewal is sent all the same.
     fn renew_lease(&mut self, context: &mut Context) {
-        let renewals = match self.uncertain {
-            true => URGENT_RENEWALS_PER_LEASE,
-            false => RENEWALS_PER_LEASE,
+        let renewals = if self.uncertain {
+            URGENT_RENEWALS_PER_LEASE
+        } else {
+            RENEWALS_PER_LEASE
         };
         self.extend_at = context.now.steady + context.tuning.leader_lease_us / renewals;
         let path = format!("/leases/{}/extend", self.lease);
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -14,7 +14,10 @@
 /// Keys in one page of a list that is read again.
 const RELIST_PAGE: usize = 1_000;
 
-/// How long a watch may take: the store answers it after ten seconds at the latest.
+/// Milliseconds after which the store answers a watch even if nothing has changed.
+const BLOCK_MS: u64 = 10_000;
+
+/// How long a watch may take, with the time until the store answers it at the latest.
 const WATCH_TIMEOUT: Micros = 13 * SECOND;
 
 /// Pause after an answer, for changes to gather.
@@ -44,7 +47,8 @@
                     (SchedulerCall::List { prefix }, path, STORE_TIMEOUT)
                 }
                 WatchRequest::Changes { since } => {
-                    let path = format!("/changes?prefix={prefix}&since={since}&block_ms=10000");
+                    let path =
+                        format!("/changes?prefix={prefix}&since={since}&block_ms={BLOCK_MS}");
                     (SchedulerCall::Watch { prefix }, path, WATCH_TIMEOUT)
                 }
             };
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -32,9 +32,10 @@
     pub(crate) fn conditions_failed(&mut self, failed_keys: &[String]) -> Result<(), String> {
         let has_failed = |key: &str| failed_keys.iter().any(|failed| failed == key);
         let Some(partition) = self.partition() else {
-            return match has_failed(LEADER) {
-                true => Err("another leader was elected".into()),
-                false => Ok(()),
+            return if has_failed(LEADER) {
+                Err("another leader was elected".into())
+            } else {
+                Ok(())
             };
         };
         if has_failed(&claim_key(partition)) {
--- a/crates/core/src/state/assignment_pages.rs
+++ b/crates/core/src/state/assignment_pages.rs
@@ -11,7 +11,7 @@
 /// What an assignment takes in the record's JSON form besides its values, with a blank after each separator.
 const ASSIGNMENT_FRAME: &str = "[\"\", , ], ";
 
-/// A page takes another assignment if it has room for so many bytes.
+/// A page takes another assignment if it has room for this number of bytes.
 const ASSIGNMENT_BYTES: usize = 160;
 
 /// A page of assignments: which machines are on it, and how large it is.
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -44,7 +44,7 @@
 }
 
 impl CompletedTaskPages {
-    /// No pages yet; each of them may have so many bytes.
+    /// Creates an empty set of pages that may have up to `page_bytes` each.
     pub fn new(page_bytes: usize) -> Self {
         CompletedTaskPages {
             pages: Vec::new(),
