--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -77,7 +77,7 @@
             return;
         };
         let holder_quota = &mut self.holder_quota;
-        holder_quota.allotment.adopt(&quota.allotment);
+        holder_quota.allotment.set_granted(&quota.allotment);
         holder_quota.term = Some(term);
         holder_quota.limits = Some(quota.limits);
         holder_quota
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -108,7 +108,7 @@
         let lowered = self.leader_quota.limits.in_force().lowered_since(&before);
         info!("limits in force have changed, as {member} has them; lowered for {lowered:?}");
         for team in &lowered {
-            self.leader_quota.allotments.drop_growth(team);
+            self.leader_quota.allotments.cancel_unrecorded_growth(team);
         }
         // What is decided and not under way must not come on record after the lower figure.
         self.undo_unlaunched(context, &lowered);
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -38,12 +38,12 @@
         let over: BTreeSet<String> = over.map(|(team, _)| team.to_string()).collect();
         let pressed = self.leader_quota.pressed.clone();
         let ask_back = |team: &str| match (over.contains(team), pressed.contains(team)) {
-            (true, _) => GrantReduction::Everything,
+            (true, _) => GrantReduction::All,
             (false, true) => GrantReduction::Slack,
-            (false, false) => GrantReduction::OldSlack,
+            (false, false) => GrantReduction::IdleSlack,
         };
         let now = context.now.steady;
-        let allotment = self.leader_quota.allotments.to_tell(id, now, ask_back);
+        let allotment = self.leader_quota.allotments.usable(id, now, ask_back);
         let work = match synced {
             true => self.work_to_send(id),
             false => Vec::new(),
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,27 +1,28 @@
-//! Team limits as one figure while several controllers place tasks.
+//! Team quotas that hold for the whole cluster while several controllers place tasks.
 //!
-//! A team may use no more than its ceiling across the whole cluster. The leader grants the holder of each
-//! partition an allotment of a team's ceiling, and writes it before it is used; a holder starts tasks out
-//! of its allotment without asking. What is allotted counts as used until the holder has said that it
-//! will not use it, or whoever holds the partition next has.
+//! A team may use no more than its limit across the whole cluster. The leader grants the holder of each
+//! partition a part of a team's limit (a quota grant) and writes it to the store before it is used; the
+//! holder starts tasks out of its grant without asking. What is granted counts as used until the holder,
+//! or whoever holds the partition next, has answered that it will not use it.
 //!
-//! Like the scheduler's core this package is pure: inputs in, what to write and to send out. It does no
-//! I/O and reads no clock.
+//! Like the scheduler's core this package is pure: inputs in, decisions out. It does no I/O and reads no
+//! clock.
 //!
-//! - [`limits`]: which guarantees and ceilings are in force while settings change;
-//! - [`allotments`]: the leader's books;
-//! - [`holder`]: a holder's books;
+//! - [`limits`]: which guaranteed shares and limits are in force while settings change;
+//! - [`grants`]: what the leader has granted to each partition;
+//! - [`holder_grant`]: what a holder may use, and what its tasks use;
 //! - [`overview`]: what an operator is shown, from the records alone.
 //!
-//! For each team, at any moment, and by the records alone for whoever leads next:
+//! For each team these hold at any moment, also by the records alone, so that the next leader can rely on
+//! them:
 //!
 //! ```text
-//! used by tasks of the leader + sum over partitions of max(allotted, may be on record) <= ceiling in force
-//! used by tasks of a partition's holder <= allotted to the partition, on record
+//! used by tasks of the leader + sum over partitions of max(granted, may be on record) <= limit in force
+//! used by tasks of a partition's holder <= granted to the partition, on record
 //! ```
 //!
-//! unless the ceiling was lowered below what is used: then nothing new starts until the first line holds
-//! again.
+//! The exception is a limit that was lowered below what is used: then nothing new starts until the first
+//! line holds again.
 
 #![warn(missing_docs)]
 
@@ -29,12 +30,17 @@
 pub mod holder_grant;
 pub mod limits;
 pub mod overview;
+mod partition_grant;
 mod resources;
 
-pub use grants::{GrantReduction, QuotaGrants};
+pub use grants::{OverLimit, QuotaGrants};
 pub use holder_grant::HolderGrant;
 pub use limits::{Limits, LimitsInForce, TeamQuota};
+pub use partition_grant::GrantReduction;
 pub use resources::{Resources, TeamAmounts};
 
-/// Whole microseconds of a steady clock.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
+
+/// Number of a partition.
+pub type PartitionId = u64;
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -1,27 +1,27 @@
-//! Which guarantees and ceilings are in force while the members' settings change.
+//! Which guaranteed shares and limits are in force while the members' settings change.
 //!
-//! Each member reads the teams' limits from its own settings when it starts, so for a while some have the
-//! new figures and some the old ones. The figure in force is on record. It is lowered as soon as one
-//! member is heard to have a lower one, and raised only when all members, asked by the present leader,
-//! have a higher one. So a member with old settings that becomes the leader acts on no higher figure than
-//! the one on record, and neither does one that is not heard.
+//! Each member reads the teams' quotas from its own settings when it starts, so for a while some members
+//! have the new amounts and some the old ones. The amount in force is on record. It is lowered as soon as
+//! one member announces a lower one, and raised only when all members, asked by the present leader, have
+//! announced a higher one. So a member with old settings that becomes the leader acts on no higher amount
+//! than the one on record, and neither does a member that cannot be reached.
 
 use crate::Resources;
 use grebewood_wire::records::{LimitsRecord, TeamQuotaRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A team's guarantee and ceiling.
+/// A team's guaranteed share and limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamQuota {
-    /// What it need not wait for other teams for.
+    /// What the team gets without waiting for tasks of other teams to end.
     pub guarantee: Resources,
-    /// What its tasks may use at most.
+    /// What the team's tasks may use at most.
     pub limit: Resources,
 }
 
 impl TeamQuota {
-    /// The lower figure of each.
-    fn lowest(self, other: TeamQuota) -> TeamQuota {
+    /// The lower amount of each; the guaranteed share never exceeds the limit.
+    fn lower_of(self, other: TeamQuota) -> TeamQuota {
         let limit = self.limit.min(other.limit);
         TeamQuota {
             guarantee: self.guarantee.min(other.guarantee).min(limit),
@@ -30,78 +30,79 @@
     }
 }
 
-/// The limits of all teams.
+/// The quotas of all teams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Limits(BTreeMap<String, TeamQuota>);
 
 impl Limits {
-    /// The limits of these teams.
+    /// The quotas of these teams.
     pub fn new(teams: impl IntoIterator<Item = (String, TeamQuota)>) -> Limits {
         Limits(teams.into_iter().collect())
     }
 
-    /// A team's limits; `None` if there is no such team.
+    /// A team's quota; `None` if there is no such team.
     pub fn get(&self, team: &str) -> Option<TeamQuota> {
         self.0.get(team).copied()
     }
 
-    /// All teams.
+    /// All teams with their quotas.
     pub fn iter(&self) -> impl Iterator<Item = (&str, TeamQuota)> {
-        self.0.iter().map(|(team, limit)| (team.as_str(), *limit))
+        self.0.iter().map(|(team, quota)| (team.as_str(), *quota))
     }
 
-    /// What a record or message says.
+    /// The quotas from a record or message.
     pub fn from_teams(teams: &[TeamQuotaRecord]) -> Limits {
-        let limit = |team: &TeamQuotaRecord| TeamQuota {
-            guarantee: Resources::of(team.cpus, team.gpus),
-            limit: Resources::of(team.cpus_max, team.gpus_max),
+        let quota = |record: &TeamQuotaRecord| TeamQuota {
+            guarantee: Resources::of(record.cpus, record.gpus),
+            limit: Resources::of(record.cpus_max, record.gpus_max),
         };
-        Limits::new(teams.iter().map(|team| (team.team.clone(), limit(team))))
+        let teams = teams.iter();
+        Limits::new(teams.map(|record| (record.team.clone(), quota(record))))
     }
 
-    /// The same for a message.
+    /// The quotas for a message.
     pub fn to_teams(&self) -> Vec<TeamQuotaRecord> {
-        let record = |(team, limit): (&str, TeamQuota)| TeamQuotaRecord {
+        let record = |(team, quota): (&str, TeamQuota)| TeamQuotaRecord {
             team: team.to_string(),
-            cpus: limit.guarantee.cpus(),
-            cpus_max: limit.limit.cpus(),
-            gpus: limit.guarantee.gpus(),
-            gpus_max: limit.limit.gpus(),
+            cpus: quota.guarantee.cpus(),
+            cpus_max: quota.limit.cpus(),
+            gpus: quota.guarantee.gpus(),
+            gpus_max: quota.limit.gpus(),
         };
         self.iter().map(record).collect()
     }
 
-    /// The record.
+    /// The quotas as the record in the store.
     pub fn to_record(&self) -> LimitsRecord {
         LimitsRecord {
             teams: self.to_teams(),
         }
     }
 
-    /// Teams whose ceiling lies lower here than in `before`.
+    /// Teams whose limit is lower here than in `before`.
     pub fn lowered_since(&self, before: &Limits) -> Vec<String> {
-        let lower = |(team, limit): &(&str, TeamQuota)| {
+        let lower = |(team, quota): &(&str, TeamQuota)| {
             let now = self.get(team).unwrap_or_default();
-            !limit.limit.fits(now.limit)
+            !quota.limit.fits(now.limit)
         };
         let lowered = before.iter().filter(lower);
         lowered.map(|(team, _)| team.to_string()).collect()
     }
 }
 
-/// The limits in force, as the leader settles them.
+/// The quotas in force, as the leader determines them.
 #[derive(Clone, Debug, Default)]
 pub struct LimitsInForce {
     in_force: Limits,
     /// All members of the cluster.
     members: BTreeSet<String>,
-    /// What each member's settings say, as far as it was heard under this leader.
+    /// What the members' settings say, of those that have announced them to this leader.
     announced: BTreeMap<String, Limits>,
 }
 
 impl LimitsInForce {
-    /// Those of a new leader: what is on record, or its own settings where there is no record, but no
-    /// more than its own settings.
+    /// The quotas in force under a new leader: those on record (its own settings if there is no record), but
+    /// no more than its own settings say.
     pub fn new(
         recorded: Option<Limits>,
         member: &str,
@@ -119,52 +120,53 @@
         limits
     }
 
-    /// The limits that are in force.
+    /// The quotas that are in force.
     pub fn in_force(&self) -> &Limits {
         &self.in_force
     }
 
-    /// Whether all members were heard.
-    pub fn all_heard(&self) -> bool {
+    /// Whether all members have announced their settings.
+    pub fn all_announced(&self) -> bool {
         self.announced.len() == self.members.len()
     }
 
-    /// Takes in what a member's settings say. Whether that changes what is in force.
+    /// Applies what a member's settings say, and returns whether that changes what is in force.
     pub fn announce(&mut self, member: &str, limits: Limits) -> bool {
         if !self.members.contains(member) {
             return false;
         }
         self.announced.insert(member.to_string(), limits);
-        let settled = self.settle();
-        let changed = settled != self.in_force;
-        self.in_force = settled;
+        let updated = self.determine();
+        let changed = updated != self.in_force;
+        self.in_force = updated;
         changed
     }
 
-    fn settle(&self) -> Limits {
+    fn determine(&self) -> Limits {
         let announced = self.announced.values().flat_map(|limits| limits.0.keys());
         let teams: BTreeSet<&String> = self.in_force.0.keys().chain(announced).collect();
-        let settled = teams.into_iter().filter_map(|team| {
-            let limit = self.settle_team(team)?;
-            Some((team.clone(), limit))
+        let quotas = teams.into_iter().filter_map(|team| {
+            let quota = self.determine_team(team)?;
+            Some((team.clone(), quota))
         });
-        Limits::new(settled)
+        Limits::new(quotas)
     }
 
-    /// A team's limits; `None` if no member knows it any more.
-    fn settle_team(&self, team: &str) -> Option<TeamQuota> {
-        let mut figures = self.announced.values().map(|limits| limits.get(team));
-        if self.all_heard() && figures.clone().all(|figure| figure.is_none()) {
+    /// A team's quota; `None` if no member knows the team any more.
+    fn determine_team(&self, team: &str) -> Option<TeamQuota> {
+        let mut quotas = self.announced.values().map(|limits| limits.get(team));
+        if self.all_announced() && quotas.clone().all(|quota| quota.is_none()) {
             return None;
         }
-        // For a member that does not know it, a team may use nothing.
-        let first = figures.next()?.unwrap_or_default();
-        let lowest = figures.fold(first, |lowest, figure| {
-            lowest.lowest(figure.unwrap_or_default())
+        // A member that does not know the team allows it nothing.
+        let first = quotas.next()?.unwrap_or_default();
+        let lowest = quotas.fold(first, |lowest, quota| {
+            lowest.lower_of(quota.unwrap_or_default())
         });
-        match self.all_heard() {
-            true => Some(lowest),
-            false => Some(lowest.lowest(self.in_force.get(team).unwrap_or_default())),
+        if self.all_announced() {
+            return Some(lowest);
         }
+        let in_force = self.in_force.get(team).unwrap_or_default();
+        Some(lowest.lower_of(in_force))
     }
 }
--- a/crates/quota/src/resources.rs
+++ b/crates/quota/src/resources.rs
@@ -1,5 +1,5 @@
-//! Amounts of CPUs and accelerators, in whole millionths: sums of them are exact, however long tasks come
-//! and go.
+//! Amounts of CPUs and accelerators in whole millionths, so that sums stay exact however many tasks are
+//! added and removed.
 
 use grebewood_wire::records::TeamAmount;
 use serde::Serialize;
@@ -18,34 +18,34 @@
 pub type TeamAmounts = BTreeMap<String, Resources>;
 
 const MILLION: f64 = 1e6;
-/// What the product of a decimal number may be too large by, in millionths.
-const ROUNDING: f64 = 1e-3;
+/// By how much the floating-point product of a decimal number may be too large, in millionths.
+const ROUNDING_ERROR: f64 = 1e-3;
 
 impl Resources {
     /// None of either.
     pub const ZERO: Resources = Resources { cpus: 0, gpus: 0 };
 
-    /// An amount in CPUs and accelerators, rounded up to whole millionths. Negative ones count as none.
+    /// An amount in CPUs and accelerators, rounded up to whole millionths. Negative amounts count as none.
     pub fn of(cpus: f64, gpus: f64) -> Resources {
-        // Conversion saturates: a team without a limit has more than any fleet.
-        let millionths = |amount: f64| (amount.max(0.0) * MILLION - ROUNDING).ceil() as u64;
+        // The conversion saturates: a team without a limit has more than any fleet.
+        let millionths = |amount: f64| (amount.max(0.0) * MILLION - ROUNDING_ERROR).ceil() as u64;
         Resources {
             cpus: millionths(cpus),
             gpus: millionths(gpus),
         }
     }
 
-    /// In CPUs.
+    /// The CPUs, in whole ones and fractions.
     pub fn cpus(self) -> f64 {
         self.cpus as f64 / MILLION
     }
 
-    /// In accelerators.
+    /// The accelerators, in whole ones and fractions.
     pub fn gpus(self) -> f64 {
         self.gpus as f64 / MILLION
     }
 
-    /// Both together.
+    /// The sum of both, saturating.
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_add(other.cpus),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What is left when `other` is taken away, of each resource none at least.
+    /// What is left when `other` is subtracted, zero at least for each resource.
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(other.cpus),
@@ -61,15 +61,15 @@
         }
     }
 
-    /// So many times as much.
-    pub fn times(self, n: u64) -> Resources {
+    /// This amount `factor` times, saturating.
+    pub fn times(self, factor: u64) -> Resources {
         Resources {
-            cpus: self.cpus.saturating_mul(n),
-            gpus: self.gpus.saturating_mul(n),
+            cpus: self.cpus.saturating_mul(factor),
+            gpus: self.gpus.saturating_mul(factor),
         }
     }
 
-    /// The larger one of each resource.
+    /// The larger amount of each resource.
     pub fn max(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.max(other.cpus),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The smaller one of each resource.
+    /// The smaller amount of each resource.
     pub fn min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether it is no more than `other` of either resource.
+    /// Whether it is no more than `other` in either resource.
     pub fn fits(self, other: Resources) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus
     }
@@ -98,13 +98,14 @@
 
 /// Amounts by team as they are written and sent.
 pub fn to_list(amounts: &TeamAmounts) -> Vec<TeamAmount> {
-    let some = amounts.iter().filter(|(_, amount)| !amount.is_zero());
-    some.map(|(team, amount)| TeamAmount {
-        team: team.clone(),
-        cpus: amount.cpus,
-        gpus: amount.gpus,
-    })
-    .collect()
+    let non_zero = amounts.iter().filter(|(_, amount)| !amount.is_zero());
+    non_zero
+        .map(|(team, amount)| TeamAmount {
+            team: team.clone(),
+            cpus: amount.cpus,
+            gpus: amount.gpus,
+        })
+        .collect()
 }
 
 /// Amounts by team, from a record or a message.
--- a/crates/quota/tests/holder_grant.rs
+++ b/crates/quota/tests/holder_grant.rs
@@ -1,4 +1,4 @@
-//! A holder's books.
+//! What a partition holder may use of its quota grant.
 
 use grebewood_quota::{HolderGrant, Resources};
 use grebewood_wire::records::TeamAmount;
@@ -11,15 +11,15 @@
     }]
 }
 
-/// What was asked back and is used by a task, or by one whose write is under way, is not given back.
+/// What was revoked but is used by a task, or by one whose write is in flight, is still held.
 #[test]
 fn what_tasks_use_is_held_whatever_is_granted() {
     let task = Resources::of(2.0, 0.0);
     let mut holder = HolderGrant::default();
-    holder.adopt(&grant(6));
+    holder.set_granted(&grant(6));
     holder.take("t", task);
     holder.take("t", task);
-    holder.adopt(&grant(1));
+    holder.set_granted(&grant(1));
     assert_eq!(holder.held(), grant(4));
     assert!(!holder.may_use("t", task));
     holder.give_back("t", task);
@@ -32,7 +32,7 @@
     let task = Resources::of(1.0, 0.0);
     let mut holder = HolderGrant::default();
     assert!(!holder.may_use("t", task));
-    holder.adopt(&grant(2));
+    holder.set_granted(&grant(2));
     assert!(holder.may_use("t", task) && !holder.may_use("u", task));
     holder.suspend();
     assert!(!holder.may_use("t", task));
--- a/crates/quota/tests/interleavings.rs
+++ b/crates/quota/tests/interleavings.rs
@@ -1,4 +1,5 @@
-//! No team is ever above its ceiling, whatever is lost, late, repeated or reordered, and whoever ends.
+//! No team is ever above its limit, whatever is lost, late, repeated or reordered, and whichever process
+//! ends.
 
 mod model;
 
@@ -8,34 +9,36 @@
 
 /// Interleavings in one run of the test; more with `INTERLEAVINGS=100000`.
 const CASES: u32 = 4_000;
-const STEPS: usize = 300;
-const MOST: u64 = 12;
+/// Most steps in one interleaving.
+const MAX_STEPS: usize = 300;
+/// The highest limit of the team, in tasks.
+const MAX_LIMIT: u64 = 12;
 
 fn step() -> impl Strategy<Value = Step> {
     let partition = 0..PARTITIONS;
     let which = 0..64usize;
     prop_oneof![
         8 => partition.clone().prop_map(Step::Queue),
-        2 => Just(Step::Own),
-        2 => Just(Step::OwnEnds),
-        8 => partition.clone().prop_map(Step::WriteAllotment),
+        2 => Just(Step::StartOnLeader),
+        2 => Just(Step::EndOnLeader),
+        8 => partition.clone().prop_map(Step::WriteGrant),
         16 => (which.clone(), any::<bool>())
-            .prop_map(|(which, answered)| Step::CarryOut { which, answered }),
+            .prop_map(|(which, answered)| Step::ApplyWrite { which, answered }),
         4 => Just(Step::ReadBack),
-        10 => partition.clone().prop_map(Step::Send),
+        10 => partition.clone().prop_map(Step::SendOrders),
         12 => (which.clone(), prop::bool::weighted(0.2))
-            .prop_map(|(which, again)| Step::Deliver { which, again }),
-        10 => which.prop_map(Step::Answer),
-        2 => partition.clone().prop_map(Step::GiveUp),
+            .prop_map(|(which, again)| Step::DeliverOrders { which, again }),
+        10 => which.prop_map(Step::DeliverAnswer),
+        2 => partition.clone().prop_map(Step::TimeOut),
         10 => partition.clone().prop_map(Step::Place),
-        6 => partition.clone().prop_map(Step::TaskEnds),
-        1 => partition.prop_map(Step::HolderEnds),
-        1 => Just(Step::LeaderEnds),
-        1 => (0..2usize, 0..=MOST)
-            .prop_map(|(member, limit)| Step::Settings { member, limit }),
-        3 => Just(Step::Wait),
+        6 => partition.clone().prop_map(Step::EndTask),
+        1 => partition.prop_map(Step::ReplaceHolder),
+        1 => Just(Step::ReplaceLeader),
+        1 => (0..2usize, 0..=MAX_LIMIT)
+            .prop_map(|(member, limit)| Step::ChangeSettings { member, limit }),
+        3 => Just(Step::AdvanceClock),
         16 => (0..PARTITIONS).prop_map(Step::Exchange),
-        16 => (0..PARTITIONS).prop_map(Step::Start),
+        16 => (0..PARTITIONS).prop_map(Step::PlaceAndWrite),
     ]
 }
 
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn no_team_is_above_its_ceiling() {
+fn no_team_is_above_its_limit() {
     let config = Config {
         cases: cases(),
         failure_persistence: None,
@@ -55,8 +58,8 @@
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let started = std::cell::Cell::new(0u64);
-    let steps = prop::collection::vec(step(), 1..STEPS);
-    let outcome = runner.run(&(1..=MOST, steps), |(limit, steps)| {
+    let steps = prop::collection::vec(step(), 1..MAX_STEPS);
+    let outcome = runner.run(&(1..=MAX_LIMIT, steps), |(limit, steps)| {
         let mut cluster = Cluster::new(limit);
         for step in steps {
             cluster.step(step).map_err(TestCaseError::fail)?;
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -1,14 +1,14 @@
-//! Which limits are in force while the members' settings change one after the other.
+//! Which quotas are in force while the members' settings change one after the other.
 
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamQuota};
 
 fn limits(teams: &[(&str, f64, f64)]) -> Limits {
-    let limit = |cpus: f64, most: f64| TeamQuota {
-        guarantee: Resources::of(cpus, 0.0),
-        limit: Resources::of(most, 0.0),
+    let quota = |guarantee: f64, limit: f64| TeamQuota {
+        guarantee: Resources::of(guarantee, 0.0),
+        limit: Resources::of(limit, 0.0),
     };
     let teams = teams.iter();
-    Limits::new(teams.map(|(team, cpus, most)| (team.to_string(), limit(*cpus, *most))))
+    Limits::new(teams.map(|(team, guarantee, limit)| (team.to_string(), quota(*guarantee, *limit))))
 }
 
 fn others() -> [String; 2] {
@@ -19,24 +19,24 @@
     Some(in_force.in_force().get(team)?.limit.cpus())
 }
 
-/// A leader with old settings once one member has the lower figure.
+/// The leader still has old settings when one member has the lower limit already.
 #[test]
 fn one_member_lowers_and_all_raise() {
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(high.clone()), "m-0", high.clone(), others());
     assert!(in_force.announce("m-1", low.clone()));
     assert_eq!(limit(&in_force, "t"), Some(12.0));
-    // Of the third nothing is known; then it has the old figure still.
+    // Nothing is known of the third member; then it announces the old limit.
     assert!(!in_force.announce("m-2", high.clone()));
     assert_eq!(limit(&in_force, "t"), Some(12.0));
     assert!(in_force.announce("m-1", high));
     assert_eq!(limit(&in_force, "t"), Some(32.0));
 }
 
-/// A member with the old figure becomes the leader, and then one that was not heard for long is the first to have
-/// a higher one.
+/// A member with the old limit becomes the leader, and then a member that could not be reached for long is the
+/// first to announce a higher one.
 #[test]
-fn a_new_leader_acts_on_no_higher_figure_than_the_one_on_record() {
+fn a_new_leader_acts_on_no_higher_limit_than_the_one_on_record() {
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(low.clone()), "m-0", high.clone(), others());
     assert_eq!(limit(&in_force, "t"), Some(12.0));
@@ -76,21 +76,21 @@
 }
 
 #[test]
-fn a_stranger_announces_nothing() {
+fn what_an_unknown_member_announces_is_ignored() {
     let own = limits(&[("t", 4.0, 32.0)]);
     let mut in_force = LimitsInForce::new(None, "m-0", own.clone(), others());
     assert!(!in_force.announce("m-9", limits(&[])));
     assert_eq!(in_force.in_force(), &own);
 }
 
-/// A guarantee is never more than the ceiling in force.
+/// A guaranteed share is never more than the limit in force.
 #[test]
-fn a_lowered_ceiling_takes_the_guarantee_with_it() {
+fn a_lowered_limit_lowers_the_guaranteed_share_too() {
     let (high, low) = (limits(&[("t", 20.0, 32.0)]), limits(&[("t", 10.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(high.clone()), "m-0", high, others());
     in_force.announce("m-1", low);
-    let limit = in_force.in_force().get("t").expect("the team");
-    assert_eq!(limit.guarantee.cpus(), 10.0);
+    let quota = in_force.in_force().get("t").expect("the team");
+    assert_eq!(quota.guarantee.cpus(), 10.0);
 }
 
 /// Amounts of tasks are rounded up, so that sums of them are never less than what the tasks use.
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -1,11 +1,11 @@
-//! What an operator is shown, from the records alone.
+//! What `grebewood quota` shows, from the records alone.
 
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
 use grebewood_quota::{Limits, Resources, TeamQuota};
 use grebewood_wire::records::{QuotaGrantRecord, TeamAmount};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn allotment(cpus: u64) -> QuotaGrantRecord {
+fn grant(cpus: u64) -> QuotaGrantRecord {
     QuotaGrantRecord {
         number: 3,
         claim: 9,
@@ -26,14 +26,14 @@
 }
 
 fn records() -> Records {
-    let limit = TeamQuota {
+    let quota = TeamQuota {
         guarantee: Resources::of(8.0, 0.0),
         limit: Resources::of(32.0, 0.0),
     };
     Records {
         leader: Some("m-0".into()),
-        limits: Some(Limits::new([("t".to_string(), limit)])),
-        allotments: BTreeMap::from([(1, Some(allotment(6))), (2, Some(allotment(4)))]),
+        limits: Some(Limits::new([("t".to_string(), quota)])),
+        allotments: BTreeMap::from([(1, Some(grant(6))), (2, Some(grant(4)))]),
         held: BTreeSet::from([1, 2]),
         tasks: vec![task(None), task(Some(1)), task(Some(1)), task(Some(2))],
         ..Records::default()
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_nobody_holds_is_in_doubt() {
+fn grants_of_partitions_without_a_holder_are_in_doubt() {
     let mut records = records();
     records.held.remove(&2);
     let row = &Overview::of(&records).teams[0];
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_unreadable_allotment_counts_as_all_of_the_ceiling_and_is_named() {
+fn an_unreadable_grant_counts_as_all_of_the_limit_and_its_key_is_shown() {
     let mut records = records();
     records.allotments.insert(2, None);
     records.limits_unreadable = true;
@@ -76,10 +76,10 @@
     let text = Overview::of(&none).to_text();
     assert!(text.contains("leader: nobody"), "{text}");
     assert!(text.contains("no limits on record"), "{text}");
-    let limit = TeamQuota {
+    let quota = TeamQuota {
         guarantee: Resources::ZERO,
         limit: Resources::of(1e12, 0.0),
     };
-    none.limits = Some(Limits::new([("guest".to_string(), limit)]));
+    none.limits = Some(Limits::new([("guest".to_string(), quota)]));
     assert!(Overview::of(&none).to_text().contains("no limit"));
 }
