--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -9,7 +9,8 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, MILLI, SECOND};
 use grebewood_partition::{
-    Assignment as PartitionAssignment, Load, PartitionId, PartitionMap, Plan, PlannerSettings,
+    Assignment as PartitionAssignment, Load, PartitionId, PartitionMap, PlannerInput,
+    PlannerSettings,
 };
 use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskStop};
 use grebewood_wire::records::{
@@ -141,17 +142,17 @@
         let synced = self.remote_partitions.by_id.values().all(|r| r.synced);
         let settled = now.saturating_sub(self.loaded_at) > SETTLING;
         let known = map.iter().count() == self.remote_partitions.by_id.len();
-        let plan = Plan {
+        let input = PlannerInput {
             map,
             zones: &zones,
             members: &job_view.members,
             loads: &loads,
-            out_of_touch: &self.out_of_touch(context),
+            holder_unreachable: &self.out_of_touch(context),
             next_id: self.next_partition_id(),
             may_create: known && job_view.all_answer && !job_view.any_without,
-            at_rest: settled && synced && !self.store_is_slow(),
+            stable: settled && synced && !self.store_is_slow(),
             now,
-            wall: context.now.wall,
+            wall_time: context.now.wall,
         };
         let settings = PlannerSettings {
             partitions_per_zone: context.tuning.partitions_per_zone as u16,
@@ -159,7 +160,7 @@
             hysteresis: context.tuning.partition_hysteresis,
             paused: context.tuning.partition_moves_paused != 0,
         };
-        let assignments = self.remote_partitions.planner.round(&settings, &plan);
+        let assignments = self.remote_partitions.planner.round(&settings, &input);
         for PartitionAssignment { id, record } in assignments {
             self.assign_partition(context, id, record);
         }
--- a/crates/partition/src/hash_slots.rs
+++ b/crates/partition/src/hash_slots.rs
@@ -1,27 +1,30 @@
-//! Which machines form a partition: a machine's slot is a hash of its name, and a partition has a range
-//! of the slots of one zone. So a machine that boots belongs to a partition from its first report on,
-//! and a small record says of any number of machines where they belong.
+//! Which machines form a partition: a machine's hash slot follows from its name, and a partition has a
+//! range of the slots of one zone. So a machine that boots belongs to a partition from its first heartbeat
+//! on, and one small record covers any number of machines.
 
-/// Number of slots of a zone.
+/// Number of hash slots of a zone.
 pub const SLOTS: u16 = 256;
 
 const FNV_OFFSET: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// The slot of the machine with this name (FNV-1a). It must never change: all versions that hold
-/// partitions side by side have to agree on it.
+/// The hash slot of the machine with this name (FNV-1a). It must never change: controllers of different
+/// versions that hold partitions side by side have to agree on it.
 pub fn slot_of(machine: &str) -> u16 {
     let hash = machine.bytes().fold(FNV_OFFSET, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
     });
-    // The low bits of names that differ in their last digit only are spread less well.
+    // The low bits alone are distributed poorly for names that differ only in their last digit.
     let mixed = hash ^ (hash >> 16);
     (mixed % u32::from(SLOTS)) as u16
 }
 
-/// The ranges of so many partitions of a zone: together they cover all slots, and none twice.
+/// The slot ranges of a zone's partitions, each from its first slot to below its second. Together they
+/// cover all slots, and none twice.
 pub fn ranges(partitions: u16) -> Vec<(u16, u16)> {
     let partitions = partitions.clamp(1, SLOTS);
-    let bound = |n: u16| (u32::from(SLOTS) * u32::from(n) / u32::from(partitions)) as u16;
-    (0..partitions).map(|n| (bound(n), bound(n + 1))).collect()
+    let bound = |index: u16| (u32::from(SLOTS) * u32::from(index) / u32::from(partitions)) as u16;
+    (0..partitions)
+        .map(|index| (bound(index), bound(index + 1)))
+        .collect()
 }
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -1,10 +1,12 @@
-//! The partition map, as the records in the state service have it.
+//! The partition map, from the records in the key-value store.
 
 use crate::hash_slots::{slot_of, SLOTS};
+use crate::Micros;
 use grebewood_wire::http::from_value;
-use grebewood_wire::records::{PartitionClaim, PartitionKey, PartitionRecord};
-use grebewood_wire::Value;
+use grebewood_wire::records::{partition_key, PartitionClaim, PartitionKey, PartitionRecord};
+use grebewood_wire::{DecodeError, Value};
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
 /// Number of a partition.
 pub type PartitionId = u64;
@@ -12,13 +14,13 @@
 /// A claim on record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// Who holds the partition.
+    /// The member that holds the partition.
     pub member: String,
-    /// The process that holds it.
+    /// The incarnation of the controller that holds it.
     pub incarnation: u64,
     /// Time of day of the claim, in microseconds.
-    pub claimed_us: u64,
-    /// The fencing token: the stamp of the claim.
+    pub claimed_us: Micros,
+    /// The fencing token: the mod_revision of the claim.
     pub token: u64,
 }
 
@@ -27,21 +29,21 @@
 pub struct Partition {
     /// What the leader wrote.
     pub record: PartitionRecord,
-    /// The stamp of its record.
+    /// The mod_revision of that record.
     pub mod_revision: u64,
-    /// Who holds it.
+    /// The claim of the partition holder; `None`: it is not held.
     pub claim: Option<Claim>,
 }
 
-/// How far a partition is from being held by the member that is to hold it. Both records together say
-/// so: a leader that ends in the middle of a move leaves nothing behind that they do not tell.
+/// How far the handoff of a partition to its assigned holder is. It follows from both records together, so
+/// a leader that ends in the middle of a handoff leaves no other state behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Held by whom it is assigned to.
+    /// Held by the member that it is assigned to.
     Held,
-    /// Held by another member, which is to give it back.
+    /// Held by another member, which is to give its claim up.
     Moving,
-    /// Held by nobody: its machines go on until their leases run out.
+    /// Held by no member: its machines keep running tasks until their leases expire.
     Unclaimed,
 }
 
@@ -56,6 +58,29 @@
     }
 }
 
+/// Why the value of a key was not applied to the map.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum RecordError {
+    /// The key is neither that of a partition's record nor that of a claim.
+    #[error("not the key of a partition")]
+    NotAPartitionKey,
+    /// The value cannot be decoded.
+    #[error("{0}")]
+    Decode(String),
+    /// The range of hash slots is empty or exceeds the slots of a zone.
+    #[error("invalid range of hash slots")]
+    InvalidSlots,
+    /// The name of the zone or of the assigned holder is empty.
+    #[error("zone or holder is missing")]
+    MissingName,
+}
+
+impl From<DecodeError> for RecordError {
+    fn from(error: DecodeError) -> RecordError {
+        RecordError::Decode(error.to_string())
+    }
+}
+
 /// The one of these partitions that a machine is in.
 pub fn partition_of<'a>(
     partitions: impl IntoIterator<Item = (PartitionId, &'a PartitionRecord)>,
@@ -74,13 +99,13 @@
 pub struct PartitionMap {
     partitions: BTreeMap<PartitionId, Partition>,
     /// Claims on partitions whose record is not known yet.
-    early_claims: BTreeMap<PartitionId, Claim>,
+    claims_without_record: BTreeMap<PartitionId, Claim>,
     /// Keys whose value cannot be read, until they are written anew or removed.
     unreadable: BTreeSet<String>,
 }
 
 impl PartitionMap {
-    /// The partitions in order of their numbers.
+    /// The partitions, ordered by number.
     pub fn iter(&self) -> impl Iterator<Item = (PartitionId, &Partition)> {
         self.partitions
             .iter()
@@ -92,39 +117,38 @@
         self.partitions.get(&id)
     }
 
-    /// Whether there is none.
+    /// Whether there are no partitions.
     pub fn is_empty(&self) -> bool {
         self.partitions.is_empty()
     }
 
-    /// The partition of a machine; `None` if it belongs to none, so that the leader looks after it.
+    /// The partition of a machine; `None` if it belongs to none, so that the leader manages it.
     pub fn find(&self, zone: &str, machine: &str) -> Option<PartitionId> {
         let records = self.iter().map(|(id, partition)| (id, &partition.record));
         partition_of(records, zone, machine)
     }
 
-    /// Keys whose value cannot be read.
+    /// Keys of the store whose value cannot be read.
     pub fn unreadable(&self) -> impl Iterator<Item = &str> {
         self.unreadable.iter().map(String::as_str)
     }
 
-    /// Every key on record, readable or not.
+    /// The keys of all partitions' records, and all unreadable keys.
     pub fn keys(&self) -> Vec<String> {
-        let records = self.partitions.keys();
-        let mut keys: Vec<String> = records
-            .map(|id| grebewood_wire::records::partition_key(*id))
-            .collect();
-        keys.extend(self.unreadable.iter().cloned());
-        keys.sort();
-        keys.dedup();
-        keys
+        let records = self.partitions.keys().map(|id| partition_key(*id));
+        let keys: BTreeSet<String> = records.chain(self.unreadable.iter().cloned()).collect();
+        keys.into_iter().collect()
     }
 
-    /// Takes in a key that was written. The error says why its value is set aside; what was known of
-    /// the partition before stays, since its machines' range never changes.
-    pub fn put(&mut self, key: &str, value: &Value, mod_revision: u64) -> Result<(), String> {
+    /// Applies a key that was written.
+    ///
+    /// # Errors
+    ///
+    /// The value cannot be read. What was known of the partition before stays, since its range of hash slots
+    /// never changes.
+    pub fn put(&mut self, key: &str, value: &Value, mod_revision: u64) -> Result<(), RecordError> {
         let outcome = match PartitionKey::parse(key) {
-            None => Err("no key of a partition".to_string()),
+            None => Err(RecordError::NotAPartitionKey),
             Some(PartitionKey::Record(id)) => self.put_record(id, value, mod_revision),
             Some(PartitionKey::Claim(id)) => self.put_claim(id, value, mod_revision),
         };
@@ -140,15 +164,15 @@
         id: PartitionId,
         value: &Value,
         mod_revision: u64,
-    ) -> Result<(), String> {
-        let record: PartitionRecord = from_value(value).map_err(|e| e.to_string())?;
+    ) -> Result<(), RecordError> {
+        let record: PartitionRecord = from_value(value)?;
         if record.first_slot >= record.end_slot || record.end_slot > SLOTS {
-            return Err("no range of slots".into());
+            return Err(RecordError::InvalidSlots);
         }
         if record.zone.is_empty() || record.holder.is_empty() {
-            return Err("a name is missing".into());
+            return Err(RecordError::MissingName);
         }
-        let early = self.early_claims.remove(&id);
+        let early_claim = self.claims_without_record.remove(&id);
         match self.partitions.get_mut(&id) {
             Some(known) if mod_revision < known.mod_revision => {}
             Some(known) => {
@@ -159,7 +183,7 @@
                 let partition = Partition {
                     record,
                     mod_revision,
-                    claim: early,
+                    claim: early_claim,
                 };
                 self.partitions.insert(id, partition);
             }
@@ -172,8 +196,8 @@
         id: PartitionId,
         value: &Value,
         mod_revision: u64,
-    ) -> Result<(), String> {
-        let record: PartitionClaim = from_value(value).map_err(|e| e.to_string())?;
+    ) -> Result<(), RecordError> {
+        let record: PartitionClaim = from_value(value)?;
         let claim = Claim {
             member: record.member,
             incarnation: record.incarnation,
@@ -188,22 +212,24 @@
                 }
             }
             None => {
-                self.early_claims.insert(id, claim);
+                self.claims_without_record.insert(id, claim);
             }
         }
         Ok(())
     }
 
-    /// Takes in that a key was removed at this revision.
+    /// Applies that a key was deleted at this revision.
     pub fn delete(&mut self, key: &str, mod_revision: u64) {
         self.unreadable.remove(key);
         match PartitionKey::parse(key) {
             Some(PartitionKey::Record(id)) => {
-                self.partitions
-                    .retain(|known, p| *known != id || p.mod_revision > mod_revision);
+                let partition = self.partitions.get(&id);
+                if partition.is_some_and(|known| known.mod_revision <= mod_revision) {
+                    self.partitions.remove(&id);
+                }
             }
             Some(PartitionKey::Claim(id)) => {
-                self.early_claims.remove(&id);
+                self.claims_without_record.remove(&id);
                 if let Some(partition) = self.partitions.get_mut(&id) {
                     let older = |claim: &Claim| claim.token <= mod_revision;
                     if partition.claim.as_ref().is_some_and(older) {
@@ -215,7 +241,7 @@
         }
     }
 
-    /// Forgets everything, before the keys are listed anew.
+    /// Removes everything, before the keys are listed anew.
     pub fn clear(&mut self) {
         *self = PartitionMap::default();
     }
--- a/crates/partition/src/overview.rs
+++ b/crates/partition/src/overview.rs
@@ -1,47 +1,47 @@
-//! What operators see of the partitions, as text or JSON. It is built from the state service alone, so
-//! it needs no leader.
+//! What `grebewood partitions` shows, as text or JSON. It is built from the key-value store alone, so it
+//! needs no leader.
 
-use crate::map::{PartitionId, PartitionMap, Phase};
+use crate::map::{Partition, PartitionId, PartitionMap, Phase};
+use crate::Micros;
 use serde::Serialize;
-use std::fmt::Write;
 
-/// A row of the overview.
+/// A partition in the overview.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Row {
+pub struct PartitionRow {
     /// The partition's number.
     pub partition: PartitionId,
     /// The zone of its machines.
     pub zone: String,
-    /// The slots of its machines: from the first one to below the second.
+    /// The hash slots of its machines: from the first to below the second.
     pub slots: (u16, u16),
-    /// Who is to hold it.
+    /// The member that is to hold it.
     pub assigned_to: String,
-    /// Who holds it.
+    /// The member that holds it.
     pub held_by: Option<String>,
     /// The fencing token of its machines.
     pub token: Option<u64>,
     /// `held`, `moving` or `unclaimed`.
     pub phase: &'static str,
-    /// Seconds since it was assigned.
+    /// How long ago it was assigned, in seconds.
     pub assigned_s: u64,
-    /// Seconds since it was claimed.
+    /// How long ago it was claimed, in seconds.
     pub claimed_s: Option<u64>,
     /// Why it was assigned to this member.
     pub reason: String,
 }
 
-/// The overview.
+/// The overview of all partitions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Overview {
-    /// Who leads, if anybody does.
+    /// The member that leads, if any.
     pub leader: Option<String>,
-    /// The partitions. None: the leader looks after all machines.
-    pub partitions: Vec<Row>,
-    /// Keys whose value cannot be read.
+    /// The partitions, ordered by number. If there are none, the leader manages all machines.
+    pub partitions: Vec<PartitionRow>,
+    /// Keys of the store whose value cannot be read.
     pub unreadable: Vec<String>,
 }
 
-const SECOND: u64 = 1_000_000;
+const MICROS_PER_SECOND: Micros = 1_000_000;
 
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
@@ -51,58 +51,66 @@
     }
 }
 
+impl PartitionRow {
+    /// The row of a partition at this time of day.
+    fn new(id: PartitionId, partition: &Partition, now: Micros) -> PartitionRow {
+        let (record, claim) = (&partition.record, partition.claim.as_ref());
+        let seconds_since = |at: Micros| now.saturating_sub(at) / MICROS_PER_SECOND;
+        PartitionRow {
+            partition: id,
+            zone: record.zone.clone(),
+            slots: (record.first_slot, record.end_slot),
+            assigned_to: record.holder.clone(),
+            held_by: claim.map(|claim| claim.member.clone()),
+            token: claim.map(|claim| claim.token),
+            phase: phase_name(partition.phase()),
+            assigned_s: seconds_since(record.assigned_us),
+            claimed_s: claim.map(|claim| seconds_since(claim.claimed_us)),
+            reason: record.reason.clone(),
+        }
+    }
+
+    fn to_text(&self) -> String {
+        format!(
+            "{:>4}  {}  slots {}-{}  {}  held by {}, assigned to {} {} s ago: {}\n",
+            self.partition,
+            self.zone,
+            self.slots.0,
+            self.slots.1 - 1,
+            self.phase,
+            self.held_by.as_deref().unwrap_or("nobody"),
+            self.assigned_to,
+            self.assigned_s,
+            self.reason
+        )
+    }
+}
+
 impl Overview {
-    /// The overview of a map at this time of day.
-    pub fn of(map: &PartitionMap, leader: Option<String>, wall: u64) -> Overview {
-        let seconds = |at: u64| wall.saturating_sub(at) / SECOND;
-        let partitions = map.iter().map(|(id, partition)| {
-            let (record, claim) = (&partition.record, partition.claim.as_ref());
-            Row {
-                partition: id,
-                zone: record.zone.clone(),
-                slots: (record.first_slot, record.end_slot),
-                assigned_to: record.holder.clone(),
-                held_by: claim.map(|c| c.member.clone()),
-                token: claim.map(|c| c.token),
-                phase: phase_name(partition.phase()),
-                assigned_s: seconds(record.assigned_us),
-                claimed_s: claim.map(|c| seconds(c.claimed_us)),
-                reason: record.reason.clone(),
-            }
-        });
+    /// The overview of a map at this time of day, in microseconds.
+    pub fn of(map: &PartitionMap, leader: Option<String>, now: Micros) -> Overview {
+        let partitions = map.iter();
         Overview {
             leader,
-            partitions: partitions.collect(),
+            partitions: partitions
+                .map(|(id, partition)| PartitionRow::new(id, partition, now))
+                .collect(),
             unreadable: map.unreadable().map(str::to_string).collect(),
         }
     }
 
-    /// The overview as a table.
+    /// The overview as text.
     pub fn to_text(&self) -> String {
-        let mut text = String::new();
         let leader = self.leader.as_deref().unwrap_or("nobody");
-        // Writing to a string does not fail.
-        let _ = writeln!(text, "leader: {leader}");
+        let mut text = format!("leader: {leader}\n");
         if self.partitions.is_empty() {
-            let _ = writeln!(text, "no partitions: the leader looks after all machines");
+            text.push_str("no partitions: the leader looks after all machines\n");
         }
         for row in &self.partitions {
-            let holder = row.held_by.as_deref().unwrap_or("nobody");
-            let _ = writeln!(
-                text,
-                "{:>4}  {}  slots {}-{}  {}  held by {holder}, assigned to {} {} s ago: {}",
-                row.partition,
-                row.zone,
-                row.slots.0,
-                row.slots.1 - 1,
-                row.phase,
-                row.assigned_to,
-                row.assigned_s,
-                row.reason
-            );
+            text.push_str(&row.to_text());
         }
         for key in &self.unreadable {
-            let _ = writeln!(text, "unreadable: {key}");
+            text.push_str(&format!("unreadable: {key}\n"));
         }
         text
     }
--- a/crates/partition/tests/map.rs
+++ b/crates/partition/tests/map.rs
@@ -1,4 +1,4 @@
-//! The map: who looks after a machine, and what becomes of records that come late or cannot be read.
+//! The partition map: which partition a machine is in, and records that arrive late or cannot be read.
 
 use grebewood_partition::hash_slots::{ranges, slot_of, SLOTS};
 use grebewood_partition::{PartitionMap, Phase};
@@ -51,7 +51,7 @@
     assert!(names.iter().all(|name| map.find("b", name).is_none()));
 }
 
-/// All versions that hold partitions side by side agree on it.
+/// Controllers of different versions that hold partitions side by side agree on it.
 #[test]
 fn the_slot_of_a_machine_never_changes() {
     let slots: Vec<u16> = ["n-000000", "n-000001", "n-000231"]
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn both_records_tell_the_phase() {
+fn the_phase_follows_from_both_records() {
     let mut map = two_partitions();
     let phase = |map: &PartitionMap| map.get(1).expect("partition 1").phase();
     assert_eq!(phase(&map), Phase::Unclaimed);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_unreadable_record_is_named_and_leaves_what_was_known() {
+fn an_unreadable_record_is_listed_and_changes_nothing() {
     let mut map = two_partitions();
     let key = partition_key(1);
     for bad in [
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use grebewood_partition::hash_slots::ranges;
 use grebewood_partition::{
-    Assignment, Load, Member, PartitionId, PartitionMap, Plan, Planner, PlannerSettings,
+    Assignment, Load, Member, PartitionId, PartitionMap, Planner, PlannerInput, PlannerSettings,
 };
 use grebewood_wire::http::to_value;
 use grebewood_wire::records::{claim_key, partition_key, PartitionClaim};
@@ -10,14 +10,14 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A cluster that carries out what the planner wants.
+/// A cluster that writes what the planner decides.
 struct Cluster {
     map: PartitionMap,
     members: BTreeSet<Member>,
     loads: BTreeMap<PartitionId, Load>,
     planner: Planner,
     settings: PlannerSettings,
-    at_rest: bool,
+    stable: bool,
     may_create: bool,
     now: u64,
     mod_revision: u64,
@@ -40,30 +40,30 @@
                 hysteresis: 0.25,
                 paused: false,
             },
-            at_rest: true,
+            stable: true,
             may_create: true,
             now: 0,
             mod_revision: 0,
         }
     }
 
-    /// One round of the planner; what it wants is written, and claimed by those who live.
+    /// One round of the planner; its assignments are written, and claimed by the members that are up.
     fn round(&mut self) -> Vec<Assignment> {
         self.now += SECOND;
         let zones = BTreeSet::from(["a".to_string()]);
-        let plan = Plan {
+        let input = PlannerInput {
             map: &self.map,
             zones: &zones,
             members: &self.members,
             loads: &self.loads,
-            out_of_touch: &BTreeSet::new(),
+            holder_unreachable: &BTreeSet::new(),
             next_id: self.map.iter().map(|(id, _)| id).max().unwrap_or(0) + 1,
             may_create: self.may_create,
-            at_rest: self.at_rest,
+            stable: self.stable,
             now: self.now,
-            wall: self.now,
+            wall_time: self.now,
         };
-        let assignments = self.planner.round(&self.settings, &plan);
+        let assignments = self.planner.round(&self.settings, &input);
         for Assignment { id, record } in &assignments {
             self.mod_revision += 1;
             let value = to_value(record);
@@ -89,35 +89,35 @@
         assert_eq!(written, Ok(()));
     }
 
-    fn loses(&mut self, member: &str) {
+    fn remove_member(&mut self, member: &str) {
         self.members.retain(|m| m.name != member);
-        let theirs = self.map.iter().filter(|(_, p)| p.record.holder == member);
-        let theirs: Vec<PartitionId> = theirs.map(|(id, _)| id).collect();
+        let held = self.map.iter().filter(|(_, p)| p.record.holder == member);
+        let held: Vec<PartitionId> = held.map(|(id, _)| id).collect();
         self.mod_revision += 1;
-        for id in theirs {
+        for id in held {
             self.map.delete(&claim_key(id), self.mod_revision);
         }
     }
 
     fn held_by(&self, member: &str) -> usize {
-        let theirs = self.map.iter().filter(|(_, p)| p.record.holder == member);
-        theirs.count()
+        let held = self.map.iter().filter(|(_, p)| p.record.holder == member);
+        held.count()
     }
 }
 
 #[test]
-fn partitions_are_made_once_and_shared_evenly() {
+fn partitions_are_created_once_and_spread_evenly() {
     let mut cluster = Cluster::new(&["x", "y", "z"]);
     cluster.may_create = false;
     assert!(cluster.round().is_empty());
     cluster.may_create = true;
     assert_eq!(cluster.round().len(), 6);
-    let made: Vec<(u16, u16)> = cluster
+    let slots: Vec<(u16, u16)> = cluster
         .map
         .iter()
         .map(|(_, p)| (p.record.first_slot, p.record.end_slot))
         .collect();
-    assert_eq!(made, ranges(6));
+    assert_eq!(slots, ranges(6));
     for member in ["x", "y", "z"] {
         assert_eq!(cluster.held_by(member), 2, "{member}");
     }
@@ -129,7 +129,7 @@
     let mut cluster = Cluster::new(&["x", "y", "z"]);
     cluster.round();
     cluster.round();
-    cluster.loses("y");
+    cluster.remove_member("y");
     let mut rounds = 0;
     while cluster.held_by("y") > 0 {
         cluster.round();
@@ -150,16 +150,16 @@
 }
 
 #[test]
-fn balance_moves_one_partition_at_a_time_and_comes_to_rest() {
+fn rebalancing_moves_one_partition_at_a_time_and_converges() {
     let mut cluster = Cluster::new(&["x", "y"]);
     cluster.round();
-    let theirs: Vec<PartitionId> = cluster
+    let held_by_x: Vec<PartitionId> = cluster
         .map
         .iter()
         .filter(|(_, p)| p.record.holder == "x")
         .map(|(id, _)| id)
         .collect();
-    cluster.loads = theirs.iter().map(|id| (*id, 40.0)).collect();
+    cluster.loads = held_by_x.iter().map(|id| (*id, 40.0)).collect();
     let mut moves = Vec::new();
     for _ in 0..600 {
         let assignments = cluster.round();
@@ -168,24 +168,24 @@
             moves.push(cluster.now);
         }
     }
-    // 120 against 0, then 80 against 40: a further move would only turn that round.
+    // 120 against 0, then 80 against 40: a further move would only reverse that.
     assert_eq!(moves.len(), 1, "{moves:?}");
-    cluster.loads.insert(theirs[0], 10.0);
-    cluster.loads.insert(theirs[1], 10.0);
-    cluster.loads.insert(theirs[2], 200.0);
+    cluster.loads.insert(held_by_x[0], 10.0);
+    cluster.loads.insert(held_by_x[1], 10.0);
+    cluster.loads.insert(held_by_x[2], 200.0);
     for _ in 0..600 {
         cluster.round();
     }
-    let settled = cluster.map.clone();
+    let balanced = cluster.map.clone();
     for _ in 0..100 {
         assert!(cluster.round().is_empty());
     }
-    assert_eq!(settled.iter().count(), 6);
+    assert_eq!(balanced.iter().count(), 6);
 }
 
 #[test]
-fn nothing_moves_while_it_must_not() {
-    let lopsided = |change: &dyn Fn(&mut Cluster)| {
+fn no_partition_moves_while_none_may() {
+    let moves_when_unbalanced = |change: &dyn Fn(&mut Cluster)| {
         let mut cluster = Cluster::new(&["x", "y"]);
         cluster.round();
         let all: Vec<(PartitionId, String)> = cluster
@@ -200,8 +200,8 @@
         change(&mut cluster);
         (0..100).map(|_| cluster.round().len()).sum::<usize>()
     };
-    assert!(lopsided(&|_| {}) > 0);
-    assert_eq!(lopsided(&|c| c.settings.paused = true), 0);
-    assert_eq!(lopsided(&|c| c.at_rest = false), 0);
-    assert_eq!(lopsided(&|c| c.loads.clear()), 0);
+    assert!(moves_when_unbalanced(&|_| {}) > 0);
+    assert_eq!(moves_when_unbalanced(&|c| c.settings.paused = true), 0);
+    assert_eq!(moves_when_unbalanced(&|c| c.stable = false), 0);
+    assert_eq!(moves_when_unbalanced(&|c| c.loads.clear()), 0);
 }
