--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -15,31 +15,29 @@
 
 const CLAIM: u64 = 9;
 
-/// A node and the holder of a partition with one machine, which has learnt that nothing is on it.
+/// A controller, and the holder of a partition with one machine and no tasks, reconciled with the leader.
 fn holder() -> (Controller, Scheduler) {
-    let mut node = unread_leader(20 * SECOND);
-    let now = node.context.now.steady;
-    let grant = FencedLease {
+    let mut controller = unread_leader(20 * SECOND);
+    let now = controller.context.now.steady;
+    let lease = FencedLease {
         token: CLAIM,
         lease: 1,
         lease_requested_at: now,
     };
-    let mut holder = Scheduler::new(&node.context, Role::Holder(1), grant);
+    let mut holder = Scheduler::new(&controller.context, Role::Holder(1), lease);
     holder.jobs.insert(Job::new(job_record(2), now, WALL));
     let mut machine = Machine::new(&first_heartbeat(), None, now);
-    (
-        machine.cpus,
-        machine.incarnation,
-        machine.receives_responses,
-    ) = (8.0, 1, true);
+    machine.cpus = 8.0;
+    machine.incarnation = 1;
+    machine.receives_responses = true;
     holder.machines.insert(MACHINE.into(), machine);
     let sync = PartitionOrders {
         sync: Some(Vec::new()),
         ..orders(1)
     };
-    let report = holder.carry_out_orders(&mut node.context, sync);
+    let report = holder.carry_out_orders(&mut controller.context, sync);
     assert!(report.is_some_and(|report| report.synced));
-    (node, holder)
+    (controller, holder)
 }
 
 fn orders(sequence: u64) -> PartitionOrders {
@@ -68,8 +66,8 @@
     }
 }
 
-fn verbs(holder: &mut Scheduler, context: &Context) -> Vec<Verb> {
-    let pending = HeldHeartbeat {
+fn commands_for_agent(holder: &mut Scheduler, context: &Context) -> Vec<Verb> {
+    let heartbeat = HeldHeartbeat {
         request: 1,
         round: 0,
         machine: MACHINE.into(),
@@ -77,7 +75,7 @@
         sequence: 2,
         until: 0,
     };
-    let commands = holder.commands(context, &pending);
+    let commands = holder.commands(context, &heartbeat);
     commands.into_iter().map(|command| command.verb).collect()
 }
 
@@ -92,41 +90,59 @@
 }
 
 #[test]
-fn a_worker_keeps_a_result_until_the_leader_has_it_on_record() {
-    let (mut node, mut holder) = holder();
-    let report = holder.carry_out_orders(&mut node.context, launch(2));
+fn an_agent_keeps_a_result_until_the_leader_has_it_on_record() {
+    let (mut controller, mut holder) = holder();
+    let report = holder.carry_out_orders(&mut controller.context, launch(2));
     assert_eq!(report.map(|report| report.accepted.len()), Some(1));
-    assert_eq!(verbs(&mut holder, &node.context), [Verb::Launch]);
-    holder.exited(&mut node.context, MACHINE, 0, &ExitCause::Done, "req-1/0");
-    assert_eq!(verbs(&mut holder, &node.context), []);
-    // The outcome is told until it is acknowledged.
+    assert_eq!(
+        commands_for_agent(&mut holder, &controller.context),
+        [Verb::Launch]
+    );
+    holder.exited(
+        &mut controller.context,
+        MACHINE,
+        0,
+        &ExitCause::Done,
+        "req-1/0",
+    );
+    assert_eq!(commands_for_agent(&mut holder, &controller.context), []);
+    // The outcome is reported until it is acknowledged.
     for sequence in 3..5 {
-        let report = holder.carry_out_orders(&mut node.context, orders(sequence));
+        let report = holder.carry_out_orders(&mut controller.context, orders(sequence));
         let outcomes = report.expect("a report").outcomes;
         assert_eq!(outcomes[0].end, TaskEnd::Exited(ExitCause::Done));
     }
-    let report = holder.carry_out_orders(&mut node.context, acknowledge(5));
+    let report = holder.carry_out_orders(&mut controller.context, acknowledge(5));
     assert_eq!(report.expect("a report").outcomes, []);
-    assert_eq!(verbs(&mut holder, &node.context), [Verb::Acknowledge]);
+    assert_eq!(
+        commands_for_agent(&mut holder, &controller.context),
+        [Verb::Acknowledge]
+    );
 }
 
-/// A copy of orders that arrives late would launch again what has ended and was forgotten.
+/// A copy of orders that arrives late would launch again a task that has ended and was acknowledged.
 #[test]
 fn orders_that_arrive_late_launch_nothing() {
-    let (mut node, mut holder) = holder();
-    holder.carry_out_orders(&mut node.context, launch(2));
-    verbs(&mut holder, &node.context);
-    holder.exited(&mut node.context, MACHINE, 0, &ExitCause::Done, "req-1/0");
-    holder.carry_out_orders(&mut node.context, acknowledge(3));
-    let late = holder.carry_out_orders(&mut node.context, launch(2));
+    let (mut controller, mut holder) = holder();
+    holder.carry_out_orders(&mut controller.context, launch(2));
+    commands_for_agent(&mut holder, &controller.context);
+    holder.exited(
+        &mut controller.context,
+        MACHINE,
+        0,
+        &ExitCause::Done,
+        "req-1/0",
+    );
+    holder.carry_out_orders(&mut controller.context, acknowledge(3));
+    let late = holder.carry_out_orders(&mut controller.context, launch(2));
     assert_eq!(late, None);
-    let verbs = verbs(&mut holder, &node.context);
-    assert!(!verbs.contains(&Verb::Launch), "{verbs:?}");
+    let commands = commands_for_agent(&mut holder, &controller.context);
+    assert!(!commands.contains(&Verb::Launch), "{commands:?}");
 }
 
 #[test]
 fn orders_of_an_earlier_term_or_for_another_claim_are_dropped() {
-    let (mut node, mut holder) = holder();
+    let (mut controller, mut holder) = holder();
     let earlier = PartitionOrders {
         term: TERM - 1,
         ..launch(9)
@@ -136,28 +152,31 @@
         ..launch(9)
     };
     for orders in [earlier, another] {
-        assert_eq!(holder.carry_out_orders(&mut node.context, orders), None);
+        assert_eq!(
+            holder.carry_out_orders(&mut controller.context, orders),
+            None
+        );
     }
-    assert_eq!(verbs(&mut holder, &node.context), []);
-    // Nor does a member that the state service does not name as the leader give orders.
-    node.partitions.holders.insert(1, Box::new(holder));
-    let stranger = PartitionOrders {
+    assert_eq!(commands_for_agent(&mut holder, &controller.context), []);
+    // Orders of a member that is not the leader on record are dropped, too.
+    controller.partitions.holders.insert(1, Box::new(holder));
+    let not_from_leader = PartitionOrders {
         from: "perch-9".into(),
         ..launch(9)
     };
-    assert_eq!(node.on_orders(stranger), None);
+    assert_eq!(controller.on_orders(not_from_leader), None);
 }
 
-/// What a later leader does not speak of was never launched, or has ended by its books.
+/// A task that a later leader does not list was never launched, or has ended on its record.
 #[test]
-fn a_new_leader_has_what_it_does_not_know_dropped() {
-    let (mut node, mut holder) = holder();
-    holder.carry_out_orders(&mut node.context, launch(2));
+fn tasks_that_a_new_leader_does_not_list_are_dropped() {
+    let (mut controller, mut holder) = holder();
+    holder.carry_out_orders(&mut controller.context, launch(2));
     let sync = PartitionOrders {
         term: TERM + 1,
         sync: Some(Vec::new()),
         ..orders(1)
     };
-    holder.carry_out_orders(&mut node.context, sync);
-    assert_eq!(verbs(&mut holder, &node.context), []);
+    holder.carry_out_orders(&mut controller.context, sync);
+    assert_eq!(commands_for_agent(&mut holder, &controller.context), []);
 }
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -3,28 +3,33 @@
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
 use crate::state::assignment_pages::Pages;
-use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
-use crate::state::bin_packing::{OpenMachine, Preference};
-use crate::state::holder_quota::{QueuedTask, MOST_PLACED};
-use crate::state::machine::placed_task;
-use crate::state::machine::Assignment;
+use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
+use crate::state::holder_quota::QueuedTask;
+use crate::state::machine::{placed_task, Assignment};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, Stopwatch, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
 use grebewood_wire::http::Submission;
-use grebewood_wire::peer::{
-    DelegatedWork, PlacedTask, QuotaOrders, QuotaReport, TaskAttempt, TaskRanges,
-};
+use grebewood_wire::peer::{DelegatedWork, QuotaOrders, QuotaReport, TaskAttempt, TaskRanges};
 use grebewood_wire::records::pages_of_partition;
 use log::debug;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Between two looks at what waits for room.
-const PLACE_INTERVAL: Micros = 100 * MILLI;
+/// Time between two placement rounds while tasks are queued.
+const PLACEMENT_INTERVAL: Micros = 100 * MILLI;
+
+/// What became of the attempt to place a queued task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PlacementOutcome {
+    /// It is on a machine.
+    Placed,
+    /// It stays in the queue.
+    Waits,
+}
 
 impl Scheduler {
-    /// The partition that is held under this grant; `None`: it is the leader's.
+    /// The partition that is held under this claim; `None`: this scheduler runs for the leader.
     pub(crate) fn partition(&self) -> Option<PartitionId> {
         match self.role {
             Role::Leader => None,
@@ -32,26 +37,30 @@
         }
     }
 
-    /// The pages to which assignments made under this grant go.
+    /// The pages to which assignments made in this role are written.
     pub(crate) fn pages_of(role: Role) -> Pages {
         match role {
             Role::Leader => Pages::default(),
             Role::Holder(partition) => {
-                // Holders of partitions with numbers this high are given nothing to place.
+                // Holders of partitions with numbers beyond the range of pages are given nothing to place.
                 pages_of_partition(partition).map_or_else(Pages::default, Pages::of_holder)
             }
         }
     }
 
-    /// Whether the holder places tasks, if the leader gives it some.
+    /// Whether the holder places tasks, if the leader delegates any to it.
     pub(crate) fn places_tasks(&self, context: &Context) -> bool {
         let pages = self.partition().and_then(pages_of_partition);
         context.supports_quota_grants() && pages.is_some()
     }
 
-    /// A new leader says what may be on the machines: what is not on record by then is not launched any
-    /// more, since it may place that anew.
-    pub(crate) fn settle_placed(&mut self, context: &mut Context, listed: &BTreeSet<TaskAttempt>) {
+    /// A new leader has listed what may be on the machines: what was not on record by then is not launched any
+    /// more, since the leader may place it anew.
+    pub(crate) fn drop_unrecorded_placements(
+        &mut self,
+        context: &mut Context,
+        listed: &BTreeSet<TaskAttempt>,
+    ) {
         self.holder_quota.queue.clear();
         let durable: BTreeSet<TaskAttempt> = self
             .assignments()
@@ -63,81 +72,89 @@
         });
     }
 
-    /// Takes in what may be placed. `None`: this leader grants no allotments.
-    pub(crate) fn adopt_quota(
+    /// Applies what the leader says of the quota grant and of tasks to place. `None`: it grants no quota.
+    pub(crate) fn apply_quota_orders(
         &mut self,
         context: &Context,
         term: u64,
-        quota: Option<&QuotaOrders>,
+        orders: Option<&QuotaOrders>,
     ) {
-        let Some(quota) = quota.filter(|_| self.places_tasks(context)) else {
+        let Some(orders) = orders.filter(|_| self.places_tasks(context)) else {
             self.holder_quota.queue.clear();
             self.holder_quota.allotment.suspend();
             self.holder_quota.term = None;
             return;
         };
-        let holder_quota = &mut self.holder_quota;
-        holder_quota.allotment.set_granted(&quota.allotment);
-        holder_quota.term = Some(term);
-        holder_quota.limits = Some(quota.limits);
-        holder_quota
+        let quota = &mut self.holder_quota;
+        quota.allotment.set_granted(&orders.allotment);
+        quota.term = Some(term);
+        quota.limits = Some(orders.limits);
+        quota
             .placed
-            .retain(|(number, _)| *number > quota.seen);
-        let revoked = &quota.revoked;
-        holder_quota
+            .retain(|placement| placement.number > orders.seen);
+        quota
             .queue
-            .retain(|queued| !revoked.contains(&queued.job));
+            .retain(|queued| !orders.revoked.contains(&queued.job));
         for (name, machine) in &mut self.machines {
-            machine.reserved = quota.reserved.contains(name);
+            machine.reserved = orders.reserved.contains(name);
         }
-        for work in &quota.work {
-            self.take_work(work);
+        for work in &orders.work {
+            self.queue_work(work);
         }
         self.placement.request_round(context.now.steady);
     }
 
-    fn take_work(&mut self, work: &DelegatedWork) {
-        let here: BTreeSet<u64> = self
+    fn queue_work(&mut self, work: &DelegatedWork) {
+        let assigned: BTreeSet<u64> = self
             .assignments()
             .filter(|a| a.job_id == work.job)
             .map(|a| a.task)
             .collect();
-        for given in &work.tasks {
-            let known = here.contains(&given.task)
-                || self.holder_quota.is_queued(&work.job, given.task)
-                || self.holder_quota.is_untold(&work.job, given.task);
+        let quota = &mut self.holder_quota;
+        for delegated in &work.tasks {
+            let known = assigned.contains(&delegated.task)
+                || quota.is_queued(&work.job, delegated.task)
+                || quota.is_placed_unacknowledged(&work.job, delegated.task);
             if known {
                 continue;
             }
-            self.holder_quota.came += 1;
-            self.holder_quota.queue.insert(QueuedTask {
-                ahead: given.waits,
+            quota.last_arrival += 1;
+            quota.queue.insert(QueuedTask {
+                awaits_resources: delegated.waits,
                 level: work.level,
-                number: self.holder_quota.came,
+                arrival: quota.last_arrival,
                 job: work.job.clone(),
-                task: given.task,
-                machine: given.machine.clone(),
+                task: delegated.task,
+                machine: delegated.machine.clone(),
                 expected: work.expected_us,
             });
         }
     }
 
-    /// Places what waits, as far as room and the allotment allow. A round that runs out of time goes on with
-    /// the next one.
-    pub(crate) fn run_placing(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
+    /// Runs a placement round if one is due: places queued tasks as far as free resources and the quota grant
+    /// allow. A round that runs out of time continues with the next one.
+    pub(crate) fn run_holder_placement(
+        &mut self,
+        context: &mut Context,
+        watch: &mut dyn Stopwatch,
+    ) {
         let now = context.now.steady;
         if now < self.placement.next_at && !self.placement.wanted {
             return;
         }
         self.placement.wanted = false;
-        self.placement.next_at = now + PLACE_INTERVAL;
+        self.placement.next_at = now + PLACEMENT_INTERVAL;
         self.placement.rounds += 1;
         self.held_changed = true;
-        self.forget_idle_work();
+        self.drop_queued_of_cancelled_jobs();
         self.placement.backlog = !self.holder_quota.queue.is_empty();
-        if !self.placement.backlog || self.holder_quota.term.is_none() {
-            return;
+        if self.placement.backlog && self.holder_quota.term.is_some() {
+            self.place_queue(context, watch);
+            self.placement.backlog = !self.holder_quota.queue.is_empty();
         }
+    }
+
+    fn place_queue(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
         let mut open = self.open_machines(context);
         let queue: Vec<QueuedTask> = self.holder_quota.queue.iter().cloned().collect();
         for queued in queue {
@@ -145,60 +162,72 @@
                 break;
             }
             if watch.elapsed() > context.tuning.placement_budget_us {
-                debug!("holder: out of time, goes on with the next round");
+                debug!(
+                    partition = self.partition();
+                    "placement round is out of time, continues with the next one"
+                );
                 self.placement.wanted = true;
                 break;
             }
-            if self.place_queued(context, &queued, &mut open) {
+            if self.place_queued(context, &queued, &mut open) == PlacementOutcome::Placed {
                 self.holder_quota.queue.remove(&queued);
             }
         }
-        self.placement.backlog = !self.holder_quota.queue.is_empty();
     }
 
-    /// Work of jobs that were cancelled is not held any longer; the leader takes it back.
-    fn forget_idle_work(&mut self) {
+    /// Tasks of cancelled jobs are not queued any longer; the leader counts them as returned.
+    fn drop_queued_of_cancelled_jobs(&mut self) {
         let jobs = &self.jobs;
         self.holder_quota.queue.retain(|queued| {
             let job = jobs.find(&queued.job).and_then(|index| jobs.get(index));
-            // One that is not known here yet may still come.
+            // A job that is not known here yet may still appear.
             job.is_none_or(|job| job.cancelled.is_none())
         });
     }
 
-    /// Places a task if there is room for it and the allotment covers it.
+    /// Places a task if a machine has room for it and the quota grant covers it.
     fn place_queued(
         &mut self,
         context: &mut Context,
         queued: &QueuedTask,
         open: &mut Vec<OpenMachine>,
-    ) -> bool {
+    ) -> PlacementOutcome {
         let Some(index) = self.jobs.find(&queued.job) else {
-            return false;
+            return PlacementOutcome::Waits;
         };
         let Some(spec) = self.jobs.get(index).map(|job| job.spec.clone()) else {
-            return false;
+            return PlacementOutcome::Waits;
         };
         let amount = Resources::of(spec.cpus, spec.gpus);
         if !self.holder_quota.allotment.may_use(&spec.team, amount) {
-            return false;
+            return PlacementOutcome::Waits;
         }
         let Some(at) = self.choose_machine(context, queued, &spec, open) else {
-            // What is left there adds up for it: tasks that need less once took it as it became free.
-            open.retain(|o| o.name != queued.machine);
-            return false;
+            // What is free on its machine is kept for it: otherwise tasks that need less take it as it becomes free.
+            open.retain(|machine| machine.name != queued.machine);
+            return PlacementOutcome::Waits;
         };
         let attempt = self.next_attempt();
         let name = open[at].name.clone();
-        let stay = (attempt, queued.expected);
-        debug!("{}/{}: placed on {name}", queued.job, queued.task);
-        self.assign(context, &name, index, queued.task, &spec, stay);
+        debug!(
+            job = queued.job, task = queued.task, attempt = attempt, machine = name;
+            "placed a task"
+        );
+        let expected = queued.expected;
+        self.assign(
+            context,
+            &name,
+            index,
+            queued.task,
+            &spec,
+            (attempt, expected),
+        );
         open[at].free = open[at].free - MachineResources::of_task(&spec);
-        open.retain(|o| o.free.cpus > 0.0);
-        true
+        open.retain(|machine| machine.free.cpus > 0.0);
+        PlacementOutcome::Placed
     }
 
-    /// The machine that the leader had in mind, if it still has room; else the best of those that have.
+    /// The machine that the leader proposed, if it still has room; else the best of those that have.
     fn choose_machine(
         &self,
         context: &Context,
@@ -206,20 +235,25 @@
         spec: &Submission,
         open: &[OpenMachine],
     ) -> Option<usize> {
-        let fits = |o: &OpenMachine| {
-            tasks_that_fit(o.free, spec) > 0
-                && permits(context, spec, &o.machine_type, &o.zone, o.spot)
+        let fits = |machine: &OpenMachine| {
+            tasks_that_fit(machine.free, spec) > 0
+                && permits(
+                    context,
+                    spec,
+                    &machine.machine_type,
+                    &machine.zone,
+                    machine.spot,
+                )
         };
-        let hinted = open.iter().position(|o| o.name == queued.machine);
-        if let Some(at) = hinted.filter(|at| fits(&open[*at])) {
+        let proposed = open.iter().position(|m| m.name == queued.machine);
+        if let Some(at) = proposed.filter(|at| fits(&open[*at])) {
             return Some(at);
         }
         let index = self.jobs.find(&spec.id)?;
         let now = context.now.steady;
-        let fitting = open.iter().enumerate().filter(|(_, o)| fits(o));
-        let ranked = fitting.map(|(at, o)| (self.preference(index, spec, o, now), at));
-        let best: Option<(Preference, usize)> = ranked.min();
-        best.map(|(_, at)| at)
+        let candidates = open.iter().enumerate().filter(|(_, machine)| fits(machine));
+        let best = candidates.min_by_key(|(_, machine)| self.preference(index, spec, machine, now));
+        best.map(|(at, _)| at)
     }
 
     /// Whether the assignment is on its page for certain.
@@ -228,54 +262,47 @@
         self.write_buffer.is_durable(&page, a.written)
     }
 
-    /// What was placed and has come on record is told to the leader from now on.
+    /// Placements that have come on record are reported to the leader from now on.
     pub(crate) fn note_durable_placements(&mut self) {
-        let mut placed = Vec::new();
-        for (name, m) in &mut self.machines {
-            for a in m
-                .assignments
-                .iter_mut()
-                .filter(|a| a.by_holder && !a.delivered)
-            {
+        for (name, machine) in &mut self.machines {
+            let assignments = machine.assignments.iter_mut();
+            for a in assignments.filter(|a| a.by_holder && !a.delivered) {
                 let page = RecordId::Page(a.page);
                 if self.write_buffer.is_durable(&page, a.written) {
                     a.delivered = true;
-                    placed.push(placed_task(name, a));
+                    self.holder_quota.note_placed(placed_task(name, a));
                 }
             }
         }
-        for task in placed {
-            self.holder_quota.note_placed(task);
-        }
     }
 
-    /// What the leader is told of all this; `None`: this holder places nothing.
+    /// What the leader is told of the quota grant and of placed and queued tasks; `None`: this holder places
+    /// nothing.
     pub(crate) fn quota_report(&self, context: &Context) -> Option<QuotaReport> {
         if !self.places_tasks(context) {
             return None;
         }
-        let holder_quota = &self.holder_quota;
-        let told: Vec<&(u64, PlacedTask)> = holder_quota.placed.iter().take(MOST_PLACED).collect();
-        let version = told
-            .last()
-            .map_or(holder_quota.version, |(number, _)| *number);
+        let quota = &self.holder_quota;
+        let placements = quota.placements_in_answer();
+        let last = quota.placements_in_answer().last();
         Some(QuotaReport {
-            held: holder_quota.allotment.held(),
+            held: quota.allotment.held(),
             waiting: self.waiting_ranges(),
-            placed: told.into_iter().map(|(_, task)| task.clone()).collect(),
-            version,
+            placed: placements.map(|placement| placement.task.clone()).collect(),
+            version: last.map_or(quota.last_placement, |placement| placement.number),
         })
     }
 
-    /// Tasks that are to be placed, are being written, or are told of later.
+    /// Tasks that are to be placed, are being written, or are only in a later answer.
     fn waiting_ranges(&self) -> Vec<TaskRanges> {
-        let mut tasks: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
-        let queued = self.holder_quota.queue.iter();
+        let quota = &self.holder_quota;
+        let queued = quota.queue.iter();
         let queued = queued.map(|queued| (queued.job.as_str(), queued.task));
         let unwritten = self.assignments().filter(|a| a.by_holder && !a.delivered);
         let unwritten = unwritten.map(|a| (a.job_id.as_str(), a.task));
-        let later = self.holder_quota.placed.iter().skip(MOST_PLACED);
-        let later = later.map(|(_, placed)| (placed.job.as_str(), placed.task));
+        let later = quota.placements_in_later_answers();
+        let later = later.map(|placement| (placement.task.job.as_str(), placement.task.task));
+        let mut tasks: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
         for (job, task) in queued.chain(unwritten).chain(later) {
             tasks.entry(job).or_default().insert(task);
         }
@@ -289,13 +316,13 @@
     }
 }
 
-/// Numbers as ranges: the first one and the one after the last.
+/// Numbers as ranges, each from its first number to below its second.
 fn ranges_of(numbers: &BTreeSet<u64>) -> Vec<(u64, u64)> {
     let mut ranges: Vec<(u64, u64)> = Vec::new();
-    for n in numbers {
+    for number in numbers {
         match ranges.last_mut() {
-            Some((_, end)) if *end == *n => *end += 1,
-            _ => ranges.push((*n, n + 1)),
+            Some((_, end)) if *end == *number => *end += 1,
+            _ => ranges.push((*number, number + 1)),
         }
     }
     ranges
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -18,7 +18,7 @@
 
 const CLAIM: u64 = 9;
 
-const LIMITS_STAMP: u64 = 8;
+const LIMITS_REVISION: u64 = 8;
 
 fn machine_type() -> MachineType {
     MachineType {
@@ -35,36 +35,35 @@
     }
 }
 
-/// The holder of partition 1 with one machine, which has learnt that nothing is on it.
+/// The holder of partition 1 with one machine and no tasks, reconciled with the leader.
 fn holder() -> (Controller, Scheduler) {
-    let mut node = unread_leader(20 * SECOND);
-    (
-        node.context.tuning.partitions_per_zone,
-        node.context.tuning.allotments,
-    ) = (3, 1);
-    node.context.catalogue = Some(vec![machine_type()]);
-    let now = node.context.now.steady;
-    let grant = FencedLease {
+    let mut controller = unread_leader(20 * SECOND);
+    controller.context.tuning.partitions_per_zone = 3;
+    controller.context.tuning.allotments = 1;
+    controller.context.catalogue = Some(vec![machine_type()]);
+    let now = controller.context.now.steady;
+    let lease = FencedLease {
         token: CLAIM,
         lease: 1,
         lease_requested_at: now,
     };
-    let mut holder = Scheduler::new(&node.context, Role::Holder(1), grant);
+    let mut holder = Scheduler::new(&controller.context, Role::Holder(1), lease);
     holder.jobs.insert(Job::new(job_record(4), now, WALL));
-    let kind = machine_type();
-    let mut machine = Machine::new(&first_heartbeat(), Some(&kind), now);
-    (machine.incarnation, machine.receives_responses) = (1, true);
+    let machine_type = machine_type();
+    let mut machine = Machine::new(&first_heartbeat(), Some(&machine_type), now);
+    machine.incarnation = 1;
+    machine.receives_responses = true;
     holder.machines.insert(MACHINE.into(), machine);
     let sync = PartitionOrders {
         sync: Some(Vec::new()),
         ..orders(1, 0, &[])
     };
-    let report = holder.carry_out_orders(&mut node.context, sync);
+    let report = holder.carry_out_orders(&mut controller.context, sync);
     assert!(report.is_some_and(|report| report.synced));
-    (node, holder)
+    (controller, holder)
 }
 
-/// Orders that allot so many CPUs and give these tasks.
+/// Orders that grant this many CPUs and delegate these tasks.
 fn orders(sequence: u64, cpus: u64, tasks: &[u64]) -> PartitionOrders {
     let task = |task: &u64| DelegatedTask {
         task: *task,
@@ -90,7 +89,7 @@
         claim: CLAIM,
         quota: Some(Box::new(QuotaOrders {
             number: sequence,
-            limits: LIMITS_STAMP,
+            limits: LIMITS_REVISION,
             allotment: vec![amount],
             work: vec![work],
             ..QuotaOrders::default()
@@ -99,19 +98,23 @@
     }
 }
 
-fn give(node: &mut Controller, holder: &mut Scheduler, orders: PartitionOrders) -> PartitionReport {
-    let report = holder.carry_out_orders(&mut node.context, orders);
+fn carry_out(
+    controller: &mut Controller,
+    holder: &mut Scheduler,
+    orders: PartitionOrders,
+) -> PartitionReport {
+    let report = holder.carry_out_orders(&mut controller.context, orders);
     report.expect("a report")
 }
 
-fn run(node: &mut Controller, holder: &mut Scheduler) {
-    holder.run_holder(&mut node.context, &mut NoStopwatch);
+fn run(controller: &mut Controller, holder: &mut Scheduler) {
+    holder.run_holder(&mut controller.context, &mut NoStopwatch);
 }
 
 /// The transactions that were sent.
-fn txns(node: &mut Controller) -> Vec<Transaction> {
-    let out = std::mem::take(&mut node.context.effects);
-    let calls = out.into_iter().filter_map(|effect| match effect {
+fn transactions(controller: &mut Controller) -> Vec<Transaction> {
+    let effects = std::mem::take(&mut controller.context.effects);
+    let calls = effects.into_iter().filter_map(|effect| match effect {
         Effect::Call(call) if call.path == "/txn" && call.target == Target::Store => Some(call),
         _ => None,
     });
@@ -120,8 +123,8 @@
         .collect()
 }
 
-fn launches(node: &Controller, holder: &mut Scheduler) -> usize {
-    let pending = HeldHeartbeat {
+fn launches(controller: &Controller, holder: &mut Scheduler) -> usize {
+    let heartbeat = HeldHeartbeat {
         request: 1,
         round: 0,
         machine: MACHINE.into(),
@@ -129,13 +132,13 @@
         sequence: 2,
         until: 0,
     };
-    holder.commands(&node.context, &pending).len()
+    holder.commands(&controller.context, &heartbeat).len()
 }
 
 /// The write of the last flush was carried out.
-fn written(node: &mut Controller, holder: &mut Scheduler) {
+fn written(controller: &mut Controller, holder: &mut Scheduler) {
     let batch = holder.write_buffer.in_flight.take().expect("a flush");
-    holder.flushed(&mut node.context, &batch, 40);
+    holder.flushed(&mut controller.context, &batch, 40);
 }
 
 fn waiting(report: &PartitionReport) -> Vec<(u64, u64)> {
@@ -147,66 +150,66 @@
         .collect()
 }
 
-/// Each of the three is what keeps a task from being placed by two.
+/// Each of the three conditions keeps a task from being placed twice.
 #[test]
 fn a_write_depends_on_the_claim_the_leader_and_the_limits() {
-    let (mut node, mut holder) = holder();
-    give(&mut node, &mut holder, orders(2, 4, &[0, 1]));
-    run(&mut node, &mut holder);
-    let txns = txns(&mut node);
-    assert_eq!(txns.len(), 1);
+    let (mut controller, mut holder) = holder();
+    carry_out(&mut controller, &mut holder, orders(2, 4, &[0, 1]));
+    run(&mut controller, &mut holder);
+    let transactions = transactions(&mut controller);
+    assert_eq!(transactions.len(), 1);
     let mod_revision = |key: &str| {
-        let condition = txns[0].when.iter().find(|when| when.key == key);
+        let condition = transactions[0].when.iter().find(|when| when.key == key);
         condition.map(|when| when.mod_revision)
     };
     assert_eq!(mod_revision(&claim_key(1)), Some(CLAIM));
     assert_eq!(mod_revision(LEADER), Some(TERM));
-    assert_eq!(mod_revision(LIMITS), Some(LIMITS_STAMP));
+    assert_eq!(mod_revision(LIMITS), Some(LIMITS_REVISION));
     assert_eq!(mod_revision("page/0/1000"), Some(0));
     assert_eq!(mod_revision(&quota_grant_key(1)), None);
 }
 
 #[test]
-fn a_task_is_launched_and_told_once_it_is_on_record() {
-    let (mut node, mut holder) = holder();
-    give(&mut node, &mut holder, orders(2, 4, &[0]));
-    run(&mut node, &mut holder);
-    assert_eq!(launches(&node, &mut holder), 0);
-    let report = give(&mut node, &mut holder, orders(3, 4, &[]));
+fn a_task_is_launched_and_reported_once_it_is_on_record() {
+    let (mut controller, mut holder) = holder();
+    carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
+    run(&mut controller, &mut holder);
+    assert_eq!(launches(&controller, &mut holder), 0);
+    let report = carry_out(&mut controller, &mut holder, orders(3, 4, &[]));
     assert_eq!(waiting(&report), [(0, 1)]);
-    written(&mut node, &mut holder);
-    let report = give(&mut node, &mut holder, orders(4, 4, &[0]));
+    written(&mut controller, &mut holder);
+    let report = carry_out(&mut controller, &mut holder, orders(4, 4, &[0]));
     let placed = &report.quota.as_ref().expect("a report").placed;
     assert_eq!(placed.len(), 1);
     assert_eq!(waiting(&report), []);
-    assert_eq!(launches(&node, &mut holder), 1);
+    assert_eq!(launches(&controller, &mut holder), 1);
 }
 
 #[test]
-fn no_more_is_started_than_is_allotted() {
-    let (mut node, mut holder) = holder();
-    let report = give(&mut node, &mut holder, orders(2, 2, &[0, 1, 2, 3]));
+fn no_more_is_started_than_is_granted() {
+    let (mut controller, mut holder) = holder();
+    let report = carry_out(&mut controller, &mut holder, orders(2, 2, &[0, 1, 2, 3]));
     assert_eq!(waiting(&report), [(0, 4)]);
-    run(&mut node, &mut holder);
+    run(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 2);
-    // What is asked back is held as long as tasks use it.
-    let report = give(&mut node, &mut holder, orders(3, 0, &[]));
+    // What is revoked is held as long as tasks use it.
+    let report = carry_out(&mut controller, &mut holder, orders(3, 0, &[]));
     let held = &report.quota.as_ref().expect("a report").held;
     assert_eq!(held[0].cpus, 2_000_000);
 }
 
-/// The next leader has read the pages after its grant: what was not on them it places anew.
+/// The next leader has read the pages after it was elected: what was not on them it places anew.
 #[test]
 fn what_was_not_on_record_is_dropped_when_the_leader_changes() {
-    let (mut node, mut holder) = holder();
-    give(&mut node, &mut holder, orders(2, 4, &[0]));
-    run(&mut node, &mut holder);
-    written(&mut node, &mut holder);
+    let (mut controller, mut holder) = holder();
+    carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
+    run(&mut controller, &mut holder);
+    written(&mut controller, &mut holder);
     let on_record = holder.assignments().next().expect("a task").id();
-    give(&mut node, &mut holder, orders(3, 4, &[1, 2]));
-    node.context.now.steady += SECOND;
+    carry_out(&mut controller, &mut holder, orders(3, 4, &[1, 2]));
+    controller.context.now.steady += SECOND;
     holder.placement.next_at = 0;
-    run(&mut node, &mut holder);
+    run(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 3);
     let listed = PlacedTask {
         machine: MACHINE.into(),
@@ -221,78 +224,78 @@
         sync: Some(vec![listed]),
         ..orders(1, 4, &[])
     };
-    let report = give(&mut node, &mut holder, sync);
+    let report = carry_out(&mut controller, &mut holder, sync);
     assert_eq!(waiting(&report), []);
     assert_eq!(
         holder.assignments().map(Assignment::id).collect::<Vec<_>>(),
         [on_record]
     );
-    assert_eq!(launches(&node, &mut holder), 1);
+    assert_eq!(launches(&controller, &mut holder), 1);
 }
 
 /// Another leader was elected: until it has given orders, nothing is written.
 #[test]
 fn nothing_is_written_once_another_leader_is_on_record() {
-    let (mut node, mut holder) = holder();
+    let (mut controller, mut holder) = holder();
     assert_eq!(holder.conditions_failed(&[LEADER.to_string()]), Ok(()));
-    give_nothing_writes(&mut node, &mut holder);
-    // Limits that have changed are told by the leader, too.
-    give(&mut node, &mut holder, orders(5, 4, &[]));
+    assert_nothing_is_written(&mut controller, &mut holder);
+    // When the limits have changed, nothing is written until the leader has sent them, either.
+    carry_out(&mut controller, &mut holder, orders(5, 4, &[]));
     assert_eq!(holder.conditions_failed(&[LIMITS.to_string()]), Ok(()));
-    give_nothing_writes(&mut node, &mut holder);
+    assert_nothing_is_written(&mut controller, &mut holder);
     let ended = holder.conditions_failed(&[claim_key(1)]);
     assert_eq!(ended, Err("its claim has ended".to_string()));
 }
 
-fn give_nothing_writes(node: &mut Controller, holder: &mut Scheduler) {
-    node.context.effects.clear();
+fn assert_nothing_is_written(controller: &mut Controller, holder: &mut Scheduler) {
+    controller.context.effects.clear();
     holder.write_buffer.mark_dirty(
         crate::state::write_buffer::RecordId::Page(1000),
-        node.context.now.steady,
+        controller.context.now.steady,
     );
-    run(node, holder);
-    assert_eq!(txns(node).len(), 0);
+    run(controller, holder);
+    assert_eq!(transactions(controller).len(), 0);
 }
 
 #[test]
-fn what_is_recalled_is_given_back_and_reserved_machines_take_nothing() {
-    let (mut node, mut holder) = holder();
+fn revoked_tasks_are_returned_and_reserved_machines_take_nothing() {
+    let (mut controller, mut holder) = holder();
     let mut reserving = orders(2, 4, &[0]);
     if let Some(quota) = &mut reserving.quota {
         quota.reserved = vec![MACHINE.into()];
     }
-    give(&mut node, &mut holder, reserving.clone());
-    run(&mut node, &mut holder);
+    carry_out(&mut controller, &mut holder, reserving.clone());
+    run(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 0);
-    let mut recalling = orders(3, 4, &[]);
-    if let Some(quota) = &mut recalling.quota {
+    let mut revoking = orders(3, 4, &[]);
+    if let Some(quota) = &mut revoking.quota {
         quota.revoked = vec!["req-1".into()];
     }
-    let report = give(&mut node, &mut holder, recalling);
+    let report = carry_out(&mut controller, &mut holder, revoking);
     assert_eq!(waiting(&report), []);
 }
 
 /// A leader that grants nothing may place the tasks itself.
 #[test]
-fn under_a_leader_without_allotments_nothing_is_placed() {
-    let (mut node, mut holder) = holder();
-    give(&mut node, &mut holder, orders(2, 4, &[0]));
+fn under_a_leader_without_quota_grants_nothing_is_placed() {
+    let (mut controller, mut holder) = holder();
+    carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
     let without = PartitionOrders {
         quota: None,
         ..orders(3, 4, &[])
     };
-    give(&mut node, &mut holder, without);
-    run(&mut node, &mut holder);
+    carry_out(&mut controller, &mut holder, without);
+    run(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 0);
-    assert_eq!(txns(&mut node).len(), 0);
+    assert_eq!(transactions(&mut controller).len(), 0);
 }
 
-/// A launch of the leader's for which the holder's own tasks have left no room: it is placed elsewhere.
+/// The holder's own tasks have left no room for a launch of the leader: it is placed elsewhere.
 #[test]
 fn a_launch_without_room_is_refused() {
-    let (mut node, mut holder) = holder();
-    give(&mut node, &mut holder, orders(2, 4, &[0]));
-    run(&mut node, &mut holder);
+    let (mut controller, mut holder) = holder();
+    carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
+    run(&mut controller, &mut holder);
     holder.machines.get_mut(MACHINE).expect("it").cpus = 1.0;
     let launch = PartitionOrders {
         launches: vec![PlacedTask {
@@ -305,7 +308,7 @@
         }],
         ..orders(3, 4, &[])
     };
-    let report = give(&mut node, &mut holder, launch);
+    let report = carry_out(&mut controller, &mut holder, launch);
     assert_eq!(report.outcomes.len(), 1);
     assert_eq!(holder.assignments().count(), 1);
 }
--- /dev/null
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -0,0 +1,128 @@
+//! What the holder of a partition reports to the leader in answer to its orders.
+
+use crate::context::Context;
+use crate::scheduler::Scheduler;
+use crate::state::holder::ReportedState;
+use crate::state::machine::{Assignment, Machine, ObservedStatus};
+use crate::{Micros, SECOND};
+use grebewood_wire::http::TaskStatus;
+use grebewood_wire::peer::{MachineState, PartitionReport, TaskAttempt, TaskState};
+
+/// Most outcomes of attempts in one report.
+const MAX_OUTCOMES: usize = 500;
+
+/// Most states of machines in one report.
+const MAX_STATES: usize = 300;
+
+/// How long the leader is told of a machine that was terminated.
+const TERMINATED_REPORT_TIME: Micros = 60 * SECOND;
+
+impl Scheduler {
+    /// The report in answer to orders of this term. `seen` is the version of the last machine state that the
+    /// leader has, and `accepted` are the launches that were accepted.
+    pub(crate) fn partition_report(
+        &mut self,
+        context: &Context,
+        seen: u64,
+        term: u64,
+        accepted: Vec<TaskAttempt>,
+    ) -> PartitionReport {
+        self.update_reported_states(context);
+        let changed = self.states_since(seen);
+        let version = changed.last().map_or(seen, |reported| reported.version);
+        let outcomes = self.holder_state.outcomes.values();
+        let outcomes = outcomes.filter(|o| !self.holder_quota.is_in_later_answer(o.id()));
+        PartitionReport {
+            claim: self.token,
+            synced: self.holder_state.reconciled_term == term,
+            accepted,
+            outcomes: outcomes.take(MAX_OUTCOMES).cloned().collect(),
+            machines: changed
+                .into_iter()
+                .map(|reported| reported.state.clone())
+                .collect(),
+            gone: self
+                .fleet
+                .gone_within(context.now.steady, TERMINATED_REPORT_TIME),
+            version,
+            heartbeats: self.holder_state.heartbeats,
+            quota: self.quota_report(context),
+        }
+    }
+
+    /// The states of machines with a higher version than this, the lowest versions first.
+    fn states_since(&self, version: u64) -> Vec<&ReportedState> {
+        let states = self.holder_state.reported_states.values();
+        let mut changed: Vec<&ReportedState> = states
+            .filter(|reported| reported.version > version)
+            .collect();
+        changed.sort_by_key(|reported| reported.version);
+        changed.truncate(MAX_STATES);
+        changed
+    }
+
+    /// Gives each machine whose state has changed since it was last reported the next version.
+    fn update_reported_states(&mut self, context: &Context) {
+        let holder = &mut self.holder_state;
+        let machines = &self.machines;
+        holder
+            .reported_states
+            .retain(|name, _| machines.contains_key(name));
+        for (name, machine) in machines {
+            if machine.address.is_empty() {
+                continue;
+            }
+            let state = machine_state(context, machine);
+            let reported = holder.reported_states.get(name);
+            if reported.is_some_and(|reported| is_same_state(&reported.state, &state)) {
+                continue;
+            }
+            holder.state_version += 1;
+            let reported = ReportedState {
+                version: holder.state_version,
+                state,
+            };
+            holder.reported_states.insert(name.clone(), reported);
+        }
+    }
+}
+
+/// Whether two states say the same. The time left to a spot reclamation is no change: it passes by itself.
+fn is_same_state(a: &MachineState, b: &MachineState) -> bool {
+    a.incarnation == b.incarnation
+        && a.counts == b.counts
+        && a.receives_responses == b.receives_responses
+        && a.cordoned == b.cordoned
+        && a.reclaim_us.is_some() == b.reclaim_us.is_some()
+        && a.tasks == b.tasks
+        && a.address == b.address
+}
+
+/// The state of a task as last seen in a heartbeat; `None`: no heartbeat has shown it.
+fn task_state(a: &Assignment) -> Option<TaskState> {
+    let status = match a.seen {
+        ObservedStatus::Never => return None,
+        ObservedStatus::Fetching => TaskStatus::Fetching,
+        ObservedStatus::Running => TaskStatus::Running,
+        ObservedStatus::Checkpointing => TaskStatus::Checkpointing,
+    };
+    Some(TaskState { id: a.id(), status })
+}
+
+fn machine_state(context: &Context, machine: &Machine) -> MachineState {
+    let now = context.now.steady;
+    let heartbeat_timeout = 3 * context.settings.heartbeat_interval;
+    MachineState {
+        machine: machine.name.clone(),
+        address: machine.address.clone(),
+        machine_type: machine.machine_type.clone(),
+        zone: machine.zone.clone(),
+        spot: machine.spot,
+        incarnation: machine.incarnation,
+        counts: machine.counts(now, heartbeat_timeout),
+        receives_responses: machine.receives_responses,
+        cordoned: machine.cordoned,
+        reclaim_us: machine.reclaim_at.map(|at| at.saturating_sub(now)),
+        tasks: machine.assignments.iter().filter_map(task_state).collect(),
+    }
+}
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -1,4 +1,4 @@
-//! The leader's books of quotas: limits in force, grants to holders, and delegated tasks.
+//! The leader's state of team quotas: quotas in force, grants to partition holders, and delegated tasks.
 
 use crate::settings::Settings;
 use crate::state::delegations::Delegations;
@@ -7,33 +7,33 @@
 use grebewood_quota::{Limits, LimitsInForce, QuotaGrants};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The leader's part.
+/// The leader's state of team quotas.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderQuota {
-    /// The limits in force.
+    /// The quotas in force.
     pub(crate) limits: LimitsInForce,
-    /// What of them is allotted to holders.
+    /// What of the teams' limits is granted to holders.
     pub(crate) allotments: QuotaGrants,
     /// Tasks that holders are to place.
     pub(crate) delegations: Delegations,
     /// Partitions whose holder places tasks.
     pub(crate) placing: BTreeSet<PartitionId>,
-    /// Until when the leader places on a partition's machines itself, since its holder is slow.
+    /// Until when the leader places tasks on a partition's machines itself, since its holder is slow.
     pub(crate) slow_until: BTreeMap<PartitionId, Micros>,
-    /// A member was heard that places nothing: no more is given to holders meanwhile.
+    /// A member answered that does not support quota grants: no tasks are delegated meanwhile.
     pub(crate) paused: bool,
-    /// The state service does not take records of allotments.
+    /// The store has refused a record of a quota grant.
     pub(crate) refused: bool,
-    /// Teams that lacked room under their ceiling lately while some of it was allotted for nothing.
+    /// Teams that lacked room under their limit lately while some of it was granted but not needed.
     pub(crate) pressed: BTreeSet<String>,
-    /// Why this leader cannot know what holders have placed, and has to make room for one that reads it.
+    /// Why this leader cannot know what holders have placed, so that it has to step down for one that reads it.
     pub(crate) lost: Option<&'static str>,
-    /// When limits were last enforced on what runs.
+    /// When limits were last enforced on running tasks.
     pub(crate) enforced_at: Micros,
 }
 
 impl Settings {
-    /// The limits of these settings.
+    /// The teams' quotas in these settings.
     pub fn limits(&self) -> Limits {
         let teams = self.teams.iter();
         Limits::new(teams.map(|(name, team)| (name.clone(), team.limit())))
