--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -5,9 +5,9 @@
 use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
-use crate::state::delegations::{Delegation, TaskOfJob};
+use crate::state::delegations::{Delegation, TaskKey};
 use crate::state::jobs::{JobIndex, EPS};
-use crate::state::machine::{Assignment, PlannedTask};
+use crate::state::machine::{Assignment, Machine, PlannedTask};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
@@ -16,30 +16,42 @@
 use log::debug;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A holder is given tasks for the room that is freed so soon, so that it can go on without the leader.
-const AHEAD: Micros = 4 * SECOND;
+/// A holder is given tasks for resources that are freed within this time, so that it can go on without the
+/// leader.
+const LOOKAHEAD: Micros = 4 * SECOND;
 
-/// Tasks for which there was room, and that were not placed for so long, are taken back.
-const PLACED_WITHIN: Micros = 3 * SECOND / 2;
+/// Tasks for which there was room are revoked if they are not placed within this time.
+const PLACEMENT_TIMEOUT: Micros = 3 * SECOND / 2;
 
-/// A holder that had to give such tasks back is given none for so long.
-const SLOW_FOR: Micros = 5 * SECOND;
+/// How long a holder that had to return such tasks is given none.
+const SLOW_HOLDER_BACKOFF: Micros = 5 * SECOND;
 
-/// Tasks that wait for room for so long are taken back.
-const ROOM_WITHIN: Micros = 2 * AHEAD;
+/// Tasks that wait for resources are revoked if they are not placed within this time.
+const RESOURCES_TIMEOUT: Micros = 2 * LOOKAHEAD;
 
-/// A machine of a partition whose holder places tasks, and the room that will be free on it soon.
-struct SoonFree {
+/// A machine of a partition whose holder places tasks, and the resources that will be free on it soon.
+struct FreeingMachine {
     name: String,
     partition: PartitionId,
     machine_type: String,
     zone: String,
     spot: bool,
-    room: MachineResources,
+    free: MachineResources,
+}
+
+impl FreeingMachine {
+    fn take(&mut self, spec: &Submission) {
+        self.free = self.free - MachineResources::of_task(spec);
+    }
+
+    fn is_full(&self) -> bool {
+        self.free.cpus <= EPS
+    }
 }
 
 impl Scheduler {
-    /// Charges a task to a partition's allotment, which grows if it has to and the ceiling allows it.
+    /// Charges a task to a partition's quota grant, which grows if it has to and the team's limit allows it.
+    /// Whether it did.
     pub(crate) fn charge(
         &mut self,
         context: &Context,
@@ -49,25 +61,25 @@
     ) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let needed = self.needed_by(team).plus(amount);
-        // What is allotted for nothing is no room under a ceiling that was lowered.
+        // What is granted but not needed is no room under a limit that was lowered.
         if !needed.fits(limit) || self.is_over_limit(context, team) {
             self.leader_quota.pressed.insert(team.to_string());
             return false;
         }
         let room = self.room_under_limit(context, team);
-        let promised = self.leader_quota.delegations.waiting(partition, team);
-        let allotments = &mut self.leader_quota.allotments;
-        let queued = allotments.queue(partition, team, amount, promised, room);
-        match queued {
-            Ok(()) => self.write_quota_grant(context, partition, 0),
-            Err(_) => {
-                self.leader_quota.pressed.insert(team.to_string());
-            }
+        let delegations = &self.leader_quota.delegations;
+        let promised = delegations.awaiting_resources(partition, team);
+        let grants = &mut self.leader_quota.allotments;
+        let queued = grants.queue(partition, team, amount, promised, room);
+        if queued.is_ok() {
+            self.write_quota_grant(context, partition, 0);
+        } else {
+            self.leader_quota.pressed.insert(team.to_string());
         }
         queued.is_ok()
     }
 
-    /// The partition's allotment is written, if it is not what is on record, after this time.
+    /// Writes the partition's quota grant after this delay, if it is not what is on record.
     pub(crate) fn write_quota_grant(
         &mut self,
         context: &Context,
@@ -81,8 +93,7 @@
         }
     }
 
-    /// Gives a task that was taken to the holder of a partition, which is to place it on this machine if it
-    /// can.
+    /// Delegates a task to the holder of a partition, which is to place it on this machine if it can.
     pub(crate) fn delegate(
         &mut self,
         context: &Context,
@@ -92,19 +103,13 @@
         machine: &str,
     ) {
         let (now, spec) = (context.now.steady, &placing.spec);
-        let waits = given == Given::Waiting;
-        if let Some(m) = self.machines.get_mut(machine).filter(|_| !waits) {
-            m.plan(PlannedTask {
-                job: placing.index,
-                task,
-                room: MachineResources::of_task(spec),
-            });
-            m.use_image(&spec.image, spec.image_gb);
-            m.idle_since = now;
+        let awaits_resources = given == Given::Waiting;
+        if !awaits_resources {
+            self.plan_on_machine(context, placing, task, machine);
         }
         if let Some(job) = self.jobs.get_mut(placing.index) {
             job.delegated += 1;
-            job.waiting_at_holders += u64::from(waits);
+            job.waiting_at_holders += u64::from(awaits_resources);
         }
         let delegation = Delegation {
             partition,
@@ -112,7 +117,7 @@
             machine: machine.to_string(),
             team: spec.team.clone(),
             amount: placing.task,
-            waits,
+            awaits_resources,
             level: placing.level,
             expected: placing.expected,
             since: now,
@@ -120,283 +125,316 @@
             confirmed: false,
         };
         debug!(
-            "{}/{task}: to the holder of partition {partition}, {given:?}",
-            spec.id
+            job = spec.id, task = task, partition = partition, given:? = given;
+            "delegated a task to a partition holder"
         );
         let delegations = &mut self.leader_quota.delegations;
-        delegations.insert((placing.index, task), delegation);
+        delegations.insert(TaskKey::new(placing.index, task), delegation);
     }
 
-    /// A task is no longer with a holder to be placed: it is placed, or was given back.
-    pub(crate) fn end_delegation(&mut self, task: TaskOfJob) -> Option<Delegation> {
+    /// Accounts for a task on the machine on which a holder is to place it.
+    fn plan_on_machine(&mut self, context: &Context, placing: &Placing, task: u64, machine: &str) {
+        let spec = &placing.spec;
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.plan(PlannedTask {
+                job: placing.index,
+                task,
+                room: MachineResources::of_task(spec),
+            });
+            machine.use_image(&spec.image, spec.image_gb);
+            machine.idle_since = context.now.steady;
+        }
+    }
+
+    /// A task is no longer delegated to a holder: it is placed, or was returned.
+    pub(crate) fn end_delegation(&mut self, task: TaskKey) -> Option<Delegation> {
         let delegation = self.leader_quota.delegations.remove(task)?;
-        if let Some(m) = self.machines.get_mut(&delegation.machine) {
-            m.unplan(task.0, task.1);
+        if let Some(machine) = self.machines.get_mut(&delegation.machine) {
+            machine.unplan(task.job, task.task);
         }
-        if let Some(job) = self.jobs.get_mut(task.0) {
-            let waits = u64::from(delegation.waits);
+        if let Some(job) = self.jobs.get_mut(task.job) {
+            let waiting = u64::from(delegation.awaits_resources);
             job.delegated = job.delegated.saturating_sub(1);
-            job.waiting_at_holders = job.waiting_at_holders.saturating_sub(waits);
+            job.waiting_at_holders = job.waiting_at_holders.saturating_sub(waiting);
         }
         Some(delegation)
     }
 
-    /// A task that a holder was to place is the leader's again.
-    pub(crate) fn give_task_back(&mut self, context: &Context, task: TaskOfJob) {
+    /// A task that a holder was to place is the leader's to place again.
+    pub(crate) fn return_task(&mut self, context: &Context, task: TaskKey) {
         let Some(delegation) = self.end_delegation(task) else {
             return;
         };
         let now = context.now.steady;
-        let (id, partition) = (&delegation.job_id, delegation.partition);
         debug!(
-            "{id}/{}: given back by the holder of partition {partition}",
-            task.1
+            job = delegation.job_id, task = task.task, partition = delegation.partition;
+            "a partition holder returned a task"
         );
-        if !delegation.waits {
-            if now.saturating_sub(delegation.since) > PLACED_WITHIN {
-                let until = now + SLOW_FOR;
-                self.leader_quota
-                    .slow_until
-                    .insert(delegation.partition, until);
-            }
-            let (partition, amount) = (delegation.partition, delegation.amount);
-            let allotments = &mut self.leader_quota.allotments;
-            allotments.unqueue(partition, &delegation.team, amount, now);
+        if !delegation.awaits_resources {
+            self.on_not_placed_in_time(&delegation, now);
         }
-        if let Some(job) = self.jobs.get_mut(task.0) {
-            job.give_back(task.1);
+        if let Some(job) = self.jobs.get_mut(task.job) {
+            job.give_back(task.task);
             if job.waiting() > 0 && job.waiting_since.is_none() {
                 job.waiting_since = Some(now);
             }
         }
         self.placement.request_round(now);
-        self.end_if_over(context, task.0);
+        self.end_if_over(context, task.job);
     }
 
-    /// Takes a job's tasks back from all holders, as far as they are not placed.
+    /// A task for which there was room was returned: it is no longer charged, and a slow holder is given no
+    /// tasks for a while.
+    fn on_not_placed_in_time(&mut self, delegation: &Delegation, now: Micros) {
+        let partition = delegation.partition;
+        if now.saturating_sub(delegation.since) > PLACEMENT_TIMEOUT {
+            let until = now + SLOW_HOLDER_BACKOFF;
+            self.leader_quota.slow_until.insert(partition, until);
+        }
+        let grants = &mut self.leader_quota.allotments;
+        grants.unqueue(partition, &delegation.team, delegation.amount, now);
+    }
+
+    /// Revokes a job's tasks from all holders, as far as they are not placed.
     pub(crate) fn revoke_job(&mut self, context: &Context, index: JobIndex) {
-        let theirs = self.leader_quota.delegations.of_job(index);
-        let theirs: Vec<(TaskOfJob, PartitionId, bool)> = theirs
+        let tasks = self.leader_quota.delegations.of_job(index);
+        let tasks: Vec<(TaskKey, PartitionId, bool)> = tasks
             .map(|(task, delegation)| (task, delegation.partition, delegation.sent))
             .collect();
-        for (task, partition, sent) in theirs {
-            match sent {
-                true => self.leader_quota.delegations.revoke(partition, index),
-                false => self.give_task_back(context, task),
+        for (task, partition, sent) in tasks {
+            if sent {
+                self.leader_quota.delegations.revoke(partition, index);
+            } else {
+                self.return_task(context, task);
             }
         }
     }
 
-    /// The room on each machine that is promised to tasks that wait for it.
+    /// The resources on each machine that are promised to tasks that wait for them.
     pub(crate) fn promised_room(&self) -> BTreeMap<&str, MachineResources> {
         let mut promised = BTreeMap::new();
-        for ((index, _), delegation) in self
-            .leader_quota
-            .delegations
-            .iter()
-            .filter(|(_, d)| d.waits)
-        {
-            let Some(spec) = self.jobs.get(index).map(|job| &job.spec) else {
+        for (task, delegation) in self.delegations_awaiting_resources() {
+            let Some(job) = self.jobs.get(task.job) else {
                 continue;
             };
-            let room = promised.entry(delegation.machine.as_str());
-            let room: &mut MachineResources = room.or_default();
-            *room = *room + MachineResources::of_task(spec);
+            let resources = promised.entry(delegation.machine.as_str());
+            let resources: &mut MachineResources = resources.or_default();
+            *resources = *resources + MachineResources::of_task(&job.spec);
         }
         promised
     }
 
-    /// What will be left of each partition's allotments soon, less what waits for it already.
-    fn soon_left(&self, context: &Context) -> BTreeMap<(PartitionId, String), Resources> {
+    fn delegations_awaiting_resources(&self) -> impl Iterator<Item = (TaskKey, &Delegation)> {
+        let delegations = self.leader_quota.delegations.iter();
+        delegations.filter(|(_, delegation)| delegation.awaits_resources)
+    }
+
+    /// What of each partition's quota grants will not be used soon, less what is promised to tasks.
+    fn grants_unused_soon(&self, context: &Context) -> BTreeMap<(PartitionId, String), Resources> {
         let now = context.now.steady;
-        let mut left = BTreeMap::new();
-        for m in self.machines.values() {
-            let Some(partition) = m.partition.filter(|id| self.holder_places(*id)) else {
+        let mut unused = BTreeMap::new();
+        for machine in self.machines.values() {
+            let Some(partition) = machine.partition.filter(|id| self.holder_places(*id)) else {
                 continue;
             };
-            let leaving = m
-                .assignments
-                .iter()
-                .filter(|a| a.by_holder && leaves_soon(a, now));
-            for a in leaving {
-                let left = left.entry((partition, a.team.clone()));
-                let left: &mut Resources = left.or_default();
-                *left = left.plus(a.amount());
+            let assignments = machine.assignments.iter();
+            for a in assignments.filter(|a| a.by_holder && ends_soon(a, now)) {
+                let unused = unused.entry((partition, a.team.clone()));
+                let unused: &mut Resources = unused.or_default();
+                *unused = unused.plus(a.amount());
             }
         }
-        for ((partition, team), left) in &mut left {
+        for ((partition, team), unused) in &mut unused {
             let slack = self.leader_quota.allotments.slack(*partition, team);
-            let waiting = self.leader_quota.delegations.waiting(*partition, team);
-            *left = left.plus(slack).minus(waiting);
+            let delegations = &self.leader_quota.delegations;
+            let promised = delegations.awaiting_resources(*partition, team);
+            *unused = unused.plus(slack).minus(promised);
         }
-        left
+        unused
     }
 
-    /// Machines on which tasks will leave room soon, less what waits for it already.
-    fn soon_free(&self, context: &Context) -> Vec<SoonFree> {
-        let (now, silence) = (context.now.steady, 3 * context.settings.heartbeat_interval);
-        let mut soon: BTreeMap<&str, SoonFree> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.usable(now, silence)) {
-            let partition = m.partition.filter(|id| self.may_delegate_to(context, *id));
-            let Some(partition) = partition else {
-                continue;
-            };
-            let mut room = m.free();
-            for a in m.assignments.iter().filter(|a| leaves_soon(a, now)) {
-                room = room + a.resources();
-            }
-            if room.cpus > m.free().cpus {
-                let machine = SoonFree {
-                    name: m.name.clone(),
-                    partition,
-                    machine_type: m.machine_type.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                    room,
-                };
-                soon.insert(&m.name, machine);
-            }
-        }
-        for ((index, _), delegation) in self
-            .leader_quota
-            .delegations
-            .iter()
-            .filter(|(_, d)| d.waits)
-        {
-            let machine = soon.get_mut(delegation.machine.as_str());
-            if let (Some(machine), Some(job)) = (machine, self.jobs.get(index)) {
+    /// Machines on which tasks will free resources soon, less what is promised to tasks.
+    fn freeing_machines(&self, context: &Context) -> Vec<FreeingMachine> {
+        let mut freeing: BTreeMap<&str, FreeingMachine> = self
+            .machines
+            .values()
+            .filter_map(|machine| self.freeing_machine(context, machine))
+            .collect();
+        for (task, delegation) in self.delegations_awaiting_resources() {
+            let machine = freeing.get_mut(delegation.machine.as_str());
+            if let (Some(machine), Some(job)) = (machine, self.jobs.get(task.job)) {
                 machine.take(&job.spec);
             }
         }
-        soon.into_values().filter(|m| m.room.cpus > EPS).collect()
+        let freeing = freeing.into_values();
+        freeing.filter(|machine| !machine.is_full()).collect()
     }
 
-    /// Gives holders tasks for the room that is freed soon, in the order in which jobs are served. Their
-    /// allotments do not grow for it: these tasks use what the others leave.
-    /// Nothing of the teams in `kept`: what they leave of their ceiling adds up for a job that needs more of
-    /// it at once.
+    /// What will be free on a machine soon; `None` if no task frees anything on it or its holder is given no
+    /// tasks.
+    fn freeing_machine<'a>(
+        &self,
+        context: &Context,
+        machine: &'a Machine,
+    ) -> Option<(&'a str, FreeingMachine)> {
+        let now = context.now.steady;
+        let heartbeat_timeout = 3 * context.settings.heartbeat_interval;
+        if !machine.usable(now, heartbeat_timeout) {
+            return None;
+        }
+        let partition = machine.partition?;
+        if !self.may_delegate_to(context, partition) {
+            return None;
+        }
+        let free_now = machine.free();
+        let ending = machine.assignments.iter().filter(|a| ends_soon(a, now));
+        let free_soon = ending.fold(free_now, |free, a| free + a.resources());
+        if free_soon.cpus <= free_now.cpus {
+            return None;
+        }
+        let freeing = FreeingMachine {
+            name: machine.name.clone(),
+            partition,
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            free: free_soon,
+        };
+        Some((&machine.name, freeing))
+    }
+
+    /// Delegates tasks for the resources that are freed soon, in the order in which jobs are served. Quota
+    /// grants do not grow for them: they use what the tasks before them leave.
+    ///
+    /// Teams in `kept_teams` get nothing: what their tasks leave of their limit is kept for a job that needs
+    /// more of it at once.
     pub(crate) fn delegate_ahead(
         &mut self,
         context: &Context,
         queue: &[QueuedJob],
-        kept: &BTreeSet<String>,
+        kept_teams: &BTreeSet<String>,
     ) {
-        let for_leader = self.level_for_leader(context, queue);
-        self.revoke_ahead(|d| for_leader.is_some_and(|level| d.level >= level));
-        self.revoke_ahead(|d| kept.contains(&d.team));
-        let mut soon = self.soon_free(context);
-        let mut left = self.soon_left(context);
+        let leader_level = self.level_for_leader(context, queue);
+        self.revoke_awaiting_resources(|d| leader_level.is_some_and(|level| d.level >= level));
+        self.revoke_awaiting_resources(|d| kept_teams.contains(&d.team));
+        let mut freeing = self.freeing_machines(context);
+        let mut unused = self.grants_unused_soon(context);
         for queued in queue {
-            if soon.is_empty() || for_leader.is_some_and(|level| queued.level >= level) {
+            if freeing.is_empty() || leader_level.is_some_and(|level| queued.level >= level) {
                 break;
             }
-            // They take what others leave, also of a ceiling that is used up.
+            // They use what other tasks leave, so a limit that is used up does not matter.
             let placing = self.prepare_placing(context, *queued);
             let Some(mut placing) = placing.filter(Placing::is_for_holders) else {
                 continue;
             };
             let team = &placing.spec.team;
-            if kept.contains(team) || self.is_over_limit(context, team) {
+            if kept_teams.contains(team) || self.is_over_limit(context, team) {
                 continue;
             }
-            for machine in &mut soon {
-                let share = (machine.partition, placing.spec.team.clone());
-                if let Some(left) = left.get_mut(&share) {
-                    self.delegate_for_later(context, &mut placing, machine, left);
+            for machine in &mut freeing {
+                let grant = (machine.partition, placing.spec.team.clone());
+                if let Some(unused) = unused.get_mut(&grant) {
+                    self.delegate_for_later(context, &mut placing, machine, unused);
                 }
             }
-            soon.retain(|machine| machine.room.cpus > EPS);
-            // What is left of the room is for more of its tasks, not for less urgent ones, which would fill
-            // it first: what was stopped for a team below its guarantee once went to others again.
+            freeing.retain(|machine| !machine.is_full());
+            // What is left is for more tasks of this job. Less urgent jobs would take it first: resources that
+            // were preempted for a team below its guaranteed share would then go to others again.
             if placing.has_more() && self.has_quota(context, queued.index) {
-                self.revoke_ahead(|d| d.level > queued.level);
+                self.revoke_awaiting_resources(|d| d.level > queued.level);
                 break;
             }
         }
     }
 
-    /// The most urgent level of jobs that need room which only the leader can give them: gangs, and those
-    /// that are to begin or to catch up. Holders must not fill it first.
+    /// The most urgent level of jobs that only the leader can place: gangs, and jobs that have waited too long
+    /// to begin or to catch up. Holders must not take the resources for them first.
     fn level_for_leader(&self, context: &Context, queue: &[QueuedJob]) -> Option<u8> {
         let now = context.now.steady;
-        let needs = |queued: &&QueuedJob| {
+        let needs_leader = |queued: &&QueuedJob| {
             let job = self.jobs.get(queued.index);
             job.is_some_and(|job| job.placeable(now) > 0 && !job.may_be_placed_by_holders(now))
                 && self.has_quota(context, queued.index)
         };
-        queue.iter().filter(needs).map(|queued| queued.level).min()
+        let queue = queue.iter().filter(needs_leader);
+        queue.map(|queued| queued.level).min()
     }
 
-    /// Takes back what waits for room at holders, as far as it is chosen.
-    fn revoke_ahead(&mut self, chosen: impl Fn(&Delegation) -> bool) {
-        let delegations = self.leader_quota.delegations.iter();
-        let later = delegations.filter(|(_, d)| d.waits && chosen(d));
-        let later: BTreeSet<(PartitionId, JobIndex)> =
-            later.map(|((index, _), d)| (d.partition, index)).collect();
-        for (partition, index) in later {
+    /// Revokes tasks that wait for resources at holders, of those that are chosen.
+    fn revoke_awaiting_resources(&mut self, is_chosen: impl Fn(&Delegation) -> bool) {
+        let delegations = self.delegations_awaiting_resources();
+        let chosen = delegations.filter(|(_, delegation)| is_chosen(delegation));
+        let chosen: BTreeSet<(PartitionId, JobIndex)> = chosen
+            .map(|(task, delegation)| (delegation.partition, task.job))
+            .collect();
+        for (partition, index) in chosen {
             self.leader_quota.delegations.revoke(partition, index);
         }
     }
 
+    /// Delegates tasks of a job for what will be free on a machine, as far as the quota grant will have room.
     fn delegate_for_later(
         &mut self,
         context: &Context,
         placing: &mut Placing,
-        machine: &mut SoonFree,
-        left: &mut Resources,
+        machine: &mut FreeingMachine,
+        unused: &mut Resources,
     ) {
-        let now = context.now.steady;
         let spec = placing.spec.clone();
         let (machine_type, zone) = (&machine.machine_type, &machine.zone);
         if !permits(context, &spec, machine_type, zone, machine.spot) {
             return;
         }
-        let task = placing.task;
-        while tasks_that_fit(machine.room, &spec) > 0 && task.fits(*left) && placing.has_more() {
+        let amount = placing.task;
+        while tasks_that_fit(machine.free, &spec) > 0 && amount.fits(*unused) && placing.has_more()
+        {
             let job = self.jobs.get_mut(placing.index);
-            let Some(task) = job.and_then(|job| job.take_next(now)) else {
+            let Some(task) = job.and_then(|job| job.take_next(context.now.steady)) else {
                 return;
             };
             machine.take(&spec);
-            *left = left.minus(placing.task);
+            *unused = unused.minus(amount);
             placing.take_one();
             let given = (task, Given::Waiting);
             self.delegate(context, placing, machine.partition, given, &machine.name);
         }
     }
 
-    /// Takes back what holders have not placed in time, and what waits for room while there is room
-    /// elsewhere.
+    /// Revokes tasks that holders have not placed in time, and tasks that wait for resources while another
+    /// machine has room.
     pub(crate) fn revoke_stuck(&mut self, context: &Context, open: &[OpenMachine]) {
         let now = context.now.steady;
-        let mut stuck: Vec<(PartitionId, JobIndex)> = Vec::new();
-        for ((index, _), delegation) in self.leader_quota.delegations.iter() {
-            let key = (delegation.partition, index);
-            let known = stuck.last() == Some(&key);
-            if known || self.leader_quota.delegations.is_revoked(key.0, key.1) {
+        let mut overdue: Vec<(PartitionId, JobIndex)> = Vec::new();
+        for (task, delegation) in self.leader_quota.delegations.iter() {
+            let (partition, index) = (delegation.partition, task.job);
+            let chosen = overdue.last() == Some(&(partition, index));
+            if chosen || self.leader_quota.delegations.is_revoked(partition, index) {
                 continue;
             }
             let waited = now.saturating_sub(delegation.since);
-            let overdue = match delegation.waits {
-                false => waited > PLACED_WITHIN,
-                true => {
-                    waited > ROOM_WITHIN
-                        || (waited > PLACED_WITHIN && self.has_room_elsewhere(context, key, open))
-                }
+            let is_overdue = if delegation.awaits_resources {
+                waited > RESOURCES_TIMEOUT
+                    || (waited > PLACEMENT_TIMEOUT
+                        && self.has_room_elsewhere(context, partition, index, open))
+            } else {
+                waited > PLACEMENT_TIMEOUT
             };
-            if overdue {
-                stuck.push(key);
+            if is_overdue {
+                overdue.push((partition, index));
             }
         }
-        for (partition, index) in stuck {
+        for (partition, index) in overdue {
             self.leader_quota.delegations.revoke(partition, index);
         }
     }
 
+    /// Whether a machine outside the partition has room for a task of the job.
     fn has_room_elsewhere(
         &self,
         context: &Context,
-        (partition, index): (PartitionId, JobIndex),
+        partition: PartitionId,
+        index: JobIndex,
         open: &[OpenMachine],
     ) -> bool {
         let Some(job) = self.jobs.get(index) else {
@@ -404,20 +442,15 @@
         };
         let spec = &job.spec;
         let mut elsewhere = open.iter().filter(|o| o.placed_by != Some(partition));
-        elsewhere.any(|o| {
-            tasks_that_fit(o.free, spec) > 0
-                && permits(context, spec, &o.machine_type, &o.zone, o.spot)
+        elsewhere.any(|machine| {
+            let (machine_type, zone) = (&machine.machine_type, &machine.zone);
+            tasks_that_fit(machine.free, spec) > 0
+                && permits(context, spec, machine_type, zone, machine.spot)
         })
     }
 }
 
-/// Whether the task is likely to leave its room soon.
-fn leaves_soon(a: &Assignment, now: Micros) -> bool {
-    a.stop.is_some() || a.remaining(now, 0) < AHEAD
-}
-
-impl SoonFree {
-    fn take(&mut self, spec: &Submission) {
-        self.room = self.room - MachineResources::of_task(spec);
-    }
+/// Whether the task is likely to free its resources soon.
+fn ends_soon(a: &Assignment, now: Micros) -> bool {
+    a.stop.is_some() || a.remaining(now, 0) < LOOKAHEAD
 }
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -1,10 +1,11 @@
-//! Applies the reports of partition holders to the leader's books.
+//! Applies the reports of partition holders to the leader's state.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::parse_task;
 use crate::state::machine::{Assignment, Machine};
-use crate::Outcome;
+use crate::state::remote_partitions::RemotePartition;
+use crate::{Micros, Outcome};
 use grebewood_partition::PartitionId;
 use grebewood_wire as wire;
 use grebewood_wire::http::{Heartbeat, ReportedTask, TaskStatus};
@@ -15,6 +16,7 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
+    /// Handles the outcome of a call that sent orders to a holder.
     pub(crate) fn on_orders_answered(
         &mut self,
         context: &mut Context,
@@ -25,8 +27,8 @@
         let report = match outcome {
             Outcome::Answer { status: 200, body } => match wire::from_peer::<PeerAnswer>(&body) {
                 Ok(answer) => answer.report,
-                Err(e) => {
-                    warn!("partition {id}: {e}");
+                Err(error) => {
+                    warn!(partition = id, error:% = error; "cannot decode a holder's answer");
                     None
                 }
             },
@@ -35,7 +37,7 @@
         self.on_report_of_holder(context, id, claim, report);
     }
 
-    /// Takes in a holder's report.
+    /// Applies a holder's report; `None`: it did not answer.
     pub(crate) fn on_report_of_holder(
         &mut self,
         context: &mut Context,
@@ -43,102 +45,107 @@
         claim: u64,
         report: Option<PartitionReport>,
     ) {
-        let now = context.now.steady;
-        let Some(remote_partitions) = self.remote_partitions.by_id.get_mut(&id) else {
+        let Some(partition) = self.remote_partitions.by_id.get_mut(&id) else {
             return;
         };
-        if remote_partitions.claim.as_ref().map(|c| c.1) != Some(claim) {
+        if partition.claim_token() != Some(claim) {
             return;
         }
-        remote_partitions.busy = false;
+        partition.awaiting_answer = false;
         let Some(report) = report.filter(|report| report.claim == claim) else {
             return;
         };
-        let newly_synced = report.synced && !remote_partitions.synced;
-        remote_partitions.synced |= report.synced;
-        remote_partitions.answered_at = now;
-        remote_partitions.seen = report.version;
-        if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
-            remote_partitions.placed_seen = quota.version;
-            remote_partitions.reserved = std::mem::take(&mut remote_partitions.reserving);
-        }
-        remote_partitions.note_heartbeats(report.heartbeats, now);
-        if newly_synced {
-            self.note_delivered(id, Assignment::may_exist);
+        let newly_reconciled = report.synced && !partition.reconciled;
+        partition.apply_report(&report, context.now.steady);
+        if newly_reconciled {
+            self.mark_delivered(id, Assignment::may_exist);
         }
         if !report.accepted.is_empty() {
             let accepted: BTreeSet<TaskAttempt> = report.accepted.iter().copied().collect();
-            self.note_delivered(id, |a| accepted.contains(&a.id()));
+            self.mark_delivered(id, |a| accepted.contains(&a.id()));
         }
+        self.apply_machine_states(context, id, &report);
+        if report.synced {
+            self.apply_placements(context, id, report.quota.as_ref());
+        }
+        self.apply_outcomes(context, id, report.outcomes);
+        if let Some(quota) = report.quota.filter(|_| report.synced) {
+            self.on_held(context, id, &quota);
+        }
+        self.refresh_machines(context, id);
+        self.placement.request_round(context.now.steady);
+    }
+
+    fn apply_machine_states(
+        &mut self,
+        context: &mut Context,
+        id: PartitionId,
+        report: &PartitionReport,
+    ) {
         for machine in &report.gone {
             if self.machines.contains_key(machine) {
                 self.terminated(context, machine);
             }
         }
         for state in &report.machines {
-            self.take_machine_state(context, id, state);
-        }
-        match &report.quota {
-            Some(quota) if report.synced => self.on_placed(context, id, quota),
-            None if report.synced => self.on_places_nothing(id),
-            _ => {}
+            self.apply_machine_state(context, id, state);
         }
-        self.take_outcomes(context, id, report.outcomes);
-        if let Some(quota) = report.quota.filter(|_| report.synced) {
-            self.on_held(context, id, &quota);
-        }
-        self.refresh_machines(context, id);
-        self.placement.request_round(now);
     }
 
-    /// The holder has taken these assignments over.
-    fn note_delivered(&mut self, id: PartitionId, taken_over: impl Fn(&Assignment) -> bool) {
+    /// The holder has accepted these assignments.
+    fn mark_delivered(&mut self, id: PartitionId, accepted: impl Fn(&Assignment) -> bool) {
         let machines = self.machines.values_mut();
-        let theirs = machines.filter(|m| m.partition == Some(id));
-        for a in theirs.flat_map(|m| &mut m.assignments) {
-            a.delivered |= taken_over(a);
+        let machines = machines.filter(|machine| machine.partition == Some(id));
+        for a in machines.flat_map(|machine| &mut machine.assignments) {
+            a.delivered |= accepted(a);
         }
     }
 
-    /// Machines that the holder hears count as heard by the leader.
+    /// The last contact of the holder with a machine counts as that of the leader.
     fn refresh_machines(&mut self, context: &Context, id: PartitionId) {
         let now = context.now.steady;
-        let mut heard = false;
+        let mut any_in_contact = false;
         for machine in self.machines.values_mut() {
             if machine.partition == Some(id) && machine.counted_by_holder {
                 machine.last_heartbeat = now;
                 machine.last_contact_at = now;
                 machine.last_response = now;
-                heard = true;
+                any_in_contact = true;
             }
         }
-        if heard {
+        if any_in_contact {
             self.last_heartbeat_at = now;
         }
     }
 
-    /// Takes in what the holder says of a machine.
-    fn take_machine_state(&mut self, context: &mut Context, id: PartitionId, state: &MachineState) {
+    /// Applies the state of a machine as its holder reports it.
+    fn apply_machine_state(
+        &mut self,
+        context: &mut Context,
+        id: PartitionId,
+        state: &MachineState,
+    ) {
         let now = context.now.steady;
         if self.fleet.is_gone(&state.machine) {
             return;
         }
-        let report = report_of(state);
-        self.machine_is_up(context, &report);
+        let heartbeat = heartbeat_of(state);
+        self.machine_is_up(context, &heartbeat);
         let machine_type = context.machine_type(&state.machine_type);
         let machine = self
             .machines
             .entry(state.machine.clone())
-            .or_insert_with(|| Machine::new(&report, machine_type, now));
+            .or_insert_with(|| Machine::new(&heartbeat, machine_type, now));
         if machine.address.is_empty() || machine.cpus <= 0.0 {
-            machine.describe(&report, machine_type, now);
+            machine.describe(&heartbeat, machine_type, now);
         }
         machine.partition = Some(id);
         machine.address.clone_from(&state.address);
-        // The holder may have expected a session that the next one finds has not begun.
+        // It may be lower than before: a holder may have expected an agent incarnation that the next holder
+        // finds has not begun.
         machine.incarnation = state.incarnation;
         machine.receives_responses = state.receives_responses;
-        // Whether it may be deaf is its holder's to tell.
+        // Whether the agent receives responses is for its holder to tell.
         machine.unreachable_since = None;
         machine.counted_by_holder = state.counts;
         machine.cordoned |= state.cordoned;
@@ -147,11 +154,12 @@
             machine.idle_since = now;
         }
         for task in &state.tasks {
-            self.take_task_state(context, &state.machine, task.id, &task.status);
+            self.apply_task_state(context, &state.machine, task.id, &task.status);
         }
     }
 
-    fn take_task_state(
+    /// Applies the status of a task as its machine's holder reports it.
+    fn apply_task_state(
         &mut self,
         context: &Context,
         name: &str,
@@ -160,8 +168,9 @@
     ) {
         let now = context.now.steady;
         let machine = self.machines.get_mut(name);
-        let assignment = machine.and_then(|m| m.assignments.iter_mut().find(|a| a.id() == id));
-        let Some(a) = assignment else {
+        let assignments = machine.map(|machine| machine.assignments.iter_mut());
+        let Some(a) = assignments.and_then(|mut assignments| assignments.find(|a| a.id() == id))
+        else {
             return;
         };
         let before = a.seen;
@@ -170,45 +179,38 @@
         self.count_running(now, index, before, seen);
     }
 
-    /// Takes in attempts that have ended. A holder repeats them until they are acknowledged.
-    fn take_outcomes(
+    /// Applies the outcomes of attempts that have ended. A holder repeats them until they are acknowledged.
+    fn apply_outcomes(
         &mut self,
         context: &mut Context,
         id: PartitionId,
         outcomes: Vec<TaskOutcome>,
     ) {
-        let told: BTreeSet<TaskAttempt> = outcomes.iter().map(TaskOutcome::id).collect();
-        let news: Vec<TaskOutcome> = match self.remote_partitions.by_id.get_mut(&id) {
-            Some(remote_partitions) => {
-                // What is told no more was acknowledged.
-                remote_partitions
-                    .settling
-                    .retain(|attempt| told.contains(attempt));
-                let settling = &mut remote_partitions.settling;
-                let new = outcomes.into_iter().filter(|o| settling.insert(o.id()));
-                new.collect()
-            }
-            None => return,
+        let Some(partition) = self.remote_partitions.by_id.get_mut(&id) else {
+            return;
         };
-        for machine in self.machines.values_mut() {
-            if machine.partition == Some(id) {
-                machine
-                    .exited_attempts
-                    .retain(|exited| exited.id().is_some_and(|id| told.contains(&id)));
-            }
+        let reported: BTreeSet<TaskAttempt> = outcomes.iter().map(TaskOutcome::id).collect();
+        // What is no longer reported was acknowledged.
+        let applied = &mut partition.applied_outcomes;
+        applied.retain(|attempt| reported.contains(attempt));
+        let new = outcomes.into_iter();
+        let new: Vec<TaskOutcome> = new.filter(|outcome| applied.insert(outcome.id())).collect();
+        let machines = self.machines.values_mut();
+        for machine in machines.filter(|machine| machine.partition == Some(id)) {
+            machine.exited_attempts.retain(|exited| {
+                let attempt = exited.id();
+                attempt.is_some_and(|attempt| reported.contains(&attempt))
+            });
         }
-        for outcome in news {
-            self.take_outcome(context, &outcome);
+        for outcome in new {
+            self.apply_outcome(context, &outcome);
         }
     }
 
-    fn take_outcome(&mut self, context: &mut Context, outcome: &TaskOutcome) {
+    fn apply_outcome(&mut self, context: &mut Context, outcome: &TaskOutcome) {
         let name = &outcome.machine;
         let task_name = format!("{}/{}", outcome.job, outcome.task);
-        let at = self.machines.get(name).and_then(|m| {
-            let mut assignments = m.assignments.iter();
-            assignments.position(|a| a.id() == outcome.id())
-        });
+        let at = self.position(name, |a| a.id() == outcome.id());
         match (at, &outcome.end) {
             (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
             (Some(at), TaskEnd::Exited(cause)) => self.exited(context, name, at, cause, &task_name),
@@ -229,8 +231,22 @@
     }
 }
 
-/// A machine's state in the form of a report without tasks.
-fn report_of(state: &MachineState) -> Heartbeat {
+impl RemotePartition {
+    /// Applies what a holder's report says of the partition itself.
+    fn apply_report(&mut self, report: &PartitionReport, now: Micros) {
+        self.reconciled |= report.synced;
+        self.last_answer_at = now;
+        self.state_version = report.version;
+        if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
+            self.placed_seen = quota.version;
+            self.reserved = std::mem::take(&mut self.reserved_sent);
+        }
+        self.note_heartbeats(report.heartbeats, now);
+    }
+}
+
+/// A machine's state in the form of a heartbeat without tasks.
+fn heartbeat_of(state: &MachineState) -> Heartbeat {
     Heartbeat {
         machine: state.machine.clone(),
         address: state.address.clone(),
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -1,4 +1,4 @@
-//! Which team quotas are in force, and what happens when a limit is lowered.
+//! Which team quotas are in force, and what the leader does when a limit is lowered.
 
 use crate::context::Context;
 use crate::scheduler::agents::heartbeats::grace;
@@ -7,41 +7,39 @@
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::state::write_buffer::RecordId;
 use crate::{micros, Micros, SECOND};
+use grebewood_partition::PartitionId;
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
 use grebewood_wire::http::{from_value, KeyValue, Shape};
 use grebewood_wire::peer::TaskAttempt;
 use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, TeamQuotaRecord, LIMITS, QUOTA};
 use grebewood_wire::Value;
 use log::{error, info};
+use std::cmp::Reverse;
 
-/// Between two looks at teams that use more than their ceiling.
+/// Time between two checks for teams that use more than their limit.
 const ENFORCE_INTERVAL: Micros = SECOND;
 
-/// The write of lowered limits goes ahead of its turn by so much.
-const LIMITS_AHEAD: Micros = 60 * SECOND;
+/// By how much the write of changed limits goes ahead of other writes.
+const LIMITS_WRITE_PRIORITY: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// Takes over limits and allotments on record, as a new leader.
+    /// Loads the quotas in force and the quota grants on record, as a new leader.
     pub(crate) fn load_quota(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         if !context.supports_quota_grants() {
             return;
         }
         let mut recorded = None;
-        let mut allotments = Vec::new();
+        let mut grants = Vec::new();
         for entry in entries {
-            self.write_buffer
-                .mod_revisions
-                .insert(entry.key.clone(), entry.mod_revision);
+            let mod_revisions = &mut self.write_buffer.mod_revisions;
+            mod_revisions.insert(entry.key.clone(), entry.mod_revision);
             if entry.key == LIMITS {
-                match from_value::<LimitsRecord>(&entry.value) {
-                    Ok(record) => recorded = Some(Limits::from_teams(&record.teams)),
-                    Err(e) => error!("record {LIMITS}: {e}; the settings' limits stand for it"),
-                }
+                recorded = recorded_limits(&entry.value);
                 continue;
             }
             let id = entry.key.strip_prefix(QUOTA).and_then(|n| n.parse().ok());
             match id.filter(|id| self.remote_partitions.record(*id).is_some()) {
-                Some(id) => allotments.push((id, entry)),
+                Some(id) => grants.push((id, entry)),
                 None => {
                     let due = context.now.steady + SECOND;
                     let stale = RecordId::Deleted(entry.key);
@@ -49,6 +47,13 @@
                 }
             }
         }
+        self.load_limits(context, recorded);
+        for (id, entry) in grants {
+            self.load_grant(id, &entry);
+        }
+    }
+
+    fn load_limits(&mut self, context: &Context, recorded: Option<Limits>) {
         let settings = &context.settings;
         let others = settings.siblings.iter().map(|s| s.member.clone());
         let own = settings.limits();
@@ -57,37 +62,41 @@
         if recorded.as_ref() != Some(self.leader_quota.limits.in_force()) {
             self.write_limits(context);
         }
-        for (id, entry) in allotments {
-            match from_value::<QuotaGrantRecord>(&entry.value) {
-                Ok(record) => self.leader_quota.allotments.load(id, &record),
-                Err(e) => {
-                    error!("record {}: {e}; counted as all of each ceiling", entry.key);
-                    let in_force = self.leader_quota.limits.in_force().iter();
-                    let ceilings = in_force.map(|(team, limit)| (team.to_string(), limit.limit));
-                    let ceilings: TeamAmounts = ceilings.collect();
-                    self.leader_quota.allotments.load_unreadable(id, ceilings);
-                }
+    }
+
+    fn load_grant(&mut self, id: PartitionId, entry: &KeyValue<Value>) {
+        match from_value::<QuotaGrantRecord>(&entry.value) {
+            Ok(record) => self.leader_quota.allotments.load(id, &record),
+            Err(error) => {
+                error!(
+                    key = entry.key, partition = id, error:% = error;
+                    "cannot read a quota grant, it counts as all of each team's limit"
+                );
+                let in_force = self.leader_quota.limits.in_force().iter();
+                let limits = in_force.map(|(team, quota)| (team.to_string(), quota.limit));
+                let limits: TeamAmounts = limits.collect();
+                self.leader_quota.allotments.load_unreadable(id, limits);
             }
         }
     }
 
-    /// Whether the limits in force are on record, so that holders' writes can depend on them.
+    /// Whether the quotas in force are on record, so that holders' writes can be conditional on them.
     pub(crate) fn limits_are_on_record(&self) -> bool {
         self.write_buffer.mod_revisions.contains_key(LIMITS)
             && !self.write_buffer.is_dirty(&RecordId::Limits)
     }
 
     fn write_limits(&mut self, context: &Context) {
-        let due = context.now.steady.saturating_sub(LIMITS_AHEAD);
+        let due = context.now.steady.saturating_sub(LIMITS_WRITE_PRIORITY);
         self.write_buffer.mark_dirty_by(RecordId::Limits, due);
     }
 
-    /// The limits in force, as a record.
+    /// The quotas in force, as a record.
     pub(crate) fn limits_record(&self) -> LimitsRecord {
         self.leader_quota.limits.in_force().to_record()
     }
 
-    /// A member has answered this leader what its settings say.
+    /// A member has announced the quotas in its settings to this leader.
     pub(crate) fn on_limits_announced(
         &mut self,
         context: &mut Context,
@@ -98,42 +107,42 @@
             return;
         }
         let before = self.leader_quota.limits.in_force().clone();
-        if !self
-            .leader_quota
-            .limits
-            .announce(member, Limits::from_teams(teams))
-        {
+        let announced = Limits::from_teams(teams);
+        if !self.leader_quota.limits.announce(member, announced) {
             return;
         }
         let lowered = self.leader_quota.limits.in_force().lowered_since(&before);
-        info!("limits in force have changed, as {member} has them; lowered for {lowered:?}");
+        info!(
+            member = member, lowered_teams:? = lowered;
+            "quotas in force have changed with a member's settings"
+        );
         for team in &lowered {
             self.leader_quota.allotments.cancel_unrecorded_growth(team);
         }
-        // What is decided and not under way must not come on record after the lower figure.
+        // What is decided and not in flight must not come on record after the lower limit.
         self.undo_unlaunched(context, &lowered);
         self.write_limits(context);
         self.placement.request_round(context.now.steady);
     }
 
-    /// Takes back what was placed for these teams and not launched.
+    /// Undoes placements for these teams that were not launched, and revokes their delegated tasks.
     fn undo_unlaunched(&mut self, context: &mut Context, teams: &[String]) {
-        let undone = |a: &Assignment| a.launched.is_none() && teams.contains(&a.team);
+        let is_undone = |a: &Assignment| a.launched.is_none() && teams.contains(&a.team);
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(at) = self.position(&name, undone) {
+            while let Some(at) = self.position(&name, is_undone) {
                 self.remove_assignment(context, &name, at);
             }
         }
         let jobs = self.jobs.iter();
-        let theirs = jobs.filter(|(_, job)| job.delegated > 0 && teams.contains(&job.spec.team));
-        let theirs: Vec<JobIndex> = theirs.map(|(index, _)| index).collect();
-        for index in theirs {
+        let delegated = jobs.filter(|(_, job)| job.delegated > 0 && teams.contains(&job.spec.team));
+        let delegated: Vec<JobIndex> = delegated.map(|(index, _)| index).collect();
+        for index in delegated {
             self.revoke_job(context, index);
         }
     }
 
-    /// Whether more of the team's ceiling is used or allotted than there is.
+    /// Whether more is used and granted for the team than its limit allows.
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
@@ -141,8 +150,8 @@
         !used.fits(limit)
     }
 
-    /// Stops what runs of a team beyond its ceiling, which was lowered: the youngest tasks first, of those
-    /// that save their progress or never end by themselves. All others run to their end.
+    /// Stops running tasks of teams beyond their limit, which was lowered: the youngest first, of those that
+    /// write checkpoints or never end by themselves. All others run to their end.
     pub(crate) fn enforce_limits(&mut self, context: &mut Context) {
         let now = context.now.steady;
         if !context.supports_quota_grants()
@@ -152,7 +161,7 @@
         }
         self.leader_quota.enforced_at = now;
         let mut running = TeamAmounts::new();
-        // Only what workers have reported: what an earlier leader's pages list may be gone.
+        // Only what heartbeats have shown: what an earlier leader's pages list may be gone.
         for a in self.assignments().filter(|a| counts_as_running(a)) {
             let sum = running.entry(a.team.clone()).or_default();
             *sum = sum.plus(a.amount());
@@ -161,58 +170,81 @@
             let limit = self.limit_of(context, &team).unwrap_or_default().limit;
             let excess = running.minus(limit);
             if !excess.is_zero() {
-                self.drain(context, &team, excess);
+                self.stop_excess(context, &team, excess);
             }
         }
     }
 
-    fn drain(&mut self, context: &mut Context, team: &str, mut excess: Resources) {
-        let drainable = |a: &&Assignment| a.team == team && counts_as_running(a);
-        let mut victims: Vec<Drained> = Vec::new();
-        for a in self.assignments().filter(drainable) {
-            let Some(job) = self.jobs.get(a.job) else {
-                continue;
-            };
-            let saves = job.spec.checkpoint_interval_s > 0.0;
-            // A gang without one of its tasks is none.
-            if job.shape == Shape::Gang || !(saves || job.is_daemon()) {
-                continue;
-            }
-            let time = match saves {
-                true => grace(micros(job.spec.checkpoint_duration_s)),
-                false => 0,
-            };
-            victims.push(Drained {
-                decided: a.decided,
-                attempt: a.id(),
-                grace: time,
-                amount: a.amount(),
-            });
-        }
-        victims.sort_by_key(|victim| std::cmp::Reverse((victim.decided, victim.attempt)));
-        for victim in victims {
+    fn stop_excess(&mut self, context: &mut Context, team: &str, mut excess: Resources) {
+        for candidate in self.stop_candidates(team) {
             if excess.is_zero() {
                 break;
             }
-            excess = excess.minus(victim.amount);
+            excess = excess.minus(candidate.amount);
             info!(
-                "{team}: its ceiling was lowered, {:?} is stopped",
-                victim.attempt
+                team = team, attempt = candidate.id.attempt, task = candidate.id.task;
+                "stopping a task, since its team's limit was lowered"
             );
-            self.stop_attempt(context, victim.attempt, victim.grace);
+            self.stop_attempt(context, candidate.id, candidate.grace);
         }
     }
+
+    /// The team's tasks that may be stopped, the youngest first.
+    fn stop_candidates(&self, team: &str) -> Vec<StopCandidate> {
+        let running = self.assignments();
+        let running = running.filter(|a| a.team == team && counts_as_running(a));
+        let mut candidates: Vec<StopCandidate> =
+            running.filter_map(|a| self.stop_candidate(a)).collect();
+        candidates.sort_by_key(|candidate| Reverse((candidate.decided, candidate.id)));
+        candidates
+    }
+
+    fn stop_candidate(&self, a: &Assignment) -> Option<StopCandidate> {
+        let job = self.jobs.get(a.job)?;
+        let writes_checkpoints = job.spec.checkpoint_interval_s > 0.0;
+        // Without one of its tasks a gang cannot run.
+        if job.shape == Shape::Gang || !(writes_checkpoints || job.is_daemon()) {
+            return None;
+        }
+        let grace_period = if writes_checkpoints {
+            grace(micros(job.spec.checkpoint_duration_s))
+        } else {
+            0
+        };
+        Some(StopCandidate {
+            decided: a.decided,
+            id: a.id(),
+            grace: grace_period,
+            amount: a.amount(),
+        })
+    }
 }
 
-/// A task that may be stopped because its team's ceiling was lowered.
-struct Drained {
+/// A task that may be stopped because its team's limit was lowered.
+struct StopCandidate {
+    /// When it was placed.
     decided: Micros,
-    attempt: TaskAttempt,
+    id: TaskAttempt,
+    /// How long it may take to write a checkpoint.
     grace: Micros,
     amount: Resources,
 }
 
-/// Whether a worker has reported the task and it is not being stopped.
+/// Whether a heartbeat has shown the task and it is not being stopped.
 fn counts_as_running(a: &Assignment) -> bool {
     a.seen != ObservedStatus::Never && a.stop.is_none()
 }
+
+/// The quotas in force on record; `None` if the record cannot be read.
+fn recorded_limits(value: &Value) -> Option<Limits> {
+    match from_value::<LimitsRecord>(value) {
+        Ok(record) => Some(Limits::from_teams(&record.teams)),
+        Err(error) => {
+            error!(
+                key = LIMITS, error:% = error;
+                "cannot read the quotas in force, this member's settings are used"
+            );
+            None
+        }
+    }
+}
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -1,8 +1,9 @@
-//! Quota grants in messages: what a holder is told, and what its answer means for the leader's books.
+//! Quota grants in messages: what a partition holder is told, and what its answer means for the leader's
+//! state.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::delegations::TaskOfJob;
+use crate::state::delegations::{Delegation, TaskKey};
 use crate::state::jobs::JobIndex;
 use crate::state::machine::{Assignment, TaskOnMachine};
 use crate::{Micros, MILLI};
@@ -11,172 +12,183 @@
 use grebewood_wire::peer::{
     DelegatedTask, DelegatedWork, PlacedTask, QuotaOrders, QuotaReport, TaskRanges,
 };
-use grebewood_wire::records::LIMITS;
+use grebewood_wire::records::{TeamAmount, LIMITS};
+use grebewood_wire::validate::MAX_TASKS;
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most tasks that one message gives to a holder.
-const MOST_TASKS: usize = 500;
+/// Most tasks that one message delegates to a holder.
+const MAX_DELEGATED: usize = 500;
 
-/// How long a smaller allotment may wait to be written, if no team lacks what is asked back.
+/// How long the write of a smaller quota grant may be delayed, if no team lacks what is revoked.
 const SHRINK_DELAY: Micros = 500 * MILLI;
 
 impl Scheduler {
-    /// What the partition's holder is told of allotments; `None` while no limits are on record.
+    /// What the partition's holder is told of its quota grant and of tasks to place; `None` while no limits
+    /// are on record. Tasks are delegated only to a holder that is `reconciled`.
     pub(crate) fn quota_orders(
         &mut self,
         context: &Context,
         id: PartitionId,
-        synced: bool,
+        reconciled: bool,
     ) -> Option<QuotaOrders> {
         if !context.supports_quota_grants() {
             return None;
         }
         let limits = self.write_buffer.mod_revisions.get(LIMITS).copied()?;
-        let teams = self.leader_quota.limits.in_force().iter();
-        let over = teams.filter(|(team, _)| self.is_over_limit(context, team));
-        let over: BTreeSet<String> = over.map(|(team, _)| team.to_string()).collect();
-        let pressed = self.leader_quota.pressed.clone();
-        let ask_back = |team: &str| match (over.contains(team), pressed.contains(team)) {
-            (true, _) => GrantReduction::All,
-            (false, true) => GrantReduction::Slack,
-            (false, false) => GrantReduction::IdleSlack,
-        };
-        let now = context.now.steady;
-        let allotment = self.leader_quota.allotments.usable(id, now, ask_back);
-        let work = match synced {
-            true => self.work_to_send(id),
-            false => Vec::new(),
+        let allotment = self.usable_grant(context, id);
+        let work = if reconciled {
+            self.work_to_send(id)
+        } else {
+            Vec::new()
         };
         Some(QuotaOrders {
             number: self.leader_quota.allotments.number(id),
             limits,
             allotment,
             work,
-            revoked: self.leader_quota.delegations.ask_back(id),
+            revoked: self.leader_quota.delegations.revocations_to_send(id),
             reserved: self.reserved_machines(id),
             seen: self.remote_partitions.placed_seen(id),
         })
     }
 
-    /// Tasks that the holder has not said to have.
+    /// What the partition's holder may use, less what is revoked.
+    fn usable_grant(&mut self, context: &Context, id: PartitionId) -> Vec<TeamAmount> {
+        let teams = self.leader_quota.limits.in_force().iter();
+        let over_limit = teams.filter(|(team, _)| self.is_over_limit(context, team));
+        let over_limit: BTreeSet<String> = over_limit.map(|(team, _)| team.to_string()).collect();
+        let short_of_room = &self.leader_quota.pressed;
+        let reduction = |team: &str| {
+            if over_limit.contains(team) {
+                GrantReduction::All
+            } else if short_of_room.contains(team) {
+                GrantReduction::Slack
+            } else {
+                GrantReduction::IdleSlack
+            }
+        };
+        let grants = &mut self.leader_quota.allotments;
+        grants.usable(id, context.now.steady, reduction)
+    }
+
+    /// Tasks that the holder has not confirmed to have.
     fn work_to_send(&mut self, id: PartitionId) -> Vec<DelegatedWork> {
         let delegations = &self.leader_quota.delegations;
-        let new = delegations
-            .of_partition(id)
-            .filter(|((index, _), delegation)| {
-                !delegation.confirmed && !delegations.is_revoked(id, *index)
-            });
+        let tasks = delegations.of_partition(id);
+        let unconfirmed = tasks.filter(|(task, delegation)| {
+            !delegation.confirmed && !delegations.is_revoked(id, task.job)
+        });
         let mut work: BTreeMap<JobIndex, DelegatedWork> = BTreeMap::new();
-        let mut sent: Vec<TaskOfJob> = Vec::new();
-        for ((index, task), delegation) in new.take(MOST_TASKS) {
-            let entry = work.entry(index).or_insert_with(|| DelegatedWork {
+        let mut sent: Vec<TaskKey> = Vec::new();
+        for (task, delegation) in unconfirmed.take(MAX_DELEGATED) {
+            let of_job = work.entry(task.job).or_insert_with(|| DelegatedWork {
                 job: delegation.job_id.clone(),
                 level: delegation.level,
                 expected_us: delegation.expected,
                 tasks: Vec::new(),
             });
-            entry.tasks.push(DelegatedTask {
-                task,
+            of_job.tasks.push(DelegatedTask {
+                task: task.task,
                 machine: delegation.machine.clone(),
-                waits: delegation.waits,
+                waits: delegation.awaits_resources,
             });
-            sent.push((index, task));
+            sent.push(task);
         }
-        self.leader_quota.delegations.note_sent(&sent);
+        self.leader_quota.delegations.mark_sent(&sent);
         work.into_values().collect()
     }
 
     /// Machines of the partition on which nothing new is to be placed.
     fn reserved_machines(&self, id: PartitionId) -> Vec<String> {
         let machines = self.machines.values();
-        let theirs = machines.filter(|m| m.partition == Some(id));
-        let reserved = theirs.filter(|m| m.cordoned || self.fleet.is_terminating(&m.name));
-        reserved.map(|m| m.name.clone()).collect()
+        machines
+            .filter(|machine| machine.partition == Some(id))
+            .filter(|machine| machine.cordoned || self.fleet.is_terminating(&machine.name))
+            .map(|machine| machine.name.clone())
+            .collect()
     }
 
-    /// Takes in what a holder says of its allotment and of what it has placed. Its outcomes are taken in
-    /// after what it has placed, and before what it holds.
-    pub(crate) fn on_placed(
+    /// Applies what a reconciled holder reports of its grant and of the tasks that it has placed; `None`: it
+    /// places nothing. This comes before the outcomes in the same report, which may be those of tasks that it
+    /// has placed, and [`Self::on_held`] after them.
+    pub(crate) fn apply_placements(
         &mut self,
         context: &mut Context,
         id: PartitionId,
-        quota: &QuotaReport,
+        quota: Option<&QuotaReport>,
     ) {
+        let Some(quota) = quota else {
+            return self.on_places_nothing(id);
+        };
         if self.leader_quota.placing.insert(id) {
-            info!("partition {id}: its holder places tasks");
+            info!(partition = id; "the holder places tasks");
         }
         for task in &quota.placed {
-            self.take_placed(context, id, task);
+            self.apply_placement(context, id, task);
         }
-        let waiting = self.tasks_in(&quota.waiting);
-        for task in self.leader_quota.delegations.returned(id, &waiting) {
-            self.give_task_back(context, task);
+        let queued = self.tasks_in(&quota.waiting);
+        let delegations = &mut self.leader_quota.delegations;
+        for task in delegations.on_queue_reported(id, &queued) {
+            self.return_task(context, task);
         }
     }
 
-    /// Takes in what a holder will use at most.
+    /// A holder has answered that it places nothing.
+    fn on_places_nothing(&mut self, id: PartitionId) {
+        self.leader_quota.placing.remove(&id);
+        if self.leader_quota.delegations.any_in(id) {
+            // The holder before it may have placed some of them, and only pages tell.
+            self.leader_quota.lost = Some("a holder does not tell what was placed before it");
+        }
+    }
+
+    /// Applies what a holder will use at most.
     pub(crate) fn on_held(&mut self, context: &Context, id: PartitionId, quota: &QuotaReport) {
         let now = context.now.steady;
         self.leader_quota.allotments.on_held(id, &quota.held, now);
-        let delay = match self.leader_quota.pressed.is_empty() {
-            true => SHRINK_DELAY,
-            false => 0,
+        let delay = if self.leader_quota.pressed.is_empty() {
+            SHRINK_DELAY
+        } else {
+            0
         };
         self.write_quota_grant(context, id, delay);
     }
 
-    /// A holder has answered that it places nothing.
-    pub(crate) fn on_places_nothing(&mut self, id: PartitionId) {
-        self.leader_quota.placing.remove(&id);
-        if self.leader_quota.delegations.has(id) {
-            // The one before it may have placed some of them, and only pages tell.
-            self.leader_quota.lost = Some("a holder does not tell what was placed before it");
-        }
-    }
-
-    fn tasks_in(&self, ranges: &[TaskRanges]) -> BTreeSet<TaskOfJob> {
+    fn tasks_in(&self, ranges: &[TaskRanges]) -> BTreeSet<TaskKey> {
         let mut tasks = BTreeSet::new();
         for TaskRanges { job, ranges } in ranges {
             let Some(index) = self.jobs.find(job) else {
                 continue;
             };
-            for (from, to) in ranges {
-                // What a peer says must not cost more than a job has tasks.
-                let to = (*to).min(grebewood_wire::validate::MAX_TASKS);
-                tasks.extend((*from..to).map(|task| (index, task)));
+            for (first, end) in ranges {
+                // A message must not make this member count beyond the most tasks that a job may have.
+                let end = (*end).min(MAX_TASKS);
+                tasks.extend((*first..end).map(|task| TaskKey::new(index, task)));
             }
         }
         tasks
     }
 
     /// A holder has placed a task.
-    fn take_placed(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
-        let known = self.machines.get(&placed.machine).is_some_and(|m| {
-            let mut assignments = m.assignments.iter();
-            assignments.any(|a| a.id() == placed.id())
-        });
-        // Of a machine that was released the holder hears, too.
+    fn apply_placement(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
+        let is_known = |a: &Assignment| a.id() == placed.id();
+        let known = self.position(&placed.machine, is_known).is_some();
+        // A holder may still list tasks of a machine that was terminated.
         if known || self.fleet.is_gone(&placed.machine) {
             return;
         }
         let index = self.jobs.find(&placed.job);
-        let task = index.map(|index| (index, placed.task));
-        let theirs = task.filter(|task| {
-            let delegation = self.leader_quota.delegations.get(*task);
-            delegation.is_some_and(|delegation| delegation.partition == id)
-        });
-        let delegation = theirs.and_then(|task| self.end_delegation(task));
+        let delegation = self.end_delegation_of(id, placed);
         if delegation.is_none() {
-            // It is on the holder's pages still, though an earlier holder has told its end: until that is
-            // proven anew it counts.
-            debug!("{}/{}: on a holder's page", placed.job, placed.task);
+            // It is on the holder's pages still, though an earlier holder has reported its end: it counts until
+            // that is proven again.
+            debug!(
+                partition = id, job = placed.job, task = placed.task;
+                "a holder has a task that was not delegated to it"
+            );
         }
-        let zone = self
-            .remote_partitions
-            .record(id)
-            .map(|record| record.zone.clone());
-        let zone = zone.unwrap_or_default();
+        let zone = self.zone_of_partition(id);
         self.recovered_machine(context, &placed.machine, &zone, placed.incarnation);
         let job = index.and_then(|index| self.jobs.get_mut(index));
         let spec = job.map(|job| {
@@ -199,23 +211,36 @@
             })
         };
         let (team, amount) = (&assignment.team, assignment.amount());
-        if delegation.is_some_and(|delegation| !delegation.waits) {
-            let now = context.now.steady;
-            self.leader_quota.allotments.unqueue(id, team, amount, now);
+        let grants = &mut self.leader_quota.allotments;
+        if delegation.is_some_and(|delegation| !delegation.awaits_resources) {
+            grants.unqueue(id, team, amount, context.now.steady);
         }
-        self.leader_quota.allotments.place(id, team, amount);
+        grants.place(id, team, amount);
         self.add_assignment(&placed.machine, assignment);
     }
 
-    /// The members that were heard lately say whether all of them understand allotments.
+    /// Ends the delegation of a task that the partition's holder has placed, if it was delegated to it.
+    fn end_delegation_of(&mut self, id: PartitionId, placed: &PlacedTask) -> Option<Delegation> {
+        let task = TaskKey::new(self.jobs.find(&placed.job)?, placed.task);
+        let delegation = self.leader_quota.delegations.get(task)?;
+        if delegation.partition != id {
+            return None;
+        }
+        self.end_delegation(task)
+    }
+
+    fn zone_of_partition(&self, id: PartitionId) -> String {
+        let record = self.remote_partitions.record(id);
+        record.map_or_else(String::new, |record| record.zone.clone())
+    }
+
+    /// The members that answered lately all support quota grants, or not all of them do: then no tasks are
+    /// delegated to holders.
     pub(crate) fn pause_quota_grants(&mut self, context: &Context, paused: bool) {
         if !context.supports_quota_grants() || self.leader_quota.paused == paused {
             return;
         }
-        info!(
-            "allotments are {}",
-            if paused { "paused" } else { "granted" }
-        );
+        info!(paused = paused; "changed whether quota is granted to holders");
         self.leader_quota.paused = paused;
         if paused {
             let jobs = self.jobs.iter().filter(|(_, job)| job.delegated > 0);
@@ -226,7 +251,7 @@
         }
     }
 
-    /// A machine that is to be returned may be released: nothing new is placed on it meanwhile.
+    /// Whether a machine may be terminated: its holder places nothing new on it.
     pub(crate) fn may_be_terminated(&self, partition: Option<PartitionId>, machine: &str) -> bool {
         let holder = partition.filter(|id| self.holder_places(*id));
         holder.is_none_or(|id| self.remote_partitions.is_reserved(id, machine))
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -2,158 +2,196 @@
 
 use crate::{Micros, SECOND};
 use grebewood_partition::map::partition_of;
-use grebewood_partition::{Load, PartitionId, Planner};
+use grebewood_partition::{Claim, Load, PartitionId, Planner};
 use grebewood_wire::peer::TaskAttempt;
 use grebewood_wire::records::PartitionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A partition, as its leader sees it.
+/// The weight of the latest rate of heartbeats in the load of a partition.
+const LOAD_SMOOTHING: Load = 0.2;
+
+/// The claim that a partition's orders go to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct RemoteClaim {
+    /// The partition holder.
+    pub(crate) member: String,
+    /// The fencing token of the claim.
+    pub(crate) token: u64,
+}
+
+impl From<&Claim> for RemoteClaim {
+    fn from(claim: &Claim) -> RemoteClaim {
+        RemoteClaim {
+            member: claim.member.clone(),
+            token: claim.token,
+        }
+    }
+}
+
+/// How many heartbeats a holder had answered since its claim, at a time.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct HeartbeatCount {
+    count: u64,
+    /// 0: none is known under this claim.
+    at: Micros,
+}
+
+/// A partition, as the leader sees it.
 #[derive(Clone, Debug)]
 pub(crate) struct RemotePartition {
+    /// The record as it is to be written.
     pub(crate) record: PartitionRecord,
-    /// The claim that orders go to: who made it, and its token.
-    pub(crate) claim: Option<(String, u64)>,
-    /// Its holder knows all tasks that may be on its machines.
-    pub(crate) synced: bool,
-    /// The version of the last state of a machine that was taken in.
-    pub(crate) seen: u64,
-    pub(crate) next_poll: Micros,
-    pub(crate) busy: bool,
-    /// Attempts whose outcome was taken in and may be acknowledged once it is on record.
-    pub(crate) settling: BTreeSet<TaskAttempt>,
-    /// Machines that were released since the last message.
+    /// The claim that orders go to.
+    pub(crate) claim: Option<RemoteClaim>,
+    /// The holder knows all tasks that may be on the machines.
+    pub(crate) reconciled: bool,
+    /// The version of the last state of a machine that was applied.
+    pub(crate) state_version: u64,
+    /// When the next orders are due.
+    pub(crate) next_orders_at: Micros,
+    /// Orders were sent and not answered yet.
+    pub(crate) awaiting_answer: bool,
+    /// Attempts whose outcome was applied and may be acknowledged once it is on record.
+    pub(crate) applied_outcomes: BTreeSet<TaskAttempt>,
+    /// Machines that were terminated since the last orders.
     pub(crate) terminated: Vec<String>,
-    /// Check-ins that the holder had answered at a time, and their rate.
-    pub(crate) heartbeats: (u64, Micros),
+    /// The heartbeats from which the load was last derived.
+    heartbeats: HeartbeatCount,
+    /// Heartbeats per second, smoothed.
     pub(crate) load: Load,
-    /// When its holder last answered.
-    pub(crate) answered_at: Micros,
+    /// When the holder last answered.
+    pub(crate) last_answer_at: Micros,
     /// The number of the last task placed by the holder that is known.
     pub(crate) placed_seen: u64,
-    /// Machines on which the holder was last told to place nothing new, and those of which it has
-    /// answered that it does not.
-    pub(crate) reserving: BTreeSet<String>,
+    /// Machines on which the holder was last told to place nothing new.
+    pub(crate) reserved_sent: BTreeSet<String>,
+    /// Machines on which the holder has answered that it places nothing new.
     pub(crate) reserved: BTreeSet<String>,
 }
 
 impl RemotePartition {
+    /// A partition of which only the record is known.
     pub(crate) fn new(record: PartitionRecord) -> RemotePartition {
         RemotePartition {
             record,
             claim: None,
-            synced: false,
-            seen: 0,
-            next_poll: 0,
-            busy: false,
-            settling: BTreeSet::new(),
+            reconciled: false,
+            state_version: 0,
+            next_orders_at: 0,
+            awaiting_answer: false,
+            applied_outcomes: BTreeSet::new(),
             terminated: Vec::new(),
-            heartbeats: (0, 0),
+            heartbeats: HeartbeatCount::default(),
             load: 0.0,
-            answered_at: 0,
+            last_answer_at: 0,
             placed_seen: 0,
-            reserving: BTreeSet::new(),
+            reserved_sent: BTreeSet::new(),
             reserved: BTreeSet::new(),
         }
     }
 
-    pub(crate) fn claim_changed(&mut self, claim: Option<(String, u64)>) {
+    /// The fencing token of the claim.
+    pub(crate) fn claim_token(&self) -> Option<u64> {
+        self.claim.as_ref().map(|claim| claim.token)
+    }
+
+    /// Another member holds the partition, or none: nothing is known of the new holder.
+    pub(crate) fn on_claim_changed(&mut self, claim: Option<RemoteClaim>) {
         self.claim = claim;
-        self.synced = false;
-        self.seen = 0;
-        self.busy = false;
-        self.next_poll = 0;
-        self.settling.clear();
-        self.heartbeats = (0, 0);
+        self.reconciled = false;
+        self.state_version = 0;
+        self.awaiting_answer = false;
+        self.next_orders_at = 0;
+        self.applied_outcomes.clear();
+        self.heartbeats = HeartbeatCount::default();
         self.placed_seen = 0;
-        self.reserving.clear();
+        self.reserved_sent.clear();
         self.reserved.clear();
     }
+
+    /// Derives the load from how many heartbeats the holder has answered since its claim.
+    pub(crate) fn note_heartbeats(&mut self, count: u64, now: Micros) {
+        let last = self.heartbeats;
+        let span = now.saturating_sub(last.at);
+        if span < SECOND && last.at > 0 {
+            return;
+        }
+        if last.at > 0 {
+            let rate = count.saturating_sub(last.count) as Load * SECOND as Load / span as Load;
+            // Smoothed: agents send heartbeats seconds apart, so a single second says little.
+            self.load = self.load * (1.0 - LOAD_SMOOTHING) + rate * LOAD_SMOOTHING;
+        }
+        self.heartbeats = HeartbeatCount { count, at: now };
+    }
 }
 
 /// All partitions, as the leader sees them.
 #[derive(Clone, Debug, Default)]
 pub struct RemotePartitions {
+    /// The partitions by number.
     pub(crate) by_id: BTreeMap<PartitionId, RemotePartition>,
+    /// Decides which member is to hold which partition.
     pub(crate) planner: Planner,
+    /// When the planner runs next.
     pub(crate) plan_at: Micros,
+    /// The sequence number of the last orders.
     pub(crate) sequence: u64,
-    /// The partitions are being given up, and why: their keys are being deleted.
-    pub(crate) dissolving: Option<&'static str>,
+    /// Why all partitions are being removed, if they are: their keys are being deleted.
+    pub(crate) removal_reason: Option<&'static str>,
     /// Keys that are to be deleted.
-    pub(crate) deleted: BTreeSet<String>,
+    pub(crate) keys_to_delete: BTreeSet<String>,
 }
 
 impl RemotePartitions {
     /// When the leader has to act next.
     pub(crate) fn next_wake(&self) -> Micros {
-        let claimed = self.by_id.values().filter(|r| r.claim.is_some() && !r.busy);
-        claimed.map(|r| r.next_poll).min().unwrap_or(Micros::MAX)
+        let partitions = self.by_id.values();
+        let ready = partitions.filter(|p| p.claim.is_some() && !p.awaiting_answer);
+        ready
+            .map(|partition| partition.next_orders_at)
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     /// The partition of a machine.
     pub(crate) fn partition_of(&self, zone: &str, machine: &str) -> Option<PartitionId> {
-        let records = self
-            .by_id
-            .iter()
-            .map(|(id, remote_partitions)| (*id, &remote_partitions.record));
+        let partitions = self.by_id.iter();
+        let records = partitions.map(|(id, partition)| (*id, &partition.record));
         partition_of(records, zone, machine)
     }
 
-    /// Whether the partition's holder is in touch and knows its tasks.
+    /// Whether the partition's holder knows all tasks that may be on its machines.
     pub(crate) fn is_synced(&self, id: PartitionId) -> bool {
-        self.by_id
-            .get(&id)
-            .is_some_and(|remote_partitions| remote_partitions.synced)
+        let partition = self.by_id.get(&id);
+        partition.is_some_and(|partition| partition.reconciled)
     }
 
     /// The number of the last task placed by the partition's holder that is known.
     pub(crate) fn placed_seen(&self, id: PartitionId) -> u64 {
-        self.by_id
-            .get(&id)
-            .map_or(0, |remote_partitions| remote_partitions.placed_seen)
+        let partition = self.by_id.get(&id);
+        partition.map_or(0, |partition| partition.placed_seen)
     }
 
     /// Whether the partition's holder has answered that it places nothing new on the machine.
     pub(crate) fn is_reserved(&self, id: PartitionId, machine: &str) -> bool {
-        let remote_partitions = self.by_id.get(&id);
-        remote_partitions
-            .is_some_and(|remote_partitions| remote_partitions.reserved.contains(machine))
+        let partition = self.by_id.get(&id);
+        partition.is_some_and(|partition| partition.reserved.contains(machine))
     }
 
     /// The fencing token of the partition's claim.
     pub(crate) fn claim_token(&self, id: PartitionId) -> Option<u64> {
-        let claim = self.by_id.get(&id)?.claim.as_ref()?;
-        Some(claim.1)
+        self.by_id.get(&id)?.claim_token()
     }
 
     /// The record of a partition, as it is to be written.
     pub(crate) fn record(&self, id: PartitionId) -> Option<&PartitionRecord> {
-        self.by_id
-            .get(&id)
-            .map(|remote_partitions| &remote_partitions.record)
+        self.by_id.get(&id).map(|partition| &partition.record)
     }
 
-    /// A machine of the partition was released.
+    /// A machine of the partition was terminated.
     pub(crate) fn note_terminated(&mut self, id: PartitionId, machine: &str) {
-        if let Some(remote_partitions) = self.by_id.get_mut(&id) {
-            remote_partitions.terminated.push(machine.to_string());
-        }
-    }
-}
-
-impl RemotePartition {
-    /// Notes how many check-ins the holder has answered since its claim.
-    pub(crate) fn note_heartbeats(&mut self, heartbeats: u64, now: Micros) {
-        let (before, at) = self.heartbeats;
-        let span = now.saturating_sub(at);
-        if span < SECOND && at > 0 {
-            return;
-        }
-        if at > 0 {
-            let rate = heartbeats.saturating_sub(before) as Load * SECOND as Load / span as Load;
-            // A mean over some seconds: one alone says little with reports that are seconds apart.
-            self.load = self.load * 0.8 + rate * 0.2;
+        if let Some(partition) = self.by_id.get_mut(&id) {
+            partition.terminated.push(machine.to_string());
         }
-        self.heartbeats = (heartbeats, now);
     }
 }
