--- /dev/null
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -0,0 +1,157 @@
+//! Provisioning requests: idempotent by their names, and sent until their outcome is clear.
+
+use crate::calls::FleetCall;
+use crate::context::Context;
+use crate::scheduler::Scheduler;
+use crate::state::fleet::{BootingMachine, MachineOffering};
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, SECOND};
+use grebewood_wire as wire;
+use grebewood_wire::http::{MachineNames, ProvisionRequest, Refusal};
+use log::{info, warn};
+use std::collections::BTreeSet;
+
+/// What the cloud answers, as text, if an offering has no capacity.
+const NO_CAPACITY: &str = "no capacity";
+
+/// How long nothing more is requested of an offering without capacity, the first time, in microseconds.
+const FIRST_CAPACITY_BACKOFF: Micros = 5 * SECOND;
+
+/// The longest such time, in microseconds.
+const MAX_CAPACITY_BACKOFF: Micros = 20 * SECOND;
+
+/// Refusals in a row beyond which that time grows no more.
+const MAX_REFUSALS: u32 = 3;
+
+fn is_no_capacity(body: &[u8]) -> bool {
+    wire::from_cbor::<Refusal>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
+}
+
+impl Scheduler {
+    /// Sends provisioning requests that are due.
+    pub(crate) fn send_provisions(&mut self, context: &mut Context) {
+        let now = context.now.steady;
+        let provisions = self.fleet.provisions.iter();
+        let due: Vec<String> = provisions
+            .filter(|(_, provision)| provision.is_due(now))
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in due {
+            let Some(provision) = self.fleet.provisions.get_mut(&name) else {
+                continue;
+            };
+            if !context.cloud.take(now, 1.0) {
+                provision.retry_at = context.cloud.ready_at(now, 1.0);
+                continue;
+            }
+            provision.in_flight = true;
+            let request = ProvisionRequest {
+                name: name.clone(),
+                machine_type: provision.record.machine_type.clone(),
+                zone: provision.record.zone.clone(),
+                spot: provision.record.spot,
+                number: provision.record.number,
+            };
+            let body = wire::to_cbor(&request);
+            let call = FleetCall::PendingProvision { name };
+            self.call_cloud(context, "POST", "/rentals", body, call);
+        }
+    }
+
+    /// Takes in the answer to a provisioning request.
+    pub(crate) fn on_provisioned(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        status: u16,
+        body: &[u8],
+    ) {
+        let now = context.now.steady;
+        let Some(provision) = self.fleet.provisions.get_mut(name) else {
+            return;
+        };
+        provision.in_flight = false;
+        let offering = provision.offering();
+        match status {
+            200 => match wire::from_cbor::<MachineNames>(body) {
+                Ok(provisioned) => self.note_provisioned(now, name, provisioned.machines),
+                Err(error) => {
+                    warn!(provision = name, error:% = error; "unreadable answer to a provisioning request");
+                    provision.retry_at = now + SECOND;
+                }
+            },
+            503 if is_no_capacity(body) => {
+                self.note_no_capacity(now, offering);
+                self.drop_provision(context, name);
+            }
+            400 => {
+                warn!(provision = name; "the cloud calls the provisioning request malformed");
+                self.note_no_capacity(now, offering);
+                self.drop_provision(context, name);
+            }
+            // No clear outcome: the same request again, by the same name.
+            _ => provision.retry_at = now + SECOND + context.jitter(SECOND / 2),
+        }
+    }
+
+    /// The cloud provisioned these machines, which may be fewer than requested.
+    fn note_provisioned(&mut self, now: Micros, name: &str, machines: Vec<String>) {
+        let Some(provision) = self.fleet.provisions.get_mut(name) else {
+            return;
+        };
+        let offering = provision.offering();
+        let requested = provision.record.number;
+        let requested_at = provision.requested_at;
+        provision.unlisted = Some(machines.iter().cloned().collect());
+        info!(provision = name, number = machines.len(), requested = requested; "machines provisioned");
+        if (machines.len() as u64) < requested {
+            self.note_no_capacity(now, offering.clone());
+        } else {
+            self.fleet.unavailable.remove(&offering);
+        }
+        for machine in machines {
+            if self.machines.contains_key(&machine) || self.fleet.is_gone(&machine) {
+                continue;
+            }
+            let boot = BootingMachine {
+                offering: offering.clone(),
+                requested_at,
+                last_listed: None,
+                running: false,
+            };
+            let booting = self.fleet.booting_machines.entry(machine);
+            booting.or_insert(boot);
+        }
+    }
+
+    fn note_no_capacity(&mut self, now: Micros, offering: MachineOffering) {
+        let backoff = self.fleet.unavailable.entry(offering).or_default();
+        backoff.refusals = (backoff.refusals + 1).min(MAX_REFUSALS);
+        let doublings = backoff.refusals.saturating_sub(1);
+        backoff.until = now + (FIRST_CAPACITY_BACKOFF << doublings).min(MAX_CAPACITY_BACKOFF);
+    }
+
+    fn drop_provision(&mut self, context: &Context, name: &str) {
+        if self.fleet.provisions.remove(name).is_some() {
+            // Written as a deletion.
+            self.write_buffer.mark_dirty(
+                RecordId::PendingProvision(name.to_string()),
+                context.now.steady,
+            );
+        }
+    }
+
+    /// Drops provisioning requests whose machines the machine list or their own heartbeats show: from then on
+    /// a new leader finds them there.
+    pub(crate) fn close_provisions(&mut self, context: &Context) {
+        let provisions = self.fleet.provisions.iter();
+        let all_listed = |unlisted: &BTreeSet<String>| unlisted.is_empty();
+        let closed: Vec<String> = provisions
+            .filter(|(_, provision)| provision.unlisted.as_ref().is_some_and(all_listed))
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in closed {
+            self.drop_provision(context, &name);
+        }
+    }
+}
--- a/crates/core/src/scheduler/leader/fleet/scale_in.rs
+++ b/crates/core/src/scheduler/leader/fleet/scale_in.rs
@@ -1,201 +1,114 @@
-//! Scale in: which machines are terminated, and which are drained first (consolidation).
+//! Scale in: terminates machines that are idle, or cordoned and empty.
 
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::grace;
-use crate::scheduler::leader::fleet::autoscaler::{power, slots_of, Work};
+use crate::scheduler::leader::fleet::autoscaler::demand::{total_run_s, Demand, PlanningPass};
+use crate::scheduler::leader::fleet::autoscaler::supply::computing_power;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::jobs::EPS;
 use crate::state::machine::Machine;
-use crate::{micros, Micros, SECOND};
+use crate::Micros;
 use log::info;
 
-/// Beyond one, this part of the machines may be emptied at a time.
-const EMPTIED_PART: usize = 20;
+/// An idle machine, in the order in which machines are terminated: on-demand machines first, since they cost
+/// more, then those that have been idle longest.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleMachine {
+    spot: bool,
+    /// Since when it is idle, in microseconds.
+    idle_since: Micros,
+    name: String,
+}
 
-/// Machines are emptied no further once work has waited so long for room.
-const WAITED_LONG: Micros = 20 * SECOND;
+/// Whether nothing is on the machine, nor to be placed there.
+fn is_empty(machine: &Machine) -> bool {
+    machine.assignments.is_empty()
+        && machine.planned.is_empty()
+        && machine.exited_attempts.is_empty()
+}
+
+/// Whether the computing power without a machine covers the demand. What the machine can do nothing for may
+/// lack power all the same.
+fn is_covered_without(demand: &[Demand], power: &[f64], of_machine: &[f64]) -> bool {
+    demand
+        .iter()
+        .zip(power)
+        .zip(of_machine)
+        .all(|((d, power), own)| *own <= EPS || power - own + EPS >= d.tasks)
+}
 
 impl Scheduler {
-    /// Returns machines that have been idle for the hold, if the power without them covers the
-    /// work; and those that are closing, once they are empty.
-    pub(crate) fn give_back(&mut self, context: &mut Context) {
+    /// Terminates machines that have been idle for the hold time, if the computing power without them covers
+    /// the demand; and those that are cordoned or about to be reclaimed, once they are empty.
+    pub(crate) fn scale_in(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let mut terminate: Vec<String> = Vec::new();
-        let mut idle: Vec<(bool, Micros, String)> = Vec::new();
-        for m in self.machines.values() {
-            let empty = m.assignments.is_empty() && m.planned.is_empty();
-            if !empty || !m.exited_attempts.is_empty() {
+        let mut idle: Vec<IdleMachine> = Vec::new();
+        for machine in self.machines.values().filter(|m| is_empty(m)) {
+            if machine.cordoned || machine.reclaim_at.is_some() {
+                terminate.push(machine.name.clone());
                 continue;
             }
-            if m.cordoned || m.reclaim_at.is_some() {
-                terminate.push(m.name.clone());
-                continue;
-            }
-            let hold = match m.spot {
+            let hold = match machine.spot {
                 true => context.tuning.idle_hold_us,
                 false => context.tuning.idle_hold_ordinary_us,
             };
-            if now.saturating_sub(m.idle_since) >= hold
+            if now.saturating_sub(machine.idle_since) >= hold
                 && now.saturating_sub(self.loaded_at) >= hold
             {
-                idle.push((m.spot, m.idle_since, m.name.clone()));
-            }
-        }
-        // Ordinary machines first: they cost more.
-        idle.sort();
-        let work = self.waiting_work(context, false);
-        let total: f64 = work.iter().map(|w| w.n * w.t).sum();
-        let mut have = match idle.is_empty() {
-            true => Vec::new(),
-            false => self.power_of_fleet(context, &self.supply(context), &work),
-        };
-        let mut chosen = Vec::new();
-        for (_, _, name) in idle {
-            let Some(m) = self.machines.get(&name) else {
-                continue;
-            };
-            let Some(build) = context.machine_type(&m.machine_type) else {
-                continue;
-            };
-            // An empty machine's power, as it is part of the fleet's. What it can do nothing for may lack
-            // power all the same, and one that is needed says nothing of the next: an ordinary machine
-            // kept free for services once kept all idle spot machines for good.
-            let its = power(&work, total, None, |i| {
-                slots_of(build, &m.zone, m.spot, &work[i])
-            });
-            let covered = |((w, h), p): ((&Work, &f64), &f64)| *p <= EPS || h - p + EPS >= w.n;
-            if !work.iter().zip(&have).zip(&its).all(covered) {
-                continue;
-            }
-            for (h, p) in have.iter_mut().zip(&its) {
-                *h -= p;
+                idle.push(IdleMachine {
+                    spot: machine.spot,
+                    idle_since: machine.idle_since,
+                    name: machine.name.clone(),
+                });
             }
-            chosen.push(name);
         }
-        drop(work);
-        for name in chosen {
-            info!("{name}: idle, returned");
-            if let Some(m) = self.machines.get_mut(&name) {
-                m.cordoned = true;
-            }
+        for name in self.dispensable(context, idle) {
+            info!(machine = name; "terminating an idle machine");
             terminate.push(name);
         }
         for name in terminate {
-            let Some(m) = self.machines.get_mut(&name) else {
+            let Some(machine) = self.machines.get_mut(&name) else {
                 continue;
             };
-            m.cordoned = true;
-            let partition = m.partition;
+            machine.cordoned = true;
+            let partition = machine.partition;
             if self.may_be_terminated(partition, &name) {
                 self.fleet.terminate(&name, now);
             }
         }
     }
 
-    /// Work has waited long, and the others have no room for it: machines that are being emptied take
-    /// work again. They once stood half empty for as long as their last tasks took, while jobs waited
-    /// and nothing could be rented.
-    fn stop_draining(&mut self, now: Micros) {
-        for m in self.machines.values_mut().filter(|m| m.draining) {
-            if m.assignments.is_empty() || self.fleet.is_terminating(&m.name) {
-                continue;
-            }
-            info!("{}: is not emptied any more, work waits", m.name);
-            m.draining = false;
-            m.cordoned = false;
-            self.placement.request_round(now);
+    /// Those of the idle machines without which the demand is covered.
+    fn dispensable(&self, context: &Context, mut idle: Vec<IdleMachine>) -> Vec<String> {
+        if idle.is_empty() {
+            return Vec::new();
         }
-    }
-
-    /// Empties machines whose tasks have room elsewhere while nothing waits for room, so that they can be
-    /// returned: tasks that can save move, the others run to their end. Ordinary machines
-    /// go first, then the emptiest. A machine's worth of room is left over for what comes next.
-    pub(crate) fn consolidate(&mut self, context: &mut Context) {
-        let now = context.now.steady;
-        // Tasks that wait for their team's limit need no room.
-        let waiting = self
-            .jobs
-            .iter()
-            .filter(|(index, j)| j.placeable(now) > 0 && self.has_quota(context, *index));
-        let longest = waiting
-            .map(|(_, j)| now.saturating_sub(j.waiting_since.unwrap_or(now)))
-            .max();
-        if longest.is_some_and(|waited| waited > WAITED_LONG) {
-            self.stop_draining(now);
-        }
-        if longest.is_some() || now.saturating_sub(self.loaded_at) < context.tuning.idle_hold_us {
-            return;
-        }
-        let silence = context.settings.heartbeat_interval * 3;
-        let usable: Vec<&Machine> = self
-            .machines
-            .values()
-            .filter(|m| m.usable(now, silence))
-            .collect();
-        // A few at a time, as the fleet's size has it.
-        let draining = |m: &&Machine| m.cordoned && !m.assignments.is_empty();
-        let most = 1 + usable.len() / EMPTIED_PART;
-        let most = most.saturating_sub(self.machines.values().filter(draining).count());
-        let mut free: f64 = usable.iter().map(|m| m.free().cpus).sum();
-        let mut candidates: Vec<(bool, i64, &Machine)> = usable
-            .iter()
-            .filter(|m| !m.assignments.is_empty() && m.free().cpus > m.cpus * 0.25)
-            .map(|m| (m.spot, -(m.free().cpus * 1e3) as i64, *m))
-            .collect();
-        candidates.sort_by(|a, b| (a.0, a.1, &a.2.name).cmp(&(b.0, b.1, &b.2.name)));
-        let mut rooms: Vec<(&Machine, MachineResources)> = usable
-            .iter()
-            .filter(|o| o.free().cpus > EPS)
-            .map(|o| (*o, o.free()))
-            .collect();
-        let mut chosen = Vec::new();
-        // Only the best are tried: the rest comes next time.
-        for (_, _, m) in candidates.into_iter().take(8 * most) {
-            if chosen.len() >= most || free < 2.0 * m.cpus {
-                break;
-            }
-            let before = rooms.clone();
-            rooms.retain(|(o, _)| o.name != m.name);
-            let mut stops = Vec::new();
-            let fits = m.assignments.iter().all(|a| {
-                let Some(job) = self.jobs.get(a.job) else {
-                    return true;
-                };
-                // A move is a gap in what it serves.
-                if job.is_daemon() {
-                    return false;
-                }
-                let spec = &job.spec;
-                let place = rooms.iter_mut().find(|(o, r)| {
-                    (o.spot || !m.spot)
-                        && tasks_that_fit(*r, spec) > 0
-                        && permits(context, spec, &o.machine_type, &o.zone, o.spot)
-                });
-                let Some((_, r)) = place else { return false };
-                *r = *r - a.resources();
-                if spec.checkpoint_interval_s > 0.0 && a.remaining(now, 0) > 20 * SECOND {
-                    stops.push((a.attempt, grace(micros(spec.checkpoint_duration_s))));
-                }
-                true
+        idle.sort();
+        let demand = self.demand(context, PlanningPass::AllOfferings);
+        let total = total_run_s(&demand);
+        let mut power = self.power_of_fleet(context, &self.supply(context), &demand);
+        let mut dispensable = Vec::new();
+        for IdleMachine { name, .. } in idle {
+            let Some(machine) = self.machines.get(&name) else {
+                continue;
+            };
+            let Some(machine_type) = context.machine_type(&machine.machine_type) else {
+                continue;
+            };
+            // An empty machine's power, as it is part of the fleet's.
+            let of_machine = computing_power(&demand, total, None, |d| {
+                d.slots(machine_type, &machine.zone, machine.spot)
             });
-            // Without a task to move it would empty as soon by itself.
-            if fits && !stops.is_empty() {
-                free -= m.cpus;
-                chosen.push((m.name.clone(), stops));
-            } else {
-                rooms = before;
-            }
-        }
-        for (name, stops) in chosen {
-            info!("{name}: being emptied, {} tasks move", stops.len());
-            if let Some(m) = self.machines.get_mut(&name) {
-                m.cordoned = true;
-                m.draining = true;
+            // One that is needed says nothing of the next: an on-demand machine kept free for services once
+            // kept all idle spot machines for good.
+            if !is_covered_without(&demand, &power, &of_machine) {
+                continue;
             }
-            for (attempt, grace) in stops {
-                self.stop_on(context, &name, grace, |a| a.attempt == attempt);
+            for (power, own) in power.iter_mut().zip(&of_machine) {
+                *power -= own;
             }
+            dispensable.push(name);
         }
+        dispensable
     }
 }
--- a/crates/core/src/scheduler/leader/fleet/tests.rs
+++ b/crates/core/src/scheduler/leader/fleet/tests.rs
@@ -2,13 +2,13 @@
 use crate::{Effect, Target, MILLI, SECOND};
 use grebewood_wire::records::ProvisionRecord;
 
-/// With one call left under the cloud's limit, a release that a cancellation may wait for goes before
-/// the rentals that are asked for again and again.
+/// With one call left under the cloud's limit, a termination that a cancellation may wait for goes before
+/// the provisioning requests that are sent again and again.
 #[test]
-fn releases_go_before_rents() {
-    let mut node = unread_leader(20 * SECOND);
-    let mut leader = node.leader.take().expect("a leader");
-    let context = &mut node.context;
+fn terminations_go_before_provisioning_requests() {
+    let mut controller = unread_leader(20 * SECOND);
+    let mut leader = controller.leader.take().expect("a leader");
+    let context = &mut controller.context;
     for n in 0..20 {
         let record = ProvisionRecord {
             machine_type: "std".into(),
@@ -29,7 +29,7 @@
     let paths: Vec<&str> = context
         .effects
         .iter()
-        .filter_map(|e| match e {
+        .filter_map(|effect| match effect {
             Effect::Call(call) if call.target == Target::Cloud => Some(call.path.as_str()),
             _ => None,
         })
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -2,185 +2,271 @@
 
 use crate::context::Context;
 use crate::{Micros, SECOND};
-use grebewood_wire as wire;
+use grebewood_wire::http::ListedMachine;
 use grebewood_wire::records::ProvisionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that was rented and has not reported yet.
-#[derive(Clone, Debug)]
-pub(crate) struct Boot {
+/// Time between the beginning of a leader's term and its first round of the autoscaler, in microseconds.
+const FIRST_AUTOSCALER_ROUND: Micros = SECOND;
+
+/// Time between the beginning of a leader's term and its first read of the catalogue, in microseconds.
+const FIRST_CATALOGUE_READ: Micros = 60 * SECOND;
+
+/// What the cloud provisions: a machine type in a zone, as spot or on-demand machine.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct MachineOffering {
+    /// The name of the machine type.
     pub(crate) machine_type: String,
+    /// The zone.
     pub(crate) zone: String,
+    /// Whether it is a spot machine.
     pub(crate) spot: bool,
-    pub(crate) requested: Micros,
-    /// When the list last showed it.
-    pub(crate) listed: Option<Micros>,
-    /// The list shows it as up: it has yet to report to this leader. However old it is, it is not
-    /// an overdue boot; a new leader once returned its whole fleet as such.
-    pub(crate) up: bool,
 }
 
-/// A rental request.
+/// A machine that was provisioned and has not sent a heartbeat to this leader yet.
+#[derive(Clone, Debug)]
+pub(crate) struct BootingMachine {
+    /// What was provisioned.
+    pub(crate) offering: MachineOffering,
+    /// When it was requested, in microseconds.
+    pub(crate) requested_at: Micros,
+    /// When the cloud's machine list last showed it, in microseconds.
+    pub(crate) last_listed: Option<Micros>,
+    /// The cloud's machine list shows it as running: it has yet to send a heartbeat to this leader. However old
+    /// it is, it is not an overdue boot; a new leader once terminated its whole fleet as such.
+    pub(crate) running: bool,
+}
+
+/// A provisioning request, from its record in the store until all its machines are known otherwise.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingProvision {
+    /// The request, as the store has it.
     pub(crate) record: ProvisionRecord,
-    pub(crate) requested: Micros,
-    pub(crate) written: bool,
-    pub(crate) asking: bool,
+    /// When it was first sent, in microseconds.
+    pub(crate) requested_at: Micros,
+    /// Whether its record is durable: only then it is sent.
+    pub(crate) durable: bool,
+    /// Whether a call of it is under way.
+    pub(crate) in_flight: bool,
+    /// When it is sent next, in microseconds.
     pub(crate) retry_at: Micros,
-    /// Answered, and waiting for the list to show these.
+    /// Once it is answered: its machines that neither the machine list nor a heartbeat has shown yet.
     pub(crate) unlisted: Option<BTreeSet<String>>,
 }
 
-/// A type in a zone, as spot or ordinary machine.
-pub(crate) type Offer = (String, String, bool);
+impl PendingProvision {
+    /// Whether the cloud has not said yet which machines it provisioned.
+    pub(crate) fn is_unanswered(&self) -> bool {
+        self.unlisted.is_none()
+    }
+
+    /// Whether it may be sent, or sent again, as soon as its retry is due.
+    fn may_be_sent(&self) -> bool {
+        self.durable && !self.in_flight && self.is_unanswered()
+    }
+
+    /// Whether it is to be sent now.
+    pub(crate) fn is_due(&self, now: Micros) -> bool {
+        self.may_be_sent() && self.retry_at <= now
+    }
+
+    /// What it requests.
+    pub(crate) fn offering(&self) -> MachineOffering {
+        MachineOffering {
+            machine_type: self.record.machine_type.clone(),
+            zone: self.record.zone.clone(),
+            spot: self.record.spot,
+        }
+    }
+}
+
+/// A machine offering that had no capacity lately.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct CapacityBackoff {
+    /// Nothing of it is requested before this time, in microseconds.
+    pub(crate) until: Micros,
+    /// How often in a row it had no capacity, up to a bound.
+    pub(crate) refusals: u32,
+}
 
 /// What the leader knows of the cloud.
 #[derive(Debug)]
 pub struct Fleet {
-    pub(crate) boots: BTreeMap<String, Boot>,
+    /// Machines that have not sent a heartbeat yet, by name.
+    pub(crate) booting_machines: BTreeMap<String, BootingMachine>,
+    /// Provisioning requests that are still open, by name.
     pub(crate) provisions: BTreeMap<String, PendingProvision>,
-    pub(crate) counter: u64,
-    /// Machines whose release was answered, and when.
-    pub(crate) gone: BTreeMap<String, Micros>,
-    /// Machines to be released.
+    /// The number of the last provisioning request of this leader.
+    pub(crate) last_provision_number: u64,
+    /// Machines whose termination was answered, and when, in microseconds.
+    pub(crate) terminated: BTreeMap<String, Micros>,
+    /// Machines to be terminated.
     pub(crate) terminating: BTreeSet<String>,
-    pub(crate) terminate_busy: bool,
-    pub(crate) terminate_at: Micros,
-    pub(crate) list_at: Micros,
-    pub(crate) list_busy: bool,
-    pub(crate) list: Vec<wire::http::ListedMachine>,
-    pub(crate) list_since: Option<String>,
-    /// Machines that the list shows as up but that never reported, since when.
-    pub(crate) never_reported: BTreeMap<String, Micros>,
-    pub(crate) decide_at: Micros,
+    /// Whether a termination call is under way.
+    pub(crate) termination_in_flight: bool,
+    /// When the next termination call may go out, in microseconds.
+    pub(crate) next_termination: Micros,
+    /// When the machine list is read next, in microseconds.
+    pub(crate) next_list_read: Micros,
+    /// Whether a page of the machine list is being read.
+    pub(crate) list_in_flight: bool,
+    /// The pages of the machine list that were read so far.
+    pub(crate) listed_so_far: Vec<ListedMachine>,
+    /// The last machine of these pages, if there are more.
+    pub(crate) list_continues_after: Option<String>,
+    /// Machines that the list shows as running but that never sent a heartbeat, since when, in microseconds.
+    pub(crate) running_without_heartbeat: BTreeMap<String, Micros>,
+    /// When the autoscaler runs next, in microseconds.
+    pub(crate) next_autoscaler_round: Micros,
+    /// When the catalogue of machine types is read next, in microseconds.
     pub types_at: Micros,
-    pub(crate) types_busy: bool,
-    /// Offers without capacity, until when, and how often in a row.
-    pub(crate) unavailable: BTreeMap<Offer, (Micros, u32)>,
-    /// Boots of each type that were given up since one came up.
-    pub(crate) given_up: BTreeMap<String, u32>,
-    /// When the last list was taken in whole.
-    pub(crate) listed_at: Option<Micros>,
+    /// Whether the catalogue is being read.
+    pub(crate) catalogue_in_flight: bool,
+    /// Machine offerings without capacity.
+    pub(crate) unavailable: BTreeMap<MachineOffering, CapacityBackoff>,
+    /// Boots of each machine type that were given up since one succeeded.
+    pub(crate) failed_boots: BTreeMap<String, u32>,
+    /// When a whole machine list was last read, in microseconds.
+    pub(crate) last_full_list: Option<Micros>,
+    /// When this leader's term began, in microseconds.
     pub(crate) started: Micros,
 }
 
 impl Fleet {
+    /// What a leader knows of the cloud when its term begins.
     pub fn new(now: Micros) -> Self {
         Fleet {
-            boots: BTreeMap::new(),
+            booting_machines: BTreeMap::new(),
             provisions: BTreeMap::new(),
-            counter: 0,
-            gone: BTreeMap::new(),
+            last_provision_number: 0,
+            terminated: BTreeMap::new(),
             terminating: BTreeSet::new(),
-            terminate_busy: false,
-            terminate_at: now,
-            list_at: now,
-            list_busy: false,
-            list: Vec::new(),
-            list_since: None,
-            never_reported: BTreeMap::new(),
-            decide_at: now + SECOND,
-            types_at: now + 60 * SECOND,
-            types_busy: false,
+            termination_in_flight: false,
+            next_termination: now,
+            next_list_read: now,
+            list_in_flight: false,
+            listed_so_far: Vec::new(),
+            list_continues_after: None,
+            running_without_heartbeat: BTreeMap::new(),
+            next_autoscaler_round: now + FIRST_AUTOSCALER_ROUND,
+            types_at: now + FIRST_CATALOGUE_READ,
+            catalogue_in_flight: false,
             unavailable: BTreeMap::new(),
-            given_up: BTreeMap::new(),
-            listed_at: None,
+            failed_boots: BTreeMap::new(),
+            last_full_list: None,
             started: now,
         }
     }
 
+    /// When something is due next, in microseconds.
     pub fn next_wake(&self) -> Micros {
-        let mut at = self.decide_at.min(self.types_at);
-        if !self.list_busy {
-            at = at.min(self.list_at);
+        let mut at = self.next_autoscaler_round.min(self.types_at);
+        if !self.list_in_flight {
+            at = at.min(self.next_list_read);
         }
         at = at.min(self.termination_wake());
-        for h in self.provisions.values() {
-            if h.written && !h.asking && h.unlisted.is_none() {
-                at = at.min(h.retry_at);
+        for provision in self.provisions.values() {
+            if provision.may_be_sent() {
+                at = at.min(provision.retry_at);
             }
         }
         at
     }
 
-    /// The record of a rental that is still open.
+    /// The record of a provisioning request that is still open.
     pub fn provision_record(&self, name: &str) -> Option<ProvisionRecord> {
-        self.provisions.get(name).map(|h| h.record.clone())
+        self.provisions.get(name).map(|p| p.record.clone())
     }
 
+    /// The record of a provisioning request is durable: the request is sent from now on.
     pub fn provision_written(&mut self, now: Micros, name: &str) {
-        if let Some(h) = self.provisions.get_mut(name) {
-            h.written = true;
-            h.retry_at = now;
+        if let Some(provision) = self.provisions.get_mut(name) {
+            provision.durable = true;
+            provision.retry_at = now;
         }
     }
 
-    /// Takes over a rental of an earlier leader: the same request is sent again by its name, which
-    /// rents nothing twice.
+    /// Takes over a provisioning request of an earlier leader: it is sent again by its name, which makes it
+    /// idempotent.
     pub fn recover_provision(&mut self, context: &Context, name: String, record: ProvisionRecord) {
         let now = context.now.steady;
         let age = context.now.wall.saturating_sub(record.requested_us);
         let provision = PendingProvision {
             record,
-            requested: now.saturating_sub(age),
-            written: true,
-            asking: false,
+            requested_at: now.saturating_sub(age),
+            durable: true,
+            in_flight: false,
             retry_at: now,
             unlisted: None,
         };
         self.provisions.insert(name, provision);
     }
 
-    /// Whether a list of the cloud's was taken in.
+    /// Provisioning requests of which it is not known yet which machines they brought.
+    pub(crate) fn unanswered_provisions(&self) -> impl Iterator<Item = &PendingProvision> {
+        self.provisions.values().filter(|p| p.is_unanswered())
+    }
+
+    /// The machine list or a heartbeat shows the machine: its provisioning request need not be remembered
+    /// for it.
+    pub(crate) fn note_listed(&mut self, machine: &str) {
+        for provision in self.provisions.values_mut() {
+            if let Some(unlisted) = &mut provision.unlisted {
+                unlisted.remove(machine);
+            }
+        }
+    }
+
+    /// Whether nothing of the offering is requested now, since it had no capacity lately.
+    pub(crate) fn is_unavailable(&self, offering: &MachineOffering, now: Micros) -> bool {
+        let backoff = self.unavailable.get(offering);
+        backoff.is_some_and(|backoff| backoff.until > now)
+    }
+
+    /// Whether a whole machine list was read.
     pub fn has_list(&self) -> bool {
-        self.listed_at.is_some()
+        self.last_full_list.is_some()
     }
 
-    /// Whether the machine's release was answered.
+    /// Whether the machine's termination was answered.
     pub fn is_gone(&self, name: &str) -> bool {
-        self.gone.contains_key(name)
+        self.terminated.contains_key(name)
     }
 
-    /// Machines whose release was answered within the last `span`.
+    /// Machines whose termination was answered within the last `span` microseconds.
     pub(crate) fn gone_within(&self, now: Micros, span: Micros) -> Vec<String> {
-        let late = self.gone.iter();
-        let late = late.filter(|(_, at)| now.saturating_sub(**at) <= span);
-        late.map(|(name, _)| name.clone()).collect()
+        let recent = self.terminated.iter();
+        let recent = recent.filter(|(_, at)| now.saturating_sub(**at) <= span);
+        recent.map(|(name, _)| name.clone()).collect()
     }
 
-    /// When the next release goes out.
+    /// When the next termination call goes out, in microseconds.
     pub(crate) fn termination_wake(&self) -> Micros {
-        match self.terminating.is_empty() || self.terminate_busy {
+        match self.terminating.is_empty() || self.termination_in_flight {
             true => Micros::MAX,
-            false => self.terminate_at,
+            false => self.next_termination,
         }
     }
 
-    /// Whether the machine's return is under way.
+    /// Whether the machine's termination is under way.
     pub fn is_terminating(&self, name: &str) -> bool {
         self.terminating.contains(name)
     }
 
-    /// Whether we wait for the machine to come up.
+    /// Whether the machine is still booting.
     pub fn is_booting(&self, name: &str) -> bool {
-        self.boots.get(name).is_some_and(|b| !b.up)
+        self.booting_machines.get(name).is_some_and(|b| !b.running)
     }
 
-    /// Wants the machine returned. False if that is under way already.
+    /// Has the machine terminated. False if that is under way or done already.
     pub fn terminate(&mut self, name: &str, now: Micros) -> bool {
-        self.terminate_at = self.terminate_at.min(now);
+        self.next_termination = self.next_termination.min(now);
         !self.is_gone(name) && self.terminating.insert(name.to_string())
     }
 
-    /// Booting machines, including those of rentals that are not answered yet.
-    pub(crate) fn booting(&self) -> usize {
-        let asked: u64 = self
-            .provisions
-            .values()
-            .filter(|h| h.unlisted.is_none())
-            .map(|h| h.record.number)
-            .sum();
-        self.boots.len() + asked as usize
+    /// How many machines boot, including those of provisioning requests that are not answered yet.
+    pub(crate) fn booting_count(&self) -> usize {
+        let requested: u64 = self.unanswered_provisions().map(|p| p.record.number).sum();
+        self.booting_machines.len() + requested as usize
     }
 }
