--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
-use crate::state::fleet::MachineOffering;
+use crate::state::fleet::{MachineOffering, MISSED_HEARTBEATS};
 use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
 use crate::state::machine::Machine;
 use crate::{micros, Micros, SECOND};
@@ -14,9 +14,6 @@
 /// Microseconds in a second, for times as floating-point seconds.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Heartbeat intervals after which a machine without heartbeat is not counted on.
-pub(crate) const MISSED_HEARTBEATS: Micros = 3;
-
 /// The boot time that is assumed while no machine type is known, in microseconds.
 const UNKNOWN_BOOT_TIME: Micros = 30 * SECOND;
 
@@ -86,6 +83,21 @@
     time_left_booting_s: f64,
 }
 
+/// Waiting tasks of a job that are to be placed in a zone.
+struct ZoneTasks {
+    /// The zone; `None`: any will do.
+    zone: Option<String>,
+    /// How many they are.
+    tasks: f64,
+}
+
+impl ZoneTasks {
+    fn new(zone: Option<&str>, tasks: f64) -> Self {
+        let zone = zone.map(str::to_string);
+        ZoneTasks { zone, tasks }
+    }
+}
+
 /// CPUs and accelerators of a team that demand counted so far takes of its limit.
 #[derive(Clone, Copy, Default)]
 struct PlannedUsage {
@@ -93,6 +105,15 @@
     gpus: f64,
 }
 
+/// A team's limit, and what is taken of it.
+struct LimitUsage {
+    limit: Resources,
+    /// What the team's tasks use.
+    used: Resources,
+    /// What demand counted so far takes.
+    planned: PlannedUsage,
+}
+
 /// The zones of all machine types.
 fn catalogue_zones(context: &Context) -> BTreeSet<&str> {
     let zones = context.catalogue.iter().flatten().flat_map(|t| &t.zones);
@@ -102,7 +123,7 @@
 /// What each zone must take of the waiting tasks of a job that is spread over zones, since the others may
 /// take no more. Without this, free resources in one zone once seemed to do for all, and half of the
 /// replicas of services waited for minutes.
-fn tasks_by_zone(job: &Job, zones: &BTreeSet<&str>, tasks: f64) -> Vec<(Option<String>, f64)> {
+fn tasks_by_zone(job: &Job, zones: &BTreeSet<&str>, tasks: f64) -> Vec<ZoneTasks> {
     if !job.spec.spread {
         return Vec::new();
     }
@@ -115,8 +136,8 @@
     let needed = |zone: &str| (tasks - (all - left(zone))).max(0.0).min(tasks);
     zones
         .iter()
-        .map(|zone| (Some(zone.to_string()), needed(zone)))
-        .filter(|(_, need)| *need > EPS)
+        .map(|zone| ZoneTasks::new(Some(zone), needed(zone)))
+        .filter(|in_zone| in_zone.tasks > EPS)
         .collect()
 }
 
@@ -124,9 +145,14 @@
 fn tasks_within_limit(
     waiting: u64,
     spec: &Submission,
-    (limit, used, planned): (Resources, Resources, PlannedUsage),
+    usage: LimitUsage,
     time: &DemandTime,
 ) -> f64 {
+    let LimitUsage {
+        limit,
+        used,
+        planned,
+    } = usage;
     let rounds = (time.time_left_s / time.run_s).max(1.0);
     let tasks_in = |limit: f64, used: f64, planned: f64, need: f64| {
         if need <= EPS {
@@ -202,7 +228,11 @@
             };
             let time = self.demand_time(context, job, pass, boot_time);
             let planned = planned_by_team.entry(&spec.team).or_default();
-            let usage = (quota.limit, self.needed_by(&spec.team), *planned);
+            let usage = LimitUsage {
+                limit: quota.limit,
+                used: self.needed_by(&spec.team),
+                planned: *planned,
+            };
             let tasks = tasks_within_limit(waiting, spec, usage, &time);
             if tasks < LEAST_TASKS {
                 continue;
@@ -210,7 +240,7 @@
             planned.cpus += tasks * spec.cpus;
             planned.gpus += tasks * spec.gpus;
             let parts = self.demand_by_zone(context, job, &zones, tasks);
-            demand.extend(parts.into_iter().map(|(zone, tasks)| Demand {
+            demand.extend(parts.into_iter().map(|ZoneTasks { zone, tasks }| Demand {
                 spec,
                 zone,
                 tasks,
@@ -260,7 +290,7 @@
         let fetch = least_fetch_time(context, &job.spec);
         let run_s = (self.stats.expected_run(&job.spec) + fetch) as f64 / MICROS_PER_SECOND;
         // What is late for every objective may take longer: it gains nothing by expensive machines.
-        let until_deadline_s = match job.target(context, self.need(context, job)) {
+        let until_deadline_s = match job.target(context, self.time_needed(context, job)) {
             Some(at) => (at - now as i64).max(0) as f64 / MICROS_PER_SECOND * deadline_share,
             None => late_deadline as f64 / MICROS_PER_SECOND,
         };
@@ -284,20 +314,23 @@
         job: &Job,
         zones: &BTreeSet<&str>,
         tasks: f64,
-    ) -> Vec<(Option<String>, f64)> {
+    ) -> Vec<ZoneTasks> {
         let mut parts = match job.shape {
             // The rest of a job bound to one zone has no use for free resources elsewhere: with some there,
             // nothing was once provisioned in its own, and it waited for its first tasks to end.
-            _ if job.bound_zone().is_some() => vec![(job.bound_zone().map(str::to_string), tasks)],
+            _ if job.bound_zone().is_some() => vec![ZoneTasks::new(job.bound_zone(), tasks)],
             // Half of the slots in each of two zones are none for a gang that is to be in one.
-            Shape::Gang if job.spec.one_zone => vec![(self.gang_zone(context, job, tasks), tasks)],
+            Shape::Gang if job.spec.one_zone => {
+                let zone = self.gang_zone(context, job, tasks);
+                vec![ZoneTasks { zone, tasks }]
+            }
             // Tasks that run one after the other can wait for free resources anywhere.
             Shape::Batch => Vec::new(),
             _ => tasks_by_zone(job, zones, tasks),
         };
-        let rest = tasks - parts.iter().map(|(_, tasks)| tasks).sum::<f64>();
+        let rest = tasks - parts.iter().map(|part| part.tasks).sum::<f64>();
         if rest > EPS {
-            parts.push((None, rest));
+            parts.push(ZoneTasks::new(None, rest));
         }
         parts
     }
@@ -328,11 +361,7 @@
         for machine_type in catalogue.filter(|t| fits_type(spec, t)) {
             for zone in &machine_type.zones {
                 let available = [false, true].into_iter().any(|spot| {
-                    let offering = MachineOffering {
-                        machine_type: machine_type.name.clone(),
-                        zone: zone.clone(),
-                        spot,
-                    };
+                    let offering = MachineOffering::new(&machine_type.name, zone, spot);
                     permits(context, spec, &machine_type.name, zone, spot)
                         && (!spot || machine_type.spot_price.is_some())
                         && !self.fleet.is_unavailable(&offering, now)
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -255,11 +255,7 @@
                     let Some(price) = price_of(machine_type, spot) else {
                         continue;
                     };
-                    let offering = MachineOffering {
-                        machine_type: machine_type.name.clone(),
-                        zone: zone.clone(),
-                        spot,
-                    };
+                    let offering = MachineOffering::new(&machine_type.name, zone, spot);
                     let too_expensive = pass == PlanningPass::CheapOfferings
                         && price_per_cpu(machine_type, price) > lowest * CHEAP_PRICE_FACTOR;
                     if too_expensive || !self.may_request(context, &offering) {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -1,12 +1,10 @@
 //! Supply: what the machines that are up or booting can complete of the demand in time.
 
 use crate::context::Context;
-use crate::scheduler::leader::fleet::autoscaler::demand::{
-    total_run_s, Demand, MICROS_PER_SECOND, MISSED_HEARTBEATS,
-};
+use crate::scheduler::leader::fleet::autoscaler::demand::{total_run_s, Demand, MICROS_PER_SECOND};
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::permits;
-use crate::state::fleet::MachineOffering;
+use crate::state::fleet::{MachineOffering, MISSED_HEARTBEATS};
 use crate::state::jobs::EPS;
 use crate::{micros, Micros};
 use grebewood_wire::http::MachineType;
@@ -122,11 +120,11 @@
             let supply = by_offering
                 .entry((&machine.machine_type, &machine.zone, machine.spot))
                 .or_insert_with(|| Supply {
-                    offering: MachineOffering {
-                        machine_type: machine.machine_type.clone(),
-                        zone: machine.zone.clone(),
-                        spot: machine.spot,
-                    },
+                    offering: MachineOffering::new(
+                        &machine.machine_type,
+                        &machine.zone,
+                        machine.spot,
+                    ),
                     machines: 0.0,
                     running: Vec::new(),
                 });
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::unreachable::silent_release;
 use crate::scheduler::Scheduler;
-use crate::state::fleet::BootingMachine;
+use crate::state::fleet::{BootingMachine, MISSED_HEARTBEATS};
 use crate::{micros, Micros, MILLI, SECOND};
 use grebewood_wire::http::Heartbeat;
 use log::info;
@@ -23,9 +23,6 @@
 /// The least time that a machine that the list shows as running has for its first heartbeat, in microseconds.
 const FIRST_HEARTBEAT_TIMEOUT: Micros = 30 * SECOND;
 
-/// If no machine sent a heartbeat for so many intervals, the fault is likely this controller's.
-const MISSED_HEARTBEATS: Micros = 3;
-
 impl Scheduler {
     /// A machine sent a heartbeat: if it was booting, it is up now.
     pub(crate) fn machine_is_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
@@ -95,6 +92,7 @@
     /// longer than this has lost its tasks; one that is unreachable is terminated as late.
     fn running_without_heartbeat(&self, context: &Context) -> Vec<String> {
         let now = context.now.steady;
+        // If none sends heartbeats, the fault is likely this controller's.
         let since_heartbeat = now.saturating_sub(self.last_heartbeat_at);
         if since_heartbeat >= MISSED_HEARTBEATS * context.settings.heartbeat_interval {
             return Vec::new();
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -2,7 +2,6 @@
 
 use crate::context::Context;
 use crate::scheduler::agents::heartbeats::grace;
-use crate::scheduler::leader::fleet::autoscaler::demand::MISSED_HEARTBEATS;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::jobs::EPS;
@@ -109,13 +108,7 @@
     }
 
     fn choose_drains(&self, context: &Context) -> Vec<Drain> {
-        let now = context.now.steady;
-        let heartbeat_timeout = context.settings.heartbeat_interval * MISSED_HEARTBEATS;
-        let usable: Vec<&Machine> = self
-            .machines
-            .values()
-            .filter(|m| m.usable(now, heartbeat_timeout))
-            .collect();
+        let usable: Vec<&Machine> = self.usable_machines(context).collect();
         let most = self.drains_left(usable.len());
         let mut free_cpus: f64 = usable.iter().map(|m| m.free().cpus).sum();
         let mut targets: Vec<TargetMachine> = usable
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -114,11 +114,7 @@
         booting.or_insert_with(|| {
             info!(machine = name; "the machine list shows an unknown machine");
             BootingMachine {
-                offering: MachineOffering {
-                    machine_type: listed.machine_type.clone(),
-                    zone: listed.zone.clone(),
-                    spot: listed.spot,
-                },
+                offering: MachineOffering::new(&listed.machine_type, &listed.zone, listed.spot),
                 requested_at: now.saturating_sub(micros(listed.age_s)),
                 last_listed: Some(now),
                 running,
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -1,94 +1,91 @@
-//! Preemption for guaranteed shares: makes room for teams below theirs out of what other teams run beyond theirs.
+//! Preemption for guaranteed shares: frees resources for teams below theirs by stopping tasks of teams above theirs.
 
 use crate::context::Context;
 use crate::scheduler::agents::heartbeats::grace;
+use crate::scheduler::leader::placement::pool::PoolMachine;
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
-use crate::state::jobs::JobIndex;
+use crate::state::bin_packing::{tasks_that_fit, MachineResources};
+use crate::state::jobs::{Job, JobIndex};
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::{micros, Micros};
 use grebewood_quota::{Resources, TeamAmounts};
-use grebewood_wire::http::Shape;
-use grebewood_wire::http::Submission;
+use grebewood_wire::http::{Shape, Submission};
 use grebewood_wire::peer::TaskAttempt;
 use log::{debug, info};
 use std::collections::BTreeSet;
 
-/// A task that may be stopped, since its team runs more than its guarantee.
-struct Borrowed {
-    /// Its job has waited or made way for others long enough.
+/// A task that may be stopped if its team uses more than its guaranteed share.
+struct PreemptionCandidate {
+    /// Its job has waited or was preempted long enough: it is stopped last.
     aged: bool,
-    /// How long it has run.
+    /// How long it has run, in microseconds.
     ran: Micros,
     attempt: TaskAttempt,
     team: String,
+    /// What it uses of its team's limit.
     amount: Resources,
-    room: MachineResources,
+    resources: MachineResources,
+    /// Time for its checkpoint, in microseconds.
     grace: Micros,
 }
 
-/// A machine with the room that is or will be free on it, and what may be stopped there.
-struct Lender {
-    name: String,
-    machine_type: String,
-    zone: String,
-    spot: bool,
-    room: MachineResources,
-    borrowed: Vec<Borrowed>,
+/// A task that is to be stopped.
+struct Preemption {
+    attempt: TaskAttempt,
+    /// Time for its checkpoint, in microseconds.
+    grace: Micros,
 }
 
-/// What teams use beyond their guarantee.
-type Beyond = TeamAmounts;
+/// What each team uses above its guaranteed share.
+type UsageAboveGuarantee = TeamAmounts;
 
 impl Scheduler {
-    /// Stops tasks of teams that use more than their guarantee, of whatever priority, where teams below
-    /// theirs have work that waits for room. No team is brought below its own guarantee.
-    pub(crate) fn make_room_for_guarantees(&mut self, context: &mut Context, queue: &[QueuedJob]) {
+    /// Stops tasks of teams that use more than their guaranteed share, of whatever priority, where teams below
+    /// theirs have tasks that wait for free resources. No team is brought below its own guaranteed share.
+    pub(crate) fn preempt_for_guarantees(&mut self, context: &mut Context, queue: &[QueuedJob]) {
+        for Preemption { attempt, grace } in self.preemptions_for_guarantees(context, queue) {
+            info!(
+                task = attempt.task, attempt = attempt.attempt;
+                "preempting a task for a team below its guaranteed share"
+            );
+            self.note_preempted(attempt);
+            self.stop_attempt(context, attempt, grace);
+        }
+    }
+
+    fn preemptions_for_guarantees(
+        &self,
+        context: &Context,
+        queue: &[QueuedJob],
+    ) -> Vec<Preemption> {
         let within = self.within_guarantee(context);
-        let waiting = self.waiting_within(context, queue, &within);
+        let waiting = self.waiting_within_guarantee(context, queue, &within);
         if waiting.is_empty() {
-            return;
+            return Vec::new();
         }
-        let mut beyond = self.used_beyond_guarantees(context);
-        let mut lenders = self.lenders(context, &within);
+        let mut above = self.usage_above_guarantees(context);
+        let mut pool = self.guarantee_pool(context, &within);
         let mut missing = self.missing_to_guarantees(context);
-        let mut stops: Vec<(TaskAttempt, Micros)> = Vec::new();
+        let mut preemptions = Vec::new();
         for index in waiting {
             let Some(job) = self.jobs.get(index) else {
                 continue;
             };
-            let spec = &job.spec;
-            let Some(missing) = missing.get_mut(&spec.team) else {
+            let Some(missing) = missing.get_mut(&job.spec.team) else {
                 continue;
             };
-            let task = Resources::of(spec.cpus, spec.gpus);
-            let mut need = job.placeable(context.now.steady) + job.waiting_at_holders;
-            // MachineResources that is free or will be is counted first.
-            for lender in lenders.iter_mut().filter(|l| l.permits(context, spec)) {
-                while need > 0 && task.fits(*missing) && tasks_that_fit(lender.room, spec) > 0 {
-                    lender.take(spec);
-                    *missing = missing.minus(task);
-                    need -= 1;
-                }
-            }
-            for lender in lenders.iter_mut().filter(|l| l.permits(context, spec)) {
-                while need > 0 && task.fits(*missing) {
-                    let Some(chosen) = lender.make_room(spec, &mut beyond) else {
-                        break;
-                    };
-                    stops.extend(chosen);
-                    lender.take(spec);
-                    *missing = missing.minus(task);
-                    need -= 1;
-                }
-            }
-        }
-        for (attempt, grace) in stops {
-            info!("{attempt:?}: stopped for a team below its guarantee");
-            self.note_preempted(attempt);
-            self.stop_attempt(context, attempt, grace);
+            let spec = &job.spec;
+            let mut preempting = PreemptingJob {
+                spec,
+                task: Resources::of(spec.cpus, spec.gpus),
+                tasks: job.placeable(context.now.steady) + job.waiting_at_holders,
+                missing,
+            };
+            preempting.take_free(context, &mut pool);
+            preemptions.extend(preempting.preempt(context, &mut pool, &mut above));
         }
+        preemptions
     }
 
     fn note_preempted(&mut self, attempt: TaskAttempt) {
@@ -101,8 +98,8 @@
         }
     }
 
-    /// Jobs within their team's guarantee that have waited for room.
-    fn waiting_within(
+    /// Jobs within their team's guaranteed share that have waited for free resources.
+    fn waiting_within_guarantee(
         &self,
         context: &Context,
         queue: &[QueuedJob],
@@ -129,7 +126,7 @@
         waiting
     }
 
-    /// What each team lacks to its guarantee.
+    /// What each team lacks to its guaranteed share.
     fn missing_to_guarantees(&self, context: &Context) -> TeamAmounts {
         let teams = self.team_limits(context);
         let missing = teams.into_iter().map(|(team, limit)| {
@@ -139,64 +136,61 @@
         missing.filter(|(_, missing)| !missing.is_zero()).collect()
     }
 
-    /// What each team's tasks that stay use beyond its guarantee.
-    fn used_beyond_guarantees(&self, context: &Context) -> Beyond {
-        let mut used = TeamAmounts::new();
-        for a in self.assignments().filter(|a| a.stop.is_none()) {
-            let sum = used.entry(a.team.clone()).or_default();
-            *sum = sum.plus(a.amount());
+    /// What each team's tasks that stay use above its guaranteed share.
+    fn usage_above_guarantees(&self, context: &Context) -> UsageAboveGuarantee {
+        let mut usage = UsageAboveGuarantee::new();
+        for assignment in self.assignments().filter(|a| a.stop.is_none()) {
+            let sum = usage.entry(assignment.team.clone()).or_default();
+            *sum = sum.plus(assignment.amount());
         }
-        for (team, used) in &mut used {
+        for (team, used) in &mut usage {
             let limit = self.limit_of(context, team).unwrap_or_default();
             *used = used.minus(limit.guarantee);
         }
-        used
+        usage
     }
 
-    fn lenders(&self, context: &Context, within: &BTreeSet<JobIndex>) -> Vec<Lender> {
-        let (now, silence) = (context.now.steady, 3 * context.settings.heartbeat_interval);
-        let machines = self.machines.values().filter(|m| m.usable(now, silence));
-        machines
-            .map(|m| {
-                let mut lender = Lender {
-                    name: m.name.clone(),
-                    machine_type: m.machine_type.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                    room: m.free(),
-                    borrowed: Vec::new(),
-                };
-                for a in &m.assignments {
-                    let room = a.resources();
-                    match a.stop {
-                        Some(_) => lender.give(room),
-                        // What a team runs within its guarantee is not borrowed.
-                        None if within.contains(&a.job) => {}
-                        None => lender.borrowed.extend(self.borrowed(context, a)),
-                    }
-                }
-                lender.sort();
-                lender
+    /// The machines, with the tasks that may be stopped there in the order in which they are. Tasks that a team
+    /// runs within its guaranteed share are not among them.
+    fn guarantee_pool(
+        &self,
+        context: &Context,
+        within: &BTreeSet<JobIndex>,
+    ) -> Vec<PoolMachine<'_, PreemptionCandidate>> {
+        self.usable_machines(context)
+            .map(|machine| {
+                let staying = machine.assignments.iter().filter(|a| a.stop.is_none());
+                let mut candidates: Vec<PreemptionCandidate> = staying
+                    .filter(|a| !within.contains(&a.job))
+                    .filter_map(|a| self.guarantee_candidate(context, a))
+                    .collect();
+                // The youngest first, of whatever priority. With the lowest priority first a whole class was
+                // stopped again and again and hardly any of its jobs ended.
+                candidates.sort_by_key(|c| (c.aged, c.ran, c.attempt));
+                PoolMachine::new(machine, candidates)
             })
             .collect()
     }
 
-    /// A task that may be stopped for a guarantee: replicas and gangs are left alone.
-    fn borrowed(&self, context: &Context, a: &Assignment) -> Option<Borrowed> {
-        let job = self.jobs.get(a.job)?;
-        if job.shape != Shape::Batch || a.seen == ObservedStatus::Checkpointing {
+    /// The task, if it may be stopped for a guaranteed share: services and gangs are left alone.
+    fn guarantee_candidate(
+        &self,
+        context: &Context,
+        assignment: &Assignment,
+    ) -> Option<PreemptionCandidate> {
+        let job = self.jobs.get(assignment.job)?;
+        if job.shape != Shape::Batch || assignment.seen == ObservedStatus::Checkpointing {
             return None;
         }
-        let saves = job.spec.checkpoint_interval_s > 0.0;
         let now = context.now.steady;
-        Some(Borrowed {
-            aged: job.has_been_preempted_enough() || job.preemption_priority() > job.spec.priority,
-            ran: a.started.map_or(0, |at| now.saturating_sub(at)),
-            attempt: a.id(),
-            team: a.team.clone(),
-            amount: a.amount(),
-            room: a.resources(),
-            grace: match saves {
+        Some(PreemptionCandidate {
+            aged: has_aged(job),
+            ran: assignment.started.map_or(0, |at| now.saturating_sub(at)),
+            attempt: assignment.id(),
+            team: assignment.team.clone(),
+            amount: assignment.amount(),
+            resources: assignment.resources(),
+            grace: match job.spec.checkpoint_interval_s > 0.0 {
                 true => grace(micros(job.spec.checkpoint_duration_s)),
                 false => 0,
             },
@@ -204,53 +198,101 @@
     }
 }
 
-impl Lender {
-    fn permits(&self, context: &Context, spec: &Submission) -> bool {
-        permits(context, spec, &self.machine_type, &self.zone, self.spot)
+fn has_aged(job: &Job) -> bool {
+    job.has_been_preempted_enough() || job.preemption_priority() > job.spec.priority
+}
+
+/// A job of a team below its guaranteed share.
+struct PreemptingJob<'a> {
+    spec: &'a Submission,
+    /// What a task uses of the team's limit.
+    task: Resources,
+    /// How many of its tasks still lack resources.
+    tasks: u64,
+    /// What the team still lacks to its guaranteed share.
+    missing: &'a mut Resources,
+}
+
+impl PreemptingJob<'_> {
+    /// Whether more of its tasks are to get resources.
+    fn has_more(&self) -> bool {
+        self.tasks > 0 && self.task.fits(*self.missing)
     }
 
-    fn give(&mut self, room: MachineResources) {
-        self.room = self.room + room;
+    /// Counts one more of its tasks on the machine.
+    fn take(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
+        machine.take(self.spec);
+        *self.missing = self.missing.minus(self.task);
+        self.tasks -= 1;
     }
 
-    fn take(&mut self, spec: &Submission) {
-        self.room = self.room - MachineResources::of_task(spec);
+    /// Takes what is free or will be.
+    fn take_free(&mut self, context: &Context, pool: &mut [PoolMachine<PreemptionCandidate>]) {
+        let spec = self.spec;
+        for machine in pool.iter_mut().filter(|m| m.permits(context, spec)) {
+            while self.has_more() && tasks_that_fit(machine.free, spec) > 0 {
+                self.take(machine);
+            }
+        }
     }
 
-    /// The first to be stopped comes first: the youngest, of whatever priority. With the lowest priority
-    /// first a whole class was stopped again and again and hardly any of its jobs ended.
-    fn sort(&mut self) {
-        self.borrowed.sort_by_key(|b| (b.aged, b.ran, b.attempt));
+    /// Chooses tasks of teams above their guaranteed share to be stopped.
+    fn preempt(
+        &mut self,
+        context: &Context,
+        pool: &mut [PoolMachine<PreemptionCandidate>],
+        above: &mut UsageAboveGuarantee,
+    ) -> Vec<Preemption> {
+        let mut preemptions = Vec::new();
+        let spec = self.spec;
+        for machine in pool.iter_mut().filter(|m| m.permits(context, spec)) {
+            while self.has_more() {
+                let Some(chosen) = machine.preempt(spec, above) else {
+                    break;
+                };
+                preemptions.extend(chosen);
+                self.take(machine);
+            }
+        }
+        preemptions
     }
+}
 
+impl PoolMachine<'_, PreemptionCandidate> {
     /// Chooses tasks to stop so that one task of the job fits; `None`: there are not enough.
-    fn make_room(
+    fn preempt(
         &mut self,
         spec: &Submission,
-        beyond: &mut Beyond,
-    ) -> Option<Vec<(TaskAttempt, Micros)>> {
-        let mut left = beyond.clone();
-        let mut gain = self.room;
+        above: &mut UsageAboveGuarantee,
+    ) -> Option<Vec<Preemption>> {
+        let mut above_left = above.clone();
+        let mut free = self.free;
         let mut chosen = Vec::new();
-        for (at, b) in self.borrowed.iter().enumerate() {
-            if tasks_that_fit(gain, spec) > 0 {
+        for (at, candidate) in self.candidates.iter().enumerate() {
+            if tasks_that_fit(free, spec) > 0 {
                 break;
             }
-            let of_team = left.get(&b.team).copied().unwrap_or_default();
-            if b.team == spec.team || !b.amount.fits(of_team) {
+            let team = &candidate.team;
+            let of_team = above_left.get(team).copied().unwrap_or_default();
+            if *team == spec.team || !candidate.amount.fits(of_team) {
                 continue;
             }
-            left.insert(b.team.clone(), of_team.minus(b.amount));
-            gain = gain + b.room;
+            above_left.insert(team.clone(), of_team.minus(candidate.amount));
+            free = free + candidate.resources;
             chosen.push(at);
         }
-        if tasks_that_fit(gain, spec) == 0 || chosen.is_empty() {
+        if tasks_that_fit(free, spec) == 0 || chosen.is_empty() {
             return None;
         }
-        debug!("{}: {} tasks make way", self.name, chosen.len());
-        *beyond = left;
-        self.room = gain;
-        let stopped = chosen.into_iter().rev().map(|at| self.borrowed.remove(at));
-        Some(stopped.map(|b| (b.attempt, b.grace)).collect())
+        debug!(machine = self.machine.name, tasks = chosen.len(); "tasks to be preempted");
+        *above = above_left;
+        self.free = free;
+        let stopped = chosen.into_iter().rev();
+        let stopped = stopped.map(|at| self.candidates.remove(at));
+        let preemptions = stopped.map(|candidate| Preemption {
+            attempt: candidate.attempt,
+            grace: candidate.grace,
+        });
+        Some(preemptions.collect())
     }
 }
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -6,42 +6,84 @@
 use crate::state::jobs::{Job, JobIndex, EPS};
 use crate::Micros;
 use grebewood_quota::Resources;
-use grebewood_wire::http::Priority;
-use grebewood_wire::http::Shape;
+use grebewood_wire::http::{Priority, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Levels of urgency in the queue: lower ones are served first.
+mod level {
+    /// The beginning of a job that has waited long for one.
+    pub(super) const BEGINNING: u8 = 0;
+    /// Within a guaranteed share, where that is enforced.
+    pub(super) const ENFORCED_GUARANTEE: u8 = 1;
+    /// Priority `prod`.
+    pub(super) const PROD: u8 = 2;
+    /// Priority `high`.
+    pub(super) const HIGH: u8 = 3;
+    /// Has waited long without getting any further.
+    pub(super) const CATCHING_UP: u8 = 4;
+    /// Within a guaranteed share, where an objective counts how soon it starts.
+    pub(super) const GUARANTEED: u8 = 5;
+    /// Priority `normal`.
+    pub(super) const NORMAL: u8 = 6;
+    /// Priority `idle`.
+    pub(super) const IDLE: u8 = 7;
+}
+
+/// How a job stands to its team's guaranteed share.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum GuaranteeStanding {
+    /// It is not within it, or that counts for nothing.
+    Outside,
+    /// It is within it, and an objective counts how soon it starts.
+    Within,
+    /// It is within it, and that is enforced.
+    WithinEnforced,
+}
+
+/// What jobs are sorted by: the first in the queue is the lowest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    level: u8,
+    /// Whether it can meet no objective any more.
+    infeasible: bool,
+    /// Within a level: the time since which it waits, in microseconds, or the work that is left, in
+    /// CPU microseconds.
+    rank: i64,
+    index: JobIndex,
+}
+
 impl Scheduler {
-    /// Time that a job still needs if it gets all the room that its team's limit allows.
-    pub(crate) fn need(&self, context: &Context, job: &Job) -> Micros {
+    /// Time that a job still needs if it gets all that its team's limit allows, in microseconds.
+    pub(crate) fn time_needed(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
         let left = job.tasks().saturating_sub(job.done_count) as f64;
-        let team = self.limit_of(context, &job.spec.team);
+        let quota = self.limit_of(context, &job.spec.team);
         let cpus = job.spec.cpus.max(EPS);
-        let most = team.map_or(left, |limit| (limit.limit.cpus() / cpus).floor());
+        let most = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
         let rounds = (left / most.clamp(1.0, 1e6)).max(1.0);
         (run as f64 * rounds) as Micros
     }
 
-    /// Jobs within their team's guarantee: those that fit into it together with the team's earlier
+    /// Jobs within their team's guaranteed share: those that fit into it together with the team's earlier
     /// jobs, as far as these are unfinished. They need not wait for other teams.
     pub(crate) fn within_guarantee(&self, context: &Context) -> BTreeSet<JobIndex> {
-        let mut by_age: Vec<(i64, JobIndex, &Job)> = self
+        let mut by_age: Vec<(JobIndex, &Job)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.cancelled.is_none() && j.ending.is_none())
-            .map(|(index, j)| (j.age_base, index, j))
+            .filter(|(_, job)| job.cancelled.is_none() && job.ending.is_none())
             .collect();
-        by_age.sort_by_key(|(age, index, _)| (*age, *index));
+        by_age.sort_by_key(|(index, job)| (job.age_base, *index));
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut within = BTreeSet::new();
-        for (_, index, j) in by_age {
-            let Some(limit) = self.limit_of(context, &j.spec.team) else {
+        for (index, job) in by_age {
+            let spec = &job.spec;
+            let Some(quota) = self.limit_of(context, &spec.team) else {
                 continue;
             };
-            let left = j.tasks().saturating_sub(j.done_count);
-            let sum = sums.entry(&j.spec.team).or_default();
-            *sum = sum.plus(Resources::of(j.spec.cpus, j.spec.gpus).times(left));
-            if sum.fits(limit.guarantee) {
+            let left = job.tasks().saturating_sub(job.done_count);
+            let sum = sums.entry(&spec.team).or_default();
+            *sum = sum.plus(Resources::of(spec.cpus, spec.gpus).times(left));
+            if sum.fits(quota.guarantee) {
                 within.insert(index);
             }
         }
@@ -49,62 +91,90 @@
     }
 
     /// The order in which waiting jobs are served: first the beginning of jobs that have waited
-    /// long for one; then, where room is made for guarantees, what is within them; then by priority, with those within their team's guarantee after the high
-    /// ones and before all others, where an aim counts how soon they start; before these what has
-    /// waited long without getting any further; those that can still meet an aim before those that cannot;
-    /// then those with the least work left, since that lets the most jobs meet their aims when not
-    /// all of them can.
-    pub(crate) fn queue(&self, context: &Context) -> Vec<QueuedJob> {
+    /// long for one; then, where guaranteed shares are enforced, what is within them; then by priority, with those
+    /// within their team's guaranteed share after the high ones and before all others, where an objective counts
+    /// how soon they start; before these what has waited long without getting any further; those that can still
+    /// meet an objective before those that cannot; then those with the least work left, since that lets the most
+    /// jobs meet their objectives when not all of them can.
+    pub(crate) fn job_queue(&self, context: &Context) -> Vec<QueuedJob> {
         let now = context.now.steady;
-        // Where room is made for guarantees, it must not go to others.
+        // Where guaranteed shares are enforced, what is freed for them must not go to others.
         let enforced = self.enforces_guarantees(context);
         let guaranteed = match enforced || context.settings.guarantees_count() {
             true => self.within_guarantee(context),
             false => BTreeSet::new(),
         };
-        let mut queue: Vec<((u8, bool, i64), JobIndex)> = self
+        let mut queue: Vec<QueueKey> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.waiting() > 0 && j.retry_at <= now)
-            .map(|(index, j)| {
-                if j.must_begin(now) {
-                    return ((0, false, j.age_base), index);
-                }
-                let guaranteed = guaranteed.contains(&index);
-                // What is free now, to the one that has waited longest: a large array of higher
-                // priority once kept all of a class from being served.
-                let level_first = guaranteed && enforced;
-                if let (Some(since), true, false) = (
-                    j.catching_up(),
-                    j.spec.priority < Priority::High,
-                    level_first,
-                ) {
-                    return ((4, false, since as i64), index);
-                }
-                let need = self.need(context, j);
-                let feasible = j.target(context, need).is_some();
-                let left = j.tasks().saturating_sub(j.done_count) as f64;
-                let run = self.stats.expected_run(&j.spec) as f64;
-                // What needs its slots at once comes before what fills them one by one.
-                let work = match j.shape {
-                    Shape::Batch => (left * j.spec.cpus * run) as i64,
-                    _ => 0,
-                };
-                let level = match j.spec.priority {
-                    _ if level_first => 1,
-                    Priority::Prod => 2,
-                    Priority::High => 3,
-                    _ if guaranteed => 5,
-                    Priority::Normal => 6,
-                    Priority::Idle => 7,
+            .filter(|(_, job)| job.waiting() > 0 && job.retry_at <= now)
+            .map(|(index, job)| {
+                let standing = match (guaranteed.contains(&index), enforced) {
+                    (false, _) => GuaranteeStanding::Outside,
+                    (true, false) => GuaranteeStanding::Within,
+                    (true, true) => GuaranteeStanding::WithinEnforced,
                 };
-                ((level, !feasible, work), index)
+                self.queue_key(context, index, job, standing)
             })
             .collect();
         queue.sort();
-        let queue = queue.into_iter();
         queue
-            .map(|((level, _, _), index)| QueuedJob { index, level })
+            .into_iter()
+            .map(|QueueKey { level, index, .. }| QueuedJob { index, level })
             .collect()
     }
+
+    /// What the job is sorted by.
+    fn queue_key(
+        &self,
+        context: &Context,
+        index: JobIndex,
+        job: &Job,
+        standing: GuaranteeStanding,
+    ) -> QueueKey {
+        let level_and_rank = |level, rank| QueueKey {
+            level,
+            infeasible: false,
+            rank,
+            index,
+        };
+        if job.must_begin(context.now.steady) {
+            return level_and_rank(level::BEGINNING, job.age_base);
+        }
+        // What is free now, to the one that has waited longest: a large array of higher
+        // priority once kept all of a class from being served.
+        let enforced_guarantee = standing == GuaranteeStanding::WithinEnforced;
+        if let Some(since) = job.catching_up() {
+            if job.spec.priority < Priority::High && !enforced_guarantee {
+                return level_and_rank(level::CATCHING_UP, since as i64);
+            }
+        }
+        let level = match job.spec.priority {
+            _ if enforced_guarantee => level::ENFORCED_GUARANTEE,
+            Priority::Prod => level::PROD,
+            Priority::High => level::HIGH,
+            _ if standing == GuaranteeStanding::Within => level::GUARANTEED,
+            Priority::Normal => level::NORMAL,
+            Priority::Idle => level::IDLE,
+        };
+        QueueKey {
+            level,
+            infeasible: job
+                .target(context, self.time_needed(context, job))
+                .is_none(),
+            rank: self.work_left(job),
+            index,
+        }
+    }
+
+    /// Work that is left of a job array, in CPU microseconds. What needs its slots at once comes before what
+    /// fills them one by one.
+    fn work_left(&self, job: &Job) -> i64 {
+        let left = job.tasks().saturating_sub(job.done_count) as f64;
+        let run = self.stats.expected_run(&job.spec) as f64;
+        match job.shape {
+            Shape::Batch => (left * job.spec.cpus * run) as i64,
+            _ => 0,
+        }
+    }
 }
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -3,52 +3,48 @@
 use crate::context::Context;
 use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
-use crate::state::bin_packing::{OpenMachine, Preference};
+use crate::state::bin_packing::{
+    permits, tasks_that_fit, HeadroomAccess, MachineResources, OpenMachine, Preference,
+};
 use crate::state::jobs::{JobIndex, EPS};
 use crate::state::machine::{Assignment, TaskOnMachine};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, MILLI, SECOND};
+use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
-use grebewood_wire::http::Shape;
-use grebewood_wire::http::{Priority, Submission};
+use grebewood_wire::http::{Priority, Shape, Submission};
 use grebewood_wire::peer::PlacedTask;
 use log::info;
 use std::collections::BTreeMap;
+use std::ops::ControlFlow;
 
-/// By how much the writes of assignments go ahead of their turn.
+/// By how much the writes of assignments of priority `prod` go ahead of their turn, in microseconds.
 const PROD_AHEAD: Micros = 60 * SECOND;
 
+/// The same for priority `high`.
 const HIGH_AHEAD: Micros = 10 * SECOND;
 
-/// Free slots by zone, among the candidates.
-fn room_by_zone<'a>(
-    spec: &Submission,
-    service: bool,
-    candidates: &[(Preference, usize)],
-    open: &'a [OpenMachine],
-) -> BTreeMap<&'a str, u64> {
-    let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-    for (_, at) in candidates {
-        let o = &open[*at];
-        *zones.entry(&o.zone).or_insert(0) += tasks_that_fit(o.room(service), spec);
-    }
-    zones
+/// How many of its tasks a job that is spread over zones may have in one of them.
+fn most_in_zone(spec: &Submission) -> u64 {
+    spec.tasks.div_ceil(2)
 }
 
 /// A job some of whose tasks are being placed.
 pub(crate) struct Placing {
+    /// The job.
     pub index: JobIndex,
+    /// Its description.
     pub spec: Submission,
     shape: Shape,
     /// How many more tasks may be placed in this round.
     left: u64,
-    /// Whether it may take the room that is kept for services.
-    service: bool,
-    /// How long a task is expected to stay.
+    /// Whether it may take the headroom that is reserved for services.
+    headroom: HeadroomAccess,
+    /// How long a task is expected to stay, in microseconds.
     pub expected: Micros,
     /// What a task takes of its team's limit.
     pub task: Resources,
+    /// Its level in the queue.
     pub level: u8,
     /// Whether the holder of a partition may place its tasks.
     by_holders: bool,
@@ -69,6 +65,25 @@
     pub fn take_one(&mut self) {
         self.left = self.left.saturating_sub(1);
     }
+
+    /// How many of its tasks fit the free resources of a machine.
+    fn tasks_that_fit(&self, open: &OpenMachine) -> u64 {
+        tasks_that_fit(open.free_for(self.headroom), &self.spec)
+    }
+
+    /// Free slots for its tasks by zone, on the open machines at these places.
+    fn slots_by_zone<'a>(
+        &self,
+        places: &[usize],
+        open: &'a [OpenMachine],
+    ) -> BTreeMap<&'a str, u64> {
+        let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
+        for at in places {
+            let machine = &open[*at];
+            *zones.entry(&machine.zone).or_insert(0) += self.tasks_that_fit(machine);
+        }
+        zones
+    }
 }
 
 impl Scheduler {
@@ -85,7 +100,6 @@
     pub(crate) fn prepare_placing(&self, context: &Context, queued: QueuedJob) -> Option<Placing> {
         let job = self.jobs.get(queued.index)?;
         let spec = &job.spec;
-        let task = Resources::of(spec.cpus, spec.gpus);
         let now = context.now.steady;
         // A job whose tasks keep failing is tried with one task at a time.
         let mut left = job.placeable(now);
@@ -96,46 +110,50 @@
         if job.must_begin(now) {
             left = left.min(job.beginning());
         }
-        // What has waited too long may take the room that is kept, too: not only for its beginning. The
-        // rest of an array once waited for minutes beside it when nothing more could be rented.
+        // What has waited too long may take the headroom, too: not only for its beginning. The
+        // rest of an array once waited for minutes beside it when nothing more could be provisioned.
         // Once there are no services any more, that goes for whatever waits long.
-        let yields = self.headroom.may_yield() && job.waits_long(now);
-        let service =
-            job.shape == Shape::Daemon || job.must_begin(now) || job.starves(now) || yields;
+        let headroom_yields = self.headroom.may_yield() && job.waits_long(now);
+        let may_take_headroom = job.shape == Shape::Daemon
+            || job.must_begin(now)
+            || job.starves(now)
+            || headroom_yields;
         Some(Placing {
             index: queued.index,
             shape: job.shape,
             left,
-            service,
+            headroom: match may_take_headroom {
+                true => HeadroomAccess::Granted,
+                false => HeadroomAccess::Denied,
+            },
             expected: self.stats.expected_stay(spec),
-            task,
+            task: Resources::of(spec.cpus, spec.gpus),
             level: queued.level,
             by_holders: job.may_be_placed_by_holders(now),
             spec: spec.clone(),
         })
     }
 
-    /// Places in `open` that may take a task of the job, the best first: for a replica those where none
-    /// ended by itself lately; those with the image first, then those that wait for work at our door,
-    /// then spot, then the fullest.
-    fn candidates(
-        &self,
-        context: &Context,
-        placing: &Placing,
-        open: &[OpenMachine],
-    ) -> Vec<(Preference, usize)> {
+    /// Places in `open` that may take a task of the job, the best first.
+    fn candidates(&self, context: &Context, placing: &Placing, open: &[OpenMachine]) -> Vec<usize> {
         let (spec, now) = (&placing.spec, context.now.steady);
-        let fits = |o: &OpenMachine| {
-            tasks_that_fit(o.room(placing.service), spec) > 0
-                && permits(context, spec, &o.machine_type, &o.zone, o.spot)
-                && (!o.kept || spec.priority > Priority::Idle)
+        let fits = |machine: &OpenMachine| {
+            placing.tasks_that_fit(machine) > 0
+                && permits(
+                    context,
+                    spec,
+                    &machine.machine_type,
+                    &machine.zone,
+                    machine.spot,
+                )
+                && (!machine.kept_for_preemptor || spec.priority > Priority::Idle)
         };
-        let open = open.iter().enumerate().filter(|(_, o)| fits(o));
-        let mut candidates: Vec<(Preference, usize)> = open
-            .map(|(at, o)| (self.preference(placing.index, spec, o, now), at))
+        let fitting = open.iter().enumerate().filter(|(_, machine)| fits(machine));
+        let mut candidates: Vec<(Preference, usize)> = fitting
+            .map(|(at, machine)| (self.preference(placing.index, spec, machine, now), at))
             .collect();
         candidates.sort();
-        candidates
+        candidates.into_iter().map(|(_, at)| at).collect()
     }
 
     /// What a machine is chosen by.
@@ -147,12 +165,14 @@
         now: Micros,
     ) -> Preference {
         let machine = self.machines.get(&open.name);
-        let image = machine.is_some_and(|m| m.has_image(&spec.image));
-        let away = !self.long_polls.contains(&open.name);
         let job = self.jobs.get(index);
-        let avoided_machines = job.is_some_and(|job| job.avoids(&open.name, now));
-        let room = (open.free.cpus * 1e3) as i64;
-        (avoided_machines, !image, away, !open.spot, room)
+        Preference {
+            avoided: job.is_some_and(|job| job.avoids(&open.name, now)),
+            without_image: !machine.is_some_and(|machine| machine.has_image(&spec.image)),
+            without_long_poll: !self.long_polls.contains(&open.name),
+            on_demand: !open.spot,
+            free_milli_cpus: (open.free.cpus * 1e3) as i64,
+        }
     }
 
     /// Places as many tasks of a job as the team's limit and the machines allow.
@@ -166,78 +186,106 @@
             return;
         };
         let candidates = self.candidates(context, &placing, open);
-        let kind = (&placing.spec, placing.service);
-        let fixed_zone = self.fixed_zone(queued.index, kind, &candidates, open);
-        let mut together = None;
+        let fixed_zone = self.fixed_zone(&placing, &candidates, open);
+        let mut gang_attempt = None;
         if placing.shape == Shape::Gang {
-            let zone = fixed_zone.as_deref();
-            let room = self.gang_room(queued.index, kind, &candidates, open, zone);
-            let all = placing.task.times(placing.left);
-            if room < placing.left || !self.fits_limit(context, &placing.spec.team, all) {
+            let slots = self.gang_slots(&placing, &candidates, open, fixed_zone.as_deref());
+            let whole_gang = placing.task.times(placing.left);
+            if slots < placing.left || !self.fits_limit(context, &placing.spec.team, whole_gang) {
                 return;
             }
             // The tasks of one start of a gang share its attempt number.
-            together = Some(self.next_attempt());
+            gang_attempt = Some(self.next_attempt());
         }
-        for (_, at) in candidates {
-            let elsewhere = |zone: &String| *zone != open[at].zone;
-            if fixed_zone.as_ref().is_some_and(elsewhere) {
+        for at in candidates {
+            let machine = &mut open[at];
+            if fixed_zone
+                .as_ref()
+                .is_some_and(|zone| *zone != machine.zone)
+            {
                 continue;
             }
-            if !self.place_on(context, &mut placing, &mut open[at], together) {
+            let placed = self.place_on(context, &mut placing, machine, gang_attempt);
+            if placed.is_break() {
                 break;
             }
         }
-        open.retain(|o| o.free.cpus > EPS);
+        open.retain(|machine| machine.free.cpus > EPS);
     }
 
-    /// Places tasks of the job on a machine, or gives them to the holder that places them there. False:
+    /// Places tasks of the job on a machine, or gives them to the holder that places them there. It breaks if
     /// no more of the job can be placed in this round.
     fn place_on(
         &mut self,
         context: &mut Context,
         placing: &mut Placing,
         open: &mut OpenMachine,
-        together: Option<u64>,
-    ) -> bool {
+        gang_attempt: Option<u64>,
+    ) -> ControlFlow<()> {
         let now = context.now.steady;
         let holder = open.placed_by.filter(|_| placing.by_holders);
-        while tasks_that_fit(open.room(placing.service), &placing.spec) > 0 {
+        while placing.tasks_that_fit(open) > 0 {
             let Some(job) = self.jobs.get_mut(placing.index) else {
-                return false;
+                return ControlFlow::Break(());
             };
-            let here = job.zones.get(&open.zone).copied().unwrap_or(0) as u64;
-            if placing.spec.spread && here >= placing.spec.tasks.div_ceil(2) {
-                return true;
+            let in_zone = job.zones.get(&open.zone).copied().unwrap_or(0);
+            if placing.spec.spread && u64::from(in_zone) >= most_in_zone(&placing.spec) {
+                return ControlFlow::Continue(());
             }
             let next = job.next_waiting(now).filter(|_| placing.has_more());
-            let Some(task) = next else { return false };
-            let team = &placing.spec.team;
-            let in_quota = match holder {
-                Some(partition) => self.charge(context, partition, team, placing.task),
-                None => self.fits_limit(context, team, placing.task),
+            let Some(task) = next else {
+                return ControlFlow::Break(());
             };
-            if !in_quota {
-                // What another partition does not use of its allotment may do here.
-                return holder.is_some();
+            if !self.charge_task(context, placing, holder) {
+                // What another partition does not use of its quota grant may do here.
+                return match holder {
+                    Some(_) => ControlFlow::Continue(()),
+                    None => ControlFlow::Break(()),
+                };
             }
-            if let Some(job) = self.jobs.get_mut(placing.index) {
-                job.take(task);
-                if holder.is_none() {
-                    job.note_placed(now);
-                }
-            }
-            placing.take_one();
+            self.take_task(context, placing, holder, task);
             match holder {
                 Some(partition) => {
-                    let given = (task, Given::Room);
+                    let given = (task, Given::Placeable);
                     self.delegate(context, placing, partition, given, &open.name)
                 }
-                None => self.assign_task(context, placing, &open.name, task, together),
+                None => self.assign_task(context, placing, &open.name, task, gang_attempt),
             }
             open.free = open.free - MachineResources::of_task(&placing.spec);
         }
-        true
+        ControlFlow::Continue(())
+    }
+
+    /// Whether one more task of the job is within the quota grant of the holder, if one is to place it, or else
+    /// within its team's limit.
+    fn charge_task(
+        &mut self,
+        context: &Context,
+        placing: &Placing,
+        holder: Option<PartitionId>,
+    ) -> bool {
+        let team = &placing.spec.team;
+        match holder {
+            Some(partition) => self.charge(context, partition, team, placing.task),
+            None => self.fits_limit(context, team, placing.task),
+        }
+    }
+
+    /// The task waits no more: it is being placed.
+    fn take_task(
+        &mut self,
+        context: &Context,
+        placing: &mut Placing,
+        holder: Option<PartitionId>,
+        task: u64,
+    ) {
+        if let Some(job) = self.jobs.get_mut(placing.index) {
+            job.take(task);
+            if holder.is_none() {
+                job.note_placed(context.now.steady);
+            }
+        }
+        placing.take_one();
     }
 
     /// Places a task that was taken on a machine that this leader places on.
@@ -247,13 +295,13 @@
         placing: &Placing,
         machine: &str,
         task: u64,
-        together: Option<u64>,
+        gang_attempt: Option<u64>,
     ) {
         let zone = self.machines.get(machine).map(|m| m.zone.clone());
         if let (Some(zone), Some(job)) = (zone, self.jobs.get_mut(placing.index)) {
             *job.zones.entry(zone).or_insert(0) += 1;
         }
-        let attempt = match together {
+        let attempt = match gang_attempt {
             Some(attempt) => attempt,
             None => self.next_attempt(),
         };
@@ -262,27 +310,26 @@
     }
 
     /// How many tasks of a gang could be placed at once.
-    fn gang_room(
+    fn gang_slots(
         &self,
-        index: JobIndex,
-        (spec, service): (&Submission, bool),
-        candidates: &[(Preference, usize)],
+        placing: &Placing,
+        candidates: &[usize],
         open: &[OpenMachine],
         fixed_zone: Option<&str>,
     ) -> u64 {
-        let here = |zone: &str| {
-            let n = self.jobs.get(index).and_then(|j| j.zones.get(zone));
-            n.copied().unwrap_or(0) as u64
+        let spec = &placing.spec;
+        let in_zone = |zone: &str| {
+            let job = self.jobs.get(placing.index);
+            let tasks = job.and_then(|job| job.zones.get(zone));
+            tasks.copied().map_or(0, u64::from)
         };
-        room_by_zone(spec, service, candidates, open)
+        placing
+            .slots_by_zone(candidates, open)
             .into_iter()
-            .filter(|(zone, _)| fixed_zone.is_none_or(|z| z == *zone))
-            .map(|(zone, n)| {
-                if spec.spread {
-                    n.min(spec.tasks.div_ceil(2).saturating_sub(here(zone)))
-                } else {
-                    n
-                }
+            .filter(|(zone, _)| fixed_zone.is_none_or(|fixed| fixed == *zone))
+            .map(|(zone, slots)| match spec.spread {
+                true => slots.min(most_in_zone(spec).saturating_sub(in_zone(zone))),
+                false => slots,
             })
             .sum()
     }
@@ -290,25 +337,26 @@
     /// The zone that a `one_zone` job is bound to: where its tasks are, else where most fit.
     fn fixed_zone(
         &self,
-        index: JobIndex,
-        (spec, service): (&Submission, bool),
-        candidates: &[(Preference, usize)],
+        placing: &Placing,
+        candidates: &[usize],
         open: &[OpenMachine],
     ) -> Option<String> {
-        if !spec.one_zone {
+        if !placing.spec.one_zone {
             return None;
         }
-        let job = self.jobs.get(index)?;
+        let job = self.jobs.get(placing.index)?;
         if let Some(zone) = job.bound_zone() {
             return Some(zone.to_string());
         }
-        room_by_zone(spec, service, candidates, open)
+        placing
+            .slots_by_zone(candidates, open)
             .into_iter()
-            .max_by_key(|(_, n)| *n)
-            .map(|(z, _)| z.to_string())
+            .max_by_key(|(_, slots)| *slots)
+            .map(|(zone, _)| zone.to_string())
     }
 
-    /// Puts a task on a machine, which launches it once that is on record.
+    /// Puts a task on a machine, which launches it once that is durable; `attempt` is its number, and `expected`
+    /// how long it is expected to stay, in microseconds.
     pub(crate) fn assign(
         &mut self,
         context: &Context,
@@ -320,23 +368,16 @@
     ) {
         let now = context.now.steady;
         let page = self.page_with_room();
-        // When far more is to be written than the rate allows, as after a change of leader, services
-        // once waited half a minute behind hundreds of batch tasks.
-        let ahead = match spec.priority {
-            Priority::Prod => PROD_AHEAD,
-            Priority::High => HIGH_AHEAD,
-            _ => 0,
-        };
-        let written = self
-            .write_buffer
-            .mark_dirty_by(RecordId::Page(page), now.saturating_sub(ahead));
+        let due = now.saturating_sub(write_ahead(spec));
+        let written = self.write_buffer.mark_dirty_by(RecordId::Page(page), due);
         let by_holder = self.is_holder();
-        let Some(m) = self.machines.get_mut(name) else {
+        self.log_service_placement(context, name, job, task, spec);
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let placed = PlacedTask {
             machine: name.to_string(),
-            incarnation: m.incarnation,
+            incarnation: machine.incarnation,
             job: spec.id.clone(),
             task,
             attempt,
@@ -351,26 +392,46 @@
                 task: &placed,
                 job: Some(job),
                 spec: Some(spec),
-                zone: m.zone.clone(),
+                zone: machine.zone.clone(),
                 now,
             })
         };
-        if Shape::of(spec) == Some(Shape::Daemon) {
-            let image = m.has_image(&spec.image);
-            let age = self.jobs.get(job).map_or(0, |j| j.age(now));
-            info!(
-                "{}/{task}: goes to {name} in {} after {} ms, image there {image}, free {}",
-                spec.id,
-                m.zone,
-                age / MILLI,
-                m.free().cpus
-            );
-        }
-        m.use_image(&spec.image, spec.image_gb);
-        m.idle_since = now;
+        machine.use_image(&spec.image, spec.image_gb);
+        machine.idle_since = now;
         self.page_mut(page).add(name, &assignment);
         self.add_assignment(name, assignment);
         // Its answer carries the launch once the page is written.
         self.wake_long_poll(context, name);
     }
+
+    fn log_service_placement(
+        &self,
+        context: &Context,
+        name: &str,
+        index: JobIndex,
+        task: u64,
+        spec: &Submission,
+    ) {
+        let is_service = Shape::of(spec) == Some(Shape::Daemon);
+        let Some(machine) = self.machines.get(name).filter(|_| is_service) else {
+            return;
+        };
+        let job = self.jobs.get(index);
+        let age = job.map_or(0, |job| job.age(context.now.steady));
+        info!(
+            job = spec.id, task = task, machine = name, zone = machine.zone, age_ms = age / MILLI,
+            image_cached = machine.has_image(&spec.image), free_cpus = machine.free().cpus;
+            "placing a task of a service"
+        );
+    }
+}
+
+/// By how much the write of an assignment goes ahead of its turn, in microseconds. When far more is to be written
+/// than the rate allows, as after a failover, services once waited half a minute behind hundreds of batch tasks.
+fn write_ahead(spec: &Submission) -> Micros {
+    match spec.priority {
+        Priority::Prod => PROD_AHEAD,
+        Priority::High => HIGH_AHEAD,
+        _ => 0,
+    }
 }
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -1,4 +1,4 @@
-//! Whether a task fits a machine, and how many fit into its free resources.
+//! Bin packing: whether a task fits a machine, and how many fit into its free resources.
 
 use crate::context::Context;
 use crate::state::jobs::{fits_type, EPS};
@@ -26,7 +26,7 @@
         }
     }
 
-    /// What so many tasks take that take this each.
+    /// What `factor` tasks take that take this each.
     pub fn times(self, factor: f64) -> Self {
         MachineResources {
             cpus: self.cpus * factor,
@@ -69,6 +69,9 @@
     }
 }
 
+/// Most tasks that [`tasks_that_fit`] counts.
+const MAX_TASKS: f64 = 1e5;
+
 /// Whether the job permits such a machine.
 pub(crate) fn permits(
     context: &Context,
@@ -78,51 +81,77 @@
     spot: bool,
 ) -> bool {
     (spec.spot || !spot)
-        && spec.zone.as_ref().is_none_or(|y| y == zone)
+        && spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
         && context
             .machine_type(machine_type)
-            .is_some_and(|t| fits_type(spec, t))
+            .is_some_and(|machine_type| fits_type(spec, machine_type))
 }
 
-/// How many tasks of the job fit into the free room.
+/// How many tasks of the job fit into the free resources.
 pub(crate) fn tasks_that_fit(free: MachineResources, spec: &Submission) -> u64 {
-    let fit = |have: f64, need: f64| {
+    let fit = |free: f64, need: f64| {
         if need <= EPS {
             f64::MAX
         } else {
-            ((have + EPS) / need).floor()
+            ((free + EPS) / need).floor()
         }
     };
     fit(free.cpus, spec.cpus)
         .min(fit(free.gpus, spec.gpus))
         .min(fit(free.memory_gb, spec.memory_gb))
-        .clamp(0.0, 1e5) as u64
+        .clamp(0.0, MAX_TASKS) as u64
+}
+
+/// Whether tasks may take the headroom that is reserved for services.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum HeadroomAccess {
+    /// They may: services, and what has waited too long.
+    Granted,
+    /// They may not.
+    Denied,
 }
 
-/// A machine with room, during a round.
+/// A machine with free resources, during a round of placement.
 pub(crate) struct OpenMachine {
+    /// Its name.
     pub name: String,
+    /// Its zone.
     pub zone: String,
+    /// Its machine type.
     pub machine_type: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Its free resources.
     pub free: MachineResources,
-    /// Room is being made on it for work of higher priority.
-    pub(crate) kept: bool,
-    /// What of its room is kept for services.
+    /// Tasks were stopped on it for a job of higher priority: idle priority is kept off.
+    pub(crate) kept_for_preemptor: bool,
+    /// What of its free resources is headroom for services.
     pub headroom: MachineResources,
     /// The partition whose holder places tasks on it.
     pub placed_by: Option<PartitionId>,
 }
 
 impl OpenMachine {
-    /// The room for a task of a service, or of other work.
-    pub(crate) fn room(&self, service: bool) -> MachineResources {
-        match service {
-            true => self.free,
-            false => self.free - self.headroom,
+    /// The free resources for tasks with or without access to the headroom.
+    pub(crate) fn free_for(&self, access: HeadroomAccess) -> MachineResources {
+        match access {
+            HeadroomAccess::Granted => self.free,
+            HeadroomAccess::Denied => self.free - self.headroom,
         }
     }
 }
 
-/// What is sorted by to choose a machine, the best first.
-pub(crate) type Preference = (bool, bool, bool, bool, i64);
+/// What is sorted by to choose a machine: the lowest is the best. Fields are in the order of their weight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Preference {
+    /// A replica of the job ended there by itself lately.
+    pub(crate) avoided: bool,
+    /// It lacks the job's image.
+    pub(crate) without_image: bool,
+    /// Its agent has no long poll open with this controller.
+    pub(crate) without_long_poll: bool,
+    /// It is an on-demand machine.
+    pub(crate) on_demand: bool,
+    /// Its free CPUs, in thousandths: the fullest machine comes first.
+    pub(crate) free_milli_cpus: i64,
+}
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -6,6 +6,9 @@
 use grebewood_wire::records::ProvisionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A machine is not counted on once it has sent no heartbeat for so many of its intervals.
+pub(crate) const MISSED_HEARTBEATS: Micros = 3;
+
 /// Time between the beginning of a leader's term and its first round of the autoscaler, in microseconds.
 const FIRST_AUTOSCALER_ROUND: Micros = SECOND;
 
@@ -23,6 +26,17 @@
     pub(crate) spot: bool,
 }
 
+impl MachineOffering {
+    /// The machine type in the zone, as spot or on-demand machine.
+    pub(crate) fn new(machine_type: &str, zone: &str, spot: bool) -> Self {
+        MachineOffering {
+            machine_type: machine_type.to_string(),
+            zone: zone.to_string(),
+            spot,
+        }
+    }
+}
+
 /// A machine that was provisioned and has not sent a heartbeat to this leader yet.
 #[derive(Clone, Debug)]
 pub(crate) struct BootingMachine {
@@ -72,11 +86,8 @@
 
     /// What it requests.
     pub(crate) fn offering(&self) -> MachineOffering {
-        MachineOffering {
-            machine_type: self.record.machine_type.clone(),
-            zone: self.record.zone.clone(),
-            spot: self.record.spot,
-        }
+        let record = &self.record;
+        MachineOffering::new(&record.machine_type, &record.zone, record.spot)
     }
 }
 
--- a/crates/core/src/state/placement.rs
+++ b/crates/core/src/state/placement.rs
@@ -3,18 +3,20 @@
 use crate::state::jobs::JobIndex;
 use crate::Micros;
 
-/// State of the rounds.
+/// State that placement keeps between its rounds; times are in microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
+    /// When the next round is due.
     pub next_at: Micros,
-    /// Rounds keep at least their interval.
+    /// No round before this time: rounds keep at least their interval.
     pub(crate) not_before: Micros,
     /// Something changed that may let a task be placed.
     pub wanted: bool,
-    /// Where the last round stopped for lack of time.
-    pub(crate) resume: Option<JobIndex>,
+    /// The job that the next round begins with, since the last one ran out of time before it.
+    pub(crate) resume_with: Option<JobIndex>,
     /// Nothing is placed before this time: a page could not be read.
     pub blocked_until: Micros,
+    /// When the next round of preemption is due.
     pub(crate) next_preemption: Micros,
     /// Rounds so far.
     pub rounds: u64,
