--- /dev/null
+++ b/crates/wire/src/codec.rs
@@ -0,0 +1,68 @@
+//! Encoding and decoding: CBOR for HTTP bodies and records, MessagePack between controllers.
+
+use serde::{de::DeserializeOwned, Serialize};
+use std::io;
+use thiserror::Error;
+
+/// Deepest nesting of a CBOR value that is read.
+const CBOR_RECURSION_LIMIT: usize = 24;
+
+/// Bytes could not be decoded. The text names the cause, too, since it is sent in error responses.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct DecodeError(pub DecodeFailure);
+
+/// Why bytes could not be decoded.
+#[derive(Debug, Error)]
+pub enum DecodeFailure {
+    /// The bytes are no CBOR value of the expected type.
+    #[error("not the expected CBOR: {0}")]
+    Cbor(ciborium::de::Error<io::Error>),
+    /// There are further bytes after a whole CBOR value.
+    #[error("bytes after the CBOR value")]
+    TrailingBytes,
+    /// The bytes are no message of a controller.
+    #[error("not a peer message: {0}")]
+    Peer(rmp_serde::decode::Error),
+    /// Any other reason that a caller found.
+    #[error("{0}")]
+    Other(String),
+}
+
+impl From<&str> for DecodeFailure {
+    fn from(reason: &str) -> Self {
+        DecodeFailure::Other(reason.to_string())
+    }
+}
+
+/// Decodes one CBOR value that fills `bytes` entirely.
+pub fn from_cbor<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
+    let mut rest = bytes;
+    let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, CBOR_RECURSION_LIMIT)
+        .map_err(|error| DecodeError(DecodeFailure::Cbor(error)))?;
+    if rest.is_empty() {
+        Ok(value)
+    } else {
+        Err(DecodeError(DecodeFailure::TrailingBytes))
+    }
+}
+
+/// Encodes a value as CBOR.
+pub fn to_cbor<T: Serialize>(value: &T) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    // Writing to memory fails only for types without a CBOR form, and this package has none.
+    if ciborium::into_writer(value, &mut bytes).is_err() {
+        bytes.clear();
+    }
+    bytes
+}
+
+/// Decodes a message of another controller.
+pub fn from_peer<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
+    rmp_serde::from_slice(bytes).map_err(|error| DecodeError(DecodeFailure::Peer(error)))
+}
+
+/// Encodes a message to another controller.
+pub fn to_peer<T: Serialize>(value: &T) -> Vec<u8> {
+    rmp_serde::to_vec_named(value).unwrap_or_default()
+}
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,29 +1,29 @@
-//! Messages between controllers: one request, one answer, over `POST /peer`.
+//! Messages between controllers: one request and one response, over `POST /peer`.
 
 use crate::http::{ExitCause, TaskStatus};
 use crate::records::{TeamAmount, TeamQuotaRecord};
 use serde::{Deserialize, Serialize};
 
-/// A question or hint to another controller.
+/// A request to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Asks whether the other one has contact with the state service, and which cancellations it
-    /// has confirmed to users in the last `known_us` (`None`: ever).
+    /// Asks whether the other controller has contact with the key-value store, and which cancellations it
+    /// has acknowledged to users in the last `known_us` microseconds (`None`: ever).
     Contact {
-        /// Who asks.
+        /// Name of the controller that asks.
         from: String,
-        /// Number of the question; 0 from a version that asks for no cancellations.
+        /// Number of the request; 0 from a version that asks for no cancellations.
         #[serde(default)]
         question: u64,
-        /// Time since which the asker knows all that the other one confirmed.
+        /// Age of what the sender already knows, in microseconds: it knows all that was acknowledged before.
         #[serde(default)]
         known_us: Option<u64>,
-        /// Whether the asker wants to know the limits of the other one's settings.
-        #[serde(default, skip_serializing_if = "is_false")]
+        /// Whether the sender wants to know the team limits in the other controller's settings.
+        #[serde(default, skip_serializing_if = "crate::is_false")]
         limits: bool,
     },
-    /// The leader's view of live jobs, for display: `(job, completed tasks, running tasks)`.
-    /// Never trusted over state.
+    /// The leader's view of live jobs, for display: `(job, completed tasks, running tasks)`. The records in
+    /// the store take precedence.
     Progress {
         /// The leader's name.
         from: String,
@@ -36,52 +36,51 @@
     Partition(PartitionOrders),
 }
 
-/// What the leader wants of the holder of a partition. Each message has a higher number than the one
-/// before; a holder drops those that arrive out of order, and those of a leader that the state service
-/// does not name.
+/// What the leader wants of a partition holder. Each message has a higher sequence number than the one
+/// before; a holder drops those that arrive out of order, and those of a leader that the store does not name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PartitionOrders {
     /// The leader's name.
     pub from: String,
     /// Its fencing token.
     pub term: u64,
-    /// Number of the message within the term.
+    /// Sequence number of the message within the leader's term.
     pub sequence: u64,
     /// The partition.
     pub partition: u64,
-    /// The fencing token of the claim that is addressed.
+    /// The fencing token of the claim that the message is for.
     pub claim: u64,
     /// All tasks that may be on its machines, for a holder that does not know them yet.
     pub sync: Option<Vec<PlacedTask>>,
-    /// Tasks to launch. They are on record, and repeated until they are accepted.
+    /// Tasks to launch. They are in the store, and repeated until the holder accepts them.
     pub launches: Vec<PlacedTask>,
     /// Tasks to stop, repeated until they have ended.
     pub stops: Vec<TaskStop>,
-    /// Attempts whose outcome is on record.
+    /// Attempts whose outcome is in the store.
     pub acknowledged: Vec<TaskAttempt>,
-    /// Machines whose release was answered.
+    /// Machines whose termination the cloud has confirmed.
     #[serde(rename = "released")]
     pub terminated: Vec<String>,
-    /// The version up to which the leader knows the states of machines.
+    /// The version up to which the leader knows the states of the machines.
     pub seen: u64,
-    /// What the holder may place itself. `None` from a leader that grants no allotments.
+    /// What the holder may place itself. `None` from a leader that grants no quota.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<Box<QuotaOrders>>,
 }
 
-/// What the holder of a partition may place on its own, out of its allotment.
+/// What a partition holder may place on its own, out of its quota grant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaOrders {
-    /// The number of the allotment that is on record.
+    /// The number of the quota grant that is in the store.
     pub number: u64,
-    /// The revision of the limits under which it was granted: with later ones on record nothing may be
-    /// started out of it.
+    /// The revision of the team limits under which it was granted: once later ones are in the store, nothing
+    /// may be started out of it.
     pub limits: u64,
-    /// What may be used now: no more than what is on record. Teams that are not listed have nothing.
+    /// What may be used now, at most what is in the store. Teams that are not listed may use nothing.
     pub allotment: Vec<TeamAmount>,
-    /// Tasks that the holder is to place. They are repeated until it says that it has them.
+    /// Tasks that the holder is to place. They are repeated until it acknowledges them.
     pub work: Vec<DelegatedWork>,
-    /// Jobs whose tasks are to be given back, as far as they are not placed.
+    /// Jobs whose tasks the holder is to hand back to the leader, as far as they are not placed.
     #[serde(rename = "recalled")]
     pub revoked: Vec<String>,
     /// Machines on which nothing new is to be placed.
@@ -90,37 +89,37 @@
     pub seen: u64,
 }
 
-/// Tasks of a job that the holder of a partition is to place.
+/// Tasks of a job that the leader delegates to a partition holder to place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegatedWork {
     /// The job.
     pub job: String,
-    /// How urgent it is: lower numbers come first.
+    /// Priority level: lower numbers are placed first.
     pub level: u8,
-    /// How long each task is expected to stay.
+    /// Expected run time of each task, in microseconds.
     pub expected_us: u64,
     /// The tasks.
     pub tasks: Vec<DelegatedTask>,
 }
 
-/// A task that the holder of a partition is to place.
+/// A task that a partition holder is to place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DelegatedTask {
-    /// Its number.
+    /// The task's number.
     #[serde(rename = "n")]
     pub task: u64,
-    /// The machine that has room for it, or will have it soon, as far as the leader knows.
+    /// The machine that has room for the task, or will have it soon, as far as the leader knows.
     #[serde(rename = "m")]
     pub machine: String,
-    /// Whether it waits for the room that another task will leave there.
-    #[serde(rename = "w", default, skip_serializing_if = "is_false")]
+    /// Whether the task waits for resources that another task will free on that machine.
+    #[serde(rename = "w", default, skip_serializing_if = "crate::is_false")]
     pub waits: bool,
 }
 
 /// An attempt of a task. The tasks of a gang share the number of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskAttempt {
-    /// The attempt's number, which no two jobs share.
+    /// The attempt's number, which is unique across jobs.
     pub attempt: u64,
     /// The task's number.
     pub task: u64,
@@ -131,21 +130,21 @@
 pub struct PlacedTask {
     /// The machine.
     pub machine: String,
-    /// The worker's session.
+    /// The agent's incarnation.
     #[serde(rename = "session")]
     pub incarnation: u64,
     /// The job.
     pub job: String,
     /// The task's number.
     pub task: u64,
-    /// The attempt.
+    /// The attempt's number.
     pub attempt: u64,
-    /// How long it is expected to stay.
+    /// Expected run time, in microseconds.
     pub expected_us: u64,
 }
 
 impl PlacedTask {
-    /// The attempt that it is.
+    /// The attempt that was placed.
     pub fn id(&self) -> TaskAttempt {
         TaskAttempt {
             attempt: self.attempt,
@@ -159,30 +158,30 @@
 pub struct TaskStop {
     /// The machine.
     pub machine: String,
-    /// The attempt.
+    /// The attempt's number.
     pub id: TaskAttempt,
-    /// Time that it has to save.
+    /// Time that the task has to write a checkpoint, in microseconds.
     pub grace_us: u64,
 }
 
-/// A holder's answer to [`PartitionOrders`].
+/// A partition holder's response to [`PartitionOrders`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PartitionReport {
-    /// The fencing token of its claim.
+    /// The fencing token of the holder's claim.
     pub claim: u64,
-    /// Whether it knows all tasks that may be on its machines. Until then it launches nothing.
+    /// Whether the holder knows all tasks that may be on its machines. Until then it launches nothing.
     pub synced: bool,
-    /// Attempts of the orders' launches that it has taken over.
+    /// Attempts of the orders' launches that the holder has accepted.
     pub accepted: Vec<TaskAttempt>,
-    /// Attempts that have ended, until the leader acknowledges them.
+    /// Attempts that have ended, listed until the leader acknowledges them.
     pub outcomes: Vec<TaskOutcome>,
     /// States of machines that have changed since the version that the leader knows.
     pub machines: Vec<MachineState>,
-    /// Machines whose release was answered lately.
+    /// Machines whose termination was confirmed recently.
     pub gone: Vec<String>,
     /// The version of the last of these states.
     pub version: u64,
-    /// Check-ins answered since the claim.
+    /// Heartbeats answered since the claim.
     #[serde(rename = "checkins")]
     pub heartbeats: u64,
     /// What the holder has placed itself. `None` from a holder that places nothing.
@@ -190,33 +189,29 @@
     pub quota: Option<QuotaReport>,
 }
 
-/// What a holder of an allotment has done with it.
+/// What the holder of a quota grant has done with it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// What it will use at most until it is granted more.
+    /// What the holder will use at most until it is granted more.
     pub held: Vec<TeamAmount>,
-    /// Tasks that it is to place and has not said to be placed. All others that it was given are placed,
-    /// or it will not place them.
+    /// Delegated tasks that are not placed yet. All other tasks delegated to the holder are placed, or the
+    /// holder will not place them.
     pub waiting: Vec<TaskRanges>,
-    /// Tasks that it has placed and the leader does not know of, in the order of their numbers.
+    /// Tasks that the holder has placed and the leader does not know of yet, in the order of their numbers.
     pub placed: Vec<PlacedTask>,
     /// The number of the last of these.
     pub version: u64,
 }
 
-/// Some tasks of a job.
+/// Tasks of a job, as ranges of their numbers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskRanges {
     /// The job.
     pub job: String,
-    /// First task and the one after the last, for each range.
+    /// The first task and the one after the last of each range.
     pub ranges: Vec<(u64, u64)>,
 }
 
-fn is_false(flag: &bool) -> bool {
-    !flag
-}
-
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskOutcome {
@@ -226,9 +221,9 @@
     pub job: String,
     /// The task's number.
     pub task: u64,
-    /// The attempt.
+    /// The attempt's number.
     pub attempt: u64,
-    /// Its end.
+    /// The reason of the end.
     pub end: TaskEnd,
 }
 
@@ -245,18 +240,18 @@
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TaskEnd {
-    /// The worker reported its exit.
+    /// The agent sent the attempt's exit.
     Exited(ExitCause),
-    /// It is proven that it is not on the machine and will not come there.
+    /// It is proven that the attempt is not on the machine and will not be started there.
     Gone,
 }
 
-/// What the holder knows of a machine.
+/// What a partition holder knows of a machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineState {
     /// Its name.
     pub machine: String,
-    /// Where its worker takes direct commands.
+    /// Network address at which its agent accepts commands.
     pub address: String,
     /// Its type.
     pub machine_type: String,
@@ -264,70 +259,71 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The worker's session.
+    /// The agent's incarnation.
     #[serde(rename = "session")]
     pub incarnation: u64,
-    /// Whether it counts for what the fleet can do.
+    /// Whether the machine counts towards the capacity of the fleet.
     pub counts: bool,
-    /// Whether answers reach it, so that tasks can be launched there.
+    /// Whether responses reach its agent, so that tasks can be launched there.
     #[serde(rename = "hears")]
     pub receives_responses: bool,
-    /// Whether it is to be returned.
+    /// Whether the machine is cordoned, to be terminated.
     #[serde(rename = "closing")]
     pub cordoned: bool,
-    /// Time until the cloud takes it, if that is announced.
+    /// Time until the cloud reclaims the spot machine, in microseconds, if that is announced.
     #[serde(rename = "recall_us")]
     pub reclaim_us: Option<u64>,
-    /// Its tasks, as last reported.
+    /// Its tasks, as of the last heartbeat.
     pub tasks: Vec<TaskState>,
 }
 
-/// What a worker last said of an attempt.
+/// The status of an attempt as of the last heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// The attempt.
+    /// The attempt's number.
     pub id: TaskAttempt,
-    /// What it is doing.
+    /// State of the attempt.
     pub status: TaskStatus,
 }
 
-/// The answer to a [`PeerRequest`].
+/// The response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerAnswer {
-    /// Who answers.
+    /// Name of the controller that answers.
     pub member: String,
-    /// Microseconds since the state service last answered it, if it ever did.
+    /// Time since the store last answered this controller, in microseconds; `None`: it never did.
     #[serde(rename = "state_contact_age_us")]
     pub store_contact_age_us: Option<u64>,
-    /// The highest fencing token it knows of.
+    /// The highest fencing token that the controller knows of.
     pub token: u64,
-    /// The highest fencing token of a grant that it read from state or holds.
+    /// The highest fencing token of a partition claim that it read from the store or holds.
     #[serde(default)]
     pub grant: u64,
-    /// What it has confirmed to users; not from a version that does not remember it.
+    /// Cancellations that it has acknowledged to users; `None` from a version that does not remember them.
     #[serde(default)]
     pub confirmed: Option<Confirmed>,
-    /// Whether it understands partitions.
+    /// Whether the controller supports partitions.
     #[serde(default)]
     pub partitions: bool,
-    /// Whether it places tasks out of allotments.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether the controller places tasks out of quota grants.
+    #[serde(default, skip_serializing_if = "crate::is_false")]
     pub allotments: bool,
-    /// The limits of its settings, if it was asked for them.
+    /// The team limits in its settings, if it was asked for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<Vec<TeamQuotaRecord>>,
-    /// The answer to [`PartitionOrders`].
+    /// The response to [`PartitionOrders`].
     #[serde(default)]
     pub report: Option<PartitionReport>,
 }
 
-/// Cancellations that a node has confirmed to users.
+/// Cancellations that a controller has acknowledged to users.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Confirmed {
-    /// The question that this answers.
+    /// Number of the request that this answers.
     pub question: u64,
-    /// For how long the node has remembered all that it told; `None`: the list is not whole.
+    /// For how long the controller has remembered all acknowledgements, in microseconds; `None`: the list is
+    /// incomplete.
     pub remembers_us: Option<u64>,
-    /// Jobs, and how long ago a user was first told.
+    /// Jobs, and the time since a user was first told, in microseconds.
     pub jobs: Vec<(String, u64)>,
 }
--- a/crates/wire/src/protocol_names.rs
+++ b/crates/wire/src/protocol_names.rs
@@ -1,4 +1,4 @@
-//! Enums whose values are single words on the wire.
+//! Enums whose values are single words on the wire, with the protocol's word for each.
 
 /// Defines an enum that is written as one word and reads any word: one that this version does not know
 /// becomes `Unknown`, so that it never makes a whole message unreadable.
@@ -55,13 +55,13 @@
 }
 
 word_enum! {
-    /// What a task on a worker is doing.
+    /// State of a task's attempt on a machine.
     TaskStatus {
-        /// It waits for its image.
+        /// Its image is being fetched.
         Fetching = "fetching",
-        /// It runs.
+        /// It is running.
         Running = "running",
-        /// It was told to stop and saves a checkpoint.
+        /// It was told to stop and is writing a checkpoint.
         Checkpointing = "saving",
         /// It has ended; [`ExitCause`] says how.
         Exited = "exited",
@@ -69,7 +69,7 @@
 }
 
 word_enum! {
-    /// Why a task ended on a worker, or was not started there.
+    /// Why a task ended on a machine, or was not started there.
     ExitCause {
         /// It completed.
         Done = "done",
@@ -77,23 +77,23 @@
         Stopped = "stopped",
         /// It failed.
         Error = "error",
-        /// Refused: the machine has too little room.
+        /// Refused: the machine has too few free resources.
         NoRoom = "no_room",
-        /// Refused: the task is on this machine with another attempt.
+        /// Refused: another attempt of the task is on this machine.
         Busy = "busy",
-        /// Refused: the worker could not get the job's description.
+        /// Refused: the agent could not read the job's specification.
         UnknownJob = "unknown",
     }
 }
 
 word_enum! {
-    /// What a command tells a worker to do.
+    /// What a command tells an agent to do.
     Verb {
-        /// Start the attempt of a task.
+        /// Start an attempt of a task.
         Launch = "launch",
-        /// Stop it, saving a checkpoint if there is time.
+        /// Stop the attempt, after a checkpoint if there is time for one.
         Stop = "stop",
-        /// Forget an exited attempt.
+        /// Acknowledge the exit of an attempt, which the agent then forgets.
         Acknowledge = "reap",
     }
 }
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -1,19 +1,19 @@
-//! What controllers keep in the state service.
+//! Records that controllers keep in the key-value store.
 //!
 //! | key | written by | content |
 //! | --- | --- | --- |
-//! | `leader` | a candidate, under a lease | [`LeaderRecord`]; its stamp is the fencing token |
-//! | `job/<id>` | the node that accepts, once | [`JobRecord`] of a job that is not over |
-//! | `job/<id>/cancel` | the node that cancels, once | [`CancelRecord`] |
+//! | `leader` | a candidate, under a lease | [`LeaderRecord`]; its `mod_revision` is the fencing token |
+//! | `job/<id>` | the controller that accepts the job, once | [`JobRecord`] of a job that is not over |
+//! | `job/<id>/cancel` | the controller that accepts the cancellation, once | [`CancelRecord`] |
 //! | `past/<id>` | the leader, once | [`FinishedJobRecord`] of a job that is over; kept forever |
 //! | `done/<n>` | the leader | [`CompletedTasksPageRecord`]: completed tasks of many jobs |
 //! | `page/<block>/<n>` | the block's holder | [`PageRecord`]: assignments |
-//! | `hire/<name>` | the leader | [`ProvisionRecord`]: a rental, before it is requested |
-//! | `stats` | the leader | [`StatsRecord`]: learnt averages |
+//! | `hire/<name>` | the leader | [`ProvisionRecord`]: machines to provision, before they are requested |
+//! | `stats` | the leader | [`StatsRecord`]: averages of run and boot times |
 //! | `catalogue` | the leader | the machine types last seen |
 //! | `partition/<n>` | the leader | [`PartitionRecord`]: which machines form it, and who is to hold it |
-//! | `partition/<n>/claim` | its holder, under a lease | [`PartitionClaim`]; its stamp is the fencing token |
-//! | `quota/limits` | the leader | [`LimitsRecord`]: guarantees and ceilings in force |
+//! | `partition/<n>/claim` | its holder, under a lease | [`PartitionClaim`]; its `mod_revision` is the fencing token |
+//! | `quota/limits` | the leader | [`LimitsRecord`]: the teams' guaranteed shares and limits in force |
 //! | `quota/<n>` | the leader | [`QuotaGrantRecord`]: what of them the holder of partition `n` may use |
 //!
 //! An earlier version wrote `cancel/<id>` for a cancellation and `done/<id>/<n>` ([`LegacyCompletedTasksRecord`])
@@ -24,19 +24,19 @@
 
 /// Key of the [`LeaderRecord`].
 pub const LEADER: &str = "leader";
-/// Prefix of live jobs.
+/// Prefix of jobs that are not finished.
 pub const JOB: &str = "job/";
-/// What follows a job's key in that of its cancellation.
+/// Suffix that makes a job's key the key of its cancellation.
 pub const CANCEL: &str = "/cancel";
-/// Prefix of cancellations as an earlier version wrote them.
+/// Prefix of cancellations in the format of an earlier version.
 pub const OLD_CANCEL: &str = "cancel/";
-/// Prefix of jobs that are over.
+/// Prefix of finished jobs.
 pub const FINISHED: &str = "past/";
 /// Prefix of completed tasks.
 pub const DONE: &str = "done/";
 /// Prefix of pages of assignments.
 pub const PAGE: &str = "page/";
-/// Prefix of rental requests.
+/// Prefix of requests to provision machines.
 pub const RENTAL: &str = "hire/";
 /// Key of the [`StatsRecord`].
 pub const STATS: &str = "stats";
@@ -45,15 +45,15 @@
 
 /// Prefix of partitions and their claims.
 pub const PARTITION: &str = "partition/";
-/// What follows a partition's key in that of its claim.
+/// Suffix that makes a partition's key the key of its claim.
 pub const CLAIM: &str = "/claim";
 
-/// Prefix of the teams' limits and of allotments.
+/// Prefix of the teams' limits and of quota grants.
 pub const QUOTA: &str = "quota/";
 /// Key of the [`LimitsRecord`].
 pub const LIMITS: &str = "quota/limits";
 
-/// The key of a partition's allotment.
+/// The key of a partition's quota grant.
 pub fn quota_grant_key(partition: u64) -> String {
     format!("{QUOTA}{partition}")
 }
@@ -62,7 +62,7 @@
 const HOLDER_PAGES_FROM: u64 = PAGES_PER_PARTITION;
 /// Pages with this number or a higher one are the leader's, too.
 pub const HOLDER_PAGES_END: u64 = 96_000;
-/// So many page numbers belong to the holder of each partition, from its number times this on.
+/// Number of pages that belong to the holder of each partition, from its number times this on.
 /// An earlier version reads a page with a number of up to 100,000 as its own, whoever wrote it.
 pub const PAGES_PER_PARTITION: u64 = 1_000;
 
@@ -100,7 +100,7 @@
 }
 
 impl PartitionKey {
-    /// Reads a key; `None` if it is of neither kind.
+    /// Parses a key; `None` if it is of neither kind.
     pub fn parse(key: &str) -> Option<PartitionKey> {
         let rest = key.strip_prefix(PARTITION)?;
         match rest.strip_suffix(CLAIM) {
@@ -110,7 +110,7 @@
     }
 }
 
-/// The key of a job that is not over.
+/// The key of a job that is not finished.
 pub fn job_key(id: &str) -> String {
     format!("{JOB}{id}")
 }
@@ -120,7 +120,7 @@
     format!("{JOB}{id}{CANCEL}")
 }
 
-/// A key that says something of a live job.
+/// A key that belongs to a job that is not finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobKey<'a> {
     /// The record of the job with this id.
@@ -130,7 +130,7 @@
 }
 
 impl<'a> JobKey<'a> {
-    /// Reads a key; `None` if it says nothing of a live job.
+    /// Parses a key; `None` if it belongs to no such job.
     pub fn parse(key: &'a str) -> Option<JobKey<'a>> {
         if let Some(id) = key.strip_prefix(OLD_CANCEL) {
             return Some(JobKey::Cancelled(id));
@@ -146,92 +146,89 @@
 /// Tasks in one [`LegacyCompletedTasksRecord`].
 pub const DONE_SPAN: u64 = 2048;
 
-/// Who leads. The stamp of this record is the leader's fencing token.
+/// The elected leader. The `mod_revision` of this record is the leader's fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Its name.
+    /// Name of the leader.
     pub member: String,
     /// Distinguishes this process from an earlier one of the same member.
     pub incarnation: u64,
-    /// Whether it understands partitions. Under a leader that does not, nobody may hold one.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether the leader supports partitions. Under one that does not, nobody may hold a partition.
+    #[serde(default, skip_serializing_if = "crate::is_false")]
     pub partitions: bool,
-    /// Whether it grants allotments. Under a leader that does not, no holder writes assignments.
-    #[serde(default, skip_serializing_if = "is_false")]
+    /// Whether the leader grants quota. Under one that does not, no partition holder writes assignments.
+    #[serde(default, skip_serializing_if = "crate::is_false")]
     pub allotments: bool,
 }
 
-fn is_false(flag: &bool) -> bool {
-    !flag
-}
-
-/// A partition: machines of one zone that one member looks after.
+/// A partition: machines of one zone that are managed by one controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
     /// The zone of its machines.
     pub zone: String,
-    /// Its machines are those whose slot is not below this one ...
+    /// First hash slot of its machines.
     pub first_slot: u16,
-    /// ... and below this one. Neither ever changes as long as the partition exists.
+    /// The hash slot after the last one of its machines. Neither bound changes while the partition exists.
     pub end_slot: u16,
-    /// The member that is to hold it.
+    /// Name of the controller that is assigned to hold it.
     pub holder: String,
-    /// Time of day of its assignment to this member, in microseconds.
+    /// Time of the assignment to this controller, in microseconds since the Unix epoch.
     pub assigned_us: u64,
-    /// Why it was assigned to it, for operators.
+    /// Why it was assigned to this controller, for operators.
     pub reason: String,
 }
 
-/// A member's claim on a partition. The stamp of this record is the fencing token of its machines.
+/// A controller's claim on a partition. The `mod_revision` of this record is the fencing token for the
+/// partition's machines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionClaim {
-    /// Who holds the partition.
+    /// Name of the controller that holds the partition.
     pub member: String,
     /// Distinguishes this process from an earlier one of the same member.
     pub incarnation: u64,
-    /// Time of day of the claim, in microseconds.
+    /// Time of the claim, in microseconds since the Unix epoch.
     pub claimed_us: u64,
 }
 
-/// The guarantees and ceilings of all teams that are in force. Nobody acts on higher ones.
+/// The quotas of all teams that are in force. No controller acts on higher ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitsRecord {
     /// The teams.
     pub teams: Vec<TeamQuotaRecord>,
 }
 
-/// A team's guarantee and ceiling.
+/// A team's quota: guaranteed share and limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamQuotaRecord {
     /// The team.
     pub team: String,
-    /// CPUs guaranteed.
+    /// Guaranteed CPUs.
     #[serde(rename = "c", with = "amount_field")]
     pub cpus: f64,
-    /// CPUs at most.
+    /// Limit of CPUs.
     #[serde(rename = "cm", with = "amount_field")]
     pub cpus_max: f64,
-    /// Accelerators guaranteed.
+    /// Guaranteed GPUs.
     #[serde(rename = "g", with = "amount_field")]
     pub gpus: f64,
-    /// Accelerators at most.
+    /// Limit of GPUs.
     #[serde(rename = "gm", with = "amount_field")]
     pub gpus_max: f64,
 }
 
-/// What the tasks that the holder of a partition starts may use of the teams' ceilings.
+/// A quota grant: what the tasks that a partition holder starts may use of the teams' limits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrantRecord {
-    /// Number of this allotment; it grows with each change.
+    /// Number of this version of the grant; it increases with each change.
     pub number: u64,
-    /// The fencing token of the claim under which it was granted. Whoever claims the partition next takes
-    /// it over with the tasks that use it.
+    /// The fencing token of the claim under which it was granted. The next holder of the partition takes the
+    /// grant over, together with the tasks that use it.
     pub claim: u64,
-    /// The teams that have a share.
+    /// What each team may use; teams that are not listed may use nothing.
     pub teams: Vec<TeamAmount>,
 }
 
-/// CPUs and accelerators of a team.
+/// An amount of CPUs and GPUs of a team.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamAmount {
     /// The team.
@@ -240,12 +237,12 @@
     /// Millionths of a CPU.
     #[serde(rename = "c")]
     pub cpus: u64,
-    /// Millionths of an accelerator.
+    /// Millionths of a GPU.
     #[serde(rename = "g", default)]
     pub gpus: u64,
 }
 
-/// Amounts are written as floats and may be read as integers.
+/// Amounts, which are written as floats and may be read as integers.
 mod amount_field {
     use serde::{Deserializer, Serializer};
 
@@ -261,25 +258,25 @@
 /// An accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What was submitted.
+    /// The submission.
     pub spec: Submission,
-    /// Time of day of acceptance, in microseconds.
+    /// Time of acceptance, in microseconds since the Unix epoch.
     pub accepted_us: u64,
 }
 
-/// A cancellation that a user asked for.
+/// A cancellation that a user requested.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CancelRecord {
-    /// Time of day of the cancellation, in microseconds.
+    /// Time of the cancellation, in microseconds since the Unix epoch.
     pub cancelled_us: u64,
 }
 
-/// A job that is over.
+/// A finished job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinishedJobRecord {
     /// `done` or `aborted`.
     pub status: String,
-    /// Number of its tasks.
+    /// Number of the job's tasks.
     #[serde(rename = "shards")]
     pub tasks: u64,
 }
@@ -311,7 +308,7 @@
     /// The machine's name.
     #[serde(rename = "m")]
     pub machine: String,
-    /// The worker's session.
+    /// The agent's incarnation.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
     /// The machine's zone.
@@ -321,7 +318,7 @@
     pub assignments: Vec<(String, u64, u64)>,
 }
 
-/// A rental request, written before it is sent.
+/// A request to provision machines, written before it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRecord {
     /// The machine type.
@@ -332,17 +329,17 @@
     pub spot: bool,
     /// How many machines are wanted.
     pub number: u64,
-    /// Time of day of the first request, in microseconds.
+    /// Time of the first request, in microseconds since the Unix epoch.
     pub requested_us: u64,
 }
 
-/// Learnt averages, for the next leader.
+/// Observed averages, which the next leader starts with.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StatsRecord {
     /// `(class, machine type, mean run time in microseconds, weight)`.
     pub runs: Vec<(String, String, u64, f64)>,
     /// `(machine type, mean boot time in microseconds, weight)`.
     pub boots: Vec<(String, u64, f64)>,
-    /// `(class, mean ratio of run time to the owner's estimate, weight)`.
+    /// `(class, mean ratio of run time to the user's estimate, weight)`.
     pub ratios: Vec<(String, f64, f64)>,
 }
