--- a/crates/grebewood/src/config.rs
+++ b/crates/grebewood/src/config.rs
@@ -314,5 +314,7 @@
     Ok(tuning)
 }
 
+#[cfg(test)]
+mod format_tests;
 #[cfg(test)]
 mod tests;
