--- a/crates/grebewood/src/config/tests.rs
+++ b/crates/grebewood/src/config/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use super::parse;
+use grebewood_core::settings::StoreLimits;
 
 const GOOD: &str = r#"
 member = "a"
@@ -110,7 +111,7 @@
             "cluster.state.next.write_rps",
         ),
     ] {
-        let error = parse(&GOOD.replace(from, to)).expect_err(field);
+        let error = parse(&GOOD.replace(from, to)).expect_err(field).to_string();
         assert!(error.contains(field), "{error}");
         assert!(!error.contains('\n'), "{error}");
     }
--- a/crates/grebewood/src/main.rs
+++ b/crates/grebewood/src/main.rs
@@ -1,17 +1,23 @@
-//! `grebewood`: a cluster scheduler. This program is one controller.
+//! `grebewood`: a cluster scheduler. This program is one controller, and the commands for its operators.
 
 mod config;
+mod logging;
 mod partitions;
 mod quota;
 mod store;
 
 use clap::{Parser, Subcommand};
+use config::ConfigError;
 use grebewood_core::Controller;
+use grebewood_net::ServeError;
 use log::{error, info};
-use std::io::Write;
-use std::path::PathBuf;
+use serde::Serialize;
+use std::error::Error;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
+use store::ReadError;
 
 /// A cluster scheduler: rents machines by the second and runs batch jobs on them.
 #[derive(Parser)]
@@ -52,76 +58,90 @@
     },
 }
 
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error("cannot serve")]
+    Serve(#[from] ServeError),
+    #[error(transparent)]
+    Read(#[from] ReadError),
+    #[error("cannot encode the output")]
+    Encode(#[from] serde_json::Error),
+    #[error("cannot write to standard output")]
+    Write(#[from] io::Error),
+}
+
+/// Exit codes: 0 for success, 1 for any [`CommandError`]; `clap` exits with 2 for a wrong command line.
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    start_log();
-    let outcome = match cli.command {
-        Command::Serve { config, tuning } => serve(&config, tuning.as_deref()),
-        Command::Partitions { config, json } => show_partitions(&config, json),
-        Command::Quota { config, json } => show_quota(&config, json),
-    };
-    match outcome {
+    logging::init();
+    match run(cli.command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            error!("{e}");
+        Err(error) => {
+            error!("{}", with_causes(&error));
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(config: &std::path::Path, tuning: Option<&std::path::Path>) -> Result<(), String> {
+fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Serve { config, tuning } => serve(&config, tuning.as_deref()),
+        Command::Partitions { config, json } => show_partitions(&config, json),
+        Command::Quota { config, json } => show_quota(&config, json),
+    }
+}
+
+fn serve(config: &Path, tuning: Option<&Path>) -> Result<(), CommandError> {
     let tuning = config::load_tuning(tuning)?;
     let (settings, endpoints) = config::load(config)?;
-    info!("{} in {}", settings.member, settings.zone);
-    let time = SystemTime::now()
+    info!(member:% = settings.member, zone:% = settings.zone; "controller starts");
+    let controller = Controller::new(settings, tuning, random_seed());
+    grebewood_net::run(controller, endpoints)?;
+    Ok(())
+}
+
+/// A seed that differs between processes that start in the same moment.
+fn random_seed() -> u64 {
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    let seed = time.as_nanos() as u64 ^ (std::process::id() as u64) << 48;
-    let node = Controller::new(settings, tuning, seed);
-    grebewood_net::run(node, endpoints).map_err(|e| format!("cannot serve: {e}"))
+    since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()) << 48
 }
 
-fn show_partitions(config: &std::path::Path, json: bool) -> Result<(), String> {
+fn show_partitions(config: &Path, json: bool) -> Result<(), CommandError> {
     let (_, endpoints) = config::load(config)?;
-    let overview = partitions::read(endpoints.store).map_err(|e| e.to_string())?;
+    let overview = partitions::read(endpoints.store)?;
     print(&overview, json, overview.to_text())
 }
 
-fn show_quota(config: &std::path::Path, json: bool) -> Result<(), String> {
+fn show_quota(config: &Path, json: bool) -> Result<(), CommandError> {
     let (_, endpoints) = config::load(config)?;
-    let overview = quota::read(endpoints.store).map_err(|e| e.to_string())?;
+    let overview = quota::read(endpoints.store)?;
     print(&overview, json, overview.to_text())
 }
 
-/// Prints something as text or as JSON.
-fn print<T: serde::Serialize>(shown: &T, json: bool, text: String) -> Result<(), String> {
-    let text = match json {
-        true => serde_json::to_string_pretty(shown).map_err(|e| e.to_string())? + "\n",
-        false => text,
+/// Prints an overview as text or as JSON.
+fn print<T: Serialize>(overview: &T, json: bool, text: String) -> Result<(), CommandError> {
+    let output = if json {
+        serde_json::to_string_pretty(overview)? + "\n"
+    } else {
+        text
     };
-    let written = std::io::stdout().write_all(text.as_bytes());
-    written.map_err(|e| format!("cannot write: {e}"))
+    io::stdout().write_all(output.as_bytes())?;
+    Ok(())
 }
 
-/// Logs go to standard error, in the amount given by `LOG_LEVEL`.
-fn start_log() {
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("debug") => log::LevelFilter::Debug,
-        Ok("info") => log::LevelFilter::Info,
-        Ok("error") => log::LevelFilter::Error,
-        _ => log::LevelFilter::Warn,
-    };
-    env_logger::Builder::new()
-        .filter_level(level)
-        .format(|out, record| {
-            writeln!(
-                out,
-                "{:<5} {}: {}",
-                record.level(),
-                record.target().trim_start_matches("grebewood_"),
-                record.args()
-            )
-        })
-        .target(env_logger::Target::Stderr)
-        .init();
+/// An error and the chain of its causes, on one line.
+fn with_causes(error: &dyn Error) -> String {
+    let mut line = error.to_string();
+    let mut cause = error.source();
+    while let Some(error) = cause {
+        line.push_str(": ");
+        line.push_str(&error.to_string());
+        cause = error.source();
+    }
+    line
 }
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -1,4 +1,4 @@
-//! `grebewood quota`: what the teams may use, and what they do.
+//! `grebewood quota`: what the teams may use, and what they use.
 
 use crate::store::{self, ReadError};
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
@@ -11,36 +11,35 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What one task of a job takes, and of whose limit.
-#[derive(Clone)]
-struct TaskOf {
+/// What one task of a job counts towards its team's limit.
+struct TaskUsage {
     team: String,
     amount: Resources,
 }
 
-/// Reads the overview.
-pub fn read(server: SocketAddr) -> Result<Overview, ReadError> {
+/// Reads the overview from the key-value store at this address.
+pub fn read(store: SocketAddr) -> Result<Overview, ReadError> {
     let mut records = Records {
-        leader: store::leader(server)?,
+        leader: store::leader(store)?,
         ..Records::default()
     };
-    let map = store::partitions(server)?;
-    let held = map
+    let partitions = store::partitions(store)?;
+    let held = partitions
         .iter()
         .filter(|(_, partition)| partition.claim.is_some());
     records.held = held.map(|(id, _)| id).collect();
-    for entry in store::list(server, QUOTA)? {
-        take_quota(&mut records, &entry);
+    for entry in store::list(store, QUOTA)? {
+        add_quota_record(&mut records, &entry);
     }
-    let pages = store::list(server, PAGE)?;
-    let jobs = tasks_of_jobs(&store::list(server, JOB)?);
+    let pages = store::list(store, PAGE)?;
+    let jobs = task_usage_by_job(&store::list(store, JOB)?);
     for page in &pages {
-        take_page(&mut records, &jobs, page);
+        add_assignments(&mut records, &jobs, page);
     }
     Ok(Overview::of(&records))
 }
 
-fn take_quota(records: &mut Records, entry: &KeyValue<Value>) {
+fn add_quota_record(records: &mut Records, entry: &KeyValue<Value>) {
     if entry.key == LIMITS {
         match from_value::<LimitsRecord>(&entry.value) {
             Ok(record) => records.limits = Some(Limits::from_teams(&record.teams)),
@@ -51,12 +50,12 @@
     }
 }
 
-fn tasks_of_jobs(entries: &[KeyValue<Value>]) -> BTreeMap<String, TaskOf> {
+fn task_usage_by_job(entries: &[KeyValue<Value>]) -> BTreeMap<String, TaskUsage> {
     let mut jobs = BTreeMap::new();
     for entry in entries {
         let record = from_value::<JobRecord>(&entry.value);
         if let (Some(JobKey::Live(id)), Ok(record)) = (JobKey::parse(&entry.key), record) {
-            let task = TaskOf {
+            let task = TaskUsage {
                 team: record.spec.team.clone(),
                 amount: Resources::of(record.spec.cpus, record.spec.gpus),
             };
@@ -66,15 +65,22 @@
     jobs
 }
 
-/// Tasks of jobs that are over are gone, or about to be.
-fn take_page(records: &mut Records, jobs: &BTreeMap<String, TaskOf>, entry: &KeyValue<Value>) {
+/// Adds the tasks of a page of assignments. Those of finished jobs have ended or are about to be stopped.
+fn add_assignments(
+    records: &mut Records,
+    jobs: &BTreeMap<String, TaskUsage>,
+    entry: &KeyValue<Value>,
+) {
     let Ok(page) = from_value::<PageRecord>(&entry.value) else {
         records.unreadable_pages.push(entry.key.clone());
         return;
     };
     let number = entry.key.rsplit_once('/').map(|(_, number)| number.parse());
     let partition = number.and_then(Result::ok).and_then(partition_of_page);
-    let assignments = page.machines.iter().flat_map(|m| &m.assignments);
+    let assignments = page
+        .machines
+        .iter()
+        .flat_map(|machine| &machine.assignments);
     let tasks = assignments.filter_map(|(job, _, _)| jobs.get(job));
     records.tasks.extend(tasks.map(|task| RecordedTask {
         partition,
--- a/crates/grebewood/src/store.rs
+++ b/crates/grebewood/src/store.rs
@@ -1,77 +1,104 @@
-//! What the commands for operators read from the state service, which needs no leader.
+//! What the commands for operators read from the key-value store, which needs no leader.
 
 use grebewood_net::blocking;
 use grebewood_partition::PartitionMap;
-use grebewood_wire::from_cbor;
 use grebewood_wire::http::{KeyValue, KeyValueList};
 use grebewood_wire::records::{LeaderRecord, LEADER, PARTITION};
-use grebewood_wire::Value;
-use std::fmt;
+use grebewood_wire::{from_cbor, DecodeError, Value};
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// Why something cannot be shown.
-#[derive(Debug)]
+/// Keys that are read with one request.
+const PAGE_SIZE: usize = 200;
+
+/// The store could not be read.
+#[derive(Debug, Error)]
 pub enum ReadError {
-    /// The state service does not answer.
-    Unreachable(SocketAddr, std::io::Error),
-    /// It refuses.
-    Refused(u16),
-    /// Its answer cannot be read.
-    Unreadable(String),
+    /// The store does not answer.
+    #[error("key-value store {address}")]
+    Unreachable {
+        /// Address of the store.
+        address: SocketAddr,
+        /// The cause.
+        #[source]
+        source: blocking::RequestError,
+    },
+    /// The store answers with an HTTP status that is not expected.
+    #[error("the key-value store answers {status} to GET {path}")]
+    Refused {
+        /// The HTTP status.
+        status: u16,
+        /// What was to be read.
+        path: String,
+    },
+    /// The store's response cannot be decoded.
+    #[error("response of the key-value store to GET {path}")]
+    Unreadable {
+        /// What was to be read.
+        path: String,
+        /// The cause.
+        #[source]
+        source: DecodeError,
+    },
 }
 
-impl fmt::Display for ReadError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ReadError::Unreachable(server, why) => write!(f, "state service {server}: {why}"),
-            ReadError::Refused(status) => write!(f, "the state service answers {status}"),
-            ReadError::Unreadable(why) => write!(f, "the state service's answer: {why}"),
-        }
-    }
+fn get(store: SocketAddr, path: &str) -> Result<blocking::Response, ReadError> {
+    blocking::get(store, path).map_err(|source| ReadError::Unreachable {
+        address: store,
+        source,
+    })
 }
 
-fn get(state: SocketAddr, path: &str) -> Result<blocking::Answer, ReadError> {
-    blocking::get(state, path).map_err(|why| ReadError::Unreachable(state, why))
+fn refused(status: u16, path: &str) -> ReadError {
+    let path = path.to_string();
+    ReadError::Refused { status, path }
 }
 
-/// All keys with this prefix, page by page.
-pub fn list(state: SocketAddr, prefix: &str) -> Result<Vec<KeyValue<Value>>, ReadError> {
+fn unreadable(path: &str) -> impl FnOnce(DecodeError) -> ReadError {
+    let path = path.to_string();
+    move |source| ReadError::Unreadable { path, source }
+}
+
+/// Reads all keys with this prefix, page by page.
+pub fn list(store: SocketAddr, prefix: &str) -> Result<Vec<KeyValue<Value>>, ReadError> {
     let mut entries = Vec::new();
-    let mut after = String::new();
+    let mut continuation = String::new();
     loop {
-        let answer = get(state, &format!("/kv?prefix={prefix}{after}&page=200"))?;
-        if answer.status != 200 {
-            return Err(ReadError::Refused(answer.status));
+        let path = format!("/kv?prefix={prefix}{continuation}&page={PAGE_SIZE}");
+        let response = get(store, &path)?;
+        if response.status != 200 {
+            return Err(refused(response.status, &path));
         }
-        let list: KeyValueList =
-            from_cbor(&answer.body).map_err(|e| ReadError::Unreadable(e.to_string()))?;
-        let last = list.entries.last().map(|entry| entry.key.clone());
-        entries.extend(list.entries);
-        match last.filter(|_| list.more) {
-            Some(last) => after = format!("&since={last}"),
-            None => return Ok(entries),
+        let page: KeyValueList = from_cbor(&response.body).map_err(unreadable(&path))?;
+        let last_key = page.entries.last().map(|entry| entry.key.clone());
+        entries.extend(page.entries);
+        match last_key {
+            Some(key) if page.more => continuation = format!("&since={key}"),
+            _ => return Ok(entries),
         }
     }
 }
 
-/// Who leads, if anybody does.
-pub fn leader(state: SocketAddr) -> Result<Option<String>, ReadError> {
-    let answer = get(state, &format!("/kv/{LEADER}"))?;
-    match answer.status {
+/// The name of the leader, if there is one.
+pub fn leader(store: SocketAddr) -> Result<Option<String>, ReadError> {
+    let path = format!("/kv/{LEADER}");
+    let response = get(store, &path)?;
+    match response.status {
         404 => Ok(None),
-        200 => match from_cbor::<KeyValue<LeaderRecord>>(&answer.body) {
-            Ok(entry) => Ok(Some(entry.value.member)),
-            Err(e) => Err(ReadError::Unreadable(e.to_string())),
-        },
-        status => Err(ReadError::Refused(status)),
+        200 => {
+            let entry: KeyValue<LeaderRecord> =
+                from_cbor(&response.body).map_err(unreadable(&path))?;
+            Ok(Some(entry.value.member))
+        }
+        status => Err(refused(status, &path)),
     }
 }
 
-/// The partitions and who holds them.
-pub fn partitions(state: SocketAddr) -> Result<PartitionMap, ReadError> {
+/// The partitions and their holders.
+pub fn partitions(store: SocketAddr) -> Result<PartitionMap, ReadError> {
     let mut map = PartitionMap::default();
-    for entry in list(state, PARTITION)? {
-        // What cannot be read is part of what is shown.
+    for entry in list(store, PARTITION)? {
+        // The map remembers the keys of unreadable records, which the overview shows.
         let _ = map.put(&entry.key, &entry.value, entry.mod_revision);
     }
     Ok(map)
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,144 +1,167 @@
-//! HTTP/1.1 heads: reading with `httparse`, writing plain.
+//! HTTP/1.1 messages: parsed with `httparse`, written by hand.
 
 use std::fmt::Write as _;
 
-/// Longest head of a request or response.
+/// Content type of bodies for users, agents, the cloud and the key-value store.
+pub const CBOR: &str = "application/cbor";
+/// Content type of bodies between controllers.
+pub const MESSAGE_PACK: &str = "application/msgpack";
+/// Content type of refusals of what could not be read.
+pub const TEXT: &str = "text/plain";
+
+/// Longest head of a request or response, in bytes.
 pub const HEAD_LIMIT: usize = 8 * 1024;
-/// Longest request body.
+/// Largest request body, in bytes.
 pub const REQUEST_LIMIT: usize = 64 * 1024;
-/// Largest body of a request of another controller: the leader tells a partition's next holder all tasks
-/// that may be on its machines at once.
+/// Largest body of a request of another controller, in bytes: the leader sends a partition's next holder all
+/// tasks that may be on its machines at once.
 pub const PEER_REQUEST_LIMIT: usize = 4 * 1024 * 1024;
-/// Longest response body that is read: a watch's answer has no limit of its own.
+/// Largest response body that is read, in bytes: the response to a watch has no limit of its own.
 pub const RESPONSE_LIMIT: usize = 4 * 1024 * 1024;
-const MOST_HEADERS: usize = 48;
+/// Most headers of a message.
+const MAX_HEADERS: usize = 48;
+/// Room for a head that is written, in bytes.
+const HEAD_CAPACITY: usize = 160;
 
-/// What a buffer holds of a message.
+/// What a buffer contains of a message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
     /// More bytes are needed.
     Partial,
-    /// A whole message of this many bytes.
+    /// A whole message, and its length in bytes.
     Whole(T, usize),
-    /// Not acceptable: the status to answer with, and why.
+    /// An invalid message: the status to answer with, and why.
     Bad(u16, &'static str),
-    /// A response that announces more than is taken.
+    /// A response whose body is larger than [`RESPONSE_LIMIT`].
     TooLarge,
 }
 
 /// A request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
+    /// The method.
     pub method: String,
+    /// The path, without the query.
     pub path: String,
+    /// The body.
     pub body: Vec<u8>,
+    /// Whether the connection is to be closed after the response.
     pub close: bool,
 }
 
 /// A response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
+    /// The status.
     pub status: u16,
+    /// The body.
     pub body: Vec<u8>,
+    /// Whether the connection cannot be used again.
     pub close: bool,
 }
 
+/// The status to answer with, and why.
+type Rejection = (u16, &'static str);
+
+/// What the headers say of the length of the body and the end of the connection.
 struct Framing {
-    length: Option<usize>,
+    content_length: Option<usize>,
     close: bool,
 }
 
-/// Reads the headers that matter. The error is the status to refuse with.
-fn framing(headers: &[httparse::Header], old: bool) -> Result<Framing, (u16, &'static str)> {
-    let mut f = Framing {
-        length: None,
-        close: old,
+/// Reads the headers that matter. In HTTP/1.0 a connection is closed unless the headers say otherwise.
+fn parse_framing(headers: &[httparse::Header], is_http_1_0: bool) -> Result<Framing, Rejection> {
+    let mut framing = Framing {
+        content_length: None,
+        close: is_http_1_0,
     };
-    for h in headers {
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let text = std::str::from_utf8(h.value).unwrap_or("").trim();
-            if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-                return Err((400, "invalid content-length"));
-            }
-            let length = text.parse().map_err(|_| (413, "body too large"))?;
-            if f.length.is_some_and(|l| l != length) {
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let length = parse_content_length(header.value)?;
+            if framing.content_length.is_some_and(|other| other != length) {
                 return Err((400, "contradicting content-length"));
             }
-            f.length = Some(length);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
+            framing.content_length = Some(length);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err((501, "transfer-encoding is not supported"));
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            let value = String::from_utf8_lossy(h.value).to_ascii_lowercase();
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            let value = String::from_utf8_lossy(header.value).to_ascii_lowercase();
             if value.contains("close") {
-                f.close = true;
+                framing.close = true;
             } else if value.contains("keep-alive") {
-                f.close = false;
+                framing.close = false;
             }
         }
     }
-    Ok(f)
+    Ok(framing)
 }
 
-/// Reads a request from the start of `buf`, whose body may have so many bytes.
-pub fn parse_request(buf: &[u8], limit: usize) -> Parsed<Request> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+fn parse_content_length(value: &[u8]) -> Result<usize, Rejection> {
+    let text = std::str::from_utf8(value).unwrap_or("").trim();
+    if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
+        return Err((400, "invalid content-length"));
+    }
+    text.parse().map_err(|_| (413, "body too large"))
+}
+
+/// Parses a request at the start of `buffer`, whose body may have up to `body_limit` bytes.
+pub fn parse_request(buffer: &[u8], body_limit: usize) -> Parsed<Request> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let head = match request.parse(buf) {
-        Ok(httparse::Status::Complete(n)) if n <= HEAD_LIMIT => n,
-        Ok(httparse::Status::Partial) if buf.len() <= HEAD_LIMIT => return Parsed::Partial,
+    let head = match request.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) if length <= HEAD_LIMIT => length,
+        Ok(httparse::Status::Partial) if buffer.len() <= HEAD_LIMIT => return Parsed::Partial,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Bad(431, "head too large"),
         Err(_) => return Parsed::Bad(400, "not HTTP"),
     };
-    let old = request.version == Some(0);
-    let framing = match framing(request.headers, old) {
-        Ok(f) => f,
-        Err((status, why)) => return Parsed::Bad(status, why),
+    let framing = match parse_framing(request.headers, request.version == Some(0)) {
+        Ok(framing) => framing,
+        Err((status, reason)) => return Parsed::Bad(status, reason),
     };
-    let length = framing.length.unwrap_or(0);
-    if length > limit {
+    let length = framing.content_length.unwrap_or(0);
+    if length > body_limit {
         return Parsed::Bad(413, "body too large");
     }
-    if buf.len() < head + length {
+    if buffer.len() < head + length {
         return Parsed::Partial;
     }
     let path = request.path.unwrap_or("/");
     let request = Request {
         method: request.method.unwrap_or("").to_string(),
         path: path.split('?').next().unwrap_or(path).to_string(),
-        body: buf[head..head + length].to_vec(),
+        body: buffer[head..head + length].to_vec(),
         close: framing.close,
     };
     Parsed::Whole(request, head + length)
 }
 
-/// Reads a response from the start of `buf`.
-pub fn parse_response(buf: &[u8], ended: bool) -> Parsed<Response> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Parses a response at the start of `buffer`; `ended`: the other side will send nothing more.
+pub fn parse_response(buffer: &[u8], ended: bool) -> Parsed<Response> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let head = match response.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() <= HEAD_LIMIT && !ended => {
+    let head = match response.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) if buffer.len() <= HEAD_LIMIT && !ended => {
             return Parsed::Partial
         }
         _ => return Parsed::Bad(502, "not an HTTP response"),
     };
-    let old = response.version == Some(0);
-    let framing = match framing(response.headers, old) {
-        Ok(f) => f,
-        Err((_, why)) => return Parsed::Bad(502, why),
+    let framing = match parse_framing(response.headers, response.version == Some(0)) {
+        Ok(framing) => framing,
+        Err((_, reason)) => return Parsed::Bad(502, reason),
     };
     let status = response.code.unwrap_or(0);
-    let length = match framing.length {
-        Some(n) => n,
+    let length = match framing.content_length {
+        Some(length) => length,
         None if status == 204 || status == 304 => 0,
         // Without a length, the body lasts until the connection ends.
-        None if ended => buf.len() - head,
+        None if ended => buffer.len() - head,
         None => return Parsed::Partial,
     };
     if length > RESPONSE_LIMIT {
         return Parsed::TooLarge;
     }
-    if buf.len() < head + length {
+    if buffer.len() < head + length {
         if ended {
             return Parsed::Bad(502, "response cut short");
         }
@@ -146,13 +169,14 @@
     }
     let response = Response {
         status,
-        body: buf[head..head + length].to_vec(),
-        close: framing.close || framing.length.is_none() || ended,
+        body: buffer[head..head + length].to_vec(),
+        close: framing.close || framing.content_length.is_none() || ended,
     };
     Parsed::Whole(response, head + length)
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status that this process answers with.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -172,48 +196,61 @@
     }
 }
 
-/// Writes a response.
-pub fn write_response(
-    out: &mut Vec<u8>,
-    status: u16,
-    content: &str,
-    body: &[u8],
-    retry_after: Option<u32>,
-    close: bool,
-) {
-    let mut head = String::with_capacity(160);
+/// The head of a response.
+pub struct ResponseHead {
+    /// The status.
+    pub status: u16,
+    /// The content type of the body.
+    pub content_type: &'static str,
+    /// When the request may be repeated, in seconds.
+    pub retry_after_s: Option<u32>,
+    /// Whether the connection is closed after the response.
+    pub close: bool,
+}
+
+/// Appends a response to `output`.
+pub fn write_response(output: &mut Vec<u8>, head: &ResponseHead, body: &[u8]) {
+    let mut text = String::with_capacity(HEAD_CAPACITY);
     let _ = write!(
-        head,
-        "HTTP/1.1 {status} {}\r\nContent-Type: {content}\r\nContent-Length: {}\r\n",
-        reason(status),
+        text,
+        "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
+        head.status,
+        reason_phrase(head.status),
+        head.content_type,
         body.len()
     );
-    if let Some(s) = retry_after {
-        let _ = write!(head, "Retry-After: {s}\r\n");
+    if let Some(seconds) = head.retry_after_s {
+        let _ = write!(text, "Retry-After: {seconds}\r\n");
     }
-    if close {
-        head.push_str("Connection: close\r\n");
+    if head.close {
+        text.push_str("Connection: close\r\n");
     }
-    head.push_str("\r\n");
-    out.extend_from_slice(head.as_bytes());
-    out.extend_from_slice(body);
+    text.push_str("\r\n");
+    output.extend_from_slice(text.as_bytes());
+    output.extend_from_slice(body);
 }
 
-/// Writes a request.
-pub fn write_request(method: &str, path: &str, host: &str, content: &str, body: &[u8]) -> Vec<u8> {
-    let mut head = String::with_capacity(160);
+/// Encodes a request.
+pub fn write_request(
+    method: &str,
+    path: &str,
+    host: &str,
+    content_type: &str,
+    body: &[u8],
+) -> Vec<u8> {
+    let mut head = String::with_capacity(HEAD_CAPACITY);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
         let _ = write!(
             head,
-            "Content-Type: {content}\r\nContent-Length: {}\r\n",
+            "Content-Type: {content_type}\r\nContent-Length: {}\r\n",
             body.len()
         );
     }
     head.push_str("\r\n");
-    let mut out = head.into_bytes();
-    out.extend_from_slice(body);
-    out
+    let mut request = head.into_bytes();
+    request.extend_from_slice(body);
+    request
 }
 
 #[cfg(test)]
