--- a/crates/core/src/state/stats/tests.rs
+++ b/crates/core/src/state/stats/tests.rs
@@ -2,12 +2,12 @@
 use grebewood_wire::http::to_value;
 use grebewood_wire::json_size;
 
-/// Classes are the users' words: their averages once could have grown beyond any value.
+/// Users name classes freely: the averages by class must not grow beyond the size of a value.
 #[test]
-fn the_record_keeps_what_weighs_most_within_a_limit() {
+fn the_record_keeps_the_averages_of_most_weight_within_a_limit() {
     let mut stats = Stats::default();
-    for k in 0..100 {
-        let (class, weight) = (format!("class-{k:03}"), f64::from(k));
+    for number in 0..100 {
+        let (class, weight) = (format!("class-{number:03}"), f64::from(number));
         let mean = Mean { value: 1.5, weight };
         stats.ratios.insert(class.clone(), mean);
         stats.runs.insert((class, "std".into()), mean);
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -1,4 +1,4 @@
-//! What unit tests of several parts share.
+//! Fixtures and helpers of the unit tests of several modules.
 
 use crate::controller::Controller;
 use crate::settings::{Settings, Sibling, Tuning};
@@ -6,9 +6,19 @@
 use grebewood_wire::http::{Heartbeat, Priority, Submission};
 use grebewood_wire::records::JobRecord;
 
+/// Time of day at time zero of the steady clock, in microseconds since 1970.
 pub const WALL: u64 = 1_700_000_000 * SECOND;
 
-/// A node that has its grant, and has read nothing yet.
+/// The fencing token under which [`unread_leader`] leads.
+const TOKEN: u64 = 7;
+
+/// The store lease of [`unread_leader`].
+const LEASE: u64 = 1;
+
+/// Step by which [`pass`] lets time advance, in microseconds: a long one would count as a process pause.
+const STEP: Micros = 500 * MILLI;
+
+/// A controller that has just become the leader, and has read no records yet.
 pub fn unread_leader(now: Micros) -> Controller {
     let settings = Settings {
         siblings: vec![Sibling {
@@ -17,13 +27,14 @@
         }],
         ..Settings::default()
     };
-    let mut node = Controller::new(settings, Tuning::default(), 1);
-    tick(&mut node, now);
-    node.become_leader(7, 1);
-    node
+    let seed = 1;
+    let mut controller = Controller::new(settings, Tuning::default(), seed);
+    tick(&mut controller, now);
+    controller.become_leader(TOKEN, LEASE);
+    controller
 }
 
-/// The record of `req-1`, an array of so many tasks that was just accepted.
+/// The record of `req-1`, a batch job of so many tasks that was just accepted.
 pub fn job_record(tasks: u64) -> JobRecord {
     let spec = Submission {
         id: "req-1".into(),
@@ -53,7 +64,7 @@
     }
 }
 
-/// The first report of a machine without tasks, which has seen no token yet.
+/// The first heartbeat of a machine without tasks, whose agent has seen no fencing token yet.
 pub fn first_heartbeat() -> Heartbeat {
     Heartbeat {
         machine: "n-000001".into(),
@@ -69,6 +80,7 @@
     }
 }
 
+/// Both clocks when the steady one is at `now`.
 pub fn clocks(now: Micros) -> Now {
     Now {
         steady: now,
@@ -76,13 +88,14 @@
     }
 }
 
-pub fn tick(node: &mut Controller, now: Micros) {
-    node.step(clocks(now), Input::Tick, &mut NoStopwatch);
+/// Tells the controller that it is `now`.
+pub fn tick(controller: &mut Controller, now: Micros) {
+    controller.step(clocks(now), Input::Tick, &mut NoStopwatch);
 }
 
-/// Time passes, in small steps: a long one would be a standstill.
-pub fn pass(node: &mut Controller, from: Micros, to: Micros) {
-    for now in (from..to).step_by(500 * MILLI as usize) {
-        tick(node, now);
+/// Lets time advance in small steps.
+pub fn pass(controller: &mut Controller, from: Micros, to: Micros) {
+    for now in (from..to).step_by(STEP as usize) {
+        tick(controller, now);
     }
 }
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: what is accepted, and when a replica is started again.
+//! Jobs: which submissions fit the store, when a replica is started again, and how a job that starved catches up.
 
 use grebewood_core::state::jobs::{check_fields, check_size, Job};
 use grebewood_core::SECOND;
@@ -30,10 +30,10 @@
     }
 }
 
-/// No exit of a replica ends it for good: at first it is started again at once, then after
-/// growing pauses, and a long run begins a new row. Others of its job do not wait for it.
+/// No exit of a replica ends it for good: at first it is started again at once, then after a growing backoff, which a
+/// long run resets. Other replicas of its job do not wait for it.
 #[test]
-fn a_replica_that_keeps_ending_is_started_with_growing_pauses() {
+fn a_replica_that_keeps_ending_is_restarted_with_growing_backoff() {
     let record = JobRecord {
         spec: submission("daemon", 2),
         accepted_us: 0,
@@ -41,7 +41,7 @@
     let mut job = Job::new(record, 0, 0);
     assert!(!job.complete(0) && !job.all_done());
     let mut now = 100 * SECOND;
-    let mut pauses = Vec::new();
+    let mut backoffs_s = Vec::new();
     for ran in [SECOND, SECOND, SECOND, 90 * SECOND, 0, 0, 0, 0, 0, 0, 0, 0] {
         job.replica_ended(0, "n-000001", ran, now);
         let from = now;
@@ -50,29 +50,30 @@
             now += SECOND;
         }
         assert_eq!(job.placeable(now), 2);
-        pauses.push((now - from) / SECOND);
+        backoffs_s.push((now - from) / SECOND);
     }
-    assert_eq!(pauses, [0, 1, 2, 0, 1, 2, 4, 8, 16, 30, 30, 30]);
+    assert_eq!(backoffs_s, [0, 1, 2, 0, 1, 2, 4, 8, 16, 30, 30, 30]);
     assert!(job.avoids("n-000001", now) && !job.avoids("n-000002", now));
 }
 
+/// The store refuses values beyond its limit: such a job must not be refused as if a retry could help.
 #[test]
-fn a_record_that_state_could_not_hold_is_refused_for_good() {
-    let mut s = submission("batch", 1);
-    assert_eq!(check_fields(&s), Ok(()));
-    assert_eq!(check_size(&s, 2048), Ok(()));
-    assert_eq!(check_size(&s, 4096), Ok(()));
-    s.machine_types = Some(vec!["g".repeat(100); 40]);
-    assert_eq!(check_fields(&s), Ok(()));
-    assert!(check_size(&s, 4096).is_err());
-    assert_eq!(check_size(&s, 16_384), Ok(()));
+fn a_job_whose_record_exceeds_the_limit_of_a_value_is_invalid() {
+    let mut large = submission("batch", 1);
+    assert_eq!(check_fields(&large), Ok(()));
+    assert_eq!(check_size(&large, 2048), Ok(()));
+    assert_eq!(check_size(&large, 4096), Ok(()));
+    large.machine_types = Some(vec!["g".repeat(100); 40]);
+    assert_eq!(check_fields(&large), Ok(()));
+    assert!(check_size(&large, 4096).is_err());
+    assert_eq!(check_size(&large, 16_384), Ok(()));
 }
 
-/// A small job that starved places all of its tasks ahead of others, a larger one what finds room at
-/// once; then it has to starve again. The tasks of a small one are not stopped for normal priority.
+/// A small job that starved places all of its tasks ahead of others, a larger one what finds free resources at once;
+/// then it has to starve again. The tasks of a small one are not preempted for normal priority.
 #[test]
 fn a_small_job_that_starved_catches_up_with_all_of_its_tasks() {
-    for (tasks, ahead, aged) in [
+    for (tasks, placed_ahead, aged_priority) in [
         (4, 4, Priority::Normal),
         (8, 8, Priority::Normal),
         (9, 1, Priority::Idle),
@@ -99,9 +100,9 @@
             job.begin_catch_up(now);
             placed += 1;
         }
-        assert_eq!(placed, ahead, "of {tasks} tasks");
-        assert_eq!(job.preemption_priority(), aged);
+        assert_eq!(placed, placed_ahead, "of {tasks} tasks");
+        assert_eq!(job.preemption_priority(), aged_priority);
         job.begin_catch_up(now + 71 * SECOND);
-        assert_eq!(job.catching_up().is_some(), tasks > ahead);
+        assert_eq!(job.catching_up().is_some(), tasks > placed_ahead);
     }
 }
--- a/crates/core/tests/odd_submissions.rs
+++ b/crates/core/tests/odd_submissions.rs
@@ -1,15 +1,16 @@
-//! What a submission may hold, field by field.
+//! What a submission may hold, field by field. Fields are named as on the wire.
 
 use grebewood_core::state::jobs::{check_fields, check_possible, Refused};
-
 use grebewood_core::{Settings, Team};
 use grebewood_wire::http::{MachineType, Submission};
 use grebewood_wire::{from_cbor, to_cbor, Value};
 use std::collections::BTreeMap;
 
-type Map = BTreeMap<String, Value>;
+/// A submission as on the wire: values by field.
+type Fields = BTreeMap<String, Value>;
 
-fn good() -> Map {
+/// A submission that is accepted.
+fn valid_submission() -> Fields {
     let text = |s: &str| Value::from(s);
     let fields = [
         ("uid", text("req-000412")),
@@ -36,27 +37,29 @@
     fields.map(|(k, v)| (k.to_string(), v)).into()
 }
 
-fn with(field: &str, value: Value) -> Map {
-    let mut map = good();
-    map.insert(field.into(), value);
-    map
+/// The valid submission with another value of one field.
+fn with(field: &str, value: Value) -> Fields {
+    let mut fields = valid_submission();
+    fields.insert(field.into(), value);
+    fields
 }
 
-/// Whether it is taken, as far as its fields go.
-fn taken(map: &Map) -> bool {
-    from_cbor::<Submission>(&to_cbor(map)).is_ok_and(|s| check_fields(&s).is_ok())
+/// Whether the submission can be read and each of its fields is valid.
+fn is_accepted(fields: &Fields) -> bool {
+    from_cbor::<Submission>(&to_cbor(fields))
+        .is_ok_and(|submission| check_fields(&submission).is_ok())
 }
 
 #[test]
-fn each_field_but_those_that_may_be_null_has_to_be_there() {
-    assert!(taken(&good()));
-    for field in good().keys() {
+fn only_fields_that_may_be_null_may_be_missing() {
+    assert!(is_accepted(&valid_submission()));
+    for field in valid_submission().keys() {
         let may_be_null = ["builds", "yard", "due_s"].contains(&field.as_str());
-        let mut map = good();
-        map.remove(field);
-        assert_eq!(taken(&map), may_be_null, "without {field}");
+        let mut fields = valid_submission();
+        fields.remove(field);
+        assert_eq!(is_accepted(&fields), may_be_null, "without {field}");
         assert_eq!(
-            taken(&with(field, Value::Null)),
+            is_accepted(&with(field, Value::Null)),
             may_be_null,
             "{field}: null"
         );
@@ -66,7 +69,7 @@
 #[test]
 fn a_field_of_another_type_is_invalid() {
     let items = |v: Value| Value::Map(vec![(v, Value::Null)]);
-    for (field, value) in good() {
+    for (field, value) in valid_submission() {
         let others = [
             Value::from("x"),
             Value::from(true),
@@ -86,14 +89,14 @@
                 _ => false,
             };
             assert_eq!(
-                taken(&with(&field, other.clone())),
+                is_accepted(&with(&field, other.clone())),
                 same,
                 "{field}: {other:?}"
             );
         }
     }
     for field in ["shards", "uid", "shape", "precedence", "owner", "one_zone"] {
-        assert!(!taken(&with(field, Value::from(4.5))), "{field}: 4.5");
+        assert!(!is_accepted(&with(field, Value::from(4.5))), "{field}: 4.5");
     }
 }
 
@@ -111,10 +114,13 @@
         .chain(["savepoint_s", "flush_s", "due_s"])
     {
         for bad in [-0.5, f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 1e300] {
-            assert!(!taken(&with(field, Value::from(bad))), "{field}: {bad}");
+            assert!(
+                !is_accepted(&with(field, Value::from(bad))),
+                "{field}: {bad}"
+            );
         }
         for fine in [Value::from(0.0), Value::from(4), Value::from(4.0)] {
-            assert!(taken(&with(field, fine.clone())), "{field}: {fine:?}");
+            assert!(is_accepted(&with(field, fine.clone())), "{field}: {fine:?}");
         }
     }
 }
@@ -123,19 +129,19 @@
 fn counts_names_and_ids_are_within_their_bounds() {
     let huge = Value::from(u64::MAX);
     for bad in [Value::from(0), Value::from(100_001), huge] {
-        assert!(!taken(&with("shards", bad.clone())), "{bad:?}");
+        assert!(!is_accepted(&with("shards", bad.clone())), "{bad:?}");
     }
-    assert!(taken(&with("shards", Value::from(100_000))));
+    assert!(is_accepted(&with("shards", Value::from(100_000))));
     let ids = [
         "", "req-", "req-1 ", " req-1", "req 1", "req-1x", "REQ-1", "req--1", "job-1", "req-1/2",
     ];
     for bad in ids.into_iter().chain(["req-+1", "req-\u{661}", "req-1\n"]) {
-        assert!(!taken(&with("uid", Value::from(bad))), "{bad:?}");
+        assert!(!is_accepted(&with("uid", Value::from(bad))), "{bad:?}");
     }
     for field in ["workclass", "owner", "bundle", "yard"] {
         for bad in [String::new(), "x".repeat(200)] {
             assert!(
-                !taken(&with(field, Value::from(bad.clone()))),
+                !is_accepted(&with(field, Value::from(bad.clone()))),
                 "{field}: {bad}"
             );
         }
@@ -145,32 +151,35 @@
         ("precedence", "urgent"),
         ("precedence", "High"),
     ] {
-        assert!(!taken(&with(field, Value::from(bad))), "{field}: {bad}");
+        assert!(
+            !is_accepted(&with(field, Value::from(bad))),
+            "{field}: {bad}"
+        );
     }
     let names = |names: &[&str]| Value::Array(names.iter().map(|n| Value::from(*n)).collect());
-    assert!(!taken(&with("builds", names(&["g8", ""]))));
-    assert!(!taken(&with("builds", Value::from("g8"))));
+    assert!(!is_accepted(&with("builds", names(&["g8", ""]))));
+    assert!(!is_accepted(&with("builds", Value::from("g8"))));
 }
 
 #[test]
-fn what_is_no_map_is_no_submission() {
-    let fields: Vec<Value> = good().into_values().collect();
+fn a_body_other_than_a_map_is_no_submission() {
+    let fields: Vec<Value> = valid_submission().into_values().collect();
     for body in [
         to_cbor(&fields),
         to_cbor(&Value::from(7)),
         to_cbor(&Value::Null),
         Vec::new(),
         vec![0xff],
-        [to_cbor(&good()), vec![0]].concat(),
-        to_cbor(&good())[..20].to_vec(),
+        [to_cbor(&valid_submission()), vec![0]].concat(),
+        to_cbor(&valid_submission())[..20].to_vec(),
     ] {
         assert!(from_cbor::<Submission>(&body).is_err(), "{body:?}");
     }
 }
 
-/// Names that nobody knows are no matter of form: such a job can never run.
+/// Unknown names are no invalid fields, but such a job can never run.
 #[test]
-fn unknown_names_and_too_much_can_never_run() {
+fn jobs_with_unknown_names_or_excessive_needs_are_impossible() {
     let team = Team {
         cpus: 16.0,
         cpus_max: 32.0,
@@ -181,7 +190,7 @@
         teams: [("vision".to_string(), team)].into(),
         ..Settings::default()
     };
-    let kind = MachineType {
+    let machine_type = MachineType {
         name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
@@ -193,16 +202,16 @@
         boot_s: 45.0,
         zones: vec!["a".into()],
     };
-    let possible = |map: &Map| {
-        let s: Submission = from_cbor(&to_cbor(map)).expect("a submission");
-        assert_eq!(check_fields(&s), Ok(()));
-        match check_possible(&s, &settings, std::slice::from_ref(&kind)) {
+    let is_possible = |fields: &Fields| {
+        let submission: Submission = from_cbor(&to_cbor(fields)).expect("a submission");
+        assert_eq!(check_fields(&submission), Ok(()));
+        match check_possible(&submission, &settings, std::slice::from_ref(&machine_type)) {
             Ok(()) => true,
             Err(Refused::Impossible(_)) => false,
             Err(other) => panic!("{other:?}"),
         }
     };
-    assert!(possible(&good()));
+    assert!(is_possible(&valid_submission()));
     for (field, value) in [
         ("owner", Value::from("nobody")),
         ("yard", Value::from("z")),
@@ -214,6 +223,9 @@
         ("memory_gb", Value::from(769.0)),
         ("shape", Value::from("gang")),
     ] {
-        assert!(!possible(&with(field, value.clone())), "{field}: {value:?}");
+        assert!(
+            !is_possible(&with(field, value.clone())),
+            "{field}: {value:?}"
+        );
     }
 }
