--- /dev/null
+++ b/crates/wire/tests/common/mod.rs
@@ -0,0 +1,9 @@
+//! Helpers of several test files.
+
+use grebewood_wire::Value;
+
+/// A CBOR map.
+pub fn map(entries: &[(&str, Value)]) -> Value {
+    let entries = entries.iter();
+    Value::Map(entries.map(|(k, v)| ((*k).into(), v.clone())).collect())
+}
--- a/crates/wire/tests/names.rs
+++ b/crates/wire/tests/names.rs
@@ -1,6 +1,9 @@
-//! The words on the wire and in the state service stay those of the protocol, whatever the fields are
-//! called in Rust; and a word that is not known spoils no message.
+//! The names on the wire and in the key-value store are those of the protocol, whatever the fields are called in
+//! Rust; and a message with an unknown word can still be read.
 
+mod common;
+
+use common::map;
 use grebewood_wire::http::*;
 use grebewood_wire::records::{FinishedJobRecord, LeaderRecord, MachineAssignments};
 use grebewood_wire::{from_cbor, to_cbor, Value};
@@ -13,15 +16,8 @@
     keys.join(" ")
 }
 
-fn map(entries: &[(&str, Value)]) -> Value {
-    let items = entries
-        .iter()
-        .map(|(key, value)| (Value::from(*key), value.clone()));
-    Value::Map(items.collect())
-}
-
-/// A worker's report in the protocol's own words.
-fn report(task: &[(&str, Value)]) -> Value {
+/// An agent's heartbeat in the protocol's own words.
+fn heartbeat(task: &[(&str, Value)]) -> Value {
     map(&[
         ("perch", "n-000231".into()),
         ("endpoint", "10.1.0.232:9000".into()),
@@ -37,14 +33,14 @@
 }
 
 #[test]
-fn a_report_is_read_by_the_words_of_the_protocol() {
+fn a_heartbeat_is_read_by_the_names_of_the_protocol() {
     let task = [
         ("shard", Value::from("req-000398/0")),
         ("try", 3.into()),
         ("status", "exited".into()),
         ("cause", "done".into()),
     ];
-    let read: Heartbeat = from_cbor(&to_cbor(&report(&task))).expect("a report");
+    let read: Heartbeat = from_cbor(&to_cbor(&heartbeat(&task))).expect("a heartbeat");
     assert_eq!(read.machine, "n-000231");
     assert_eq!(read.address, "10.1.0.232:9000");
     assert_eq!(
@@ -62,19 +58,19 @@
     assert_eq!(keys(task), "shard try status cause saved");
 }
 
-/// A worker may be newer than this version: its report is read all the same. What is of the wrong type
-/// or missing is refused.
+/// An agent may be newer than this version: its heartbeat is read all the same. Fields of the wrong type and
+/// missing ones are refused.
 #[test]
 fn unknown_words_are_kept_and_wrong_types_are_refused() {
     let task = |status: Value| {
-        report(&[
+        heartbeat(&[
             ("shard", Value::from("req-1/0")),
             ("try", 1.into()),
             ("status", status),
             ("cause", "evicted".into()),
         ])
     };
-    let read: Heartbeat = from_cbor(&to_cbor(&task("paused".into()))).expect("a report");
+    let read: Heartbeat = from_cbor(&to_cbor(&task("paused".into()))).expect("a heartbeat");
     assert_eq!(read.tasks[0].status, TaskStatus::Unknown("paused".into()));
     assert_eq!(
         read.tasks[0].cause,
@@ -84,7 +80,7 @@
     for wrong in [Value::from(7), Value::Null, Value::Array(Vec::new())] {
         assert!(from_cbor::<Heartbeat>(&to_cbor(&task(wrong))).is_err());
     }
-    let missing = report(&[("shard", Value::from("req-1/0")), ("try", 1.into())]);
+    let missing = heartbeat(&[("shard", Value::from("req-1/0")), ("try", 1.into())]);
     assert!(from_cbor::<Heartbeat>(&to_cbor(&missing)).is_err());
 }
 
@@ -115,7 +111,7 @@
 }
 
 #[test]
-fn what_is_sent_has_the_words_of_the_protocol() {
+fn requests_and_responses_have_the_names_of_the_protocol() {
     let command = Command {
         verb: Verb::Stop,
         task_name: "req-1/0".into(),
@@ -168,7 +164,7 @@
 }
 
 #[test]
-fn records_have_the_words_of_earlier_versions() {
+fn records_have_the_names_of_earlier_versions() {
     let finished = FinishedJobRecord {
         status: "done".into(),
         tasks: 3,
@@ -183,9 +179,9 @@
     assert_eq!(keys(&assignments), "m tenure zone t");
 }
 
-/// The version before reads the leader's record; without partitions it is what it was.
+/// The version before reads the leader's record, too; without partitions it has no new field.
 #[test]
-fn a_leader_without_partitions_writes_the_record_as_before() {
+fn a_leader_without_partitions_writes_the_record_of_the_version_before() {
     let record = |partitions| LeaderRecord {
         member: "perch-0".into(),
         incarnation: 1,
--- a/crates/wire/tests/records.rs
+++ b/crates/wire/tests/records.rs
@@ -1,8 +1,8 @@
-//! Keys of records.
+//! Parsing of the keys of records.
 
 use grebewood_wire::records::{cancel_key, JobKey};
 
-/// Keys of this version and of the one before say what they said, and nothing else does.
+/// Keys of this version and of the one before are parsed; other keys are not keys of jobs.
 #[test]
 fn keys_of_both_versions_are_read() {
     assert_eq!(JobKey::parse("job/req-1"), Some(JobKey::Live("req-1")));
--- a/crates/wire/tests/values.rs
+++ b/crates/wire/tests/values.rs
@@ -1,15 +1,13 @@
-//! Values as the state service gives them back.
+//! Equality of values as the key-value store returns them.
 
-use grebewood_wire::{same_value, Value};
+mod common;
 
-fn map(items: &[(&str, Value)]) -> Value {
-    let items = items.iter().map(|(k, v)| ((*k).into(), v.clone()));
-    Value::Map(items.collect())
-}
+use common::map;
+use grebewood_wire::{same_value, Value};
 
 /// A store may keep maps in an order of its own and write 4.0 as 4; that is the same record.
 #[test]
-fn the_same_record_in_another_form_is_the_same() {
+fn order_of_entries_and_form_of_numbers_do_not_count() {
     let one = map(&[("a", Value::from(4.0)), ("b", Value::from("x"))]);
     let other = map(&[("b", Value::from("x")), ("a", Value::from(4))]);
     assert!(same_value(&one, &other) && same_value(&other, &one));
@@ -20,7 +18,7 @@
 }
 
 #[test]
-fn a_record_with_more_or_other_content_is_not_the_same() {
+fn records_with_other_content_differ() {
     let one = map(&[("a", Value::from(4))]);
     for other in [
         map(&[("a", Value::from(5))]),
