--- a/crates/grebewood/src/config/tests.rs
+++ b/crates/grebewood/src/config/tests.rs
@@ -1,7 +1,9 @@
+//! Checks of the settings file's fields.
+
 use super::parse;
 use grebewood_core::settings::StoreLimits;
 
-const GOOD: &str = r#"
+const VALID_SETTINGS: &str = r#"
 member = "a"
 domain = "z"
 front = "127.0.0.1:1"
@@ -31,29 +33,29 @@
 
 #[test]
 fn settings_are_read_and_unknown_fields_ignored() {
-    let (settings, endpoints) = parse(GOOD).expect("good settings");
+    let (settings, endpoints) = parse(VALID_SETTINGS).expect("good settings");
     assert_eq!(settings.agent_lease, 10_000_000);
     assert_eq!(settings.store.value_bytes, 8192);
     assert_eq!(endpoints.socket_limit, 1_024);
 }
 
-/// A guest's jobs were all refused with 422, since none fitted a limit of 0.
+/// Regression: all jobs of a guest team were refused with 422, since none fitted a limit of 0.
 #[test]
-fn a_limit_of_0_is_none() {
-    let text = GOOD.replace("cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0");
+fn a_limit_of_zero_cpus_means_no_limit() {
+    let text = VALID_SETTINGS.replace("cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0");
     let (settings, _) = parse(&text).expect("good settings");
     let guest = &settings.teams["t"];
     assert_eq!(guest.cpus, 0.0);
     assert!(guest.cpus_max > 1e9);
-    // No task takes accelerators unless its team may.
+    // A limit of 0 GPUs stays one.
     assert_eq!(guest.gpus_max, 0.0);
 }
 
-/// What is written from the start fits the limits that come later at a moment nobody announces.
+/// Records fit the announced limits from the start, since nobody says when the change is made.
 #[test]
-fn the_smaller_of_present_and_next_limits_counts() {
+fn the_smaller_of_current_and_next_limits_applies() {
     let next = "txn_ops = 8\n[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nrps = 900.0\n";
-    let (settings, _) = parse(&GOOD.replace("txn_ops = 8", next)).expect("good settings");
+    let (settings, _) = parse(&VALID_SETTINGS.replace("txn_ops = 8", next)).expect("good settings");
     let expected = StoreLimits {
         rps: 100.0,
         write_rps: 15.0,
@@ -64,12 +66,15 @@
 }
 
 #[test]
-fn aims_of_services_are_read_and_unknown_kinds_left_alone() {
-    let aims = "[[cluster.objectives]]\nkind = \"up\"\nclass = \"feed\"\nafter_s = 5.0\n\
+fn availability_objectives_are_read_and_unknown_kinds_ignored() {
+    let objectives = "[[cluster.objectives]]\nkind = \"up\"\nclass = \"feed\"\nafter_s = 5.0\n\
                 worst_s = 30.0\nshare = 0.96\n[[cluster.objectives]]\nkind = \"other\"\n\
                 after_s = \"noon\"\n";
-    let text = GOOD.replace("[cluster.workers]", &format!("{aims}[cluster.workers]"));
-    assert!(parse(&text).is_err(), "a time is a number in any aim");
+    let text = VALID_SETTINGS.replace(
+        "[cluster.workers]",
+        &format!("{objectives}[cluster.workers]"),
+    );
+    assert!(parse(&text).is_err(), "a time is a number in any objective");
     let text = text.replace("\"noon\"", "-1.0");
     let (settings, _) = parse(&text).expect("good settings");
     assert_eq!(settings.objectives[0].after, Some(5_000_000));
@@ -111,7 +116,9 @@
             "cluster.state.next.write_rps",
         ),
     ] {
-        let error = parse(&GOOD.replace(from, to)).expect_err(field).to_string();
+        let error = parse(&VALID_SETTINGS.replace(from, to))
+            .expect_err(field)
+            .to_string();
         assert!(error.contains(field), "{error}");
         assert!(!error.contains('\n'), "{error}");
     }
--- a/crates/grebewood/src/logging/tests.rs
+++ b/crates/grebewood/src/logging/tests.rs
@@ -1,3 +1,5 @@
+//! The form of a log line.
+
 use super::{level, write_record};
 use log::kv::Source;
 use log::{Level, LevelFilter, Record};
--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -1,9 +1,11 @@
-//! Controllers as processes of their own on loopback, with stand-ins for all else.
+//! Controllers as processes of their own on loopback, with simulators of everything that they talk to.
 
-// Each test file uses some of it.
+// Each test file uses a part of it.
 #![allow(dead_code)]
 
 use grebewood_net::blocking;
+use grebewood_testkit::loopback::Cluster;
+use grebewood_testkit::machines::JobFacts;
 use grebewood_wire::from_cbor;
 use grebewood_wire::http::{JobStatus, MachineType, Priority, Submission};
 use std::collections::BTreeMap;
@@ -12,33 +14,50 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How often it is asked whether something is so at most, and the time between.
-pub const LOOKS: usize = 200;
-pub const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Most polls for a condition, and the time between two of them.
+pub const MAX_POLLS: usize = 200;
+pub const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Tuning with which no machine is terminated while a test runs.
+pub const KEEP_IDLE_MACHINES: &str =
+    "idle_hold_us = 600000000\nidle_hold_ordinary_us = 600000000\n";
 
-/// A team's guarantee and ceiling, in CPUs.
+/// A team's guaranteed share and limit, in CPUs.
 #[derive(Clone, Copy)]
-pub struct TeamLimits {
+pub struct TeamQuota {
     pub name: &'static str,
     pub cpus: f64,
     pub cpus_max: f64,
 }
 
-/// What the controllers are given.
+/// The configuration of a test's controllers.
 #[derive(Clone)]
 pub struct Setup {
+    /// Name of the folder with their files.
     pub name: &'static str,
+    /// Number of controllers.
     pub members: usize,
-    pub tuning: &'static str,
-    pub teams: Vec<TeamLimits>,
+    /// Content of the tuning file.
+    pub tuning: String,
+    pub teams: Vec<TeamQuota>,
 }
 
-/// An address on loopback that nobody uses now.
+/// An address on loopback that is not in use.
 pub fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("its address")
 }
 
+/// Tasks of one CPU that run for so many microseconds, write no checkpoints and do not fail.
+pub fn job_facts(run: u64) -> JobFacts {
+    JobFacts {
+        cpus: 1.0,
+        run,
+        flush: 0,
+        saves: false,
+        fails: false,
+    }
+}
+
 /// A batch job of tasks that take one CPU each.
 pub fn submission(job: &str, team: &str, tasks: u64) -> Submission {
     Submission {
@@ -81,135 +100,165 @@
     }
 }
 
-/// The settings of a member.
-fn settings(
+/// The addresses of the controllers, by their numbers.
+struct Addresses {
+    fronts: Vec<SocketAddr>,
+    peers: Vec<SocketAddr>,
+}
+
+fn member_name(number: usize) -> String {
+    format!("m-{number}")
+}
+
+fn siblings_text(setup: &Setup, number: usize, peers: &[SocketAddr]) -> String {
+    let siblings = (0..setup.members).filter(|sibling| *sibling != number);
+    let entry = |sibling: usize| {
+        let (member, address) = (member_name(sibling), peers[sibling]);
+        format!("[[siblings]]\nmember = \"{member}\"\ndomain = \"a\"\naddr = \"{address}\"\n")
+    };
+    siblings.map(entry).collect()
+}
+
+fn teams_text(teams: &[TeamQuota]) -> String {
+    let entry = |team: &TeamQuota| {
+        let (name, cpus, cpus_max) = (team.name, team.cpus, team.cpus_max);
+        format!("[[cluster.teams]]\nname = \"{name}\"\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n")
+    };
+    teams.iter().map(entry).collect()
+}
+
+/// The settings file of a controller.
+fn settings_text(
     setup: &Setup,
-    n: usize,
-    fronts: &[SocketAddr],
-    peers: &[SocketAddr],
+    number: usize,
+    addresses: &Addresses,
     services: Services,
 ) -> String {
-    let siblings: String = (0..setup.members)
-        .filter(|p| *p != n)
-        .map(|p| {
-            let address = peers[p];
-            format!("[[siblings]]\nmember = \"m-{p}\"\ndomain = \"a\"\naddr = \"{address}\"\n")
-        })
-        .collect();
-    let teams = setup.teams.iter();
-    let teams: String = teams
-        .map(|team| {
-            let (name, cpus, cpus_max) = (team.name, team.cpus, team.cpus_max);
-            format!(
-                "[[cluster.teams]]\nname = \"{name}\"\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n"
-            )
-        })
-        .collect();
-    let (front, peer, Services { state, cloud }) = (fronts[n], peers[n], services);
+    let member = member_name(number);
+    let (front, peer) = (addresses.fronts[number], addresses.peers[number]);
+    let siblings = siblings_text(setup, number, &addresses.peers);
+    let teams = teams_text(&setup.teams);
+    let Services { store, cloud } = services;
     format!(
-        "member = \"m-{n}\"\ndomain = \"a\"\nfront = \"{front}\"\npeer_listen = \"{peer}\"\n{siblings}\
-         [endpoints]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n[cluster]\n{teams}\
+        "member = \"{member}\"\ndomain = \"a\"\nfront = \"{front}\"\npeer_listen = \"{peer}\"\n{siblings}\
+         [endpoints]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n[cluster]\n{teams}\
          [cluster.workers]\nreport_s = 0.5\nlease_s = 10.0\ncancel_s = 30.0\n\
          [cluster.state]\nrps = 1000.0\nwrite_rps = 400.0\nvalue_kb = 8.0\ntxn_ops = 8\n\
          [cluster.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n"
     )
 }
 
-/// Where the stand-ins serve.
+/// Addresses of the simulated services.
 #[derive(Clone, Copy)]
 pub struct Services {
-    pub state: SocketAddr,
+    pub store: SocketAddr,
     pub cloud: SocketAddr,
 }
 
 /// Controllers as processes of their own.
 pub struct Controllers {
     folder: PathBuf,
+    /// Addresses for users and agents, by the controllers' names.
     pub fronts: BTreeMap<String, SocketAddr>,
     children: Vec<Option<Child>>,
 }
 
 impl Controllers {
-    /// Writes their settings.
+    /// Starts the controllers together with the services and agents of a cluster.
+    pub fn start(setup: &Setup, cluster: &Cluster) -> Controllers {
+        let services = Services {
+            store: cluster.serve_state().expect("a key-value store"),
+            cloud: cluster.serve_cloud(machine_type()).expect("a cloud"),
+        };
+        let mut controllers = Controllers::configure(setup, services);
+        (0..setup.members).for_each(|number| controllers.spawn(number));
+        cluster.start_workers(&machine_type(), &controllers.fronts);
+        controllers
+    }
+
+    /// Writes the files of the controllers, without starting any.
     pub fn configure(setup: &Setup, services: Services) -> Controllers {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(setup.name);
         std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("tuning.ini"), setup.tuning).expect("to write");
-        let addresses =
-            || -> Vec<SocketAddr> { (0..setup.members).map(|_| free_address()).collect() };
-        let (fronts, peers) = (addresses(), addresses());
-        for n in 0..setup.members {
-            let text = settings(setup, n, &fronts, &peers, services);
-            std::fs::write(folder.join(format!("{n}.toml")), text).expect("to write");
+        std::fs::write(folder.join("tuning.ini"), &setup.tuning).expect("to write");
+        let free_addresses = || (0..setup.members).map(|_| free_address()).collect();
+        let addresses = Addresses {
+            fronts: free_addresses(),
+            peers: free_addresses(),
+        };
+        for number in 0..setup.members {
+            let text = settings_text(setup, number, &addresses, services);
+            std::fs::write(folder.join(format!("{number}.toml")), text).expect("to write");
         }
-        let names = (0..setup.members).map(|n| format!("m-{n}"));
+        let names = (0..setup.members).map(member_name);
         Controllers {
             folder,
-            fronts: names.zip(fronts).collect(),
+            fronts: names.zip(addresses.fronts).collect(),
             children: (0..setup.members).map(|_| None).collect(),
         }
     }
 
-    fn config(&self, n: usize) -> PathBuf {
-        self.folder.join(format!("{n}.toml"))
+    fn config(&self, number: usize) -> PathBuf {
+        self.folder.join(format!("{number}.toml"))
     }
 
-    /// Starts one.
-    pub fn spawn(&mut self, n: usize) {
+    /// Starts the controller with this number.
+    pub fn spawn(&mut self, number: usize) {
         let child = Command::new(env!("CARGO_BIN_EXE_grebewood"))
             .args(["serve", "--tuning"])
             .arg(self.folder.join("tuning.ini"))
             .arg("--config")
-            .arg(self.config(n))
+            .arg(self.config(number))
             .env("LOG_LEVEL", "error")
             .stderr(Stdio::null())
             .spawn();
-        self.children[n] = Some(child.expect("a controller"));
+        self.children[number] = Some(child.expect("a controller"));
     }
 
-    /// Ends one.
-    pub fn kill(&mut self, n: usize) {
-        if let Some(mut child) = self.children[n].take() {
+    /// Kills the controller with this number, if it runs.
+    pub fn kill(&mut self, number: usize) {
+        if let Some(mut child) = self.children[number].take() {
             child.kill().expect("to kill it");
             child.wait().expect("its end");
         }
     }
 
-    /// Asks the members until one of them answers with one of these statuses.
-    pub fn ask(&self, method: &str, path: &str, body: &[u8], statuses: &[u16]) -> Vec<u8> {
-        for _ in 0..LOOKS {
+    /// Sends a request to one controller after the other until one answers with one of these statuses.
+    pub fn request(&self, method: &str, path: &str, body: &[u8], statuses: &[u16]) -> Vec<u8> {
+        for _ in 0..MAX_POLLS {
             for front in self.fronts.values() {
                 match blocking::request(*front, method, path, body) {
-                    Ok(answer) if statuses.contains(&answer.status) => return answer.body,
+                    Ok(response) if statuses.contains(&response.status) => return response.body,
                     Ok(_) | Err(_) => {}
                 }
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        panic!("{method} {path}: no member answers");
+        panic!("{method} {path}: no controller answers");
     }
 
-    pub fn is_done(&self, job: &str) -> bool {
-        let body = self.ask("GET", &format!("/submissions/{job}"), &[], &[200]);
+    fn is_done(&self, job: &str) -> bool {
+        let body = self.request("GET", &format!("/submissions/{job}"), &[], &[200]);
         let status: JobStatus = from_cbor(&body).expect("a status");
         status.status == "done"
     }
 
     /// Waits until all of these jobs are done. The first one that is not in time is the error.
     pub fn all_done(&self, jobs: &[String]) -> Result<(), String> {
-        for job in jobs {
-            let done = (0..LOOKS).any(|_| {
-                let done = self.is_done(job);
-                if !done {
-                    std::thread::sleep(LOOK_EVERY);
-                }
-                done
-            });
-            if !done {
-                return Err(format!("{job} is not done"));
+        match jobs.iter().find(|job| !self.becomes_done(job)) {
+            Some(job) => Err(format!("{job} is not done")),
+            None => Ok(()),
+        }
+    }
+
+    fn becomes_done(&self, job: &str) -> bool {
+        for _ in 0..MAX_POLLS {
+            if self.is_done(job) {
+                return true;
             }
+            std::thread::sleep(POLL_INTERVAL);
         }
-        Ok(())
+        false
     }
 
     /// What a command of `grebewood` prints, and its exit code.
@@ -229,8 +278,21 @@
     }
 }
 
+/// Without a store to read from, a command fails and names the store's address.
+pub fn assert_command_names_unreachable_store(setup: &Setup, command: &str) {
+    let unused = free_address();
+    let services = Services {
+        store: unused,
+        cloud: unused,
+    };
+    let controllers = Controllers::configure(setup, services);
+    let (code, text) = controllers.command(command, &[]);
+    assert_eq!(code, Some(1));
+    assert!(text.contains(&unused.to_string()), "{text}");
+}
+
 impl Drop for Controllers {
     fn drop(&mut self) {
-        (0..self.children.len()).for_each(|n| self.kill(n));
+        (0..self.children.len()).for_each(|number| self.kill(number));
     }
 }
