--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -106,7 +106,7 @@
             }
             return;
         }
-        let spec = self.take_task(loaded_job, attempt.task, &machine.zone);
+        let spec = self.take_loaded_task(loaded_job, attempt.task, &machine.zone);
         let task = PlacedTask {
             machine: machine.machine.clone(),
             incarnation: machine.incarnation,
@@ -152,7 +152,7 @@
     }
 
     /// Takes the task of its job, if the job is known; the result is the job's description.
-    fn take_task(&mut self, job: LoadedJob, task: u64, zone: &str) -> Option<Submission> {
+    fn take_loaded_task(&mut self, job: LoadedJob, task: u64, zone: &str) -> Option<Submission> {
         let job = self.jobs.get_mut(job.index()?)?;
         job.take(task);
         *job.zones.entry(zone.to_string()).or_insert(0) += 1;
