--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -237,23 +237,23 @@
         panic!("{method} {path}: no controller answers");
     }
 
-    fn is_done(&self, job: &str) -> bool {
+    fn job_is_done(&self, job: &str) -> bool {
         let body = self.request("GET", &format!("/submissions/{job}"), &[], &[200]);
         let status: JobStatus = from_cbor(&body).expect("a status");
         status.status == "done"
     }
 
     /// Waits until all of these jobs are done. The first one that is not in time is the error.
-    pub fn all_done(&self, jobs: &[String]) -> Result<(), String> {
-        match jobs.iter().find(|job| !self.becomes_done(job)) {
+    pub fn wait_for_jobs(&self, jobs: &[String]) -> Result<(), String> {
+        match jobs.iter().find(|job| !self.job_becomes_done(job)) {
             Some(job) => Err(format!("{job} is not done")),
             None => Ok(()),
         }
     }
 
-    fn becomes_done(&self, job: &str) -> bool {
+    fn job_becomes_done(&self, job: &str) -> bool {
         for _ in 0..MAX_POLLS {
-            if self.is_done(job) {
+            if self.job_is_done(job) {
                 return true;
             }
             std::thread::sleep(POLL_INTERVAL);
--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -114,7 +114,7 @@
 
     let handoffs = submit_during_handoffs(&cluster, &mut controllers, &jobs);
     assert!(handoffs >= HANDOFFS, "only {handoffs} handoffs");
-    assert_eq!(controllers.all_done(&jobs), Ok(()));
+    assert_eq!(controllers.wait_for_jobs(&jobs), Ok(()));
     assert_command_shows_partitions(&controllers);
 
     cluster.end();
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -147,7 +147,7 @@
         controllers.request("POST", "/submissions", &body, &[200, 201]);
     }
     let names: Vec<String> = jobs.iter().map(|(_, job)| job.clone()).collect();
-    assert_eq!(controllers.all_done(&names), Ok(()));
+    assert_eq!(controllers.wait_for_jobs(&names), Ok(()));
     assert_command_shows_teams(&controllers);
     assert_holders_placed_tasks(&cluster);
 
