--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -1,4 +1,5 @@
-//! Machines as their agents report them: assignments on a machine, from the decision until they are proven gone.
+//! Machines by the heartbeats of their agents: the assignments on a machine, from the decision until they are
+//! proven gone.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -15,20 +16,20 @@
 pub(crate) mod stops;
 pub(crate) mod unreachable;
 
-/// How long the removal of an assignment may wait to be written: until then its page lists a task
-/// that is gone, which the next leader finds out from the worker's first report.
-const FREE_DELAY: Micros = 8 * SECOND;
+/// How long the write of a removed assignment may be delayed, in microseconds. Until then its page lists a task
+/// that is gone, which the next leader learns from the agent's first heartbeat.
+const REMOVAL_WRITE_DELAY: Micros = 8 * SECOND;
 
-/// The part of the write rate that such removals may take.
-const FREE_WRITES: f64 = 0.2;
+/// The share of the store's write rate that removals of assignments may take.
+const REMOVAL_WRITE_SHARE: f64 = 0.2;
 
-/// How a report came.
+/// Which message carried the status of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
-    /// A check-in: a worker has only one in flight, and carries out no answer to an earlier one.
+pub(crate) enum StatusSource {
+    /// A heartbeat. An agent has only one in flight, and ignores a late response to an earlier one.
     Heartbeat,
-    /// The answer to a direct command, which may overtake the answer to a check-in.
-    Direct,
+    /// The response to a direct command, which may overtake the response to a heartbeat.
+    DirectCommand,
 }
 
 impl Scheduler {
@@ -41,31 +42,23 @@
         incarnation: u64,
     ) -> &mut Machine {
         let machine = self.machines.entry(name.to_string()).or_insert_with(|| {
-            let report = Heartbeat {
-                machine: name.to_string(),
-                address: String::new(),
-                machine_type: String::new(),
-                zone: zone.to_string(),
-                spot: true,
-                incarnation,
-                sequence: 0,
-                token: 0,
-                reclaim_s: None,
-                tasks: Vec::new(),
-            };
-            Machine::new(&report, None, context.now.steady)
+            let heartbeat = placeholder_heartbeat(name, zone, incarnation);
+            Machine::new(&heartbeat, None, context.now.steady)
         });
         machine.partition = self.remote_partitions.partition_of(&machine.zone, name);
-        // Reports of earlier sessions are older than what is on record.
+        // Heartbeats of earlier incarnations are older than what is on record.
         machine.incarnation = machine.incarnation.max(incarnation);
         machine
     }
 
     /// All assignments, on whatever machine.
     pub(crate) fn assignments(&self) -> impl Iterator<Item = &Assignment> {
-        self.machines.values().flat_map(|m| &m.assignments)
+        self.machines
+            .values()
+            .flat_map(|machine| &machine.assignments)
     }
 
+    /// The index of the first assignment of a machine that passes the test.
     pub(crate) fn position(
         &self,
         machine: &str,
@@ -78,61 +71,84 @@
             .position(test)
     }
 
-    /// Puts an assignment on a machine, and counts it until its proof of absence.
-    pub(crate) fn add_assignment(&mut self, name: &str, a: Assignment) {
+    /// Puts an assignment on a machine. It counts against quotas until it is proven absent.
+    pub(crate) fn add_assignment(&mut self, name: &str, assignment: Assignment) {
         if !self.machines.contains_key(name) {
             return;
         }
-        self.count_assignment(&a);
-        let Some(m) = self.machines.get_mut(name) else {
+        self.count_assignment(&assignment);
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let (index, seen) = (a.job, a.seen);
-        let at = a.decided;
-        m.assignments.push(a);
-        m.recount();
-        self.count_running(at, index, ObservedStatus::Never, seen);
-    }
-
-    /// The assignment's page will be written without it.
-    fn remove_from_page(&mut self, context: &Context, name: &str, a: &Assignment) {
-        self.page_mut(a.page).remove(name, a);
-        // Every page loses something all the time: with many pages the writes must be further apart.
-        let pages = self.pages.len() as f64 / (context.settings.store.write_rps * FREE_WRITES);
-        let delay = FREE_DELAY.max((pages * 1e6) as Micros);
-        self.write_buffer
-            .mark_dirty_lazily(RecordId::Page(a.page), context.now.steady + delay);
+        let (job, seen) = (assignment.job, assignment.seen);
+        let decided = assignment.decided;
+        machine.assignments.push(assignment);
+        machine.recount();
+        self.count_running(decided, job, ObservedStatus::Never, seen);
     }
 
-    /// Removes an assignment of which it is proven that its task is not on the machine and will
-    /// not come there.
-    pub(crate) fn remove_assignment(&mut self, context: &mut Context, name: &str, at: usize) {
+    /// Removes an assignment whose task is proven not to be on the machine, nor to start there later.
+    pub(crate) fn remove_assignment(&mut self, context: &mut Context, name: &str, position: usize) {
         let now = context.now.steady;
-        let Some(m) = self.machines.get_mut(name) else {
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let a = m.assignments.remove(at);
-        m.recount();
-        m.idle_since = now;
-        self.discount_assignment(context, name, &a);
-        self.count_running(now, a.job, a.seen, ObservedStatus::Never);
+        let assignment = machine.assignments.remove(position);
+        machine.recount();
+        machine.idle_since = now;
+        self.discount_assignment(context, name, &assignment);
+        self.count_running(now, assignment.job, assignment.seen, ObservedStatus::Never);
         if self.is_holder() {
-            self.note_end(name, &a, TaskEnd::Gone);
+            self.note_end(name, &assignment, TaskEnd::Gone);
         }
         // A page is written by whoever placed what is on it.
-        if a.by_holder == self.is_holder() {
-            self.remove_from_page(context, name, &a);
+        if assignment.by_holder == self.is_holder() {
+            self.remove_from_page(context, name, &assignment);
         }
-        if let Some(job) = self.jobs.get_mut(a.job) {
-            job.give_back(a.task);
-            if let Some(n) = job.zones.get_mut(&a.zone) {
-                *n = n.saturating_sub(1);
-            }
-            if job.waiting() > 0 && job.waiting_since.is_none() {
-                job.waiting_since = Some(now);
-            }
+        if let Some(job) = self.jobs.get_mut(assignment.job) {
+            job.note_assignment_removed(assignment.task, &assignment.zone, now);
+        }
+        self.placement.request_round(now);
+        self.end_if_over(context, assignment.job);
+    }
+
+    /// Removes every assignment of a machine that passes the test.
+    pub(crate) fn remove_assignments(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        test: impl Fn(&Assignment) -> bool,
+    ) {
+        while let Some(position) = self.position(name, &test) {
+            self.remove_assignment(context, name, position);
         }
-        self.placement.request_round(context.now.steady);
-        self.end_if_over(context, a.job);
+    }
+
+    /// Removes an assignment from its page, which is written some time later.
+    fn remove_from_page(&mut self, context: &Context, name: &str, assignment: &Assignment) {
+        self.page_mut(assignment.page).remove(name, assignment);
+        // Every page has removals all the time: the more pages, the longer the time between two writes of one.
+        let writes_per_second = context.settings.store.write_rps * REMOVAL_WRITE_SHARE;
+        let seconds_for_all_pages = self.pages.len() as f64 / writes_per_second;
+        let delay = REMOVAL_WRITE_DELAY.max((seconds_for_all_pages * 1e6) as Micros);
+        let page = RecordId::Page(assignment.page);
+        self.write_buffer
+            .mark_dirty_lazily(page, context.now.steady + delay);
+    }
+}
+
+/// What stands for the heartbeat of a machine that has sent none yet.
+fn placeholder_heartbeat(name: &str, zone: &str, incarnation: u64) -> Heartbeat {
+    Heartbeat {
+        machine: name.to_string(),
+        address: String::new(),
+        machine_type: String::new(),
+        zone: zone.to_string(),
+        spot: true,
+        incarnation,
+        sequence: 0,
+        token: 0,
+        reclaim_s: None,
+        tasks: Vec::new(),
     }
 }
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -1,27 +1,41 @@
-//! Exited tasks: results, retries, and which machine or job a failure is attributed to.
+//! Exited tasks: results, retries, and whether a failure is attributed to the machine or to the job.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{error_backoff, JobIndex};
-use crate::state::machine::{ExitedAttempt, FailureAttribution};
+use crate::state::jobs::JobIndex;
+use crate::state::machine::{Assignment, ExitedAttempt, FailureAttribution};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_wire::http::{ExitCause, ReportedTask};
 use grebewood_wire::records::DONE_SPAN;
 use log::{info, warn};
 
-/// How long the end of a task may wait to be written.
-const DONE_DELAY: Micros = 2 * SECOND;
+/// How long the write of a completed task may be delayed, in microseconds.
+const COMPLETION_WRITE_DELAY: Micros = 2 * SECOND;
 
-/// How long a replica of an earlier leader has run at least, as far as can be told.
-const LEAST_STAY: Micros = 30 * SECOND;
+/// How long a replica launched by an earlier leader has run at least, in microseconds, as far as can be told.
+const MIN_RECOVERED_RUN: Micros = 30 * SECOND;
 
-/// Most machines that are returned because the tasks of one job alone failed there.
-const MOST_BLAMED_BY_ONE_JOB: u32 = 2;
+/// How long a machine that refused a task gets no new ones, in microseconds.
+const QUARANTINE: Micros = 3 * SECOND;
+
+/// Most machines that are terminated because the tasks of one job alone failed there.
+const MAX_TERMINATIONS_BY_ONE_JOB: u32 = 2;
+
+/// The exit of a task whose assignment is known.
+struct TaskExit<'a> {
+    /// The machine's name.
+    machine: &'a str,
+    assignment: &'a Assignment,
+    cause: &'a ExitCause,
+    /// `<job>/<number>`.
+    task_name: &'a str,
+}
 
 impl Scheduler {
-    /// Notes that a task is done; the result says when that is durable.
-    pub(crate) fn completed(
+    /// Marks a task completed. Returns the record, with its version, that must be durable before the result may be
+    /// acknowledged; nothing if the task was completed before.
+    fn completed(
         &mut self,
         context: &Context,
         index: JobIndex,
@@ -33,114 +47,142 @@
         }
         let page = RecordId::Done(self.completed_pages.page_of(index, task / DONE_SPAN, job));
         self.progress_dirty.insert(index);
-        // The worker keeps the result until it is acknowledged: the write can wait for others.
-        let due = context.now.steady + DONE_DELAY;
+        // The agent keeps the result until it is acknowledged: the write can wait for others.
+        let due = context.now.steady + COMPLETION_WRITE_DELAY;
         Some((page.clone(), self.write_buffer.mark_dirty_by(page, due)))
     }
 
-    /// An assignment's task has exited.
+    /// The task of the assignment at this position of the machine has exited.
     pub(crate) fn exited(
         &mut self,
         context: &mut Context,
         name: &str,
-        at: usize,
+        position: usize,
         cause: &ExitCause,
         task_name: &str,
     ) {
         if self.is_holder() {
-            return self.exited_in_partition(context, name, at, cause, task_name);
+            return self.exited_in_partition(context, name, position, cause, task_name);
         }
-        let now = context.now.steady;
-        let Some(m) = self.machines.get_mut(name) else {
+        let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let a = m.assignments[at].clone();
-        let mut after = Vec::new();
-        let mut failed = false;
-        let job = self.jobs.get_mut(a.job);
-        match (cause, job) {
+        let assignment = machine.assignments[position].clone();
+        let exit = TaskExit {
+            machine: name,
+            assignment: &assignment,
+            cause,
+            task_name,
+        };
+        let after = self.apply_exit_cause(context, &exit);
+        self.remove_assignment(context, name, position);
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.exited_attempts.push(ExitedAttempt {
+                task_name: task_name.to_string(),
+                attempt: assignment.attempt,
+                after: after.into_iter().collect(),
+                job: Some(assignment.job),
+            });
+        }
+        self.end_if_over(context, assignment.job);
+    }
+
+    /// Applies what the cause of an exit says of the machine and of the job. Returns the record that must be durable
+    /// before the exit is acknowledged.
+    fn apply_exit_cause(&mut self, context: &Context, exit: &TaskExit) -> Option<(RecordId, u64)> {
+        let now = context.now.steady;
+        let TaskExit {
+            machine, task_name, ..
+        } = *exit;
+        let index = exit.assignment.job;
+        match (exit.cause, self.jobs.get_mut(index)) {
             (ExitCause::NoRoom | ExitCause::Busy, _) => {
-                warn!("{task_name}: {name} refused it: {cause}");
-                m.quarantined_until = now + 3 * SECOND;
-            }
-            // A replica is to run again, however it ended; unless we stopped it, it ended by itself.
-            (_, Some(job)) if job.is_daemon() => {
-                let ran = match (a.recovered(), a.started) {
-                    // One of an earlier leader has run for a while.
-                    (true, _) => now.saturating_sub(self.loaded_at) + LEAST_STAY,
-                    (false, at) => at.map_or(0, |at| now.saturating_sub(at)),
-                };
-                if a.stop.is_none() {
-                    info!("{task_name}: {cause} on {name} after {} s", ran / SECOND);
-                    job.replica_ended(a.task, name, ran, now);
-                    failed = *cause == ExitCause::Error;
-                }
-            }
-            (ExitCause::Done, Some(job)) => {
-                m.errors.clear();
-                job.errors = 0;
-                // Only a run seen from its beginning says how long such tasks take.
-                if let (Some(started), false) = (a.started, a.recovered()) {
-                    let run = now.saturating_sub(started);
-                    self.stats.ran(&job.spec, &m.machine_type, run);
-                    let (mean, n) = job.run_mean;
-                    job.run_mean = ((mean * n as u64 + run) / (n as u64 + 1), (n + 1).min(1_000));
+                warn!(task = task_name, machine = machine, cause:% = exit.cause; "machine refused a task");
+                if let Some(machine) = self.machines.get_mut(machine) {
+                    machine.quarantined_until = now + QUARANTINE;
                 }
-                after.extend(self.completed(context, a.job, a.task));
             }
+            (_, Some(job)) if job.is_daemon() => self.replica_exited(context, exit),
+            (ExitCause::Done, Some(_)) => return self.task_succeeded(context, exit),
             (ExitCause::Error, Some(job)) => {
-                job.errors += 1;
-                job.retry_at = now + error_backoff(job.errors);
-                job.running_well_since = now;
-                failed = true;
-                info!("{task_name}: error on {name}");
+                job.note_error(now);
+                info!(task = task_name, machine = machine; "task failed");
+                self.note_failure(context, machine, index);
             }
-            (ExitCause::UnknownJob, Some(job)) => {
-                job.errors += 1;
-                job.retry_at = now + error_backoff(job.errors.max(3));
+            (ExitCause::UnknownJob, Some(job)) => job.note_unknown_to_agent(now),
+            (ExitCause::Unknown(cause), _) => {
+                warn!(task = task_name, machine = machine, cause:? = cause; "exit with an unknown cause");
             }
-            (ExitCause::Unknown(word), _) => warn!("{task_name}: {name} gives {word:?} as cause"),
             _ => {}
         }
-        if failed {
-            self.note_failure(context, name, a.job);
+        None
+    }
+
+    /// A replica of a daemon exited: it is to run again, however it ended. Unless it was stopped, it ended by itself.
+    fn replica_exited(&mut self, context: &Context, exit: &TaskExit) {
+        let now = context.now.steady;
+        let assignment = exit.assignment;
+        if assignment.stop.is_some() {
+            return;
         }
-        self.remove_assignment(context, name, at);
-        if let Some(m) = self.machines.get_mut(name) {
-            m.exited_attempts.push(ExitedAttempt {
-                task_name: task_name.to_string(),
-                attempt: a.attempt,
-                after,
-                job: Some(a.job),
-            });
+        let ran = match assignment.started {
+            _ if assignment.recovered() => now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN,
+            Some(started) => now.saturating_sub(started),
+            None => 0,
+        };
+        info!(
+            task = exit.task_name, machine = exit.machine, cause:% = exit.cause, ran_s = ran / SECOND;
+            "replica exited"
+        );
+        if let Some(job) = self.jobs.get_mut(assignment.job) {
+            job.replica_ended(assignment.task, exit.machine, ran, now);
         }
-        self.end_if_over(context, a.job);
+        if *exit.cause == ExitCause::Error {
+            self.note_failure(context, exit.machine, assignment.job);
+        }
+    }
+
+    /// A task exited after it had done its work.
+    fn task_succeeded(&mut self, context: &Context, exit: &TaskExit) -> Option<(RecordId, u64)> {
+        let assignment = exit.assignment;
+        let machine = self.machines.get_mut(exit.machine)?;
+        let job = self.jobs.get_mut(assignment.job)?;
+        machine.failed_jobs.clear();
+        job.consecutive_errors = 0;
+        // Only a run seen from its beginning says how long such tasks take.
+        if let (Some(started), false) = (assignment.started, assignment.recovered()) {
+            let run_time = context.now.steady.saturating_sub(started);
+            self.stats
+                .record_run(&job.spec, &machine.machine_type, run_time);
+            job.note_run_time(run_time);
+        }
+        self.completed(context, assignment.job, assignment.task)
     }
 
-    /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is
-    /// returned; by a single job alone two machines are at the most.
-    pub(crate) fn note_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
+    /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is terminated;
+    /// one job alone causes only a few terminations.
+    fn note_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
         let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
         let id = job.id.clone();
-        let was_suspect = job.is_likely_faulty();
+        let was_likely_faulty = job.is_likely_faulty();
         job.note_failure(name);
-        if job.is_likely_faulty() && !was_suspect {
+        if job.is_likely_faulty() && !was_likely_faulty {
             self.lift_quarantines(context);
         }
-        let suspect = |id: &str| self.jobs.is_likely_faulty(id);
+        let is_faulty_job = |id: &str| self.jobs.is_likely_faulty(id);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.note_failure(&id, suspect);
+        machine.note_failure(&id, is_faulty_job);
         if machine.cordoned && !machine.draining {
             return;
         }
-        match (machine.blame(), self.jobs.get_mut(index)) {
+        match (machine.failure_attribution(), self.jobs.get_mut(index)) {
             (FailureAttribution::ByTwoJobs, _) => machine.retire_as_faulty(),
             (FailureAttribution::ByOneJob, Some(job))
-                if job.terminated_for_failures < MOST_BLAMED_BY_ONE_JOB =>
+                if job.terminated_for_failures < MAX_TERMINATIONS_BY_ONE_JOB =>
             {
                 job.terminated_for_failures += 1;
                 machine.retire_as_faulty();
@@ -149,54 +191,59 @@
         }
     }
 
-    /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
-    /// others are left that speak against them.
-    pub(crate) fn lift_quarantines(&mut self, context: &Context) {
-        let suspect = |id: &str| self.jobs.is_likely_faulty(id);
-        for machine in self.machines.values_mut().filter(|m| m.faulty) {
-            machine.forget_failures(suspect);
-            if machine.blame() == FailureAttribution::None
+    /// A job turned out to be at fault itself: machines that were to be terminated for its failures take tasks again,
+    /// unless failures of other jobs count against them.
+    fn lift_quarantines(&mut self, context: &Context) {
+        let is_faulty_job = |id: &str| self.jobs.is_likely_faulty(id);
+        for machine in self.machines.values_mut().filter(|machine| machine.faulty) {
+            machine.forget_failures(is_faulty_job);
+            if machine.failure_attribution() == FailureAttribution::None
                 && !self.fleet.is_terminating(&machine.name)
             {
-                machine.keep_after_all();
+                machine.uncordon_as_sound();
                 self.placement.request_round(context.now.steady);
             }
         }
     }
 
-    /// A worker reports an exit of an attempt that is on no page of ours, such as one whose
-    /// removal was written before an earlier leader could have it acknowledged.
+    /// An agent lists an exited attempt that is on none of our pages, such as one whose removal was written before an
+    /// earlier leader could have it acknowledged.
     pub(crate) fn exited_unknown(
         &mut self,
         context: &mut Context,
         name: &str,
         job_id: &str,
         task: u64,
-        s: &ReportedTask,
+        reported: &ReportedTask,
     ) {
-        let known = self.machines.get(name).is_some_and(|m| {
-            m.exited_attempts
-                .iter()
-                .any(|r| r.task_name == s.task_name && r.attempt == s.attempt)
-        });
-        if known {
+        if self.has_noted_exit(name, reported) {
             return;
         }
         let index = self.jobs.find(job_id);
         let mut after = Vec::new();
         if self.is_holder() {
-            self.note_unknown_exit(name, job_id, task, s);
-        } else if let (Some(ExitCause::Done), Some(index)) = (&s.cause, index) {
+            self.note_unknown_exit(name, job_id, task, reported);
+        } else if let (Some(ExitCause::Done), Some(index)) = (&reported.cause, index) {
             after.extend(self.completed(context, index, task));
             self.end_if_over(context, index);
         }
-        if let Some(m) = self.machines.get_mut(name) {
-            m.exited_attempts.push(ExitedAttempt {
-                task_name: s.task_name.clone(),
-                attempt: s.attempt,
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.exited_attempts.push(ExitedAttempt {
+                task_name: reported.task_name.clone(),
+                attempt: reported.attempt,
                 after,
                 job: index,
             });
         }
     }
+
+    /// Whether the exit waits for its acknowledgement already.
+    fn has_noted_exit(&self, name: &str, reported: &ReportedTask) -> bool {
+        let is_reported = |exited: &ExitedAttempt| {
+            exited.task_name == reported.task_name && exited.attempt == reported.attempt
+        };
+        self.machines
+            .get(name)
+            .is_some_and(|machine| machine.exited_attempts.iter().any(is_reported))
+    }
 }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -1,223 +1,253 @@
-//! Applies the status in a heartbeat to what is known of the machine and of the tasks on it.
+//! Applies the status of a machine, from a heartbeat or from the response to a direct command, to what is known of the
+//! machine and of the tasks on it.
 
 use crate::context::Context;
-use crate::scheduler::agents::Source;
+use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::{parse_task, JobIndex};
-use crate::state::machine::{Machine, ObservedStatus, ANSWER_TIME};
+use crate::state::machine::{Machine, ObservedStatus, RESPONSE_TIMEOUT};
 use crate::{micros, Micros};
-use grebewood_wire::http::{ExitCause, Heartbeat, TaskStatus};
+use grebewood_wire::http::{ExitCause, Heartbeat, ReportedTask, TaskStatus};
 use log::{info, warn};
 
-/// An exit without a cause says nothing.
+/// Stands for the cause of an exit that was reported without one.
 static NO_CAUSE: ExitCause = ExitCause::Unknown(String::new());
 
 impl Scheduler {
-    /// Takes in a report. Returns false if a newer one is known already.
+    /// Applies the status of a machine. Returns false if a newer one is known already.
     pub(crate) fn apply_heartbeat(
         &mut self,
         context: &mut Context,
-        report: Heartbeat,
-        source: Source,
+        status: Heartbeat,
+        source: StatusSource,
     ) -> bool {
         let now = context.now.steady;
-        let name = report.machine.clone();
-        if !self.machines.contains_key(&name) {
-            let mut machine =
-                Machine::new(&report, context.machine_type(&report.machine_type), now);
-            // One that we wait for gets work at once; of others it must be seen first that our
-            // answers reach them.
-            machine.receives_responses = self.fleet.is_booting(&name);
-            self.machines.insert(name.clone(), machine);
-        }
-        self.machine_is_up(context, &report);
-        let Some(m) = self.machines.get_mut(&name) else {
+        let name = status.machine.clone();
+        self.add_machine_if_new(context, &status);
+        self.machine_is_up(context, &status);
+        let Some(machine) = self.machines.get_mut(&name) else {
             return false;
         };
-        if (report.incarnation, report.sequence) <= (m.incarnation, m.sequence) {
+        if (status.incarnation, status.sequence) <= (machine.incarnation, machine.sequence) {
             return false;
         }
-        if m.address.is_empty() || m.cpus <= 0.0 {
-            m.describe(&report, context.machine_type(&report.machine_type), now);
-        }
-        m.address = report.address.clone();
-        m.last_contact_at = now;
-        m.reclaim_at = report.reclaim_s.map(|s| now + micros(s));
-        let new_session = report.incarnation > m.incarnation;
-        m.incarnation = report.incarnation;
-        m.sequence = report.sequence;
-        if source == Source::Heartbeat {
-            m.heartbeat = (report.incarnation, report.sequence);
-            m.last_heartbeat = now;
-        }
-        if report.token == self.token {
-            // Until it saw our token, answers of an earlier leader that does not know of its end
-            // renewed its lease; a check-in's own answer is yet to come.
-            if !m.knows_token && source == Source::Direct {
-                m.last_response = now;
-            }
-            m.knows_token = true;
-        }
-        // A worker that has our answer reports here again well before the time after which one
-        // without an answer gives up and goes elsewhere.
-        let in_time = now.saturating_sub(m.last_response) < ANSWER_TIME;
-        if source == Source::Heartbeat && m.knows_token && in_time && !new_session {
-            m.receives_responses = true;
-            m.unreachable_since = None;
-        }
-        if new_session && report.incarnation > 1 {
-            m.receives_responses = false;
-        }
-        if new_session {
-            m.exited_attempts.clear();
-            // A new session: the worker has killed and forgotten every task of the earlier ones.
-            while let Some(at) = self.position(&name, |a| a.incarnation < report.incarnation) {
-                self.remove_assignment(context, &name, at);
-            }
+        if machine.address.is_empty() || machine.cpus <= 0.0 {
+            let machine_type = context.machine_type(&status.machine_type);
+            machine.describe(&status, machine_type, now);
         }
-        if report.token == self.token {
-            self.take_tasks(context, &report, source);
+        let knows_token = status.token == self.token;
+        let new_incarnation = status.incarnation > machine.incarnation;
+        note_contact(machine, &status, source, now);
+        if knows_token {
+            note_token(machine, source, now);
         }
-        if report.reclaim_s.is_some() {
-            // Nothing is launched here any more: what waited for its record once waited on until
-            // the machine was gone.
-            self.free_unlaunched(context, &name);
-            self.drain_reclaimed(context, &name);
-            self.move_replicas(context, &name);
+        note_reachability(machine, &status, source, new_incarnation, now);
+        if new_incarnation {
+            machine.exited_attempts.clear();
+            // The agent has killed and forgotten every task of its earlier incarnations.
+            self.remove_assignments(context, &name, |a| a.incarnation < status.incarnation);
         }
-        let mut deaf = false;
-        if let Some(m) = self.machines.get_mut(&name) {
-            if !m.assignments.is_empty() {
-                m.idle_since = now;
-            }
-            if !m.receives_responses {
-                deaf = true;
-                let since = *m.unreachable_since.get_or_insert(now);
-                if now.saturating_sub(since) > 2 * context.settings.agent_lease && !m.cordoned {
-                    info!("{name}: reports, but no answer reaches it; to be returned");
-                    m.cordoned = true;
-                    self.fleet.terminate(&name, now);
-                }
-            }
+        if knows_token {
+            self.apply_tasks(context, &status, source);
         }
-        if deaf {
+        if status.reclaim_s.is_some() {
+            // Nothing is launched here any more: tasks whose record was yet to be written would otherwise wait until
+            // the machine is gone.
             self.free_unlaunched(context, &name);
+            self.drain_reclaimed(context, &name);
+            self.move_replicas(context, &name);
         }
+        self.check_receives_responses(context, &name);
         true
     }
 
-    /// Frees what was placed on a machine but not launched: it can only be launched by an answer
-    /// that reaches the worker.
-    pub(crate) fn free_unlaunched(&mut self, context: &mut Context, name: &str) {
-        while let Some(at) = self.position(name, |a| a.launched.is_none()) {
-            self.remove_assignment(context, name, at);
+    /// Adds the machine if it is not known yet. One that was provisioned gets tasks at once; of others it must be
+    /// seen first that responses reach them.
+    fn add_machine_if_new(&mut self, context: &Context, status: &Heartbeat) {
+        let name = &status.machine;
+        if self.machines.contains_key(name) {
+            return;
         }
+        let machine_type = context.machine_type(&status.machine_type);
+        let mut machine = Machine::new(status, machine_type, context.now.steady);
+        machine.receives_responses = self.fleet.is_booting(name);
+        self.machines.insert(name.clone(), machine);
     }
 
-    /// Compares a report, which has seen our token, with what should be on the machine.
-    pub(crate) fn take_tasks(&mut self, context: &mut Context, report: &Heartbeat, source: Source) {
+    /// Frees what waits for its launch on a machine that no response reaches, and terminates the machine if that lasts.
+    fn check_receives_responses(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
-        let name = &report.machine;
-        for s in &report.tasks {
-            let Some((job_id, task)) = parse_task(&s.task_name) else {
-                warn!(
-                    "{name}: task {:?} is not of the form job/number",
-                    s.task_name
-                );
-                continue;
-            };
-            let at = self.position(name, |a| {
-                a.attempt == s.attempt && a.task == task && a.job_id == job_id
-            });
-            let exited = s.status == TaskStatus::Exited;
-            match at {
-                Some(at) if exited => {
-                    let cause = s.cause.as_ref().unwrap_or(&NO_CAUSE);
-                    self.exited(context, name, at, cause, &s.task_name)
-                }
-                Some(at) => {
-                    let Some(m) = self.machines.get_mut(name) else {
-                        return;
-                    };
-                    let a = &mut m.assignments[at];
-                    let before = a.seen;
-                    a.observe(&s.status, now);
-                    let (index, seen) = (a.job, a.seen);
-                    self.count_running(now, index, before, seen);
-                }
-                None if exited => self.exited_unknown(context, name, job_id, task, s),
-                None => self.stop_unrecorded(context, report, job_id, task, s),
-            }
-        }
-        let listed = |task_name: &str, attempt: u64| {
-            report
-                .tasks
-                .iter()
-                .any(|s| s.attempt == attempt && s.task_name == task_name)
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
         };
-        if let Some(m) = self.machines.get_mut(name) {
-            m.exited_attempts
-                .retain(|r| listed(&r.task_name, r.attempt));
+        if !machine.assignments.is_empty() {
+            machine.idle_since = now;
         }
-        if source == Source::Direct {
-            // The answer to a check-in may still bring a launch: absence proves nothing here.
+        if machine.receives_responses {
             return;
         }
-        let newest = (report.incarnation, report.sequence);
-        let mut lost = false;
-        let mut at = 0;
-        while let Some(a) = self
+        let since = *machine.unreachable_since.get_or_insert(now);
+        let unreachable_for = now.saturating_sub(since);
+        if unreachable_for > 2 * context.settings.agent_lease && !machine.cordoned {
+            info!(machine = name; "no response reaches the machine; to be terminated");
+            machine.cordoned = true;
+            self.fleet.terminate(name, now);
+        }
+        self.free_unlaunched(context, name);
+    }
+
+    /// Frees what was placed on a machine but not launched: only a response that reaches the agent can launch it.
+    pub(crate) fn free_unlaunched(&mut self, context: &mut Context, name: &str) {
+        self.remove_assignments(context, name, |a| a.launched.is_none());
+    }
+
+    /// Reconciles the tasks of a status sent under our token with the assignments of the machine.
+    fn apply_tasks(&mut self, context: &mut Context, status: &Heartbeat, source: StatusSource) {
+        for reported in &status.tasks {
+            self.apply_task(context, status, reported);
+        }
+        if let Some(machine) = self.machines.get_mut(&status.machine) {
+            machine
+                .exited_attempts
+                .retain(|exited| lists(status, &exited.task_name, exited.attempt));
+        }
+        // The response to a heartbeat may still bring a launch: in the response to a direct command absence proves
+        // nothing.
+        if source == StatusSource::Heartbeat {
+            self.apply_absences(context, status);
+        }
+    }
+
+    /// Applies the status of one task.
+    fn apply_task(&mut self, context: &mut Context, status: &Heartbeat, reported: &ReportedTask) {
+        let name = &status.machine;
+        let Some((job_id, task)) = parse_task(&reported.task_name) else {
+            warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
+            return;
+        };
+        let position = self.position(name, |a| {
+            a.attempt == reported.attempt && a.task == task && a.job_id == job_id
+        });
+        let exited = reported.status == TaskStatus::Exited;
+        match position {
+            Some(position) if exited => {
+                let cause = reported.cause.as_ref().unwrap_or(&NO_CAUSE);
+                self.exited(context, name, position, cause, &reported.task_name);
+            }
+            Some(position) => {
+                let Some(machine) = self.machines.get_mut(name) else {
+                    return;
+                };
+                let now = context.now.steady;
+                let assignment = &mut machine.assignments[position];
+                let before = assignment.seen;
+                assignment.observe(&reported.status, now);
+                let (job, seen) = (assignment.job, assignment.seen);
+                self.count_running(now, job, before, seen);
+            }
+            None if exited => self.exited_unknown(context, name, job_id, task, reported),
+            None => self.stop_unrecorded(context, status, job_id, task, reported),
+        }
+    }
+
+    /// Applies that launched tasks are absent from a heartbeat sent under our token. Either the task is gone, or the
+    /// response with its launch was lost.
+    fn apply_absences(&mut self, context: &mut Context, status: &Heartbeat) {
+        let name = &status.machine;
+        let newest = (status.incarnation, status.sequence);
+        let mut launch_was_lost = false;
+        let mut position = 0;
+        while let Some(assignment) = self
             .machines
             .get_mut(name)
-            .and_then(|m| m.assignments.get_mut(at))
+            .and_then(|machine| machine.assignments.get_mut(position))
         {
-            let absent = a.launched.is_some_and(|l| l < newest)
-                && !listed(&format!("{}/{}", a.job_id, a.task), a.attempt);
-            if !absent {
-                at += 1;
-            } else if a.seen == ObservedStatus::Never && a.stop.is_none() && !a.recovered() {
-                // The answer with the launch was lost and is never carried out late: it may be
-                // sent again, under the same attempt, once answers arrive.
-                a.launched = None;
-                lost = true;
-                at += 1;
+            let launched_before = assignment.launched.is_some_and(|launch| launch < newest);
+            if !launched_before || lists(status, &assignment.task_name(), assignment.attempt) {
+                position += 1;
+            } else if assignment.is_launch_unconfirmed() {
+                // An agent never carries out a lost response late: the launch may be sent again, under the same
+                // attempt, once responses arrive.
+                assignment.launched = None;
+                launch_was_lost = true;
+                position += 1;
             } else {
-                // A later report that has seen our token, without the task: it is gone.
-                self.remove_assignment(context, name, at);
+                self.remove_assignment(context, name, position);
             }
         }
-        if let (true, Some(m)) = (lost, self.machines.get_mut(name)) {
-            m.receives_responses = false;
+        if let (true, Some(machine)) = (launch_was_lost, self.machines.get_mut(name)) {
+            machine.receives_responses = false;
         }
     }
 
-    /// Counts a task of the job that began or ceased to run, as far as seen.
+    /// Counts a task of the job that began or ceased to run, as far as observed.
     pub(crate) fn count_running(
         &mut self,
-        at: Micros,
+        now: Micros,
         index: JobIndex,
         before: ObservedStatus,
-        now: ObservedStatus,
+        after: ObservedStatus,
     ) {
-        let (was, is) = (
-            before == ObservedStatus::Running,
-            now == ObservedStatus::Running,
-        );
-        if was == is {
+        let was_running = before == ObservedStatus::Running;
+        let is_running = after == ObservedStatus::Running;
+        if was_running == is_running {
             return;
         }
         if let Some(job) = self.jobs.get_mut(index) {
-            if is && job.began_at.is_none() {
-                job.began_at = Some(job.age(at));
+            match is_running {
+                true => job.note_running(now),
+                false => job.running = job.running.saturating_sub(1),
             }
-            if is && job.running == 0 {
-                job.running_well_since = at;
-            }
-            job.running = match is {
-                true => job.running + 1,
-                false => job.running.saturating_sub(1),
-            };
             self.progress_dirty.insert(index);
         }
     }
 }
+
+/// Whether the status lists the attempt of the task.
+fn lists(status: &Heartbeat, task_name: &str, attempt: u64) -> bool {
+    status
+        .tasks
+        .iter()
+        .any(|reported| reported.attempt == attempt && reported.task_name == task_name)
+}
+
+/// Notes when and under which incarnation the machine sent its status.
+fn note_contact(machine: &mut Machine, status: &Heartbeat, source: StatusSource, now: Micros) {
+    machine.address = status.address.clone();
+    machine.last_contact_at = now;
+    machine.reclaim_at = status.reclaim_s.map(|seconds| now + micros(seconds));
+    machine.incarnation = status.incarnation;
+    machine.sequence = status.sequence;
+    if source == StatusSource::Heartbeat {
+        machine.newest_heartbeat = (status.incarnation, status.sequence);
+        machine.last_heartbeat = now;
+    }
+}
+
+/// Notes that the agent has seen our fencing token. Until then an earlier leader that does not know yet that it was
+/// replaced may have renewed the agent's lease with its responses; a heartbeat's own response is yet to be sent.
+fn note_token(machine: &mut Machine, source: StatusSource, now: Micros) {
+    if !machine.knows_token && source == StatusSource::DirectCommand {
+        machine.last_response = now;
+    }
+    machine.knows_token = true;
+}
+
+/// Notes whether our responses reach the agent. One that gets them sends its next heartbeat to this controller well
+/// before the time after which one that gets none turns to another controller.
+fn note_reachability(
+    machine: &mut Machine,
+    status: &Heartbeat,
+    source: StatusSource,
+    new_incarnation: bool,
+    now: Micros,
+) {
+    let in_time = now.saturating_sub(machine.last_response) < RESPONSE_TIMEOUT;
+    if source == StatusSource::Heartbeat && machine.knows_token && in_time && !new_incarnation {
+        machine.receives_responses = true;
+        machine.unreachable_since = None;
+    }
+    if new_incarnation && status.incarnation > 1 {
+        machine.receives_responses = false;
+    }
+}
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -1,195 +1,216 @@
 //! Answers heartbeats: which commands the response carries, and when it may be sent.
 
 use crate::context::Context;
-use crate::scheduler::agents::Source;
+use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::{parse_task, JobIndex, EPS};
 use crate::state::long_polls::HeldHeartbeat;
+use crate::state::machine::stop_command;
 use crate::state::write_buffer::RecordId;
-use crate::{Micros, MILLI, SECOND};
+use crate::{Micros, MILLI};
 use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskStatus, Verb};
 
-/// How long a check-in may wait for a flush before it is answered with what there is.
-pub(crate) const HOLD: Micros = 500 * MILLI;
+pub(crate) use crate::state::jobs::grace;
 
-/// Most commands in one answer, so that it stays below the size limit.
+/// How long a heartbeat may wait for a flush, in microseconds, before it is answered with what there is.
+pub(crate) const MAX_HOLD: Micros = 500 * MILLI;
+
+/// Most commands in one response, so that it stays below the size limit.
 pub(crate) const MAX_COMMANDS: usize = 300;
 
 /// Stops for the tasks on a machine whose jobs are known to be cancelled.
-fn stop_commands_for_cancelled(context: &Context, report: &Heartbeat) -> Vec<Command> {
-    let live = report
+fn stop_commands_for_cancelled(context: &Context, heartbeat: &Heartbeat) -> Vec<Command> {
+    let live = heartbeat
         .tasks
         .iter()
-        .filter(|s| s.status != TaskStatus::Exited);
-    live.filter_map(|s| {
-        let (job, task) = parse_task(&s.task_name)?;
+        .filter(|reported| reported.status != TaskStatus::Exited);
+    live.filter_map(|reported| {
+        let (job, task) = parse_task(&reported.task_name)?;
         context.cancellations.get(job)?;
-        Some(stop_command(job, task, s.attempt, 0))
+        Some(stop_command(job, task, reported.attempt, 0))
     })
     .take(MAX_COMMANDS)
     .collect()
 }
 
-/// Leeway for a task that needs `flush` to save.
-pub(crate) fn grace(flush: Micros) -> Micros {
-    flush + flush / 2 + SECOND
-}
-
-pub(crate) fn stop_command(job: &str, task: u64, attempt: u64, grace: Micros) -> Command {
-    Command {
-        verb: Verb::Stop,
-        task_name: format!("{job}/{task}"),
-        attempt,
-        grace_s: Some(grace as f64 / SECOND as f64),
-    }
-}
-
 impl Scheduler {
-    pub(crate) fn on_heartbeat(&mut self, context: &mut Context, request: u64, report: Heartbeat) {
+    /// A heartbeat arrived as request number `request`.
+    pub(crate) fn on_heartbeat(
+        &mut self,
+        context: &mut Context,
+        request: u64,
+        heartbeat: Heartbeat,
+    ) {
         let now = context.now.steady;
         self.holder_state.heartbeats += 1;
         if !self.loaded() {
             self.last_heartbeat_at = now;
-            // Renews the lease and announces the token while state is still being read, which an
-            // outage may make long: cancelled tasks must be gone in time all the same.
-            let commands = stop_commands_for_cancelled(context, &report);
+            // Renews the agent's lease and announces the token while records are still being read, which a store
+            // outage may prolong: cancelled tasks must be gone in time all the same.
+            let commands = stop_commands_for_cancelled(context, &heartbeat);
             return self.answer_heartbeat(context, request, commands);
         }
-        if self.fleet.is_gone(&report.machine) {
-            // The machine was deleted: a late copy of a report.
+        if self.fleet.is_gone(&heartbeat.machine) {
+            // The machine was deleted: a late copy of a heartbeat.
             return context.answer(request, 421, &Redirect { leader: None });
         }
-        let (machine, incarnation, sequence) =
-            (report.machine.clone(), report.incarnation, report.sequence);
-        let fresh = self.apply_heartbeat(context, report, Source::Heartbeat);
-        if !fresh {
-            // A late copy. It renews no lease, and whatever the answer, nobody takes it. Unless it is a
-            // check-in that the answer to a direct command overtook: its worker takes our answer, so
-            // its lease began when it sent this. That lease was once taken to have run out by the
-            // answer before.
-            if let Some(m) = self.machines.get_mut(&machine) {
-                if incarnation == m.incarnation && (incarnation, sequence) > m.heartbeat {
-                    m.heartbeat = (incarnation, sequence);
-                    m.last_response = now;
-                }
-            }
+        let held = HeldHeartbeat {
+            request,
+            round: 0,
+            machine: heartbeat.machine.clone(),
+            incarnation: heartbeat.incarnation,
+            sequence: heartbeat.sequence,
+            until: now + MAX_HOLD,
+        };
+        if !self.apply_heartbeat(context, heartbeat, StatusSource::Heartbeat) {
+            self.note_late_heartbeat(context, &held);
             return self.answer_heartbeat(context, request, Vec::new());
         }
         self.last_heartbeat_at = now;
-        // A worker reports one at a time: the one before was given up.
-        self.refuse_held_heartbeats(context, &machine, "overtaken by a later report");
-        let Some(m) = self.machines.get_mut(&machine) else {
+        // An agent sends one heartbeat at a time: it has given up the one before.
+        self.refuse_held_heartbeats(context, &held.machine, "overtaken by a later report");
+        let Some(machine) = self.machines.get_mut(&held.machine) else {
             return self.answer_heartbeat(context, request, Vec::new());
         };
-        m.last_response = now;
-        let mut pending = HeldHeartbeat {
-            request,
-            round: 0,
-            machine,
-            incarnation,
-            sequence,
-            until: now + HOLD,
+        machine.last_response = now;
+        self.answer_or_hold(context, held);
+    }
+
+    /// A heartbeat came after a newer status of the machine. If it is a late copy, it renews no lease, and no agent
+    /// reads the response. But if it was overtaken by the response to a direct command, its agent takes our response,
+    /// so the agent's lease began when the heartbeat was sent, and must not be taken to have expired since the
+    /// response before.
+    fn note_late_heartbeat(&mut self, context: &Context, late: &HeldHeartbeat) {
+        let Some(machine) = self.machines.get_mut(&late.machine) else {
+            return;
         };
-        // MachineResources that jobs wait for: the answer waits for the next round of placement.
-        if self.placement.backlog
-            && m.free().cpus > EPS
-            && m.usable(now, 3 * context.settings.heartbeat_interval)
-        {
-            self.placement.request_round(now);
-            pending.round = self.placement.rounds + 1;
+        let id = (late.incarnation, late.sequence);
+        if late.incarnation == machine.incarnation && id > machine.newest_heartbeat {
+            machine.newest_heartbeat = id;
+            machine.last_response = context.now.steady;
         }
-        if self.may_be_answered(context, &pending) {
-            let commands = self.commands(context, &pending);
-            if commands.is_empty() && self.may_long_poll(context, &pending.machine) {
-                return self.hold_long_poll(context, pending);
-            }
-            return self.answer_heartbeat(context, request, commands);
+    }
+
+    /// Answers a heartbeat at once if it has nothing to wait for, or else holds it.
+    fn answer_or_hold(&mut self, context: &mut Context, mut held: HeldHeartbeat) {
+        if self.has_room_for_backlog(context, &held.machine) {
+            self.placement.request_round(context.now.steady);
+            held.round = self.placement.rounds + 1;
         }
-        if self.held_heartbeats.is_empty() {
-            self.held_until = pending.until;
+        if !self.may_be_answered(context, &held) {
+            return self.hold_heartbeat(held);
         }
-        self.held_heartbeats.push(pending);
+        let commands = self.commands(context, &held);
+        if commands.is_empty() && self.may_long_poll(context, &held.machine) {
+            return self.hold_long_poll(context, held);
+        }
+        self.answer_heartbeat(context, held.request, commands);
     }
 
+    /// Whether the machine has free resources that jobs wait for: then the response waits for the next round of
+    /// placement.
+    fn has_room_for_backlog(&self, context: &Context, name: &str) -> bool {
+        let max_silence = 3 * context.settings.heartbeat_interval;
+        self.placement.backlog
+            && self.machines.get(name).is_some_and(|machine| {
+                machine.free().cpus > EPS && machine.usable(context.now.steady, max_silence)
+            })
+    }
+
+    /// Sends the response to a heartbeat.
     pub(crate) fn answer_heartbeat(
         &self,
         context: &mut Context,
         request: u64,
         commands: Vec<Command>,
     ) {
-        let answer = HeartbeatResponse {
+        let response = HeartbeatResponse {
             token: self.token,
             commands,
         };
-        context.answer(request, 200, &answer);
+        context.answer(request, 200, &response);
     }
 
+    /// Whether these versions of records are durable, which hold the outcome of a task of the job.
     pub(crate) fn is_durable(&self, after: &[(RecordId, u64)], job: Option<JobIndex>) -> bool {
         // Once a job is over, its terminal record stands for all of its tasks.
         let over = job.is_some_and(|index| self.jobs.get(index).is_none());
-        after.iter().all(|(rec, version)| {
-            (over && matches!(rec, RecordId::Done(..)))
-                || self.write_buffer.is_durable(rec, *version)
+        after.iter().all(|(record, version)| {
+            (over && matches!(record, RecordId::Done(..)))
+                || self.write_buffer.is_durable(record, *version)
         })
     }
 
-    /// The commands for the answer to a check-in. Launches go only here: such an answer is never
-    /// carried out late. Each launched task is on record, each acknowledged outcome too.
-    pub(crate) fn commands(&mut self, context: &Context, pending: &HeldHeartbeat) -> Vec<Command> {
-        let now = context.now.steady;
-        let mut commands = Vec::new();
-        let Some(m) = self.machines.get(&pending.machine) else {
-            return commands;
-        };
-        if m.incarnation != pending.incarnation {
-            return commands;
-        }
-        for r in &m.exited_attempts {
-            let settled = self.is_durable(&r.after, r.job) && self.holder_state.is_settled(r.id());
-            if commands.len() < MAX_COMMANDS && settled {
-                commands.push(Command {
-                    verb: Verb::Acknowledge,
-                    task_name: r.task_name.clone(),
-                    attempt: r.attempt,
-                    grace_s: None,
-                });
-            }
+    /// The commands for the response to a heartbeat. Tasks are launched only here, since an agent never carries out
+    /// such a response late. Each launched task is on record, and so is each acknowledged outcome.
+    pub(crate) fn commands(&mut self, context: &Context, held: &HeldHeartbeat) -> Vec<Command> {
+        let same_incarnation = self
+            .machines
+            .get(&held.machine)
+            .is_some_and(|machine| machine.incarnation == held.incarnation);
+        if !same_incarnation {
+            return Vec::new();
         }
+        let mut commands = self.acknowledgements(&held.machine);
+        self.add_stops_and_launches(context, held, &mut commands);
+        commands
+    }
+
+    /// Acknowledges the exits on a machine whose outcomes are durable.
+    fn acknowledgements(&self, name: &str) -> Vec<Command> {
+        let Some(machine) = self.machines.get(name) else {
+            return Vec::new();
+        };
+        machine
+            .exited_attempts
+            .iter()
+            .filter(|exited| {
+                self.is_durable(&exited.after, exited.job)
+                    && self.holder_state.is_settled(exited.id())
+            })
+            .take(MAX_COMMANDS)
+            .map(|exited| Command {
+                verb: Verb::Acknowledge,
+                task_name: exited.task_name.clone(),
+                attempt: exited.attempt,
+                grace_s: None,
+            })
+            .collect()
+    }
+
+    /// Adds the stops of a machine, and launches of its assignments that are on record.
+    fn add_stops_and_launches(
+        &mut self,
+        context: &Context,
+        held: &HeldHeartbeat,
+        commands: &mut Vec<Command>,
+    ) {
         let (write_buffer, jobs) = (&self.write_buffer, &self.jobs);
-        let Some(m) = self.machines.get_mut(&pending.machine) else {
-            return commands;
+        let Some(machine) = self.machines.get_mut(&held.machine) else {
+            return;
         };
-        let revoked = m.reclaim_at.is_some();
-        for a in &mut m.assignments {
+        let reclaimed = machine.reclaim_at.is_some();
+        for assignment in &mut machine.assignments {
             if commands.len() >= MAX_COMMANDS {
                 break;
             }
-            if let Some(stop) = &mut a.stop {
-                if a.launched.is_some() {
-                    stop.sent = Some(now);
-                    commands.push(stop_command(&a.job_id, a.task, a.attempt, stop.grace));
-                }
+            if assignment.stop.is_some() {
+                commands.extend(assignment.send_stop(context.now.steady));
                 continue;
             }
-            let alive = jobs
-                .get(a.job)
-                .is_some_and(|j| j.cancelled.is_none() && !j.is_done(a.task));
-            let written = write_buffer.is_durable(&RecordId::Page(a.page), a.written);
-            if a.launched.is_none()
-                && written
-                && alive
-                && !revoked
-                && a.incarnation == pending.incarnation
+            let is_live = jobs
+                .get(assignment.job)
+                .is_some_and(|job| job.cancelled.is_none() && !job.is_done(assignment.task));
+            let page = RecordId::Page(assignment.page);
+            if assignment.launched.is_none()
+                && write_buffer.is_durable(&page, assignment.written)
+                && is_live
+                && !reclaimed
+                && assignment.incarnation == held.incarnation
             {
-                a.launched = Some((pending.incarnation, pending.sequence));
-                commands.push(Command {
-                    verb: Verb::Launch,
-                    task_name: format!("{}/{}", a.job_id, a.task),
-                    attempt: a.attempt,
-                    grace_s: None,
-                });
+                assignment.launched = Some((held.incarnation, held.sequence));
+                commands.push(assignment.launch_command());
             }
         }
-        commands
     }
 }
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -1,86 +1,106 @@
-//! Stops tasks: stop commands, direct commands, and evictions from machines that will be reclaimed.
+//! Stops tasks: stop commands, direct commands, and the draining of machines that will be reclaimed.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::{grace, stop_command, MAX_COMMANDS};
-use crate::scheduler::agents::Source;
+use crate::scheduler::agents::heartbeats::MAX_COMMANDS;
+use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit};
-use crate::state::jobs::JobIndex;
+use crate::state::jobs::{Job, JobIndex};
 use crate::state::machine::{Assignment, Machine, ObservedStatus, Stop, TaskOnMachine};
 use crate::state::write_buffer::RecordId;
 use crate::{micros, Micros, Outcome, Target, SECOND};
 use grebewood_wire as wire;
-use grebewood_wire::http::{DirectCommands, Heartbeat, ReportedTask, Submission};
+use grebewood_wire::http::{Command, DirectCommands, Heartbeat, ReportedTask, Submission};
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
 use log::{error, warn};
 
-/// A replica leaves a machine so long before the cloud takes it, wherever it is to go.
+/// A replica leaves a machine at the latest so long before its reclamation, in microseconds, even if it
+/// fits nowhere else.
 const LAST_MOVE: Micros = 4 * SECOND;
 
-/// Between two direct commands to one machine.
-const DIRECT_INTERVAL: Micros = 2 * SECOND;
+/// A task that checkpoints is stopped so long, in microseconds, before there is no time left for its checkpoint.
+const CHECKPOINT_MARGIN: Micros = 5 * SECOND;
+
+/// A task finishes in time if it is expected to do so this long, in microseconds, before the machine's reclamation.
+const FINISH_MARGIN: Micros = SECOND;
+
+/// Least time between two direct commands to stop the same task, in microseconds.
+const STOP_RETRY_INTERVAL: Micros = 2 * SECOND;
+
+/// How long a direct command waits for its response, in microseconds.
+const DIRECT_TIMEOUT: Micros = 2 * SECOND;
+
+/// What is expected of a task that is on a machine without being on record, in microseconds.
+const UNRECORDED_RUN: Micros = SECOND;
+
+/// What is sent to a machine that has no stop due.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum WithoutStops {
+    /// Nothing.
+    SendNothing,
+    /// A direct command without stops: its response shows that the agent can be reached.
+    SendProbe,
+}
+
+/// How a task on a machine that will be reclaimed is to be stopped.
+struct PlannedStop {
+    attempt: u64,
+    /// Time for a checkpoint, in microseconds.
+    grace: Micros,
+}
 
 impl Scheduler {
-    /// A worker has a task that is on no page of ours. It is stopped, and counts as taken until
-    /// it is proven gone.
+    /// An agent has a task that is on none of our pages. It is stopped, and counts as assigned until it is proven gone.
     pub(crate) fn stop_unrecorded(
         &mut self,
         context: &mut Context,
-        report: &Heartbeat,
+        status: &Heartbeat,
         job_id: &str,
         task: u64,
-        s: &ReportedTask,
+        reported: &ReportedTask,
     ) {
         let now = context.now.steady;
-        error!(
-            "{}: has {}, which is not on record",
-            report.machine, s.task_name
-        );
+        let name = &status.machine;
+        error!(machine = name, task = reported.task_name; "machine has a task that is not on record");
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
             job.take(task);
-            *job.zones.entry(report.zone.clone()).or_insert(0) += 1;
+            *job.zones.entry(status.zone.clone()).or_insert(0) += 1;
         }
-        let spec = index
-            .and_then(|index| self.jobs.get(index))
-            .map(|j| j.spec.clone());
         let page = match self.is_holder() {
             true => 0,
             false => self.page_with_room(),
         };
+        let job = index.and_then(|index| self.jobs.get(index));
         let task = PlacedTask {
-            machine: report.machine.clone(),
-            incarnation: report.incarnation,
+            machine: name.clone(),
+            incarnation: status.incarnation,
             job: job_id.to_string(),
             task,
-            attempt: s.attempt,
-            expected_us: SECOND,
+            attempt: reported.attempt,
+            expected_us: UNRECORDED_RUN,
         };
         let assignment = Assignment {
             page,
-            launched: Some((report.incarnation, report.sequence)),
+            launched: Some((status.incarnation, status.sequence)),
             seen: ObservedStatus::Running,
             started: Some(now),
-            stop: Some(Stop {
-                grace: 0,
-                since: now,
-                sent: None,
-            }),
+            stop: Some(Stop::new(0, now)),
             ..Assignment::new(TaskOnMachine {
                 task: &task,
                 job: index,
-                spec: spec.as_ref(),
-                zone: report.zone.clone(),
+                spec: job.map(|job| &job.spec),
+                zone: status.zone.clone(),
                 now,
             })
         };
         if !self.is_holder() {
-            self.page_mut(page).add(&report.machine, &assignment);
+            self.page_mut(page).add(name, &assignment);
             self.write_buffer.mark_dirty(RecordId::Page(page), now);
         }
-        self.add_assignment(&report.machine, assignment);
-        self.send_direct(context, &report.machine);
+        self.add_assignment(name, assignment);
+        self.send_due_stops(context, name);
     }
 
     /// Stops whatever may run of a job.
@@ -88,16 +108,16 @@
         let names: Vec<String> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.assignments.iter().any(|a| a.job == index))
-            .map(|(n, _)| n.clone())
+            .filter(|(_, machine)| machine.assignments.iter().any(|a| a.job == index))
+            .map(|(name, _)| name.clone())
             .collect();
         for name in names {
             self.stop_on(context, &name, 0, |a| a.job == index);
         }
     }
 
-    /// Stops the assignments of a machine that pass the test. Those never launched are freed at
-    /// once.
+    /// Stops the assignments of a machine that pass the test; each gets `grace` microseconds to checkpoint. Those never
+    /// launched are freed at once.
     pub(crate) fn stop_on(
         &mut self,
         context: &mut Context,
@@ -106,25 +126,22 @@
         test: impl Fn(&Assignment) -> bool,
     ) {
         let now = context.now.steady;
-        while let Some(at) = self.position(name, |a| test(a) && !a.may_exist()) {
-            self.remove_assignment(context, name, at);
-        }
+        self.remove_assignments(context, name, |a| test(a) && !a.may_exist());
         let mut any = false;
-        if let Some(m) = self.machines.get_mut(name) {
-            for a in m.assignments.iter_mut().filter(|a| test(a)) {
-                // A stop without leeway ends a task that is saving.
-                if a.stop.is_none_or(|s| grace == 0 && s.grace > 0) {
-                    a.stop = Some(Stop {
-                        grace,
-                        since: now,
-                        sent: None,
-                    });
+        if let Some(machine) = self.machines.get_mut(name) {
+            for assignment in machine.assignments.iter_mut().filter(|a| test(a)) {
+                // A stop without grace ends a task that is checkpointing.
+                if assignment
+                    .stop
+                    .is_none_or(|stop| grace == 0 && stop.grace > 0)
+                {
+                    assignment.stop = Some(Stop::new(grace, now));
                     any = true;
                 }
             }
         }
         if any {
-            self.send_direct(context, name);
+            self.send_due_stops(context, name);
         }
     }
 
@@ -135,54 +152,52 @@
         attempt: TaskAttempt,
         grace: Micros,
     ) {
-        let holds = |m: &&Machine| m.assignments.iter().any(|a| a.id() == attempt);
-        let machine = self.machines.values().find(holds).map(|m| m.name.clone());
-        if let Some(name) = machine {
+        let has_attempt = |m: &&Machine| m.assignments.iter().any(|a| a.id() == attempt);
+        let machine = self.machines.values().find(has_attempt);
+        if let Some(name) = machine.map(|machine| machine.name.clone()) {
             self.stop_on(context, &name, grace, |a| a.id() == attempt);
         }
     }
 
-    /// Sends the stops of a machine straight to it.
-    pub(crate) fn send_direct(&mut self, context: &mut Context, name: &str) {
-        self.send_commands(context, name, false);
+    /// Sends the stops of a machine that are due in a direct command.
+    pub(crate) fn send_due_stops(&mut self, context: &mut Context, name: &str) {
+        self.send_direct_commands(context, name, WithoutStops::SendNothing);
+    }
+
+    /// Sends a direct command with the stops that are due, if any: its response shows that the agent can be reached.
+    pub(crate) fn probe_agent(&mut self, context: &mut Context, name: &str) {
+        self.send_direct_commands(context, name, WithoutStops::SendProbe);
     }
 
-    /// Sends stops that are due; with `ask` the command goes out even if there are none: its answer
-    /// shows that the machine hears us.
-    pub(crate) fn send_commands(&mut self, context: &mut Context, name: &str, ask: bool) {
+    fn send_direct_commands(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        without_stops: WithoutStops,
+    ) {
         let now = context.now.steady;
         if self.uncertain() || self.direct.contains_key(name) {
             return;
         }
-        let Some(m) = self.machines.get_mut(name) else {
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         // The holder of its partition sends commands there.
-        if m.address.is_empty() || m.partition.is_some() {
+        if machine.address.is_empty() || machine.partition.is_some() {
             return;
         }
-        let mut commands = Vec::new();
-        for a in m.assignments.iter_mut().filter(|a| a.launched.is_some()) {
-            if let Some(stop) = &mut a.stop {
-                if commands.len() < MAX_COMMANDS
-                    && stop.sent.is_none_or(|at| now >= at + DIRECT_INTERVAL)
-                {
-                    stop.sent = Some(now);
-                    commands.push(stop_command(&a.job_id, a.task, a.attempt, stop.grace));
-                }
-            }
-        }
-        if commands.is_empty() && !ask {
+        let commands = due_stops(machine, now);
+        if commands.is_empty() && without_stops == WithoutStops::SendNothing {
             return;
         }
         let body = DirectCommands {
             token: self.token,
-            incarnation: m.incarnation,
+            incarnation: machine.incarnation,
             commands,
         };
-        let address = m.address.clone();
+        let address = machine.address.clone();
         self.direct.insert(name.to_string(), now);
-        let pending = self.pending(SchedulerCall::Direct {
+        let purpose = self.pending(SchedulerCall::Direct {
             machine: name.to_string(),
         });
         context.call(
@@ -190,115 +205,141 @@
             "POST",
             "/do".into(),
             wire::to_cbor(&body),
-            2 * SECOND,
-            pending,
+            DIRECT_TIMEOUT,
+            purpose,
         );
     }
 
+    /// The call with a direct command to the machine has ended.
     pub(crate) fn on_direct(&mut self, context: &mut Context, name: &str, outcome: Outcome) {
         self.direct.remove(name);
         let Outcome::Answer { status, body } = outcome else {
             return;
         };
         if status != 200 && status != 409 {
-            return warn!("{name}: direct command got {status}");
+            return warn!(machine = name, status = status; "direct command was refused");
         }
         match wire::from_cbor::<Heartbeat>(&body) {
-            Ok(report) if report.machine == name && self.is_own_machine(name) => {
-                self.apply_heartbeat(context, report, Source::Direct);
-                // It came within the call's time: commands reach this session now.
-                if let (200, Some(m)) = (status, self.machines.get_mut(name)) {
-                    m.receives_responses = true;
-                    m.unreachable_since = None;
+            Ok(reported) if reported.machine == name && self.is_own_machine(name) => {
+                self.apply_heartbeat(context, reported, StatusSource::DirectCommand);
+                // It came within the call's time: commands reach this incarnation now.
+                if let (200, Some(machine)) = (status, self.machines.get_mut(name)) {
+                    machine.receives_responses = true;
+                    machine.unreachable_since = None;
                     self.placement.request_round(context.now.steady);
                 }
             }
-            Ok(report) if report.machine == name => {}
-            Ok(_) => warn!("{name}: another worker answers at its address"),
-            Err(e) => warn!("{name}: {e}"),
+            Ok(reported) if reported.machine == name => {}
+            Ok(_) => warn!(machine = name; "another agent answers at the machine's address"),
+            Err(error) => {
+                warn!(machine = name, error:% = error; "response to a direct command is unreadable");
+            }
         }
     }
 
-    /// Whether this node looks after the machine itself, and knows it.
+    /// Whether this controller looks after the machine itself, and knows it.
     fn is_own_machine(&self, name: &str) -> bool {
         self.machines
             .get(name)
-            .is_some_and(|m| m.partition.is_none())
+            .is_some_and(|machine| machine.partition.is_none())
     }
 
-    /// Stops what cannot finish before the cloud takes the machine.
+    /// Stops what cannot finish before the machine's reclamation.
     pub(crate) fn drain_reclaimed(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
-        let Some(m) = self.machines.get(name) else {
+        let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let Some(left) = m.reclaim_at.map(|at| at.saturating_sub(now)) else {
+        let Some(left) = machine.reclaim_at.map(|at| at.saturating_sub(now)) else {
             return;
         };
-        let mut stops: Vec<(u64, Micros)> = Vec::new();
-        for a in m.assignments.iter().filter(|a| a.stop.is_none()) {
-            let Some(job) = self.jobs.get(a.job) else {
+        let mut stops = Vec::new();
+        for assignment in machine.assignments.iter().filter(|a| a.stop.is_none()) {
+            let Some(job) = self.jobs.get(assignment.job) else {
                 continue;
             };
-            let fetch = m.fetch_time(&job.spec.image, job.spec.image_gb);
-            if a.remaining(now, fetch) + SECOND < left {
-                continue;
-            }
-            let flush = micros(job.spec.checkpoint_duration_s);
-            if job.is_daemon() {
-                // It serves on until there is room elsewhere, which is rented at once if there is none.
-                let saves = job.spec.checkpoint_interval_s > 0.0;
-                let last = if saves { grace(flush) } else { 0 } + LAST_MOVE;
-                if left < last {
-                    stops.push((a.attempt, if saves { grace(flush) } else { 0 }));
-                }
-            } else if job.spec.checkpoint_interval_s > 0.0 {
-                if left < flush + 5 * SECOND {
-                    stops.push((a.attempt, grace(flush)));
-                }
-            } else {
-                stops.push((a.attempt, 0));
+            let fetch_time = machine.fetch_time(&job.spec.image, job.spec.image_gb);
+            let finishes = assignment.remaining(now, fetch_time) + FINISH_MARGIN < left;
+            if !finishes && must_stop_for_reclamation(job, left) {
+                stops.push(PlannedStop {
+                    attempt: assignment.attempt,
+                    grace: job.checkpoint_grace(),
+                });
             }
         }
-        for (attempt, grace) in stops {
-            self.stop_on(context, name, grace, |a| a.attempt == attempt);
-        }
+        self.carry_out_stops(context, name, stops);
     }
 
-    /// Replicas on a machine that is to be returned, or that the cloud takes, never end by themselves:
-    /// they are stopped once there is room for them elsewhere.
+    /// Replicas on a machine that is to be terminated or will be reclaimed never end by themselves: they are stopped
+    /// once there are free resources for them elsewhere.
     pub(crate) fn move_replicas(&mut self, context: &mut Context, name: &str) {
-        let going = |m: &&Machine| m.cordoned || m.reclaim_at.is_some();
-        let Some(m) = self.machines.get(name).filter(going) else {
+        let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let mut moves: Vec<(u64, Micros)> = Vec::new();
-        for a in m.assignments.iter().filter(|a| a.stop.is_none()) {
-            let Some(job) = self.jobs.get(a.job).filter(|j| j.is_daemon()) else {
+        if !machine.cordoned && machine.reclaim_at.is_none() {
+            return;
+        }
+        let mut stops: Vec<PlannedStop> = Vec::new();
+        for assignment in machine.assignments.iter().filter(|a| a.stop.is_none()) {
+            let job = self.jobs.get(assignment.job);
+            let Some(job) = job.filter(|job| job.is_daemon()) else {
                 continue;
             };
-            let grace = match job.spec.checkpoint_interval_s > 0.0 {
-                true => grace(micros(job.spec.checkpoint_duration_s)),
-                false => 0,
-            };
-            // Those that move already mean the same room.
-            if self.room_elsewhere(context, &a.zone, &job.spec) > moves.len() as u64 {
-                moves.push((a.attempt, grace));
+            // The replicas that move already need the same free resources.
+            let fitting = self.tasks_that_fit_elsewhere(context, &assignment.zone, &job.spec);
+            if fitting > stops.len() as u64 {
+                stops.push(PlannedStop {
+                    attempt: assignment.attempt,
+                    grace: job.checkpoint_grace(),
+                });
             }
         }
-        for (attempt, grace) in moves {
+        self.carry_out_stops(context, name, stops);
+    }
+
+    fn carry_out_stops(&mut self, context: &mut Context, name: &str, stops: Vec<PlannedStop>) {
+        for PlannedStop { attempt, grace } in stops {
             self.stop_on(context, name, grace, |a| a.attempt == attempt);
         }
     }
 
-    /// How many tasks of the job the machines of a zone have room for.
-    pub(crate) fn room_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
-        let (now, silence) = (context.now.steady, 3 * context.settings.heartbeat_interval);
+    /// How many tasks of the job fit into the free resources of a zone's machines.
+    fn tasks_that_fit_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
+        let now = context.now.steady;
+        let max_silence = 3 * context.settings.heartbeat_interval;
         self.machines
             .values()
-            .filter(|m| m.zone == zone && m.usable(now, silence))
+            .filter(|machine| machine.zone == zone && machine.usable(now, max_silence))
             .filter(|m| permits(context, spec, &m.machine_type, &m.zone, m.spot))
-            .map(|m| tasks_that_fit(m.free(), spec))
+            .map(|machine| tasks_that_fit(machine.free(), spec))
             .sum()
     }
 }
+
+/// The stops of a machine that were not sent lately; notes that they are sent.
+fn due_stops(machine: &mut Machine, now: Micros) -> Vec<Command> {
+    let is_due = |assignment: &Assignment| {
+        let sent = assignment.stop.and_then(|stop| stop.sent);
+        sent.is_none_or(|at| now >= at + STOP_RETRY_INTERVAL)
+    };
+    machine
+        .assignments
+        .iter_mut()
+        .filter(|assignment| is_due(assignment))
+        .filter_map(|assignment| assignment.send_stop(now))
+        .take(MAX_COMMANDS)
+        .collect()
+}
+
+/// Whether a task of the job that will not finish is to be stopped when its machine is `left` microseconds away from
+/// its reclamation. A replica serves on until it fits elsewhere; what checkpoints runs on while there is time for
+/// a checkpoint; the rest would only lose more work.
+fn must_stop_for_reclamation(job: &Job, left: Micros) -> bool {
+    if job.is_daemon() {
+        left < job.checkpoint_grace() + LAST_MOVE
+    } else if job.checkpoints() {
+        left < micros(job.spec.checkpoint_duration_s) + CHECKPOINT_MARGIN
+    } else {
+        true
+    }
+}
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -3,259 +3,342 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::Job;
-use crate::state::machine::{Assignment, Machine, ANSWER_TIME};
+use crate::state::machine::{Assignment, Machine, RESPONSE_TIMEOUT};
 use crate::{Micros, MILLI, SECOND};
 use log::info;
 
-/// A worker that has our answer tells so soon, because the token was news to it; one that does not
-/// is asked directly whether it hears us.
-const ASK_AFTER: Micros = SECOND;
+/// Time between two checks of all machines, in microseconds.
+const CHECK_INTERVAL: Micros = SECOND;
 
-/// If more than this part of the machines is silent, they are cut off rather than gone.
-const MOST_SILENT_PART: usize = 20;
+/// How long after our response an agent is probed that has not shown that it got it, in microseconds. One that got it
+/// sends a heartbeat before that, because the fencing token was news to it.
+const PROBE_DELAY: Micros = SECOND;
 
-/// Most machines that are asked so at once.
-const MOST_ASKED: usize = 100;
+/// Most direct commands under way while further agents are probed.
+const MAX_PROBES: usize = 100;
 
-/// When a worker's lease has certainly run out after our last answer: with drift, and a little for
-/// the answer's own time.
-fn lease_end(lease: Micros) -> Micros {
+/// If more than one in so many machines is unreachable, the network is taken to be at fault rather than the machines.
+const MAX_UNREACHABLE_PART: usize = 20;
+
+/// Heartbeats that may be missing in a row before a machine counts as unreachable.
+const MISSED_HEARTBEATS: u64 = 3;
+
+/// How long after an agent's lease has expired its machine is terminated, in microseconds.
+const TERMINATION_DELAY: Micros = 12 * SECOND;
+
+/// When an agent's lease has certainly expired after our last response, in microseconds: with clock drift, and some
+/// time for the response to travel.
+fn lease_expiry(lease: Micros) -> Micros {
     lease + lease / 500 + 1_500 * MILLI
 }
 
-/// How long a machine may be silent before it is released.
+/// How long a machine may be out of contact before it is terminated, in microseconds.
 pub(crate) fn silent_release(lease: Micros) -> Micros {
-    lease_end(lease) + 12 * SECOND
+    lease_expiry(lease) + TERMINATION_DELAY
+}
+
+/// A machine with replicas that has been out of contact for a while.
+struct UnreachableMachine {
+    name: String,
+    /// Time since the last contact, in microseconds.
+    silence: Micros,
 }
 
 impl Scheduler {
-    /// Whether no worker reaches this node though there should be some: then another node had
-    /// better lead.
+    /// Whether no agent reaches this controller though some should: then another controller had better lead.
     pub(crate) fn cut_from_agents(&self, context: &Context) -> bool {
         let now = context.now.steady;
-        // A worker that gets no answer for 4 s goes to another node, and its lease should still hold
-        // when it finds the next leader there: a report and a half once reports are far apart.
-        let report = context.settings.heartbeat_interval;
-        let silence = (report * 5 / 2).min((report * 3 / 2).max(ANSWER_TIME));
-        let since = now.saturating_sub(self.last_heartbeat_at.max(self.loaded_at));
-        if !self.loaded() || context.settings.siblings.is_empty() || since <= silence {
+        // An agent that gets no response for 4 s turns to another controller, and its lease should still hold when it
+        // finds the next leader there: one and a half intervals once heartbeats are far apart.
+        let interval = context.settings.heartbeat_interval;
+        let max_silence = (interval * 5 / 2).min((interval * 3 / 2).max(RESPONSE_TIMEOUT));
+        let silence = now.saturating_sub(self.last_heartbeat_at.max(self.loaded_at));
+        if !self.loaded() || context.settings.siblings.is_empty() || silence <= max_silence {
             return false;
         }
-        // Machines known from state only have yet to find this node: they get more time.
-        let lately = |m: &&Machine| {
-            m.partition.is_none()
-                && m.knows_token
-                && now.saturating_sub(m.last_contact_at) < silence * 4
+        // Machines known only from records have yet to find this controller: they get more time.
+        let in_contact_lately = |machine: &&Machine| {
+            machine.partition.is_none()
+                && machine.knows_token
+                && now.saturating_sub(machine.last_contact_at) < max_silence * 4
         };
-        match self.machines.values().filter(lately).count() {
-            // Copies of a deleted machine's reports make no machine; nor does a page that lists one
-            // which is gone from the cloud: leaders once gave up in turn, none stayed long enough
-            // to find that out.
-            0 => {
-                let list = self.fleet.has_list();
-                let real = |m: &Machine| {
-                    m.partition.is_none()
-                        && (m.knows_token
-                            || (m.address.is_empty() && (m.listed.is_some() || !list)))
-                };
-                since > silence * 4 && self.machines.values().any(real)
-            }
+        match self.machines.values().filter(in_contact_lately).count() {
+            0 => silence > max_silence * 4 && self.expects_heartbeats(),
             // A single machine may well be at fault itself.
-            1 => since > silence * 2,
+            1 => silence > max_silence * 2,
             _ => true,
         }
     }
 
-    /// Looks after silent machines, stops that were not carried out, and recalls.
+    /// Whether some machine should send heartbeats to this controller. Copies of a deleted machine's heartbeats are no
+    /// such sign; nor is a page that lists a machine which the cloud's list does not show: if it were, leaders would
+    /// resign in turn, and none would lead for long enough to find out that the machine is gone.
+    fn expects_heartbeats(&self) -> bool {
+        let has_list = self.fleet.has_list();
+        self.machines.values().any(|machine| {
+            let is_recovered =
+                machine.address.is_empty() && (machine.listed.is_some() || !has_list);
+            machine.partition.is_none() && (machine.knows_token || is_recovered)
+        })
+    }
+
+    /// Looks after unreachable machines, stops that were not carried out, and machines that will be reclaimed.
     pub(crate) fn run_machines(&mut self, context: &mut Context) {
         let now = context.now.steady;
         if now < self.next_machine_check {
             return;
         }
-        self.next_machine_check = now + SECOND;
-        let s = &context.settings;
-        let (lease, cancel, report) = (s.agent_lease, s.cancel_timeout, s.heartbeat_interval);
-        let lease_end = lease_end(lease);
-        // Silence of all machines is our own cut, not theirs.
-        let hearing = now.saturating_sub(self.last_heartbeat_at) < 3 * report;
-        // A new leader waits for the machines' first reports, to stop what it can without a release.
-        let new = now.saturating_sub(self.loaded_at) < report * 3 / 2 + SECOND;
+        self.next_machine_check = now + CHECK_INTERVAL;
         let names: Vec<String> = self.machines.keys().cloned().collect();
-        let mut silent_serving: Vec<(Micros, String)> = Vec::new();
+        let mut unreachable = Vec::new();
         for name in names {
-            let Some(m) = self.machines.get_mut(&name) else {
-                continue;
-            };
-            if m.partition.is_some() {
-                self.run_remote_machine(context, &name);
-                continue;
-            }
-            let silent = now.saturating_sub(m.last_contact_at);
-            // A machine may answer direct commands and reach no controller: nothing can be launched there.
-            // A replica was once placed on such a one again and again, each time for a further session.
-            let unheard = now.saturating_sub(m.last_heartbeat);
-            let lapsed = m.knows_token && now.saturating_sub(m.last_response) > lease_end;
-            let jobs = &self.jobs;
-            let cancelled = |a: &Assignment| jobs.get(a.job).is_none_or(|j| j.cancelled.is_some());
-            if lapsed && m.assignments.iter().any(cancelled) {
-                // A hanging machine may not know yet that its lease has run out, and cancelled tasks must
-                // be gone in time. Their proof is the release: were they freed before it is answered, the
-                // next leader would not know that it is due.
-                self.fleet.terminate(&name, now);
-                m.cordoned = true;
-            }
-            let incarnation = m.incarnation;
-            let ended = |a: &Assignment| a.incarnation <= incarnation && !cancelled(a);
-            if lapsed && m.assignments.iter().any(ended) {
-                // The worker has seen our token, so only our answers renew its lease, and the
-                // last one is too old: it has killed every task and is in a new session.
-                info!("{name}: lease has run out");
-                let attempts: Vec<u64> = m
-                    .assignments
-                    .iter()
-                    .filter(|a| ended(a))
-                    .map(|a| a.attempt)
-                    .collect();
-                m.incarnation += 1;
-                m.sequence = 0;
-                m.exited_attempts.clear();
-                while let Some(at) = self.position(&name, |a| attempts.contains(&a.attempt)) {
-                    self.remove_assignment(context, &name, at);
-                }
-            }
-            if unheard > 3 * report {
-                self.free_unlaunched(context, &name);
-            }
-            let Some(m) = self.machines.get(&name) else {
-                continue;
-            };
-            let overdue_cancel = m.assignments.iter().any(|a| {
-                let ago = self.jobs.get(a.job).and_then(|j| j.cancelled_for(now));
-                ago.is_some_and(|ago| ago > cancel / 2 && (!new || ago > cancel * 3 / 4))
-            });
-            // A release is proof, and sooner than the end of the lease: replicas need not wait for that.
-            let serves = m.knows_token
-                && m.assignments
-                    .iter()
-                    .any(|a| self.jobs.get(a.job).is_some_and(Job::is_daemon));
-            if serves && hearing && !new && silent > 2 * report + SECOND {
-                silent_serving.push((silent, name.clone()));
-            }
-            if overdue_cancel || (hearing && unheard > silent_release(lease)) {
-                if self.fleet.terminate(&name, now) {
-                    info!("{name}: released, silent for {} s", unheard / SECOND);
-                }
-                if let Some(m) = self.machines.get_mut(&name) {
-                    m.cordoned = true;
-                }
-            }
-            // Reports may be further apart than a worker waits for an answer; then they do not show
-            // by themselves that it hears: idle machines once stayed without work until they were
-            // returned.
-            let Some(m) = self.machines.get(&name) else {
+            let Some(machine) = self.machines.get(&name) else {
                 continue;
             };
-            if !m.receives_responses
-                && !m.cordoned
-                && silent < 2 * report
-                && now.saturating_sub(m.last_response) >= ASK_AFTER
-                && self.direct.len() < MOST_ASKED
-            {
-                self.send_commands(context, &name, true);
+            if machine.partition.is_some() {
+                self.check_remote_machine(context, &name);
+            } else {
+                self.check_own_machine(context, &name, &mut unreachable);
             }
-            let Some(m) = self.machines.get(&name) else {
-                continue;
-            };
-            // What belongs to no live task: a second assignment of a task that is done.
-            let useless: Vec<u64> = m
-                .assignments
-                .iter()
-                .filter(|a| self.jobs.get(a.job).is_none_or(|j| j.is_done(a.task)))
-                .map(|a| a.attempt)
-                .collect();
-            if !useless.is_empty() {
-                self.stop_on(context, &name, 0, |a| useless.contains(&a.attempt));
-            }
-            self.drain_reclaimed(context, &name);
-            self.move_replicas(context, &name);
-            self.send_direct(context, &name);
         }
-        self.check_silent_serving(context, &silent_serving);
+        self.check_unreachable_replicas(context, &unreachable);
     }
 
-    /// What the leader itself sees to on a machine that the holder of a partition looks after.
-    fn run_remote_machine(&mut self, context: &mut Context, name: &str) {
+    /// Checks a machine that this controller looks after itself, and adds it to `unreachable` if it has replicas and is
+    /// out of contact.
+    fn check_own_machine(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        unreachable: &mut Vec<UnreachableMachine>,
+    ) {
+        self.apply_lease_expiry(context, name);
+        if self.misses_heartbeats(context, name) {
+            self.free_unlaunched(context, name);
+        }
+        unreachable.extend(self.unreachable_with_replicas(context, name));
+        self.terminate_if_unreachable(context, name);
+        if self.needs_probe(context, name) {
+            self.probe_agent(context, name);
+        }
+        self.stop_useless(context, name);
+        self.drain_reclaimed(context, name);
+        self.move_replicas(context, name);
+        self.send_due_stops(context, name);
+    }
+
+    /// Whether this controller receives heartbeats at all: if it does not, it is itself cut off, and the machines may
+    /// well be reachable.
+    fn receives_heartbeats(&self, context: &Context) -> bool {
+        let silence = context.now.steady.saturating_sub(self.last_heartbeat_at);
+        silence < MISSED_HEARTBEATS * context.settings.heartbeat_interval
+    }
+
+    /// Whether the records were read so lately that machines have yet to send their first heartbeat here. A new leader
+    /// waits for these, to stop what it can without terminating machines.
+    fn is_newly_loaded(&self, context: &Context) -> bool {
+        let first_heartbeats = context.settings.heartbeat_interval * 3 / 2 + SECOND;
+        context.now.steady.saturating_sub(self.loaded_at) < first_heartbeats
+    }
+
+    /// Whether a machine has sent no heartbeat for some time. It may still answer direct commands while it reaches no
+    /// controller, but nothing can be launched there: a replica placed on it would be given up for each further
+    /// incarnation.
+    fn misses_heartbeats(&self, context: &Context, name: &str) -> bool {
+        let max_silence = MISSED_HEARTBEATS * context.settings.heartbeat_interval;
+        self.machines.get(name).is_some_and(|machine| {
+            context.now.steady.saturating_sub(machine.last_heartbeat) > max_silence
+        })
+    }
+
+    /// Applies that the lease of a machine's agent has expired. The agent has seen our token, so only our responses
+    /// renew its lease; if the last one is too old, it has killed every task and begun a new incarnation.
+    fn apply_lease_expiry(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
-        let (report, cancel) = (
-            context.settings.heartbeat_interval,
-            context.settings.cancel_timeout,
-        );
-        let Some(m) = self.machines.get(name) else {
+        let expiry = lease_expiry(context.settings.agent_lease);
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let unheard = now.saturating_sub(m.last_heartbeat);
-        let incarnation = m.incarnation;
-        if m.reclaim_at.is_some() || unheard > 3 * report {
-            self.free_unlaunched(context, name);
+        if !machine.knows_token || now.saturating_sub(machine.last_response) <= expiry {
+            return;
         }
-        while let Some(at) = self.position(name, |a| {
-            a.launched.is_none() && a.incarnation != incarnation
-        }) {
-            self.remove_assignment(context, name, at);
+        let jobs = &self.jobs;
+        let is_cancelled =
+            |a: &Assignment| jobs.get(a.job).is_none_or(|job| job.cancelled.is_some());
+        if machine.assignments.iter().any(is_cancelled) {
+            // A hanging machine may not know yet that its lease has expired, and cancelled tasks must be gone in time.
+            // The termination proves that: were they removed before it is answered, the next leader would not know
+            // that it is due.
+            self.fleet.terminate(name, now);
+            machine.cordoned = true;
         }
-        let Some(m) = self.machines.get(name) else {
+        let incarnation = machine.incarnation;
+        let ended = machine
+            .assignments
+            .iter()
+            .filter(|a| a.incarnation <= incarnation && !is_cancelled(a));
+        let attempts: Vec<u64> = ended.map(|a| a.attempt).collect();
+        if attempts.is_empty() {
             return;
+        }
+        info!(machine = name; "lease of the agent has expired");
+        machine.incarnation += 1;
+        machine.sequence = 0;
+        machine.exited_attempts.clear();
+        self.remove_assignments(context, name, |a| attempts.contains(&a.attempt));
+    }
+
+    /// The machine if it has replicas and is out of contact. Its termination proves their absence sooner than the
+    /// expiry of its lease, so that they need not wait for that.
+    fn unreachable_with_replicas(
+        &self,
+        context: &Context,
+        name: &str,
+    ) -> Option<UnreachableMachine> {
+        let machine = self.machines.get(name)?;
+        let is_replica = |a: &Assignment| self.jobs.get(a.job).is_some_and(Job::is_daemon);
+        let silence = context.now.steady.saturating_sub(machine.last_contact_at);
+        let is_unreachable = machine.knows_token
+            && machine.assignments.iter().any(is_replica)
+            && self.receives_heartbeats(context)
+            && !self.is_newly_loaded(context)
+            && silence > 2 * context.settings.heartbeat_interval + SECOND;
+        is_unreachable.then(|| UnreachableMachine {
+            name: name.to_string(),
+            silence,
+        })
+    }
+
+    /// Terminates a machine that has sent no heartbeat for too long, or has a task whose cancellation is overdue.
+    fn terminate_if_unreachable(&mut self, context: &Context, name: &str) {
+        let now = context.now.steady;
+        let cancel_timeout = context.settings.cancel_timeout;
+        let max_age = match self.is_newly_loaded(context) {
+            true => cancel_timeout * 3 / 4,
+            false => cancel_timeout / 2,
         };
-        // Its holder releases it after half of the time; where there is none in time, the leader does.
-        let overdue = m.assignments.iter().any(|a| {
-            let ago = self.jobs.get(a.job).and_then(|j| j.cancelled_for(now));
-            ago.is_some_and(|ago| ago > cancel * 5 / 8)
-        });
-        // A holder that hears no other machine cannot tell whose silence it is; the leader can.
-        let silence = silent_release(context.settings.agent_lease);
-        let hearing = now.saturating_sub(self.last_heartbeat_at) < 3 * report;
-        let patience = match m
-            .partition
-            .is_some_and(|id| self.remote_partitions.is_synced(id))
-            && hearing
-        {
-            true => silence,
-            false => 3 * silence,
+        let overdue = self.has_older_cancellation(name, now, max_age);
+        let receives_heartbeats = self.receives_heartbeats(context);
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
         };
-        if (overdue || unheard > patience) && self.fleet.terminate(name, now) {
-            info!(
-                "{name}: released, its holder has not heard it for {} s",
-                unheard / SECOND
-            );
+        let silence = now.saturating_sub(machine.last_heartbeat);
+        let gone = receives_heartbeats && silence > silent_release(context.settings.agent_lease);
+        if !overdue && !gone {
+            return;
+        }
+        machine.cordoned = true;
+        if self.fleet.terminate(name, now) {
+            info!(machine = name, silence_s = silence / SECOND; "unreachable machine is terminated");
         }
-        let useless = |a: &Assignment| self.jobs.get(a.job).is_none_or(|j| j.is_done(a.task));
-        let useless = m.assignments.iter().filter(|a| useless(a));
+    }
+
+    /// Whether a task on the machine was cancelled more than `max_age` microseconds ago.
+    fn has_older_cancellation(&self, name: &str, now: Micros, max_age: Micros) -> bool {
+        let is_older = |a: &Assignment| {
+            let job = self.jobs.get(a.job);
+            let age = job.and_then(|job| job.cancelled_for(now));
+            age.is_some_and(|age| age > max_age)
+        };
+        self.machines
+            .get(name)
+            .is_some_and(|machine| machine.assignments.iter().any(is_older))
+    }
+
+    /// Whether a machine that sends heartbeats is to be probed for whether our responses reach it. Heartbeats may be
+    /// further apart than an agent waits for a response; then they do not show it, and the machine would get no task.
+    fn needs_probe(&self, context: &Context, name: &str) -> bool {
+        let now = context.now.steady;
+        let max_silence = 2 * context.settings.heartbeat_interval;
+        self.machines.get(name).is_some_and(|machine| {
+            !machine.receives_responses
+                && !machine.cordoned
+                && now.saturating_sub(machine.last_contact_at) < max_silence
+                && now.saturating_sub(machine.last_response) >= PROBE_DELAY
+                && self.direct.len() < MAX_PROBES
+        })
+    }
+
+    /// Stops the assignments of a machine that belong to no live task, such as a second one of a completed task.
+    fn stop_useless(&mut self, context: &mut Context, name: &str) {
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
+        let is_useless = |a: &&Assignment| {
+            let job = self.jobs.get(a.job);
+            job.is_none_or(|job| job.is_done(a.task))
+        };
+        let useless = machine.assignments.iter().filter(is_useless);
         let useless: Vec<u64> = useless.map(|a| a.attempt).collect();
         if !useless.is_empty() {
             self.stop_on(context, name, 0, |a| useless.contains(&a.attempt));
         }
+    }
+
+    /// Checks what the leader itself sees to on a machine that a partition holder looks after.
+    fn check_remote_machine(&mut self, context: &mut Context, name: &str) {
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
+        let incarnation = machine.incarnation;
+        if machine.reclaim_at.is_some() || self.misses_heartbeats(context, name) {
+            self.free_unlaunched(context, name);
+        }
+        self.remove_assignments(context, name, |a| {
+            a.launched.is_none() && a.incarnation != incarnation
+        });
+        self.terminate_for_holder(context, name);
+        self.stop_useless(context, name);
         self.move_replicas(context, name);
     }
 
-    /// Machines that hold replicas and are silent are asked directly, and released if that brings no
-    /// answer either. Many at once are more likely cut off than gone, and keep serving meanwhile.
-    pub(crate) fn check_silent_serving(
+    /// Terminates a machine in place of its partition's holder. That terminates it after half of the time that a
+    /// cancellation may take; where there is no holder in time, the leader does.
+    fn terminate_for_holder(&mut self, context: &Context, name: &str) {
+        let now = context.now.steady;
+        let overdue =
+            self.has_older_cancellation(name, now, context.settings.cancel_timeout * 5 / 8);
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
+        // A holder that receives no heartbeats at all cannot tell whether it is cut off itself; the leader can.
+        let holder_is_synced = machine
+            .partition
+            .is_some_and(|id| self.remote_partitions.is_synced(id));
+        let max_silence = silent_release(context.settings.agent_lease);
+        let max_silence = match holder_is_synced && self.receives_heartbeats(context) {
+            true => max_silence,
+            false => 3 * max_silence,
+        };
+        let silence = now.saturating_sub(machine.last_heartbeat);
+        if (overdue || silence > max_silence) && self.fleet.terminate(name, now) {
+            info!(
+                machine = name, silence_s = silence / SECOND;
+                "machine is terminated, its partition holder receives no heartbeats from it"
+            );
+        }
+    }
+
+    /// Probes unreachable machines with replicas, and terminates them if that brings no response either. Many at once
+    /// are more likely cut off than gone, and keep serving meanwhile.
+    fn check_unreachable_replicas(
         &mut self,
         context: &mut Context,
-        silent: &[(Micros, String)],
+        unreachable: &[UnreachableMachine],
     ) {
         let now = context.now.steady;
-        let few = 1 + self.machines.len() / MOST_SILENT_PART;
-        for (silence, name) in silent {
-            if *silence < context.settings.heartbeat_interval * 3 + 2 * SECOND {
-                self.send_commands(context, name, true);
-            } else if silent.len() <= few && self.fleet.terminate(name, now) {
+        let max_silence = MISSED_HEARTBEATS * context.settings.heartbeat_interval + 2 * SECOND;
+        let are_few = unreachable.len() <= 1 + self.machines.len() / MAX_UNREACHABLE_PART;
+        for UnreachableMachine { name, silence } in unreachable {
+            if *silence < max_silence {
+                self.probe_agent(context, name);
+            } else if are_few && self.fleet.terminate(name, now) {
                 info!(
-                    "{name}: released, silent for {} s with replicas on it",
-                    silence / SECOND
+                    machine = name, silence_s = silence / SECOND;
+                    "unreachable machine with replicas is terminated"
                 );
-                if let Some(m) = self.machines.get_mut(name) {
-                    m.cordoned = true;
+                if let Some(machine) = self.machines.get_mut(name) {
+                    machine.cordoned = true;
                 }
             }
         }
--- /dev/null
+++ b/crates/core/src/state/jobs/admission.rs
@@ -0,0 +1,83 @@
+//! Admission of submissions: whether the fields are valid, the record fits the store, and the job can ever run.
+
+use crate::settings::Settings;
+use grebewood_wire::http::{to_value, MachineType, Shape, Submission};
+use grebewood_wire::json_size;
+use grebewood_wire::records::JobRecord;
+use thiserror::Error;
+
+/// Tolerance when amounts of resources are compared.
+pub const EPS: f64 = 1e-6;
+
+/// Why a submission is not accepted.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum Refused {
+    /// A field is invalid: status 400.
+    #[error("{0}")]
+    Invalid(String),
+    /// The job can never run: status 422.
+    #[error("{0}")]
+    Impossible(String),
+}
+
+/// Checks a submission's own fields.
+pub fn check_fields(submission: &Submission) -> Result<(), Refused> {
+    match submission.invalid_field() {
+        Some(why) => Err(Refused::Invalid(why)),
+        None => Ok(()),
+    }
+}
+
+/// Checks that the job's record fits a value of the store, which takes up to `value_bytes` bytes. The store would refuse
+/// a longer one again and again, and the user would be told to retry each time.
+pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), Refused> {
+    let record = JobRecord {
+        spec: submission.clone(),
+        accepted_us: u64::MAX,
+    };
+    match json_size(&to_value(&record)) > value_bytes {
+        true => Err(Refused::Invalid("the job is too long to be kept".into())),
+        false => Ok(()),
+    }
+}
+
+/// Whether one task of the job fits the machine type and the job permits it.
+pub fn fits_type(submission: &Submission, machine_type: &MachineType) -> bool {
+    submission
+        .machine_types
+        .as_ref()
+        .is_none_or(|permitted| permitted.contains(&machine_type.name))
+        && submission
+            .zone
+            .as_ref()
+            .is_none_or(|zone| machine_type.zones.contains(zone))
+        && submission.cpus <= machine_type.cpus + EPS
+        && submission.gpus <= machine_type.gpus + EPS
+        && submission.memory_gb <= machine_type.memory_gb + EPS
+}
+
+/// Checks whether the job can ever run.
+pub fn check_possible(
+    submission: &Submission,
+    settings: &Settings,
+    catalogue: &[MachineType],
+) -> Result<(), Refused> {
+    let impossible = |why: String| Err(Refused::Impossible(why));
+    let Some(team) = settings.teams.get(&submission.team) else {
+        return impossible(format!("owner: no team {:?}", submission.team));
+    };
+    // Tasks of a batch may run one after the other; those of other shapes run together.
+    let concurrent_tasks = match Shape::of(submission) {
+        Some(Shape::Batch) => 1.0,
+        _ => submission.tasks as f64,
+    };
+    if submission.cpus * concurrent_tasks > team.cpus_max + EPS
+        || submission.gpus * concurrent_tasks > team.gpus_max + EPS
+    {
+        return impossible("the job needs more than the team's limit".into());
+    }
+    if !catalogue.iter().any(|of| fits_type(submission, of)) {
+        return impossible("a task fits no allowed machine type".into());
+    }
+    Ok(())
+}
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,278 +1,119 @@
-//! What is known of a machine, and of the tasks assigned to it.
+//! What is known of a machine and of the tasks assigned to it.
 
 use crate::state::bin_packing::MachineResources;
-use crate::state::jobs::{parse_task, JobIndex};
-use crate::state::write_buffer::RecordId;
+use crate::state::jobs::JobIndex;
 use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
-use grebewood_quota::Resources;
-use grebewood_wire::http::{Heartbeat, MachineType, Submission, TaskStatus};
-use grebewood_wire::peer::{PlacedTask, TaskAttempt};
+use grebewood_wire::http::{Heartbeat, MachineType};
 use log::{info, warn};
 use std::collections::VecDeque;
 
-/// A worker waits so long for an answer to its report before it goes to another node.
-pub(crate) const ANSWER_TIME: Micros = 4 * SECOND;
+pub(crate) use crate::state::machine::assignment::{placed_task, stop_command, TaskOnMachine};
+pub use crate::state::machine::assignment::{Assignment, ExitedAttempt, ObservedStatus, Stop};
 
-/// What a worker last said of an assignment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ObservedStatus {
-    /// Nothing yet.
-    Never,
-    Fetching,
-    Running,
-    Checkpointing,
-}
-
-/// Why and how a task is to be stopped.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stop {
-    pub grace: Micros,
-    pub since: Micros,
-    /// When the command was last sent directly.
-    pub sent: Option<Micros>,
-}
-
-/// A task given to a machine: from its decision until proof that it is gone.
-#[derive(Clone, Debug)]
-pub struct Assignment {
-    pub job: JobIndex,
-    pub job_id: String,
-    pub task: u64,
-    pub attempt: u64,
-    pub incarnation: u64,
-    pub page: u64,
-    /// Number of the page's change that holds it; it may be launched once that is durable.
-    pub written: u64,
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory: f64,
-    pub team: String,
-    pub zone: String,
-    /// The (session, sequence) of the check-in whose answer carried the launch. An assignment read
-    /// back from state counts as launched by an older holder: `(0, 0)`.
-    pub launched: Option<(u64, u64)>,
-    /// Whether the holder of the machine's partition has taken it over; to a holder, whether the leader
-    /// has been told, or is to be, that it placed this.
-    pub delivered: bool,
-    /// Whether the holder of a partition placed it, so that it is on a page of that holder and counts in
-    /// its allotment.
-    pub by_holder: bool,
-    pub seen: ObservedStatus,
-    /// When it was decided.
-    pub decided: Micros,
-    /// When it was first seen running.
-    pub started: Option<Micros>,
-    pub expected: Micros,
-    pub stop: Option<Stop>,
-}
-
-/// What is known of a task when it is put on a machine.
-pub(crate) struct TaskOnMachine<'a> {
-    pub task: &'a PlacedTask,
-    /// The place of its job, if it is known.
-    pub job: Option<JobIndex>,
-    /// Its job's description, if it is known.
-    pub spec: Option<&'a Submission>,
-    pub zone: String,
-    pub now: Micros,
-}
-
-impl Assignment {
-    /// A task that is put on a machine, or known to be there. The rest is what a holder needs of a task that
-    /// the leader has placed: its record is the leader's, and nothing was seen of it.
-    pub(crate) fn new(of: TaskOnMachine) -> Assignment {
-        let TaskOnMachine { task, spec, .. } = of;
-        Assignment {
-            job: of.job.unwrap_or(JobIndex::MAX),
-            job_id: task.job.clone(),
-            task: task.task,
-            attempt: task.attempt,
-            incarnation: task.incarnation,
-            page: 0,
-            written: 0,
-            cpus: spec.map_or(0.0, |s| s.cpus),
-            gpus: spec.map_or(0.0, |s| s.gpus),
-            memory: spec.map_or(0.0, |s| s.memory_gb),
-            team: spec.map_or(String::new(), |s| s.team.clone()),
-            zone: of.zone,
-            launched: None,
-            delivered: true,
-            by_holder: false,
-            seen: ObservedStatus::Never,
-            decided: of.now,
-            started: None,
-            expected: task.expected_us,
-            stop: None,
-        }
-    }
-
-    /// Whether an earlier leader launched it, as far as known.
-    pub fn recovered(&self) -> bool {
-        self.launched == Some((0, 0))
-    }
-
-    /// Which attempt of which task it is.
-    pub fn id(&self) -> TaskAttempt {
-        TaskAttempt {
-            attempt: self.attempt,
-            task: self.task,
-        }
-    }
-
-    /// Takes in what the worker says of it.
-    pub fn observe(&mut self, status: &TaskStatus, now: Micros) {
-        self.seen = match status {
-            TaskStatus::Running => ObservedStatus::Running,
-            TaskStatus::Checkpointing => ObservedStatus::Checkpointing,
-            TaskStatus::Fetching | TaskStatus::Exited => ObservedStatus::Fetching,
-            TaskStatus::Unknown(word) => {
-                warn!("{}/{}: {word:?} as status", self.job_id, self.task);
-                ObservedStatus::Fetching
-            }
-        };
-        if self.seen == ObservedStatus::Running && self.started.is_none() {
-            // When a task of an earlier leader began is not known: halfway, say.
-            let ran = if self.recovered() {
-                self.expected / 2
-            } else {
-                0
-            };
-            self.started = Some(now.saturating_sub(ran));
-        }
-    }
+pub mod assignment;
 
-    /// What it takes of its machine.
-    pub fn resources(&self) -> MachineResources {
-        MachineResources {
-            cpus: self.cpus,
-            gpus: self.gpus,
-            memory_gb: self.memory,
-        }
-    }
-
-    /// What it takes of its team's limit.
-    pub fn amount(&self) -> Resources {
-        Resources::of(self.cpus, self.gpus)
-    }
+/// How long an agent waits for the response to its heartbeat before it turns to another controller, in microseconds.
+pub(crate) const RESPONSE_TIMEOUT: Micros = 4 * SECOND;
 
-    /// Whether the worker may have it.
-    pub fn may_exist(&self) -> bool {
-        self.launched.is_some()
-    }
-
-    /// Time it will still take, by its expected run time and fetch.
-    pub fn remaining(&self, now: Micros, fetch: Micros) -> Micros {
-        match self.started {
-            // A task that overruns is expected to run for a further fifth of what it has run.
-            Some(at) => self
-                .expected
-                .saturating_sub(now.saturating_sub(at))
-                .max(now.saturating_sub(at) / 5),
-            None => self.expected + fetch,
-        }
-    }
-}
+/// Failures in a row of one job's tasks alone after which the machine may be at fault.
+const FAILURES_OF_ONE_JOB: usize = 4;
 
-/// An exited attempt to be removed from the reports once its outcome is durable.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ExitedAttempt {
-    pub task_name: String,
-    pub attempt: u64,
-    /// Records, with their change numbers, that must be durable first.
-    pub after: Vec<(RecordId, u64)>,
-    pub job: Option<JobIndex>,
-}
+/// Most failures that are remembered of a machine.
+const MAX_FAILURES: usize = 8;
 
-impl ExitedAttempt {
-    /// Which attempt of which task it was.
-    pub fn id(&self) -> Option<TaskAttempt> {
-        let (_, task) = parse_task(&self.task_name)?;
-        Some(TaskAttempt {
-            attempt: self.attempt,
-            task,
-        })
-    }
-}
+/// Image fetch rate of machine types that publish none, in GB per second.
+const DEFAULT_FETCH_RATE: f64 = 1.0;
 
 /// A task that the holder of a partition is to place.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedTask {
+    /// The place of its job in the job table.
     pub job: JobIndex,
+    /// The task's number within the job.
     pub task: u64,
-    /// CPUs, accelerators and memory.
+    /// What it takes of a machine.
     pub room: MachineResources,
 }
 
-/// A machine.
+/// A machine. Times are in microseconds of the steady clock.
 #[derive(Clone, Debug)]
 pub struct Machine {
+    /// Its name, which no other machine ever has.
     pub name: String,
-    /// The partition whose holder looks after it; none: this node does itself.
+    /// The partition whose holder looks after it; without one this controller does itself.
     pub partition: Option<PartitionId>,
-    /// Whether that holder counts on it.
+    /// Whether that holder counts it as able to take tasks.
     pub counted_by_holder: bool,
+    /// Where the agent takes direct commands; empty while the machine is known from records only.
     pub address: String,
+    /// The name of its machine type.
     pub machine_type: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// CPUs that it has.
     pub cpus: f64,
+    /// Accelerators that it has.
     pub gpus: f64,
+    /// Memory that it has, in GB.
     pub memory: f64,
+    /// The agent's incarnation, by its newest status.
     pub incarnation: u64,
+    /// The number of the newest status within the incarnation.
     pub sequence: u64,
-    /// Whether it has reported under our token.
+    /// Whether its agent has shown that it knows our fencing token.
     pub knows_token: bool,
-    /// The newest check-in, by (session, sequence). The answer to a direct command may overtake it.
-    pub heartbeat: (u64, u64),
-    /// When it last checked in: only then can anything be launched.
+    /// Incarnation and sequence number of the newest heartbeat, which the response to a direct command may overtake.
+    pub newest_heartbeat: (u64, u64),
+    /// When the last heartbeat came: only the response to one can launch anything.
     pub last_heartbeat: Micros,
-    /// When it last checked in or answered a direct command.
+    /// When the last heartbeat or response to a direct command came.
     pub last_contact_at: Micros,
-    /// When we last answered a check-in of it: its lease ends no later than a lease after that.
+    /// When we last answered a heartbeat of it: its agent's lease expires no later than a lease duration after that.
     pub last_response: Micros,
-    /// When the cloud takes it.
+    /// When the cloud reclaims it.
     pub reclaim_at: Option<Micros>,
+    /// The tasks assigned to it.
     pub assignments: Vec<Assignment>,
-    /// CPUs, accelerators and memory that the assignments take, and the tasks that its holder is to place.
+    /// What the assignments take, and the tasks that its partition's holder is to place.
     pub used: MachineResources,
     /// Tasks that the holder of its partition is to place, probably here.
     pub planned: Vec<PlannedTask>,
-    /// The leader has the machine's partition place nothing new on it.
+    /// Whether the leader has the machine's partition place nothing new on it.
     pub reserved: bool,
+    /// Exits that are not acknowledged yet.
     pub exited_attempts: Vec<ExitedAttempt>,
+    /// Since when it has had no assignment.
     pub idle_since: Micros,
-    /// Images it has, the most recently used last, with their sizes.
+    /// Images in its cache with their sizes in GB, the most recently used last.
     pub images: VecDeque<(String, f64)>,
+    /// The size of its image cache, in GB.
     pub cache_gb: f64,
+    /// How fast it fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// To be returned: nothing is placed on it any more.
+    /// To be terminated: nothing new is placed on it.
     pub cordoned: bool,
-    /// It is closing only to save its price: it takes work again if that waits for room.
+    /// It is cordoned only to save its price: it takes tasks again if some wait for free resources.
     pub draining: bool,
-    /// Jobs whose tasks failed in a row without a success, a name for each task.
-    pub errors: Vec<String>,
-    /// It is closing because tasks failed here.
+    /// Ids of the jobs whose tasks failed here since the last success, one for each failure.
+    pub failed_jobs: Vec<String>,
+    /// It is cordoned because tasks failed here.
     pub faulty: bool,
     /// Nothing is placed on it before this time, after it refused a task.
     pub quarantined_until: Micros,
-    /// Idle work is kept off until then: room is being made for work of higher priority.
+    /// Tasks of idle priority are kept off until then: tasks are preempted here for work of higher priority.
     pub kept_until: Micros,
     /// When the cloud's list first showed it.
     pub listed: Option<Micros>,
-    /// Whether our answers reach it, as far as its reports show. Reports may arrive from a machine
-    /// that no answer reaches, and copies of reports from one that is gone: neither gets work.
+    /// Whether our responses reach it, as far as its heartbeats show. Heartbeats may arrive from a machine that no
+    /// response reaches, and copies of heartbeats from one that is gone: neither gets tasks.
     pub receives_responses: bool,
-    /// Since when it reports without hearing.
+    /// Since when it sends heartbeats without a sign that our responses reach it.
     pub unreachable_since: Option<Micros>,
 }
 
-/// Failures of one job's tasks in a row that a machine is blamed for.
-const FAILURES_OF_ONE_JOB: usize = 4;
-
-/// Most failures that are remembered of a machine.
-const MOST_FAILURES: usize = 8;
-
 /// What failures on a machine say of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureAttribution {
@@ -285,22 +126,23 @@
 }
 
 impl Machine {
-    pub fn new(report: &Heartbeat, machine_type: Option<&MachineType>, now: Micros) -> Self {
+    /// A machine that sent its first heartbeat, without anything on it.
+    pub fn new(heartbeat: &Heartbeat, machine_type: Option<&MachineType>, now: Micros) -> Self {
         Machine {
-            name: report.machine.clone(),
+            name: heartbeat.machine.clone(),
             partition: None,
             counted_by_holder: false,
-            address: report.address.clone(),
-            machine_type: report.machine_type.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            cpus: machine_type.map_or(0.0, |b| b.cpus),
-            gpus: machine_type.map_or(0.0, |b| b.gpus),
-            memory: machine_type.map_or(0.0, |b| b.memory_gb),
+            address: heartbeat.address.clone(),
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            cpus: machine_type.map_or(0.0, |of| of.cpus),
+            gpus: machine_type.map_or(0.0, |of| of.gpus),
+            memory: machine_type.map_or(0.0, |of| of.memory_gb),
             incarnation: 0,
             sequence: 0,
             knows_token: false,
-            heartbeat: (0, 0),
+            newest_heartbeat: (0, 0),
             last_heartbeat: now,
             last_contact_at: now,
             last_response: now,
@@ -312,14 +154,14 @@
             exited_attempts: Vec::new(),
             idle_since: now,
             images: VecDeque::new(),
-            cache_gb: machine_type.and_then(|b| b.local_gb).unwrap_or(0.0),
+            cache_gb: machine_type.and_then(|of| of.local_gb).unwrap_or(0.0),
             fetch_gb_per_s: machine_type
-                .and_then(|b| b.fetch_gb_per_s)
-                .filter(|r| *r > 0.0)
-                .unwrap_or(1.0),
+                .and_then(|of| of.fetch_gb_per_s)
+                .filter(|rate| *rate > 0.0)
+                .unwrap_or(DEFAULT_FETCH_RATE),
             cordoned: false,
             draining: false,
-            errors: Vec::new(),
+            failed_jobs: Vec::new(),
             faulty: false,
             quarantined_until: 0,
             kept_until: 0,
@@ -329,15 +171,15 @@
         }
     }
 
-    /// Takes in what a report says of the machine itself, which until now was known from state only, or
-    /// whose type was not known: without its type's room it would stay empty for good.
+    /// Applies what a heartbeat says of the machine itself if until now it was known from records only, or its type was
+    /// not known: without the resources of its type it would stay empty for good.
     pub(crate) fn describe(
         &mut self,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         machine_type: Option<&MachineType>,
         now: Micros,
     ) {
-        let known = Machine::new(report, machine_type, now);
+        let described = Machine::new(heartbeat, machine_type, now);
         *self = Machine {
             partition: self.partition,
             counted_by_holder: self.counted_by_holder,
@@ -354,7 +196,7 @@
             listed: self.listed,
             receives_responses: self.receives_responses,
             unreachable_since: self.unreachable_since,
-            ..known
+            ..described
         };
     }
 
@@ -367,16 +209,18 @@
         }
     }
 
-    /// Free CPUs, accelerators and memory. Everything counts from assignment to proof.
+    /// Its free resources. An assignment counts from its decision until it is proven gone.
     pub fn free(&self) -> MachineResources {
         self.resources() - self.used
     }
 
-    /// Sums up anew what the assignments take, after one came or went.
+    /// Sums up anew what is used, after an assignment or a planned task came or went.
     pub(crate) fn recount(&mut self) {
-        let taken = self.assignments.iter().map(Assignment::resources);
-        let taken = taken.chain(self.planned.iter().map(|planned| planned.room));
-        self.used = taken.fold(MachineResources::default(), |sum, task| sum + task);
+        let assigned = self.assignments.iter().map(Assignment::resources);
+        let planned = self.planned.iter().map(|planned| planned.room);
+        self.used = assigned
+            .chain(planned)
+            .fold(MachineResources::default(), |sum, task| sum + task);
     }
 
     /// The holder of its partition is to place a task, probably here.
@@ -387,17 +231,19 @@
 
     /// The task is placed, or will not be.
     pub(crate) fn unplan(&mut self, job: JobIndex, task: u64) {
-        self.planned.retain(|p| (p.job, p.task) != (job, task));
+        self.planned
+            .retain(|planned| (planned.job, planned.task) != (job, task));
         self.recount();
     }
 
+    /// Whether the image is in its cache.
     pub fn has_image(&self, image: &str) -> bool {
-        self.images.iter().any(|(i, _)| i == image)
+        self.images.iter().any(|(cached, _)| cached == image)
     }
 
-    /// Notes that the image was used.
+    /// Notes that the image of this size was used: it stays in the cache for longest.
     pub fn use_image(&mut self, image: &str, gb: f64) {
-        self.images.retain(|(i, _)| i != image);
+        self.images.retain(|(cached, _)| cached != image);
         self.images.push_back((image.to_string(), gb));
         let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
         while total > self.cache_gb && self.images.len() > 1 {
@@ -407,89 +253,73 @@
         }
     }
 
-    /// Expected time to fetch the image, 0 if it is here.
+    /// Expected time to fetch the image, in microseconds; 0 if it is in the cache.
     pub fn fetch_time(&self, image: &str, gb: f64) -> Micros {
-        if self.has_image(image) {
-            0
-        } else {
-            (gb / self.fetch_gb_per_s * SECOND as f64) as Micros
+        match self.has_image(image) {
+            true => 0,
+            false => (gb / self.fetch_gb_per_s * SECOND as f64) as Micros,
         }
     }
 
-    /// Notes that a task of the job failed here. Failures of a `suspect` job say nothing of the machine.
-    pub(crate) fn note_failure(&mut self, job: &str, suspect: impl Fn(&str) -> bool) {
-        self.errors.push(job.to_string());
-        self.forget_failures(suspect);
-        let excess = self.errors.len().saturating_sub(MOST_FAILURES);
-        self.errors.drain(..excess);
+    /// Notes that a task of the job failed here. Failures of a job that is itself at fault say nothing of the machine.
+    pub(crate) fn note_failure(&mut self, job: &str, is_faulty_job: impl Fn(&str) -> bool) {
+        self.failed_jobs.push(job.to_string());
+        self.forget_failures(is_faulty_job);
+        let excess = self.failed_jobs.len().saturating_sub(MAX_FAILURES);
+        self.failed_jobs.drain(..excess);
     }
 
-    /// Forgets the failures of suspect jobs.
-    pub(crate) fn forget_failures(&mut self, suspect: impl Fn(&str) -> bool) {
-        self.errors.retain(|id| !suspect(id));
+    /// Forgets the failures of jobs that are themselves at fault.
+    pub(crate) fn forget_failures(&mut self, is_faulty_job: impl Fn(&str) -> bool) {
+        self.failed_jobs.retain(|id| !is_faulty_job(id));
     }
 
     /// What the failures since the last success say of the machine.
-    pub(crate) fn blame(&self) -> FailureAttribution {
-        let first = self.errors.first();
-        if self.errors.iter().any(|id| Some(id) != first) {
+    pub(crate) fn failure_attribution(&self) -> FailureAttribution {
+        let first = self.failed_jobs.first();
+        if self.failed_jobs.iter().any(|id| Some(id) != first) {
             return FailureAttribution::ByTwoJobs;
         }
-        match self.errors.len() >= FAILURES_OF_ONE_JOB {
+        match self.failed_jobs.len() >= FAILURES_OF_ONE_JOB {
             true => FailureAttribution::ByOneJob,
             false => FailureAttribution::None,
         }
     }
 
-    /// Takes no new tasks any more, and is returned once it is empty.
+    /// Cordons it because tasks fail here: it is terminated once it is empty.
     pub(crate) fn retire_as_faulty(&mut self) {
-        warn!("{}: faulty, to be returned", self.name);
+        warn!(machine = self.name; "machine is faulty, to be terminated");
         self.cordoned = true;
         self.draining = false;
         self.faulty = true;
     }
 
-    /// Takes tasks again: it was not at fault.
-    pub(crate) fn keep_after_all(&mut self) {
-        info!(
-            "{}: not faulty, jobs that failed there fail elsewhere too",
-            self.name
-        );
+    /// Uncordons it: it was not at fault.
+    pub(crate) fn uncordon_as_sound(&mut self) {
+        info!(machine = self.name; "machine is not faulty, the jobs that failed there fail elsewhere too");
         self.cordoned = false;
         self.faulty = false;
     }
 
-    /// Whether new tasks may be placed here.
-    pub fn usable(&self, now: Micros, silence: Micros) -> bool {
-        self.receives_responses && self.counts(now, silence)
+    /// Whether new tasks may be placed here, given that heartbeats may be `max_silence` microseconds old.
+    pub fn usable(&self, now: Micros, max_silence: Micros) -> bool {
+        self.receives_responses && self.counts(now, max_silence)
     }
 
-    /// Whether the decider counts on it: also while it has yet to show that our answers reach it.
-    /// A new leader, for whom that is all machines, once rented a second fleet meanwhile.
-    pub fn counts(&self, now: Micros, silence: Micros) -> bool {
-        let uncertain = self
+    /// Whether scaling out counts it as able to take tasks: also while it has yet to show that our responses reach it.
+    /// To a new leader that is every machine, and it would otherwise provision a second fleet meanwhile.
+    pub fn counts(&self, now: Micros, max_silence: Micros) -> bool {
+        let unreachable_for = self
             .unreachable_since
-            .map_or(0, |at| now.saturating_sub(at));
+            .map_or(0, |since| now.saturating_sub(since));
         !self.cordoned
-            && uncertain <= ANSWER_TIME
+            && unreachable_for <= RESPONSE_TIMEOUT
             && self.reclaim_at.is_none()
             && self.incarnation > 0
             && self.quarantined_until <= now
-            && now.saturating_sub(self.last_heartbeat) <= silence
+            && now.saturating_sub(self.last_heartbeat) <= max_silence
     }
 }
 
 #[cfg(test)]
 mod tests;
-
-/// A task on a machine of a partition, as a message has it.
-pub(crate) fn placed_task(machine: &str, a: &Assignment) -> PlacedTask {
-    PlacedTask {
-        machine: machine.to_string(),
-        incarnation: a.incarnation,
-        job: a.job_id.clone(),
-        task: a.task,
-        attempt: a.attempt,
-        expected_us: a.expected,
-    }
-}
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -1,32 +1,34 @@
-use crate::state::machine::{Assignment, FailureAttribution, Machine, ObservedStatus, ANSWER_TIME};
+use crate::state::machine::{
+    Assignment, FailureAttribution, Machine, ObservedStatus, RESPONSE_TIMEOUT,
+};
 use crate::test_support::first_heartbeat;
 use crate::{Micros, SECOND};
 
 fn machine(now: Micros) -> Machine {
-    let mut m = Machine::new(&first_heartbeat(), None, now);
-    m.incarnation = 1;
-    m
+    let mut machine = Machine::new(&first_heartbeat(), None, now);
+    machine.incarnation = 1;
+    machine
 }
 
-/// A new leader, to whom no machine has shown yet that it hears, once rented for work that
-/// its machines covered.
+/// A new leader, to whom no machine has shown yet that responses reach it, must not provision machines for work that
+/// its fleet covers.
 #[test]
-fn a_machine_that_has_yet_to_hear_counts_for_a_while_but_gets_no_work() {
-    let (now, silence) = (100 * SECOND, 5 * SECOND);
-    let mut m = machine(now);
-    m.unreachable_since = Some(now - SECOND);
-    assert!(m.counts(now, silence) && !m.usable(now, silence));
-    m.unreachable_since = Some(now - ANSWER_TIME - SECOND);
-    assert!(!m.counts(now, silence));
-    m.receives_responses = true;
-    m.unreachable_since = None;
-    assert!(m.usable(now, silence));
+fn a_machine_without_proof_of_responses_counts_for_a_while_but_gets_no_tasks() {
+    let (now, max_silence) = (100 * SECOND, 5 * SECOND);
+    let mut machine = machine(now);
+    machine.unreachable_since = Some(now - SECOND);
+    assert!(machine.counts(now, max_silence) && !machine.usable(now, max_silence));
+    machine.unreachable_since = Some(now - RESPONSE_TIMEOUT - SECOND);
+    assert!(!machine.counts(now, max_silence));
+    machine.receives_responses = true;
+    machine.unreachable_since = None;
+    assert!(machine.usable(now, max_silence));
 }
 
-/// The runs of tasks that were taken over seemed short, and made all estimates too low.
+/// The runs of recovered tasks seem short, and would make all estimates too low.
 #[test]
-fn a_task_of_an_earlier_leader_is_known_as_such() {
-    let mut a = Assignment {
+fn a_task_launched_by_an_earlier_leader_is_recovered() {
+    let mut assignment = Assignment {
         delivered: false,
         by_holder: false,
         job: 0,
@@ -48,31 +50,31 @@
         expected: 20 * SECOND,
         stop: None,
     };
-    assert!(a.recovered());
-    a.launched = Some((1, 7));
-    assert!(!a.recovered());
+    assert!(assignment.recovered());
+    assignment.launched = Some((1, 7));
+    assert!(!assignment.recovered());
 }
 
-/// Two jobs with a mistake that met on a machine once had it returned, though it was sound.
+/// Two faulty jobs that meet on a sound machine must not have it terminated.
 #[test]
-fn failures_of_suspect_jobs_say_nothing_of_a_machine() {
+fn failures_of_faulty_jobs_say_nothing_of_a_machine() {
     let mut sound = machine(0);
     let broken = |id: &str| id.starts_with("broken");
     for _ in 0..10 {
         sound.note_failure("broken-1", broken);
         sound.note_failure("broken-2", broken);
-        assert_eq!(sound.blame(), FailureAttribution::None);
+        assert_eq!(sound.failure_attribution(), FailureAttribution::None);
     }
     sound.note_failure("req-1", broken);
     sound.note_failure("broken-1", broken);
-    assert_eq!(sound.blame(), FailureAttribution::None);
+    assert_eq!(sound.failure_attribution(), FailureAttribution::None);
     sound.note_failure("req-2", broken);
-    assert_eq!(sound.blame(), FailureAttribution::ByTwoJobs);
+    assert_eq!(sound.failure_attribution(), FailureAttribution::ByTwoJobs);
 }
 
-/// One job alone is blamed after its fourth failure, and takes all of them with it once it is suspect.
+/// Failures of one job alone count against the machine from the fourth on, until the job is likely to be at fault.
 #[test]
-fn failures_of_one_job_alone_are_blamed_after_the_fourth() {
+fn failures_of_one_job_alone_count_from_the_fourth_on() {
     let mut faulty = machine(0);
     for expected in [
         FailureAttribution::None,
@@ -81,8 +83,8 @@
         FailureAttribution::ByOneJob,
     ] {
         faulty.note_failure("req-1", |_| false);
-        assert_eq!(faulty.blame(), expected);
+        assert_eq!(faulty.failure_attribution(), expected);
     }
     faulty.forget_failures(|id| id == "req-1");
-    assert_eq!(faulty.blame(), FailureAttribution::None);
+    assert_eq!(faulty.failure_attribution(), FailureAttribution::None);
 }
--- a/crates/core/src/state/stats.rs
+++ b/crates/core/src/state/stats.rs
@@ -1,17 +1,47 @@
-//! Learnt averages: run times by class and machine type, and boot times.
+//! Learnt averages: run times by class and machine type, and boot times by machine type.
 //!
-//! A run time is kept as its ratio to the owner's estimate, by class, and each sample is bounded
-//! so that one slow machine or one wild estimate cannot poison the average.
+//! A run time is kept as its ratio to the submission's estimate, by class, and each sample is bounded so that one slow
+//! machine or one wild estimate cannot spoil the average.
 
 use crate::{micros, Micros, SECOND};
-use grebewood_wire::http::Shape;
-use grebewood_wire::http::{to_value, Submission};
+use grebewood_wire::http::{to_value, Shape, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::StatsRecord;
 use std::collections::BTreeMap;
 
-/// Longer than any machine is kept.
-const FOR_GOOD: Micros = 365 * 86_400 * SECOND;
+/// How long a replica of a daemon is expected to stay, in microseconds: longer than any machine is kept.
+const UNLIMITED_STAY: Micros = 365 * 86_400 * SECOND;
+
+/// Largest weight of the averages of run times.
+const MAX_RUN_WEIGHT: f64 = 200.0;
+
+/// Largest weight of an average of boot times.
+const MAX_BOOT_WEIGHT: f64 = 20.0;
+
+/// Bounds of the ratio of a run time to its estimate.
+const MIN_RATIO: f64 = 0.2;
+const MAX_RATIO: f64 = 4.0;
+
+/// Least estimate of a run time, in seconds, that a ratio is taken to.
+const MIN_ESTIMATE_S: f64 = 0.1;
+
+/// A run time counts as at most so many times its average, once that has some weight.
+const MAX_RUN_FACTOR: f64 = 4.0;
+
+/// The weight from which on an average bounds further samples.
+const BOUNDING_WEIGHT: f64 = 5.0;
+
+/// A boot time counts as at most so many times the published one.
+const MAX_BOOT_FACTOR: f64 = 3.0;
+
+/// The weight from which on a ratio is applied to estimates.
+const TRUSTED_RATIO_WEIGHT: f64 = 3.0;
+
+/// How many samples the published boot time counts as.
+const PUBLISHED_BOOT_WEIGHT: f64 = 3.0;
+
+/// Least expected run time, in microseconds.
+const MIN_EXPECTED_RUN: Micros = SECOND / 10;
 
 /// A weighted mean whose weight is bounded, so that it follows changes.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,158 +51,165 @@
 }
 
 impl Mean {
-    fn add(&mut self, x: f64, most: f64) {
-        self.weight = (self.weight + 1.0).min(most);
-        self.value += (x - self.value) / self.weight;
+    /// Adds a sample of weight one.
+    fn add(&mut self, sample: f64, max_weight: f64) {
+        self.weight = (self.weight + 1.0).min(max_weight);
+        self.value += (sample - self.value) / self.weight;
+    }
+
+    /// A mean read from a record, unless it is no valid number.
+    fn from_record(value: f64, weight: f64) -> Option<Mean> {
+        let is_valid = |number: f64| number.is_finite() && number >= 0.0;
+        (is_valid(value) && is_valid(weight)).then_some(Mean { value, weight })
     }
 }
 
 /// The averages.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
+    /// Ratios of run times to their estimates, by class.
     ratios: BTreeMap<String, Mean>,
+    /// Run times in microseconds, by class and machine type.
     runs: BTreeMap<(String, String), Mean>,
+    /// Boot times in microseconds, by machine type.
     boots: BTreeMap<String, Mean>,
+    /// Whether anything changed since the record was last written.
     pub changed: bool,
 }
 
 impl Stats {
-    /// A task of the class took `run` on the type.
-    pub fn ran(&mut self, spec: &Submission, machine_type: &str, run: Micros) {
-        let expected = spec.expected_s.max(0.1) * 1e6;
-        let ratio = (run as f64 / expected).clamp(0.2, 4.0);
+    /// A task of the job ran for `run_time` microseconds on the machine type.
+    pub fn record_run(&mut self, spec: &Submission, machine_type: &str, run_time: Micros) {
+        let estimate = spec.expected_s.max(MIN_ESTIMATE_S) * 1e6;
+        let ratio = (run_time as f64 / estimate).clamp(MIN_RATIO, MAX_RATIO);
         self.ratios
             .entry(spec.class.clone())
             .or_default()
-            .add(ratio, 200.0);
+            .add(ratio, MAX_RUN_WEIGHT);
         let mean = self
             .runs
             .entry((spec.class.clone(), machine_type.to_string()))
             .or_default();
-        let bounded = if mean.weight >= 5.0 {
-            (run as f64).min(mean.value * 4.0)
-        } else {
-            run as f64
+        let bounded = match mean.weight >= BOUNDING_WEIGHT {
+            true => (run_time as f64).min(mean.value * MAX_RUN_FACTOR),
+            false => run_time as f64,
         };
-        mean.add(bounded, 200.0);
+        mean.add(bounded, MAX_RUN_WEIGHT);
         self.changed = true;
     }
 
-    /// A machine of the type took `boot` to report.
-    pub fn booted(&mut self, machine_type: &str, startup: Micros, boot: Micros) {
-        let bounded = (boot as f64).min(startup as f64 * 3.0);
+    /// A machine of the type took `boot_time` microseconds until its first heartbeat; `published` is the boot time that
+    /// the cloud publishes.
+    pub fn booted(&mut self, machine_type: &str, published: Micros, boot_time: Micros) {
+        let bounded = (boot_time as f64).min(published as f64 * MAX_BOOT_FACTOR);
         self.boots
             .entry(machine_type.to_string())
             .or_default()
-            .add(bounded, 20.0);
+            .add(bounded, MAX_BOOT_WEIGHT);
         self.changed = true;
     }
 
-    /// Expected run time of a task of the job, without the fetch.
+    /// Expected run time of a task of the job, in microseconds, without fetching its image.
     pub fn expected_run(&self, spec: &Submission) -> Micros {
         let ratio = self
             .ratios
             .get(&spec.class)
-            .filter(|m| m.weight >= 3.0)
-            .map_or(1.0, |m| m.value);
-        micros(spec.expected_s * ratio).max(SECOND / 10)
+            .filter(|mean| mean.weight >= TRUSTED_RATIO_WEIGHT)
+            .map_or(1.0, |mean| mean.value);
+        micros(spec.expected_s * ratio).max(MIN_EXPECTED_RUN)
     }
 
-    /// How long a task of the job will stay on its machine, without the fetch. A replica of a daemon
-    /// stays until it is stopped.
+    /// How long a task of the job will stay on its machine, in microseconds, without fetching its image. A replica of a
+    /// daemon stays until it is stopped.
     pub fn expected_stay(&self, spec: &Submission) -> Micros {
         match Shape::of(spec) {
-            Some(Shape::Daemon) => FOR_GOOD,
+            Some(Shape::Daemon) => UNLIMITED_STAY,
             _ => self.expected_run(spec),
         }
     }
 
-    /// Average boot time of the type: the published one counts as three samples.
-    pub fn boot_time(&self, machine_type: &str, startup: Micros) -> Micros {
-        match self.boots.get(machine_type) {
-            Some(m) => ((m.value * m.weight + startup as f64 * 3.0) / (m.weight + 3.0)) as Micros,
-            None => startup,
-        }
+    /// Average boot time of the type in microseconds, in which the published one counts as a few samples.
+    pub fn boot_time(&self, machine_type: &str, published: Micros) -> Micros {
+        let Some(mean) = self.boots.get(machine_type) else {
+            return published;
+        };
+        let weight = mean.weight + PUBLISHED_BOOT_WEIGHT;
+        let sum = mean.value * mean.weight + published as f64 * PUBLISHED_BOOT_WEIGHT;
+        (sum / weight) as Micros
     }
 
     /// The record, without the averages of least weight as far as it would be larger than `bytes`.
     pub fn record_within(&self, bytes: usize) -> StatsRecord {
         let mut record = self.record();
         while json_size(&to_value(&record)) > bytes {
-            let least = |weights: Vec<f64>| {
-                let all = weights.into_iter().enumerate();
-                all.min_by(|a, b| a.1.total_cmp(&b.1))
-            };
-            let run = least(record.runs.iter().map(|r| r.3).collect());
-            let ratio = least(record.ratios.iter().map(|r| r.2).collect());
-            // What is known by class and type is of less use than what is known by class.
-            match (run, ratio) {
-                (Some((at, _)), _) => {
-                    record.runs.remove(at);
-                }
-                (None, Some((at, _))) => {
-                    record.ratios.remove(at);
-                }
-                (None, None) if record.boots.pop().is_some() => {}
-                (None, None) => break,
+            // What is known by class and machine type is of less use than what is known by class.
+            if let Some(position) = lightest(record.runs.iter().map(|run| run.3)) {
+                record.runs.remove(position);
+            } else if let Some(position) = lightest(record.ratios.iter().map(|ratio| ratio.2)) {
+                record.ratios.remove(position);
+            } else if record.boots.pop().is_none() {
+                break;
             }
         }
         record
     }
 
+    /// The record with all averages.
     pub fn record(&self) -> StatsRecord {
+        let runs = self.runs.iter().map(|((class, machine_type), mean)| {
+            let (class, machine_type) = (class.clone(), machine_type.clone());
+            (class, machine_type, mean.value as u64, mean.weight)
+        });
+        let boots = self
+            .boots
+            .iter()
+            .map(|(machine_type, mean)| (machine_type.clone(), mean.value as u64, mean.weight));
+        let ratios = self
+            .ratios
+            .iter()
+            .map(|(class, mean)| (class.clone(), mean.value, mean.weight));
         StatsRecord {
-            runs: self
-                .runs
-                .iter()
-                .map(|((c, t), m)| (c.clone(), t.clone(), m.value as u64, m.weight))
-                .collect(),
-            boots: self
-                .boots
-                .iter()
-                .map(|(t, m)| (t.clone(), m.value as u64, m.weight))
-                .collect(),
-            ratios: self
-                .ratios
-                .iter()
-                .map(|(c, m)| (c.clone(), m.value, m.weight))
-                .collect(),
+            runs: runs.collect(),
+            boots: boots.collect(),
+            ratios: ratios.collect(),
         }
     }
 
+    /// The averages of a record, without those that are no valid numbers.
     pub fn load(record: &StatsRecord) -> Self {
-        let ok = |v: f64, w: f64| v.is_finite() && w.is_finite() && v >= 0.0 && w >= 0.0;
-        let mut stats = Stats::default();
-        for (c, t, v, w) in &record.runs {
-            if ok(*v as f64, *w) {
-                let mean = Mean {
-                    value: *v as f64,
-                    weight: *w,
-                };
-                stats.runs.insert((c.clone(), t.clone()), mean);
-            }
+        let runs = record.runs.iter().filter_map(|run| {
+            let (class, machine_type, value, weight) = run;
+            let mean = Mean::from_record(*value as f64, *weight)?;
+            Some(((class.clone(), machine_type.clone()), mean))
+        });
+        let boots = record
+            .boots
+            .iter()
+            .filter_map(|(machine_type, value, weight)| {
+                Some((
+                    machine_type.clone(),
+                    Mean::from_record(*value as f64, *weight)?,
+                ))
+            });
+        let ratios = record.ratios.iter().filter_map(|(class, value, weight)| {
+            Some((class.clone(), Mean::from_record(*value, *weight)?))
+        });
+        Stats {
+            ratios: ratios.collect(),
+            runs: runs.collect(),
+            boots: boots.collect(),
+            changed: false,
         }
-        for (t, v, w) in &record.boots {
-            if ok(*v as f64, *w) {
-                let mean = Mean {
-                    value: *v as f64,
-                    weight: *w,
-                };
-                stats.boots.insert(t.clone(), mean);
-            }
-        }
-        for (c, v, w) in &record.ratios {
-            if ok(*v, *w) {
-                let mean = Mean {
-                    value: *v,
-                    weight: *w,
-                };
-                stats.ratios.insert(c.clone(), mean);
-            }
-        }
-        stats
     }
 }
 
+/// The position of the least weight, the first of equal ones.
+fn lightest(weights: impl Iterator<Item = f64>) -> Option<usize> {
+    weights
+        .enumerate()
+        .min_by(|a, b| a.1.total_cmp(&b.1))
+        .map(|(position, _)| position)
+}
+
 #[cfg(test)]
 mod tests;
