--- a/crates/core/src/rate_limiter.rs
+++ b/crates/core/src/rate_limiter.rs
@@ -2,13 +2,23 @@
 
 use crate::{Micros, SECOND};
 
-/// A token bucket that holds at most one second's worth.
+/// Tolerance when the level is compared with the tokens that are asked for, against rounding errors.
+const LEVEL_TOLERANCE: f64 = 1e-9;
+
+/// The lowest rate, in tokens a second, that waiting times are computed with.
+const LOWEST_RATE: f64 = 1e-6;
+
+/// A token bucket that holds one second's worth of tokens, unless it is made with more room.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
+    /// Tokens a second.
     rate: f64,
+    /// Most tokens that it holds.
     depth: f64,
+    /// Tokens that it holds; negative after more than the depth was taken.
     level: f64,
-    at: Micros,
+    /// When the level was last brought up to date.
+    refilled_at: Micros,
 }
 
 impl RateLimiter {
@@ -19,7 +29,7 @@
             rate,
             depth,
             level: depth,
-            at: 0,
+            refilled_at: 0,
         }
     }
 
@@ -31,34 +41,27 @@
         bucket
     }
 
-    /// Changes the rate, as when a node becomes the leader.
-    pub fn set_rate(&mut self, now: Micros, rate: f64) {
-        self.refill(now);
-        self.rate = rate;
-        self.depth = rate.max(1.0);
-        self.level = self.level.min(self.depth);
-    }
-
     /// Tokens that come each second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
     fn refill(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        self.level = (self.level + passed as f64 / SECOND as f64 * self.rate).min(self.depth);
+        let passed = now.saturating_sub(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(now);
+        let refilled = self.level + passed as f64 / SECOND as f64 * self.rate;
+        self.level = refilled.min(self.depth);
     }
 
-    /// Takes `n` tokens if they are there. More than the depth is taken from a full bucket.
-    pub fn take(&mut self, now: Micros, n: f64) -> bool {
+    /// Takes `tokens` if they are there, and returns whether they were. More than the depth is taken from a
+    /// full bucket.
+    pub fn take(&mut self, now: Micros, tokens: f64) -> bool {
         self.refill(now);
-        if self.level + 1e-9 >= n.min(self.depth) {
-            self.level -= n;
-            true
-        } else {
-            false
+        let available = self.level + LEVEL_TOLERANCE >= tokens.min(self.depth);
+        if available {
+            self.level -= tokens;
         }
+        available
     }
 
     /// Whole tokens that can be taken now.
@@ -67,16 +70,16 @@
         self.level.max(0.0) as usize
     }
 
-    /// When `n` tokens will be there.
-    pub fn ready_at(&mut self, now: Micros, n: f64) -> Micros {
+    /// When `tokens` will be there, in microseconds of the steady clock.
+    pub fn ready_at(&mut self, now: Micros, tokens: f64) -> Micros {
         self.refill(now);
-        let missing = (n.min(self.depth) - self.level).max(0.0);
-        now + (missing / self.rate.max(1e-6) * SECOND as f64).ceil() as Micros
+        let missing = (tokens.min(self.depth) - self.level).max(0.0);
+        now + self.time_for(missing)
     }
 
-    /// How long `n` tokens take to come.
-    pub fn time_for(&self, n: f64) -> Micros {
-        (n / self.rate.max(1e-6) * SECOND as f64).ceil() as Micros
+    /// How many microseconds `tokens` take to come.
+    pub fn time_for(&self, tokens: f64) -> Micros {
+        (tokens / self.rate.max(LOWEST_RATE) * SECOND as f64).ceil() as Micros
     }
 
     /// Empties the bucket, as after an answer 429.
--- a/crates/core/tests/rate_limiter.rs
+++ b/crates/core/tests/rate_limiter.rs
@@ -1,14 +1,14 @@
-//! Token buckets.
+//! The token bucket behind the controllers' rate limits.
 
 use grebewood_core::rate_limiter::RateLimiter;
 use grebewood_core::SECOND;
 
 #[test]
 fn a_bucket_refills_at_its_rate_and_no_deeper_than_a_second() {
-    let mut b = RateLimiter::new(4.0);
-    assert!((0..4).all(|_| b.take(0, 1.0)));
-    assert!(!b.take(0, 1.0));
-    assert_eq!(b.ready_at(0, 1.0), SECOND / 4);
-    assert!(b.take(SECOND / 4, 1.0));
-    assert_eq!(b.available(100 * SECOND), 4);
+    let mut bucket = RateLimiter::new(4.0);
+    assert!((0..4).all(|_| bucket.take(0, 1.0)));
+    assert!(!bucket.take(0, 1.0));
+    assert_eq!(bucket.ready_at(0, 1.0), SECOND / 4);
+    assert!(bucket.take(SECOND / 4, 1.0));
+    assert_eq!(bucket.available(100 * SECOND), 4);
 }
