--- a/crates/core/src/state/finished_jobs.rs
+++ b/crates/core/src/state/finished_jobs.rs
@@ -4,38 +4,43 @@
 use grebewood_wire::records::FinishedJobRecord;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Jobs that are over, which never changes: a bounded cache.
+/// The final records of finished jobs; the oldest is dropped when there are too many.
 #[derive(Debug)]
 pub struct FinishedJobs {
-    known: BTreeMap<String, FinishedJobRecord>,
+    records: BTreeMap<String, FinishedJobRecord>,
+    /// Jobs in the order in which they were noted.
     order: VecDeque<String>,
-    most: usize,
+    capacity: usize,
 }
 
 impl FinishedJobs {
-    pub fn new(most: usize) -> Self {
+    /// An empty cache of at most `capacity` jobs.
+    pub fn new(capacity: usize) -> Self {
         FinishedJobs {
-            known: BTreeMap::new(),
+            records: BTreeMap::new(),
             order: VecDeque::new(),
-            most,
+            capacity,
         }
     }
 
+    /// The final record of the job, if it is known.
     pub fn get(&self, job: &str) -> Option<&FinishedJobRecord> {
-        self.known.get(job)
+        self.records.get(job)
     }
 
+    /// Notes the final record of a job.
     pub fn insert(&mut self, job: &str, record: FinishedJobRecord) {
-        if self.known.insert(job.to_string(), record).is_none() {
-            self.order.push_back(job.to_string());
-            if self.order.len() > self.most {
-                if let Some(oldest) = self.order.pop_front() {
-                    self.known.remove(&oldest);
-                }
+        if self.records.insert(job.to_string(), record).is_some() {
+            return;
+        }
+        self.order.push_back(job.to_string());
+        if self.order.len() > self.capacity {
+            if let Some(oldest) = self.order.pop_front() {
+                self.records.remove(&oldest);
             }
         }
     }
 }
 
-/// Reads of ends that are under way, by job: requests that came in after the read was sent.
+/// Reads of final records that are under way, by job: requests that came in after the read was sent.
 pub type FinishedReads = BTreeMap<String, Vec<UserRequest>>;
--- a/crates/core/src/state/unproven_machines.rs
+++ b/crates/core/src/state/unproven_machines.rs
@@ -1,11 +1,12 @@
-//! Machines on which an earlier term may have left tasks that are not proven gone.
+//! Machines on which an earlier term may have left tasks that are not proven to have ended.
 
 use crate::Micros;
 
-/// Machines on which a leader that stepped down could not prove cancelled tasks gone.
+/// Machines on which a leader that stepped down could not prove that cancelled tasks have ended.
 #[derive(Debug)]
 pub(crate) struct UnprovenMachines {
+    /// The machines' names.
     pub(crate) names: Vec<String>,
-    /// When they are released, unless a successor can read of them in the state service.
+    /// When they are terminated, unless a successor can read of them in the store by then.
     pub(crate) due: Micros,
 }
