--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -3,18 +3,23 @@
 use crate::{Micros, MILLI, SECOND};
 use grebewood_quota::{Resources, TeamQuota};
 use std::collections::BTreeMap;
+use thiserror::Error;
 
-/// A team's guarantee and limit. A limit of 0 means none of that resource.
+/// A team's quota: guaranteed share and limit. A limit of 0 means none of that resource.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Team {
+    /// Guaranteed CPUs.
     pub cpus: f64,
+    /// Most CPUs.
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     pub gpus: f64,
+    /// Most GPUs.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// The same in exact amounts.
+    /// The quota in exact amounts.
     pub fn limit(&self) -> TeamQuota {
         TeamQuota {
             guarantee: Resources::of(self.cpus, self.gpus),
@@ -26,29 +31,46 @@
 /// Another controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sibling {
+    /// Its member name.
     pub member: String,
+    /// The zone that it runs in.
     pub zone: String,
 }
 
-/// An aim of the users, as far as the scheduler can use it.
+/// The kind of objective that measures how soon tasks start.
+pub const WAIT: &str = "wait";
+
+/// The kind of objective that measures how soon work within a team's guaranteed share starts.
+pub const GUARANTEE: &str = "guarantee";
+
+/// A service-level objective, as far as the scheduler can use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
+    /// What it measures, such as [`WAIT`] or [`GUARANTEE`].
     pub kind: String,
+    /// The class of jobs that it holds for.
     pub class: String,
+    /// The time within which it is to be met, in microseconds.
     pub within: Option<Micros>,
+    /// The share of the cases in which it is to be met.
     pub share: f64,
-    /// Of an `up` aim: the time from which on a service is to be served.
+    /// Of an `up` objective: the time from which on a service is to be up, in microseconds.
     pub after: Option<Micros>,
-    /// Of an `up` aim: the span whose worst one counts; none: the whole day counts.
+    /// Of an `up` objective: the length of the window whose worst one counts, in microseconds; none: the whole
+    /// day counts.
     pub worst: Option<Micros>,
 }
 
-/// What the state service takes.
+/// The limits of the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Puts and deletes a second.
     pub write_rps: f64,
+    /// Most bytes of a value.
     pub value_bytes: usize,
+    /// Most puts and deletes of a transaction.
     pub transaction_operations: usize,
 }
 
@@ -67,24 +89,34 @@
 /// The settings of one controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
+    /// This controller's member name.
     pub member: String,
+    /// The zone that this controller runs in.
     pub zone: String,
+    /// The other controllers.
     pub siblings: Vec<Sibling>,
+    /// The teams' quotas, by team.
     pub teams: BTreeMap<String, Team>,
+    /// The service-level objectives.
     pub objectives: Vec<Objective>,
+    /// Between two heartbeats of an agent, in microseconds.
     pub heartbeat_interval: Micros,
+    /// How long an agent goes on without an answer to its heartbeats, in microseconds.
     pub agent_lease: Micros,
+    /// Within how long after a confirmed cancellation nothing of the job may run, in microseconds.
     pub cancel_timeout: Micros,
-    /// What the state service takes now and after an announced change, whichever is less.
+    /// The store's limits now and after an announced change, whichever is less.
     pub store: StoreLimits,
+    /// Requests a second that the cloud takes.
     pub cloud_rps: f64,
+    /// How old the cloud's machine list may be, in microseconds.
     pub list_lag: Micros,
     /// Most sockets that this process may have.
     pub sockets: usize,
 }
 
 impl Default for Settings {
-    /// A single controller with the example values of the deploy file, without teams or aims.
+    /// A single controller with the example values of the deploy file, without teams or objectives.
     fn default() -> Self {
         Settings {
             member: "perch-0".into(),
@@ -109,36 +141,98 @@
 }
 
 impl Settings {
-    /// Whether an aim counts how soon work within a guarantee starts.
+    /// Whether an objective measures how soon work within a guaranteed share starts.
     pub fn guarantees_count(&self) -> bool {
-        self.objectives.iter().any(|o| o.kind == "guarantee")
+        self.objectives
+            .iter()
+            .any(|objective| objective.kind == GUARANTEE)
     }
 
-    /// The longest time that an aim allows any class's tasks to start in, if it is longer than
-    /// `boot`: a shorter one cannot be met by renting.
+    /// The longest time that an objective allows any class's tasks to start in, if it is longer than
+    /// `boot` (both in microseconds): a shorter one cannot be met by provisioning machines.
     pub fn longest_start(&self, boot: Micros) -> Option<Micros> {
-        let starts = self.objectives.iter().filter(|o| o.kind == "wait");
+        let starts = self
+            .objectives
+            .iter()
+            .filter(|objective| objective.kind == WAIT);
         starts
-            .filter_map(|o| o.within)
+            .filter_map(|objective| objective.within)
             .filter(|within| *within > boot)
             .max()
     }
 
-    /// Whether an aim counts how soon tasks of the class start.
+    /// Whether an objective measures how soon tasks of the class start.
     pub fn starts_count(&self, class: &str) -> bool {
         self.objectives
             .iter()
-            .any(|o| o.class == class && o.kind == "wait")
+            .any(|objective| objective.class == class && objective.kind == WAIT)
     }
 }
 
+/// Why a tuning key cannot be set.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum TuningError {
+    /// The value is not a number of the key's kind.
+    #[error("{key}: {value:?} is not a number")]
+    NotANumber {
+        /// The key.
+        key: String,
+        /// The value.
+        value: String,
+    },
+    /// The value is too low or too high.
+    #[error("{key}: {value} is not within {lowest} and {highest}")]
+    OutOfRange {
+        /// The key.
+        key: String,
+        /// The value.
+        value: String,
+        /// The lowest value of the key.
+        lowest: f64,
+        /// The highest value of the key.
+        highest: f64,
+    },
+    /// There is no such key.
+    #[error("{key}: no such key")]
+    UnknownKey {
+        /// The key.
+        key: String,
+    },
+}
+
 impl Tuning {
-    /// Whether holders of partitions place tasks out of allotments.
+    /// Whether the leader grants quota to holders of partitions, which place tasks out of it.
     pub fn grants_quota(&self) -> bool {
         self.allotments > 0 && self.partitions_per_zone > 0
     }
 }
 
+fn not_a_number(key: &str, value: &str) -> TuningError {
+    TuningError::NotANumber {
+        key: key.to_string(),
+        value: value.to_string(),
+    }
+}
+
+fn check_range(
+    key: &str,
+    value: &str,
+    parsed: f64,
+    lowest: f64,
+    highest: f64,
+) -> Result<(), TuningError> {
+    if (lowest..=highest).contains(&parsed) {
+        return Ok(());
+    }
+    Err(TuningError::OutOfRange {
+        key: key.to_string(),
+        value: value.to_string(),
+        lowest,
+        highest,
+    })
+}
+
+/// Declares [`Tuning`] from one line for each key: its description, name, type, default, lowest and highest value.
 macro_rules! tuning {
     ($($(#[doc = $doc:literal])+ $name:ident : $kind:ident = $default:expr, $low:expr, $high:expr;)*) => {
         /// Operators' settings, from the INI file given with `--tuning`.
@@ -156,21 +250,16 @@
             pub const KEYS: &'static [(&'static str, &'static str, f64, f64, f64)] =
                 &[$((stringify!($name), concat!($($doc),+), $default as f64, $low as f64, $high as f64),)*];
 
-            /// Sets one key; the error says what is wrong with it.
-            pub fn set(&mut self, key: &str, value: &str) -> Result<(), String> {
+            /// Sets one key from its text.
+            pub fn set(&mut self, key: &str, value: &str) -> Result<(), TuningError> {
                 match key {
                     $(stringify!($name) => {
-                        let parsed: $kind = value
-                            .trim()
-                            .parse()
-                            .map_err(|_| format!("{key}: {value:?} is not a number"))?;
-                        if !(($low as f64)..=($high as f64)).contains(&(parsed as f64)) {
-                            return Err(format!("{key}: {value} is not within {} and {}", $low, $high));
-                        }
+                        let parsed: $kind = value.trim().parse().map_err(|_| not_a_number(key, value))?;
+                        check_range(key, value, parsed as f64, $low as f64, $high as f64)?;
                         self.$name = parsed;
                         Ok(())
                     })*
-                    _ => Err(format!("{key}: no such key")),
+                    _ => Err(TuningError::UnknownKey { key: key.to_string() }),
                 }
             }
         }
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What operators may tune.
+//! The tuning keys that operators may set.
 
 use grebewood_core::Tuning;
 
@@ -22,10 +22,10 @@
 
 #[test]
 fn tuning_keys_are_checked() {
-    let mut t = Tuning::default();
-    assert!(t.set("idle_hold_us", "5000000").is_ok());
-    assert_eq!(t.idle_hold_us, 5_000_000);
-    assert!(t.set("idle_hold_us", "soon").is_err());
-    assert!(t.set("deadline_share", "7").is_err());
-    assert!(t.set("no_such_key", "1").is_err());
+    let mut tuning = Tuning::default();
+    assert!(tuning.set("idle_hold_us", "5000000").is_ok());
+    assert_eq!(tuning.idle_hold_us, 5_000_000);
+    assert!(tuning.set("idle_hold_us", "soon").is_err());
+    assert!(tuning.set("deadline_share", "7").is_err());
+    assert!(tuning.set("no_such_key", "1").is_err());
 }
