--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -13,135 +13,141 @@
 /// Most cancelled jobs that are remembered.
 const MAX_KNOWN: usize = 10_000;
 
-/// Most cancellations in one answer to another node.
-const MAX_TOLD: usize = 1_000;
+/// Most cancellations in one answer to another controller.
+const MAX_LISTED: usize = 1_000;
 
-/// A cancellation of a job that is not known to be over.
+/// A cancellation of a job that is not known to be finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
-    /// Time of day of the cancellation.
+pub struct KnownCancellation {
+    /// Time of day of the cancellation, in microseconds since 1970.
     pub cancelled_us: u64,
-    /// When this node first told a user of it.
-    told: Option<Micros>,
+    /// When this controller first told a user of it, by its steady clock.
+    confirmed_at: Option<Micros>,
 }
 
-/// A node's knowledge of cancellations.
+/// A controller's knowledge of cancellations.
 #[derive(Debug, Default)]
 pub struct Cancellations {
-    known: BTreeMap<String, Known>,
-    /// From when on all that this node told users is remembered.
+    known: BTreeMap<String, KnownCancellation>,
+    /// From when on all that this controller confirmed to users is remembered.
     remembers_from: Option<Micros>,
-    /// All cancellations that any node confirmed before this moment are known, from state.
-    as_of: Option<Micros>,
+    /// All cancellations that any controller confirmed before this moment are known, from the store.
+    store_read_at: Option<Micros>,
     /// The same of what one peer confirmed, from its own answers, by its place in the settings.
-    covered: BTreeMap<usize, Micros>,
+    peer_lists: BTreeMap<usize, Micros>,
 }
 
 impl Cancellations {
-    /// The process has begun: it has told nobody anything before.
+    /// The process has begun: it has confirmed nothing before.
     pub fn begin(&mut self, now: Micros) {
         self.remembers_from.get_or_insert(now);
     }
 
-    /// When the job was cancelled, if that is known.
-    pub fn get(&self, job: &str) -> Option<&Known> {
+    /// The job's cancellation, if one is known.
+    pub fn get(&self, job: &str) -> Option<&KnownCancellation> {
         self.known.get(job)
     }
 
-    pub fn jobs(&self) -> impl Iterator<Item = (&str, &Known)> {
-        self.known.iter().map(|(id, known)| (id.as_str(), known))
+    /// All known cancellations, by job.
+    pub fn jobs(&self) -> impl Iterator<Item = (&str, &KnownCancellation)> {
+        self.known.iter().map(|(job, known)| (job.as_str(), known))
     }
 
-    /// Notes a cancellation.
+    /// Notes a cancellation; `cancelled_us` is a time of day.
     pub fn learn(&mut self, job: &str, cancelled_us: u64) {
         if let Some(known) = self.known.get_mut(job) {
             known.cancelled_us = known.cancelled_us.min(cancelled_us);
             return;
         }
-        let known = Known {
+        let known = KnownCancellation {
             cancelled_us,
-            told: None,
+            confirmed_at: None,
         };
         self.known.insert(job.to_string(), known);
-        self.bound();
+        self.drop_oldest();
     }
 
-    /// Notes that a user is told of it now.
-    pub fn tell(&mut self, job: &str, now: Micros, wall: u64) {
+    /// Notes that the cancellation is confirmed to a user now.
+    pub fn confirm(&mut self, job: &str, now: Micros, wall: u64) {
         self.learn(job, wall);
         if let Some(known) = self.known.get_mut(job) {
-            known.told.get_or_insert(now);
+            known.confirmed_at.get_or_insert(now);
         }
     }
 
-    /// The job is over: it is proven that nothing of it runs.
+    /// The job is finished: it is proven that nothing of it runs.
     pub fn forget(&mut self, job: &str) {
         self.known.remove(job);
     }
 
-    /// Drops the oldest of too many. What was told before is not remembered any more then.
-    fn bound(&mut self) {
+    /// Drops the oldest of too many. What was confirmed until then is not remembered any more.
+    fn drop_oldest(&mut self) {
         while self.known.len() > MAX_KNOWN {
-            let oldest = self.known.iter().min_by_key(|(_, k)| k.cancelled_us);
-            let Some((id, known)) = oldest.map(|(id, k)| (id.clone(), *k)) else {
+            let oldest = self
+                .known
+                .iter()
+                .min_by_key(|(_, known)| known.cancelled_us);
+            let Some((job, known)) = oldest.map(|(job, known)| (job.clone(), *known)) else {
                 return;
             };
-            self.known.remove(&id);
-            self.remembers_from = self.remembers_from.max(known.told.map(|at| at + 1));
+            self.known.remove(&job);
+            let forgotten_until = known.confirmed_at.map(|at| at + 1);
+            self.remembers_from = self.remembers_from.max(forgotten_until);
         }
     }
 
-    /// The answer to a question for all that was told in the last `span`, or ever.
-    pub fn confirmed(&self, question: u64, span: Option<Micros>, now: Micros) -> Confirmed {
+    /// The answer to a peer's question for all that was confirmed in the last `span` microseconds, or ever.
+    pub fn list_confirmed(&self, question: u64, span: Option<Micros>, now: Micros) -> Confirmed {
         let from = span.map_or(0, |span| now.saturating_sub(span));
-        let told = self.known.iter().filter_map(|(id, k)| {
-            let at = k.told.filter(|at| *at >= from)?;
-            Some((id.clone(), now.saturating_sub(at)))
+        let confirmed = self.known.iter().filter_map(|(job, known)| {
+            let at = known.confirmed_at.filter(|at| *at >= from)?;
+            Some((job.clone(), now.saturating_sub(at)))
         });
-        let mut jobs: Vec<(String, u64)> = told.collect();
-        // The list must be whole; if it cannot be, it does not say that it is.
-        let whole = jobs.len() <= MAX_TOLD;
-        jobs.truncate(MAX_TOLD);
+        let mut jobs: Vec<(String, u64)> = confirmed.collect();
+        // An incomplete list must not claim to go back to any moment.
+        let complete = jobs.len() <= MAX_LISTED;
+        jobs.truncate(MAX_LISTED);
         Confirmed {
             question,
             remembers_us: self
                 .remembers_from
-                .filter(|_| whole)
+                .filter(|_| complete)
                 .map(|at| now.saturating_sub(at)),
             jobs,
         }
     }
 
-    /// State was read: all that was confirmed before `at` is known.
+    /// The store was read: all that was confirmed before `at` is known.
     pub fn read_as_of(&mut self, at: Micros) {
-        self.as_of = self.as_of.max(Some(at));
+        self.store_read_at = self.store_read_at.max(Some(at));
     }
 
-    /// Up to which moment all confirmed cancellations are known from state.
+    /// Up to which moment all confirmed cancellations are known from the store.
     pub fn read_up_to(&self) -> Micros {
-        self.as_of.unwrap_or(0)
+        self.store_read_at.unwrap_or(0)
     }
 
     /// A moment up to which all that this peer confirmed is known.
-    pub fn known_of(&self, peer: usize) -> Option<Micros> {
-        self.as_of.max(self.covered.get(&peer).copied())
+    pub fn known_until_of_peer(&self, peer: usize) -> Option<Micros> {
+        self.store_read_at.max(self.peer_lists.get(&peer).copied())
     }
 
-    /// A peer that was asked at `asked` has listed what it told in answer. Its memory goes back to
+    /// A peer that was asked at `asked_at` has listed in answer what it confirmed. Its memory goes back to
     /// `remembers_from`: if that is later than what is known of it, as after a restart, it may have
     /// confirmed in between what nobody remembers, and nothing is gained.
-    pub fn covered(&mut self, peer: usize, asked: Micros, remembers_from: Micros) {
-        if self.known_of(peer).is_some_and(|at| remembers_from <= at) {
-            let at = self.covered.entry(peer).or_insert(asked);
-            *at = asked.max(*at);
+    pub fn note_peer_list(&mut self, peer: usize, asked_at: Micros, remembers_from: Micros) {
+        let known_until = self.known_until_of_peer(peer);
+        if known_until.is_some_and(|known_until| remembers_from <= known_until) {
+            let listed_at = self.peer_lists.entry(peer).or_insert(asked_at);
+            *listed_at = asked_at.max(*listed_at);
         }
     }
 
-    /// The moment up to which every cancellation that any node confirmed is known; `None`: no such
-    /// moment is known.
-    pub fn certain(&self, peers: usize, now: Micros) -> Option<Micros> {
+    /// The moment up to which every cancellation that any controller confirmed is known; `None`: no such
+    /// moment is known. `peers` is the number of other controllers.
+    pub fn known_until(&self, peers: usize, now: Micros) -> Option<Micros> {
         (0..peers)
-            .map(|p| self.known_of(p))
+            .map(|peer| self.known_until_of_peer(peer))
             .min()
             .unwrap_or(Some(now))
     }
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -1,146 +1,183 @@
 //! The election: candidacy, claiming the leader record, and stepping down.
 
-use crate::calls::{CallPurpose, ElectionStep};
+use crate::calls::{status_and_body, CallPurpose, ElectionStep};
 use crate::context::Role;
 use crate::controller::Controller;
 use crate::scheduler::{FencedLease, Scheduler};
+use crate::state::election::KnownLeader;
 use crate::state::long_polls::LongPolls;
-use crate::transactions::absent;
+use crate::transactions::{absent, at_revision};
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    Condition, KeyValue, Lease, LeaseRequest, Operation, Transaction, TransactionApplied,
+    KeyValue, Lease, LeaseRequest, Operation, Transaction, TransactionApplied,
 };
 use grebewood_wire::records::{LeaderRecord, LEADER};
 use log::{info, warn};
+use std::fmt::Display;
 
-const PROBE: Micros = 500 * MILLI;
+/// Between two reads of the leader record by a controller that does not lead.
+const PROBE_INTERVAL: Micros = 500 * MILLI;
+
+/// Until the next read after a leader record of an earlier process of this member was deleted.
+const PROBE_AFTER_DELETE: Micros = 20 * MILLI;
+
+/// Until the next read after stepping down.
+const PROBE_AFTER_STEP_DOWN: Micros = 50 * MILLI;
+
+/// Until the next read after the lease of a candidacy was ended.
+const PROBE_AFTER_LEASE_END: Micros = 100 * MILLI;
+
+/// How long a leader that resigned does not stand for election.
+const ABSTENTION: Micros = 10 * SECOND;
+
+/// How a leader gives up its role.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum StepDown {
+    /// The lease is lost or in doubt: it is left to expire.
+    LeaseLost,
+    /// The lease is still valid: it is ended, and this controller abstains from the election for a while.
+    Resign,
+}
 
 impl Controller {
+    /// Reads the leader record and asks the peers when that is due.
     pub(crate) fn run_election(&mut self) {
         let now = self.context.now.steady;
         if now < self.election.next_probe {
             return;
         }
-        if self.leader.is_none() {
-            self.election.next_probe = now + PROBE;
-            if !self.election.busy {
-                self.election.busy = true;
-                self.context
-                    .read_key(LEADER, CallPurpose::Election(ElectionStep::Probe));
-            }
-            // A holder renews leases as a leader does: it has to know what peers confirmed.
-            if !self.partitions.holders.is_empty() && now >= self.election.next_question {
-                self.ask_peers();
-                self.election.next_question = self.election.next_probe;
-                self.election.next_probe = now + PROBE;
-            }
-        } else {
+        if self.leader.is_some() {
+            return self.ask_peers();
+        }
+        self.election.next_probe = now + PROBE_INTERVAL;
+        if !self.election.request_in_flight {
+            self.election.request_in_flight = true;
+            self.context
+                .read_key(LEADER, CallPurpose::Election(ElectionStep::Probe));
+        }
+        // A holder renews leases as a leader does: it has to know what peers confirmed.
+        if !self.partitions.holders.is_empty() && now >= self.election.next_question {
             self.ask_peers();
+            self.election.next_question = self.election.next_probe;
+            self.election.next_probe = now + PROBE_INTERVAL;
         }
     }
 
+    /// Takes the reply to a request of the election.
     pub(crate) fn on_election(&mut self, step: ElectionStep, outcome: Outcome) {
-        let now = self.context.now.steady;
-        self.election.busy = false;
+        self.election.request_in_flight = false;
         if self.leader.is_some() {
             return;
         }
-        let (status, body) = match outcome {
-            Outcome::Answer { status, body } => (status, body),
-            _ => (0, Vec::new()),
-        };
+        let (status, body) = status_and_body(outcome);
         match (step, status) {
-            (ElectionStep::Probe, 200) => match wire::from_cbor::<KeyValue<LeaderRecord>>(&body) {
-                Ok(e) => {
-                    self.context.token = self.context.token.max(e.mod_revision);
-                    self.election.grant = self.election.grant.max(e.mod_revision);
-                    if e.value.member == self.context.settings.member {
-                        // A grant of our own that we do not hold: an earlier process of ours had
-                        // it, or a claim was applied late. Nobody acts under it, so it goes.
-                        let transaction = Transaction {
-                            when: vec![Condition {
-                                key: LEADER.into(),
-                                mod_revision: e.mod_revision,
-                            }],
-                            apply: vec![Operation::Delete {
-                                delete: LEADER.into(),
-                            }],
-                        };
-                        self.context
-                            .post_to_store("/txn", &transaction, CallPurpose::Ignore);
-                        self.election.leader = None;
-                        self.election.next_probe = now + 20 * MILLI;
-                    } else {
-                        self.election.leader = Some((e.value, e.mod_revision));
-                    }
-                }
-                Err(e) => warn!("record {LEADER}: {e}"),
-            },
-            (ElectionStep::Probe, 404) => {
-                self.election.leader = None;
-                if now >= self.election.abstain_until {
-                    self.election.busy = true;
-                    self.election.lease_requested_at = now;
-                    let request = LeaseRequest {
-                        ttl_ms: self.context.tuning.leader_lease_us / MILLI,
-                    };
-                    self.context.post_to_store(
-                        "/leases",
-                        &request,
-                        CallPurpose::Election(ElectionStep::Lease),
-                    );
-                }
-            }
-            (ElectionStep::Lease, 200) => {
-                if let Ok(lease) = wire::from_cbor::<Lease>(&body) {
-                    self.election.busy = true;
-                    let record = self.own_leader_record();
-                    let transaction = Transaction {
-                        when: vec![absent(LEADER)],
-                        apply: vec![Operation::Put {
-                            put: LEADER.into(),
-                            value: wire::http::to_value(&record),
-                            lease: Some(lease.id),
-                        }],
-                    };
-                    let step = ElectionStep::Claim { lease: lease.id };
-                    self.context
-                        .post_to_store("/txn", &transaction, CallPurpose::Election(step));
-                }
-            }
+            (ElectionStep::Probe, 200) => self.on_leader_record(&body),
+            (ElectionStep::Probe, 404) => self.on_leader_absent(),
+            (ElectionStep::Lease, 200) => self.claim_leadership(&body),
             (ElectionStep::Claim { lease }, 200) => {
                 match wire::from_cbor::<TransactionApplied>(&body) {
-                    Ok(e) => self.become_leader(e.revision, lease),
-                    Err(_) => self.end_lease(lease),
-                }
-            }
-            (ElectionStep::Claim { lease }, 0) => {
-                self.election.busy = true;
-                self.context.read_key(
-                    LEADER,
-                    CallPurpose::Election(ElectionStep::ReadBack { lease }),
-                );
-            }
-            (ElectionStep::ReadBack { lease }, 200) => {
-                match wire::from_cbor::<KeyValue<LeaderRecord>>(&body) {
-                    Ok(e)
-                        if e.value.member == self.context.settings.member
-                            && e.value.incarnation == self.election.incarnation =>
-                    {
-                        self.become_leader(e.mod_revision, lease)
-                    }
-                    _ => self.end_lease(lease),
+                    Ok(applied) => self.become_leader(applied.revision, lease),
+                    Err(_) => self.end_candidacy(lease),
                 }
             }
+            (ElectionStep::Claim { lease }, 0) => self.read_leader_claim_back(lease),
+            (ElectionStep::ReadBack { lease }, 200) => self.on_leader_claim_read(lease, &body),
             (ElectionStep::Claim { lease } | ElectionStep::ReadBack { lease }, _) => {
-                self.end_lease(lease)
+                self.end_candidacy(lease);
             }
             _ => {}
         }
     }
 
-    /// The record with which this node claims the lead.
+    /// The store has a leader record.
+    fn on_leader_record(&mut self, body: &[u8]) {
+        let entry = match wire::from_cbor::<KeyValue<LeaderRecord>>(body) {
+            Ok(entry) => entry,
+            Err(e) => return warn!(path = LEADER, error:% = e; "unreadable leader record"),
+        };
+        let token = entry.mod_revision;
+        self.context.token = self.context.token.max(token);
+        self.election.observe_token(token);
+        if entry.value.member == self.context.settings.member {
+            return self.delete_own_leader_record(token);
+        }
+        self.election.leader = Some(KnownLeader {
+            record: entry.value,
+            token,
+        });
+    }
+
+    /// Deletes a leader record with this member's name although this process does not lead: an earlier
+    /// process of the member had it, or a claim was applied late. Nobody acts under it.
+    fn delete_own_leader_record(&mut self, token: u64) {
+        let transaction = Transaction {
+            when: vec![at_revision(LEADER, token)],
+            apply: vec![Operation::Delete {
+                delete: LEADER.into(),
+            }],
+        };
+        self.context
+            .post_to_store("/txn", &transaction, CallPurpose::Ignore);
+        self.election.leader = None;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_DELETE;
+    }
+
+    /// Nobody leads: this controller asks for a lease, to stand for election under it.
+    fn on_leader_absent(&mut self) {
+        let now = self.context.now.steady;
+        self.election.leader = None;
+        if now < self.election.abstain_until {
+            return;
+        }
+        self.election.request_in_flight = true;
+        self.election.lease_requested_at = now;
+        let request = LeaseRequest {
+            ttl_ms: self.context.tuning.leader_lease_us / MILLI,
+        };
+        let purpose = CallPurpose::Election(ElectionStep::Lease);
+        self.context.post_to_store("/leases", &request, purpose);
+    }
+
+    /// Puts the leader record under the lease that was granted, if no other member was faster.
+    fn claim_leadership(&mut self, body: &[u8]) {
+        let Ok(lease) = wire::from_cbor::<Lease>(body) else {
+            return;
+        };
+        self.election.request_in_flight = true;
+        let transaction = Transaction {
+            when: vec![absent(LEADER)],
+            apply: vec![Operation::Put {
+                put: LEADER.into(),
+                value: wire::http::to_value(&self.own_leader_record()),
+                lease: Some(lease.id),
+            }],
+        };
+        let step = ElectionStep::Claim { lease: lease.id };
+        self.context
+            .post_to_store("/txn", &transaction, CallPurpose::Election(step));
+    }
+
+    /// The outcome of the claim is not known: the record tells.
+    fn read_leader_claim_back(&mut self, lease: u64) {
+        self.election.request_in_flight = true;
+        let step = ElectionStep::ReadBack { lease };
+        self.context.read_key(LEADER, CallPurpose::Election(step));
+    }
+
+    fn on_leader_claim_read(&mut self, lease: u64, body: &[u8]) {
+        let entry = wire::from_cbor::<KeyValue<LeaderRecord>>(body).ok();
+        let own = entry.filter(|entry| {
+            entry.value.member == self.context.settings.member
+                && entry.value.incarnation == self.election.incarnation
+        });
+        match own {
+            Some(entry) => self.become_leader(entry.mod_revision, lease),
+            None => self.end_candidacy(lease),
+        }
+    }
+
+    /// The record with which this controller claims leadership.
     fn own_leader_record(&self) -> LeaderRecord {
         LeaderRecord {
             member: self.context.settings.member.clone(),
@@ -150,75 +187,72 @@
         }
     }
 
-    pub(crate) fn end_lease(&mut self, lease: u64) {
+    /// Ends the lease of a candidacy or of leadership, and reads soon who leads.
+    fn end_candidacy(&mut self, lease: u64) {
         self.context.end_lease(lease);
-        self.election.next_probe = self.context.now.steady + 100 * MILLI;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_LEASE_END;
     }
 
+    /// The leader record is this controller's: it starts to read the store under its fencing token.
     pub(crate) fn become_leader(&mut self, token: u64, lease: u64) {
-        info!("leader with token {token}");
+        info!(member = self.context.settings.member.as_str(), token = token; "became leader");
         self.context.token = self.context.token.max(token);
-        self.election.grant = self.election.grant.max(token);
-        let record = self.own_leader_record();
-        self.election.leader = Some((record, token));
+        self.election.observe_token(token);
+        self.election.leader = Some(KnownLeader {
+            record: self.own_leader_record(),
+            token,
+        });
         self.election.peers.clear();
-        let mut leader = Box::new(Scheduler::new(
-            &self.context,
-            Role::Leader,
-            FencedLease {
-                token,
-                lease,
-                lease_requested_at: self.election.lease_requested_at,
-            },
-        ));
+        let fenced_lease = FencedLease {
+            token,
+            lease,
+            lease_requested_at: self.election.lease_requested_at,
+        };
+        let mut leader = Box::new(Scheduler::new(&self.context, Role::Leader, fenced_lease));
         leader.start_loading(&mut self.context);
         self.leader = Some(leader);
     }
 
-    /// Stops acting as the leader. `resign`: gives the lease back and abstains for a while.
-    pub(crate) fn step_down(&mut self, why: &str, resign: bool) {
+    /// Stops acting as the leader.
+    pub(crate) fn step_down(&mut self, reason: impl Display, how: StepDown) {
         let Some(leader) = self.leader.take() else {
             return;
         };
-        warn!("no longer leader with token {}: {why}", leader.token);
-        if !resign {
-            self.leave_unproven(&leader);
+        let member = self.context.settings.member.as_str();
+        warn!(member = member, token = leader.token, reason:% = reason; "stepped down as leader");
+        if how == StepDown::LeaseLost {
+            self.keep_unproven_machines(&leader);
         }
         for request in leader.waiting_heartbeats() {
             self.context.refuse(request, 503, "not the leader any more");
         }
         self.election.leader = None;
-        self.election.busy = false;
-        self.election.next_probe = self.context.now.steady + 50 * MILLI;
-        if resign {
-            self.end_lease(leader.lease);
-            self.election.abstain_until = self.context.now.steady + 10 * SECOND;
+        self.election.request_in_flight = false;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_STEP_DOWN;
+        if how == StepDown::Resign {
+            self.end_candidacy(leader.lease);
+            self.election.abstain_until = self.context.now.steady + ABSTENTION;
         }
     }
 
-    /// After a standstill, the first thing is to learn whether this node still leads: its lease may
-    /// have run out, and others may have acted since. Check-ins that waited were given up.
+    /// After a process pause, the first thing is to learn whether this controller still holds its leases:
+    /// they may have expired, and others may have acted since. Heartbeats that waited were given up.
     pub(crate) fn suspend_uncertain_leases(&mut self) {
         let now = self.context.now.steady;
         if self.leader.is_none() && self.partitions.holders.is_empty() {
             return;
         }
-        for leader in self
-            .leader
-            .iter_mut()
-            .chain(self.partitions.holders.values_mut())
-        {
-            leader.uncertain = true;
-            leader.extend_at = now;
-            // Nobody could be heard meanwhile: that is no sign of being cut off from the workers.
-            leader.last_heartbeat_at = now;
-            for request in leader.waiting_heartbeats() {
-                self.context
-                    .refuse(request, 503, "it is not certain who leads");
+        self.for_each_scheduler(|context, scheduler| {
+            scheduler.uncertain = true;
+            scheduler.extend_at = now;
+            // No heartbeat could arrive meanwhile: that is no sign of being cut off from the agents.
+            scheduler.last_heartbeat_at = now;
+            for request in scheduler.waiting_heartbeats() {
+                context.refuse(request, 503, "it is not certain who leads");
             }
-            leader.held_heartbeats.clear();
-            leader.long_polls = LongPolls::default();
-        }
+            scheduler.held_heartbeats.clear();
+            scheduler.long_polls = LongPolls::default();
+        });
         self.election.peers.clear();
         self.election.next_probe = now;
     }
--- /dev/null
+++ b/crates/core/src/controller/catalogue.rs
@@ -0,0 +1,70 @@
+//! Reads the catalogue of machine types after the start: from the store, or from the cloud if it is not there yet.
+
+use crate::calls::{CallPurpose, CatalogueSource};
+use crate::controller::Controller;
+use crate::{Micros, Outcome, Target, MILLI, SECOND};
+use grebewood_wire as wire;
+use grebewood_wire::http::{Catalogue, KeyValue};
+use grebewood_wire::records::CATALOGUE;
+use log::warn;
+
+/// Between two attempts to read the catalogue.
+const RETRY_INTERVAL: Micros = 500 * MILLI;
+
+/// How long the cloud may take.
+const CLOUD_TIMEOUT: Micros = 3 * SECOND;
+
+impl Controller {
+    /// Asks for the catalogue if it is not known and an attempt is due.
+    pub(crate) fn run_catalogue(&mut self) {
+        let now = self.context.now.steady;
+        if self.context.catalogue.is_some() || now < self.catalogue_reader.next_attempt {
+            return;
+        }
+        self.catalogue_reader.next_attempt = now + RETRY_INTERVAL;
+        match self.catalogue_reader.source {
+            CatalogueSource::Store => {
+                let purpose = CallPurpose::Catalogue(CatalogueSource::Store);
+                self.context.read_key(CATALOGUE, purpose);
+            }
+            CatalogueSource::Cloud => {
+                if self.context.cloud.take(now, 1.0) {
+                    self.context.call(
+                        Target::Cloud,
+                        "GET",
+                        "/machine_types".into(),
+                        Vec::new(),
+                        CLOUD_TIMEOUT,
+                        CallPurpose::Catalogue(CatalogueSource::Cloud),
+                    );
+                }
+            }
+        }
+    }
+
+    /// Takes the reply to a request for the catalogue.
+    pub(crate) fn on_catalogue(&mut self, source: CatalogueSource, outcome: Outcome) {
+        // Not in the store yet: the cloud knows. Not at the cloud either: the store is asked again.
+        let other_source = source.other();
+        let Outcome::Answer { status: 200, body } = outcome else {
+            self.catalogue_reader.source = other_source;
+            return;
+        };
+        let catalogue = match source {
+            CatalogueSource::Store => {
+                wire::from_cbor::<KeyValue<Catalogue>>(&body).map(|entry| entry.value)
+            }
+            CatalogueSource::Cloud => wire::from_cbor::<Catalogue>(&body),
+        };
+        match catalogue {
+            Ok(catalogue) if !catalogue.machine_types.is_empty() => {
+                self.context.catalogue = Some(catalogue.machine_types);
+            }
+            Ok(_) => self.catalogue_reader.source = other_source,
+            Err(e) => {
+                warn!(error:% = e; "unreadable catalogue of machine types");
+                self.catalogue_reader.source = other_source;
+            }
+        }
+    }
+}
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -6,207 +6,240 @@
 //! another's. A view that has missed too much is read anew. Without requests it is brought up to date every second,
 //! so a controller knows of all cancellations as of a recent moment.
 
-use crate::calls::{CallPurpose, JobViewCall, UserRequest, UserRequestStage};
+use crate::calls::{CallPurpose, FoundJob, JobViewCall, UserRequest, UserRequestStage};
 use crate::controller::Controller;
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
-use grebewood_wire::http::{KeyValue, KeyValueList, WatchResponse};
+use grebewood_wire::http::{KeyValueList, WatchEvent, WatchResponse};
 use grebewood_wire::records::{CancelRecord, JobKey, JOB};
 use grebewood_wire::Value;
 use log::debug;
 
-/// Shortest time between two requests of the view.
-const INTERVAL: Micros = 60 * MILLI;
+/// Shortest time between two requests to the store.
+const MIN_INTERVAL: Micros = 60 * MILLI;
 
-/// Without requests, the view is brought up to date so often.
-const REFRESH: Micros = SECOND;
+/// The view takes half of the reads at most: the rest is for final records, submissions and cancellations.
+const READS_BETWEEN_REQUESTS: f64 = 2.0;
+
+/// Without users' requests, the view is brought up to date so often.
+const REFRESH_INTERVAL: Micros = SECOND;
 
 /// The same after an attempt that failed.
-const REFRESH_AGAIN: Micros = 500 * MILLI;
+const REFRESH_RETRY_INTERVAL: Micros = 500 * MILLI;
+
+/// Until the next request after one that the store refused, or whose page could not be read.
+const RETRY_AFTER_REFUSAL: Micros = 200 * MILLI;
+
+/// Until the next request for changes after one that failed otherwise.
+const RETRY_AFTER_FAILURE: Micros = 100 * MILLI;
+
+/// Most entries of one page of the list.
+const PAGE_ENTRIES: usize = 400;
+
+/// How a user's request is refused that has waited too long.
+const NOT_IN_TIME: &str = "the state service is not in time";
 
 impl Controller {
     /// Lets a user's request wait for a view that is no older than the request.
-    pub(crate) fn wait_for_job_view(&mut self, call: UserRequest) {
-        self.job_view.waiting.push(call);
+    pub(crate) fn wait_for_job_view(&mut self, request: UserRequest) {
+        self.job_view.waiting.push(request);
     }
 
+    /// Refuses requests that waited too long, and asks the store for changes if that is due.
     pub(crate) fn run_job_view(&mut self) {
+        self.refuse_overdue_requests();
         let now = self.context.now.steady;
-        let overdue = |c: &UserRequest| now >= c.patient_until();
-        if self.job_view.waiting.iter().any(overdue) {
-            let waiting = std::mem::take(&mut self.job_view.waiting);
-            let (late, rest): (Vec<_>, Vec<_>) = waiting.into_iter().partition(overdue);
-            self.job_view.waiting = rest;
-            for call in late {
-                self.context
-                    .refuse(call.request, 503, "the state service is not in time");
-            }
+        let view = &mut self.job_view;
+        let wanted = view.update_wanted() || now >= view.refresh_at;
+        if view.request_in_flight || now < view.next_request || !wanted {
+            return;
         }
-        let v = &mut self.job_view;
-        let wanted = !v.built || !v.waiting.is_empty() || now >= v.refresh_at;
-        if v.busy || now < v.next_at || !wanted {
+        if !self.context.user_reads.take(now, 1.0) {
+            view.next_request = self.context.user_reads.ready_at(now, 1.0);
             return;
         }
-        if !self.context.reads.take(now, 1.0) {
-            v.next_at = self.context.reads.ready_at(now, 1.0);
+        if !view.built && view.unlisted_prefixes.is_empty() {
+            view.restart();
+        }
+        view.request_in_flight = true;
+        view.next_request =
+            now + MIN_INTERVAL.max(self.context.user_reads.time_for(READS_BETWEEN_REQUESTS));
+        view.refresh_at = now + REFRESH_INTERVAL;
+        self.request_job_view();
+    }
+
+    fn refuse_overdue_requests(&mut self) {
+        let now = self.context.now.steady;
+        let overdue = |request: &UserRequest| now >= request.patient_until();
+        if !self.job_view.waiting.iter().any(overdue) {
             return;
         }
-        if !v.built && v.unread.is_empty() {
-            v.restart();
-        }
-        v.busy = true;
-        // It takes half of the reads at most: the rest is for ends, submissions and cancellations.
-        v.next_at = now + INTERVAL.max(self.context.reads.time_for(2.0));
-        v.refresh_at = now + REFRESH;
-        let (path, what) = match (v.unread.first(), v.since) {
-            (Some(prefix), _) => {
-                let after = match &v.after {
-                    Some(key) => format!("&since={key}"),
-                    None => String::new(),
-                };
-                let path = format!("/kv?prefix={prefix}{after}&page=400");
+        let waiting = std::mem::take(&mut self.job_view.waiting);
+        let (late, in_time): (Vec<_>, Vec<_>) = waiting.into_iter().partition(overdue);
+        self.job_view.waiting = in_time;
+        for request in late {
+            self.context.refuse(request.request, 503, NOT_IN_TIME);
+        }
+    }
+
+    /// Asks the store for the next page of the list, or for changes once all is listed.
+    fn request_job_view(&mut self) {
+        let view = &mut self.job_view;
+        let (path, call) = match view.unlisted_prefixes.first() {
+            Some(prefix) => {
+                let since = view.last_key.as_ref().map(|key| format!("&since={key}"));
+                let since = since.unwrap_or_default();
+                let path = format!("/kv?prefix={prefix}{since}&page={PAGE_ENTRIES}");
                 (path, JobViewCall::List(prefix))
             }
-            (None, since) => {
-                v.asked.append(&mut v.waiting);
-                let since = since.unwrap_or(0);
+            None => {
+                view.awaiting_reply.append(&mut view.waiting);
+                let since = view.revision.unwrap_or(0);
                 let path = format!("/changes?prefix={JOB}&since={since}&block_ms=0");
                 (path, JobViewCall::WatchResponse)
             }
         };
         self.context
-            .get_from_store(path, CallPurpose::JobView(what));
+            .get_from_store(path, CallPurpose::JobView(call));
     }
 
-    /// Takes the reply to a request of the view that was made at `made`.
-    pub(crate) fn on_job_view(&mut self, what: JobViewCall, made: Micros, outcome: Outcome) {
-        let now = self.context.now.steady;
-        self.job_view.busy = false;
+    /// Takes the reply to a request that was made at `made_at`.
+    pub(crate) fn on_job_view(&mut self, call: JobViewCall, made_at: Micros, outcome: Outcome) {
+        self.job_view.request_in_flight = false;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
-            // The same request would bring the same answer for good: the view is read anew, page by
+            // The same request would bring the same answer for good: the view is listed anew, page by
             // page, as when its changes are too old.
             Outcome::TooLarge => (410, Vec::new()),
-            _ => (0, Vec::new()),
+            Outcome::Unknown | Outcome::NotSent => (0, Vec::new()),
         };
-        match what {
-            JobViewCall::List(_) => {
-                let list = wire::from_cbor::<KeyValueList>(&body);
-                match list {
-                    Ok(list) if status == 200 => self.on_view_list(list),
-                    _ => {
-                        debug!("the view's list got {status}");
-                        self.job_view.next_at = now + 200 * MILLI;
-                    }
-                }
-            }
+        match call {
+            JobViewCall::List(_) => self.on_job_list(status, &body),
             JobViewCall::WatchResponse => match (status, wire::from_cbor::<WatchResponse>(&body)) {
-                (200, Ok(changes)) => {
-                    for event in changes.events {
-                        if let (Some(key), Some(value)) = (&event.put, &event.value) {
-                            self.job_view.put(key, value, event.mod_revision);
-                            self.note_cancellation(key, value);
-                        }
-                        if let Some(key) = &event.delete {
-                            self.job_view.delete(key);
-                            // Nothing of a job that is over runs any more.
-                            if let Some(JobKey::Live(id)) = JobKey::parse(key) {
-                                self.context.cancellations.forget(id);
-                            }
-                        }
-                    }
-                    self.job_view.since = self.job_view.since.max(Some(changes.revision));
-                    self.context.cancellations.read_as_of(made);
-                    for call in std::mem::take(&mut self.job_view.asked) {
-                        if now >= call.patient_until() {
-                            let why = "the state service is not in time";
-                            self.context.refuse(call.request, 503, why);
-                        } else {
-                            self.on_fresh_view(call);
-                        }
-                    }
-                }
-                (503, _) => {
-                    self.job_view.next_at = now + 200 * MILLI;
-                    self.job_view.refresh_at = now + REFRESH_AGAIN;
-                    for call in std::mem::take(&mut self.job_view.asked) {
-                        self.context
-                            .refuse(call.request, 503, "the state service is out of reach");
-                    }
-                }
-                (status, _) => {
-                    debug!("the view's changes got {status}");
-                    // The same requests again, as long as they have patience.
-                    let mut again = std::mem::take(&mut self.job_view.asked);
-                    again.append(&mut self.job_view.waiting);
-                    self.job_view.waiting = again;
-                    self.job_view.next_at = now + 100 * MILLI;
-                    self.job_view.refresh_at = now + REFRESH_AGAIN;
-                    if status != 0 && status != 429 {
-                        // Too old, or not to be understood: it is read anew.
-                        self.job_view.restart();
-                    }
-                }
+                (200, Ok(changes)) => self.on_job_changes(changes, made_at),
+                (503, _) => self.on_store_unavailable(),
+                _ => self.on_job_changes_failed(status),
             },
         }
     }
 
-    fn on_view_list(&mut self, list: KeyValueList) {
-        let v = &mut self.job_view;
+    fn on_job_list(&mut self, status: u16, body: &[u8]) {
+        match wire::from_cbor::<KeyValueList>(body) {
+            Ok(list) if status == 200 => self.on_job_page(list),
+            _ => {
+                debug!(status = status; "listing the live jobs failed");
+                let now = self.context.now.steady;
+                self.job_view.next_request = now + RETRY_AFTER_REFUSAL;
+            }
+        }
+    }
+
+    fn on_job_page(&mut self, list: KeyValueList) {
         // Later pages may be newer: what changed since the first one is told again.
-        v.since.get_or_insert(list.revision);
-        let last = list.entries.last().map(|e: &KeyValue<Value>| e.key.clone());
-        for e in &list.entries {
-            v.put(&e.key, &e.value, e.mod_revision);
+        self.job_view.revision.get_or_insert(list.revision);
+        for entry in &list.entries {
+            self.job_view
+                .put(&entry.key, &entry.value, entry.mod_revision);
         }
-        for e in &list.entries {
-            self.note_cancellation(&e.key, &e.value);
+        for entry in &list.entries {
+            self.note_cancellation(&entry.key, &entry.value);
         }
-        let v = &mut self.job_view;
-        if list.more && last.is_some() {
-            v.after = last;
-            return;
+        let last = list.entries.last().filter(|_| list.more);
+        let view = &mut self.job_view;
+        view.last_key = last.map(|entry| entry.key.clone());
+        if view.last_key.is_none() {
+            view.unlisted_prefixes.remove(0);
+            view.built = view.unlisted_prefixes.is_empty();
+        }
+    }
+
+    /// The view is up to date as of the moment at which the changes were asked for.
+    fn on_job_changes(&mut self, changes: WatchResponse, made_at: Micros) {
+        for event in &changes.events {
+            self.on_job_event(event);
+        }
+        self.job_view.revision = self.job_view.revision.max(Some(changes.revision));
+        self.context.cancellations.read_as_of(made_at);
+        let now = self.context.now.steady;
+        for request in std::mem::take(&mut self.job_view.awaiting_reply) {
+            if now >= request.patient_until() {
+                self.context.refuse(request.request, 503, NOT_IN_TIME);
+            } else {
+                self.on_fresh_view(request);
+            }
+        }
+    }
+
+    fn on_job_event(&mut self, event: &WatchEvent) {
+        if let (Some(key), Some(value)) = (&event.put, &event.value) {
+            self.job_view.put(key, value, event.mod_revision);
+            self.note_cancellation(key, value);
+        }
+        if let Some(key) = &event.delete {
+            self.job_view.delete(key);
+            // Nothing of a finished job runs any more.
+            if let Some(JobKey::Live(id)) = JobKey::parse(key) {
+                self.context.cancellations.forget(id);
+            }
         }
-        v.after = None;
-        v.unread.remove(0);
-        v.built = v.unread.is_empty();
     }
 
-    /// Notes the cancellation that a record may hold, and tells the leader's part of it, whose own
-    /// watch may be slower.
+    fn on_store_unavailable(&mut self) {
+        let now = self.context.now.steady;
+        self.job_view.next_request = now + RETRY_AFTER_REFUSAL;
+        self.job_view.refresh_at = now + REFRESH_RETRY_INTERVAL;
+        for request in std::mem::take(&mut self.job_view.awaiting_reply) {
+            self.context
+                .refuse(request.request, 503, "the state service is out of reach");
+        }
+    }
+
+    /// The users' requests wait for the next reply, as long as they have patience.
+    fn on_job_changes_failed(&mut self, status: u16) {
+        debug!(status = status; "reading changes of the live jobs failed");
+        let now = self.context.now.steady;
+        let view = &mut self.job_view;
+        let mut waiting = std::mem::take(&mut view.awaiting_reply);
+        waiting.append(&mut view.waiting);
+        view.waiting = waiting;
+        view.next_request = now + RETRY_AFTER_FAILURE;
+        view.refresh_at = now + REFRESH_RETRY_INTERVAL;
+        if status != 0 && status != 429 {
+            // The changes are too old, or cannot be read: the view is listed anew.
+            view.restart();
+        }
+    }
+
+    /// Notes the cancellation that a record may hold, and tells the schedulers of it, whose own watch may be
+    /// slower.
     fn note_cancellation(&mut self, key: &str, value: &Value) {
         let Some(JobKey::Cancelled(id)) = JobKey::parse(key) else {
             return;
         };
-        let at = wire::http::from_value::<CancelRecord>(value).map(|r| r.cancelled_us);
-        let at = at.unwrap_or(self.context.now.wall);
-        self.context.cancellations.learn(id, at);
+        let record = wire::http::from_value::<CancelRecord>(value);
+        let cancelled_us = record.map_or(self.context.now.wall, |record| record.cancelled_us);
+        self.context.cancellations.learn(id, cancelled_us);
         self.apply_cancellation(id);
     }
 
     /// The view is no older than the request.
-    fn on_fresh_view(&mut self, mut call: UserRequest) {
-        // A cancellation alone, such as an earlier version may have left behind, makes no live job.
-        let live = self
-            .job_view
-            .get(&call.job)
-            .filter(|job| job.mod_revision > 0);
-        match live.cloned() {
-            Some(job) if job.cancelled => {
-                call.live = Some((job.tasks, job.mod_revision));
-                self.user_cancelled(&call);
-            }
-            // A job whose record cannot be read (only such a one has no tasks) cannot run, but it stays
-            // known: questions about it once went without an answer for good.
-            Some(job) => {
-                call.live = Some((job.tasks, job.mod_revision));
-                self.user_found_live(call);
-            }
-            None => {
-                // Neither live nor over as of now: it was never accepted.
-                call.stage = UserRequestStage::ReadFinished;
-                self.user_send(call);
-            }
+    fn on_fresh_view(&mut self, mut request: UserRequest) {
+        // A cancellation alone, such as an earlier version may have left behind, makes no live job. A job
+        // whose record cannot be read (it has no tasks) cannot run, but it stays known: otherwise questions
+        // about it would never be answered.
+        let live = self.job_view.get(&request.job);
+        let Some(live) = live.filter(|job| job.mod_revision > 0) else {
+            // Neither live nor finished as of now: it was never accepted.
+            return self.send_user_request(request.at_stage(UserRequestStage::ReadFinished));
+        };
+        request.live = Some(FoundJob {
+            tasks: live.tasks,
+            mod_revision: live.mod_revision,
+        });
+        if live.cancelled {
+            self.confirm_cancellation(&request);
+        } else {
+            self.on_found_live(request);
         }
     }
 }
--- a/crates/core/src/controller/leader.rs
+++ b/crates/core/src/controller/leader.rs
@@ -1,10 +1,14 @@
 //! Runs the leader's scheduler and routes store replies to the scheduler that waits for them.
 
 use crate::calls::SchedulerCall;
+use crate::controller::candidacy::StepDown;
+use crate::controller::partition_claims::LeaveReason;
+use crate::controller::peer_contact::CONTACT_LOST_AFTER;
 use crate::controller::Controller;
-use crate::{Outcome, Stopwatch, SECOND};
+use crate::{Outcome, Stopwatch};
 
 impl Controller {
+    /// Lets the leader's scheduler act, unless this controller has to step down.
     pub(crate) fn run_leader(&mut self, watch: &mut dyn Stopwatch) {
         if self.leader.is_none() {
             return;
@@ -13,30 +17,29 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        // Without state nobody else can lead: to step down would only lose what this node knows, as
-        // once when its only machine hung with a cancelled task in an outage.
-        if self.context.in_contact(2 * SECOND) && leader.cut_from_agents(&self.context) {
-            return self.step_down("no worker reaches this node", true);
+        // Without the store no other member can lead. To step down would only lose what this controller
+        // knows, such as a cancelled task on a machine that hangs.
+        if self.context.in_contact(CONTACT_LOST_AFTER) && leader.cut_from_agents(&self.context) {
+            return self.step_down("no agent reaches this controller", StepDown::Resign);
         }
         leader.run(&mut self.context, watch);
     }
 
-    /// Takes the reply to a call that was made under the grant with this token.
-    pub(crate) fn on_scheduler_reply(&mut self, token: u64, what: SchedulerCall, outcome: Outcome) {
+    /// Takes the reply to a call that was made under this fencing token.
+    pub(crate) fn on_scheduler_reply(&mut self, token: u64, call: SchedulerCall, outcome: Outcome) {
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
-            if let Err(why) = leader.on_reply(&mut self.context, what, outcome) {
-                self.step_down(&why, false);
+            if let Err(reason) = leader.on_reply(&mut self.context, call, outcome) {
+                self.step_down(&reason, StepDown::LeaseLost);
             }
             return;
         }
-        let holder = self.partitions.holders.iter_mut();
-        let Some((id, leader)) = holder.into_iter().find(|(_, leader)| leader.token == token)
-        else {
+        let mut holders = self.partitions.holders.iter_mut();
+        let Some((id, holder)) = holders.find(|(_, holder)| holder.token == token) else {
             return;
         };
         let id = *id;
-        if let Err(why) = leader.on_reply(&mut self.context, what, outcome) {
-            self.leave_partition(id, &why);
+        if let Err(reason) = holder.on_reply(&mut self.context, call, outcome) {
+            self.leave_partition(id, &LeaveReason::Scheduler(reason));
         }
     }
 }
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -1,36 +1,55 @@
-//! The controller's copy of the partition map, its claims on partitions, and giving them back.
+//! Claims of this controller on partitions, and giving partitions up.
 
-use crate::calls::{CallPurpose, ClaimStep, MapCall};
-use crate::context::{Role, STORE_TIMEOUT};
-use crate::controller::partitions::Partitions;
+use crate::calls::{status_and_body, CallPurpose, ClaimStep};
+use crate::context::Role;
+use crate::controller::peer_contact::{LeaseLoss, CONTACT_LOST_AFTER};
 use crate::controller::Controller;
 use crate::scheduler::{FencedLease, Scheduler};
-use crate::transactions::absent;
-use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
-use grebewood_partition::{Claim, PartitionId};
+use crate::transactions::{absent, at_revision};
+use crate::{Micros, Outcome, Stopwatch, MILLI, SECOND};
+use grebewood_partition::PartitionId;
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    to_value, Condition, KeyValue, KeyValueList, Lease, LeaseRequest, Operation, Redirect,
-    Transaction, TransactionApplied, WatchResponse,
+    to_value, KeyValue, Lease, LeaseRequest, Operation, Redirect, Transaction, TransactionApplied,
 };
-use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER, PARTITION};
-use grebewood_wire::Value;
-use log::{error, info, warn};
-
-/// How long a watch of the map stays open.
-const WATCH: Micros = 10 * SECOND;
-
-/// Between two attempts to read the map.
-const AGAIN: Micros = 300 * MILLI;
+use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER};
+use log::{info, warn};
+use thiserror::Error;
 
 /// Between an attempt to claim a partition that failed and the next one.
-const CLAIM_AGAIN: Micros = 50 * MILLI;
+const CLAIM_RETRY_INTERVAL: Micros = 50 * MILLI;
 
-/// How long a node that no worker reached claims nothing.
-const ABSTAIN: Micros = 10 * SECOND;
+/// How long a controller that no agent reaches claims nothing.
+const ABSTENTION: Micros = 10 * SECOND;
+
+/// Why this controller gives a partition up.
+#[derive(Debug, PartialEq, Eq, Error)]
+pub(crate) enum LeaveReason {
+    /// The leader does not support partitions.
+    #[error("the leader does not support partitions")]
+    LeaderWithoutPartitions,
+    /// No agent of the partition reaches this controller.
+    #[error("no agent reaches this controller")]
+    CutOffFromAgents,
+    /// The partition is not in the map any more.
+    #[error("the partition does not exist any more")]
+    Removed,
+    /// The leader has assigned the partition to another member.
+    #[error("the partition is assigned to another member")]
+    Reassigned,
+    /// There is a claim with a higher fencing token.
+    #[error("another member has claimed the partition")]
+    ClaimedByOther,
+    /// The lease of the claim may have expired.
+    #[error(transparent)]
+    LeaseLost(#[from] LeaseLoss),
+    /// The holder's scheduler found out that it may not go on.
+    #[error("{0}")]
+    Scheduler(String),
+}
 
 impl Controller {
-    /// Reads the map, claims what is assigned to this node, gives back what is not, and lets the
+    /// Reads the map, claims what is assigned to this controller, gives up what is not, and lets the
     /// holders and the leader do their part.
     pub(crate) fn run_partitions(&mut self, watch: &mut dyn Stopwatch) {
         if !self.context.supports_partitions() {
@@ -46,171 +65,82 @@
         self.run_leader_partitions();
     }
 
-    fn read_partition_map(&mut self) {
+    /// Claims the partitions that are assigned to this controller and have no claim.
+    pub(crate) fn claim_partitions(&mut self) {
         let now = self.context.now.steady;
-        let reader = &mut self.partitions.reader;
-        if reader.busy || now < reader.next_at {
+        if now < self.partitions.claim_at
+            || !self.partitions.reader.has_read_map()
+            || self.election.partition_term().is_none()
+        {
             return;
         }
-        reader.busy = true;
-        let (call, path, timeout) = match (reader.since, &reader.listing) {
-            (Some(since), _) => {
-                let block_ms = WATCH / MILLI;
-                let path = format!("/changes?prefix={PARTITION}&since={since}&block_ms={block_ms}");
-                (MapCall::WatchResponse, path, WATCH + 3 * SECOND)
-            }
-            (None, listing) => {
-                let after = listing.as_ref().map(|(_, key)| format!("&since={key}"));
-                let after = after.unwrap_or_default();
-                let path = format!("/kv?prefix={PARTITION}{after}&page=200");
-                (MapCall::List, path, STORE_TIMEOUT)
-            }
-        };
-        let pending = CallPurpose::PartitionMap(call);
-        let nothing = Vec::new();
-        self.context
-            .call(Target::Store, "GET", path, nothing, timeout, pending);
-    }
-
-    pub(crate) fn on_partition_map(&mut self, call: MapCall, outcome: Outcome) {
-        let now = self.context.now.steady;
-        let reader = &mut self.partitions.reader;
-        reader.busy = false;
-        reader.next_at = now + AGAIN;
-        let body = match (outcome, call) {
-            (Outcome::Answer { status: 200, body }, _) => body,
-            (Outcome::Answer { status: 410, .. } | Outcome::TooLarge, MapCall::WatchResponse) => {
-                reader.since = None;
-                return;
-            }
-            _ => return,
-        };
-        match call {
-            MapCall::List => self.take_map_page(&body),
-            MapCall::WatchResponse => self.take_map_changes(&body),
-        }
-    }
-
-    fn take_map_page(&mut self, body: &[u8]) {
-        let list = match wire::from_cbor::<KeyValueList>(body) {
-            Ok(list) => list,
-            Err(e) => return warn!("partition map: {e}"),
-        };
-        let now = self.context.now.steady;
-        let Partitions { map, reader, .. } = &mut self.partitions;
-        reader.next_at = now;
-        let first = reader.listing.take();
-        if first.is_none() {
-            map.clear();
-        }
-        let as_of = first.map_or(list.revision, |(revision, _)| revision);
-        let last = list.entries.last().map(|entry| entry.key.clone());
-        for entry in &list.entries {
-            put_in_map(map, &entry.key, &entry.value, entry.mod_revision);
-        }
-        match last.filter(|_| list.more) {
-            Some(key) => reader.listing = Some((as_of, key)),
-            None => reader.since = Some(as_of),
-        }
-    }
-
-    fn take_map_changes(&mut self, body: &[u8]) {
-        let changes = match wire::from_cbor::<WatchResponse>(body) {
-            Ok(changes) => changes,
-            Err(e) => return warn!("partition map: {e}"),
-        };
-        let now = self.context.now.steady;
-        let Partitions { map, reader, .. } = &mut self.partitions;
-        reader.next_at = now + 20 * MILLI;
-        reader.since = reader.since.max(Some(changes.revision));
-        for event in changes.events {
-            if let (Some(key), Some(value)) = (&event.put, &event.value) {
-                put_in_map(map, key, value, event.mod_revision);
-            }
-            if let Some(key) = &event.delete {
-                map.delete(key, event.mod_revision);
-            }
+        for partition in self.unclaimed_partitions() {
+            self.partitions.claiming.insert(partition, now);
+            let request = LeaseRequest {
+                ttl_ms: self.context.tuning.leader_lease_us / MILLI,
+            };
+            let step = ClaimStep::Lease;
+            let purpose = CallPurpose::PartitionClaim { partition, step };
+            self.context.post_to_store("/leases", &request, purpose);
         }
     }
 
-    /// Claims the partitions that are assigned to this node and have no claim.
-    fn claim_partitions(&mut self) {
-        let now = self.context.now.steady;
-        let up_to_date = self.partitions.reader.since.is_some();
-        if now < self.partitions.claim_at || !up_to_date || self.election.partition_term().is_none()
-        {
-            return;
-        }
-        let me = &self.context.settings.member;
+    /// Partitions that are assigned to this controller, are not claimed, and are not being claimed.
+    fn unclaimed_partitions(&self) -> Vec<PartitionId> {
+        let own_name = &self.context.settings.member;
         let unclaimed = self.partitions.map.iter().filter(|(id, partition)| {
             partition.claim.is_none()
-                && partition.record.holder == *me
+                && partition.record.holder == *own_name
                 && !self.partitions.holders.contains_key(id)
                 && !self.partitions.claiming.contains_key(id)
         });
-        let unclaimed: Vec<PartitionId> = unclaimed.map(|(id, _)| id).collect();
-        for id in unclaimed {
-            self.partitions.claiming.insert(id, now);
-            let request = LeaseRequest {
-                ttl_ms: self.context.tuning.leader_lease_us / MILLI,
-            };
-            let pending = CallPurpose::PartitionClaim {
-                partition: id,
-                step: ClaimStep::Lease,
-            };
-            self.context.post_to_store("/leases", &request, pending);
-        }
+        unclaimed.map(|(id, _)| id).collect()
     }
 
+    /// Takes the reply to a request of a claim.
     pub(crate) fn on_claim(&mut self, id: PartitionId, step: ClaimStep, outcome: Outcome) {
-        let (status, body) = match outcome {
-            Outcome::Answer { status, body } => (status, body),
-            _ => (0, Vec::new()),
-        };
+        let (status, body) = status_and_body(outcome);
         match (step, status) {
             (ClaimStep::Lease, 200) => match wire::from_cbor::<Lease>(&body) {
                 Ok(lease) => self.write_claim(id, lease.id),
-                Err(_) => self.claim_failed(id, None),
+                Err(_) => self.on_claim_failed(id, None),
             },
             (ClaimStep::Claim { lease }, 200) => match wire::from_cbor::<TransactionApplied>(&body)
             {
-                Ok(applied) => self.claimed(id, lease, applied.revision),
+                Ok(applied) => self.hold_partition(id, lease, applied.revision),
                 Err(_) => self.read_claim_back(id, lease),
             },
             // Carried out or not: the record tells.
             (ClaimStep::Claim { lease }, 0) => self.read_claim_back(id, lease),
             (ClaimStep::ReadBack { lease }, 200) => self.on_claim_read(id, lease, &body),
-            (ClaimStep::Lease, _) => self.claim_failed(id, None),
+            (ClaimStep::Lease, _) => self.on_claim_failed(id, None),
             (ClaimStep::Claim { lease } | ClaimStep::ReadBack { lease }, _) => {
-                self.claim_failed(id, Some(lease));
+                self.on_claim_failed(id, Some(lease));
             }
         }
     }
 
-    /// Writes the claim, if the partition is still assigned to this node and the leader is the one
-    /// that is known here: so no claim is made under a leader that does not understand partitions, and
+    /// Writes the claim, if the partition is still assigned to this controller and the leader is the one
+    /// that is known here: so no claim is made under a leader that does not support partitions, and
     /// the token of the next leader is higher than that of every claim before it.
     fn write_claim(&mut self, id: PartitionId, lease: u64) {
+        let own_name = &self.context.settings.member;
         let partition = self.partitions.map.get(id);
-        let mine = partition.filter(|p| p.record.holder == self.context.settings.member);
-        let (Some(partition), Some(term)) = (mine, self.election.partition_term()) else {
-            return self.claim_failed(id, Some(lease));
-        };
-        let mod_revision = |key: &str, mod_revision: u64| Condition {
-            key: key.to_string(),
-            mod_revision,
+        let assigned = partition.filter(|partition| partition.record.holder == *own_name);
+        let (Some(partition), Some(term)) = (assigned, self.election.partition_term()) else {
+            return self.on_claim_failed(id, Some(lease));
         };
         let key = claim_key(id);
         let claim = PartitionClaim {
-            member: self.context.settings.member.clone(),
+            member: own_name.clone(),
             incarnation: self.election.incarnation(),
             claimed_us: self.context.now.wall,
         };
         let transaction = Transaction {
             when: vec![
                 absent(&key),
-                mod_revision(&partition_key(id), partition.mod_revision),
-                mod_revision(LEADER, term),
+                at_revision(&partition_key(id), partition.mod_revision),
+                at_revision(LEADER, term),
             ],
             apply: vec![Operation::Put {
                 put: key,
@@ -218,19 +148,19 @@
                 lease: Some(lease),
             }],
         };
-        let pending = CallPurpose::PartitionClaim {
+        let purpose = CallPurpose::PartitionClaim {
             partition: id,
             step: ClaimStep::Claim { lease },
         };
-        self.context.post_to_store("/txn", &transaction, pending);
+        self.context.post_to_store("/txn", &transaction, purpose);
     }
 
     fn read_claim_back(&mut self, id: PartitionId, lease: u64) {
-        let pending = CallPurpose::PartitionClaim {
+        let purpose = CallPurpose::PartitionClaim {
             partition: id,
             step: ClaimStep::ReadBack { lease },
         };
-        self.context.read_key(&claim_key(id), pending);
+        self.context.read_key(&claim_key(id), purpose);
     }
 
     fn on_claim_read(&mut self, id: PartitionId, lease: u64, body: &[u8]) {
@@ -240,110 +170,104 @@
                 && entry.value.incarnation == self.election.incarnation()
         });
         match own {
-            Some(entry) => self.claimed(id, lease, entry.mod_revision),
-            None => self.claim_failed(id, Some(lease)),
+            Some(entry) => self.hold_partition(id, lease, entry.mod_revision),
+            None => self.on_claim_failed(id, Some(lease)),
         }
     }
 
-    fn claim_failed(&mut self, id: PartitionId, lease: Option<u64>) {
+    fn on_claim_failed(&mut self, id: PartitionId, lease: Option<u64>) {
         self.partitions.claiming.remove(&id);
-        self.partitions.claim_at = self.context.now.steady + CLAIM_AGAIN;
+        self.partitions.claim_at = self.context.now.steady + CLAIM_RETRY_INTERVAL;
         if let Some(lease) = lease {
             self.context.end_lease(lease);
         }
     }
 
-    /// This node holds the partition.
-    fn claimed(&mut self, id: PartitionId, lease: u64, token: u64) {
+    /// The claim is this controller's: it holds the partition from now on.
+    fn hold_partition(&mut self, id: PartitionId, lease: u64, token: u64) {
         let Some(lease_requested_at) = self.partitions.claiming.remove(&id) else {
             return self.context.end_lease(lease);
         };
-        info!("holder of partition {id} with token {token}");
+        let member = self.context.settings.member.as_str();
+        info!(member = member, partition = id, token = token; "became holder of a partition");
         self.context.token = self.context.token.max(token);
-        let grant = FencedLease {
+        let fenced_lease = FencedLease {
             token,
             lease,
             lease_requested_at,
         };
-        let mut holder = Box::new(Scheduler::new(&self.context, Role::Holder(id), grant));
+        let role = Role::Holder(id);
+        let mut holder = Box::new(Scheduler::new(&self.context, role, fenced_lease));
         holder.start_loading(&mut self.context);
         self.partitions.holders.insert(id, holder);
     }
 
-    /// Gives back what this node may not hold any more.
-    fn leave_partitions(&mut self) {
-        let mut leaving: Vec<(PartitionId, &'static str)> = Vec::new();
-        for (id, holder) in &self.partitions.holders {
-            if let Some(why) = self.reason_to_leave(*id, holder) {
-                leaving.push((*id, why));
-            }
-        }
-        for (id, why) in leaving {
-            self.leave_partition(id, why);
+    /// Gives up what this controller may not hold any more.
+    pub(crate) fn leave_partitions(&mut self) {
+        let holders = self.partitions.holders.iter();
+        let leaving: Vec<(PartitionId, LeaveReason)> = holders
+            .filter_map(|(id, holder)| Some((*id, self.reason_to_leave(*id, holder)?)))
+            .collect();
+        for (id, reason) in leaving {
+            self.leave_partition(id, &reason);
         }
     }
 
-    fn reason_to_leave(&self, id: PartitionId, holder: &Scheduler) -> Option<&'static str> {
-        if !self.election.leader_knows_partitions() {
-            return Some("the leader does not understand partitions");
+    fn reason_to_leave(&self, id: PartitionId, holder: &Scheduler) -> Option<LeaveReason> {
+        if !self.election.leader_supports_partitions() {
+            return Some(LeaveReason::LeaderWithoutPartitions);
         }
-        if self.context.in_contact(2 * SECOND) && holder.cut_from_agents(&self.context) {
-            return Some(CUT_OFF);
+        if self.context.in_contact(CONTACT_LOST_AFTER) && holder.cut_from_agents(&self.context) {
+            return Some(LeaveReason::CutOffFromAgents);
         }
-        // While the map is listed anew it says nothing.
-        if self.partitions.reader.since.is_some() {
-            let later = |claim: &Claim| claim.token > holder.token;
-            match self.partitions.map.get(id) {
-                None => return Some("there is no such partition any more"),
-                Some(p) if p.record.holder != self.context.settings.member => {
-                    return Some("it is assigned to another member");
-                }
-                Some(p) if p.claim.as_ref().is_some_and(later) => {
-                    return Some("another member has claimed it");
-                }
-                Some(_) => {}
-            }
+        self.reason_in_map(id, holder)
+            .or_else(|| self.lease_loss(holder).map(LeaveReason::from))
+    }
+
+    /// Why this controller may not hold the partition any more by the map, which says nothing while it is
+    /// being listed again.
+    fn reason_in_map(&self, id: PartitionId, holder: &Scheduler) -> Option<LeaveReason> {
+        if !self.partitions.reader.has_read_map() {
+            return None;
         }
-        self.lease_lost_reason(holder)
+        let Some(partition) = self.partitions.map.get(id) else {
+            return Some(LeaveReason::Removed);
+        };
+        if partition.record.holder != self.context.settings.member {
+            return Some(LeaveReason::Reassigned);
+        }
+        let claim = partition.claim.as_ref()?;
+        (claim.token > holder.token).then_some(LeaveReason::ClaimedByOther)
     }
 
-    /// Gives a partition back. Its machines' tasks go on; the next holder learns of them. What waits
-    /// for an answer is led to it.
-    pub(crate) fn leave_partition(&mut self, id: PartitionId, why: &str) {
+    /// Gives a partition up. Its machines' tasks go on; the next holder learns of them. Heartbeats that wait
+    /// for an answer are redirected to it.
+    pub(crate) fn leave_partition(&mut self, id: PartitionId, reason: &LeaveReason) {
         let Some(holder) = self.partitions.holders.remove(&id) else {
             return;
         };
-        warn!("no longer holder of partition {id}: {why}");
-        self.leave_unproven(&holder);
-        let next = self.holder_to_report_to(id);
+        warn!(
+            member = self.context.settings.member.as_str(),
+            partition = id,
+            token = holder.token,
+            reason:% = reason;
+            "gave up a partition"
+        );
+        self.keep_unproven_machines(&holder);
+        let next_holder = self.other_holder_of(id);
         for request in holder.waiting_heartbeats() {
-            let leader = next.clone();
+            let leader = next_holder.clone();
             self.context.answer(request, 421, &Redirect { leader });
         }
         self.context.end_lease(holder.lease());
-        if why == CUT_OFF {
-            self.partitions.claim_at = self.context.now.steady + ABSTAIN;
+        if *reason == LeaveReason::CutOffFromAgents {
+            self.partitions.claim_at = self.context.now.steady + ABSTENTION;
         }
     }
 
-    /// The member that a worker of this partition is sent to; `None` if that is this node.
-    pub(crate) fn holder_to_report_to(&self, id: PartitionId) -> Option<String> {
-        let holder = self.partitions.map.get(id).map(|p| &p.record.holder);
-        holder
-            .filter(|name| **name != self.context.settings.member)
-            .cloned()
-    }
-}
-
-const CUT_OFF: &str = "no worker reaches this node";
-
-fn put_in_map(
-    map: &mut grebewood_partition::PartitionMap,
-    key: &str,
-    value: &Value,
-    mod_revision: u64,
-) {
-    if let Err(why) = map.put(key, value, mod_revision) {
-        error!("record {key}: {why}; set aside");
+    /// The other member that the partition is assigned to; `None` if it is this controller, or no member.
+    pub(crate) fn other_holder_of(&self, id: PartitionId) -> Option<String> {
+        let holder = &self.partitions.map.get(id)?.record.holder;
+        (*holder != self.context.settings.member).then(|| holder.clone())
     }
 }
--- /dev/null
+++ b/crates/core/src/controller/partition_map.rs
@@ -0,0 +1,126 @@
+//! Keeps the controller's copy of the partition map up to date: a list of its keys first, then a watch of changes.
+
+use crate::calls::{CallPurpose, MapCall};
+use crate::context::STORE_TIMEOUT;
+use crate::controller::partitions::Partitions;
+use crate::controller::Controller;
+use crate::state::partition_map_reader::MapListing;
+use crate::{Micros, Outcome, Target, MILLI, SECOND};
+use grebewood_partition::PartitionMap;
+use grebewood_wire as wire;
+use grebewood_wire::http::{KeyValueList, WatchResponse};
+use grebewood_wire::records::PARTITION;
+use grebewood_wire::Value;
+use log::{error, warn};
+
+/// How long a watch of the map stays open.
+const WATCH_DURATION: Micros = 10 * SECOND;
+
+/// How long the answer to a watch may take: longer than the watch stays open.
+const WATCH_TIMEOUT: Micros = WATCH_DURATION + 3 * SECOND;
+
+/// Between two attempts to read the map.
+const RETRY_INTERVAL: Micros = 300 * MILLI;
+
+/// Between the answer to a watch and the next watch.
+const WATCH_INTERVAL: Micros = 20 * MILLI;
+
+/// Most entries of one page of the list.
+const PAGE_ENTRIES: usize = 200;
+
+impl Controller {
+    /// Sends the next read of the map if it is due.
+    pub(crate) fn read_partition_map(&mut self) {
+        let now = self.context.now.steady;
+        let reader = &mut self.partitions.reader;
+        if reader.request_in_flight || now < reader.next_read {
+            return;
+        }
+        reader.request_in_flight = true;
+        let (call, path, timeout) = match (reader.revision, &reader.listing) {
+            (Some(revision), _) => {
+                let block_ms = WATCH_DURATION / MILLI;
+                let path =
+                    format!("/changes?prefix={PARTITION}&since={revision}&block_ms={block_ms}");
+                (MapCall::Watch, path, WATCH_TIMEOUT)
+            }
+            (None, listing) => {
+                let after = listing.as_ref().map(|page| &page.last_key);
+                let since = after.map(|key| format!("&since={key}"));
+                let since = since.unwrap_or_default();
+                let path = format!("/kv?prefix={PARTITION}{since}&page={PAGE_ENTRIES}");
+                (MapCall::List, path, STORE_TIMEOUT)
+            }
+        };
+        let purpose = CallPurpose::PartitionMap(call);
+        self.context
+            .call(Target::Store, "GET", path, Vec::new(), timeout, purpose);
+    }
+
+    /// Takes the reply to a read of the map.
+    pub(crate) fn on_partition_map(&mut self, call: MapCall, outcome: Outcome) {
+        let now = self.context.now.steady;
+        let reader = &mut self.partitions.reader;
+        reader.request_in_flight = false;
+        reader.next_read = now + RETRY_INTERVAL;
+        match (call, outcome) {
+            (MapCall::List, Outcome::Answer { status: 200, body }) => self.on_map_page(&body),
+            (MapCall::Watch, Outcome::Answer { status: 200, body }) => self.on_map_changes(&body),
+            // The changes since then are not known any more, or are too many: the map is listed again.
+            (MapCall::Watch, Outcome::Answer { status: 410, .. } | Outcome::TooLarge) => {
+                reader.revision = None;
+            }
+            _ => {}
+        }
+    }
+
+    fn on_map_page(&mut self, body: &[u8]) {
+        let list = match wire::from_cbor::<KeyValueList>(body) {
+            Ok(list) => list,
+            Err(e) => return warn!(error:% = e; "unreadable page of the partition map"),
+        };
+        let now = self.context.now.steady;
+        let Partitions { map, reader, .. } = &mut self.partitions;
+        reader.next_read = now;
+        let listing = reader.listing.take();
+        if listing.is_none() {
+            map.clear();
+        }
+        let revision = listing.map_or(list.revision, |listing| listing.revision);
+        for entry in &list.entries {
+            put_in_map(map, &entry.key, &entry.value, entry.mod_revision);
+        }
+        match list.entries.last().filter(|_| list.more) {
+            Some(last) => {
+                let last_key = last.key.clone();
+                reader.listing = Some(MapListing { revision, last_key });
+            }
+            None => reader.revision = Some(revision),
+        }
+    }
+
+    fn on_map_changes(&mut self, body: &[u8]) {
+        let changes = match wire::from_cbor::<WatchResponse>(body) {
+            Ok(changes) => changes,
+            Err(e) => return warn!(error:% = e; "unreadable changes of the partition map"),
+        };
+        let now = self.context.now.steady;
+        let Partitions { map, reader, .. } = &mut self.partitions;
+        reader.next_read = now + WATCH_INTERVAL;
+        reader.revision = reader.revision.max(Some(changes.revision));
+        for event in changes.events {
+            if let (Some(key), Some(value)) = (&event.put, &event.value) {
+                put_in_map(map, key, value, event.mod_revision);
+            }
+            if let Some(key) = &event.delete {
+                map.delete(key, event.mod_revision);
+            }
+        }
+    }
+}
+
+fn put_in_map(map: &mut PartitionMap, key: &str, value: &Value, mod_revision: u64) {
+    if let Err(e) = map.put(key, value, mod_revision) {
+        error!(path = key, error:% = e; "unreadable record of the partition map; isolated");
+    }
+}
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -1,62 +1,57 @@
 //! Messages between the leader and the holders of partitions, as each controller sends and receives them.
 
 use crate::calls::SchedulerCall;
+use crate::controller::candidacy::StepDown;
 use crate::controller::Controller;
 use crate::{Micros, Target, MILLI};
 use grebewood_wire as wire;
 use grebewood_wire::peer::{PartitionOrders, PartitionReport, PeerRequest};
 use log::debug;
 
+/// How long a message to a holder may take.
+const ORDERS_TIMEOUT: Micros = 900 * MILLI;
+
 impl Controller {
-    /// Takes orders for a partition. Only the leader that the state service names may give them.
+    /// Takes orders for a partition, which only the leader that the store names may give.
     pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
         if !self.election.leader_is(&orders.from, orders.term) {
-            debug!("orders of {}, who does not lead", orders.from);
+            let (member, token) = (orders.from.as_str(), orders.term);
+            debug!(member = member, token = token; "refused orders of a member that does not lead");
             return None;
         }
         let holder = self.partitions.holders.get_mut(&orders.partition)?;
         holder.carry_out_orders(&mut self.context, orders)
     }
-}
 
-impl Controller {
-    /// What a peer said of a cancellation is never trusted over state: a job that the state service
-    /// still shows as live and not cancelled, in an answer that was asked for since, runs on.
+    /// Retracts cancellations that holders learned from a peer, against the store: a job that the store still
+    /// shows as live and not cancelled, in an answer that was asked for since, runs on.
     pub(crate) fn retract_cancellations(&mut self) {
         let read_up_to = self.context.cancellations.read_up_to();
-        let (job_view, holders) = (&self.job_view, self.partitions.holders.values_mut());
-        for holder in holders {
+        for holder in self.partitions.holders.values_mut() {
             let jobs = &holder.jobs;
-            holder
-                .holder_state
-                .cancelled
-                .retain(|id, _| jobs.find(id).is_some());
-            let learned = holder.holder_state.cancelled.iter();
-            let wrong = learned.filter(|(id, at)| {
-                **at < read_up_to && job_view.get(id).is_some_and(|job| !job.cancelled)
+            let cancelled = &mut holder.holder_state.cancelled;
+            cancelled.retain(|job, _| jobs.find(job).is_some());
+            let refuted = cancelled.iter().filter(|(job, learned_at)| {
+                let live = self.job_view.get(job);
+                **learned_at < read_up_to && live.is_some_and(|live| !live.cancelled)
             });
-            let wrong: Vec<String> = wrong.map(|(id, _)| id.clone()).collect();
-            for id in wrong {
-                holder.holder_state.cancelled.remove(&id);
-                holder.retract_cancellation(&mut self.context, &id);
+            let refuted: Vec<String> = refuted.map(|(job, _)| job.clone()).collect();
+            for job in refuted {
+                holder.holder_state.cancelled.remove(&job);
+                holder.retract_cancellation(&mut self.context, &job);
             }
         }
     }
-}
 
-/// How long a message to a holder may take.
-const ORDERS_TIMEOUT: Micros = 900 * MILLI;
-
-impl Controller {
     /// The leader's part: keeps up with claims, plans, and sends orders to the holders that are due.
     pub(crate) fn run_leader_partitions(&mut self) {
         let now = self.context.now.steady;
-        let due = self
+        let planning_due = self
             .leader
             .as_ref()
-            .is_some_and(|l| now >= l.remote_partitions.plan_at);
+            .is_some_and(|leader| now >= leader.remote_partitions.plan_at);
         // Members are looked at only for the planner: this runs with every input.
-        let members = due.then(|| self.partition_members());
+        let members = planning_due.then(|| self.partition_members());
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -64,11 +59,11 @@
             return;
         }
         leader.follow_claims(&self.partitions.map);
-        if let Some(why) = leader.dissolved() {
-            return self.step_down(why, true);
+        if let Some(reason) = leader.dissolved() {
+            return self.step_down(reason, StepDown::Resign);
         }
-        if let Some(why) = leader.leader_quota.lost {
-            return self.step_down(why, false);
+        if let Some(reason) = leader.leader_quota.lost {
+            return self.step_down(reason, StepDown::LeaseLost);
         }
         if let Some(members) = members {
             leader.pause_quota_grants(&self.context, members.any_without_quota_grants);
@@ -81,34 +76,33 @@
 
     /// Sends orders to the member that holds the partition, which may be this one.
     fn send_orders(&mut self, orders: PartitionOrders) {
-        let (partition, claim) = (orders.partition, orders.claim);
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
+        let (partition, claim) = (orders.partition, orders.claim);
         let holder = leader.holder_of(partition);
-        if holder.as_deref() == Some(self.context.settings.member.as_str()) {
+        let holder = holder.as_deref();
+        if holder == Some(self.context.settings.member.as_str()) {
             let report = self.on_orders(orders);
             if let Some(leader) = self.leader.as_mut() {
                 leader.on_report_of_holder(&mut self.context, partition, claim, report);
             }
             return;
         }
-        let siblings = self.context.settings.siblings.iter();
-        let place = siblings
-            .enumerate()
-            .find(|(_, s)| holder.as_deref() == Some(s.member.as_str()));
-        let Some((place, _)) = place else {
+        let mut siblings = self.context.settings.siblings.iter();
+        let peer = siblings.position(|sibling| holder == Some(sibling.member.as_str()));
+        let Some(peer) = peer else {
             return leader.on_report_of_holder(&mut self.context, partition, claim, None);
         };
-        let pending = leader.pending(SchedulerCall::Orders { partition, claim });
+        let purpose = leader.pending(SchedulerCall::Orders { partition, claim });
         let message = wire::to_peer(&PeerRequest::Partition(orders));
         self.context.call(
-            Target::Peer(place),
+            Target::Peer(peer),
             "POST",
             "/peer".into(),
             message,
             ORDERS_TIMEOUT,
-            pending,
+            purpose,
         );
     }
 }
--- a/crates/core/src/controller/partitions.rs
+++ b/crates/core/src/controller/partitions.rs
@@ -12,13 +12,14 @@
 use grebewood_partition::{PartitionId, PartitionMap};
 use std::collections::BTreeMap;
 
-/// A node's part in the partitions of the fleet.
+/// A controller's part in the partitions of the fleet.
 #[derive(Default)]
 pub struct Partitions {
-    /// The map, as this node last read it.
+    /// The map, as this controller last read it.
     pub map: PartitionMap,
+    /// How far the map has been read.
     pub(crate) reader: MapReader,
-    /// What this node holds.
+    /// The schedulers of the partitions that this controller holds.
     pub holders: BTreeMap<PartitionId, Box<Scheduler>>,
     /// Claims under way, and when the lease of each was asked for.
     pub(crate) claiming: BTreeMap<PartitionId, Micros>,
@@ -27,11 +28,12 @@
 }
 
 impl Partitions {
-    /// When it has to act next.
+    /// When the map is to be read next, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
-        match self.reader.busy {
-            true => Micros::MAX,
-            false => self.reader.next_at,
+        if self.reader.request_in_flight {
+            Micros::MAX
+        } else {
+            self.reader.next_read
         }
     }
 }
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -1,3 +1,5 @@
+//! What a leader without contact with the store may do, and what it learns from its peers.
+
 use crate::controller::Controller;
 use crate::scheduler::Scheduler;
 use crate::test_support::{clocks, first_heartbeat, job_record, pass, unread_leader, WALL};
@@ -9,9 +11,9 @@
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
 
-/// What a worker with a task of `req-1` is answered.
-fn check_in(node: &mut Controller, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
-    let report = Heartbeat {
+/// The answer to the heartbeat of an agent with a task of `req-1`.
+fn send_heartbeat(controller: &mut Controller, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
+    let heartbeat = Heartbeat {
         sequence,
         token: 3,
         tasks: vec![ReportedTask {
@@ -28,9 +30,9 @@
         interface: Interface::Front,
         method: "POST".into(),
         path: "/checkin".into(),
-        body: wire::to_cbor(&report),
+        body: wire::to_cbor(&heartbeat),
     };
-    let effects = node.step(clocks(now), input, &mut NoStopwatch);
+    let effects = controller.step(clocks(now), input, &mut NoStopwatch);
     let answer = effects.into_iter().find_map(|e| match e {
         Effect::Answer {
             id, status, body, ..
@@ -45,41 +47,47 @@
 /// A leader that has just started, and could read nothing since, would keep cancelled tasks alive.
 #[test]
 fn a_leader_that_knows_no_cancellations_renews_no_lease() {
-    let mut node = unread_leader(20 * SECOND);
-    assert_eq!(check_in(&mut node, 20 * SECOND, 1).0, 503);
-    node.context.cancellations.read_as_of(20 * SECOND);
-    pass(&mut node, 20 * SECOND, 21 * SECOND);
-    assert_eq!(check_in(&mut node, 21 * SECOND, 2).0, 200);
-    // Neither state nor its peer has told anything since.
-    let bound = node.blind_bound();
-    assert!(bound + node.context.settings.agent_lease < node.context.settings.cancel_timeout);
+    let mut controller = unread_leader(20 * SECOND);
+    assert_eq!(send_heartbeat(&mut controller, 20 * SECOND, 1).0, 503);
+    controller.context.cancellations.read_as_of(20 * SECOND);
+    pass(&mut controller, 20 * SECOND, 21 * SECOND);
+    assert_eq!(send_heartbeat(&mut controller, 21 * SECOND, 2).0, 200);
+    // Neither the store nor its peer has answered since.
+    let bound = controller.max_cancellation_age();
+    assert!(
+        bound + controller.context.settings.agent_lease
+            < controller.context.settings.cancel_timeout
+    );
     let late = 20 * SECOND + bound + MILLI;
-    pass(&mut node, 21 * SECOND, late);
-    assert_eq!(check_in(&mut node, late, 3).0, 503);
-    node.context.cancellations.covered(0, late, SECOND);
-    assert_eq!(check_in(&mut node, late, 4).0, 200);
+    pass(&mut controller, 21 * SECOND, late);
+    assert_eq!(send_heartbeat(&mut controller, late, 3).0, 503);
+    controller
+        .context
+        .cancellations
+        .note_peer_list(0, late, SECOND);
+    assert_eq!(send_heartbeat(&mut controller, late, 4).0, 200);
 }
 
 /// A machine may be in a partition, whose holder's token is lower: an answer would take it away.
 #[test]
 fn a_leader_that_knows_no_partitions_yet_answers_no_machine() {
-    let mut node = unread_leader(20 * SECOND);
-    node.context.cancellations.read_as_of(20 * SECOND);
-    assert_eq!(check_in(&mut node, 20 * SECOND, 1).0, 200);
-    node.context.tuning.partitions_per_zone = 2;
-    let leader = node.leader.as_mut().expect("a leader");
-    leader.start_loading(&mut node.context);
-    assert_eq!(check_in(&mut node, 20 * SECOND, 2).0, 503);
+    let mut controller = unread_leader(20 * SECOND);
+    controller.context.cancellations.read_as_of(20 * SECOND);
+    assert_eq!(send_heartbeat(&mut controller, 20 * SECOND, 1).0, 200);
+    controller.context.tuning.partitions_per_zone = 2;
+    let leader = controller.leader.as_mut().expect("a leader");
+    leader.start_loading(&mut controller.context);
+    assert_eq!(send_heartbeat(&mut controller, 20 * SECOND, 2).0, 503);
 }
 
 #[test]
-fn before_reading_state_it_stops_what_it_knows_to_be_cancelled() {
-    let mut node = unread_leader(20 * SECOND);
-    node.context.cancellations.read_as_of(20 * SECOND);
-    assert!(check_in(&mut node, 20 * SECOND, 1).1.is_empty());
-    pass(&mut node, 20 * SECOND, 21 * SECOND);
-    node.context.cancellations.learn("req-1", WALL);
-    let (_, commands) = check_in(&mut node, 21 * SECOND, 2);
+fn before_reading_the_store_it_stops_what_it_knows_to_be_cancelled() {
+    let mut controller = unread_leader(20 * SECOND);
+    controller.context.cancellations.read_as_of(20 * SECOND);
+    assert!(send_heartbeat(&mut controller, 20 * SECOND, 1).1.is_empty());
+    pass(&mut controller, 20 * SECOND, 21 * SECOND);
+    controller.context.cancellations.learn("req-1", WALL);
+    let (_, commands) = send_heartbeat(&mut controller, 21 * SECOND, 2);
     assert_eq!(commands.len(), 1);
     let stop = &commands[0];
     assert_eq!(
@@ -109,31 +117,32 @@
             }),
         }),
     };
-    let mut node = unread_leader(20 * SECOND);
-    node.context.cancellations.read_as_of(10 * SECOND);
-    let certain = |node: &Controller| node.context.cancellations.certain(1, 20 * SECOND);
-    node.on_contact(0, 5, 19 * SECOND, answer("perch-9", 5));
-    node.on_contact(0, 5, 19 * SECOND, answer("perch-1", 4));
-    assert_eq!(certain(&node), Some(10 * SECOND));
-    assert!(node.context.cancellations.get("req-1").is_none());
-    node.on_contact(0, 5, 19 * SECOND, answer("perch-1", 5));
-    assert_eq!(certain(&node), Some(19 * SECOND));
-    assert!(node.context.cancellations.get("req-1").is_some());
+    let mut controller = unread_leader(20 * SECOND);
+    controller.context.cancellations.read_as_of(10 * SECOND);
+    let certain =
+        |controller: &Controller| controller.context.cancellations.known_until(1, 20 * SECOND);
+    controller.on_contact(0, 5, 19 * SECOND, answer("perch-9", 5));
+    controller.on_contact(0, 5, 19 * SECOND, answer("perch-1", 4));
+    assert_eq!(certain(&controller), Some(10 * SECOND));
+    assert!(controller.context.cancellations.get("req-1").is_none());
+    controller.on_contact(0, 5, 19 * SECOND, answer("perch-1", 5));
+    assert_eq!(certain(&controller), Some(19 * SECOND));
+    assert!(controller.context.cancellations.get("req-1").is_some());
 }
 
 /// A leader that was told by a peer that `req-1` is cancelled, which it is about to end.
 fn told_leader() -> Controller {
-    let mut node = unread_leader(20 * SECOND);
+    let mut controller = unread_leader(20 * SECOND);
     let record = job_record(1);
-    let leader = node.leader.as_mut().expect("a leader");
-    leader.add_job(&node.context, "job/req-1", &to_value(&record), 5);
+    let leader = controller.leader.as_mut().expect("a leader");
+    leader.add_job(&controller.context, "job/req-1", &to_value(&record), 5);
     let cancel = CancelRecord { cancelled_us: WALL };
-    leader.on_cancelled(&mut node.context, "req-1", Some(&cancel));
+    leader.on_cancelled(&mut controller.context, "req-1", Some(&cancel));
     assert_eq!(
         leader.write_buffer.stale,
         vec!["job/req-1/cancel".to_string()]
     );
-    node
+    controller
 }
 
 fn answer<T: serde::Serialize>(status: u16, body: &T) -> Outcome {
@@ -146,9 +155,13 @@
 #[test]
 fn a_cancellation_without_record_is_taken_back_only_if_the_job_is_not_over() {
     for over in [false, true] {
-        let mut node = told_leader();
-        let leader = node.leader.as_mut().expect("a leader");
-        leader.on_refresh(&mut node.context, "job/req-1/cancel", answer(404, &()));
+        let mut controller = told_leader();
+        let leader = controller.leader.as_mut().expect("a leader");
+        leader.on_refresh(
+            &mut controller.context,
+            "job/req-1/cancel",
+            answer(404, &()),
+        );
         let cancelled = |leader: &Scheduler| {
             let job = leader
                 .jobs
@@ -171,7 +184,7 @@
             true => answer(200, &finished),
             false => answer(404, &()),
         };
-        leader.on_refresh(&mut node.context, "past/req-1", outcome);
+        leader.on_refresh(&mut controller.context, "past/req-1", outcome);
         assert_eq!(cancelled(leader), (!over).then_some(false));
         assert!(leader.write_buffer.stale.is_empty());
     }
--- /dev/null
+++ b/crates/core/src/controller/peer_requests.rs
@@ -0,0 +1,81 @@
+//! Requests of other controllers: questions about contact, task counts from the leader, and partition orders.
+
+use crate::controller::{Controller, TaskCounts};
+use crate::Effect;
+use grebewood_wire as wire;
+use grebewood_wire::peer::{PeerAnswer, PeerRequest};
+use log::{debug, warn};
+
+/// Most jobs whose task counts are kept.
+const MAX_PROGRESS_JOBS: usize = 4_000;
+
+impl Controller {
+    /// Routes a request on the peer interface.
+    pub(crate) fn on_peer_request(&mut self, id: u64, method: &str, path: &str, body: &[u8]) {
+        match (method, path) {
+            ("POST", "/peer") => self.on_peer(id, body),
+            (_, "/peer") => self.context.refuse(id, 405, "only POST"),
+            _ => self.context.refuse(id, 404, "no such path"),
+        }
+    }
+
+    fn on_peer(&mut self, id: u64, body: &[u8]) {
+        let request: PeerRequest = match wire::from_peer(body) {
+            Ok(request) => request,
+            Err(e) => {
+                warn!(error:% = e; "unreadable request of a peer");
+                return self.context.refuse(id, 400, "not a peer message");
+            }
+        };
+        let mut confirmed = None;
+        let mut limits = None;
+        let mut report = None;
+        match request {
+            PeerRequest::Contact {
+                from,
+                question,
+                known_us,
+                limits: limits_wanted,
+            } => {
+                debug!(member = from.as_str(); "peer asks for contact");
+                let now = self.context.now.steady;
+                let cancellations = &self.context.cancellations;
+                confirmed =
+                    (question > 0).then(|| cancellations.list_confirmed(question, known_us, now));
+                limits = limits_wanted.then(|| self.context.settings.limits().to_teams());
+            }
+            PeerRequest::Progress { from, token, jobs } => self.on_progress(&from, token, jobs),
+            PeerRequest::Partition(orders) => report = self.on_orders(orders),
+        }
+        let answer = PeerAnswer {
+            member: self.context.settings.member.clone(),
+            store_contact_age_us: self.context.contact_age(),
+            token: self.context.token,
+            grant: self.election.highest_token(),
+            confirmed,
+            partitions: self.context.supports_partitions(),
+            allotments: self.context.supports_quota_grants(),
+            limits,
+            report,
+        };
+        self.context.effects.push(Effect::Answer {
+            id,
+            status: 200,
+            body: wire::to_peer(&answer),
+            retry_after: None,
+        });
+    }
+
+    /// Takes task counts of live jobs, which only the leader that the store names may send.
+    fn on_progress(&mut self, from: &str, token: u64, jobs: Vec<(String, u64, u64)>) {
+        if !self.election.leader_is(from, token) {
+            return;
+        }
+        for (job, completed, running) in jobs {
+            self.progress.insert(job, TaskCounts { completed, running });
+        }
+        while self.progress.len() > MAX_PROGRESS_JOBS {
+            self.progress.pop_first();
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/controller/replies.rs
@@ -0,0 +1,71 @@
+//! Routes replies to the parts that wait for them, and notes contact with the store.
+
+use crate::calls::{CallPurpose, SchedulerCall};
+use crate::controller::Controller;
+use crate::{Micros, Outcome};
+
+/// From this status on, an answer of the store does not show that it serves this controller.
+const LOWEST_SERVER_ERROR: u16 = 500;
+
+impl Controller {
+    /// Takes the reply to a call.
+    pub(crate) fn on_reply(&mut self, call: u64, outcome: Outcome) {
+        let Some((purpose, made_at)) = self.context.take_call(call) else {
+            return;
+        };
+        let made_before_pause = made_at < self.context.resumed_at();
+        if made_before_pause {
+            let Some(outcome) = outcome_after_pause(&purpose, outcome) else {
+                return;
+            };
+            return self.dispatch_reply(purpose, made_at, outcome);
+        }
+        if purpose.shows_store_contact() {
+            self.note_store_contact(&outcome);
+        }
+        self.dispatch_reply(purpose, made_at, outcome);
+    }
+
+    /// Any answer but a server error shows that the store serves this controller.
+    fn note_store_contact(&mut self, outcome: &Outcome) {
+        if matches!(outcome, Outcome::Answer { status, .. } if *status < LOWEST_SERVER_ERROR) {
+            self.context.last_contact = Some(self.context.now.steady);
+        }
+    }
+
+    fn dispatch_reply(&mut self, purpose: CallPurpose, made_at: Micros, outcome: Outcome) {
+        match purpose {
+            CallPurpose::Election(step) => self.on_election(step, outcome),
+            CallPurpose::Scheduler { token, what } => self.on_scheduler_reply(token, what, outcome),
+            CallPurpose::PartitionClaim { partition, step } => {
+                self.on_claim(partition, step, outcome);
+            }
+            CallPurpose::PartitionMap(call) => self.on_partition_map(call, outcome),
+            CallPurpose::User(request) => self.on_user_reply(request, outcome),
+            CallPurpose::JobView(call) => self.on_job_view(call, made_at, outcome),
+            CallPurpose::Catalogue(source) => self.on_catalogue(source, outcome),
+            CallPurpose::Contact { peer, question } => {
+                self.on_contact(peer, question, made_at, outcome);
+            }
+            CallPurpose::Ignore => {}
+        }
+    }
+}
+
+/// What the reply to a call that was made before a process pause still says; `None`: nothing. It may have
+/// waited in this process all that time, and what it says may have changed since.
+fn outcome_after_pause(purpose: &CallPurpose, outcome: Outcome) -> Option<Outcome> {
+    match purpose {
+        // Who leads or holds a partition may have changed; what users are told is asked for anew.
+        CallPurpose::Election(_)
+        | CallPurpose::PartitionClaim { .. }
+        | CallPurpose::User(_)
+        | CallPurpose::JobView(_) => Some(Outcome::Unknown),
+        // A lease that was renewed may have expired since; one that had ended stays so.
+        CallPurpose::Scheduler {
+            what: SchedulerCall::Extend,
+            ..
+        } if !matches!(outcome, Outcome::Answer { status: 404, .. }) => None,
+        _ => Some(outcome),
+    }
+}
--- /dev/null
+++ b/crates/core/src/controller/submission.rs
@@ -0,0 +1,120 @@
+//! Takes submissions: reads them, and refuses those that cannot be accepted.
+
+use crate::calls::{UserAction, UserRequest, UserRequestStage};
+use crate::controller::{Controller, CONTACT_SPAN};
+use crate::settings::Settings;
+use crate::state::jobs::{check_fields, check_possible, check_size, Refused};
+use grebewood_wire as wire;
+use grebewood_wire::http::{MachineType, Submission};
+use grebewood_wire::validate::valid_id;
+use thiserror::Error;
+
+/// A submission as far as it can be read.
+struct ReadSubmission {
+    job: String,
+    /// [`UserAction::Submit`] or [`UserAction::Malformed`].
+    action: UserAction,
+}
+
+/// Why it is not even known which job a submission is for. The texts are sent to users.
+#[derive(Debug, Error)]
+enum UnreadableSubmission {
+    #[error(transparent)]
+    Undecodable(#[from] wire::DecodeError),
+    #[error("not a map")]
+    NotAMap,
+    #[error("uid: not of the form req-000000")]
+    InvalidId,
+}
+
+impl Controller {
+    /// Takes a submission.
+    pub(crate) fn on_submission(&mut self, id: u64, body: &[u8]) {
+        let ReadSubmission { job, action } = match read_submission(body) {
+            Ok(submission) => submission,
+            Err(e) => return self.context.refuse(id, 400, &e.to_string()),
+        };
+        if let Some(finished) = self.finished_jobs.get(&job) {
+            let status = finished.status.clone();
+            return self.answer_accepted(id, 200, &job, &status);
+        }
+        // A repeated submission of an accepted job must get neither 422 nor 400, whatever it says now
+        // and whatever the limits were when it was accepted: it is looked up before it is refused.
+        let acceptable = match &action {
+            UserAction::Submit(submission) => {
+                let Some(catalogue) = &self.context.catalogue else {
+                    let reason = "machine types are not known yet";
+                    return self.context.refuse(id, 503, reason);
+                };
+                check_acceptable(submission, &self.context.settings, catalogue).is_ok()
+            }
+            _ => false,
+        };
+        if !self.context.in_contact(CONTACT_SPAN) {
+            return self.refuse_without_contact(id);
+        }
+        let now = self.context.now.steady;
+        let request = UserRequest::new(id, &job, action, now);
+        // One that was accepted costs no write, however often it is repeated.
+        if !acceptable || self.job_view.knows(&job) {
+            return self.send_user_request(request);
+        }
+        if !self.context.user_writes.take(now, 1.0) {
+            return self.context.refuse(id, 429, "too many submissions");
+        }
+        self.send_user_request(request.at_stage(UserRequestStage::Accept));
+    }
+
+    /// Refuses a submission that was looked up and found neither live nor finished.
+    pub(crate) fn refuse_submission(&mut self, request: &UserRequest, submission: &Submission) {
+        let catalogue = self.context.catalogue.as_ref();
+        let checked = catalogue
+            .map(|catalogue| check_acceptable(submission, &self.context.settings, catalogue));
+        let (status, reason) = match checked {
+            // Without a clear outcome of the accepting transaction the job may still be accepted.
+            _ if request.uncertain => (503, "not accepted yet".to_string()),
+            Some(Err(Refused::Invalid(reason))) => (400, reason),
+            Some(Err(Refused::Impossible(reason))) => (422, reason),
+            Some(Ok(())) | None => (503, "not accepted yet".to_string()),
+        };
+        self.context.refuse(request.request, status, &reason);
+    }
+}
+
+/// Reads a submission: its job, and the rest of it or what is wrong with the rest.
+fn read_submission(body: &[u8]) -> Result<ReadSubmission, UnreadableSubmission> {
+    let value: wire::Value = wire::from_cbor(body)?;
+    let entries = value.as_map().ok_or(UnreadableSubmission::NotAMap)?;
+    let uid = entries.iter().find(|(key, _)| key.as_text() == Some("uid"));
+    let uid = uid.and_then(|(_, uid)| uid.as_text()).unwrap_or_default();
+    if !valid_id(uid) {
+        return Err(UnreadableSubmission::InvalidId);
+    }
+    Ok(ReadSubmission {
+        job: uid.to_string(),
+        action: read_fields(body),
+    })
+}
+
+fn read_fields(body: &[u8]) -> UserAction {
+    let submission = match wire::from_cbor::<Submission>(body) {
+        Ok(submission) => submission,
+        Err(e) => return UserAction::Malformed(e.to_string()),
+    };
+    match check_fields(&submission) {
+        Ok(()) => UserAction::Submit(Box::new(submission)),
+        Err(Refused::Invalid(reason) | Refused::Impossible(reason)) => {
+            UserAction::Malformed(reason)
+        }
+    }
+}
+
+/// Checks that a job that is not known yet can be accepted: its record can be kept, and it can run.
+fn check_acceptable(
+    submission: &Submission,
+    settings: &Settings,
+    catalogue: &[MachineType],
+) -> Result<(), Refused> {
+    check_size(submission, settings.store.value_bytes)?;
+    check_possible(submission, settings, catalogue)
+}
--- /dev/null
+++ b/crates/core/src/controller/user_answers.rs
@@ -0,0 +1,125 @@
+//! Answers to users about jobs that were found live, cancelled, finished, or not at all.
+
+use crate::calls::{UserAction, UserRequest, UserRequestStage};
+use crate::controller::{Controller, TaskCounts};
+use crate::Now;
+use grebewood_wire::http::{Accepted, JobStatus};
+use grebewood_wire::records::FinishedJobRecord;
+
+/// A live job none of whose tasks runs.
+const PENDING: &str = "pending";
+
+/// A live job with running tasks.
+const RUNNING: &str = "running";
+
+/// A finished job all of whose tasks completed.
+const DONE: &str = "done";
+
+/// A cancelled job.
+const ABORTED: &str = "aborted";
+
+impl Controller {
+    /// The transaction that accepts the job was applied.
+    pub(crate) fn answer_new_job(&mut self, request: &UserRequest) {
+        self.answer_accepted(request.request, 201, &request.job, PENDING);
+    }
+
+    /// Answers a submission or a cancellation with the job's status.
+    pub(crate) fn answer_accepted(&mut self, id: u64, http_status: u16, job: &str, status: &str) {
+        let accepted = Accepted {
+            id: job.to_string(),
+            status: status.to_string(),
+        };
+        self.context.answer(id, http_status, &accepted);
+    }
+
+    /// The job is live and not cancelled: a cancellation goes on, other requests are answered.
+    pub(crate) fn on_found_live(&mut self, request: UserRequest) {
+        let is_cancellation = matches!(request.action, UserAction::Cancel);
+        if !is_cancellation {
+            return self.answer_live(&request);
+        }
+        if !self.context.user_writes.take(self.context.now.steady, 1.0) {
+            return self
+                .context
+                .refuse(request.request, 429, "too many cancellations");
+        }
+        self.send_user_request(request.at_stage(UserRequestStage::Cancel));
+    }
+
+    fn answer_live(&mut self, request: &UserRequest) {
+        let TaskCounts { completed, running } = self.task_counts(&request.job);
+        let status = if running > 0 { RUNNING } else { PENDING };
+        match request.action {
+            UserAction::Submit(_) | UserAction::Malformed(_) => {
+                self.answer_accepted(request.request, 200, &request.job, status);
+            }
+            UserAction::Poll | UserAction::Cancel => {
+                let answer = JobStatus {
+                    id: request.job.clone(),
+                    status: status.to_string(),
+                    done: completed,
+                    running,
+                };
+                self.context.answer(request.request, 200, &answer);
+            }
+        }
+    }
+
+    /// The task counts of a live job: the leader's own, or what the leader sent last.
+    fn task_counts(&self, job: &str) -> TaskCounts {
+        let counts = match &self.leader {
+            Some(leader) => leader
+                .progress_of(job)
+                .map(|(completed, running)| TaskCounts { completed, running }),
+            None => self.progress.get(job).copied(),
+        };
+        counts.unwrap_or_default()
+    }
+
+    /// The job is found under neither key.
+    pub(crate) fn answer_unknown(&mut self, request: &UserRequest) {
+        match &request.action {
+            UserAction::Submit(submission) => self.refuse_submission(request, submission),
+            UserAction::Malformed(reason) => self.context.refuse(request.request, 400, reason),
+            UserAction::Poll | UserAction::Cancel => {
+                self.context.refuse(request.request, 404, "no such job");
+            }
+        }
+    }
+
+    /// The job's cancellation is durable, and the job can only become aborted now. That a user is told is
+    /// remembered: a leader that has lost contact with the store asks for it.
+    pub(crate) fn confirm_cancellation(&mut self, request: &UserRequest) {
+        let job = &request.job;
+        let finished = FinishedJobRecord {
+            status: ABORTED.into(),
+            tasks: request.live.map_or(0, |live| live.tasks),
+        };
+        self.finished_jobs.insert(job, finished.clone());
+        let Now { steady, wall } = self.context.now;
+        self.context.cancellations.confirm(job, steady, wall);
+        self.for_each_scheduler(|context, scheduler| scheduler.on_cancelled(context, job, None));
+        self.answer_finished(request, &finished);
+    }
+
+    /// The job is finished.
+    pub(crate) fn answer_finished(&mut self, request: &UserRequest, finished: &FinishedJobRecord) {
+        self.progress.remove(&request.job);
+        match request.action {
+            UserAction::Poll => {
+                let all_completed = finished.status == DONE;
+                let answer = JobStatus {
+                    id: request.job.clone(),
+                    status: finished.status.clone(),
+                    done: if all_completed { finished.tasks } else { 0 },
+                    running: 0,
+                };
+                self.context.answer(request.request, 200, &answer);
+            }
+            UserAction::Submit(_) | UserAction::Malformed(_) | UserAction::Cancel => {
+                self.answer_accepted(request.request, 200, &request.job, &finished.status);
+            }
+        }
+    }
+}
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -1,41 +1,54 @@
 //! What a controller knows of the election, and of its peers.
 //!
-//! The record `leader` is put under a lease on the condition that it is absent. Its modification revision is the fencing token:
-//! revisions only grow, so each new leader has a higher token, and every write of a leader is conditional on
-//! it.
+//! The leader record is put under a lease on the condition that it is absent. Its modification revision is the
+//! fencing token: revisions only grow, so each new leader has a higher token, and every write of a leader is
+//! conditional on it.
 
 use crate::Micros;
 use grebewood_partition::Member;
 use grebewood_wire::records::LeaderRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node's view of who leads.
+/// The leader record and its fencing token, as last read.
+#[derive(Clone, Debug)]
+pub(crate) struct KnownLeader {
+    /// The record.
+    pub(crate) record: LeaderRecord,
+    /// The record's mod_revision, which is the leader's fencing token.
+    pub(crate) token: u64,
+}
+
+/// A controller's view of who leads.
 #[derive(Debug)]
 pub struct Election {
-    /// The leader and the record's stamp, as last read.
-    pub(crate) leader: Option<(LeaderRecord, u64)>,
-    pub(crate) busy: bool,
+    /// The leader, if one is known.
+    pub(crate) leader: Option<KnownLeader>,
+    /// Whether a request of the election is under way.
+    pub(crate) request_in_flight: bool,
+    /// When the leader record is read next or, on the leader, when the peers are asked next.
     pub(crate) next_probe: Micros,
     /// No candidacy before this time.
     pub(crate) abstain_until: Micros,
+    /// Distinguishes this process from an earlier one of the same member.
     pub(crate) incarnation: u64,
     /// When a lease was last asked for.
     pub(crate) lease_requested_at: Micros,
-    /// What each peer last said, by its place in the settings.
+    /// What each peer last answered, by its place in the settings.
     pub(crate) peers: BTreeMap<usize, PeerView>,
     /// Number of the last question to the peers.
     pub(crate) question: u64,
     /// When a holder of partitions that does not lead asks its peers next.
     pub(crate) next_question: Micros,
-    /// The highest fencing token of a grant that was read from state, or is our own.
-    pub(crate) grant: u64,
+    /// The highest fencing token of a leader that was read from the store, or is this controller's own.
+    pub(crate) highest_token: u64,
 }
 
 impl Election {
+    /// The view of a process that has just started and has read nothing yet.
     pub fn new(incarnation: u64) -> Self {
         Election {
             leader: None,
-            busy: false,
+            request_in_flight: false,
             next_probe: 0,
             abstain_until: 0,
             incarnation,
@@ -43,16 +56,22 @@
             peers: BTreeMap::new(),
             question: 0,
             next_question: 0,
-            grant: 0,
+            highest_token: 0,
         }
     }
 
-    /// The highest fencing token of a grant that this node knows of from state, never from a
+    /// The highest fencing token of a leader that this controller knows of from the store, never from a
     /// message.
-    pub fn grant(&self) -> u64 {
-        self.grant
+    pub fn highest_token(&self) -> u64 {
+        self.highest_token
+    }
+
+    /// Notes the fencing token of a leader that was read from the store, or is this controller's own.
+    pub(crate) fn observe_token(&mut self, token: u64) {
+        self.highest_token = self.highest_token.max(token);
     }
 
+    /// When the election has to act next, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
         self.next_probe
     }
@@ -61,18 +80,20 @@
     pub fn leader_is(&self, member: &str, token: u64) -> bool {
         self.leader
             .as_ref()
-            .is_some_and(|(l, mod_revision)| l.member == member && *mod_revision == token)
+            .is_some_and(|leader| leader.record.member == member && leader.token == token)
     }
 
-    /// Whether the leader, as far as one is known, understands partitions.
-    pub(crate) fn leader_knows_partitions(&self) -> bool {
-        self.leader.as_ref().is_none_or(|(l, _)| l.partitions)
+    /// Whether the leader, as far as one is known, supports partitions.
+    pub(crate) fn leader_supports_partitions(&self) -> bool {
+        self.leader
+            .as_ref()
+            .is_none_or(|leader| leader.record.partitions)
     }
 
-    /// The stamp of the leader's record, if there is a leader that understands partitions.
+    /// The fencing token of the leader, if there is one that supports partitions.
     pub(crate) fn partition_term(&self) -> Option<u64> {
-        let leader = self.leader.as_ref().filter(|(l, _)| l.partitions);
-        leader.map(|(_, mod_revision)| *mod_revision)
+        let leader = self.leader.as_ref()?;
+        leader.record.partitions.then_some(leader.token)
     }
 
     /// Distinguishes this process from an earlier one of the same member.
@@ -80,45 +101,41 @@
         self.incarnation
     }
 
-    /// The leader's name.
+    /// The leader's member name.
     pub fn leader(&self) -> Option<&str> {
-        self.leader.as_ref().map(|(l, _)| l.member.as_str())
-    }
-
-    /// Reads who leads as soon as possible.
-    pub fn probe_now(&mut self) {
-        self.next_probe = 0;
+        let leader = self.leader.as_ref()?;
+        Some(leader.record.member.as_str())
     }
 }
 
 /// Which members can hold partitions.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberView {
-    /// Those that can, and have contact with the state service.
-    pub members: BTreeSet<Member>,
+    /// Those that can, and have contact with the store.
+    pub(crate) members: BTreeSet<Member>,
     /// Whether all siblings answered lately.
-    pub all_answer: bool,
-    /// Whether one answered that does not understand partitions.
-    pub any_without: bool,
-    /// Whether one answered that does not understand allotments.
-    pub any_without_quota_grants: bool,
+    pub(crate) all_answer: bool,
+    /// Whether one answered that does not support partitions.
+    pub(crate) any_without: bool,
+    /// Whether one answered that does not support quota grants.
+    pub(crate) any_without_quota_grants: bool,
 }
 
-/// What a peer last said of its contact with the state service.
+/// What a peer last answered about its contact with the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerView {
     /// When the question was sent to which this was the answer.
-    pub(crate) asked: Micros,
-    /// When it last had contact, by our clock, at the latest.
-    pub(crate) contact: Option<Micros>,
+    pub(crate) asked_at: Micros,
+    /// When it last had contact, by this controller's clock, at the latest.
+    pub(crate) last_contact: Option<Micros>,
     /// It had none for some time before it answered.
     pub(crate) without_contact: bool,
-    /// From when on it remembers which cancellations it confirmed and which grants it read.
+    /// From when on it remembers which cancellations it confirmed and which leaders' tokens it read.
     pub(crate) remembers_from: Option<Micros>,
-    /// The highest grant that it read from state, or has itself.
-    pub(crate) grant: u64,
-    /// Whether it understands partitions.
-    pub(crate) partitions: bool,
-    /// Whether it understands allotments.
-    pub(crate) allotments: bool,
+    /// The highest fencing token of a leader that it read from the store, or has itself.
+    pub(crate) highest_token: u64,
+    /// Whether it supports partitions.
+    pub(crate) supports_partitions: bool,
+    /// Whether it supports quota grants.
+    pub(crate) supports_quota_grants: bool,
 }
--- a/crates/core/src/state/partition_map_reader.rs
+++ b/crates/core/src/state/partition_map_reader.rs
@@ -2,13 +2,31 @@
 
 use crate::Micros;
 
-/// Keeps the map up to date.
+/// A list of the map that is read page by page.
+#[derive(Clone, Debug)]
+pub(crate) struct MapListing {
+    /// The store's revision at the first page.
+    pub(crate) revision: u64,
+    /// The last key that was read.
+    pub(crate) last_key: String,
+}
+
+/// Keeps the controller's copy of the map up to date.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MapReader {
-    /// Up to date as of this revision; `None` while it is listed.
-    pub(crate) since: Option<u64>,
-    /// The revision of the first page of a list under way, and the last key read.
-    pub(crate) listing: Option<(u64, String)>,
-    pub(crate) busy: bool,
-    pub(crate) next_at: Micros,
+    /// The copy is up to date as of this revision; `None` while the map is listed.
+    pub(crate) revision: Option<u64>,
+    /// A list under way, after its first page.
+    pub(crate) listing: Option<MapListing>,
+    /// Whether a read is under way.
+    pub(crate) request_in_flight: bool,
+    /// When the next read is due, in microseconds of the steady clock.
+    pub(crate) next_read: Micros,
+}
+
+impl MapReader {
+    /// Whether the whole map has been read, and changes are followed since.
+    pub(crate) fn has_read_map(&self) -> bool {
+        self.revision.is_some()
+    }
 }
--- a/crates/core/src/transactions.rs
+++ b/crates/core/src/transactions.rs
@@ -3,13 +3,20 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{Condition, Operation};
 
+/// The condition that the key does not exist.
 pub(crate) fn absent(key: &str) -> Condition {
+    at_revision(key, 0)
+}
+
+/// The condition that the key was last modified at this revision.
+pub(crate) fn at_revision(key: &str, mod_revision: u64) -> Condition {
     Condition {
         key: key.to_string(),
-        mod_revision: 0,
+        mod_revision,
     }
 }
 
+/// Puts the record under the key, without a lease.
 pub(crate) fn put<T: serde::Serialize>(key: String, record: &T) -> Operation {
     Operation::Put {
         put: key,
