--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -1,6 +1,6 @@
-//! What allotments bring and cost, in simulated time: `cargo run --release -p grebewood-testkit --example
+//! What quota grants bring and cost, in simulated time: `cargo run --release -p grebewood-testkit --example
 //! quota_figures` prints Markdown tables. Each scenario is played with partitions off, with partitions, and with
-//! allotments, with the same submissions and the same troubles.
+//! quota grants, with the same submissions and the same faults.
 
 use grebewood_testkit::measure::Measures;
 use grebewood_testkit::play_measured;
@@ -15,7 +15,7 @@
 const LENGTH_S: u64 = 120;
 const CHANGES_OF_LEADER: u64 = 6;
 
-/// Steady work of two teams near their ceilings, and a leader that ends every 15 s.
+/// Steady work of two teams near their limits, and a leader that ends every 15 s.
 fn steady(machines: u64) -> String {
     let crashes: String = (0..CHANGES_OF_LEADER)
         .map(|n| format!("at {} crash leader for=4\n", 25 + n * 15))
@@ -94,7 +94,7 @@
                 leader / LENGTH_S as f64,
                 m.other_steps.as_secs_f64() / LENGTH_S as f64,
             );
-            if let Some(idle) = &m.idle_allotted {
+            if let Some(idle) = &m.idle_granted {
                 println!(
                     "| {machines} | {name}, idle part of a ceiling: mean {:.3}, p99 {:.3} | | | | | | | | |",
                     idle.mean() / 1e3,
--- a/crates/testkit/examples/trace_digest.rs
+++ b/crates/testkit/examples/trace_digest.rs
@@ -1,6 +1,6 @@
 //! A digest of behaviour: `cargo run --release -p grebewood-testkit --example trace_digest [-- NAME]`
 //! plays the scenarios whose name has NAME in it as they stand, with partitions and with partitions and
-//! allotments forced on, and prints a line for each: name, settings, hash over all effects.
+//! quota grants forced on, and prints a line for each: name, settings, hash over all effects.
 //! `-- --samples` prints the largest record and peer message of each kind instead, in hexadecimal digits.
 
 use grebewood_testkit::trace::Sample;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -2,7 +2,7 @@
 //! files.
 //!
 //! A scenario is a text file; [`script`] lists its lines. [`world`] plays it: real controllers
-//! ([`grebewood_core::Controller`]), a state service ([`state`]), a cloud with machines and workers
+//! ([`grebewood_core::Controller`]), a key-value store ([`state`]), a cloud with machines and agents
 //! ([`machines`]) and users, joined by links that can be cut, held back or made to lose messages.
 //! The rules of the protocol are checked at every step; a broken one ends the scenario.
 
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -1,5 +1,5 @@
-//! The same stand-ins in real time, on sockets of the loopback interface: a state service and a cloud for
-//! real controllers, and workers that report to them.
+//! The same stand-ins in real time, on sockets of the loopback interface: a key-value store and a cloud for
+//! real controllers, and agents that heartbeat to them.
 
 use crate::machines::{JobFacts, Machine};
 use crate::state::{KeyValueStore, Reply};
@@ -19,12 +19,12 @@
 
 /// Between two looks at what is due.
 const STEP: Duration = Duration::from_millis(20);
-/// How long workers keep their tasks without an answer.
+/// How long agents keep their tasks without an answer.
 const LEASE: Micros = 10_000_000;
-/// How often they report.
+/// How often they heartbeat.
 const REPORT: Micros = 500_000;
 
-/// What happened to the tasks of all workers.
+/// What happened to the tasks of all agents.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     /// Tasks on machines.
@@ -146,7 +146,7 @@
         self.0.began.elapsed().as_micros() as Micros
     }
 
-    /// The state service.
+    /// The key-value store.
     pub fn state(&self) -> MutexGuard<'_, KeyValueStore> {
         lock(&self.0.state)
     }
@@ -156,19 +156,19 @@
         lock(&self.0.write_buffer)
     }
 
-    /// Ends the workers.
+    /// Ends the agents.
     pub fn end(&self) {
         self.0.over.store(true, Ordering::Relaxed);
     }
 
-    /// Serves the state service.
+    /// Serves the key-value store.
     pub fn serve_state(&self) -> std::io::Result<SocketAddr> {
         let cluster = self.clone();
         serve(move |method, path, body| cluster.state_answer(method, path, body))
     }
 
     fn state_answer(&self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
-        // A watch is answered at once, whether anything has changed or not: its node asks again.
+        // A watch is answered at once, whether anything has changed or not: its controller asks again.
         let short = path.replace("block_ms=10000", "block_ms=0");
         let watches = short != path;
         let answer = {
@@ -231,12 +231,12 @@
         }
     }
 
-    /// Starts the workers, which report to these controllers in real time.
+    /// Starts the agents, which heartbeat to these controllers in real time.
     pub fn start_workers(&self, machine_type: &MachineType, fronts: &BTreeMap<String, SocketAddr>) {
         for (n, name) in self.0.machines.iter().enumerate() {
             let mut machine = Machine::new(name, machine_type, "a");
             machine.up = true;
-            machine.lease_from = self.now();
+            machine.lease_start = self.now();
             let agent = Agent {
                 cluster: self.clone(),
                 machine,
@@ -277,7 +277,7 @@
                     *write_buffer.completed.entry(task).or_insert(0) += 1;
                 }
             }
-            if changed || now >= self.machine.next_report {
+            if changed || now >= self.machine.next_heartbeat {
                 self.report(now);
             }
         }
@@ -290,7 +290,7 @@
     }
 
     fn report(&mut self, now: Micros) {
-        self.machine.next_report = now + REPORT;
+        self.machine.next_heartbeat = now + REPORT;
         let Some(front) = self.front else { return };
         let report = to_cbor(&self.machine.report(now));
         match blocking::request(front, "POST", "/checkin", &report) {
@@ -301,7 +301,7 @@
                 match leader.filter(|leader| *leader != front) {
                     Some(leader) => {
                         self.front = Some(leader);
-                        self.machine.next_report = now;
+                        self.machine.next_heartbeat = now;
                     }
                     None => self.try_next(front),
                 }
@@ -324,13 +324,13 @@
             return;
         }
         self.machine.token = answer.token;
-        self.machine.lease_from = sent;
+        self.machine.lease_start = sent;
         let facts = &self.cluster.0.facts;
-        let came = self
+        let started = self
             .machine
             .carry_out(self.cluster.now(), &answer.commands, facts);
         let mut write_buffer = self.cluster.write_buffer();
-        for task in came {
+        for task in started {
             *write_buffer.starts.entry(task.clone()).or_insert(0) += 1;
             let other = write_buffer
                 .live
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -1,11 +1,11 @@
-//! Stand-ins for the cloud's machines and their workers.
+//! Stand-ins for the cloud's machines and their agents.
 
 use grebewood_wire::http::{Command, ExitCause, Heartbeat, MachineType, ReportedTask};
 use std::collections::BTreeMap;
 
 type Micros = u64;
 
-/// A task on a worker.
+/// A task on an agent.
 #[derive(Clone, Debug)]
 pub struct Task {
     pub task_name: String,
@@ -18,7 +18,7 @@
     pub cpus: f64,
 }
 
-/// What a worker knows of a job, since it fetches the description on its own.
+/// What an agent knows of a job, since it fetches the description on its own.
 #[derive(Clone, Debug)]
 pub struct JobFacts {
     pub cpus: f64,
@@ -28,7 +28,7 @@
     pub fails: bool,
 }
 
-/// A machine with its worker.
+/// A machine with its agent.
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub name: String,
@@ -38,14 +38,14 @@
     pub cpus: f64,
     pub requested: Micros,
     /// When it is up; never for a boot that fails.
-    pub up_at: Option<Micros>,
+    pub boots_at: Option<Micros>,
     pub up: bool,
     pub gone: bool,
     pub hangs_until: Micros,
-    /// Until then its reports arrive, but answers and commands do not reach it.
+    /// Until then its heartbeats arrive, but answers and commands do not reach it.
     pub deaf_until: Micros,
     /// Until then nothing reaches it or comes from it, while its tasks go on.
-    pub cut_until: Micros,
+    pub unplugged_until: Micros,
     /// Until then it reaches no controller, while direct commands reach it.
     pub mute_until: Micros,
     pub faulty: bool,
@@ -53,18 +53,18 @@
     pub incarnation: u64,
     pub sequence: u64,
     pub token: u64,
-    /// When the last answered report was sent, or the session began.
-    pub lease_from: Micros,
+    /// When the last answered heartbeat was sent, or the incarnation began.
+    pub lease_start: Micros,
     pub tasks: Vec<Task>,
-    /// The controller it reports to.
-    pub node: usize,
-    /// The report in flight: when it was sent, and its session.
+    /// The controller it heartbeats to.
+    pub controller: usize,
+    /// The heartbeat in flight: when it was sent, and its incarnation.
     pub in_flight: Option<(u64, Micros, u64)>,
-    pub next_report: Micros,
+    pub next_heartbeat: Micros,
     pub last_contact_at: Micros,
-    pub told_token: u64,
-    /// When a higher token last made it report at once.
-    pub token_told: Option<Micros>,
+    pub reported_token: u64,
+    /// When a higher token last made it heartbeat at once.
+    pub token_reported_at: Option<Micros>,
 }
 
 impl Machine {
@@ -77,26 +77,26 @@
             spot: false,
             cpus: machine_type.cpus,
             requested: 0,
-            up_at: None,
+            boots_at: None,
             up: false,
             gone: false,
             hangs_until: 0,
             deaf_until: 0,
-            cut_until: 0,
+            unplugged_until: 0,
             mute_until: 0,
             faulty: false,
             reclaim_at: None,
             incarnation: 1,
             sequence: 0,
             token: 0,
-            lease_from: 0,
+            lease_start: 0,
             tasks: Vec::new(),
-            node: 0,
+            controller: 0,
             in_flight: None,
-            next_report: 0,
+            next_heartbeat: 0,
             last_contact_at: 0,
-            told_token: 0,
-            token_told: None,
+            reported_token: 0,
+            token_reported_at: None,
         }
     }
 
@@ -135,7 +135,7 @@
         commands: &[Command],
         jobs: &BTreeMap<String, JobFacts>,
     ) -> Vec<String> {
-        let mut came = Vec::new();
+        let mut started = Vec::new();
         for o in commands {
             match o.verb.as_str() {
                 "launch" => {
@@ -168,7 +168,7 @@
                         task.status = "exited";
                         task.cause = refused;
                     } else {
-                        came.push(o.task_name.clone());
+                        started.push(o.task_name.clone());
                     }
                     self.tasks.push(task);
                 }
@@ -201,7 +201,7 @@
                 _ => {}
             }
         }
-        came
+        started
     }
 
     /// Tasks that are on the machine.
@@ -210,11 +210,11 @@
     }
 
     /// Its tasks are killed and forgotten.
-    pub fn new_session(&mut self, now: Micros) {
+    pub fn restart_agent(&mut self, now: Micros) {
         self.tasks.clear();
         self.incarnation += 1;
         self.sequence = 0;
-        self.lease_from = now;
+        self.lease_start = now;
         self.in_flight = None;
     }
 
@@ -231,8 +231,8 @@
         if !self.up || self.gone || now < self.hangs_until {
             return (done, changed);
         }
-        if now > self.lease_from + lease {
-            self.new_session(now);
+        if now > self.lease_start + lease {
+            self.restart_agent(now);
             changed = true;
         }
         let faulty = self.faulty;
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a step of a node takes in.
+/// What a step of a controller takes in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StepKind {
-    /// A worker's check-in.
+    /// An agent's heartbeat.
     Heartbeat,
     /// Any other request.
     Request,
@@ -38,19 +38,19 @@
 pub struct Measures {
     /// Processor time of the leader's steps, in nanoseconds.
     pub steps: BTreeMap<StepKind, Histogram<u64>>,
-    /// Puts and deletes that the state service carried out for any node.
+    /// Puts and deletes that the key-value store carried out for any controller.
     pub changes: u64,
-    /// Requests to the state service of all nodes.
+    /// Requests to the key-value store of all controllers.
     pub requests: u64,
-    /// Processor time of all steps of nodes that do not lead, in nanoseconds.
+    /// Processor time of all steps of controllers that do not lead, in nanoseconds.
     pub other_steps: Duration,
     /// Time from a job's submission to the first start of each of its tasks, by team, in milliseconds.
     pub starts: BTreeMap<String, Histogram<u64>>,
     /// Tasks that started while nobody led.
     pub leaderless_starts: u64,
-    /// Part of a team's ceiling that was allotted and not used, in thousandths, at each moment at which one of
+    /// Part of a team's limit that was allotted and not used, in thousandths, at each moment at which one of
     /// its jobs waited for tasks.
-    pub idle_allotted: Option<Histogram<u64>>,
+    pub idle_granted: Option<Histogram<u64>>,
     started: BTreeSet<String>,
 }
 
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Notes how much of a ceiling is allotted and not used.
-    pub(crate) fn idle_allotted(&mut self, thousandths: u64) {
-        let histogram = self.idle_allotted.get_or_insert_with(new_histogram);
+    /// Notes how much of a limit is allotted and not used.
+    pub(crate) fn idle_granted(&mut self, thousandths: u64) {
+        let histogram = self.idle_granted.get_or_insert_with(new_histogram);
         let _ = histogram.record(thousandths);
     }
 
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -123,13 +123,13 @@
 
 /// One line's words and options.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct Directive {
     pub number: usize,
     pub words: Vec<String>,
     pub options: BTreeMap<String, String>,
 }
 
-impl Line {
+impl Directive {
     /// The word at a place.
     pub fn word(&self, at: usize) -> Result<&str, String> {
         self.words
@@ -168,13 +168,13 @@
 /// A scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
-    pub setup: Vec<Line>,
-    pub events: Vec<(Micros, Line)>,
+    pub setup: Vec<Directive>,
+    pub events: Vec<(Micros, Directive)>,
     pub end: Micros,
 }
 
-/// What counts as trouble, for how long if the line does not say.
-const TROUBLES: [(&str, Micros); 17] = [
+/// What counts as fault, for how long if the line does not say.
+const FAULT_DURATIONS: [(&str, Micros); 17] = [
     ("crash", 4_000_000),
     ("upgrade", 4_000_000),
     ("cut", 10_000_000),
@@ -195,14 +195,14 @@
 ];
 
 impl Script {
-    /// When the last trouble is over.
-    pub fn troubles_end(&self) -> Micros {
-        let end = |(at, line): &(Micros, Line)| {
+    /// When the last fault is over.
+    pub fn faults_end(&self) -> Micros {
+        let end = |(at, line): &(Micros, Directive)| {
             let word = line.words.first()?;
             if line.words.get(1).is_some_and(|w| w == "answer") {
                 return None; // A lost answer is over at once.
             }
-            let (_, default) = TROUBLES.iter().find(|(verb, _)| verb == word)?;
+            let (_, default) = FAULT_DURATIONS.iter().find(|(verb, _)| verb == word)?;
             let takes = line.time("for", *default as f64 / 1e6).ok()?;
             let late = line
                 .time("late", if word == "lose" { 6.0 } else { 0.0 })
@@ -225,9 +225,9 @@
     let mut script = Script::default();
     for (i, raw) in text.lines().enumerate() {
         let number = i + 1;
-        let mut line = Line {
+        let mut line = Directive {
             number,
-            ..Line::default()
+            ..Directive::default()
         };
         for word in raw.split('#').next().unwrap_or("").split_whitespace() {
             match word.split_once('=') {
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the state service.
+//! Stand-in for the key-value store.
 
 use grebewood_core::settings::StoreLimits;
 use grebewood_wire::http::{Operation, Transaction};
@@ -9,14 +9,14 @@
 type Micros = u64;
 
 #[derive(Clone, Debug)]
-struct Item {
+struct Entry {
     value: Value,
     mod_revision: u64,
     lease: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
-struct Logged {
+struct LoggedChange {
     key: String,
     value: Option<Value>,
     mod_revision: u64,
@@ -24,7 +24,7 @@
 
 /// A watch that waits for a change.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct Watch {
     pub ticket: u64,
     prefix: String,
     since: u64,
@@ -41,13 +41,13 @@
 /// The store.
 #[derive(Default)]
 pub struct KeyValueStore {
-    items: BTreeMap<String, Item>,
+    items: BTreeMap<String, Entry>,
     /// Leases: life and end.
     leases: BTreeMap<u64, (Micros, Micros)>,
     next_lease: u64,
     epoch: u64,
-    log: VecDeque<Logged>,
-    pub waiting: Vec<Waiting>,
+    log: VecDeque<LoggedChange>,
+    pub waiting: Vec<Watch>,
     pub down: bool,
     /// What it takes: more than a second's worth is answered 429, larger ones 400.
     pub limits: Option<StoreLimits>,
@@ -78,7 +78,7 @@
 }
 
 #[derive(Serialize)]
-struct ItemOut<'a> {
+struct EntryBody<'a> {
     k: &'a str,
     value: &'a Value,
     #[serde(rename = "stamp")]
@@ -86,7 +86,7 @@
 }
 
 #[derive(Serialize)]
-struct EventOut<'a> {
+struct WatchEventBody<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     put: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -102,7 +102,7 @@
 }
 
 impl KeyValueStore {
-    /// Keys with this prefix, their values and stamps.
+    /// Keys with this prefix, their values and mod_revisions.
     pub fn under<'a>(
         &'a self,
         prefix: &'a str,
@@ -114,7 +114,7 @@
         items.map(|(key, item)| (key.as_str(), &item.value, item.mod_revision))
     }
 
-    fn change(&mut self, key: &str, item: Option<Item>) {
+    fn change(&mut self, key: &str, item: Option<Entry>) {
         let value = item.as_ref().map(|i| i.value.clone());
         match item {
             Some(item) => {
@@ -126,7 +126,7 @@
                 }
             }
         }
-        self.log.push_back(Logged {
+        self.log.push_back(LoggedChange {
             key: key.to_string(),
             value,
             mod_revision: self.epoch,
@@ -180,7 +180,7 @@
             return false;
         };
         self.epoch += 1;
-        let item = Item {
+        let item = Entry {
             value: Value::Text("unreadable".into()),
             mod_revision: self.epoch,
             ..item
@@ -192,7 +192,7 @@
     /// Puts a record there that was written before, with its stamp.
     pub fn load(&mut self, key: &str, value: Value, mod_revision: u64) {
         self.epoch = self.epoch.max(mod_revision);
-        let item = Item {
+        let item = Entry {
             value,
             mod_revision,
             lease: None,
@@ -203,7 +203,7 @@
     /// Writes a key as an operator would, whatever its stamp.
     pub fn write(&mut self, key: &str, value: Value) {
         self.epoch += 1;
-        let item = Item {
+        let item = Entry {
             value,
             mod_revision: self.epoch,
             lease: None,
@@ -212,7 +212,7 @@
     }
 
     /// Takes tokens for requests and changes; no is answered 429.
-    fn may(&mut self, now: Micros, requests: f64, changes: f64) -> bool {
+    fn take_tokens(&mut self, now: Micros, requests: f64, changes: f64) -> bool {
         let Some(limits) = self.limits else {
             return true;
         };
@@ -272,14 +272,14 @@
         if self.down && path != "/changes" {
             return Reply::Now(503, Vec::new());
         }
-        if !self.may(now, 1.0, 0.0) {
+        if !self.take_tokens(now, 1.0, 0.0) {
             return Reply::Now(429, Vec::new());
         }
         match (method, path) {
             ("GET", "/kv") => self.list(&query),
             ("GET", "/changes") => {
                 let number = |k: &str| query.get(k).and_then(|v| v.parse().ok()).unwrap_or(0);
-                self.waiting.push(Waiting {
+                self.waiting.push(Watch {
                     ticket,
                     prefix: query.get("prefix").unwrap_or(&"").to_string(),
                     since: number("since"),
@@ -301,7 +301,7 @@
                     return match self.items.get(key) {
                         Some(i) => Reply::Now(
                             200,
-                            to_cbor(&ItemOut {
+                            to_cbor(&EntryBody {
                                 k: key,
                                 value: &i.value,
                                 mod_revision: i.mod_revision,
@@ -334,7 +334,7 @@
     fn list(&self, query: &BTreeMap<&str, &str>) -> Reply {
         #[derive(Serialize)]
         struct Out<'a> {
-            entries: Vec<ItemOut<'a>>,
+            entries: Vec<EntryBody<'a>>,
             more: bool,
             epoch: u64,
         }
@@ -344,12 +344,12 @@
             .get("page")
             .and_then(|p| p.parse().ok())
             .unwrap_or(1_000);
-        let mut entries: Vec<ItemOut> = self
+        let mut entries: Vec<EntryBody> = self
             .items
             .iter()
             .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > since)
             .take(page + 1)
-            .map(|(k, i)| ItemOut {
+            .map(|(k, i)| EntryBody {
                 k,
                 value: &i.value,
                 mod_revision: i.mod_revision,
@@ -373,7 +373,7 @@
             self.refused += 1;
             return Reply::Now(400, to_cbor(&BTreeMap::from([("error", why)])));
         }
-        if !self.may(now, 0.0, transaction.apply.len() as f64) {
+        if !self.take_tokens(now, 0.0, transaction.apply.len() as f64) {
             return Reply::Now(429, Vec::new());
         }
         let failed: Vec<String> = transaction
@@ -395,7 +395,7 @@
         for change in transaction.apply {
             match change {
                 Operation::Put { put, value, lease } => {
-                    let item = Item {
+                    let item = Entry {
                         value,
                         mod_revision: self.epoch,
                         lease,
@@ -413,7 +413,7 @@
         #[derive(Serialize)]
         struct Out<'a> {
             epoch: u64,
-            events: Vec<EventOut<'a>>,
+            events: Vec<WatchEventBody<'a>>,
         }
         if self.down {
             return Vec::new();
@@ -421,10 +421,10 @@
         let mut out = Vec::new();
         let (log, epoch) = (&self.log, self.epoch);
         self.waiting.retain(|w| {
-            let events: Vec<EventOut> = log
+            let events: Vec<WatchEventBody> = log
                 .iter()
                 .filter(|l| l.mod_revision > w.since && l.key.starts_with(&w.prefix))
-                .map(|l| EventOut {
+                .map(|l| WatchEventBody {
                     put: l.value.is_some().then_some(l.key.as_str()),
                     delete: l.value.is_none().then_some(l.key.as_str()),
                     value: l.value.as_ref(),
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -3,7 +3,7 @@
 use crate::machines::{JobFacts, Machine, Task};
 use crate::measure::{Measures, StepKind};
 use crate::production;
-use crate::script::{Line, Script};
+use crate::script::{Directive, Script};
 use crate::state::{KeyValueStore, Reply};
 use crate::trace::Trace;
 use grebewood_core::settings::StoreLimits;
@@ -32,26 +32,26 @@
 mod users;
 
 use checks::Checks;
-use faults::Troubles;
+use faults::Faults;
 use limits::LimitChanges;
 
 type Micros = u64;
-const S: Micros = 1_000_000;
-const MS: Micros = 1_000;
-const TICK: Micros = 20 * MS;
-const WALL: Micros = 1_700_000_000 * S;
+const SECOND: Micros = 1_000_000;
+const MILLISECOND: Micros = 1_000;
+const TICK_INTERVAL: Micros = 20 * MILLISECOND;
+const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
 
 /// A process of a controller that made a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Caller {
-    node: usize,
+    controller: usize,
     process: u64,
     call: u64,
 }
 
 /// Who waits for an answer of a controller; of users, when they asked.
 #[derive(Clone, Debug)]
-enum Asker {
+enum Requester {
     Submit(String, Micros),
     Cancel(String, Micros),
     /// A user's question, which may be refused; but not for good.
@@ -67,101 +67,101 @@
         body: Vec<u8>,
         sent: Micros,
     },
-    Agent {
+    Heartbeat {
         machine: String,
-        flight: u64,
+        heartbeat_id: u64,
     },
-    /// A submission that is repeated once, at a given node.
-    Again(String, Micros),
-    /// Nobody: the request was the late copy of a report. `first`: whom it reached leads, and had no
-    /// report of that machine under its grant that was as new.
-    Copy {
+    /// A submission that is repeated once, at a given controller.
+    Resubmit(String, Micros),
+    /// Nobody: the request was the late copy of a heartbeat. `first`: whom it reached leads, and had no
+    /// heartbeat of that machine under its grant that was as new.
+    HeartbeatCopy {
         first: bool,
     },
     Peer(Caller),
 }
 
-enum Ev {
+enum Event {
     /// An input for a process.
     Input(usize, u64, Input),
-    State(Caller, &'static str, String, Vec<u8>),
-    Cloud(Caller, &'static str, String, Vec<u8>),
-    Agent(Caller, String, Vec<u8>),
+    StoreCall(Caller, &'static str, String, Vec<u8>),
+    CloudCall(Caller, &'static str, String, Vec<u8>),
+    DirectCommand(Caller, String, Vec<u8>),
     Request {
-        node: usize,
+        controller: usize,
         interface: Interface,
         method: String,
         path: String,
         body: Vec<u8>,
-        asker: Asker,
+        requester: Requester,
     },
-    /// The limits of the state service change.
-    Limits(StoreLimits),
-    Answered(Asker, usize, u16, Vec<u8>),
-    /// The answer to a check-in, by machine and flight, reaches its worker over a slow link.
-    WorkerAnswer(String, u64, usize, u16, Vec<u8>),
-    /// A late copy of a report, for whoever leads then, or for every node.
-    Copy {
+    /// The limits of the key-value store change.
+    StoreLimits(StoreLimits),
+    Response(Requester, usize, u16, Vec<u8>),
+    /// The answer to a heartbeat, by machine and flight, reaches its agent over a slow link.
+    DelayedHeartbeatResponse(String, u64, usize, u16, Vec<u8>),
+    /// A late copy of a heartbeat, for whoever leads then, or for every controller.
+    HeartbeatCopy {
         body: Vec<u8>,
         to_all: bool,
     },
     /// Users look closely at a job.
-    Look(String),
-    /// A report of this sequence arrives: an answer to a direct command must have overtaken it.
-    Overtaken(String, u64),
-    Script(Line),
+    PollEverywhere(String),
+    /// A heartbeat of this sequence arrives: an answer to a direct command must have overtaken it.
+    OvertakenHeartbeat(String, u64),
+    Directive(Directive),
     Start(usize),
     Tick,
-    StateUp,
+    StoreUp,
     CloudUp,
     RetrySubmit(String),
     RetryCancel(String),
 }
 
 struct Cut {
-    node: usize,
+    controller: usize,
     what: String,
     until: Micros,
     hold: bool,
 }
 
-struct JobSeen {
+struct ObservedJob {
     spec: Submission,
     accepted: bool,
     cancelled_at: Option<Micros>,
     /// When its user first asked to cancel it.
-    cancel_asked: Option<Micros>,
+    cancel_requested_at: Option<Micros>,
     /// When something positive was first said of it: accepted, or any status.
-    known_at: Option<Micros>,
+    known_since: Option<Micros>,
     done: bool,
     completed: BTreeSet<String>,
     starts: u64,
     last_start: Micros,
     submitted: Micros,
     /// When a task of it first came onto a machine.
-    began: Option<Micros>,
+    first_start: Option<Micros>,
     /// When a question about it was last answered, or it was accepted.
     answered: Micros,
     /// When its last task completed.
     completed_at: Option<Micros>,
 }
 
-/// Once all troubles are over, a job about which no question is answered for so long is forgotten.
-const FORGOTTEN_AFTER: Micros = 75 * S;
+/// Once all faults are over, a job about which no question is answered for so long is forgotten.
+const UNANSWERED_LIMIT: Micros = 75 * SECOND;
 /// How often users ask about each job.
-const ASK_EVERY: Micros = 5 * S;
+const POLL_INTERVAL: Micros = 5 * SECOND;
 /// The largest jobs of a class must begin within this time.
-const BEGIN_WITHIN: Micros = 240 * S;
+const START_DEADLINE: Micros = 240 * SECOND;
 
-struct Slot {
-    node: Option<Controller>,
+struct ControllerProcess {
+    controller: Option<Controller>,
     process: u64,
     /// It is down until then.
     down_until: Micros,
-    /// Until then the process stands still, and what comes in waits.
-    frozen_until: Micros,
-    /// It stood still: until an answer to a renewal made since, it must not act as a leader.
-    unsure: bool,
+    /// Until then the process is paused, and what comes in waits.
+    paused_until: Micros,
+    /// It was paused: until an answer to a renewal made since, it must not act as a leader.
+    uncertain: bool,
     renewals: BTreeSet<u64>,
 }
 
@@ -169,20 +169,20 @@
 pub struct World {
     now: Micros,
     end: Micros,
-    queue: BTreeMap<(Micros, u64), Ev>,
+    queue: BTreeMap<(Micros, u64), Event>,
     seq: u64,
-    slots: Vec<Slot>,
+    controllers: Vec<ControllerProcess>,
     settings: Settings,
     tuning: Tuning,
-    /// The limits that the state service announces, and the nodes that do not know of them: they
+    /// The limits that the key-value store announces, and the controllers that do not know of them: they
     /// stand for the version before, whose formats are the same.
     next_limits: Option<StoreLimits>,
-    old: BTreeSet<usize>,
+    previous_version: BTreeSet<usize>,
     /// Time of day at the start.
-    wall: Micros,
-    /// When the last trouble of the script is over.
-    untroubled: Micros,
-    next_ask: Micros,
+    wall_clock_start: Micros,
+    /// When the last fault of the script is over.
+    faults_end: Micros,
+    next_poll: Micros,
     state: KeyValueStore,
     store_tickets: BTreeMap<u64, Caller>,
     types: Vec<MachineType>,
@@ -193,21 +193,21 @@
     provisions: BTreeMap<String, Vec<String>>,
     machines: BTreeMap<String, Machine>,
     next_machine: u64,
-    jobs: BTreeMap<String, JobSeen>,
+    jobs: BTreeMap<String, ObservedJob>,
     facts: BTreeMap<String, JobFacts>,
-    requests: BTreeMap<(usize, u64), Asker>,
+    requests: BTreeMap<(usize, u64), Requester>,
     next_request: u64,
     open_calls: BTreeSet<Caller>,
     cuts: Vec<Cut>,
     refused: Vec<(usize, Micros)>,
-    trap_page_write: bool,
-    troubles: Troubles,
+    crash_on_page_write: bool,
+    faults: Faults,
     checks: Checks,
     limit_changes: LimitChanges,
-    late_report: BTreeMap<String, Micros>,
-    overtake_report: BTreeMap<String, Micros>,
+    late_heartbeat: BTreeMap<String, Micros>,
+    overtake_heartbeat: BTreeMap<String, Micros>,
     slow_launch: BTreeMap<String, Micros>,
-    lose_answer: BTreeSet<String>,
+    lose_response: BTreeSet<String>,
     expected: u64,
     met: u64,
     /// A rule that was broken within a step.
@@ -231,8 +231,8 @@
         .collect()
 }
 
-/// Limits of the state service among a line's options; what is missing stays as it is.
-fn limits_of(line: &Line, prefix: &str, now: StoreLimits) -> Result<StoreLimits, String> {
+/// Limits of the key-value store among a line's options; what is missing stays as it is.
+fn limits_of(line: &Directive, prefix: &str, now: StoreLimits) -> Result<StoreLimits, String> {
     let number = |key: &str, default| line.number(&format!("{prefix}{key}"), default);
     Ok(StoreLimits {
         rps: number("rps", now.rps)?,
@@ -255,7 +255,7 @@
             objectives: vec![Objective {
                 kind: "finished".into(),
                 class: "work".into(),
-                within: Some(60 * S),
+                within: Some(60 * SECOND),
                 share: 0.9,
                 after: None,
                 worst: None,
@@ -267,19 +267,19 @@
             end: script.end,
             queue: BTreeMap::new(),
             seq: 0,
-            slots: Vec::new(),
+            controllers: Vec::new(),
             settings,
             tuning: Tuning::default(),
             next_limits: None,
-            old: BTreeSet::new(),
-            wall: WALL,
-            untroubled: script.troubles_end(),
-            next_ask: ASK_EVERY,
+            previous_version: BTreeSet::new(),
+            wall_clock_start: WALL_CLOCK_START,
+            faults_end: script.faults_end(),
+            next_poll: POLL_INTERVAL,
             state: KeyValueStore::default(),
             store_tickets: BTreeMap::new(),
             types: Vec::new(),
             capacity: BTreeMap::new(),
-            boot: 10 * S,
+            boot: 10 * SECOND,
             boots_never: false,
             cloud_down: false,
             provisions: BTreeMap::new(),
@@ -292,14 +292,14 @@
             open_calls: BTreeSet::new(),
             cuts: Vec::new(),
             refused: Vec::new(),
-            trap_page_write: false,
-            troubles: Troubles::default(),
+            crash_on_page_write: false,
+            faults: Faults::default(),
             checks: Checks::default(),
             limit_changes: LimitChanges::default(),
-            late_report: BTreeMap::new(),
-            overtake_report: BTreeMap::new(),
+            late_heartbeat: BTreeMap::new(),
+            overtake_heartbeat: BTreeMap::new(),
             slow_launch: BTreeMap::new(),
-            lose_answer: BTreeSet::new(),
+            lose_response: BTreeSet::new(),
             expected: 0,
             met: 0,
             broken: None,
@@ -307,32 +307,32 @@
             measures: None,
             trace: None,
         };
-        let mut nodes = 3;
+        let mut controllers = 3;
         for line in &script.setup {
-            w.set_up(line, &mut nodes)?;
+            w.apply_setup(line, &mut controllers)?;
         }
         w.state.limits = Some(w.settings.store);
-        for n in 0..nodes {
-            w.slots.push(Slot {
-                node: None,
+        for n in 0..controllers {
+            w.controllers.push(ControllerProcess {
+                controller: None,
                 process: 0,
                 down_until: 0,
-                frozen_until: 0,
-                unsure: false,
+                paused_until: 0,
+                uncertain: false,
                 renewals: BTreeSet::new(),
             });
-            w.push(n as Micros * 5 * MS, Ev::Start(n));
+            w.push(n as Micros * 5 * MILLISECOND, Event::Start(n));
         }
         for (at, line) in script.events {
-            w.push(at, Ev::Script(line));
+            w.push(at, Event::Directive(line));
         }
-        w.push(TICK, Ev::Tick);
+        w.push(TICK_INTERVAL, Event::Tick);
         Ok(w)
     }
 
-    fn push(&mut self, at: Micros, ev: Ev) {
+    fn push(&mut self, at: Micros, event: Event) {
         self.seq += 1;
-        self.queue.insert((at, self.seq), ev);
+        self.queue.insert((at, self.seq), event);
     }
 
     /// Plays to the end.
@@ -342,8 +342,8 @@
 
     /// Ends the leader's process, so that its memory can be told.
     pub fn end_leader(&mut self) {
-        if let Ok(leader) = self.node_named("leader") {
-            self.slots[leader].node = None;
+        if let Ok(leader) = self.controller_named("leader") {
+            self.controllers[leader].controller = None;
         }
     }
 
@@ -365,44 +365,55 @@
             if at > end {
                 break;
             }
-            let ev = next.remove();
+            let event = next.remove();
             self.now = at;
-            self.play(ev)
+            self.play(event)
                 .and_then(|()| self.broken.take().map_or(Ok(()), Err))
                 .map_err(|e| format!("at {:.3} s: {e}", at as f64 / 1e6))?;
         }
         Ok(())
     }
 
-    fn play(&mut self, ev: Ev) -> Result<(), String> {
-        let to = match &ev {
-            Ev::Input(n, ..) | Ev::Request { node: n, .. } => Some(*n),
+    fn play(&mut self, event: Event) -> Result<(), String> {
+        let to = match &event {
+            Event::Input(n, ..) | Event::Request { controller: n, .. } => Some(*n),
             _ => None,
         };
-        let wakes = to.map_or(0, |n| self.slots[n].frozen_until);
-        if wakes > self.now {
+        let resumes_at = to.map_or(0, |n| self.controllers[n].paused_until);
+        if resumes_at > self.now {
             // The order in which a process finds what waited is its own: requests first is worst.
-            let request = matches!(ev, Ev::Request { .. });
-            self.push(if request { wakes } else { wakes + MS }, ev);
+            let request = matches!(event, Event::Request { .. });
+            self.push(
+                if request {
+                    resumes_at
+                } else {
+                    resumes_at + MILLISECOND
+                },
+                event,
+            );
             return Ok(());
         }
-        match ev {
-            Ev::Tick => {
-                self.push(self.now + TICK, Ev::Tick);
+        match event {
+            Event::Tick => {
+                self.push(self.now + TICK_INTERVAL, Event::Tick);
                 self.tick()
             }
             // It runs already, or ended again meanwhile and is back later.
-            Ev::Start(n) if self.slots[n].node.is_some() || self.now < self.slots[n].down_until => {
+            Event::Start(n)
+                if self.controllers[n].controller.is_some()
+                    || self.now < self.controllers[n].down_until =>
+            {
                 Ok(())
             }
-            Ev::Start(n) => {
+            Event::Start(n) => {
                 let mut settings = self.settings.clone();
-                if let (Some(next), false) = (self.next_limits, self.old.contains(&n)) {
+                if let (Some(next), false) = (self.next_limits, self.previous_version.contains(&n))
+                {
                     settings.store = settings.store.smaller_of(next);
                 }
                 self.limit_changes.apply(n, &mut settings.teams);
                 settings.member = format!("perch-{n}");
-                settings.siblings = (0..self.slots.len())
+                settings.siblings = (0..self.controllers.len())
                     .filter(|p| *p != n)
                     .map(|p| Sibling {
                         member: format!("perch-{p}"),
@@ -411,26 +422,26 @@
                     .collect();
                 let process = self.seq + 1;
                 let mut tuning = self.tuning.clone();
-                if self.old.contains(&n) {
+                if self.previous_version.contains(&n) {
                     // The version before knows no partitions.
                     tuning.partitions_per_zone = 0;
                     tuning.allotments = 0;
                 }
-                self.slots[n] = Slot {
-                    node: Some(Controller::new(settings, tuning, process)),
+                self.controllers[n] = ControllerProcess {
+                    controller: Some(Controller::new(settings, tuning, process)),
                     process,
                     down_until: 0,
-                    frozen_until: 0,
-                    unsure: false,
+                    paused_until: 0,
+                    uncertain: false,
                     renewals: BTreeSet::new(),
                 };
                 self.step(n, process, Input::Tick);
                 Ok(())
             }
-            Ev::Input(n, process, input) => {
+            Event::Input(n, process, input) => {
                 if let Input::Reply { call, .. } = &input {
                     let caller = Caller {
-                        node: n,
+                        controller: n,
                         process,
                         call: *call,
                     };
@@ -439,41 +450,44 @@
                     }
                 }
                 self.step(n, process, input);
-                self.settle(n);
+                self.clear_uncertainty(n);
                 Ok(())
             }
-            Ev::State(caller, method, path, body) => {
-                self.store_request(caller, method, &path, &body);
+            Event::StoreCall(caller, method, path, body) => {
+                self.handle_store_call(caller, method, &path, &body);
                 Ok(())
             }
-            Ev::Cloud(caller, method, path, body) => {
-                let (status, body) = self.cloud_request(method, &path, &body);
-                self.reply(caller, "cloud", 100 * MS, status, body);
+            Event::CloudCall(caller, method, path, body) => {
+                let (status, body) = self.handle_cloud_call(method, &path, &body);
+                self.reply(caller, "cloud", 100 * MILLISECOND, status, body);
                 Ok(())
             }
-            Ev::Agent(caller, address, body) => self.direct(caller, &address, &body),
-            Ev::Request {
-                node,
+            Event::DirectCommand(caller, address, body) => self.direct(caller, &address, &body),
+            Event::Request {
+                controller,
                 interface,
                 method,
                 path,
                 body,
-                asker,
+                requester,
             } => {
-                if self.slots[node].node.is_none() {
-                    return self.answered(asker, node, 0, Vec::new());
+                if self.controllers[controller].controller.is_none() {
+                    return self.answered(requester, controller, 0, Vec::new());
                 }
-                let mut asker = asker;
-                if matches!(asker, Asker::Copy { .. } | Asker::Agent { .. }) {
-                    let first = self.note_report(node, &body, &asker);
-                    if let Asker::Copy { first: it } = &mut asker {
+                let mut requester = requester;
+                if matches!(
+                    requester,
+                    Requester::HeartbeatCopy { .. } | Requester::Heartbeat { .. }
+                ) {
+                    let first = self.note_heartbeat(controller, &body, &requester);
+                    if let Requester::HeartbeatCopy { first: it } = &mut requester {
                         *it = first;
                     }
                 }
                 self.next_request += 1;
                 let id = self.next_request;
-                self.requests.insert((node, id), asker);
-                let process = self.slots[node].process;
+                self.requests.insert((controller, id), requester);
+                let process = self.controllers[controller].process;
                 let input = Input::Request {
                     id,
                     interface,
@@ -481,49 +495,51 @@
                     path,
                     body,
                 };
-                self.step(node, process, input);
+                self.step(controller, process, input);
                 Ok(())
             }
-            Ev::Limits(limits) => {
+            Event::StoreLimits(limits) => {
                 self.state.limits = Some(limits);
                 Ok(())
             }
-            Ev::Answered(asker, node, status, body) => self.answered(asker, node, status, body),
-            Ev::WorkerAnswer(machine, flight, node, status, body) => {
-                self.worker_answer(&machine, flight, node, status, &body)
+            Event::Response(requester, controller, status, body) => {
+                self.answered(requester, controller, status, body)
             }
-            Ev::Copy { body, to_all } => {
-                self.copy_arrives(body, to_all);
+            Event::DelayedHeartbeatResponse(machine, heartbeat_id, controller, status, body) => {
+                self.handle_heartbeat_response(&machine, heartbeat_id, controller, status, &body)
+            }
+            Event::HeartbeatCopy { body, to_all } => {
+                self.deliver_heartbeat_copy(body, to_all);
                 Ok(())
             }
-            Ev::Look(job) => {
-                self.look(&job);
+            Event::PollEverywhere(job) => {
+                self.poll_everywhere(&job);
                 Ok(())
             }
-            Ev::Overtaken(machine, sequence) => {
+            Event::OvertakenHeartbeat(machine, sequence) => {
                 let m = self.machine_mut(&machine)?;
                 match m.sequence > sequence {
                     true => Ok(()),
                     false => Err(format!("nothing overtook the report of {machine}")),
                 }
             }
-            Ev::Script(line) => {
+            Event::Directive(line) => {
                 let number = line.number;
                 self.script(line).map_err(|e| format!("line {number}: {e}"))
             }
-            Ev::StateUp => {
+            Event::StoreUp => {
                 self.state.recover(self.now);
                 Ok(())
             }
-            Ev::CloudUp => {
+            Event::CloudUp => {
                 self.cloud_down = false;
                 Ok(())
             }
-            Ev::RetrySubmit(job) => {
+            Event::RetrySubmit(job) => {
                 self.submit(&job, None);
                 Ok(())
             }
-            Ev::RetryCancel(job) => {
+            Event::RetryCancel(job) => {
                 self.cancel(&job, None);
                 Ok(())
             }
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -1,28 +1,28 @@
-//! Workers: their check-ins, direct commands, and the rules of starting a task.
+//! Workers: their heartbeats, direct commands, and the rules of starting a task.
 
 use super::*;
 
 impl World {
-    pub(super) fn worker_answer(
+    pub(super) fn handle_heartbeat_response(
         &mut self,
         name: &str,
-        flight: u64,
-        node: usize,
+        heartbeat_id: u64,
+        controller: usize,
         status: u16,
         body: &[u8],
     ) -> Result<(), String> {
         let now = self.now;
-        let nodes = self.slots.len();
+        let controllers = self.controllers.len();
         let Some(m) = self.machines.get_mut(name) else {
             return Ok(());
         };
         let Some((id, sent, incarnation)) = m.in_flight else {
             return Ok(());
         };
-        if id != flight || m.gone || incarnation != m.incarnation {
+        if id != heartbeat_id || m.gone || incarnation != m.incarnation {
             return Ok(());
         }
-        if self.lose_answer.remove(name) || now < m.deaf_until.max(m.cut_until) {
+        if self.lose_response.remove(name) || now < m.deaf_until.max(m.unplugged_until) {
             return Ok(());
         }
         m.in_flight = None;
@@ -37,37 +37,37 @@
                     return Ok(());
                 }
                 m.token = answer.token;
-                m.lease_from = sent;
-                let came = m.carry_out(now, &answer.commands, &self.facts);
-                self.came(name, &came)
+                m.lease_start = sent;
+                let started = m.carry_out(now, &answer.commands, &self.facts);
+                self.started(name, &started)
             }
             421 => {
                 let leader = from_cbor::<Redirect>(body).ok().and_then(|r| r.leader);
                 let to = leader
                     .and_then(|s| s.strip_prefix("perch-").and_then(|n| n.parse().ok()))
-                    .filter(|n| *n != node && *n < nodes);
+                    .filter(|n| *n != controller && *n < controllers);
                 match to {
                     Some(n) => {
-                        m.node = n;
-                        m.next_report = now + 100 * MS;
+                        m.controller = n;
+                        m.next_heartbeat = now + 100 * MILLISECOND;
                     }
                     None => {
-                        m.node = (node + 1) % nodes;
-                        m.next_report = now + S;
+                        m.controller = (controller + 1) % controllers;
+                        m.next_heartbeat = now + SECOND;
                     }
                 }
                 Ok(())
             }
             _ => {
-                m.node = (node + 1) % nodes;
-                m.next_report = now + S;
+                m.controller = (controller + 1) % controllers;
+                m.next_heartbeat = now + SECOND;
                 Ok(())
             }
         }
     }
 
     /// Tasks came onto a machine: checks the rules of starting.
-    pub(super) fn came(&mut self, name: &str, tasks: &[String]) -> Result<(), String> {
+    pub(super) fn started(&mut self, name: &str, tasks: &[String]) -> Result<(), String> {
         // Only a start can break what is checked here; what lasts is checked at each moment.
         if tasks.is_empty() {
             return Ok(());
@@ -75,7 +75,7 @@
         let Some(here) = self.machines.get(name) else {
             return Ok(());
         };
-        let led = (0..self.slots.len()).any(|n| self.leads(n));
+        let led = (0..self.controllers.len()).any(|n| self.leads(n));
         for task_name in tasks {
             let Some((job, _)) = task_name.rsplit_once('/') else {
                 continue;
@@ -86,21 +86,21 @@
                     return Err(format!("ran_twice: {task_name} on {} and {name}", m.name));
                 }
             }
-            let Some(seen) = self.jobs.get_mut(job) else {
+            let Some(observed) = self.jobs.get_mut(job) else {
                 return Err(format!("{task_name} of an unknown job"));
             };
-            seen.starts += 1;
-            seen.last_start = self.now;
+            observed.starts += 1;
+            observed.last_start = self.now;
             if let Some(measures) = &mut self.measures {
-                let (team, after) = (&seen.spec.team, self.now - seen.submitted);
+                let (team, after) = (&observed.spec.team, self.now - observed.submitted);
                 measures.task_started(team, task_name, after, !led);
             }
-            if seen.cancelled_at.is_some() {
+            if observed.cancelled_at.is_some() {
                 self.checks.late_starts += 1;
             }
-            seen.began.get_or_insert(self.now);
-            let spec = &seen.spec;
-            if seen
+            observed.first_start.get_or_insert(self.now);
+            let spec = &observed.spec;
+            if observed
                 .cancelled_at
                 .is_some_and(|at| self.now > at + self.settings.cancel_timeout)
             {
@@ -147,10 +147,10 @@
         let Some(m) = self.machines.get_mut(&name) else {
             return Ok(());
         };
-        if m.gone || !m.up || now < m.deaf_until.max(m.cut_until) {
+        if m.gone || !m.up || now < m.deaf_until.max(m.unplugged_until) {
             return Ok(());
         }
-        if self.lose_direct(caller, &name, body) {
+        if self.lose_direct_command(caller, &name, body) {
             return Ok(());
         }
         let Some(m) = self.machines.get_mut(&name) else {
@@ -158,22 +158,26 @@
         };
         if now < m.hangs_until {
             // Carried out when the machine resumes.
-            let at = m.hangs_until + MS;
-            self.push(at, Ev::Agent(caller, address.into(), body.to_vec()));
+            let at = m.hangs_until + MILLISECOND;
+            self.push(
+                at,
+                Event::DirectCommand(caller, address.into(), body.to_vec()),
+            );
             return Ok(());
         }
         let Ok(commands) = from_cbor::<DirectCommands>(body) else {
             return Ok(());
         };
-        let (status, came) = if commands.token < m.token || commands.incarnation != m.incarnation {
+        let (status, started) = if commands.token < m.token || commands.incarnation != m.incarnation
+        {
             (409, Vec::new())
         } else {
             m.token = commands.token;
             (200, m.carry_out(now, &commands.commands, &self.facts))
         };
         let report = to_cbor(&m.report(now));
-        self.reply(caller, "workers", 2 * MS, status, report);
-        self.came(&name, &came)
+        self.reply(caller, "workers", 2 * MILLISECOND, status, report);
+        self.started(&name, &started)
     }
 
     pub(super) fn tick(&mut self) -> Result<(), String> {
@@ -181,20 +185,20 @@
         self.state.expire(now);
         for (ticket, body) in self.state.ready(now) {
             if let Some(caller) = self.store_tickets.remove(&ticket) {
-                // The open watches of a node that is refused wait, as in an outage.
-                let refused = self.refused.iter().filter(|(n, _)| *n == caller.node);
+                // The open watches of a controller that is refused wait, as in an outage.
+                let refused = self.refused.iter().filter(|(n, _)| *n == caller.controller);
                 let until = refused.map(|(_, until)| *until).max().unwrap_or(0);
                 let wait = until.saturating_sub(now);
-                self.reply(caller, "state", wait + 2 * MS, 200, body);
+                self.reply(caller, "state", wait + 2 * MILLISECOND, 200, body);
             }
         }
-        for n in 0..self.slots.len() {
-            let process = self.slots[n].process;
-            let due = self.slots[n]
-                .node
+        for n in 0..self.controllers.len() {
+            let process = self.controllers[n].process;
+            let due = self.controllers[n]
+                .controller
                 .as_ref()
-                .is_some_and(|node| node.next_wake() <= now)
-                && self.slots[n].frozen_until <= now;
+                .is_some_and(|controller| controller.next_wake() <= now)
+                && self.controllers[n].paused_until <= now;
             if due {
                 self.step(n, process, Input::Tick);
             }
@@ -203,11 +207,11 @@
         for name in names {
             self.tick_machine(&name)?;
         }
-        if now >= self.next_ask {
-            self.next_ask = now + ASK_EVERY;
-            self.ask_about_all()?;
+        if now >= self.next_poll {
+            self.next_poll = now + POLL_INTERVAL;
+            self.poll_all_jobs()?;
         }
-        self.check_moment()
+        self.check_invariants()
     }
 
     pub(super) fn tick_machine(&mut self, name: &str) -> Result<(), String> {
@@ -215,10 +219,10 @@
         let Some(m) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        if !m.up && !m.gone && m.up_at.is_some_and(|at| at <= now) {
+        if !m.up && !m.gone && m.boots_at.is_some_and(|at| at <= now) {
             m.up = true;
-            m.lease_from = now;
-            m.next_report = now;
+            m.lease_start = now;
+            m.next_heartbeat = now;
         }
         if m.reclaim_at.is_some_and(|at| at <= now) {
             m.gone = true;
@@ -229,10 +233,10 @@
         let (done, changed) = m.advance(now, self.settings.agent_lease, &self.facts);
         for task_name in done {
             if let Some((job, _)) = task_name.rsplit_once('/') {
-                if let Some(seen) = self.jobs.get_mut(job) {
-                    seen.completed.insert(task_name.clone());
+                if let Some(observed) = self.jobs.get_mut(job) {
+                    observed.completed.insert(task_name.clone());
                 }
-                self.job_ends(job);
+                self.note_completion(job);
             }
         }
         let Some(m) = self.machines.get_mut(name) else {
@@ -243,68 +247,72 @@
         }
         // A higher token counts as a change once in half a lease.
         let rested = m
-            .token_told
+            .token_reported_at
             .is_none_or(|at| now >= at + self.settings.agent_lease / 2);
-        if m.told_token < m.token && rested && m.in_flight.is_none() {
-            m.token_told = Some(now);
-            m.told_token = m.token;
-            m.next_report = m.next_report.min((m.last_contact_at + S / 2).max(now));
+        if m.reported_token < m.token && rested && m.in_flight.is_none() {
+            m.token_reported_at = Some(now);
+            m.reported_token = m.token;
+            m.next_heartbeat = m
+                .next_heartbeat
+                .min((m.last_contact_at + SECOND / 2).max(now));
         }
         if changed {
-            m.next_report = m.next_report.min((m.last_contact_at + S / 2).max(now));
+            m.next_heartbeat = m
+                .next_heartbeat
+                .min((m.last_contact_at + SECOND / 2).max(now));
         }
         if let Some((_, sent, _)) = m.in_flight {
-            if now < sent + 4 * S {
+            if now < sent + 4 * SECOND {
                 return Ok(());
             }
             m.in_flight = None;
-            m.node = (m.node + 1) % self.slots.len();
-            m.next_report = now + S;
+            m.controller = (m.controller + 1) % self.controllers.len();
+            m.next_heartbeat = now + SECOND;
         }
-        if now < m.next_report {
+        if now < m.next_heartbeat {
             return Ok(());
         }
         if now < m.mute_until {
-            m.node = (m.node + 1) % self.slots.len();
-            m.next_report = now + S;
+            m.controller = (m.controller + 1) % self.controllers.len();
+            m.next_heartbeat = now + SECOND;
             return Ok(());
         }
         self.seq += 1;
-        let flight = self.seq;
-        m.in_flight = Some((flight, now, m.incarnation));
+        let heartbeat_id = self.seq;
+        m.in_flight = Some((heartbeat_id, now, m.incarnation));
         m.last_contact_at = now;
-        m.next_report = now + self.settings.heartbeat_interval;
-        m.told_token = m.token;
+        m.next_heartbeat = now + self.settings.heartbeat_interval;
+        m.reported_token = m.token;
         let body = to_cbor(&m.report(now));
-        let (node, cut_until) = (m.node, m.cut_until);
-        let asker = Asker::Agent {
+        let (controller, unplugged_until) = (m.controller, m.unplugged_until);
+        let requester = Requester::Heartbeat {
             machine: name.into(),
-            flight,
+            heartbeat_id,
         };
-        let ev = |body| Ev::Request {
-            node,
+        let event = |body| Event::Request {
+            controller,
             interface: Interface::Front,
             method: "POST".into(),
             path: "/checkin".into(),
             body,
-            asker: asker.clone(),
+            requester: requester.clone(),
         };
-        if let Some(late) = self.late_report.remove(name) {
-            let copy = ev(body.clone());
+        if let Some(late) = self.late_heartbeat.remove(name) {
+            let copy = event(body.clone());
             self.push(now + late, copy);
         }
-        self.copy_report(name, &body);
-        if now < cut_until {
+        self.copy_heartbeat(name, &body);
+        if now < unplugged_until {
             return Ok(());
         }
-        let slow = self.overtake_report.remove(name);
+        let slow = self.overtake_heartbeat.remove(name);
         if let Some(late) = slow {
             let sequence = self.machine_mut(name)?.sequence;
-            self.push(now + late, Ev::Overtaken(name.into(), sequence));
+            self.push(now + late, Event::OvertakenHeartbeat(name.into(), sequence));
         }
-        if let Some(at) = self.arrival(node, "workers", MS + slow.unwrap_or(0)) {
-            let ev = ev(body);
-            self.push(at, ev);
+        if let Some(at) = self.arrival(controller, "workers", MILLISECOND + slow.unwrap_or(0)) {
+            let event = event(body);
+            self.push(at, event);
         }
         Ok(())
     }
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -16,22 +16,22 @@
     /// Jobs that were submitted by a line of the script as they are.
     raw: BTreeSet<String>,
     /// Events that are beside the script: they must not change what comes in which order.
-    aside: u64,
+    out_of_band: u64,
     /// The job that is over and was last asked about.
-    asked_last: String,
+    last_polled: String,
 }
 
 /// Keys of events that are beside the script come after all others of the same moment.
-const ASIDE: u64 = 1 << 48;
+const OUT_OF_BAND: u64 = 1 << 48;
 /// The most tasks of a job.
-const MOST_TASKS: i128 = 100_000;
+const MAX_TASKS: i128 = 100_000;
 
 fn job_of(task_name: &str) -> &str {
     task_name.rsplit_once('/').map_or("", |(j, _)| j)
 }
 
 impl World {
-    pub(super) fn set_up_check(&mut self, line: &Line) -> Result<(), String> {
+    pub(super) fn apply_check_setup(&mut self, line: &Directive) -> Result<(), String> {
         match line.word(1)? {
             "waits" => self.checks.waits = Some(line.time("for", 90.0)?),
             other => return Err(format!("line {}: {other}: no such check", line.number)),
@@ -40,7 +40,7 @@
     }
 
     /// Checks a line of the script, if it is one of these.
-    pub(super) fn check_line(&mut self, line: &Line) -> Result<bool, String> {
+    pub(super) fn check_directive(&mut self, line: &Directive) -> Result<bool, String> {
         match line.word(0)? {
             "late_starts" => {
                 let most = line.number("most", 0.0)? as u64;
@@ -65,7 +65,7 @@
 
     /// Checks what must hold at each moment, over all machines that are not gone: those that hang, are
     /// deaf or are cut off, too.
-    pub(super) fn check_moment(&mut self) -> Result<(), String> {
+    pub(super) fn check_invariants(&mut self) -> Result<(), String> {
         let mut on: BTreeMap<&str, &str> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.gone) {
             for t in m.live() {
@@ -78,21 +78,21 @@
             }
         }
         self.check_quota()?;
-        self.check_ceilings()?;
-        self.measure_allotments();
+        self.check_recorded_limits()?;
+        self.measure_idle_grants();
         // Cancelled tasks must be gone in time.
         for m in self.machines.values().filter(|m| !m.gone) {
             for t in m.live() {
-                let told = self
+                let check_status = self
                     .jobs
                     .get(job_of(&t.task_name))
                     .and_then(|j| j.cancelled_at);
-                if told.is_some_and(|at| self.now > at + self.settings.cancel_timeout) {
+                if check_status.is_some_and(|at| self.now > at + self.settings.cancel_timeout) {
                     return Err(format!("ran_cancelled: {} is on {}", t.task_name, m.name));
                 }
             }
         }
-        if let (Some(most), true) = (self.checks.waits, self.now >= self.untroubled) {
+        if let (Some(most), true) = (self.checks.waits, self.now >= self.faults_end) {
             self.note_waits();
             self.check_no_wait(most)?;
         }
@@ -143,7 +143,7 @@
         let none = BTreeMap::new();
         let mut waits = BTreeMap::new();
         let receives_responses = |m: &&Machine| {
-            let until = m.hangs_until.max(m.deaf_until).max(m.cut_until);
+            let until = m.hangs_until.max(m.deaf_until).max(m.unplugged_until);
             let well = !m.faulty && m.reclaim_at.is_none();
             m.up && !m.gone && well && now >= until.max(m.mute_until)
         };
@@ -161,7 +161,7 @@
             })
             .collect();
         for (id, job) in &self.jobs {
-            if !job.accepted || job.done || job.cancel_asked.is_some() {
+            if !job.accepted || job.done || job.cancel_requested_at.is_some() {
                 continue;
             }
             if self.facts.get(id).is_some_and(|f| f.fails) {
@@ -224,7 +224,7 @@
             None => Ok(()),
             Some(((job, machine), since)) => Err(format!(
                 "waits: {job} has waited for {} s while {machine} has room",
-                (self.now - since) / S
+                (self.now - since) / SECOND
             )),
         }
     }
@@ -235,27 +235,27 @@
     /// submission a refusal.
     pub(super) fn known(&mut self, job: &str) {
         let now = self.now;
-        if let Some(seen) = self.jobs.get_mut(job) {
-            seen.known_at.get_or_insert(now);
+        if let Some(observed) = self.jobs.get_mut(job) {
+            observed.known_since.get_or_insert(now);
         }
     }
 
     /// Checks an answer that denies a job: 404, 400 or 422. The question was sent at that time.
-    pub(super) fn denied(&self, job: &str, sent: Micros, status: u16) -> Result<(), String> {
-        let Some(seen) = self.jobs.get(job) else {
+    pub(super) fn check_denial(&self, job: &str, sent: Micros, status: u16) -> Result<(), String> {
+        let Some(observed) = self.jobs.get(job) else {
             return Ok(());
         };
-        if seen.accepted {
+        if observed.accepted {
             return Err(format!("forgotten: {job} gets {status}"));
         }
-        match seen.known_at.is_some_and(|at| sent >= at) {
+        match observed.known_since.is_some_and(|at| sent >= at) {
             true => Err(format!("went_back: {job} gets {status} though it is known")),
             false => Ok(()),
         }
     }
 
     /// Checks an answer to a raw request: it is as good as any user's.
-    pub(super) fn raw_answer(
+    pub(super) fn check_raw_response(
         &mut self,
         method: &str,
         path: &str,
@@ -269,7 +269,7 @@
             let map: BTreeMap<String, Value> = from_cbor(body).unwrap_or_default();
             let repeated = map.get("uid").and_then(|v| v.as_text()).unwrap_or_default();
             if self.jobs.get(repeated).is_some_and(|j| j.accepted) {
-                return self.told(repeated, &status_in(answer));
+                return self.check_status(repeated, &status_in(answer));
             }
             self.check_acceptable(body)?;
             let uid = from_cbor::<Submission>(body).map(|s| s.id);
@@ -285,12 +285,12 @@
         }
         match status {
             200 => {
-                if let (true, Some(seen)) = (method == "POST", self.jobs.get_mut(&job)) {
-                    seen.cancel_asked.get_or_insert(sent);
+                if let (true, Some(observed)) = (method == "POST", self.jobs.get_mut(&job)) {
+                    observed.cancel_requested_at.get_or_insert(sent);
                 }
-                self.told(&job, &status_in(answer))
+                self.check_status(&job, &status_in(answer))
             }
-            404 => self.denied(&job, sent, status),
+            404 => self.check_denial(&job, sent, status),
             _ => Ok(()),
         }
     }
@@ -344,7 +344,7 @@
                 return Err("precedence is unknown".into());
             }
             let tasks = match map.get("shards") {
-                Some(Value::Integer(i)) if (1..=MOST_TASKS).contains(&i128::from(*i)) => {
+                Some(Value::Integer(i)) if (1..=MAX_TASKS).contains(&i128::from(*i)) => {
                     i128::from(*i) as f64
                 }
                 _ => return Err("shards is missing or invalid".into()),
@@ -379,39 +379,42 @@
         read().err()
     }
 
-    /// Users ask about what is over, too, and about what nobody submitted: one question each, at a node
+    /// Users ask about what is over, too, and about what nobody submitted: one question each, at a controller
     /// that is up, beside the script.
-    pub(super) fn ask_aside(&mut self) {
-        let up = self.up_nodes();
+    pub(super) fn poll_finished_and_unknown(&mut self) {
+        let up = self.up_controllers();
         if up.is_empty() {
             return;
         }
-        self.checks.aside += 1;
-        let node = up[self.checks.aside as usize % up.len()];
-        let over = |j: &JobSeen| j.done || j.cancelled_at.is_some();
+        self.checks.out_of_band += 1;
+        let controller = up[self.checks.out_of_band as usize % up.len()];
+        let over = |j: &ObservedJob| j.done || j.cancelled_at.is_some();
         let after = (
-            std::ops::Bound::Excluded(self.checks.asked_last.clone()),
+            std::ops::Bound::Excluded(self.checks.last_polled.clone()),
             std::ops::Bound::Unbounded,
         );
         let next = self.jobs.range(after).chain(self.jobs.iter());
         let mut next = next.filter(|(_, j)| over(j));
         let mut jobs = vec!["req-999999".to_string()];
         if let Some((job, _)) = next.next() {
-            self.checks.asked_last = job.clone();
+            self.checks.last_polled = job.clone();
             jobs.push(job.clone());
         }
         for job in jobs {
-            let ev = Ev::Request {
-                node,
+            let event = Event::Request {
+                controller,
                 interface: Interface::Front,
                 method: "GET".into(),
                 path: format!("/submissions/{job}"),
                 body: Vec::new(),
-                asker: Asker::Poll(job, self.now),
+                requester: Requester::Poll(job, self.now),
             };
-            self.checks.aside += 1;
-            let key = (self.now + MS, ASIDE + self.checks.aside);
-            self.queue.insert(key, ev);
+            self.checks.out_of_band += 1;
+            let key = (
+                self.now + MILLISECOND,
+                OUT_OF_BAND + self.checks.out_of_band,
+            );
+            self.queue.insert(key, event);
         }
     }
 }
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -1,9 +1,9 @@
-//! The cloud: rentals, releases and the machine list.
+//! The cloud: machines, releases and the machine list.
 
 use super::*;
 
 impl World {
-    pub(super) fn cloud_request(
+    pub(super) fn handle_cloud_call(
         &mut self,
         method: &str,
         path: &str,
@@ -22,7 +22,7 @@
                 )
             }
             ("GET", "/rentals") => {
-                let lag = 3 * S;
+                let lag = 3 * SECOND;
                 let machines = self
                     .machines
                     .values()
@@ -75,7 +75,7 @@
                     return (503, error("no capacity"));
                 }
                 let machines: Vec<String> = (0..n)
-                    .map(|_| self.rent(&r.machine_type, &r.zone, r.spot))
+                    .map(|_| self.provision(&r.machine_type, &r.zone, r.spot))
                     .collect();
                 self.provisions.insert(r.name, machines.clone());
                 (200, to_cbor(&MachineNames { machines }))
--- a/crates/testkit/src/world/script.rs
+++ b/crates/testkit/src/world/script.rs
@@ -7,15 +7,15 @@
 use grebewood_wire::records::PartitionRecord;
 
 impl World {
-    pub(super) fn node_named(&self, word: &str) -> Result<usize, String> {
+    pub(super) fn controller_named(&self, word: &str) -> Result<usize, String> {
         if word == "leader" {
-            return (0..self.slots.len())
+            return (0..self.controllers.len())
                 .find(|n| self.leads(*n))
                 .ok_or("nobody leads".into());
         }
         let n = word.trim_start_matches("perch-").parse::<usize>();
         n.ok()
-            .filter(|n| *n < self.slots.len())
+            .filter(|n| *n < self.controllers.len())
             .ok_or(format!("{word}: no such node"))
     }
 
@@ -40,7 +40,7 @@
                 Some((key.to_string(), record))
             });
         let records: Vec<(String, PartitionRecord)> = records.collect();
-        let up = self.up_nodes();
+        let up = self.up_controllers();
         if records.is_empty() || up.is_empty() {
             return Ok(());
         }
@@ -66,9 +66,12 @@
         overview.partitions.iter().map(|row| row.phase).collect()
     }
 
-    pub(super) fn script(&mut self, line: Line) -> Result<(), String> {
+    pub(super) fn script(&mut self, line: Directive) -> Result<(), String> {
         let now = self.now;
-        if self.trouble(&line)? || self.check_line(&line)? || self.limits_line(&line)? {
+        if self.inject_fault(&line)?
+            || self.check_directive(&line)?
+            || self.limits_directive(&line)?
+        {
             return Ok(());
         }
         match line.word(0)? {
@@ -77,19 +80,26 @@
                 if !self.jobs.contains_key(&job) {
                     self.add_job(&job, &line)?;
                 }
-                let node = self.node_asked(&line)?;
-                self.submit(&job, node);
+                let controller = self.requested_controller(&line)?;
+                self.submit(&job, controller);
             }
             "cancel" => {
-                let node = self.node_asked(&line)?;
-                self.cancel(line.word(1)?, node);
+                let controller = self.requested_controller(&line)?;
+                self.cancel(line.word(1)?, controller);
             }
             "expect" => {
                 let (job, status) = (line.word(1)?.to_string(), line.word(2)?.to_string());
-                for n in self.up_nodes() {
+                for n in self.up_controllers() {
                     self.expected += 1;
-                    let asker = Asker::Expect(job.clone(), status.clone(), line.number, now);
-                    self.ask(n, "GET", format!("/submissions/{job}"), Vec::new(), asker);
+                    let requester =
+                        Requester::Expect(job.clone(), status.clone(), line.number, now);
+                    self.ask(
+                        n,
+                        "GET",
+                        format!("/submissions/{job}"),
+                        Vec::new(),
+                        requester,
+                    );
                 }
             }
             "request" => {
@@ -98,10 +108,10 @@
                     None => Vec::new(),
                     Some(hex) => unhex(hex)?,
                 };
-                for n in self.up_nodes() {
+                for n in self.up_controllers() {
                     self.expected += 1;
                     let (method, path) = (line.word(1)?.to_string(), line.word(2)?.to_string());
-                    let asker = Asker::Raw {
+                    let requester = Requester::Raw {
                         wanted: status,
                         line: line.number,
                         method: method.clone(),
@@ -109,7 +119,7 @@
                         body: body.clone(),
                         sent: now,
                     };
-                    self.ask(n, &method, path, body.clone(), asker);
+                    self.ask(n, &method, path, body.clone(), requester);
                 }
             }
             "starts" => {
@@ -125,7 +135,9 @@
                 }
             }
             "leaders" => {
-                let got = (0..self.slots.len()).filter(|n| self.leads(*n)).count();
+                let got = (0..self.controllers.len())
+                    .filter(|n| self.leads(*n))
+                    .count();
                 if got.to_string() != line.word(1)? {
                     return Err(format!("{got} nodes lead"));
                 }
@@ -147,9 +159,9 @@
             }
             "move" => self.move_partition(line.word(1)?)?,
             "downgrade" => {
-                let n = self.node_named(line.word(1)?)?;
-                self.old.insert(n);
-                let crash = Line {
+                let n = self.controller_named(line.word(1)?)?;
+                self.previous_version.insert(n);
+                let crash = Directive {
                     words: vec!["crash".into(), n.to_string()],
                     ..line
                 };
@@ -162,9 +174,9 @@
                 }
             }
             "upgrade" => {
-                let n = self.node_named(line.word(1)?)?;
-                self.old.remove(&n);
-                let crash = Line {
+                let n = self.controller_named(line.word(1)?)?;
+                self.previous_version.remove(&n);
+                let crash = Directive {
                     words: vec!["crash".into(), n.to_string()],
                     ..line
                 };
@@ -173,7 +185,7 @@
             "limits" => {
                 let limits =
                     limits_of(&line, "", self.state.limits.unwrap_or(self.settings.store))?;
-                self.push(now, Ev::Limits(limits));
+                self.push(now, Event::StoreLimits(limits));
             }
             "busy" => self.state.busy_until = now + line.time("for", 10.0)?,
             "largest" => {
@@ -189,7 +201,7 @@
                     return Err(format!("{} requests were malformed", self.state.refused));
                 }
             }
-            "halves" => self.check_halves()?,
+            "halves" => self.check_half_served()?,
             "serving" => {
                 let prefix = format!("{}/", line.word(1)?);
                 let machines = self.machines.values().filter(|m| !m.gone && m.up);
@@ -204,32 +216,35 @@
                 }
             }
             "crash" => {
-                let nodes = match line.word(1)? {
-                    "all" => (0..self.slots.len()).collect(),
-                    word => vec![self.node_named(word)?],
+                let controllers = match line.word(1)? {
+                    "all" => (0..self.controllers.len()).collect(),
+                    word => vec![self.controller_named(word)?],
                 };
-                for n in nodes {
-                    self.slots[n].node = None;
-                    self.slots[n].process = 0;
+                for n in controllers {
+                    self.controllers[n].controller = None;
+                    self.controllers[n].process = 0;
                     let lost: Vec<_> = self
                         .requests
                         .keys()
-                        .filter(|(node, _)| *node == n)
+                        .filter(|(controller, _)| *controller == n)
                         .cloned()
                         .collect();
                     for key in lost {
-                        if let Some(asker) = self.requests.remove(&key) {
-                            self.push(now + MS, Ev::Answered(asker, n, 0, Vec::new()));
+                        if let Some(requester) = self.requests.remove(&key) {
+                            self.push(
+                                now + MILLISECOND,
+                                Event::Response(requester, n, 0, Vec::new()),
+                            );
                         }
                     }
                     let back = now + line.time("for", 4.0)?;
-                    self.slots[n].down_until = back;
-                    self.push(back, Ev::Start(n));
+                    self.controllers[n].down_until = back;
+                    self.push(back, Event::Start(n));
                 }
             }
             "cut" => {
                 let cut = Cut {
-                    node: self.node_named(line.word(1)?)?,
+                    controller: self.controller_named(line.word(1)?)?,
                     what: line.word(2)?.into(),
                     until: now + line.time("for", 10.0)?,
                     hold: line.yes("hold", false),
@@ -237,27 +252,27 @@
                 self.cuts.push(cut);
             }
             "freeze" => {
-                let n = self.node_named(line.word(1)?)?;
-                self.slots[n].unsure = true;
-                self.slots[n].renewals.clear();
-                self.slots[n].frozen_until = now + line.time("for", 30.0)?;
+                let n = self.controller_named(line.word(1)?)?;
+                self.controllers[n].uncertain = true;
+                self.controllers[n].renewals.clear();
+                self.controllers[n].paused_until = now + line.time("for", 30.0)?;
             }
             "refuse" => {
-                let n = self.node_named(line.word(1)?)?;
+                let n = self.controller_named(line.word(1)?)?;
                 self.refused.push((n, now + line.time("for", 10.0)?));
             }
             "state" => {
                 self.state.down = true;
-                self.push(now + line.time("for", 10.0)?, Ev::StateUp);
+                self.push(now + line.time("for", 10.0)?, Event::StoreUp);
             }
             "cloud" => {
                 self.cloud_down = true;
-                self.push(now + line.time("for", 10.0)?, Ev::CloudUp);
+                self.push(now + line.time("for", 10.0)?, Event::CloudUp);
             }
-            "trap" => self.trap_page_write = true,
+            "trap" => self.crash_on_page_write = true,
             "late" => {
                 let name = line.word(2)?.to_string();
-                self.late_report.insert(name, line.time("for", 10.0)?);
+                self.late_heartbeat.insert(name, line.time("for", 10.0)?);
             }
             "slow" => {
                 let late = line.time("for", 1.5)?;
@@ -265,16 +280,16 @@
             }
             "overtake" => {
                 let late = line.time("for", 1.0)?;
-                self.overtake_report.insert(line.word(2)?.into(), late);
+                self.overtake_heartbeat.insert(line.word(2)?.into(), late);
             }
             "lose" => {
-                self.lose_answer.insert(line.word(2)?.into());
+                self.lose_response.insert(line.word(2)?.into());
             }
             "restart" => {
-                // A new session is a change, which is reported at once.
+                // A new incarnation is a change, which is reported at once.
                 let m = self.machine_mut(line.word(1)?)?;
-                m.new_session(now);
-                m.next_report = m.next_report.min(now + S / 2);
+                m.restart_agent(now);
+                m.next_heartbeat = m.next_heartbeat.min(now + SECOND / 2);
             }
             "rented" => {
                 let there = self.machines.get(line.word(1)?).is_some_and(|m| !m.gone);
@@ -311,7 +326,7 @@
         Ok(())
     }
 
-    pub(super) fn add_job(&mut self, job: &str, line: &Line) -> Result<(), String> {
+    pub(super) fn add_job(&mut self, job: &str, line: &Directive) -> Result<(), String> {
         let run = line.number("run", 5.0)?;
         let priority = match line.text("prec", "normal").as_str() {
             "idle" => Priority::Idle,
@@ -353,22 +368,22 @@
             fails: line.yes("fails", false),
         };
         self.facts.insert(job.into(), facts);
-        let seen = JobSeen {
+        let observed = ObservedJob {
             spec,
             accepted: false,
             cancelled_at: None,
-            cancel_asked: None,
-            known_at: None,
+            cancel_requested_at: None,
+            known_since: None,
             done: false,
             completed: BTreeSet::new(),
             starts: 0,
             last_start: 0,
             submitted: self.now,
-            began: None,
+            first_start: None,
             answered: self.now,
             completed_at: None,
         };
-        self.jobs.insert(job.into(), seen);
+        self.jobs.insert(job.into(), observed);
         Ok(())
     }
 }
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -1,12 +1,16 @@
-//! The setup lines of a script, and what an earlier version left in the state service.
+//! The setup lines of a script, and what an earlier version left in the key-value store.
 
 use super::*;
 
 impl World {
-    pub(super) fn set_up(&mut self, line: &Line, nodes: &mut usize) -> Result<(), String> {
+    pub(super) fn apply_setup(
+        &mut self,
+        line: &Directive,
+        controllers: &mut usize,
+    ) -> Result<(), String> {
         match line.word(0)? {
             "nodes" => {
-                *nodes = line
+                *controllers = line
                     .word(1)?
                     .parse()
                     .map_err(|_| format!("line {}: no number", line.number))?;
@@ -33,7 +37,7 @@
             "old" => {
                 for word in &line.words[1..] {
                     let n = word.parse();
-                    self.old
+                    self.previous_version
                         .insert(n.map_err(|_| format!("line {}: no node", line.number))?);
                 }
             }
@@ -45,7 +49,7 @@
                     self.load(line)
                         .map_err(|e| format!("{path}: line {}: {e}", i + 1))?;
                 }
-                self.wall = WALL + line.time("age", 0.0)?;
+                self.wall_clock_start = WALL_CLOCK_START + line.time("age", 0.0)?;
             }
             "aim" => {
                 let aim = Objective {
@@ -91,16 +95,16 @@
                 self.capacity
                     .insert((name, true), line.number("spotcap", 0.0)? as u64);
             }
-            "check" => self.set_up_check(line)?,
+            "check" => self.apply_check_setup(line)?,
             "machines" => {
                 for _ in 0..line.number("count", 1.0)? as u64 {
-                    let name = self.rent(
+                    let name = self.provision(
                         line.word(1)?,
                         &line.text("zone", "a"),
                         line.yes("spot", false),
                     );
                     if let Some(m) = self.machines.get_mut(&name) {
-                        m.up_at = Some(0);
+                        m.boots_at = Some(0);
                     }
                 }
             }
@@ -133,14 +137,14 @@
                 self.state.load(word(1)?, value, number(2)?);
             }
             "machine" => {
-                let name = self.rent(word(2)?, word(3)?, word(4)? == "yes");
+                let name = self.provision(word(2)?, word(3)?, word(4)? == "yes");
                 if name != word(1)? {
                     return Err(format!("{name} is not the next machine"));
                 }
                 let Some(m) = self.machines.get_mut(&name) else {
                     return Err("no such machine".into());
                 };
-                m.up_at = Some(if word(5)? == "up" { 0 } else { number(5)? });
+                m.boots_at = Some(if word(5)? == "up" { 0 } else { number(5)? });
                 (m.incarnation, m.sequence, m.token) = (number(6)?, number(7)?, number(8)?);
             }
             "task" => {
@@ -185,28 +189,28 @@
                     t.cpus = spec.cpus;
                 }
                 self.facts.insert(word(1)?.into(), facts);
-                let seen = JobSeen {
+                let observed = ObservedJob {
                     spec,
                     accepted: yes("accepted")?,
                     cancelled_at: yes("cancelled")?.then_some(0),
-                    cancel_asked: yes("cancelled")?.then_some(0),
-                    known_at: yes("accepted")?.then_some(0),
+                    cancel_requested_at: yes("cancelled")?.then_some(0),
+                    known_since: yes("accepted")?.then_some(0),
                     done: yes("done")?,
                     completed: BTreeSet::new(),
                     starts: 0,
                     last_start: 0,
                     submitted: 0,
-                    began: None,
+                    first_start: None,
                     answered: 0,
                     completed_at: None,
                 };
-                self.jobs.insert(word(1)?.into(), seen);
+                self.jobs.insert(word(1)?.into(), observed);
             }
             "completed" => {
                 let task_name = word(1)?;
                 let job = task_name.rsplit_once('/').map_or("", |(j, _)| j);
-                let seen = self.jobs.get_mut(job).ok_or("no such job")?;
-                seen.completed.insert(task_name.into());
+                let observed = self.jobs.get_mut(job).ok_or("no such job")?;
+                observed.completed.insert(task_name.into());
             }
             "#" | "epoch" | "peer-request" | "peer-answer" => {}
             other => return Err(format!("{other}: unknown")),
@@ -214,7 +218,7 @@
         Ok(())
     }
 
-    pub(super) fn rent(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
+    pub(super) fn provision(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
         let name = format!("n-{:06}", self.next_machine);
         self.next_machine += 1;
         let unknown = MachineType {
@@ -233,8 +237,8 @@
         let m = Machine {
             spot,
             requested: self.now,
-            up_at: (!self.boots_never).then_some(self.now + self.boot),
-            node: self.next_machine as usize % 3,
+            boots_at: (!self.boots_never).then_some(self.now + self.boot),
+            controller: self.next_machine as usize % 3,
             ..Machine::new(&name, kind.unwrap_or(&unknown), zone)
         };
         self.machines.insert(name.clone(), m);
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -10,7 +10,7 @@
 fn world(text: &str, seconds: u64) -> World {
     let script = crate::script::parse(&format!("{FLEET}{text}\nend 1000")).expect("a script");
     let mut w = World::new(script).expect("a world");
-    w.play_until(seconds * S).expect("no fault yet");
+    w.play_until(seconds * SECOND).expect("no fault yet");
     w
 }
 
@@ -44,7 +44,7 @@
         status: "running",
         cause: None,
         checkpointed: false,
-        ends: 2_000 * S,
+        ends: 2_000 * SECOND,
         cpus,
     }
 }
@@ -67,10 +67,10 @@
     // Also where nobody sees it: on a machine that hangs, is deaf, cut off or mute.
     let hide: [fn(&mut Machine); 5] = [
         |_| (),
-        |m| m.hangs_until = 900 * S,
-        |m| m.deaf_until = 900 * S,
-        |m| m.cut_until = 900 * S,
-        |m| m.mute_until = 900 * S,
+        |m| m.hangs_until = 900 * SECOND,
+        |m| m.deaf_until = 900 * SECOND,
+        |m| m.unplugged_until = 900 * SECOND,
+        |m| m.mute_until = 900 * SECOND,
     ];
     for hide in hide {
         let mut w = running();
@@ -78,7 +78,7 @@
         let copy = w.machines[&holder].tasks[0].clone();
         plant(&mut w, &other, copy);
         hide(w.machine_mut(&other).expect("a machine"));
-        broken(w.play_until(5 * S), "ran_twice");
+        broken(w.play_until(5 * SECOND), "ran_twice");
     }
     // Two attempts on one machine are two.
     let mut w = running();
@@ -86,7 +86,7 @@
     let mut again = w.machines[&holder].tasks[0].clone();
     again.attempt += 1;
     plant(&mut w, &holder, again);
-    broken(w.play_until(5 * S), "ran_twice");
+    broken(w.play_until(5 * SECOND), "ran_twice");
     // What is gone or has exited is on no machine.
     let mut w = running();
     let mut ended = w.machines[&holder].tasks[0].clone();
@@ -95,7 +95,7 @@
         .expect("a machine")
         .tasks
         .push(ended);
-    assert_eq!(w.check_moment(), Ok(()));
+    assert_eq!(w.check_invariants(), Ok(()));
 }
 
 fn other_of(w: &World, name: &str) -> String {
@@ -106,15 +106,15 @@
 #[test]
 fn a_team_beyond_its_limit() {
     let mut w = running();
-    assert_eq!(w.check_moment(), Ok(()));
+    assert_eq!(w.check_invariants(), Ok(()));
     let (_, other) = holder_and_other(&w, "req-1");
-    w.machine_mut(&other).expect("a machine").hangs_until = 900 * S;
+    w.machine_mut(&other).expect("a machine").hangs_until = 900 * SECOND;
     plant(&mut w, &other, task("req-1/9", 24.1));
-    broken(w.check_moment(), "quota: t uses");
-    broken(w.play_until(5 * S), "quota: t uses");
+    broken(w.check_invariants(), "quota: t uses");
+    broken(w.play_until(5 * SECOND), "quota: t uses");
     w.machine_mut(&other).expect("a machine").tasks.clear();
     plant(&mut w, &other, task("req-1/9", 24.0));
-    assert_eq!(w.check_moment(), Ok(()));
+    assert_eq!(w.check_invariants(), Ok(()));
 }
 
 #[test]
@@ -125,11 +125,12 @@
             4,
         );
         let mut w = w;
-        w.play_until(4 * S + MS).expect("no fault yet");
+        w.play_until(4 * SECOND + MILLISECOND)
+            .expect("no fault yet");
         let on = w.machines.values().find(|m| !m.gone && m.up && on(m));
         let on = on.expect("a machine").name.clone();
         plant(&mut w, &on, task("req-2/0", 2.0));
-        w.came(&on, &["req-2/0".to_string()])
+        w.started(&on, &["req-2/0".to_string()])
     };
     assert_eq!(start("zone=a", |m| m.zone == "a"), Ok(()));
     broken(start("zone=b", |m| m.zone == "a"), "wrong_place");
@@ -142,21 +143,21 @@
     };
     spec(&mut w, |s| s.spot = false);
     let task_name = ["req-1/0".to_string()];
-    broken(w.came(&holder, &task_name), "wrong_place");
+    broken(w.started(&holder, &task_name), "wrong_place");
     spec(&mut w, |s| s.spot = true);
-    assert_eq!(w.came(&holder, &task_name), Ok(()));
+    assert_eq!(w.started(&holder, &task_name), Ok(()));
     // Alone in a zone it is not spread; with one elsewhere it is not in one zone.
     spec(&mut w, |s| s.spread = true);
     for m in w.machines.values_mut() {
         m.zone = "a".into();
     }
-    broken(w.came(&holder, &task_name), "not spread");
+    broken(w.started(&holder, &task_name), "not spread");
     spec(&mut w, |s| (s.spread, s.one_zone) = (false, true));
-    assert_eq!(w.came(&holder, &task_name), Ok(()));
+    assert_eq!(w.started(&holder, &task_name), Ok(()));
     let (_, other) = holder_and_other(&w, "req-1");
     w.machine_mut(&other).expect("a machine").zone = "b".into();
     plant(&mut w, &other, task("req-1/9", 2.0));
-    broken(w.came(&holder, &task_name), "in several zones");
+    broken(w.started(&holder, &task_name), "in several zones");
 }
 
 #[test]
@@ -170,35 +171,35 @@
     let name = there.name.clone();
     plant(&mut w, &name, task("req-1/0", 2.0));
     let task_name = ["req-1/0".to_string()];
-    let line = |most: &str| Line {
+    let line = |most: &str| Directive {
         words: vec!["late_starts".into()],
         options: BTreeMap::from([("most".into(), most.into())]),
-        ..Line::default()
+        ..Directive::default()
     };
     assert_eq!(w.script(line("0")), Ok(()));
     // In time it is counted, and no more than that.
-    assert_eq!(w.came(&name, &task_name), Ok(()));
+    assert_eq!(w.started(&name, &task_name), Ok(()));
     assert_eq!(w.script(line("1")), Ok(()));
     broken(w.script(line("0")), "1 tasks of cancelled jobs started");
-    assert_eq!(w.check_moment(), Ok(()));
+    assert_eq!(w.check_invariants(), Ok(()));
     // Later than that it is a breach, and so is that it is there; on a machine that hangs, too.
     w.now = confirmed + w.settings.cancel_timeout + 1;
-    broken(w.came(&name, &task_name), "ran_cancelled");
-    w.machine_mut(&name).expect("a machine").hangs_until = 900 * S;
-    broken(w.check_moment(), "ran_cancelled");
+    broken(w.started(&name, &task_name), "ran_cancelled");
+    w.machine_mut(&name).expect("a machine").hangs_until = 900 * SECOND;
+    broken(w.check_invariants(), "ran_cancelled");
 }
 
 /// Takes a forged answer to a question that was sent at that time.
-fn forge(w: &mut World, asker: Asker, status: u16, word: &str) -> Result<(), String> {
-    w.answered(asker, 0, status, said(word))
+fn forge(w: &mut World, requester: Requester, status: u16, word: &str) -> Result<(), String> {
+    w.answered(requester, 0, status, said(word))
 }
 
 #[test]
 fn an_answer_that_goes_back() {
     let ask = |sent| {
         let job = "req-1".to_string();
-        let expect = Asker::Expect(job.clone(), "done".into(), 1, sent);
-        let raw = Asker::Raw {
+        let expect = Requester::Expect(job.clone(), "done".into(), 1, sent);
+        let raw = Requester::Raw {
             wanted: 200,
             line: 1,
             method: "GET".into(),
@@ -207,10 +208,10 @@
             sent,
         };
         [
-            Asker::Poll(job.clone(), sent),
-            Asker::Again(job.clone(), sent),
-            Asker::Submit(job.clone(), sent),
-            Asker::Cancel(job, sent),
+            Requester::Poll(job.clone(), sent),
+            Requester::Resubmit(job.clone(), sent),
+            Requester::Submit(job.clone(), sent),
+            Requester::Cancel(job, sent),
             expect,
             raw,
         ]
@@ -218,47 +219,57 @@
     for k in 0..6 {
         let one = |sent: Micros| ask(sent)[k].clone();
         // Not done yet; never cancelled by its user.
-        broken(forge(&mut running(), one(8 * S), 200, "done"), "not_done");
         broken(
-            forge(&mut running(), one(8 * S), 200, "aborted"),
+            forge(&mut running(), one(8 * SECOND), 200, "done"),
+            "not_done",
+        );
+        broken(
+            forge(&mut running(), one(8 * SECOND), 200, "aborted"),
             "nobody asked",
         );
         // Cancelled, then anything else.
         for word in ["pending", "running", "done"] {
             let mut w = running();
-            let seen = w.jobs.get_mut("req-1").expect("a job");
-            (seen.cancel_asked, seen.cancelled_at) = (Some(7 * S), Some(8 * S));
+            let observed = w.jobs.get_mut("req-1").expect("a job");
+            (observed.cancel_requested_at, observed.cancelled_at) =
+                (Some(7 * SECOND), Some(8 * SECOND));
             if word == "done" {
-                seen.completed = (0..4).map(|i| format!("req-1/{i}")).collect();
+                observed.completed = (0..4).map(|i| format!("req-1/{i}")).collect();
             }
-            broken(forge(&mut w, one(9 * S), 200, word), "went_back");
+            broken(forge(&mut w, one(9 * SECOND), 200, word), "went_back");
         }
         // Done, then anything else.
         for word in ["pending", "running", "aborted"] {
             let mut w = running();
-            let seen = w.jobs.get_mut("req-1").expect("a job");
-            (seen.cancel_asked, seen.done) = (Some(7 * S), true);
-            broken(forge(&mut w, one(9 * S), 200, word), "went_back");
+            let observed = w.jobs.get_mut("req-1").expect("a job");
+            (observed.cancel_requested_at, observed.done) = (Some(7 * SECOND), true);
+            broken(forge(&mut w, one(9 * SECOND), 200, word), "went_back");
         }
         // Known, then denied: by the answer to a submission, or to any other question.
         for denial in [404, 400, 422] {
             let judged = match one(0) {
-                Asker::Submit(..) | Asker::Again(..) => denial != 404,
+                Requester::Submit(..) | Requester::Resubmit(..) => denial != 404,
                 _ => denial == 404,
             };
             if !judged {
                 continue;
             }
-            broken(forge(&mut running(), one(9 * S), denial, ""), "forgotten");
+            broken(
+                forge(&mut running(), one(9 * SECOND), denial, ""),
+                "forgotten",
+            );
             let mut w = running();
-            let seen = w.jobs.get_mut("req-1").expect("a job");
-            (seen.accepted, seen.known_at) = (false, None);
-            assert_eq!(forge(&mut w, ask(8 * S)[0].clone(), 200, "pending"), Ok(()));
-            let told = w.now;
-            broken(forge(&mut w, one(told), denial, ""), "went_back");
+            let observed = w.jobs.get_mut("req-1").expect("a job");
+            (observed.accepted, observed.known_since) = (false, None);
+            assert_eq!(
+                forge(&mut w, ask(8 * SECOND)[0].clone(), 200, "pending"),
+                Ok(())
+            );
+            let check_status = w.now;
+            broken(forge(&mut w, one(check_status), denial, ""), "went_back");
             // The question was sent before: it may have been answered before, too.
-            if !matches!(one(0), Asker::Expect(..) | Asker::Raw { .. }) {
-                assert_eq!(forge(&mut w, one(told - 1), denial, ""), Ok(()));
+            if !matches!(one(0), Requester::Expect(..) | Requester::Raw { .. }) {
+                assert_eq!(forge(&mut w, one(check_status - 1), denial, ""), Ok(()));
             }
         }
     }
@@ -267,9 +278,9 @@
 #[test]
 fn a_daemon_that_is_done_and_a_job_that_nobody_submitted() {
     let mut w = world("at 2 submit req-1 tasks=1 shape=daemon run=500", 8);
-    let seen = w.jobs.get_mut("req-1").expect("a job");
-    seen.completed.insert("req-1/0".into());
-    let poll = |job: &str| Asker::Poll(job.into(), 8 * S);
+    let observed = w.jobs.get_mut("req-1").expect("a job");
+    observed.completed.insert("req-1/0".into());
+    let poll = |job: &str| Requester::Poll(job.into(), 8 * SECOND);
     broken(forge(&mut w, poll("req-1"), 200, "done"), "not_done");
     broken(forge(&mut w, poll("req-7"), 200, "pending"), "invented");
     assert_eq!(forge(&mut w, poll("req-7"), 404, ""), Ok(()));
@@ -278,19 +289,19 @@
 #[test]
 fn a_job_about_which_nobody_answers() {
     let mut w = running();
-    w.now = w.jobs["req-1"].answered + FORGOTTEN_AFTER;
-    assert_eq!(w.ask_about_all(), Ok(()));
+    w.now = w.jobs["req-1"].answered + UNANSWERED_LIMIT;
+    assert_eq!(w.poll_all_jobs(), Ok(()));
     w.now += 1;
-    broken(w.ask_about_all(), "forgotten");
+    broken(w.poll_all_jobs(), "forgotten");
     // What is over is asked about as well.
     let mut w = world("at 2 submit req-1 run=2\nat 2 submit req-2 run=2", 30);
     assert!(w.jobs["req-1"].done && w.jobs["req-2"].done);
     for turn in 0..2 {
         w.queue.clear();
-        w.ask_aside();
+        w.poll_finished_and_unknown();
         let wanted = ["req-1", "req-2"].map(|j| format!("/submissions/{j}"));
         let asked = w.queue.values().filter(
-            |ev| matches!(ev, Ev::Request { path, .. } if wanted.iter().any(|w| w == path)),
+            |event| matches!(event, Event::Request { path, .. } if wanted.iter().any(|w| w == path)),
         );
         assert_eq!(asked.count(), 1, "turn {turn}");
     }
@@ -313,13 +324,13 @@
 fn what_must_be_refused_is_accepted() {
     let mut w = running();
     let mut accept = |body: Vec<u8>| {
-        let raw = Asker::Raw {
+        let raw = Requester::Raw {
             wanted: 201,
             line: 1,
             method: "POST".into(),
             path: "/submissions".into(),
             body,
-            sent: 8 * S,
+            sent: 8 * SECOND,
         };
         w.answered(raw, 0, 201, said("pending"))
     };
@@ -371,12 +382,12 @@
     broken(accept(vec![0xff]), "no map");
     // A gang needs its team's limit for all its tasks at once.
     let mut w = running();
-    let seen = w.jobs.get_mut("req-1").expect("a job");
-    seen.spec.tasks = 17;
-    let submit = || Asker::Submit("req-1".into(), 8 * S);
+    let observed = w.jobs.get_mut("req-1").expect("a job");
+    observed.spec.tasks = 17;
+    let submit = || Requester::Submit("req-1".into(), 8 * SECOND);
     assert_eq!(forge(&mut w, submit(), 200, "running"), Ok(()));
-    let seen = w.jobs.get_mut("req-1").expect("a job");
-    seen.spec.shape = "gang".into();
+    let observed = w.jobs.get_mut("req-1").expect("a job");
+    observed.spec.shape = "gang".into();
     broken(forge(&mut w, submit(), 200, "running"), "team's limit");
 }
 
@@ -394,8 +405,8 @@
     change(&mut w);
     let from = w.now;
     (0..200).find(|s| {
-        w.now = from + s * S;
-        let got = w.check_moment();
+        w.now = from + s * SECOND;
+        let got = w.check_invariants();
         if let Err(e) = &got {
             assert!(e.contains("waits: req-3"), "{e}");
         }
@@ -407,15 +418,19 @@
 fn a_job_that_waits_beside_room() {
     let all = |w: &mut World| {
         for m in w.machines.values_mut().filter(|m| !m.gone) {
-            m.deaf_until = 900 * S;
+            m.deaf_until = 900 * SECOND;
         }
     };
     assert_eq!(waits("cpus=1", |_| ()), Some(90));
     assert_eq!(waits("tasks=3 cpus=1 shape=gang", |_| ()), Some(90));
-    assert_eq!(waits("cpus=1", |w| w.untroubled = 60 * S), Some(56 + 90));
+    assert_eq!(
+        waits("cpus=1", |w| w.faults_end = 60 * SECOND),
+        Some(56 + 90)
+    );
     assert_eq!(waits("cpus=1", |w| w.checks = Checks::default()), None);
-    let began = |w: &mut World| w.jobs.get_mut("req-3").expect("a job").last_start = 20 * S;
-    assert_eq!(waits("cpus=1", began), Some(16 + 90));
+    let first_start =
+        |w: &mut World| w.jobs.get_mut("req-3").expect("a job").last_start = 20 * SECOND;
+    assert_eq!(waits("cpus=1", first_start), Some(16 + 90));
     // No room, no machine that fits or hears, no leave of its team.
     assert_eq!(waits("cpus=8 mem=1", |w| fill(w, 1.0, 0.0)), None);
     assert_eq!(waits("cpus=1 mem=20", |w| fill(w, 0.0, 20.0)), None);
@@ -425,7 +440,8 @@
     assert_eq!(waits("cpus=7 owner=u", |_| ()), None);
     assert_eq!(waits("cpus=6 owner=u", |_| ()), Some(90));
     // Cancelled, done, or it fails wherever it runs.
-    let cancel = |w: &mut World| w.jobs.get_mut("req-3").expect("a job").cancel_asked = Some(0);
+    let cancel =
+        |w: &mut World| w.jobs.get_mut("req-3").expect("a job").cancel_requested_at = Some(0);
     assert_eq!(waits("cpus=1", cancel), None);
     assert_eq!(waits("cpus=1 fails=yes", |_| ()), None);
     // Its other tasks are elsewhere, or already half of them here.
@@ -482,7 +498,7 @@
         (true, "stop", true),
         (true, "reap", true),
     ] {
-        let got = w.answered(Asker::Copy { first }, 0, 200, answer(verb));
+        let got = w.answered(Requester::HeartbeatCopy { first }, 0, 200, answer(verb));
         assert_eq!(got.is_ok(), fine, "{first} {verb}: {got:?}");
     }
 }
@@ -493,7 +509,7 @@
     let leader = (0..3).find(|n| w.leads(*n)).expect("a leader");
     let (holder, _) = holder_and_other(&w, "req-1");
     let m = w.machine_mut(&holder).expect("a machine");
-    let newest = m.report(4 * S);
+    let newest = m.report(4 * SECOND);
     let copy = |incarnation, sequence, token| {
         let report = grebewood_wire::http::Heartbeat {
             incarnation,
@@ -504,20 +520,20 @@
         to_cbor(&report)
     };
     let (incarnation, sequence, token) = (newest.incarnation, newest.sequence, newest.token);
-    let asker = Asker::Copy { first: false };
+    let requester = Requester::HeartbeatCopy { first: false };
     // The world played on so far: all but the newest one came under this grant.
-    assert!(!w.note_report(leader, &copy(incarnation, sequence - 1, token), &asker));
-    assert!(w.note_report(leader, &copy(incarnation, sequence, token), &asker));
-    assert!(!w.note_report(leader, &copy(incarnation, sequence, token), &asker));
-    assert!(w.note_report(leader, &copy(incarnation + 1, 1, token), &asker));
-    assert!(!w.note_report(leader, &copy(incarnation, sequence + 9, token), &asker));
+    assert!(!w.note_heartbeat(leader, &copy(incarnation, sequence - 1, token), &requester));
+    assert!(w.note_heartbeat(leader, &copy(incarnation, sequence, token), &requester));
+    assert!(!w.note_heartbeat(leader, &copy(incarnation, sequence, token), &requester));
+    assert!(w.note_heartbeat(leader, &copy(incarnation + 1, 1, token), &requester));
+    assert!(!w.note_heartbeat(leader, &copy(incarnation, sequence + 9, token), &requester));
     // Nobody else leads.
     let other = (leader + 1) % 3;
-    assert!(!w.note_report(other, &copy(incarnation, sequence, token), &asker));
-    // Copies of older tokens count as a meeting; reports themselves do not.
-    let count = |n: &str| Line {
+    assert!(!w.note_heartbeat(other, &copy(incarnation, sequence, token), &requester));
+    // Copies of older tokens count as a meeting; heartbeats themselves do not.
+    let count = |n: &str| Directive {
         words: vec!["copied".into(), n.into()],
-        ..Line::default()
+        ..Directive::default()
     };
     let met = |w: &mut World| {
         (0..)
@@ -526,13 +542,13 @@
             - 1
     };
     assert_eq!(met(&mut w), 0);
-    w.note_report(leader, &copy(incarnation, sequence, token - 1), &asker);
+    w.note_heartbeat(leader, &copy(incarnation, sequence, token - 1), &requester);
     assert_eq!(met(&mut w), 1);
-    let agent = Asker::Agent {
+    let agent = Requester::Heartbeat {
         machine: holder.clone(),
-        flight: 1,
+        heartbeat_id: 1,
     };
-    w.note_report(leader, &copy(incarnation, sequence, token - 1), &agent);
+    w.note_heartbeat(leader, &copy(incarnation, sequence, token - 1), &agent);
     assert_eq!(met(&mut w), 1);
 }
 
@@ -553,15 +569,15 @@
         incarnation,
         commands,
     });
-    let line = Line {
+    let line = Directive {
         words: vec!["lose".into(), "direct".into(), holder.clone()],
         options: BTreeMap::from([("late".into(), "6".into())]),
-        ..Line::default()
+        ..Directive::default()
     };
     w.script(line).expect("a trouble");
     let caller = Caller {
-        node: 0,
-        process: w.slots[0].process,
+        controller: 0,
+        process: w.controllers[0].process,
         call: 1 << 40,
     };
     w.queue.clear();
@@ -574,28 +590,28 @@
     };
     assert!(live(&w));
     let ((at, _), late) = w.queue.pop_first().expect("a late command");
-    assert_eq!((at, w.queue.len()), (w.now + 6 * S, 0));
+    assert_eq!((at, w.queue.len()), (w.now + 6 * SECOND, 0));
     w.now = at;
-    let Ev::Agent(nobody, address, body) = late else {
+    let Event::DirectCommand(nobody, address, body) = late else {
         panic!("no command")
     };
     w.direct(nobody, &address, &body).expect("no fault");
     assert!(!live(&w));
     // What answers it reaches no process.
-    let answers = |ev: &Ev| matches!(ev, Ev::Input(_, process, _) if *process != 0);
+    let answers = |event: &Event| matches!(event, Event::Input(_, process, _) if *process != 0);
     assert!(!w.queue.values().any(answers));
 }
 
 #[test]
 fn every_third_transaction_is_lost() {
     let mut w = running();
-    let line = |words: &str, options: &[(&str, &str)]| Line {
+    let line = |words: &str, options: &[(&str, &str)]| Directive {
         words: words.split(' ').map(str::to_string).collect(),
         options: options
             .iter()
             .map(|(k, v)| (k.to_string(), v.to_string()))
             .collect(),
-        ..Line::default()
+        ..Directive::default()
     };
     let call = grebewood_core::Call {
         id: 1,
@@ -603,7 +619,7 @@
         method: "POST",
         path: "/txn".into(),
         body: Vec::new(),
-        timeout: S,
+        timeout: SECOND,
     };
     let many = [("for", "20"), ("every", "3"), ("late", "8")];
     w.script(line("late txns", &many)).expect("a trouble");
@@ -613,10 +629,10 @@
         .collect();
     assert_eq!(lost, [false, false, true, false, false, true, false]);
     let at: Vec<Micros> = w.queue.keys().map(|(at, _)| *at).collect();
-    assert_eq!(at, [w.now + 8 * S; 2]);
-    w.now += 20 * S;
+    assert_eq!(at, [w.now + 8 * SECOND; 2]);
+    w.now += 20 * SECOND;
     assert!((0..6).all(|_| !w.lose_transaction(0, w.now, &call)));
-    // The next one of a node, or of whoever leads.
+    // The next one of a controller, or of whoever leads.
     let leader = (0..3).find(|n| w.leads(*n)).expect("a leader");
     let other = (leader + 1) % 3;
     w.queue.clear();
@@ -625,8 +641,8 @@
     assert!(!w.lose_transaction(other, w.now, &call));
     assert!(w.lose_transaction(leader, w.now, &call) && !w.lose_transaction(leader, w.now, &call));
     assert!(w.queue.keys().all(|(at, _)| *at == w.now));
-    let node = other.to_string();
-    w.script(line("late txn", &[("node", &node)]))
+    let controller = other.to_string();
+    w.script(line("late txn", &[("node", &controller)]))
         .expect("a trouble");
     assert!(!w.lose_transaction(leader, w.now, &call) && w.lose_transaction(other, w.now, &call));
 }
@@ -635,36 +651,36 @@
 fn a_slow_state_service_answers_later() {
     let mut w = running();
     let caller = Caller {
-        node: 0,
-        process: w.slots[0].process,
+        controller: 0,
+        process: w.controllers[0].process,
         call: 1 << 40,
     };
     let answered = |w: &mut World, what: &str| {
         w.queue.clear();
-        w.reply(caller, what, 2 * MS, 200, Vec::new());
+        w.reply(caller, what, 2 * MILLISECOND, 200, Vec::new());
         w.queue.pop_first().map(|((at, _), _)| at - w.now)
     };
-    assert_eq!(answered(&mut w, "state"), Some(2 * MS));
-    w.script(Line {
+    assert_eq!(answered(&mut w, "state"), Some(2 * MILLISECOND));
+    w.script(Directive {
         words: vec!["slow".into(), "state".into()],
         options: BTreeMap::from([("by".into(), "0.8".into()), ("for".into(), "5".into())]),
-        ..Line::default()
+        ..Directive::default()
     })
     .expect("a trouble");
-    assert_eq!(answered(&mut w, "state"), Some(802 * MS));
-    assert_eq!(answered(&mut w, "workers"), Some(2 * MS));
-    w.now += 5 * S;
-    assert_eq!(answered(&mut w, "state"), Some(2 * MS));
-    w.script(Line {
+    assert_eq!(answered(&mut w, "state"), Some(802 * MILLISECOND));
+    assert_eq!(answered(&mut w, "workers"), Some(2 * MILLISECOND));
+    w.now += 5 * SECOND;
+    assert_eq!(answered(&mut w, "state"), Some(2 * MILLISECOND));
+    w.script(Directive {
         words: vec!["slow".into(), "workers".into()],
         options: BTreeMap::from([("by".into(), "0.7".into()), ("for".into(), "5".into())]),
-        ..Line::default()
+        ..Directive::default()
     })
     .expect("a trouble");
-    assert_eq!(answered(&mut w, "state"), Some(2 * MS));
-    assert_eq!(answered(&mut w, "workers"), Some(702 * MS));
-    w.now += 5 * S;
-    assert_eq!(answered(&mut w, "workers"), Some(2 * MS));
+    assert_eq!(answered(&mut w, "state"), Some(2 * MILLISECOND));
+    assert_eq!(answered(&mut w, "workers"), Some(702 * MILLISECOND));
+    w.now += 5 * SECOND;
+    assert_eq!(answered(&mut w, "workers"), Some(2 * MILLISECOND));
 }
 
 #[test]
@@ -672,25 +688,35 @@
     let mut w = world("at 1 looks for=100\nat 2 submit req-1 tasks=4 run=500", 4);
     w.queue.clear();
     // It was looked at when it was accepted; now its user is told that it is cancelled.
-    let again = Asker::Again("req-1".into(), w.now);
+    let again = Requester::Resubmit("req-1".into(), w.now);
     assert_eq!(forge(&mut w, again, 200, "running"), Ok(()));
     assert!(w.queue.is_empty());
-    w.jobs.get_mut("req-1").expect("a job").cancel_asked = Some(3 * S);
+    w.jobs.get_mut("req-1").expect("a job").cancel_requested_at = Some(3 * SECOND);
     for _ in 0..2 {
-        let cancel = Asker::Cancel("req-1".into(), w.now);
+        let cancel = Requester::Cancel("req-1".into(), w.now);
         assert_eq!(forge(&mut w, cancel, 200, "aborted"), Ok(()));
     }
     let looks: Vec<Micros> = w.queue.keys().map(|(at, _)| at - w.now).collect();
-    assert_eq!(looks, [MS, 5 * MS, 20 * MS, 60 * MS]);
-    // Each is a question and a submission at every node that is up.
-    w.slots[1].node = None;
+    assert_eq!(
+        looks,
+        [
+            MILLISECOND,
+            5 * MILLISECOND,
+            20 * MILLISECOND,
+            60 * MILLISECOND
+        ]
+    );
+    // Each is a question and a submission at every controller that is up.
+    w.controllers[1].controller = None;
     w.queue.clear();
-    w.look("req-1");
+    w.poll_everywhere("req-1");
     let asked: Vec<(usize, String)> = w
         .queue
         .values()
-        .filter_map(|ev| match ev {
-            Ev::Request { node, method, .. } => Some((*node, method.clone())),
+        .filter_map(|event| match event {
+            Event::Request {
+                controller, method, ..
+            } => Some((*controller, method.clone())),
             _ => None,
         })
         .collect();
@@ -702,7 +728,7 @@
 fn troubles_are_over_when_the_last_of_them_is() {
     let end = |line: &str| {
         let script = crate::script::parse(&format!("at 10 {line}\nend 99")).expect("a script");
-        script.troubles_end() / S
+        script.faults_end() / SECOND
     };
     for (line, seconds) in [
         ("late txn for=5", 15),
@@ -739,13 +765,13 @@
         #[serde(default)]
         load: u64,
     }
-    // Node 0 asks node 1: what arrives of the request, and of the answer.
-    for (old, load) in [(None, 5), (Some(0), 0), (Some(1), 0), (Some(2), 5)] {
+    // Node 0 asks controller 1: what arrives of the request, and of the answer.
+    for (previous_version, load) in [(None, 5), (Some(0), 0), (Some(1), 0), (Some(2), 5)] {
         let mut w = running();
-        w.old.extend(old);
+        w.previous_version.extend(previous_version);
         let caller = Caller {
-            node: 0,
-            process: w.slots[0].process,
+            controller: 0,
+            process: w.controllers[0].process,
             call: 1 << 40,
         };
         w.queue.clear();
@@ -758,29 +784,36 @@
                 from: "perch-0".into(),
                 load: 5,
             }),
-            timeout: S,
+            timeout: SECOND,
         };
         w.send(caller, call);
-        let Some((_, Ev::Request { node, body, .. })) = w.queue.pop_first() else {
+        let Some((
+            _,
+            Event::Request {
+                controller, body, ..
+            },
+        )) = w.queue.pop_first()
+        else {
             panic!("no request")
         };
         let Request::Contact { load: got, .. } = from_peer(&body).expect("a request");
-        assert_eq!((node, got), (1, load), "{old:?}");
+        assert_eq!((controller, got), (1, load), "{previous_version:?}");
         let answer = to_peer(&Answer {
             member: "perch-1".into(),
             store_contact_age_us: None,
             token: 1,
             load: 5,
         });
-        w.answered(Asker::Peer(caller), 1, 200, answer)
+        w.answered(Requester::Peer(caller), 1, 200, answer)
             .expect("no fault");
-        let Some((_, Ev::Input(0, _, Input::Reply { outcome, .. }))) = w.queue.pop_first() else {
+        let Some((_, Event::Input(0, _, Input::Reply { outcome, .. }))) = w.queue.pop_first()
+        else {
             panic!("no reply")
         };
         let Outcome::Answer { body, .. } = outcome else {
             panic!("no answer")
         };
         let got: Answer = from_peer(&body).expect("an answer");
-        assert_eq!(got.load, load, "{old:?}");
+        assert_eq!(got.load, load, "{previous_version:?}");
     }
 }
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The troubles of the script do what they say: small scenarios whose outcome shows it.
+//! The faults of the script do what they say: small scenarios whose outcome shows it.
 
 fn play(text: &str) -> Result<(), String> {
     grebewood_testkit::play(text)
@@ -56,7 +56,7 @@
         &now.replace("run=60", "run=12"),
         "no job runs that has long to go",
     );
-    // At the moment of the end, which the machine cannot report just then.
+    // At the moment of the end, which the machine cannot heartbeat just then.
     let end = "at 2 submit req-1 tasks=1 run=5\nat 5 mute of=req-1 for=5\n\
                at 6 cancel_at_end for=20\nat 30 expect req-1 aborted\nend 31\n";
     holds(end);
--- a/crates/testkit/tests/known_red/mod.rs
+++ b/crates/testkit/tests/known_red/mod.rs
@@ -16,7 +16,7 @@
 use std::path::Path;
 
 /// Most scenarios that may be known red.
-const MOST: usize = 3;
+const MAX_KNOWN_RED: usize = 3;
 
 /// What to make of the scenarios' outcomes.
 #[derive(Debug, Default, PartialEq)]
@@ -53,7 +53,7 @@
             None => "not of the form `NAME: CAUSE: issue NUMBER`",
             Some(name) if !names.iter().any(|n| n == name) => "no such scenario",
             Some(name) if listed.contains(&name) => "listed twice",
-            Some(_) if listed.len() == MOST => "more than three",
+            Some(_) if listed.len() == MAX_KNOWN_RED => "more than three",
             Some(name) => {
                 listed.push(name);
                 continue;
--- a/crates/testkit/tests/scenarios.rs
+++ b/crates/testkit/tests/scenarios.rs
@@ -62,12 +62,12 @@
     assert!(failed.is_empty(), "\n{}", failed.join("\n"));
 }
 
-/// What is put before each scenario: holders of partitions place tasks, where the scenario's state service
+/// What is put before each scenario: holders of partitions place tasks, where the scenario's key-value store
 /// takes enough changes.
 const WITH_ALLOTMENTS: &str =
     "state writes=60 rps=400\ntuning partitions_per_zone=3 allotments=1\n";
 
-/// Every scenario with allotments forced on, but for those that a list names with the reason. These must fail:
+/// Every scenario with quota grants forced on, but for those that a list names with the reason. These must fail:
 /// the list does not hide what holds again.
 #[test]
 fn scenarios_with_allotments() {
