--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -3,11 +3,12 @@
 
 use grebewood_testkit::measure::StepKind;
 use grebewood_testkit::play_measured;
+use std::error::Error;
 
 /// Simulated seconds of a run.
 const LENGTH_S: u64 = 60;
 
-/// A fleet of so many machines, all with work, that loses its leader once.
+/// The scenario of a fleet of so many machines, all with work, that loses its leader once.
 fn scenario(machines: u64) -> String {
     format!(
         "nodes 3\nworkers report=5 lease=26.5 cancel=46.5\n\
@@ -29,11 +30,11 @@
     unsafe { libc::mallinfo2().uordblks as u64 }
 }
 
-fn main() -> Result<(), String> {
+fn main() -> Result<(), Box<dyn Error>> {
     println!("| machines | step | number | mean us | p99 us | longest us | share of a core |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for argument in std::env::args().skip(1) {
-        let machines = argument.parse().map_err(|e| format!("{argument}: {e}"))?;
+        let machines = argument.parse()?;
         let mut world = play_measured(&scenario(machines))?;
         let Some(measures) = world.measures.take() else {
             continue;
@@ -52,11 +53,11 @@
         let heartbeats = measures
             .steps
             .get(&StepKind::Heartbeat)
-            .map_or(0, |h| h.len());
+            .map_or(0, |histogram| histogram.len());
         let before = allocated();
         world.end_leader();
         println!(
-            "| {machines} | all | {:.0} check-ins a second, {:.1} changes and {:.1} requests of state a \
+            "| {machines} | all | {:.0} heartbeats a second, {:.1} changes and {:.1} requests of state a \
              second, leader's memory {} KiB | | | | |",
             heartbeats as f64 / LENGTH_S as f64,
             measures.changes as f64 / LENGTH_S as f64,
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -5,20 +5,30 @@
 use grebewood_testkit::measure::Measures;
 use grebewood_testkit::play_measured;
 use hdrhistogram::Histogram;
+use std::error::Error;
 
+/// The settings that are compared: what they are called, and what is put before each scenario.
 const SETTINGS: [(&str, &str); 3] = [
     ("partitions off", ""),
     ("partitions", "tuning partitions_per_zone=3\n"),
-    ("allotments", "tuning partitions_per_zone=3 allotments=1\n"),
+    (
+        "quota grants",
+        "tuning partitions_per_zone=3 allotments=1\n",
+    ),
 ];
 /// Simulated seconds of the scenarios with work for all machines.
 const LENGTH_S: u64 = 120;
-const CHANGES_OF_LEADER: u64 = 6;
+/// How often the leader ends.
+const LEADER_CRASHES: u64 = 6;
+/// How often the scenario with a team below its guaranteed share is played.
+const GUARANTEED_SHARE_RUNS: u32 = 20;
+/// Significant digits of histograms.
+const DIGITS: u8 = 3;
 
 /// Steady work of two teams near their limits, and a leader that ends every 15 s.
 fn steady(machines: u64) -> String {
-    let crashes: String = (0..CHANGES_OF_LEADER)
-        .map(|n| format!("at {} crash leader for=4\n", 25 + n * 15))
+    let crashes: String = (0..LEADER_CRASHES)
+        .map(|crash| format!("at {} crash leader for=4\n", 25 + crash * 15))
         .collect();
     let cpus = machines * 4;
     format!(
@@ -35,8 +45,8 @@
     )
 }
 
-/// A team below its guarantee while another runs all the machines hold, `flush` to save.
-fn floor(flush: f64, start: f64) -> String {
+/// A team below its guaranteed share while another runs all the machines hold, `flush` to save.
+fn guaranteed_share(flush: f64, start: f64) -> String {
     format!(
         "nodes 3\nstate writes=60 rps=400\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
@@ -48,74 +58,83 @@
     )
 }
 
+/// The number of values and their quantiles in seconds, as cells of a table.
 fn quantiles(histogram: Option<&Histogram<u64>>) -> String {
-    let Some(h) = histogram.filter(|h| !h.is_empty()) else {
+    let Some(histogram) = histogram.filter(|histogram| !histogram.is_empty()) else {
         return "none | | | ".into();
     };
-    let at = |q: f64| h.value_at_quantile(q) as f64 / 1e3;
+    let seconds = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
     format!(
         "{} | {:.2} | {:.2} | {:.2}",
-        h.len(),
-        at(0.5),
-        at(0.99),
-        h.max() as f64 / 1e3
+        histogram.len(),
+        seconds(0.5),
+        seconds(0.99),
+        histogram.max() as f64 / 1e3
     )
 }
 
-fn play(settings: &str, text: &str) -> Result<Measures, String> {
+fn play(settings: &str, text: &str) -> Result<Measures, Box<dyn Error>> {
     let world = play_measured(&format!("{settings}{text}"))?;
-    world.measures.ok_or("nothing was measured".into())
+    Ok(world.measures.ok_or("nothing was measured")?)
 }
 
-fn main() -> Result<(), String> {
-    let sizes: Vec<u64> = std::env::args()
-        .skip(1)
-        .filter_map(|n| n.parse().ok())
-        .collect();
-    println!("| machines | settings | starts | median s | p99 s | longest s | without leader | changes a second | leader | others |");
-    println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for machines in sizes {
-        for (name, settings) in SETTINGS {
-            let m = play(settings, &steady(machines))?;
-            let mut starts = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-            for team in m.starts.values() {
-                starts.add(team).map_err(|e| e.to_string())?;
-            }
-            let leader: f64 = m
-                .steps
-                .values()
-                .map(|h| h.mean() * h.len() as f64 / 1e9)
-                .sum();
+/// Prints what steady work costs on a fleet of so many machines, a line for each of the settings.
+fn print_steady(machines: u64) -> Result<(), Box<dyn Error>> {
+    for (name, settings) in SETTINGS {
+        let measures = play(settings, &steady(machines))?;
+        let mut starts = Histogram::<u64>::new(DIGITS)?;
+        for team in measures.starts.values() {
+            starts.add(team)?;
+        }
+        let steps = measures.steps.values();
+        let leader_s: f64 = steps
+            .map(|step| step.mean() * step.len() as f64 / 1e9)
+            .sum();
+        println!(
+            "| {machines} | {name} | {} | {} | {:.1} | {:.4} | {:.4} |",
+            quantiles(Some(&starts)),
+            measures.leaderless_starts,
+            measures.changes as f64 / LENGTH_S as f64,
+            leader_s / LENGTH_S as f64,
+            measures.other_steps.as_secs_f64() / LENGTH_S as f64,
+        );
+        if let Some(idle) = &measures.idle_granted {
             println!(
-                "| {machines} | {name} | {} | {} | {:.1} | {:.4} | {:.4} |",
-                quantiles(Some(&starts)),
-                m.leaderless_starts,
-                m.changes as f64 / LENGTH_S as f64,
-                leader / LENGTH_S as f64,
-                m.other_steps.as_secs_f64() / LENGTH_S as f64,
+                "| {machines} | {name}, idle part of a limit: mean {:.3}, p99 {:.3} | | | | | | | | |",
+                idle.mean() / 1e3,
+                idle.value_at_quantile(0.99) as f64 / 1e3,
             );
-            if let Some(idle) = &m.idle_granted {
-                println!(
-                    "| {machines} | {name}, idle part of a ceiling: mean {:.3}, p99 {:.3} | | | | | | | | |",
-                    idle.mean() / 1e3,
-                    idle.value_at_quantile(0.99) as f64 / 1e3,
-                );
-            }
         }
     }
-    println!(
-        "\n| settings | tasks within the guarantee that started | median s | p99 s | longest s |"
-    );
-    println!("| --- | --- | --- | --- | --- |");
+    Ok(())
+}
+
+/// Prints when a team's tasks within its guaranteed share start, a line for each of the settings.
+fn print_guaranteed_share() -> Result<(), Box<dyn Error>> {
     for (name, settings) in SETTINGS {
-        let mut starts = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-        for n in 0..20 {
-            let m = play(settings, &floor(1.0, 20.0 + f64::from(n) * 0.17))?;
-            if let Some(team) = m.starts.get("t") {
-                starts.add(team).map_err(|e| e.to_string())?;
+        let mut starts = Histogram::<u64>::new(DIGITS)?;
+        for run in 0..GUARANTEED_SHARE_RUNS {
+            let submitted_s = 20.0 + f64::from(run) * 0.17;
+            let measures = play(settings, &guaranteed_share(1.0, submitted_s))?;
+            if let Some(team) = measures.starts.get("t") {
+                starts.add(team)?;
             }
         }
         println!("| {name} | {} |", quantiles(Some(&starts)));
     }
     Ok(())
 }
+
+fn main() -> Result<(), Box<dyn Error>> {
+    println!("| machines | settings | starts | median s | p99 s | longest s | without leader | changes a second | leader | others |");
+    println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    let arguments = std::env::args().skip(1);
+    for machines in arguments.filter_map(|argument| argument.parse().ok()) {
+        print_steady(machines)?;
+    }
+    println!(
+        "\n| settings | tasks within the guarantee that started | median s | p99 s | longest s |"
+    );
+    println!("| --- | --- | --- | --- | --- |");
+    print_guaranteed_share()
+}
--- a/crates/testkit/examples/trace_digest.rs
+++ b/crates/testkit/examples/trace_digest.rs
@@ -3,9 +3,11 @@
 //! quota grants forced on, and prints a line for each: name, settings, hash over all effects.
 //! `-- --samples` prints the largest record and peer message of each kind instead, in hexadecimal digits.
 
+use grebewood_testkit::scenario_files::{
+    scenario_files, scenario_name, LARGE_SCENARIOS, SCENARIOS,
+};
 use grebewood_testkit::trace::Sample;
 use std::collections::BTreeMap;
-use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
@@ -22,12 +24,14 @@
     ),
 ];
 
+/// A scenario with the settings that are forced on it.
 struct Play {
     name: String,
     variant: &'static str,
     text: String,
 }
 
+/// Lines of the digest by the number of their play, and samples by kind.
 #[derive(Default)]
 struct Results {
     lines: BTreeMap<usize, String>,
@@ -43,7 +47,11 @@
     if samples_only {
         for (kind, sample) in &results.samples {
             let kind = kind.split(' ').next().unwrap_or_default();
-            let hex: String = sample.bytes.iter().map(|b| format!("{b:02x}")).collect();
+            let hex: String = sample
+                .bytes
+                .iter()
+                .map(|byte| format!("{byte:02x}"))
+                .collect();
             println!("{kind} {} {hex}", sample.name);
         }
         return Ok(());
@@ -56,19 +64,18 @@
 
 /// All plays, those of large fleets first, since they take the longest.
 fn plays(only: &str) -> Result<Vec<Play>, std::io::Error> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
-    let mut files = scenario_files(&folder.join("large"))?;
-    files.extend(scenario_files(&folder)?);
+    let mut files = scenario_files(LARGE_SCENARIOS)?;
+    files.extend(scenario_files(SCENARIOS)?);
     let mut plays = Vec::new();
     for file in files {
-        let name = file.file_stem().unwrap_or_default().to_string_lossy();
+        let name = scenario_name(&file);
         if !name.contains(only) {
             continue;
         }
         let text = std::fs::read_to_string(&file)?;
         for (variant, settings) in VARIANTS {
             plays.push(Play {
-                name: name.to_string(),
+                name: name.clone(),
                 variant,
                 text: format!("{settings}{text}"),
             });
@@ -77,22 +84,11 @@
     Ok(plays)
 }
 
-fn scenario_files(folder: &Path) -> Result<Vec<PathBuf>, std::io::Error> {
-    let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder)? {
-        let path = entry?.path();
-        if path.extension().is_some_and(|e| e == "txt") {
-            files.push(path);
-        }
-    }
-    files.sort();
-    Ok(files)
-}
-
+/// Plays all scenarios, one on each processor.
 fn play_all(plays: &[Play]) -> Results {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Results::default());
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
+    let threads = std::thread::available_parallelism().map_or(1, |number| number.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
@@ -105,11 +101,13 @@
     results.into_inner().unwrap_or_default()
 }
 
+/// The next play that nobody has taken.
 fn take<'a>(plays: &'a [Play], next: &AtomicUsize) -> Option<(usize, &'a Play)> {
     let index = next.fetch_add(1, Ordering::Relaxed);
     Some((index, plays.get(index)?))
 }
 
+/// Plays one and keeps its line and its samples.
 fn run(index: usize, play: &Play, results: &Mutex<Results>) {
     let trace = grebewood_testkit::play_traced(&play.text);
     let digest = match &trace {
@@ -126,8 +124,8 @@
     };
     for (kind, sample) in trace.samples() {
         let known = results.samples.get(kind);
-        let key = |s: &Sample| (s.bytes.len(), s.bytes.clone());
-        if known.is_none_or(|known| key(known) < key(sample)) {
+        let size = |sample: &Sample| (sample.bytes.len(), sample.bytes.clone());
+        if known.is_none_or(|known| size(known) < size(sample)) {
             results.samples.insert(kind.clone(), sample.clone());
         }
     }
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -1,8 +1,9 @@
 //! The same stand-ins in real time, on sockets of the loopback interface: a key-value store and a cloud for
-//! real controllers, and agents that heartbeat to them.
+//! real controllers, and agents that send heartbeats to them.
 
 use crate::machines::{JobFacts, Machine};
 use crate::state::{KeyValueStore, Reply};
+use crate::time::{Micros, MILLISECOND, SECOND};
 use grebewood_net::blocking;
 use grebewood_wire::http::{
     Catalogue, HeartbeatResponse, ListedMachine, MachineList, MachineNames, MachineType, Redirect,
@@ -15,14 +16,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-type Micros = u64;
-
-/// Between two looks at what is due.
-const STEP: Duration = Duration::from_millis(20);
+/// How often agents check what is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long agents keep their tasks without an answer.
-const LEASE: Micros = 10_000_000;
-/// How often they heartbeat.
-const REPORT: Micros = 500_000;
+const AGENT_LEASE: Micros = 10 * SECOND;
+/// How often they send a heartbeat.
+const HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
 
 /// What happened to the tasks of all agents.
 #[derive(Debug, Default)]
@@ -43,24 +42,26 @@
 const TEAM_CHARACTERS: usize = "req-1".len();
 
 impl ExecutionLog {
+    /// Counts the tasks of each team that are on machines now.
     fn note_most(&mut self) {
         let mut now: BTreeMap<String, u64> = BTreeMap::new();
         for task in self.live.keys() {
             let team: String = task.chars().take(TEAM_CHARACTERS).collect();
             *now.entry(team).or_insert(0) += 1;
         }
-        for (team, n) in now {
+        for (team, tasks) in now {
             let most = self.most.entry(team).or_insert(0);
-            *most = n.max(*most);
+            *most = tasks.max(*most);
         }
     }
 }
 
+/// What the servers and agents of a cluster share.
 struct Shared {
     began: Instant,
-    state: Mutex<KeyValueStore>,
-    write_buffer: Mutex<ExecutionLog>,
-    facts: BTreeMap<String, JobFacts>,
+    store: Mutex<KeyValueStore>,
+    execution_log: Mutex<ExecutionLog>,
+    job_facts: BTreeMap<String, JobFacts>,
     terminated: Mutex<BTreeSet<String>>,
     machines: Vec<String>,
     over: AtomicBool,
@@ -90,6 +91,7 @@
     Ok(address)
 }
 
+/// Serves the requests of a connection until it ends.
 fn serve_connection(
     stream: TcpStream,
     answer: impl Fn(&str, &str, &[u8]) -> (u16, Vec<u8>),
@@ -105,19 +107,7 @@
         let mut words = line.split_whitespace();
         let method = words.next().unwrap_or_default().to_string();
         let path = words.next().unwrap_or_default().to_string();
-        let mut length = 0;
-        loop {
-            let mut header = String::new();
-            reader.read_line(&mut header)?;
-            let header = header.trim().to_ascii_lowercase();
-            if header.is_empty() {
-                break;
-            }
-            if let Some(value) = header.strip_prefix("content-length:") {
-                length = value.trim().parse().unwrap_or(0);
-            }
-        }
-        let mut body = vec![0; length];
+        let mut body = vec![0; read_headers(&mut reader)?];
         reader.read_exact(&mut body)?;
         let (status, body) = answer(&method, &path, &body);
         let head = format!(
@@ -128,16 +118,32 @@
     }
 }
 
+/// Reads the headers of a request. The result is the length of its body.
+fn read_headers(reader: &mut impl BufRead) -> std::io::Result<usize> {
+    let mut length = 0;
+    loop {
+        let mut header = String::new();
+        reader.read_line(&mut header)?;
+        let header = header.trim().to_ascii_lowercase();
+        if header.is_empty() {
+            return Ok(length);
+        }
+        if let Some(value) = header.strip_prefix("content-length:") {
+            length = value.trim().parse().unwrap_or(0);
+        }
+    }
+}
+
 impl Cluster {
     /// A cluster of so many machines that knows these jobs.
-    pub fn new(machines: usize, facts: BTreeMap<String, JobFacts>) -> Cluster {
+    pub fn new(machines: usize, job_facts: BTreeMap<String, JobFacts>) -> Cluster {
         Cluster(Arc::new(Shared {
             began: Instant::now(),
-            state: Mutex::default(),
-            write_buffer: Mutex::default(),
-            facts,
+            store: Mutex::default(),
+            execution_log: Mutex::default(),
+            job_facts,
             terminated: Mutex::default(),
-            machines: (0..machines).map(|n| format!("n-{n:06}")).collect(),
+            machines: (0..machines).map(|index| format!("n-{index:06}")).collect(),
             over: AtomicBool::new(false),
         }))
     }
@@ -148,12 +154,12 @@
 
     /// The key-value store.
     pub fn state(&self) -> MutexGuard<'_, KeyValueStore> {
-        lock(&self.0.state)
+        lock(&self.0.store)
     }
 
     /// What happened to the tasks.
     pub fn write_buffer(&self) -> MutexGuard<'_, ExecutionLog> {
-        lock(&self.0.write_buffer)
+        lock(&self.0.execution_log)
     }
 
     /// Ends the agents.
@@ -164,29 +170,29 @@
     /// Serves the key-value store.
     pub fn serve_state(&self) -> std::io::Result<SocketAddr> {
         let cluster = self.clone();
-        serve(move |method, path, body| cluster.state_answer(method, path, body))
+        serve(move |method, path, body| cluster.store_response(method, path, body))
     }
 
-    fn state_answer(&self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
+    fn store_response(&self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
         // A watch is answered at once, whether anything has changed or not: its controller asks again.
-        let short = path.replace("block_ms=10000", "block_ms=0");
-        let watches = short != path;
-        let answer = {
-            let mut state = self.state();
+        let at_once = path.replace("block_ms=10000", "block_ms=0");
+        let is_watch = at_once != path;
+        let response = {
+            let mut store = self.state();
             let now = self.now();
-            state.expire(now);
-            match state.request(now, 0, method, &short, body) {
+            store.expire(now);
+            match store.request(now, 0, method, &at_once, body) {
                 Reply::Now(status, body) => (status, body),
                 Reply::Later => {
-                    let ready = state.ready(now).into_iter().next();
+                    let ready = store.ready(now).into_iter().next();
                     (200, ready.map(|(_, body)| body).unwrap_or_default())
                 }
             }
         };
-        if watches {
-            std::thread::sleep(STEP);
+        if is_watch {
+            std::thread::sleep(POLL_INTERVAL);
         }
-        answer
+        response
     }
 
     /// Serves the cloud: machines of one type, all of them up.
@@ -200,7 +206,7 @@
                 }
                 ("GET", "/rentals") => (200, to_cbor(&cluster.machine_list(&machine_type))),
                 ("POST", "/rentals/release") => {
-                    let names = from_cbor::<MachineNames>(body).map(|n| n.machines);
+                    let names = from_cbor::<MachineNames>(body).map(|names| names.machines);
                     lock(&cluster.0.terminated).extend(names.unwrap_or_default());
                     (200, to_cbor(&BTreeMap::<String, u64>::new()))
                 }
@@ -233,7 +239,7 @@
 
     /// Starts the agents, which heartbeat to these controllers in real time.
     pub fn start_workers(&self, machine_type: &MachineType, fronts: &BTreeMap<String, SocketAddr>) {
-        for (n, name) in self.0.machines.iter().enumerate() {
+        for (index, name) in self.0.machines.iter().enumerate() {
             let mut machine = Machine::new(name, machine_type, "a");
             machine.up = true;
             machine.lease_start = self.now();
@@ -241,63 +247,71 @@
                 cluster: self.clone(),
                 machine,
                 fronts: fronts.clone(),
-                front: fronts.values().nth(n % fronts.len()).copied(),
+                front: fronts.values().nth(index % fronts.len()).copied(),
             };
             std::thread::spawn(move || agent.run());
         }
     }
 }
 
+/// The agent of a machine.
 struct Agent {
     cluster: Cluster,
     machine: Machine,
+    /// The public interfaces of the controllers by their names.
     fronts: BTreeMap<String, SocketAddr>,
+    /// The one to which it sends heartbeats.
     front: Option<SocketAddr>,
 }
 
 impl Agent {
+    /// Runs until the cluster ends or the machine is terminated.
     fn run(mut self) {
         let shared = self.cluster.0.clone();
         while !shared.over.load(Ordering::Relaxed) {
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
             if lock(&shared.terminated).contains(&self.machine.name) {
                 self.forget_all();
                 return;
             }
             let now = self.cluster.now();
             let incarnation = self.machine.incarnation;
-            let (done, changed) = self.machine.advance(now, LEASE, &shared.facts);
+            let (completed, changed) = self.machine.advance(now, AGENT_LEASE, &shared.job_facts);
             if self.machine.incarnation != incarnation {
                 self.forget_all();
             }
-            {
-                let mut write_buffer = self.cluster.write_buffer();
-                for task in done {
-                    write_buffer.live.remove(&task);
-                    *write_buffer.completed.entry(task).or_insert(0) += 1;
-                }
-            }
+            self.note_completed(completed);
             if changed || now >= self.machine.next_heartbeat {
-                self.report(now);
+                self.send_heartbeat(now);
             }
         }
     }
 
+    /// None of its tasks are on its machine any longer.
     fn forget_all(&self) {
-        let mut write_buffer = self.cluster.write_buffer();
-        let here = self.machine.name.clone();
-        write_buffer.live.retain(|_, machine| *machine != here);
+        let here = &self.machine.name;
+        let mut log = self.cluster.write_buffer();
+        log.live.retain(|_, machine| machine != here);
+    }
+
+    fn note_completed(&self, tasks: Vec<String>) {
+        let mut log = self.cluster.write_buffer();
+        for task in tasks {
+            log.live.remove(&task);
+            *log.completed.entry(task).or_insert(0) += 1;
+        }
     }
 
-    fn report(&mut self, now: Micros) {
-        self.machine.next_heartbeat = now + REPORT;
+    fn send_heartbeat(&mut self, now: Micros) {
+        self.machine.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let Some(front) = self.front else { return };
-        let report = to_cbor(&self.machine.report(now));
-        match blocking::request(front, "POST", "/checkin", &report) {
-            Ok(answer) if answer.status == 200 => self.carry_out(now, &answer.body),
-            Ok(answer) if answer.status == 421 => {
-                let leader = from_cbor::<Redirect>(&answer.body).ok();
-                let leader = leader.and_then(|r| self.fronts.get(&r.leader?).copied());
+        let heartbeat = to_cbor(&self.machine.heartbeat(now));
+        match blocking::request(front, "POST", "/checkin", &heartbeat) {
+            Ok(response) if response.status == 200 => self.carry_out(now, &response.body),
+            Ok(response) if response.status == 421 => {
+                let redirect = from_cbor::<Redirect>(&response.body).ok();
+                let leader = redirect.and_then(|redirect| redirect.leader);
+                let leader = leader.and_then(|leader| self.fronts.get(&leader).copied());
                 match leader.filter(|leader| *leader != front) {
                     Some(leader) => {
                         self.front = Some(leader);
@@ -310,41 +324,46 @@
         }
     }
 
+    /// Sends its next heartbeat to the controller after this one.
     fn try_next(&mut self, front: SocketAddr) {
         let all: Vec<SocketAddr> = self.fronts.values().copied().collect();
-        let at = all.iter().position(|a| *a == front).unwrap_or(0);
-        self.front = all.get((at + 1) % all.len()).copied();
+        let place = all.iter().position(|known| *known == front);
+        let next = (place.unwrap_or(0) + 1) % all.len();
+        self.front = all.get(next).copied();
     }
 
+    /// Carries out what the response to a heartbeat says, unless it comes from a leader of an older token.
     fn carry_out(&mut self, sent: Micros, body: &[u8]) {
-        let Ok(answer) = from_cbor::<HeartbeatResponse>(body) else {
+        let Ok(response) = from_cbor::<HeartbeatResponse>(body) else {
             return;
         };
-        if answer.token < self.machine.token {
+        if response.token < self.machine.token {
             return;
         }
-        self.machine.token = answer.token;
+        self.machine.token = response.token;
         self.machine.lease_start = sent;
-        let facts = &self.cluster.0.facts;
-        let started = self
-            .machine
-            .carry_out(self.cluster.now(), &answer.commands, facts);
-        let mut write_buffer = self.cluster.write_buffer();
-        for task in started {
-            *write_buffer.starts.entry(task.clone()).or_insert(0) += 1;
-            let other = write_buffer
-                .live
-                .insert(task.clone(), self.machine.name.clone());
-            if other.is_some_and(|other| other != self.machine.name) {
-                write_buffer.twice.push(task);
+        let now = self.cluster.now();
+        let job_facts = &self.cluster.0.job_facts;
+        let started = self.machine.carry_out(now, &response.commands, job_facts);
+        self.note_started(started);
+    }
+
+    /// Notes the tasks that came onto its machine, and those that are no longer there.
+    fn note_started(&self, tasks: Vec<String>) {
+        let here = &self.machine.name;
+        let mut log = self.cluster.write_buffer();
+        for task in tasks {
+            *log.starts.entry(task.clone()).or_insert(0) += 1;
+            let other = log.live.insert(task.clone(), here.clone());
+            if other.is_some_and(|other| other != *here) {
+                log.twice.push(task);
             }
         }
         // What was stopped is gone; what goes on is live.
-        let here = self.machine.name.clone();
-        let live: BTreeSet<&str> = self.machine.live().map(|t| t.task_name.as_str()).collect();
-        write_buffer
-            .live
-            .retain(|task, machine| *machine != here || live.contains(task.as_str()));
-        write_buffer.note_most();
+        let live = self.machine.live().map(|task| task.task_name.as_str());
+        let live: BTreeSet<&str> = live.collect();
+        log.live
+            .retain(|task, machine| machine != here || live.contains(task.as_str()));
+        log.note_most();
     }
 }
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -1,69 +1,158 @@
 //! Stand-ins for the cloud's machines and their agents.
 
+use crate::time::{from_seconds, Micros, MILLISECOND};
 use grebewood_wire::http::{Command, ExitCause, Heartbeat, MachineType, ReportedTask};
 use std::collections::BTreeMap;
 
-type Micros = u64;
+/// How long an agent fetches the image of a task.
+const FETCH_TIME: Micros = 500 * MILLISECOND;
+/// Sums of CPUs that differ by less are the same.
+const SLACK: f64 = 1e-6;
+
+/// The state of a task on an agent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TaskStatus {
+    /// Its image is fetched.
+    Fetching,
+    /// It runs.
+    Running,
+    /// It writes a checkpoint before it stops.
+    Saving,
+    /// It has ended, and its exit is yet to be acknowledged.
+    Exited,
+}
+
+impl TaskStatus {
+    /// All of them.
+    pub const ALL: [TaskStatus; 4] = [
+        TaskStatus::Fetching,
+        TaskStatus::Running,
+        TaskStatus::Saving,
+        TaskStatus::Exited,
+    ];
+
+    /// The word for it in heartbeats.
+    pub fn word(self) -> &'static str {
+        match self {
+            TaskStatus::Fetching => "fetching",
+            TaskStatus::Running => "running",
+            TaskStatus::Saving => "saving",
+            TaskStatus::Exited => "exited",
+        }
+    }
+}
 
 /// A task on an agent.
 #[derive(Clone, Debug)]
 pub struct Task {
+    /// Its job and its number, `JOB/N`.
     pub task_name: String,
+    /// The number of the attempt, which is part of a task's identity.
     pub attempt: u64,
-    pub status: &'static str,
+    /// Its present state.
+    pub status: TaskStatus,
+    /// Why it has ended, in the word for it in heartbeats.
     pub cause: Option<&'static str>,
+    /// It has written a checkpoint before it ended.
     pub checkpointed: bool,
     /// When its present state ends.
     pub ends: Micros,
+    /// The CPUs that it takes.
     pub cpus: f64,
 }
 
+impl Task {
+    /// Whether this is the attempt that a command is about.
+    fn is_target_of(&self, command: &Command) -> bool {
+        self.task_name == command.task_name && self.attempt == command.attempt
+    }
+
+    fn exit(&mut self, cause: &'static str) {
+        self.status = TaskStatus::Exited;
+        self.cause = Some(cause);
+    }
+}
+
 /// What an agent knows of a job, since it fetches the description on its own.
 #[derive(Clone, Debug)]
 pub struct JobFacts {
+    /// The CPUs that each task takes.
     pub cpus: f64,
+    /// How long a task runs, in microseconds.
     pub run: Micros,
+    /// How long a task takes to write a checkpoint, in microseconds.
     pub flush: Micros,
+    /// Its tasks write checkpoints.
     pub saves: bool,
+    /// Its tasks fail on every machine.
     pub fails: bool,
 }
 
-/// A machine with its agent.
+/// A heartbeat whose response an agent waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InFlightHeartbeat {
+    /// Its number.
+    pub id: u64,
+    /// When it was sent.
+    pub sent_at: Micros,
+    /// The incarnation of the agent that sent it.
+    pub incarnation: u64,
+}
+
+/// A machine with its agent. Times are simulated ones, in microseconds.
 #[derive(Clone, Debug)]
 pub struct Machine {
+    /// Its name, which is its id in the cloud, too.
     pub name: String,
+    /// The name of its type.
     pub machine_type: String,
+    /// Its zone.
     pub zone: String,
+    /// It is a spot machine.
     pub spot: bool,
+    /// Its CPUs.
     pub cpus: f64,
+    /// When it was provisioned.
     pub requested: Micros,
     /// When it is up; never for a boot that fails.
     pub boots_at: Option<Micros>,
+    /// It has come up.
     pub up: bool,
+    /// It was terminated, reclaimed or lost.
     pub gone: bool,
+    /// Until then neither its agent nor its tasks do anything.
     pub hangs_until: Micros,
-    /// Until then its heartbeats arrive, but answers and commands do not reach it.
+    /// Until then its heartbeats arrive, but responses and commands do not reach it.
     pub deaf_until: Micros,
     /// Until then nothing reaches it or comes from it, while its tasks go on.
     pub unplugged_until: Micros,
     /// Until then it reaches no controller, while direct commands reach it.
     pub mute_until: Micros,
+    /// Tasks fail on it.
     pub faulty: bool,
+    /// When the cloud reclaims it.
     pub reclaim_at: Option<Micros>,
+    /// The incarnation of its agent.
     pub incarnation: u64,
+    /// The number of the last heartbeat of this incarnation.
     pub sequence: u64,
+    /// The highest fencing token that the agent has seen.
     pub token: u64,
     /// When the last answered heartbeat was sent, or the incarnation began.
     pub lease_start: Micros,
+    /// The tasks on it, with those that have ended and are not acknowledged.
     pub tasks: Vec<Task>,
-    /// The controller it heartbeats to.
+    /// The index of the controller to which its agent sends heartbeats.
     pub controller: usize,
-    /// The heartbeat in flight: when it was sent, and its incarnation.
-    pub in_flight: Option<(u64, Micros, u64)>,
+    /// The heartbeat whose response its agent waits for.
+    pub in_flight: Option<InFlightHeartbeat>,
+    /// When its agent sends the next heartbeat.
     pub next_heartbeat: Micros,
+    /// When its agent sent the last heartbeat.
     pub last_contact_at: Micros,
+    /// The highest token that its agent has reported.
     pub reported_token: u64,
-    /// When a higher token last made it heartbeat at once.
+    /// When a higher token last made it send a heartbeat at once.
     pub token_reported_at: Option<Micros>,
 }
 
@@ -100,8 +189,46 @@
         }
     }
 
-    pub fn report(&mut self, now: Micros) -> Heartbeat {
+    /// Whether responses and direct commands reach its agent.
+    pub fn receives(&self, now: Micros) -> bool {
+        now >= self.deaf_until.max(self.unplugged_until)
+    }
+
+    /// Whether its agent runs, and is connected both ways.
+    pub fn is_reachable(&self, now: Micros) -> bool {
+        self.receives(now) && now >= self.hangs_until.max(self.mute_until)
+    }
+
+    /// Whether a task of this job is on it.
+    pub fn holds_task_of(&self, job: &str) -> bool {
+        let prefix = format!("{job}/");
+        self.live().any(|task| task.task_name.starts_with(&prefix))
+    }
+
+    /// It comes up, or is reclaimed, if it is time. The result is whether it is up.
+    pub fn boot_or_end(&mut self, now: Micros) -> bool {
+        let boots = self.boots_at.is_some_and(|at| at <= now);
+        if boots && !self.up && !self.gone {
+            self.up = true;
+            self.lease_start = now;
+            self.next_heartbeat = now;
+        }
+        if self.reclaim_at.is_some_and(|at| at <= now) {
+            self.gone = true;
+        }
+        self.up && !self.gone
+    }
+
+    /// Its agent sends the next heartbeat to the next one of so many controllers, at this time.
+    pub fn try_next_controller(&mut self, at: Micros, controllers: usize) {
+        self.controller = (self.controller + 1) % controllers;
+        self.next_heartbeat = at;
+    }
+
+    /// The agent's next heartbeat.
+    pub fn heartbeat(&mut self, now: Micros) -> Heartbeat {
         self.sequence += 1;
+        let reclaimed_in = self.reclaim_at.map(|at| at.saturating_sub(now));
         Heartbeat {
             machine: self.name.clone(),
             address: format!("worker:{}", self.name),
@@ -111,20 +238,8 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             token: self.token,
-            reclaim_s: self
-                .reclaim_at
-                .map(|at| at.saturating_sub(now) as f64 / 1e6),
-            tasks: self
-                .tasks
-                .iter()
-                .map(|t| ReportedTask {
-                    task_name: t.task_name.clone(),
-                    attempt: t.attempt,
-                    status: t.status.into(),
-                    cause: t.cause.map(ExitCause::from),
-                    checkpointed: t.cause.is_some().then_some(t.checkpointed),
-                })
-                .collect(),
+            reclaim_s: reclaimed_in.map(|span| span as f64 / 1e6),
+            tasks: self.tasks.iter().map(reported).collect(),
         }
     }
 
@@ -136,67 +251,13 @@
         jobs: &BTreeMap<String, JobFacts>,
     ) -> Vec<String> {
         let mut started = Vec::new();
-        for o in commands {
-            match o.verb.as_str() {
-                "launch" => {
-                    if self
-                        .tasks
-                        .iter()
-                        .any(|t| t.task_name == o.task_name && t.attempt == o.attempt)
-                    {
-                        continue;
-                    }
-                    let job = o.task_name.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
-                    let used: f64 = self.live().map(|t| t.cpus).sum();
-                    let busy = self.live().any(|t| t.task_name == o.task_name);
-                    let refused = match job {
-                        None => Some("unknown"),
-                        Some(_) if busy => Some("busy"),
-                        Some(j) if used + j.cpus > self.cpus + 1e-6 => Some("no_room"),
-                        Some(_) => None,
-                    };
-                    let mut task = Task {
-                        task_name: o.task_name.clone(),
-                        attempt: o.attempt,
-                        status: "fetching",
-                        cause: None,
-                        checkpointed: false,
-                        ends: now + 500_000,
-                        cpus: job.map_or(0.0, |j| j.cpus),
-                    };
-                    if refused.is_some() {
-                        task.status = "exited";
-                        task.cause = refused;
-                    } else {
-                        started.push(o.task_name.clone());
-                    }
-                    self.tasks.push(task);
-                }
-                "stop" => {
-                    let grace = (o.grace_s.unwrap_or(0.0) * 1e6) as Micros;
-                    let job = o.task_name.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
-                    for t in self
-                        .tasks
-                        .iter_mut()
-                        .filter(|t| t.task_name == o.task_name && t.attempt == o.attempt)
-                    {
-                        let saves = job.is_some_and(|j| j.saves && grace >= j.flush);
-                        match t.status {
-                            "exited" => {}
-                            "running" if saves => {
-                                t.status = "saving";
-                                t.ends = now + job.map_or(0, |j| j.flush);
-                            }
-                            "saving" if grace > 0 => {}
-                            _ => {
-                                t.status = "exited";
-                                t.cause = Some("stopped");
-                            }
-                        }
-                    }
-                }
-                "reap" => self.tasks.retain(|t| {
-                    t.task_name != o.task_name || t.attempt != o.attempt || t.status != "exited"
+        for command in commands {
+            let job = job_facts(jobs, &command.task_name);
+            match command.verb.as_str() {
+                "launch" => started.extend(self.launch(now, command, job)),
+                "stop" => self.stop(now, command, job),
+                "reap" => self.tasks.retain(|task| {
+                    !task.is_target_of(command) || task.status != TaskStatus::Exited
                 }),
                 _ => {}
             }
@@ -204,12 +265,65 @@
         started
     }
 
+    /// Launches a task, unless it is there already. The result is its name if it came onto the machine.
+    fn launch(&mut self, now: Micros, command: &Command, job: Option<&JobFacts>) -> Option<String> {
+        if self.tasks.iter().any(|task| task.is_target_of(command)) {
+            return None;
+        }
+        let refused = self.launch_refusal(command, job);
+        let mut task = Task {
+            task_name: command.task_name.clone(),
+            attempt: command.attempt,
+            status: TaskStatus::Fetching,
+            cause: None,
+            checkpointed: false,
+            ends: now + FETCH_TIME,
+            cpus: job.map_or(0.0, |job| job.cpus),
+        };
+        if let Some(cause) = refused {
+            task.exit(cause);
+        }
+        self.tasks.push(task);
+        refused.is_none().then(|| command.task_name.clone())
+    }
+
+    /// Why a task cannot be launched.
+    fn launch_refusal(&self, command: &Command, job: Option<&JobFacts>) -> Option<&'static str> {
+        let Some(job) = job else {
+            return Some("unknown");
+        };
+        if self.live().any(|task| task.task_name == command.task_name) {
+            return Some("busy");
+        }
+        let used: f64 = self.live().map(|task| task.cpus).sum();
+        (used + job.cpus > self.cpus + SLACK).then_some("no_room")
+    }
+
+    /// Stops a task: with a checkpoint if its job writes any and the grace period is long enough.
+    fn stop(&mut self, now: Micros, command: &Command, job: Option<&JobFacts>) {
+        let grace = from_seconds(command.grace_s.unwrap_or(0.0));
+        let checkpoint = job.filter(|job| job.saves && grace >= job.flush);
+        let tasks = self.tasks.iter_mut();
+        for task in tasks.filter(|task| task.is_target_of(command)) {
+            match (task.status, checkpoint) {
+                (TaskStatus::Exited, _) => {}
+                (TaskStatus::Running, Some(job)) => {
+                    task.status = TaskStatus::Saving;
+                    task.ends = now + job.flush;
+                }
+                (TaskStatus::Saving, _) if grace > 0 => {}
+                _ => task.exit("stopped"),
+            }
+        }
+    }
+
     /// Tasks that are on the machine.
     pub fn live(&self) -> impl Iterator<Item = &Task> {
-        self.tasks.iter().filter(|t| t.status != "exited")
+        let tasks = self.tasks.iter();
+        tasks.filter(|task| task.status != TaskStatus::Exited)
     }
 
-    /// Its tasks are killed and forgotten.
+    /// Its agent starts anew: the tasks are killed and forgotten.
     pub fn restart_agent(&mut self, now: Micros) {
         self.tasks.clear();
         self.incarnation += 1;
@@ -218,51 +332,61 @@
         self.in_flight = None;
     }
 
-    /// Lets time pass for the tasks. Returns the tasks that completed, and whether anything
-    /// changed.
+    /// Lets time pass for the tasks, which end with the agent's lease. Returns the tasks that completed,
+    /// and whether anything changed.
     pub fn advance(
         &mut self,
         now: Micros,
         lease: Micros,
         jobs: &BTreeMap<String, JobFacts>,
     ) -> (Vec<String>, bool) {
-        let mut done = Vec::new();
+        let mut completed = Vec::new();
         let mut changed = false;
         if !self.up || self.gone || now < self.hangs_until {
-            return (done, changed);
+            return (completed, changed);
         }
         if now > self.lease_start + lease {
             self.restart_agent(now);
             changed = true;
         }
         let faulty = self.faulty;
-        for t in &mut self.tasks {
-            if t.status == "exited" || now < t.ends {
-                continue;
-            }
+        let tasks = self.tasks.iter_mut();
+        for task in tasks.filter(|task| task.status != TaskStatus::Exited && now >= task.ends) {
             changed = true;
-            let job = t.task_name.rsplit_once('/').and_then(|(j, _)| jobs.get(j));
-            match t.status {
-                "fetching" => {
-                    t.status = "running";
-                    t.ends = now + job.map_or(0, |j| j.run);
+            let job = job_facts(jobs, &task.task_name);
+            match task.status {
+                TaskStatus::Fetching => {
+                    task.status = TaskStatus::Running;
+                    task.ends = now + job.map_or(0, |job| job.run);
                 }
-                "saving" => {
-                    t.status = "exited";
-                    t.cause = Some("stopped");
-                    t.checkpointed = true;
+                TaskStatus::Saving => {
+                    task.exit("stopped");
+                    task.checkpointed = true;
                 }
+                _ if faulty || job.is_some_and(|job| job.fails) => task.exit("error"),
                 _ => {
-                    t.status = "exited";
-                    if faulty || job.is_some_and(|j| j.fails) {
-                        t.cause = Some("error");
-                    } else {
-                        t.cause = Some("done");
-                        done.push(t.task_name.clone());
-                    }
+                    task.exit("done");
+                    completed.push(task.task_name.clone());
                 }
             }
         }
-        (done, changed)
+        (completed, changed)
     }
 }
+
+/// A task as heartbeats report it.
+fn reported(task: &Task) -> ReportedTask {
+    ReportedTask {
+        task_name: task.task_name.clone(),
+        attempt: task.attempt,
+        status: task.status.word().into(),
+        cause: task.cause.map(ExitCause::from),
+        checkpointed: task.cause.is_some().then_some(task.checkpointed),
+    }
+}
+
+/// What is known of the job of a task.
+fn job_facts<'a>(jobs: &'a BTreeMap<String, JobFacts>, task_name: &str) -> Option<&'a JobFacts> {
+    let (job, _) = task_name.rsplit_once('/')?;
+    jobs.get(job)
+}
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -3,6 +3,7 @@
 //! Times are of the machine that plays the scenario. They serve to compare fleets of different sizes,
 //! and are never asserted.
 
+use crate::time::{Micros, MILLISECOND};
 use grebewood_core::Input;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +18,7 @@
     Request,
     /// A reply to a call.
     Reply,
-    /// The passing of time, which is when most rounds of placement and of the decider run.
+    /// The passing of time, which is when most rounds of placement and of the autoscaler run.
     Tick,
 }
 
@@ -48,7 +49,7 @@
     pub starts: BTreeMap<String, Histogram<u64>>,
     /// Tasks that started while nobody led.
     pub leaderless_starts: u64,
-    /// Part of a team's limit that was allotted and not used, in thousandths, at each moment at which one of
+    /// Part of a team's limit that was granted and not used, in thousandths, at each moment at which one of
     /// its jobs waited for tasks.
     pub idle_granted: Option<Histogram<u64>>,
     started: BTreeSet<String>,
@@ -63,20 +64,34 @@
 
 impl Measures {
     /// Notes that a task of a team started, so long after its job was submitted.
-    pub(crate) fn task_started(&mut self, team: &str, task: &str, after: u64, leaderless: bool) {
+    pub(crate) fn task_started(
+        &mut self,
+        team: &str,
+        task: &str,
+        waited: Micros,
+        leaderless: bool,
+    ) {
         self.leaderless_starts += u64::from(leaderless);
         if self.started.insert(task.to_string()) {
             let starts = self.starts.entry(team.to_string());
-            let _ = starts.or_insert_with(new_histogram).record(after / 1_000);
+            let _ = starts
+                .or_insert_with(new_histogram)
+                .record(waited / MILLISECOND);
         }
     }
 
-    /// Notes how much of a limit is allotted and not used.
+    /// Notes how much of a limit is granted and not used.
     pub(crate) fn idle_granted(&mut self, thousandths: u64) {
         let histogram = self.idle_granted.get_or_insert_with(new_histogram);
         let _ = histogram.record(thousandths);
     }
 
+    /// Notes a request to the key-value store, which carried out so many puts and deletes.
+    pub(crate) fn store_request(&mut self, operations: u64) {
+        self.requests += 1;
+        self.changes += operations;
+    }
+
     /// Notes a step of the leader.
     pub(crate) fn step(&mut self, kind: StepKind, took: Duration) {
         let histogram = self.steps.entry(kind).or_insert_with(new_histogram);
--- a/crates/testkit/src/production/tests.rs
+++ b/crates/testkit/src/production/tests.rs
@@ -11,7 +11,7 @@
     let (mut records, mut messages) = (0, 0);
     for line in text.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let bytes = |at: usize| crate::world::unhex(words[at]).expect("hexadecimal digits");
+        let bytes = |at: usize| crate::unhex(words[at]).expect("hexadecimal digits");
         match words[0] {
             "record" => {
                 let value: Value = from_cbor(&bytes(3)).expect("a value");
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -26,8 +26,8 @@
 //! at 5  submit JOB tasks=4 cpus=2 [owner= prec= run= due= saves=yes flush= fails=yes zone= type=
 //!       spot=no one_zone=yes spread=yes shape= class= gpus=]
 //! every 6 from 1 to 90 submit JOB ...       such a job every 6 s: JOB001, JOB002, ...
-//! at 5  begun JOB                           a task of it came onto a machine
 //!                                           node=N|leader|other: there the first time, later anywhere
+//! at 5  begun JOB                           a task of it came onto a machine
 //! at 5  cancel JOB [node=N|leader|other]
 //! at 5  expect JOB STATUS                   a poll at every node that is up gives this status;
 //!                                           live: pending or running
@@ -117,153 +117,202 @@
 //! nobody submitted. Once all troubles are over, one about which no
 //! question is answered for 75 s is forgotten.
 
+use crate::error::{ScenarioError, ScriptError};
+use crate::time::{from_seconds, Micros, SECOND};
 use std::collections::BTreeMap;
+use std::str::FromStr;
 
-type Micros = u64;
-
-/// One line's words and options.
+/// A line of a scenario: what is to be set up, to happen or to be checked.
 #[derive(Clone, Debug, Default)]
 pub struct Directive {
+    /// The line's number in the file, from 1.
     pub number: usize,
+    /// The words, without the time of the directive.
     pub words: Vec<String>,
+    /// The options, written `key=value`.
     pub options: BTreeMap<String, String>,
 }
 
 impl Directive {
-    /// The word at a place.
-    pub fn word(&self, at: usize) -> Result<&str, String> {
-        self.words
-            .get(at)
-            .map(String::as_str)
-            .ok_or(format!("line {}: a word is missing", self.number))
+    /// Splits a line into words and options; a comment is left out.
+    fn read(number: usize, text: &str) -> Directive {
+        let mut directive = Directive {
+            number,
+            ..Directive::default()
+        };
+        let text = text.split('#').next().unwrap_or_default();
+        for word in text.split_whitespace() {
+            match word.split_once('=') {
+                Some((key, value)) => {
+                    directive.options.insert(key.to_string(), value.to_string());
+                }
+                None => directive.words.push(word.to_string()),
+            }
+        }
+        directive
+    }
+
+    /// The word at this place, from 0.
+    pub fn word(&self, at: usize) -> Result<&str, ScriptError> {
+        let word = self.words.get(at).map(String::as_str);
+        word.ok_or(ScriptError::MissingWord)
+    }
+
+    /// The number at this place, from 0.
+    pub fn number_at<T: FromStr>(&self, at: usize) -> Result<T, ScriptError> {
+        let word = self.word(at)?;
+        let number = word.parse();
+        number.map_err(|_| ScriptError::NotANumber(word.to_string()))
+    }
+
+    /// The time in seconds at this place, from 0.
+    pub fn time_at(&self, at: usize) -> Result<Micros, ScriptError> {
+        let word = self.word(at)?;
+        let seconds = word.parse();
+        let seconds = seconds.map_err(|_| ScriptError::NotATime(word.to_string()))?;
+        Ok(from_seconds(seconds))
     }
 
     /// A number among the options.
-    pub fn number(&self, key: &str, default: f64) -> Result<f64, String> {
-        match self.options.get(key) {
-            None => Ok(default),
-            Some(text) => text
-                .parse()
-                .map_err(|_| format!("line {}: {key}={text} is no number", self.number)),
-        }
+    pub fn number(&self, key: &str, default: f64) -> Result<f64, ScriptError> {
+        let Some(text) = self.options.get(key) else {
+            return Ok(default);
+        };
+        let number = text.parse();
+        number.map_err(|_| ScriptError::OptionIsNoNumber {
+            key: key.to_string(),
+            text: text.clone(),
+        })
     }
 
-    /// A span of time among the options.
-    pub fn time(&self, key: &str, default: f64) -> Result<Micros, String> {
-        Ok((self.number(key, default)? * 1e6) as Micros)
+    /// A whole number among the options.
+    pub fn count(&self, key: &str, default: u64) -> Result<u64, ScriptError> {
+        Ok(self.number(key, default as f64)? as u64)
     }
 
+    /// A span of time among the options, which is given in seconds; so is the default.
+    pub fn duration(&self, key: &str, default_s: f64) -> Result<Micros, ScriptError> {
+        Ok(from_seconds(self.number(key, default_s)?))
+    }
+
+    /// A text among the options.
     pub fn text(&self, key: &str, default: &str) -> String {
-        self.options
-            .get(key)
-            .cloned()
-            .unwrap_or_else(|| default.to_string())
+        let text = self.options.get(key).cloned();
+        text.unwrap_or_else(|| default.to_string())
     }
 
-    pub fn yes(&self, key: &str, default: bool) -> bool {
-        self.options.get(key).map_or(default, |v| v == "yes")
+    /// A flag among the options, which is set by `yes`.
+    pub fn flag(&self, key: &str, default: bool) -> bool {
+        self.options
+            .get(key)
+            .map_or(default, |value| value == "yes")
     }
 }
 
-/// A scenario.
+/// A scenario as it is written.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
+    /// What there is at the start.
     pub setup: Vec<Directive>,
+    /// What happens, and at which simulated time.
     pub events: Vec<(Micros, Directive)>,
+    /// The simulated time at which the scenario ends.
     pub end: Micros,
 }
 
-/// What counts as fault, for how long if the line does not say.
+/// Directives that disturb the cluster, and for how long if they do not say.
 const FAULT_DURATIONS: [(&str, Micros); 17] = [
-    ("crash", 4_000_000),
-    ("upgrade", 4_000_000),
-    ("cut", 10_000_000),
-    ("freeze", 30_000_000),
-    ("refuse", 10_000_000),
-    ("state", 10_000_000),
-    ("cloud", 10_000_000),
-    ("busy", 10_000_000),
-    ("late", 10_000_000),
-    ("deaf", 30_000_000),
-    ("unplug", 30_000_000),
-    ("copies", 10_000_000),
-    ("hang", 5_000_000),
-    ("mute", 30_000_000),
-    ("slow", 20_000_000),
-    ("lose", 10_000_000),
+    ("crash", 4 * SECOND),
+    ("upgrade", 4 * SECOND),
+    ("cut", 10 * SECOND),
+    ("freeze", 30 * SECOND),
+    ("refuse", 10 * SECOND),
+    ("state", 10 * SECOND),
+    ("cloud", 10 * SECOND),
+    ("busy", 10 * SECOND),
+    ("late", 10 * SECOND),
+    ("deaf", 30 * SECOND),
+    ("unplug", 30 * SECOND),
+    ("copies", 10 * SECOND),
+    ("hang", 5 * SECOND),
+    ("mute", 30 * SECOND),
+    ("slow", 20 * SECOND),
+    ("lose", 10 * SECOND),
     ("cancel_now", 0),
 ];
 
+/// How late a lost direct command is carried out if the directive does not say, in seconds.
+const LOST_COMMAND_DELAY_S: f64 = 6.0;
+
 impl Script {
     /// When the last fault is over.
     pub fn faults_end(&self) -> Micros {
-        let end = |(at, line): &(Micros, Directive)| {
-            let word = line.words.first()?;
-            if line.words.get(1).is_some_and(|w| w == "answer") {
-                return None; // A lost answer is over at once.
-            }
-            let (_, default) = FAULT_DURATIONS.iter().find(|(verb, _)| verb == word)?;
-            let takes = line.time("for", *default as f64 / 1e6).ok()?;
-            let late = line
-                .time("late", if word == "lose" { 6.0 } else { 0.0 })
-                .ok()?;
-            Some(at + takes + late + line.time("hang", 0.0).ok()?)
-        };
-        self.events.iter().filter_map(end).max().unwrap_or(0)
+        let ends = self.events.iter();
+        let ends = ends.filter_map(|(at, directive)| Some(at + fault_duration(directive)?));
+        ends.max().unwrap_or(0)
     }
 }
 
-fn seconds(text: &str, number: usize) -> Result<Micros, String> {
-    let s: f64 = text
-        .parse()
-        .map_err(|_| format!("line {number}: {text} is no time"))?;
-    Ok((s * 1e6) as Micros)
+/// For how long a directive disturbs the cluster; `None` if it does not.
+fn fault_duration(directive: &Directive) -> Option<Micros> {
+    let verb = directive.words.first()?;
+    if directive.words.get(1).is_some_and(|word| word == "answer") {
+        return None; // A lost answer is over at once.
+    }
+    let (_, default) = FAULT_DURATIONS.iter().find(|(known, _)| known == verb)?;
+    let default_s = *default as f64 / 1e6;
+    let late_s = if verb == "lose" {
+        LOST_COMMAND_DELAY_S
+    } else {
+        0.0
+    };
+    let duration = directive.duration("for", default_s).ok()?;
+    let late = directive.duration("late", late_s).ok()?;
+    Some(duration + late + directive.duration("hang", 0.0).ok()?)
 }
 
 /// Reads a scenario.
-pub fn parse(text: &str) -> Result<Script, String> {
+pub fn parse(text: &str) -> Result<Script, ScenarioError> {
     let mut script = Script::default();
-    for (i, raw) in text.lines().enumerate() {
-        let number = i + 1;
-        let mut line = Directive {
-            number,
-            ..Directive::default()
-        };
-        for word in raw.split('#').next().unwrap_or("").split_whitespace() {
-            match word.split_once('=') {
-                Some((k, v)) => {
-                    line.options.insert(k.to_string(), v.to_string());
-                }
-                None => line.words.push(word.to_string()),
-            }
-        }
-        match line.words.first().map(String::as_str) {
-            None => {}
-            Some("at") => {
-                let at = seconds(line.word(1)?, number)?;
-                line.words.drain(..2);
-                script.events.push((at, line));
-            }
-            Some("every") => {
-                let every = seconds(line.word(1)?, number)?.max(1);
-                let (from, to) = (
-                    seconds(line.word(3)?, number)?,
-                    seconds(line.word(5)?, number)?,
-                );
-                line.words.drain(..6);
-                let job = line.word(1)?.to_string();
-                for (k, at) in (from..to).step_by(every as usize).enumerate() {
-                    let mut one = line.clone();
-                    one.words[1] = format!("{job}{k:03}");
-                    script.events.push((at, one));
-                }
-            }
-            Some("end") => script.end = seconds(line.word(1)?, number)?,
-            Some(_) => script.setup.push(line),
-        }
+    for (index, line) in text.lines().enumerate() {
+        let directive = Directive::read(index + 1, line);
+        let number = directive.number;
+        let added = add(&mut script, directive);
+        added.map_err(|error| ScenarioError::from(error).at_line(number))?;
     }
     if script.end == 0 {
-        return Err("the scenario has no end".into());
+        return Err(ScriptError::NoEnd.into());
     }
     Ok(script)
 }
+
+/// Adds a line to a script.
+fn add(script: &mut Script, mut directive: Directive) -> Result<(), ScriptError> {
+    match directive.words.first().map(String::as_str) {
+        None => {}
+        Some("at") => {
+            let at = directive.time_at(1)?;
+            directive.words.drain(..2);
+            script.events.push((at, directive));
+        }
+        Some("every") => repeat(script, directive)?,
+        Some("end") => script.end = directive.time_at(1)?,
+        Some(_) => script.setup.push(directive),
+    }
+    Ok(())
+}
+
+/// Adds what happens again and again: `every 6 from 1 to 90 submit JOB ...`.
+fn repeat(script: &mut Script, mut directive: Directive) -> Result<(), ScriptError> {
+    let interval = directive.time_at(1)?.max(1);
+    let (from, to) = (directive.time_at(3)?, directive.time_at(5)?);
+    directive.words.drain(..6);
+    let name = directive.word(1)?.to_string();
+    let times = (from..to).step_by(interval as usize);
+    for (index, at) in times.enumerate() {
+        let mut single = directive.clone();
+        single.words[1] = format!("{name}{index:03}");
+        script.events.push((at, single));
+    }
+    Ok(())
+}
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -94,8 +94,8 @@
         let Ok(transaction) = from_cbor::<Transaction>(body) else {
             return;
         };
-        for change in transaction.apply {
-            if let Operation::Put { put, value, .. } = change {
+        for operation in transaction.apply {
+            if let Operation::Put { put, value, .. } = operation {
                 let kind = format!("record {}", key_shape(&put));
                 self.keep_largest(kind, &put, to_cbor(&value));
             }
@@ -113,7 +113,10 @@
     }
 
     fn keep_largest(&mut self, kind: String, name: &str, bytes: Vec<u8>) {
-        let known = self.samples.get(&kind).map_or(0, |s| s.bytes.len());
+        let known = self
+            .samples
+            .get(&kind)
+            .map_or(0, |sample| sample.bytes.len());
         if (known + 1..MAX_SAMPLE).contains(&bytes.len()) {
             let name = name.to_string();
             self.samples.insert(kind, Sample { name, bytes });
@@ -121,6 +124,7 @@
     }
 }
 
+/// What a target is called in the digest, and must be for it to stay the same.
 fn target_name(target: &Target) -> String {
     match target {
         Target::Store => "state".into(),
@@ -177,10 +181,12 @@
 fn key_shape(key: &str) -> String {
     let parts: Vec<&str> = key
         .split('/')
-        .map(|part| match part.chars().any(|c| c.is_ascii_digit()) {
-            true => "N",
-            false => part,
-        })
+        .map(
+            |part| match part.chars().any(|letter| letter.is_ascii_digit()) {
+                true => "N",
+                false => part,
+            },
+        )
         .collect();
     parts.join("/")
 }
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -1,8 +1,42 @@
-//! Workers: their heartbeats, direct commands, and the rules of starting a task.
+//! Agents: their heartbeats, direct commands, and the rules of starting a task.
 
-use super::*;
+use super::events::{Caller, Event, Requester};
+use super::jobs::job_of;
+use super::network::{Link, CALL_LATENCY, REQUEST_LATENCY};
+use super::users::front_request;
+use super::World;
+use crate::error::{Rule, ScenarioError, ScriptError, StepResult};
+use crate::machines::{InFlightHeartbeat, Machine};
+use crate::time::{Micros, MILLISECOND, SECOND};
+use grebewood_wire::http::{DirectCommands, HeartbeatResponse, Redirect, Submission};
+use grebewood_wire::{from_cbor, to_cbor};
+use std::collections::BTreeMap;
+
+/// After which time an agent that was redirected sends its next heartbeat.
+const REDIRECT_DELAY: Micros = 100 * MILLISECOND;
+/// After which time an agent that found no leader sends its next heartbeat.
+const RETRY_DELAY: Micros = SECOND;
+/// How long an agent waits for the response to a heartbeat.
+const RESPONSE_TIMEOUT: Micros = 4 * SECOND;
+/// An agent sends heartbeats that something has changed no closer to each other.
+const CHANGE_INTERVAL: Micros = SECOND / 2;
 
 impl World {
+    /// A machine by its name.
+    pub(super) fn machine_mut(&mut self, name: &str) -> Result<&mut Machine, ScriptError> {
+        let machine = self.machines.get_mut(name);
+        machine.ok_or_else(|| ScriptError::NotFound {
+            kind: "machine",
+            name: name.to_string(),
+        })
+    }
+
+    /// Machines that are not terminated, reachable or not.
+    pub(super) fn present_machines(&self) -> impl Iterator<Item = &Machine> {
+        self.machines.values().filter(|machine| !machine.gone)
+    }
+
+    /// The response to a heartbeat reaches an agent, if it still waits for it and receives anything.
     pub(super) fn handle_heartbeat_response(
         &mut self,
         name: &str,
@@ -10,310 +44,323 @@
         controller: usize,
         status: u16,
         body: &[u8],
-    ) -> Result<(), String> {
-        let now = self.now;
-        let controllers = self.controllers.len();
-        let Some(m) = self.machines.get_mut(name) else {
+    ) -> StepResult {
+        let Some(sent) = self.take_awaited_heartbeat(name, heartbeat_id) else {
             return Ok(());
         };
-        let Some((id, sent, incarnation)) = m.in_flight else {
-            return Ok(());
-        };
-        if id != heartbeat_id || m.gone || incarnation != m.incarnation {
-            return Ok(());
-        }
-        if self.lose_response.remove(name) || now < m.deaf_until.max(m.unplugged_until) {
-            return Ok(());
-        }
-        m.in_flight = None;
-        if now < m.hangs_until {
-            return Ok(());
-        }
         match status {
-            200 => {
-                let answer: HeartbeatResponse =
-                    from_cbor(body).map_err(|e| format!("a check-in's answer: {e}"))?;
-                if answer.token < m.token {
-                    return Ok(());
-                }
-                m.token = answer.token;
-                m.lease_start = sent;
-                let started = m.carry_out(now, &answer.commands, &self.facts);
-                self.started(name, &started)
-            }
+            200 => self.follow_response(name, sent, body),
             421 => {
-                let leader = from_cbor::<Redirect>(body).ok().and_then(|r| r.leader);
-                let to = leader
-                    .and_then(|s| s.strip_prefix("perch-").and_then(|n| n.parse().ok()))
-                    .filter(|n| *n != controller && *n < controllers);
-                match to {
-                    Some(n) => {
-                        m.controller = n;
-                        m.next_heartbeat = now + 100 * MILLISECOND;
-                    }
-                    None => {
-                        m.controller = (controller + 1) % controllers;
-                        m.next_heartbeat = now + SECOND;
-                    }
-                }
+                let redirect = from_cbor::<Redirect>(body).ok();
+                let leader = redirect.and_then(|redirect| redirect.leader);
+                self.redirect_agent(name, controller, leader);
                 Ok(())
             }
             _ => {
-                m.controller = (controller + 1) % controllers;
-                m.next_heartbeat = now + SECOND;
+                self.redirect_agent(name, controller, None);
                 Ok(())
             }
         }
     }
 
-    /// Tasks came onto a machine: checks the rules of starting.
-    pub(super) fn started(&mut self, name: &str, tasks: &[String]) -> Result<(), String> {
-        // Only a start can break what is checked here; what lasts is checked at each moment.
-        if tasks.is_empty() {
-            return Ok(());
+    /// When the heartbeat was sent for whose response the agent waits, if it is this one and the response
+    /// gets through to an agent that runs.
+    fn take_awaited_heartbeat(&mut self, name: &str, heartbeat_id: u64) -> Option<Micros> {
+        let machine = self.machines.get_mut(name)?;
+        let heartbeat = machine.in_flight?;
+        let awaited = heartbeat.id == heartbeat_id && heartbeat.incarnation == machine.incarnation;
+        if !awaited || machine.gone {
+            return None;
         }
-        let Some(here) = self.machines.get(name) else {
+        if self.faults.lose_response.remove(name) || !machine.receives(self.now) {
+            return None;
+        }
+        machine.in_flight = None;
+        (self.now >= machine.hangs_until).then_some(heartbeat.sent_at)
+    }
+
+    /// An agent carries out what a response says, unless it comes from a leader of an older token.
+    fn follow_response(&mut self, name: &str, sent: Micros, body: &[u8]) -> StepResult {
+        let response: HeartbeatResponse = from_cbor(body)
+            .map_err(|error| ScenarioError::Protocol(format!("a heartbeat's response: {error}")))?;
+        let Some(machine) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        let led = (0..self.controllers.len()).any(|n| self.leads(n));
-        for task_name in tasks {
-            let Some((job, _)) = task_name.rsplit_once('/') else {
-                continue;
-            };
-            let live = |m: &&Machine| !m.gone;
-            for m in self.machines.values().filter(live) {
-                if m.name != name && m.live().any(|t| t.task_name == *task_name) {
-                    return Err(format!("ran_twice: {task_name} on {} and {name}", m.name));
-                }
-            }
-            let Some(observed) = self.jobs.get_mut(job) else {
-                return Err(format!("{task_name} of an unknown job"));
-            };
-            observed.starts += 1;
-            observed.last_start = self.now;
-            if let Some(measures) = &mut self.measures {
-                let (team, after) = (&observed.spec.team, self.now - observed.submitted);
-                measures.task_started(team, task_name, after, !led);
-            }
-            if observed.cancelled_at.is_some() {
-                self.checks.late_starts += 1;
-            }
-            observed.first_start.get_or_insert(self.now);
-            let spec = &observed.spec;
-            if observed
-                .cancelled_at
-                .is_some_and(|at| self.now > at + self.settings.cancel_timeout)
-            {
-                return Err(format!("ran_cancelled: {task_name} starts"));
-            }
-            let allowed = spec
-                .machine_types
-                .as_ref()
-                .is_none_or(|b| b.contains(&here.machine_type))
-                && spec.zone.as_ref().is_none_or(|y| *y == here.zone)
-                && (spec.spot || !here.spot);
-            if !allowed {
-                return Err(format!("wrong_place: {task_name} on {name}"));
-            }
-            let prefix = format!("{job}/");
-            let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-            for m in self.machines.values().filter(live) {
-                let n = m
-                    .live()
-                    .filter(|t| t.task_name.starts_with(&prefix))
-                    .count();
-                if n > 0 {
-                    *zones.entry(&m.zone).or_insert(0) += n as u64;
-                }
+        if response.token < machine.token {
+            return Ok(());
+        }
+        machine.token = response.token;
+        machine.lease_start = sent;
+        let started = machine.carry_out(self.now, &response.commands, &self.job_facts);
+        self.check_starts(name, &started)
+    }
+
+    /// An agent sends its next heartbeat to the leader that it was told of, or else to the next controller.
+    fn redirect_agent(&mut self, name: &str, controller: usize, leader: Option<String>) {
+        let number = self.controllers.len();
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        let index = leader.and_then(|leader| leader.strip_prefix("perch-")?.parse().ok());
+        match index.filter(|index| *index != controller && *index < number) {
+            Some(leader) => {
+                machine.controller = leader;
+                machine.next_heartbeat = self.now + REDIRECT_DELAY;
             }
-            if spec.one_zone && zones.len() > 1 {
-                return Err(format!("wrong_place: {job} in several zones"));
+            None => {
+                machine.controller = (controller + 1) % number;
+                machine.next_heartbeat = self.now + RETRY_DELAY;
             }
-            if spec.spread && zones.values().any(|n| *n > spec.tasks.div_ceil(2)) {
-                return Err(format!("wrong_place: {job} is not spread"));
+        }
+    }
+
+    /// Tasks came onto a machine: checks the rules of starting.
+    pub(super) fn check_starts(&mut self, name: &str, tasks: &[String]) -> StepResult {
+        // Only a start can break what is checked here; what lasts is checked at each moment.
+        if tasks.is_empty() || !self.machines.contains_key(name) {
+            return Ok(());
+        }
+        for task_name in tasks {
+            if task_name.contains('/') {
+                self.check_runs_once(name, task_name)?;
+                self.note_start(task_name)?;
+                self.check_place(name, task_name)?;
             }
         }
         self.check_quota()
     }
 
-    pub(super) fn direct(
+    /// A task that starts on a machine must not be on another one.
+    fn check_runs_once(&self, name: &str, task_name: &str) -> StepResult {
+        let mut others = self.present_machines().filter(|other| other.name != name);
+        match others.find(|other| other.live().any(|task| task.task_name == task_name)) {
+            None => Ok(()),
+            Some(other) => Err(ScenarioError::rule(
+                Rule::RanTwice,
+                format!("{task_name} on {} and {name}", other.name),
+            )),
+        }
+    }
+
+    /// Counts a start, which must not come long after the job was cancelled.
+    fn note_start(&mut self, task_name: &str) -> StepResult {
+        let leaderless = self.leading_controllers().next().is_none();
+        let Some(job) = self.jobs.get_mut(job_of(task_name)) else {
+            let detail = format!("{task_name} of an unknown job");
+            return Err(ScenarioError::Protocol(detail));
+        };
+        job.starts += 1;
+        job.last_start = self.now;
+        if let Some(measures) = &mut self.measures {
+            let waited = self.now - job.submitted;
+            measures.task_started(&job.spec.team, task_name, waited, leaderless);
+        }
+        if job.cancelled_at.is_some() {
+            self.checks.late_starts += 1;
+        }
+        job.first_start.get_or_insert(self.now);
+        let timeout = self.configuration.settings.cancel_timeout;
+        if job.cancelled_at.is_some_and(|at| self.now > at + timeout) {
+            let detail = format!("{task_name} starts");
+            return Err(ScenarioError::rule(Rule::RanCancelled, detail));
+        }
+        Ok(())
+    }
+
+    /// A task must be where its job permits, also in view of the job's other tasks.
+    fn check_place(&self, name: &str, task_name: &str) -> StepResult {
+        let wrong = |detail: String| Err(ScenarioError::rule(Rule::WrongPlace, detail));
+        let id = job_of(task_name);
+        let (Some(machine), Some(job)) = (self.machines.get(name), self.jobs.get(id)) else {
+            return Ok(());
+        };
+        let spec = &job.spec;
+        if !permits(spec, machine) {
+            return wrong(format!("{task_name} on {name}"));
+        }
+        let zones = self.tasks_by_zone(id);
+        if spec.one_zone && zones.len() > 1 {
+            return wrong(format!("{id} in several zones"));
+        }
+        let most = spec.tasks.div_ceil(2);
+        if spec.spread && zones.values().any(|tasks| *tasks > most) {
+            return wrong(format!("{id} is not spread"));
+        }
+        Ok(())
+    }
+
+    /// How many tasks of a job are on machines, by zone.
+    fn tasks_by_zone(&self, job: &str) -> BTreeMap<&str, u64> {
+        let prefix = format!("{job}/");
+        let mut zones = BTreeMap::new();
+        for machine in self.present_machines() {
+            let tasks = machine.live();
+            let tasks = tasks.filter(|task| task.task_name.starts_with(&prefix));
+            let number = tasks.count() as u64;
+            if number > 0 {
+                *zones.entry(machine.zone.as_str()).or_insert(0) += number;
+            }
+        }
+        zones
+    }
+
+    /// A direct command reaches an agent, unless it is to be lost or the machine receives nothing.
+    pub(super) fn handle_direct_command(
         &mut self,
         caller: Caller,
         address: &str,
         body: &[u8],
-    ) -> Result<(), String> {
-        let now = self.now;
+    ) -> StepResult {
         let name = address.trim_start_matches("worker:").to_string();
-        let Some(m) = self.machines.get_mut(&name) else {
-            return Ok(());
-        };
-        if m.gone || !m.up || now < m.deaf_until.max(m.unplugged_until) {
+        let receives =
+            |machine: &Machine| !machine.gone && machine.up && machine.receives(self.now);
+        if !self.machines.get(&name).is_some_and(receives) {
             return Ok(());
         }
         if self.lose_direct_command(caller, &name, body) {
             return Ok(());
         }
-        let Some(m) = self.machines.get_mut(&name) else {
+        let Some(machine) = self.machines.get_mut(&name) else {
             return Ok(());
         };
-        if now < m.hangs_until {
+        if self.now < machine.hangs_until {
             // Carried out when the machine resumes.
-            let at = m.hangs_until + MILLISECOND;
-            self.push(
-                at,
-                Event::DirectCommand(caller, address.into(), body.to_vec()),
-            );
+            let at = machine.hangs_until + MILLISECOND;
+            let event = Event::DirectCommand(caller, address.into(), body.to_vec());
+            self.push(at, event);
             return Ok(());
         }
         let Ok(commands) = from_cbor::<DirectCommands>(body) else {
             return Ok(());
         };
-        let (status, started) = if commands.token < m.token || commands.incarnation != m.incarnation
-        {
+        let stale = commands.token < machine.token || commands.incarnation != machine.incarnation;
+        let (status, started) = if stale {
             (409, Vec::new())
         } else {
-            m.token = commands.token;
-            (200, m.carry_out(now, &commands.commands, &self.facts))
+            machine.token = commands.token;
+            let started = machine.carry_out(self.now, &commands.commands, &self.job_facts);
+            (200, started)
         };
-        let report = to_cbor(&m.report(now));
-        self.reply(caller, "workers", 2 * MILLISECOND, status, report);
-        self.started(&name, &started)
-    }
-
-    pub(super) fn tick(&mut self) -> Result<(), String> {
-        let now = self.now;
-        self.state.expire(now);
-        for (ticket, body) in self.state.ready(now) {
-            if let Some(caller) = self.store_tickets.remove(&ticket) {
-                // The open watches of a controller that is refused wait, as in an outage.
-                let refused = self.refused.iter().filter(|(n, _)| *n == caller.controller);
-                let until = refused.map(|(_, until)| *until).max().unwrap_or(0);
-                let wait = until.saturating_sub(now);
-                self.reply(caller, "state", wait + 2 * MILLISECOND, 200, body);
-            }
-        }
-        for n in 0..self.controllers.len() {
-            let process = self.controllers[n].process;
-            let due = self.controllers[n]
-                .controller
-                .as_ref()
-                .is_some_and(|controller| controller.next_wake() <= now)
-                && self.controllers[n].paused_until <= now;
-            if due {
-                self.step(n, process, Input::Tick);
-            }
-        }
-        let names: Vec<String> = self.machines.keys().cloned().collect();
-        for name in names {
-            self.tick_machine(&name)?;
-        }
-        if now >= self.next_poll {
-            self.next_poll = now + POLL_INTERVAL;
-            self.poll_all_jobs()?;
-        }
-        self.check_invariants()
+        let heartbeat = to_cbor(&machine.heartbeat(self.now));
+        self.reply(caller, Link::Agents, CALL_LATENCY, status, heartbeat);
+        self.check_starts(&name, &started)
     }
 
-    pub(super) fn tick_machine(&mut self, name: &str) -> Result<(), String> {
-        let now = self.now;
-        let Some(m) = self.machines.get_mut(name) else {
+    /// Time passes for a machine and its agent.
+    pub(super) fn tick_machine(&mut self, name: &str) -> StepResult {
+        let Some(machine) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        if !m.up && !m.gone && m.boots_at.is_some_and(|at| at <= now) {
-            m.up = true;
-            m.lease_start = now;
-            m.next_heartbeat = now;
-        }
-        if m.reclaim_at.is_some_and(|at| at <= now) {
-            m.gone = true;
-        }
-        if !m.up || m.gone {
+        if !machine.boot_or_end(self.now) {
             return Ok(());
         }
-        let (done, changed) = m.advance(now, self.settings.agent_lease, &self.facts);
-        for task_name in done {
-            if let Some((job, _)) = task_name.rsplit_once('/') {
-                if let Some(observed) = self.jobs.get_mut(job) {
-                    observed.completed.insert(task_name.clone());
-                }
-                self.note_completion(job);
-            }
+        let lease = self.configuration.settings.agent_lease;
+        let (completed, changed) = machine.advance(self.now, lease, &self.job_facts);
+        for task_name in completed {
+            self.note_completion(&task_name);
         }
-        let Some(m) = self.machines.get_mut(name) else {
-            return Ok(());
+        if self.heartbeat_due(name, changed) {
+            self.send_heartbeat(name)?;
+        }
+        Ok(())
+    }
+
+    /// Whether an agent sends a heartbeat now.
+    fn heartbeat_due(&mut self, name: &str, changed: bool) -> bool {
+        let (now, number) = (self.now, self.controllers.len());
+        let lease = self.configuration.settings.agent_lease;
+        let Some(machine) = self.machines.get_mut(name) else {
+            return false;
         };
-        if now < m.hangs_until {
-            return Ok(());
+        if now < machine.hangs_until {
+            return false;
         }
         // A higher token counts as a change once in half a lease.
-        let rested = m
+        let rested = machine
             .token_reported_at
-            .is_none_or(|at| now >= at + self.settings.agent_lease / 2);
-        if m.reported_token < m.token && rested && m.in_flight.is_none() {
-            m.token_reported_at = Some(now);
-            m.reported_token = m.token;
-            m.next_heartbeat = m
-                .next_heartbeat
-                .min((m.last_contact_at + SECOND / 2).max(now));
+            .is_none_or(|at| now >= at + lease / 2);
+        let new_token = machine.reported_token < machine.token;
+        let report_token = new_token && rested && machine.in_flight.is_none();
+        if report_token {
+            machine.token_reported_at = Some(now);
+            machine.reported_token = machine.token;
         }
-        if changed {
-            m.next_heartbeat = m
-                .next_heartbeat
-                .min((m.last_contact_at + SECOND / 2).max(now));
+        if changed || report_token {
+            let soon = (machine.last_contact_at + CHANGE_INTERVAL).max(now);
+            machine.next_heartbeat = machine.next_heartbeat.min(soon);
         }
-        if let Some((_, sent, _)) = m.in_flight {
-            if now < sent + 4 * SECOND {
-                return Ok(());
+        if let Some(heartbeat) = machine.in_flight {
+            if now >= heartbeat.sent_at + RESPONSE_TIMEOUT {
+                machine.in_flight = None;
+                machine.try_next_controller(now + RETRY_DELAY, number);
             }
-            m.in_flight = None;
-            m.controller = (m.controller + 1) % self.controllers.len();
-            m.next_heartbeat = now + SECOND;
+            return false;
         }
-        if now < m.next_heartbeat {
-            return Ok(());
+        if now < machine.next_heartbeat {
+            return false;
         }
-        if now < m.mute_until {
-            m.controller = (m.controller + 1) % self.controllers.len();
-            m.next_heartbeat = now + SECOND;
-            return Ok(());
+        if now < machine.mute_until {
+            machine.try_next_controller(now + RETRY_DELAY, number);
+            return false;
         }
-        self.seq += 1;
-        let heartbeat_id = self.seq;
-        m.in_flight = Some((heartbeat_id, now, m.incarnation));
-        m.last_contact_at = now;
-        m.next_heartbeat = now + self.settings.heartbeat_interval;
-        m.reported_token = m.token;
-        let body = to_cbor(&m.report(now));
-        let (controller, unplugged_until) = (m.controller, m.unplugged_until);
+        true
+    }
+
+    /// An agent sends a heartbeat, and what is to happen to it and its copies happens.
+    fn send_heartbeat(&mut self, name: &str) -> StepResult {
+        let now = self.now;
+        let id = self.next_number();
+        let interval = self.configuration.settings.heartbeat_interval;
+        let machine = self.machine_mut(name)?;
+        machine.in_flight = Some(InFlightHeartbeat {
+            id,
+            sent_at: now,
+            incarnation: machine.incarnation,
+        });
+        machine.last_contact_at = now;
+        machine.next_heartbeat = now + interval;
+        machine.reported_token = machine.token;
+        let body = to_cbor(&machine.heartbeat(now));
+        let (controller, sequence) = (machine.controller, machine.sequence);
+        let unplugged = now < machine.unplugged_until;
         let requester = Requester::Heartbeat {
             machine: name.into(),
-            heartbeat_id,
+            heartbeat_id: id,
         };
-        let event = |body| Event::Request {
-            controller,
-            interface: Interface::Front,
-            method: "POST".into(),
-            path: "/checkin".into(),
-            body,
-            requester: requester.clone(),
+        let request = |body: Vec<u8>| {
+            let path = "/checkin".to_string();
+            Event::Request(front_request(
+                controller,
+                "POST",
+                path,
+                body,
+                requester.clone(),
+            ))
         };
-        if let Some(late) = self.late_heartbeat.remove(name) {
-            let copy = event(body.clone());
-            self.push(now + late, copy);
+        if let Some(late) = self.faults.late_heartbeat.remove(name) {
+            self.push(now + late, request(body.clone()));
         }
         self.copy_heartbeat(name, &body);
-        if now < unplugged_until {
+        if unplugged {
             return Ok(());
         }
-        let slow = self.overtake_heartbeat.remove(name);
-        if let Some(late) = slow {
-            let sequence = self.machine_mut(name)?.sequence;
-            self.push(now + late, Event::OvertakenHeartbeat(name.into(), sequence));
+        let delay = self.faults.overtake_heartbeat.remove(name);
+        if let Some(delay) = delay {
+            let event = Event::OvertakenHeartbeat(name.into(), sequence);
+            self.push(now + delay, event);
         }
-        if let Some(at) = self.arrival(controller, "workers", MILLISECOND + slow.unwrap_or(0)) {
-            let event = event(body);
-            self.push(at, event);
+        let latency = REQUEST_LATENCY + delay.unwrap_or(0);
+        if let Some(at) = self.arrival(controller, Link::Agents, latency) {
+            self.push(at, request(body));
         }
         Ok(())
     }
 }
+
+/// Whether a job's tasks may be on a machine of this type, zone and kind of capacity.
+pub(super) fn permits(spec: &Submission, machine: &Machine) -> bool {
+    let machine_types = spec.machine_types.as_ref();
+    machine_types.is_none_or(|names| names.contains(&machine.machine_type))
+        && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+        && (spec.spot || !machine.spot)
+}
--- /dev/null
+++ b/crates/testkit/src/world/checks/acceptance.rs
@@ -0,0 +1,181 @@
+//! The check that no submission is accepted which must be refused.
+
+use super::super::team_limits::SLACK;
+use super::super::World;
+use crate::error::{ScenarioError, StepResult};
+use grebewood_wire::http::MachineType;
+use grebewood_wire::{from_cbor, Value};
+use std::collections::BTreeMap;
+
+/// The most tasks of a job.
+const MAX_TASKS: i128 = 100_000;
+
+const TEXTS: [&str; 3] = ["uid", "workclass", "bundle"];
+const FLAGS: [&str; 3] = ["one_zone", "spread", "loaner"];
+const AMOUNTS: [&str; 4] = ["pull_gb", "expected_s", "savepoint_s", "flush_s"];
+const SHAPES: [&str; 3] = ["batch", "gang", "daemon"];
+const PRIORITIES: [&str; 4] = ["prod", "high", "normal", "idle"];
+
+/// Why a submission must be refused.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+enum Refusal {
+    #[error("it is no map")]
+    NoMap,
+    #[error("{0} is missing or invalid")]
+    MissingOrInvalid(&'static str),
+    #[error("{0} is unknown")]
+    Unknown(&'static str),
+    #[error("builds is invalid")]
+    InvalidMachineTypes,
+    #[error("its team is unknown")]
+    UnknownTeam,
+    #[error("it needs more than its team's limit")]
+    BeyondLimit,
+    #[error("a task fits no machine type")]
+    FitsNoMachineType,
+}
+
+/// The fields of a submission as they were sent.
+struct Fields(BTreeMap<String, Value>);
+
+impl Fields {
+    fn text(&self, key: &'static str) -> Result<&str, Refusal> {
+        match self.0.get(key) {
+            Some(Value::Text(text)) if !text.is_empty() => Ok(text),
+            _ => Err(Refusal::MissingOrInvalid(key)),
+        }
+    }
+
+    fn amount(&self, key: &'static str) -> Result<f64, Refusal> {
+        match self.0.get(key) {
+            Some(Value::Integer(number)) if i128::from(*number) >= 0 => {
+                Ok(i128::from(*number) as f64)
+            }
+            Some(Value::Float(number)) if number.is_finite() && *number >= 0.0 => Ok(*number),
+            _ => Err(Refusal::MissingOrInvalid(key)),
+        }
+    }
+
+    fn is_absent(&self, key: &str) -> bool {
+        matches!(self.0.get(key), None | Some(Value::Null))
+    }
+
+    fn optional_text(&self, key: &'static str) -> Result<Option<&str>, Refusal> {
+        match self.is_absent(key) {
+            true => Ok(None),
+            false => self.text(key).map(Some),
+        }
+    }
+
+    /// A field that must be one of these words.
+    fn word(&self, key: &'static str, known: &[&str]) -> Result<&str, Refusal> {
+        let word = self.text(key)?;
+        match known.contains(&word) {
+            true => Ok(word),
+            false => Err(Refusal::Unknown(key)),
+        }
+    }
+
+    fn tasks(&self) -> Result<f64, Refusal> {
+        match self.0.get("shards") {
+            Some(Value::Integer(number)) if (1..=MAX_TASKS).contains(&i128::from(*number)) => {
+                Ok(i128::from(*number) as f64)
+            }
+            _ => Err(Refusal::MissingOrInvalid("shards")),
+        }
+    }
+
+    fn machine_types(&self) -> Result<Option<&Vec<Value>>, Refusal> {
+        match self.0.get("builds") {
+            None | Some(Value::Null) => Ok(None),
+            Some(Value::Array(names)) => Ok(Some(names)),
+            Some(_) => Err(Refusal::InvalidMachineTypes),
+        }
+    }
+
+    /// Checks the fields on which nothing else depends.
+    fn check_plain(&self) -> Result<(), Refusal> {
+        for key in TEXTS {
+            self.text(key)?;
+        }
+        for key in FLAGS {
+            if !matches!(self.0.get(key), Some(Value::Bool(_))) {
+                return Err(Refusal::MissingOrInvalid(key));
+            }
+        }
+        for key in AMOUNTS {
+            self.amount(key)?;
+        }
+        if !self.is_absent("due_s") {
+            self.amount("due_s")?;
+        }
+        Ok(())
+    }
+}
+
+/// What each task of a submission needs.
+struct TaskNeeds<'a> {
+    cpus: f64,
+    gpus: f64,
+    memory_gb: f64,
+    machine_types: Option<&'a Vec<Value>>,
+    zone: Option<&'a str>,
+}
+
+impl<'a> TaskNeeds<'a> {
+    fn read(fields: &'a Fields) -> Result<TaskNeeds<'a>, Refusal> {
+        Ok(TaskNeeds {
+            cpus: fields.amount("vcpus")?,
+            gpus: fields.amount("accelerators")?,
+            memory_gb: fields.amount("memory_gb")?,
+            machine_types: fields.machine_types()?,
+            zone: fields.optional_text("yard")?,
+        })
+    }
+
+    fn fits(&self, machine_type: &MachineType) -> bool {
+        let name = Value::Text(machine_type.name.clone());
+        let mut zones = machine_type.zones.iter();
+        self.machine_types.is_none_or(|names| names.contains(&name))
+            && self
+                .zone
+                .is_none_or(|wanted| zones.any(|zone| zone == wanted))
+            && self.cpus <= machine_type.cpus + SLACK
+            && self.gpus <= machine_type.gpus + SLACK
+            && self.memory_gb <= machine_type.memory_gb + SLACK
+    }
+}
+
+impl World {
+    /// A submission was accepted: it must have every field, and be able to run.
+    pub(super) fn check_acceptable(&self, body: &[u8]) -> StepResult {
+        self.check_submission(body).map_err(|refusal| {
+            ScenarioError::Protocol(format!("accepted though it must be refused: {refusal}"))
+        })
+    }
+
+    /// Checks a submission by the protocol's words.
+    fn check_submission(&self, body: &[u8]) -> Result<(), Refusal> {
+        let fields = from_cbor(body).map_err(|_| Refusal::NoMap)?;
+        let fields = Fields(fields);
+        fields.check_plain()?;
+        let shape = fields.word("shape", &SHAPES)?;
+        fields.word("precedence", &PRIORITIES)?;
+        let tasks = fields.tasks()?;
+        let needs = TaskNeeds::read(&fields)?;
+        let teams = &self.configuration.settings.teams;
+        let team = teams.get(fields.text("owner")?);
+        let team = team.ok_or(Refusal::UnknownTeam)?;
+        let together = if shape == "batch" { 1.0 } else { tasks };
+        let over = needs.cpus * together > team.cpus_max + SLACK
+            || needs.gpus * together > team.gpus_max + SLACK;
+        if over {
+            return Err(Refusal::BeyondLimit);
+        }
+        let mut machine_types = self.cloud.machine_types.iter();
+        match machine_types.any(|machine_type| needs.fits(machine_type)) {
+            true => Ok(()),
+            false => Err(Refusal::FitsNoMachineType),
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/world/checks/service.rs
@@ -0,0 +1,88 @@
+//! The check that at least half of each group of jobs is served.
+
+use super::super::jobs::ObservedJob;
+use super::super::World;
+use crate::error::{ScenarioError, StepResult};
+use crate::time::{Micros, SECOND};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+/// The largest jobs of a class must start within this time; only jobs that are older are judged.
+const START_DEADLINE: Micros = 240 * SECOND;
+/// One in so many jobs of a class is one of its largest.
+const LARGEST_SHARE: usize = 10;
+
+/// Jobs of a class or of a team.
+type Groups<'a> = BTreeMap<String, Vec<&'a ObservedJob>>;
+
+impl World {
+    /// At least half of each class, of each team and of each class's largest jobs must be served, and
+    /// the largest must have begun in time. Jobs that came lately or were cancelled do not count.
+    pub(in crate::world) fn check_half_served(&self) -> StepResult {
+        let groups = self.groups();
+        let largest = largest_jobs(&groups);
+        for (name, jobs) in &largest {
+            let late = jobs.iter().filter(|job| started_late(job)).count();
+            if late * 2 > jobs.len() {
+                let detail = format!("{name} have not begun in time");
+                return Err(ScenarioError::unmet(detail));
+            }
+        }
+        for (name, jobs) in groups.iter().chain(&largest) {
+            let served = jobs.iter().filter(|job| is_served(job)).count();
+            if served * 2 < jobs.len() {
+                let number = jobs.len();
+                let detail = format!("only {served} of {number} of {name} are served");
+                return Err(ScenarioError::unmet(detail));
+            }
+        }
+        match groups.is_empty() {
+            true => Err(ScenarioError::unmet(
+                "no job came early enough to be judged",
+            )),
+            false => Ok(()),
+        }
+    }
+
+    /// The jobs that are judged, by class and by team.
+    fn groups(&self) -> Groups<'_> {
+        let is_judged = |job: &&ObservedJob| {
+            let old = self.now > job.submitted + START_DEADLINE;
+            job.accepted && old && job.cancelled_at.is_none()
+        };
+        let mut groups = Groups::new();
+        for job in self.jobs.values().filter(is_judged) {
+            let (class, team) = (&job.spec.class, &job.spec.team);
+            groups
+                .entry(format!("class {class}"))
+                .or_default()
+                .push(job);
+            groups.entry(format!("team {team}")).or_default().push(job);
+        }
+        groups
+    }
+}
+
+/// The largest jobs of each class.
+fn largest_jobs<'a>(groups: &Groups<'a>) -> Groups<'a> {
+    let classes = groups.iter().filter(|(name, _)| name.starts_with("class"));
+    let largest = classes.map(|(name, jobs)| {
+        let mut jobs = jobs.clone();
+        jobs.sort_by_key(|job| Reverse(job.spec.tasks));
+        jobs.truncate(jobs.len().div_ceil(LARGEST_SHARE));
+        (format!("the largest of {name}"), jobs)
+    });
+    largest.collect()
+}
+
+fn started_late(job: &ObservedJob) -> bool {
+    let deadline = job.submitted + START_DEADLINE;
+    job.first_start.is_none_or(|at| at > deadline)
+}
+
+fn is_served(job: &ObservedJob) -> bool {
+    match job.spec.shape.as_str() {
+        "daemon" => job.first_start.is_some(),
+        _ => job.done || job.is_complete(),
+    }
+}
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -1,86 +1,179 @@
-//! The cloud: machines, releases and the machine list.
+//! The cloud: provisioning and terminating machines, and the machine list.
 
-use super::*;
+use super::events::Caller;
+use super::network::{Link, CLOUD_LATENCY};
+use super::World;
+use crate::machines::Machine;
+use crate::time::{as_seconds, Micros, SECOND};
+use grebewood_wire::http::{
+    Catalogue, ListedMachine, MachineList, MachineNames, MachineType, ProvisionRequest,
+};
+use grebewood_wire::{from_cbor, to_cbor};
+use std::collections::BTreeMap;
+
+/// How long a machine boots if the script does not say.
+const DEFAULT_BOOT_TIME: Micros = 10 * SECOND;
+/// How much later a machine that was provisioned while the scenario runs is listed.
+const LISTING_LAG: Micros = 3 * SECOND;
+/// How many controllers the agents of new machines first send their heartbeats to, in turn.
+const FIRST_CONTROLLERS: usize = 3;
+
+/// What the cloud offers and has provisioned.
+pub(super) struct Cloud {
+    pub(super) machine_types: Vec<MachineType>,
+    /// The most machines by type and whether they are spot machines.
+    pub(super) capacity: BTreeMap<(String, bool), u64>,
+    /// How long machines boot that are provisioned from now on.
+    pub(super) boot_time: Micros,
+    /// Machines that are provisioned from now on never come up.
+    pub(super) boots_never: bool,
+    /// Every request is answered 503.
+    pub(super) down: bool,
+    /// The machines of each request by its name, so that a repeated one provisions nothing.
+    pub(super) provisions: BTreeMap<String, Vec<String>>,
+    /// The number of the next machine.
+    pub(super) next_machine: u64,
+}
+
+impl Default for Cloud {
+    fn default() -> Cloud {
+        Cloud {
+            machine_types: Vec::new(),
+            capacity: BTreeMap::new(),
+            boot_time: DEFAULT_BOOT_TIME,
+            boots_never: false,
+            down: false,
+            provisions: BTreeMap::new(),
+            next_machine: 0,
+        }
+    }
+}
+
+impl Cloud {
+    /// A machine type by its name.
+    pub(super) fn machine_type(&self, name: &str) -> Option<&MachineType> {
+        let mut machine_types = self.machine_types.iter();
+        machine_types.find(|machine_type| machine_type.name == name)
+    }
+}
 
 impl World {
+    /// A call reaches the cloud, which answers it.
     pub(super) fn handle_cloud_call(
         &mut self,
+        caller: Caller,
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> (u16, Vec<u8>) {
-        let error = |text: &str| to_cbor(&BTreeMap::from([("error", text)]));
-        if self.cloud_down {
-            return (503, error("trouble"));
+    ) {
+        let (status, body) = self.cloud_response(method, path, body);
+        self.reply(caller, Link::Cloud, CLOUD_LATENCY, status, body);
+    }
+
+    fn cloud_response(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
+        if self.cloud.down {
+            return (503, error_body("trouble"));
         }
         match (method, path.split('?').next().unwrap_or("")) {
             ("GET", "/machine_types") => {
-                let machine_types = self.types.clone();
-                (
-                    200,
-                    to_cbor(&grebewood_wire::http::Catalogue { machine_types }),
-                )
-            }
-            ("GET", "/rentals") => {
-                let lag = 3 * SECOND;
-                let machines = self
-                    .machines
-                    .values()
-                    .filter(|m| !m.gone && self.now >= m.requested + lag.min(m.requested))
-                    .map(|m| ListedMachine {
-                        id: m.name.clone(),
-                        address: Some(format!("worker:{}", m.name)),
-                        machine_type: m.machine_type.clone(),
-                        zone: m.zone.clone(),
-                        spot: m.spot,
-                        status: if m.up { "running" } else { "starting" }.into(),
-                        age_s: (self.now - m.requested) as f64 / 1e6,
-                    })
-                    .collect();
-                let list = MachineList {
-                    machines,
-                    more: false,
-                };
-                (200, to_cbor(&list))
+                let machine_types = self.cloud.machine_types.clone();
+                (200, to_cbor(&Catalogue { machine_types }))
             }
+            ("GET", "/rentals") => (200, to_cbor(&self.machine_list())),
             ("POST", "/rentals/release") => {
-                let names = from_cbor::<MachineNames>(body).map(|p| p.machines);
+                let names = from_cbor::<MachineNames>(body).map(|names| names.machines);
                 for name in names.unwrap_or_default() {
-                    if let Some(m) = self.machines.get_mut(&name) {
-                        m.gone = true;
+                    if let Some(machine) = self.machines.get_mut(&name) {
+                        machine.gone = true;
                     }
                 }
                 (200, to_cbor(&BTreeMap::<String, u64>::new()))
             }
-            ("POST", "/rentals") => {
-                let Ok(r) = from_cbor::<ProvisionRequest>(body) else {
-                    return (400, error("malformed"));
-                };
-                if let Some(known) = self.provisions.get(&r.name) {
-                    let machines = known.clone();
-                    return (200, to_cbor(&MachineNames { machines }));
-                }
-                let most = self
-                    .capacity
-                    .get(&(r.machine_type.clone(), r.spot))
-                    .copied()
-                    .unwrap_or(0);
-                let used = self
-                    .machines
-                    .values()
-                    .filter(|m| !m.gone && m.machine_type == r.machine_type && m.spot == r.spot)
-                    .count() as u64;
-                let n = r.number.min(most.saturating_sub(used));
-                if n == 0 {
-                    return (503, error("no capacity"));
-                }
-                let machines: Vec<String> = (0..n)
-                    .map(|_| self.provision(&r.machine_type, &r.zone, r.spot))
-                    .collect();
-                self.provisions.insert(r.name, machines.clone());
-                (200, to_cbor(&MachineNames { machines }))
-            }
+            ("POST", "/rentals") => match from_cbor::<ProvisionRequest>(body) {
+                Ok(request) => self.provision_machines(request),
+                Err(_) => (400, error_body("malformed")),
+            },
             _ => (404, Vec::new()),
         }
     }
+
+    fn machine_list(&self) -> MachineList {
+        // Machines that are there at the start are listed at once.
+        let listed_at = |machine: &Machine| machine.requested + LISTING_LAG.min(machine.requested);
+        let machines = self.present_machines();
+        let machines = machines.filter(|machine| self.now >= listed_at(machine));
+        let machines = machines.map(|machine| ListedMachine {
+            id: machine.name.clone(),
+            address: Some(format!("worker:{}", machine.name)),
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            status: if machine.up { "running" } else { "starting" }.into(),
+            age_s: as_seconds(self.now - machine.requested),
+        });
+        MachineList {
+            machines: machines.collect(),
+            more: false,
+        }
+    }
+
+    fn provision_machines(&mut self, request: ProvisionRequest) -> (u16, Vec<u8>) {
+        if let Some(known) = self.cloud.provisions.get(&request.name) {
+            let machines = known.clone();
+            return (200, to_cbor(&MachineNames { machines }));
+        }
+        let key = (request.machine_type.clone(), request.spot);
+        let capacity = self.cloud.capacity.get(&key).copied().unwrap_or(0);
+        let same_kind = |machine: &&Machine| {
+            machine.machine_type == request.machine_type && machine.spot == request.spot
+        };
+        let used = self.present_machines().filter(same_kind).count() as u64;
+        let number = request.number.min(capacity.saturating_sub(used));
+        if number == 0 {
+            return (503, error_body("no capacity"));
+        }
+        let machines: Vec<String> = (0..number)
+            .map(|_| self.provision(&request.machine_type, &request.zone, request.spot))
+            .collect();
+        self.cloud.provisions.insert(request.name, machines.clone());
+        (200, to_cbor(&MachineNames { machines }))
+    }
+
+    /// Provisions a machine, which boots from now on. The result is its name.
+    pub(super) fn provision(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
+        let name = format!("n-{:06}", self.cloud.next_machine);
+        self.cloud.next_machine += 1;
+        let unknown = unknown_machine_type(machine_type);
+        let kind = self.cloud.machine_type(machine_type).unwrap_or(&unknown);
+        let boots_at = self.now + self.cloud.boot_time;
+        let machine = Machine {
+            spot,
+            requested: self.now,
+            boots_at: (!self.cloud.boots_never).then_some(boots_at),
+            controller: self.cloud.next_machine as usize % FIRST_CONTROLLERS,
+            ..Machine::new(&name, kind, zone)
+        };
+        self.machines.insert(name.clone(), machine);
+        name
+    }
+}
+
+fn error_body(text: &str) -> Vec<u8> {
+    to_cbor(&BTreeMap::from([("error", text)]))
+}
+
+/// Stands for a type that is not in the catalogue: nothing fits onto its machines.
+fn unknown_machine_type(name: &str) -> MachineType {
+    MachineType {
+        name: name.into(),
+        cpus: 0.0,
+        gpus: 0.0,
+        memory_gb: 0.0,
+        local_gb: None,
+        fetch_gb_per_s: None,
+        price: 0.0,
+        spot_price: None,
+        boot_s: 0.0,
+        zones: Vec::new(),
+    }
 }
--- /dev/null
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -0,0 +1,120 @@
+//! What a script does to controllers, their links and the key-value store.
+
+use super::super::configuration::member_name;
+use super::super::events::Event;
+use super::super::network::Cut;
+use super::super::setup::store_limits;
+use super::super::World;
+use crate::error::{ScriptError, StepResult};
+use crate::script::Directive;
+use grebewood_wire::http::{from_value, to_value};
+use grebewood_wire::records::PartitionRecord;
+
+/// For how long a controller is down that crashes, if the directive does not say, in seconds.
+const DEFAULT_CRASH_S: f64 = 4.0;
+/// For how long most faults last if the directive does not say, in seconds.
+const DEFAULT_FAULT_S: f64 = 10.0;
+
+impl World {
+    /// Carries out what is done to controllers and the key-value store, if the directive is about them.
+    pub(super) fn run_controller_directive(&mut self, directive: &Directive) -> StepResult<bool> {
+        match directive.word(0)? {
+            "move" => self.move_partition(directive.word(1)?)?,
+            "downgrade" => {
+                let controller = self.controller_named(directive.word(1)?)?;
+                self.configuration.previous_version.insert(controller);
+                self.crash_controller(controller, directive.duration("for", DEFAULT_CRASH_S)?);
+            }
+            "upgrade" => {
+                let controller = self.controller_named(directive.word(1)?)?;
+                self.configuration.previous_version.remove(&controller);
+                self.crash_controller(controller, directive.duration("for", DEFAULT_CRASH_S)?);
+            }
+            "crash" => {
+                let down_for = directive.duration("for", DEFAULT_CRASH_S)?;
+                for controller in self.controllers_named(directive.word(1)?)? {
+                    self.crash_controller(controller, down_for);
+                }
+            }
+            "cut" => {
+                let cut = Cut {
+                    controller: self.controller_named(directive.word(1)?)?,
+                    link: directive.word(2)?.into(),
+                    until: self.now + directive.duration("for", DEFAULT_FAULT_S)?,
+                    hold: directive.flag("hold", false),
+                };
+                self.network.cuts.push(cut);
+            }
+            "freeze" => {
+                let controller = self.controller_named(directive.word(1)?)?;
+                self.pause_controller(controller, directive.duration("for", 30.0)?);
+            }
+            "refuse" => {
+                let controller = self.controller_named(directive.word(1)?)?;
+                let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
+                self.network.refused.push((controller, until));
+            }
+            "trap" => self.faults.crash_on_page_write = true,
+            _ => return self.run_store_directive(directive),
+        }
+        Ok(true)
+    }
+
+    /// Carries out what is done to the key-value store, if the directive is about it.
+    fn run_store_directive(&mut self, directive: &Directive) -> StepResult<bool> {
+        match directive.word(0)? {
+            "limits" => {
+                let now = self.store.limits;
+                let now = now.unwrap_or(self.configuration.settings.store);
+                let limits = store_limits(directive, "", now)?;
+                self.push(self.now, Event::StoreLimits(limits));
+            }
+            "busy" => {
+                let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
+                self.store.busy_until = until;
+            }
+            "state" => {
+                self.store.down = true;
+                let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
+                self.push(until, Event::StoreUp);
+            }
+            "corrupt" => {
+                let key = directive.word(1)?;
+                if !self.store.corrupt(key) {
+                    let name = key.to_string();
+                    let kind = "record";
+                    return Err(ScriptError::NotFound { kind, name }.into());
+                }
+            }
+            _ => return Ok(false),
+        }
+        Ok(true)
+    }
+
+    /// Assigns a partition to the next member that is up, as an operator would: one after the other, by
+    /// the number at the end of the word.
+    fn move_partition(&mut self, word: &str) -> Result<(), ScriptError> {
+        let number: usize = word
+            .trim_start_matches(char::is_alphabetic)
+            .parse()
+            .map_err(|_| ScriptError::NotANumber(word.to_string()))?;
+        let records = self.store.under("partition/");
+        let records = records.filter_map(|(key, value, _)| {
+            let record = from_value::<PartitionRecord>(value).ok()?;
+            Some((key.to_string(), record))
+        });
+        let records: Vec<(String, PartitionRecord)> = records.collect();
+        let up = self.up_controllers();
+        if records.is_empty() || up.is_empty() {
+            return Ok(());
+        }
+        let (key, mut record) = records[number % records.len()].clone();
+        let mut members = up.iter().map(|index| member_name(*index));
+        let holder = members.position(|member| record.holder == member);
+        let next = up[(holder.unwrap_or(0) + 1) % up.len()];
+        record.holder = member_name(next);
+        self.store.write(&key, to_value(&record));
+        self.expectations.partition_moves += 1;
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -0,0 +1,118 @@
+//! What a script says must be so at a moment.
+
+use super::super::setup::KIB;
+use super::super::World;
+use crate::error::{ScenarioError, ScriptError, StepResult};
+use crate::machines::TaskStatus;
+use crate::script::Directive;
+use grebewood_partition::overview::Overview;
+use grebewood_partition::PartitionMap;
+
+/// Fails with this text unless the condition holds.
+fn ensure(holds: bool, detail: impl FnOnce() -> String) -> StepResult {
+    match holds {
+        true => Ok(()),
+        false => Err(ScenarioError::unmet(detail())),
+    }
+}
+
+impl World {
+    /// Checks what a directive expects, if it expects anything.
+    pub(super) fn run_expectation(&mut self, directive: &Directive) -> StepResult<bool> {
+        match directive.word(0)? {
+            "starts" => {
+                let (got, wanted) = (self.starts_of(directive)?, directive.number_at(2)?);
+                ensure(got == wanted, || format!("{got} starts, not {wanted}"))?;
+            }
+            "begun" => {
+                let begun = self.starts_of(directive)? > 0;
+                ensure(begun, || "it has not begun".into())?;
+            }
+            "leaders" => {
+                let got = self.leading_controllers().count();
+                let wanted = directive.word(1)?;
+                ensure(got.to_string() == wanted, || format!("{got} nodes lead"))?;
+            }
+            "moves" => {
+                let (got, least) = (self.expectations.partition_moves, directive.number_at(1)?);
+                ensure(got >= least, || format!("only {got} moves"))?;
+            }
+            "partitions" => self.expect_partitions(directive)?,
+            "machines" => {
+                let got = self.present_machines().count();
+                let wanted = directive.word(1)?;
+                let detail = || format!("{got} machines are provisioned");
+                ensure(got.to_string() == wanted, detail)?;
+            }
+            "largest" => {
+                let (size, key) = self.store.largest();
+                let most = (directive.number("most", 2.0)? * KIB) as usize;
+                ensure(size <= most, || format!("{key} has {size} bytes"))?;
+            }
+            "refused" => {
+                let got = self.store.refused;
+                let most = directive.count("most", 0)?;
+                ensure(got <= most, || format!("{got} requests were malformed"))?;
+            }
+            "halves" => self.check_half_served()?,
+            "serving" => self.expect_serving(directive)?,
+            "rented" => {
+                let machine = self.machines.get(directive.word(1)?);
+                let there = machine.is_some_and(|machine| !machine.gone);
+                let wanted = directive.word(2)? == "yes";
+                let detail = || format!("that it is provisioned is {there}");
+                ensure(there == wanted, detail)?;
+            }
+            "record" => {
+                let there = self.store.has(directive.word(1)?);
+                let wanted = directive.word(2)? == "yes";
+                let detail = || format!("the record's presence is {there}");
+                ensure(there == wanted, detail)?;
+            }
+            _ => return Ok(false),
+        }
+        Ok(true)
+    }
+
+    /// How often tasks of the job that a directive names came onto machines.
+    fn starts_of(&self, directive: &Directive) -> Result<u64, ScriptError> {
+        let job = self.jobs.get(directive.word(1)?);
+        Ok(job.map_or(0, |job| job.starts))
+    }
+
+    fn expect_partitions(&self, directive: &Directive) -> StepResult {
+        let wanted: usize = directive.number_at(1)?;
+        let phase = directive.word(2)?;
+        let got = self.partition_phases();
+        let matching = got.iter().filter(|known| **known == phase).count();
+        let all = got.len() == wanted && matching == wanted;
+        ensure(all, || format!("partitions are {}", got.join(", ")))
+    }
+
+    /// The phases of all partitions on record.
+    fn partition_phases(&self) -> Vec<&'static str> {
+        let mut map = PartitionMap::default();
+        for (key, value, mod_revision) in self.store.under("partition/") {
+            // What cannot be read is told by the map itself.
+            let _ = map.put(key, value, mod_revision);
+        }
+        let overview = Overview::of(&map, None, 0);
+        overview.partitions.iter().map(|row| row.phase).collect()
+    }
+
+    fn expect_serving(&self, directive: &Directive) -> StepResult {
+        let prefix = format!("{}/", directive.word(1)?);
+        let zone = directive.options.get("zone");
+        let machines = self.present_machines().filter(|machine| machine.up);
+        let machines = machines.filter(|machine| zone.is_none_or(|zone| *zone == machine.zone));
+        let tasks = machines.flat_map(|machine| machine.live());
+        let serving = tasks
+            .filter(|task| {
+                task.status == TaskStatus::Running && task.task_name.starts_with(&prefix)
+            })
+            .count();
+        let wanted = directive.word(2)?;
+        let detail = || format!("{serving} replicas are served");
+        ensure(serving.to_string() == wanted, detail)
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/world/tests/acceptance.rs
@@ -0,0 +1,102 @@
+//! Submissions that are accepted though they must be refused.
+
+use super::*;
+
+/// A submission as users send it, changed.
+fn changed(key: &str, value: Option<Value>) -> Vec<u8> {
+    let world = running();
+    let body = to_cbor(&world.jobs["req-1"].spec);
+    let mut map: BTreeMap<String, Value> = from_cbor(&body).expect("a map");
+    map.insert("uid".into(), Value::Text("req-5".into()));
+    match value {
+        Some(value) => map.insert(key.into(), value),
+        None => map.remove(key),
+    };
+    to_cbor(&map)
+}
+
+/// A controller accepts this submission.
+fn accept(world: &mut World, body: Vec<u8>) -> StepResult {
+    let raw = Requester::Raw {
+        wanted: 201,
+        line: 1,
+        method: "POST".into(),
+        path: "/submissions".into(),
+        body,
+        sent: 8 * SECOND,
+    };
+    world.handle_response(raw, 0, 201, status_body("pending"))
+}
+
+fn integer(number: i64) -> Option<Value> {
+    Some(Value::Integer(number.into()))
+}
+
+fn text(word: &str) -> Option<Value> {
+    Some(Value::Text(word.into()))
+}
+
+#[test]
+fn missing_or_invalid_fields_are_accepted() {
+    let mut world = running();
+    assert_eq!(accept(&mut world, changed("", None)), Ok(()));
+    for key in ["builds", "yard", "due_s"] {
+        let absent = accept(&mut world, changed(key, None));
+        assert_eq!(absent, Ok(()), "{key}");
+        let null = accept(&mut world, changed(key, Some(Value::Null)));
+        assert_eq!(null, Ok(()), "{key}");
+    }
+    let fields = "uid workclass owner shape precedence shards vcpus accelerators memory_gb bundle \
+                  pull_gb one_zone spread loaner expected_s savepoint_s flush_s";
+    for key in fields.split_whitespace() {
+        let wrong = Some(Value::Array(Vec::new()));
+        for value in [None, Some(Value::Null), wrong] {
+            let accepted = accept(&mut world, changed(key, value));
+            broken(accepted, "must be refused");
+        }
+    }
+    for (key, value) in [
+        ("shards", integer(0)),
+        ("shards", integer(100_001)),
+        ("vcpus", Some(Value::Float(-1.0))),
+        ("expected_s", Some(Value::Float(f64::NAN))),
+        ("due_s", text("soon")),
+        ("shape", text("round")),
+        ("precedence", text("urgent")),
+    ] {
+        broken(accept(&mut world, changed(key, value)), "must be refused");
+    }
+    broken(accept(&mut world, vec![0xff]), "no map");
+}
+
+#[test]
+fn a_job_that_cannot_run_is_accepted() {
+    let mut world = running();
+    let other_type = Value::Array(vec![Value::Text("big".into())]);
+    let beyond_limit = "needs more than its team's limit";
+    for (key, value, reason) in [
+        ("owner", text("nobody"), "team is unknown"),
+        ("vcpus", integer(9), "fits no machine type"),
+        ("memory_gb", integer(33), "fits no machine type"),
+        ("accelerators", integer(1), beyond_limit),
+        ("vcpus", integer(33), beyond_limit),
+        ("yard", text("c"), "fits no machine type"),
+        ("builds", Some(other_type), "fits no machine type"),
+    ] {
+        broken(accept(&mut world, changed(key, value)), reason);
+    }
+}
+
+/// A gang needs its team's limit for all its tasks at once.
+#[test]
+fn a_gang_beyond_its_teams_limit_is_accepted() {
+    let mut world = running();
+    world.jobs.get_mut("req-1").expect("a job").spec.tasks = 17;
+    let submit = || Requester::Submit("req-1".into(), 8 * SECOND);
+    assert_eq!(respond(&mut world, submit(), 200, "running"), Ok(()));
+    world.jobs.get_mut("req-1").expect("a job").spec.shape = "gang".into();
+    broken(
+        respond(&mut world, submit(), 200, "running"),
+        "team's limit",
+    );
+}
--- /dev/null
+++ b/crates/testkit/src/world/tests/store.rs
@@ -0,0 +1,112 @@
+//! Faults of the key-value store and of links, and when all faults are over.
+
+use super::*;
+
+/// A transaction that a controller sends.
+fn transaction() -> Call {
+    Call {
+        id: 1,
+        target: Target::Store,
+        method: "POST",
+        path: "/txn".into(),
+        body: Vec::new(),
+        timeout: SECOND,
+    }
+}
+
+fn lose(world: &mut World, controller: usize) -> bool {
+    world.lose_transaction(controller, world.now, &transaction())
+}
+
+#[test]
+fn every_third_transaction_is_lost() {
+    let mut world = running();
+    let many = [("for", "20"), ("every", "3"), ("late", "8")];
+    world
+        .run_directive(&directive("late txns", &many))
+        .expect("a fault");
+    world.queue.clear();
+    let lost: Vec<bool> = (0..7).map(|turn| lose(&mut world, turn % 3)).collect();
+    assert_eq!(lost, [false, false, true, false, false, true, false]);
+    let at: Vec<Micros> = world.queue.keys().map(|(at, _)| *at).collect();
+    assert_eq!(at, [world.now + 8 * SECOND; 2]);
+    world.now += 20 * SECOND;
+    assert!((0..6).all(|_| !lose(&mut world, 0)));
+}
+
+/// The next one of a controller, or of whoever leads.
+#[test]
+fn the_next_transaction_is_lost() {
+    let mut world = running();
+    let leader = leader_of(&world);
+    let other = (leader + 1) % 3;
+    world.queue.clear();
+    let at_once = [("node", "leader"), ("at_once", "yes")];
+    world
+        .run_directive(&directive("late txn", &at_once))
+        .expect("a fault");
+    assert!(!lose(&mut world, other));
+    assert!(lose(&mut world, leader) && !lose(&mut world, leader));
+    assert!(world.queue.keys().all(|(at, _)| *at == world.now));
+    let number = other.to_string();
+    world
+        .run_directive(&directive("late txn", &[("node", &number)]))
+        .expect("a fault");
+    assert!(!lose(&mut world, leader) && lose(&mut world, other));
+}
+
+/// After what time a reply over this link arrives.
+fn reply_latency(world: &mut World, link: Link) -> Option<Micros> {
+    let caller = call_of_first(world);
+    world.queue.clear();
+    world.reply(caller, link, CALL_LATENCY, 200, Vec::new());
+    let ((at, _), _) = world.queue.pop_first()?;
+    Some(at - world.now)
+}
+
+#[test]
+fn a_slow_store_and_slow_agent_links_answer_later() {
+    let fast = Some(2 * MILLISECOND);
+    let mut world = running();
+    assert_eq!(reply_latency(&mut world, Link::Store), fast);
+    let slow = directive("slow state", &[("by", "0.8"), ("for", "5")]);
+    world.run_directive(&slow).expect("a fault");
+    assert_eq!(
+        reply_latency(&mut world, Link::Store),
+        Some(802 * MILLISECOND)
+    );
+    assert_eq!(reply_latency(&mut world, Link::Agents), fast);
+    world.now += 5 * SECOND;
+    assert_eq!(reply_latency(&mut world, Link::Store), fast);
+    let slow = directive("slow workers", &[("by", "0.7"), ("for", "5")]);
+    world.run_directive(&slow).expect("a fault");
+    assert_eq!(reply_latency(&mut world, Link::Store), fast);
+    assert_eq!(
+        reply_latency(&mut world, Link::Agents),
+        Some(702 * MILLISECOND)
+    );
+    world.now += 5 * SECOND;
+    assert_eq!(reply_latency(&mut world, Link::Agents), fast);
+}
+
+#[test]
+fn faults_are_over_when_the_last_of_them_is() {
+    let end = |line: &str| {
+        let script = parse(&format!("at 10 {line}\nend 99")).expect("a script");
+        script.faults_end() / SECOND
+    };
+    for (line, seconds) in [
+        ("late txn for=5", 15),
+        ("late txns for=20 late=8", 38),
+        ("mute all", 40),
+        ("slow state for=5", 15),
+        ("lose direct n-000000", 26),
+        ("lose direct n-000000 for=1 late=2", 13),
+        ("lose answer n-000000", 0),
+        ("cancel_now 3", 10),
+        ("cancel_now 3 hang=30", 40),
+        ("looks for=50", 0),
+    ] {
+        assert_eq!(end(line), seconds, "{line}");
+    }
+}
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -1,22 +1,22 @@
 //! The faults of the script do what they say: small scenarios whose outcome shows it.
 
-fn play(text: &str) -> Result<(), String> {
-    grebewood_testkit::play(text)
-}
+use grebewood_testkit::play;
 
 const FLEET: &str = "team t cpus=16 max=32\ntype std cpus=8 cap=4\nmachines std count=2\n";
 
+/// The scenario holds.
 fn holds(text: &str) {
     play(&format!("{FLEET}{text}")).expect(text);
 }
 
+/// The scenario fails with this text.
 fn fails(text: &str, with: &str) {
-    let error = play(&format!("{FLEET}{text}")).expect_err(text);
+    let error = play(&format!("{FLEET}{text}")).expect_err(text).to_string();
     assert!(error.contains(with), "{error}");
 }
 
 #[test]
-fn copies_reach_the_next_leader_or_every_node() {
+fn heartbeat_copies_reach_the_next_leader_or_every_controller() {
     // Kept for the next leader, they meet it; late ones before it ended meet the one of their token.
     let next = "at 2 submit req-1 tasks=8 run=20\nat 6 copies all for=4 next=yes to=all\n\
                 at 9 crash leader\nat 20 copied 2\nend 30\n";
@@ -56,7 +56,7 @@
         &now.replace("run=60", "run=12"),
         "no job runs that has long to go",
     );
-    // At the moment of the end, which the machine cannot heartbeat just then.
+    // At the moment of the end, which the machine cannot report just then.
     let end = "at 2 submit req-1 tasks=1 run=5\nat 5 mute of=req-1 for=5\n\
                at 6 cancel_at_end for=20\nat 30 expect req-1 aborted\nend 31\n";
     holds(end);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_slow_state_service_and_lost_answers_are_survived() {
+fn a_slow_store_and_lost_answers_are_survived() {
     holds(
         "at 1 slow state for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 looks for=30\n\
          at 30 expect req-1 done\nend 31\n",
--- a/crates/testkit/tests/scenarios.rs
+++ b/crates/testkit/tests/scenarios.rs
@@ -2,28 +2,30 @@
 
 mod known_red;
 
+use grebewood_testkit::play;
+use grebewood_testkit::scenario_files::{
+    scenario_files, scenario_name, LARGE_SCENARIOS, SCENARIOS,
+};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// The scenario files of a folder of this package, in order of their names.
-fn scenario_files(folder: &str) -> Vec<PathBuf> {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
-    let mut files: Vec<_> = std::fs::read_dir(&folder)
-        .expect("the folder of scenarios")
-        .filter_map(|e| e.ok().map(|e| e.path()))
-        .filter(|p| p.extension().is_some_and(|e| e == "txt"))
-        .collect();
-    files.sort();
-    files
+/// The scenario files of a folder.
+fn files_in(folder: &str) -> Vec<PathBuf> {
+    scenario_files(folder).expect("the folder of scenarios")
+}
+
+/// Plays a scenario file, with these settings before it. The error says why it does not hold.
+fn play_file(file: &Path, settings: &str) -> Result<(), String> {
+    let text = std::fs::read_to_string(file).expect("a scenario");
+    play(&format!("{settings}{text}")).map_err(|error| error.to_string())
 }
 
 /// Those of large fleets take so long that they are played beside the others.
 #[test]
 fn large_scenarios() {
-    for file in scenario_files("scenarios/large") {
-        let text = std::fs::read_to_string(&file).expect("a scenario");
-        if let Err(why) = grebewood_testkit::play(&text) {
-            panic!("{}: {why}", file.display());
+    for file in files_in(LARGE_SCENARIOS) {
+        if let Err(reason) = play_file(&file, "") {
+            panic!("{}: {reason}", file.display());
         }
     }
 }
@@ -31,7 +33,7 @@
 #[test]
 fn scenarios() {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let files = scenario_files("scenarios");
+    let files = files_in(SCENARIOS);
     assert!(files.len() >= 20, "only {} scenarios", files.len());
     // To look into one of them: SCENARIO=name LOG_LEVEL=info cargo test ... -- --nocapture
     let only = std::env::var("SCENARIO").unwrap_or_default();
@@ -40,17 +42,16 @@
         .init();
     let (mut names, mut outcomes) = (Vec::new(), Vec::new());
     for file in files {
-        let name = file.file_stem().unwrap_or_default().to_string_lossy();
-        names.push(name.to_string());
+        let name = scenario_name(&file);
+        names.push(name.clone());
         if !name.contains(&only) {
             continue;
         }
-        let text = std::fs::read_to_string(&file).expect("a scenario");
-        let outcome = grebewood_testkit::play(&text);
+        let outcome = play_file(&file, "");
         if outcome.is_ok() {
             println!("{name}: ok");
         }
-        outcomes.push((name.to_string(), outcome));
+        outcomes.push((name, outcome));
     }
     let list = known_red::read(&package.join("../../KNOWN-RED.txt")).expect("the known red");
     let verdict = known_red::judge(list.as_deref(), &names, &outcomes);
@@ -64,15 +65,15 @@
 
 /// What is put before each scenario: holders of partitions place tasks, where the scenario's key-value store
 /// takes enough changes.
-const WITH_ALLOTMENTS: &str =
+const WITH_QUOTA_GRANTS: &str =
     "state writes=60 rps=400\ntuning partitions_per_zone=3 allotments=1\n";
 
 /// Every scenario with quota grants forced on, but for those that a list names with the reason. These must fail:
 /// the list does not hide what holds again.
 #[test]
-fn scenarios_with_allotments() {
+fn scenarios_with_quota_grants() {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let list = std::fs::read_to_string(package.join("data/not_with_allotments.txt"));
+    let list = std::fs::read_to_string(package.join("data/not_with_quota_grants.txt"));
     let list = list.expect("the list of exceptions");
     let lines = list.lines().filter(|line| !line.starts_with('#'));
     let listed: Vec<&str> = lines
@@ -80,16 +81,11 @@
         .collect();
     let mut faults = Vec::new();
     let mut played = Vec::new();
-    for file in scenario_files("scenarios") {
-        let name = file
-            .file_stem()
-            .unwrap_or_default()
-            .to_string_lossy()
-            .to_string();
-        let text = std::fs::read_to_string(&file).expect("a scenario");
-        let outcome = grebewood_testkit::play(&format!("{WITH_ALLOTMENTS}{text}"));
+    for file in files_in(SCENARIOS) {
+        let name = scenario_name(&file);
+        let outcome = play_file(&file, WITH_QUOTA_GRANTS);
         match (outcome, listed.contains(&name.as_str())) {
-            (Err(why), false) => faults.push(format!("{name}: {why}")),
+            (Err(reason), false) => faults.push(format!("{name}: {reason}")),
             (Ok(()), true) => faults.push(format!("{name}: is listed, and holds")),
             _ => {}
         }
@@ -107,6 +103,6 @@
 fn the_runner_fails_a_scenario_that_does_not_hold() {
     let text = "team t cpus=8 max=8\ntype std cpus=8\nmachines std\n\
                 at 3 submit req-1 tasks=1 run=20\nat 10 expect req-1 done\nend 12\n";
-    let error = grebewood_testkit::play(text).expect_err("an unmet expectation");
+    let error = play(text).expect_err("an unmet expectation").to_string();
     assert!(error.contains("says running of req-1, not done"), "{error}");
 }
