--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -3,21 +3,22 @@
 //! Times are of the machine that plays the scenario. They serve to compare fleets of different sizes,
 //! and are never asserted.
 
+use crate::time::{Micros, MILLISECOND};
 use grebewood_core::Input;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a step of a node takes in.
+/// What a step of a controller takes in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StepKind {
-    /// A worker's check-in.
+    /// An agent's heartbeat.
     Heartbeat,
     /// Any other request.
     Request,
     /// A reply to a call.
     Reply,
-    /// The passing of time, which is when most rounds of placement and of the decider run.
+    /// The passing of time, which is when most rounds of placement and of the autoscaler run.
     Tick,
 }
 
@@ -38,19 +39,19 @@
 pub struct Measures {
     /// Processor time of the leader's steps, in nanoseconds.
     pub steps: BTreeMap<StepKind, Histogram<u64>>,
-    /// Puts and deletes that the state service carried out for any node.
+    /// Puts and deletes that the key-value store carried out for any controller.
     pub changes: u64,
-    /// Requests to the state service of all nodes.
+    /// Requests to the key-value store of all controllers.
     pub requests: u64,
-    /// Processor time of all steps of nodes that do not lead, in nanoseconds.
+    /// Processor time of all steps of controllers that do not lead, in nanoseconds.
     pub other_steps: Duration,
     /// Time from a job's submission to the first start of each of its tasks, by team, in milliseconds.
     pub starts: BTreeMap<String, Histogram<u64>>,
     /// Tasks that started while nobody led.
     pub leaderless_starts: u64,
-    /// Part of a team's ceiling that was allotted and not used, in thousandths, at each moment at which one of
+    /// Part of a team's limit that was granted and not used, in thousandths, at each moment at which one of
     /// its jobs waited for tasks.
-    pub idle_allotted: Option<Histogram<u64>>,
+    pub idle_granted: Option<Histogram<u64>>,
     started: BTreeSet<String>,
 }
 
@@ -63,20 +64,34 @@
 
 impl Measures {
     /// Notes that a task of a team started, so long after its job was submitted.
-    pub(crate) fn task_started(&mut self, team: &str, task: &str, after: u64, leaderless: bool) {
+    pub(crate) fn task_started(
+        &mut self,
+        team: &str,
+        task: &str,
+        waited: Micros,
+        leaderless: bool,
+    ) {
         self.leaderless_starts += u64::from(leaderless);
         if self.started.insert(task.to_string()) {
             let starts = self.starts.entry(team.to_string());
-            let _ = starts.or_insert_with(new_histogram).record(after / 1_000);
+            let _ = starts
+                .or_insert_with(new_histogram)
+                .record(waited / MILLISECOND);
         }
     }
 
-    /// Notes how much of a ceiling is allotted and not used.
-    pub(crate) fn idle_allotted(&mut self, thousandths: u64) {
-        let histogram = self.idle_allotted.get_or_insert_with(new_histogram);
+    /// Notes how much of a limit is granted and not used.
+    pub(crate) fn idle_granted(&mut self, thousandths: u64) {
+        let histogram = self.idle_granted.get_or_insert_with(new_histogram);
         let _ = histogram.record(thousandths);
     }
 
+    /// Notes a request to the key-value store, which carried out so many puts and deletes.
+    pub(crate) fn store_request(&mut self, operations: u64) {
+        self.requests += 1;
+        self.changes += operations;
+    }
+
     /// Notes a step of the leader.
     pub(crate) fn step(&mut self, kind: StepKind, took: Duration) {
         let histogram = self.steps.entry(kind).or_insert_with(new_histogram);
