--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 pub enum SchedulerCall {
     /// Renews the lease.
-    Extend,
+    RenewLease,
     /// Reads a page of the keys with a prefix.
     List {
         /// The prefix.
--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -7,7 +7,7 @@
 //! safety margin in time is involved: what counts is when the last complete answer was asked for.
 
 use crate::Micros;
-use grebewood_wire::peer::Confirmed;
+use grebewood_wire::peer::ConfirmedCancellations;
 use std::collections::BTreeMap;
 
 /// Most cancelled jobs that are remembered.
@@ -97,7 +97,12 @@
     }
 
     /// The answer to a peer's question for all that was confirmed in the last `span` microseconds, or ever.
-    pub fn list_confirmed(&self, question: u64, span: Option<Micros>, now: Micros) -> Confirmed {
+    pub fn list_confirmed(
+        &self,
+        question: u64,
+        span: Option<Micros>,
+        now: Micros,
+    ) -> ConfirmedCancellations {
         let from = span.map_or(0, |span| now.saturating_sub(span));
         let confirmed = self.known.iter().filter_map(|(job, known)| {
             let at = known.confirmed_at.filter(|at| *at >= from)?;
@@ -107,7 +112,7 @@
         // An incomplete list must not claim to go back to any moment.
         let complete = jobs.len() <= MAX_LISTED;
         jobs.truncate(MAX_LISTED);
-        Confirmed {
+        ConfirmedCancellations {
             question,
             remembers_us: self
                 .remembers_from
@@ -118,7 +123,7 @@
     }
 
     /// The store was read: all that was confirmed before `at` is known.
-    pub fn read_as_of(&mut self, at: Micros) {
+    pub fn note_store_read(&mut self, at: Micros) {
         self.store_read_at = self.store_read_at.max(Some(at));
     }
 
--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -15,7 +15,7 @@
 fn a_complete_answer_makes_certain_as_of_its_question() {
     let mut cancellations = Cancellations::default();
     assert_eq!(cancellations.known_until(2, 50 * SECOND), None);
-    cancellations.read_as_of(10 * SECOND);
+    cancellations.note_store_read(10 * SECOND);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(10 * SECOND));
     cancellations.note_peer_list(0, 20 * SECOND, 0);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(10 * SECOND));
@@ -30,12 +30,12 @@
 #[test]
 fn a_peer_that_restarted_since_makes_nothing_certain() {
     let mut cancellations = Cancellations::default();
-    cancellations.read_as_of(10 * SECOND);
+    cancellations.note_store_read(10 * SECOND);
     cancellations.note_peer_list(0, 20 * SECOND, 0);
     cancellations.note_peer_list(0, 30 * SECOND, 20 * SECOND + 1);
     assert_eq!(cancellations.known_until(1, 50 * SECOND), Some(20 * SECOND));
     // Once the store has been read again, its memory goes back far enough.
-    cancellations.read_as_of(25 * SECOND);
+    cancellations.note_store_read(25 * SECOND);
     cancellations.note_peer_list(0, 31 * SECOND, 20 * SECOND + 1);
     assert_eq!(cancellations.known_until(1, 50 * SECOND), Some(31 * SECOND));
 }
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -7,7 +7,7 @@
 use crate::{Call, Effect, Micros, Now, Target, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_wire as wire;
-use grebewood_wire::http::{MachineType, Refusal};
+use grebewood_wire::http::{ErrorResponse, MachineType};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -208,7 +208,7 @@
         self.effects.push(Effect::Answer {
             id,
             status,
-            body: wire::to_cbor(&Refusal {
+            body: wire::to_cbor(&ErrorResponse {
                 error: reason.into(),
             }),
             retry_after: temporary.then_some(RETRY_AFTER_S),
@@ -253,7 +253,7 @@
     }
 
     /// The limit of the puts that a scheduler with this role may make.
-    pub(crate) fn writes_of(&mut self, role: Role) -> &mut RateLimiter {
+    pub(crate) fn write_limiter(&mut self, role: Role) -> &mut RateLimiter {
         match role {
             Role::Leader => &mut self.leader_writes,
             Role::Holder(_) => &mut self.holder_writes,
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -183,7 +183,7 @@
             member: self.context.settings.member.clone(),
             incarnation: self.election.incarnation,
             partitions: self.context.supports_partitions(),
-            allotments: self.context.supports_quota_grants(),
+            grants_quota: self.context.supports_quota_grants(),
         }
     }
 
@@ -244,7 +244,7 @@
         }
         self.for_each_scheduler(|context, scheduler| {
             scheduler.uncertain = true;
-            scheduler.extend_at = now;
+            scheduler.lease_renewal_at = now;
             // No heartbeat could arrive meanwhile: that is no sign of being cut off from the agents.
             scheduler.last_heartbeat_at = now;
             for request in scheduler.waiting_heartbeats() {
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -159,7 +159,7 @@
             self.on_job_event(event);
         }
         self.job_view.revision = self.job_view.revision.max(Some(changes.revision));
-        self.context.cancellations.read_as_of(made_at);
+        self.context.cancellations.note_store_read(made_at);
         let now = self.context.now.steady;
         for request in std::mem::take(&mut self.job_view.awaiting_reply) {
             if now >= request.patient_until() {
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -49,7 +49,7 @@
         let planning_due = self
             .leader
             .as_ref()
-            .is_some_and(|leader| now >= leader.remote_partitions.plan_at);
+            .is_some_and(|leader| now >= leader.remote_partitions.next_planning_at);
         // Members are looked at only for the planner: this runs with every input.
         let members = planning_due.then(|| self.partition_members());
         let Some(leader) = self.leader.as_mut() else {
@@ -59,7 +59,7 @@
             return;
         }
         leader.follow_claims(&self.partitions.map);
-        if let Some(reason) = leader.dissolved() {
+        if let Some(reason) = leader.partitions_removed() {
             return self.step_down(reason, StepDown::Resign);
         }
         if let Some(reason) = leader.leader_quota.lost {
@@ -85,14 +85,14 @@
         if holder == Some(self.context.settings.member.as_str()) {
             let report = self.on_orders(orders);
             if let Some(leader) = self.leader.as_mut() {
-                leader.on_report_of_holder(&mut self.context, partition, claim, report);
+                leader.on_partition_report(&mut self.context, partition, claim, report);
             }
             return;
         }
         let mut siblings = self.context.settings.siblings.iter();
         let peer = siblings.position(|sibling| holder == Some(sibling.member.as_str()));
         let Some(peer) = peer else {
-            return leader.on_report_of_holder(&mut self.context, partition, claim, None);
+            return leader.on_partition_report(&mut self.context, partition, claim, None);
         };
         let purpose = leader.pending(SchedulerCall::Orders { partition, claim });
         let message = wire::to_peer(&PeerRequest::Partition(orders));
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -10,7 +10,7 @@
 use crate::{Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_partition::Member;
 use grebewood_wire as wire;
-use grebewood_wire::peer::{Confirmed, PeerAnswer, PeerRequest};
+use grebewood_wire::peer::{ConfirmedCancellations, PeerRequest, PeerResponse};
 use log::warn;
 use std::collections::BTreeSet;
 use thiserror::Error;
@@ -93,7 +93,7 @@
         let Outcome::Answer { status: 200, body } = outcome else {
             return;
         };
-        let answer: PeerAnswer = match wire::from_peer(&body) {
+        let answer: PeerResponse = match wire::from_peer(&body) {
             Ok(answer) => answer,
             Err(e) => return warn!(error:% = e; "unreadable answer of a peer"),
         };
@@ -119,7 +119,7 @@
             remembers_from: None,
             highest_token: answer.grant,
             supports_partitions: answer.partitions,
-            supports_quota_grants: answer.allotments,
+            supports_quota_grants: answer.supports_quota_grants,
         };
         // Only the answer to this very question lists what the peer has confirmed. An earlier version
         // lists nothing.
@@ -138,7 +138,7 @@
         &mut self,
         peer: usize,
         asked_at: Micros,
-        confirmed: Confirmed,
+        confirmed: ConfirmedCancellations,
     ) -> Option<Micros> {
         let now = self.context.now;
         for (job, age) in confirmed.jobs {
@@ -170,8 +170,8 @@
                 name: settings.member.clone(),
                 zone: settings.zone.clone(),
             }]),
-            all_answer: true,
-            any_without: false,
+            all_answered: true,
+            any_without_partitions: false,
             any_without_quota_grants: false,
         };
         for (peer, sibling) in settings.siblings.iter().enumerate() {
@@ -179,12 +179,12 @@
             let Some(peer) =
                 answered.filter(|peer| now.saturating_sub(peer.asked_at) < MEMBER_SPAN)
             else {
-                view.all_answer = false;
+                view.all_answered = false;
                 continue;
             };
             view.any_without_quota_grants |= !peer.supports_quota_grants;
             if !peer.supports_partitions {
-                view.any_without = true;
+                view.any_without_partitions = true;
             } else if !peer.without_contact {
                 view.members.insert(Member {
                     name: sibling.member.clone(),
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -2,11 +2,11 @@
 
 use crate::controller::Controller;
 use crate::scheduler::Scheduler;
-use crate::test_support::{clocks, first_heartbeat, job_record, pass, unread_leader, WALL};
+use crate::test_support::{clocks, first_heartbeat, job_record, leader_before_loading, pass, WALL};
 use crate::{Effect, Input, Interface, Micros, NoStopwatch, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{to_value, Command, Heartbeat, HeartbeatResponse, ReportedTask};
-use grebewood_wire::peer::PeerAnswer;
+use grebewood_wire::peer::PeerResponse;
 use grebewood_wire::records::{CancelRecord, FinishedJobRecord};
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
@@ -47,9 +47,12 @@
 /// A leader that has just started, and could read nothing since, would keep cancelled tasks alive.
 #[test]
 fn a_leader_that_knows_no_cancellations_renews_no_lease() {
-    let mut controller = unread_leader(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 20 * SECOND, 1).0, 503);
-    controller.context.cancellations.read_as_of(20 * SECOND);
+    controller
+        .context
+        .cancellations
+        .note_store_read(20 * SECOND);
     pass(&mut controller, 20 * SECOND, 21 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 21 * SECOND, 2).0, 200);
     // Neither the store nor its peer has answered since.
@@ -71,8 +74,11 @@
 /// A machine may be in a partition, whose holder's token is lower: an answer would take it away.
 #[test]
 fn a_leader_that_knows_no_partitions_yet_answers_no_machine() {
-    let mut controller = unread_leader(20 * SECOND);
-    controller.context.cancellations.read_as_of(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
+    controller
+        .context
+        .cancellations
+        .note_store_read(20 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 20 * SECOND, 1).0, 200);
     controller.context.tuning.partitions_per_zone = 2;
     let leader = controller.leader.as_mut().expect("a leader");
@@ -82,8 +88,11 @@
 
 #[test]
 fn before_reading_the_store_it_stops_what_it_knows_to_be_cancelled() {
-    let mut controller = unread_leader(20 * SECOND);
-    controller.context.cancellations.read_as_of(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
+    controller
+        .context
+        .cancellations
+        .note_store_read(20 * SECOND);
     assert!(send_heartbeat(&mut controller, 20 * SECOND, 1).1.is_empty());
     pass(&mut controller, 20 * SECOND, 21 * SECOND);
     controller.context.cancellations.learn("req-1", WALL);
@@ -101,24 +110,27 @@
 fn a_foreign_or_late_answer_makes_nothing_certain() {
     let answer = |member: &str, question: u64| Outcome::Answer {
         status: 200,
-        body: wire::to_peer(&PeerAnswer {
+        body: wire::to_peer(&PeerResponse {
             partitions: false,
-            allotments: false,
+            supports_quota_grants: false,
             limits: None,
             report: None,
             member: member.into(),
             store_contact_age_us: None,
             token: 7,
             grant: 7,
-            confirmed: Some(grebewood_wire::peer::Confirmed {
+            confirmed: Some(grebewood_wire::peer::ConfirmedCancellations {
                 question,
                 remembers_us: Some(15 * SECOND),
                 jobs: vec![("req-1".into(), SECOND)],
             }),
         }),
     };
-    let mut controller = unread_leader(20 * SECOND);
-    controller.context.cancellations.read_as_of(10 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
+    controller
+        .context
+        .cancellations
+        .note_store_read(10 * SECOND);
     let certain =
         |controller: &Controller| controller.context.cancellations.known_until(1, 20 * SECOND);
     controller.on_contact(0, 5, 19 * SECOND, answer("perch-9", 5));
@@ -132,7 +144,7 @@
 
 /// A leader that was told by a peer that `req-1` is cancelled, which it is about to end.
 fn told_leader() -> Controller {
-    let mut controller = unread_leader(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
     let record = job_record(1);
     let leader = controller.leader.as_mut().expect("a leader");
     leader.add_job(&controller.context, "job/req-1", &to_value(&record), 5);
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -3,7 +3,7 @@
 use crate::controller::{Controller, TaskCounts};
 use crate::Effect;
 use grebewood_wire as wire;
-use grebewood_wire::peer::{PeerAnswer, PeerRequest};
+use grebewood_wire::peer::{PeerRequest, PeerResponse};
 use log::{debug, warn};
 
 /// Most jobs whose task counts are kept.
@@ -47,14 +47,14 @@
             PeerRequest::Progress { from, token, jobs } => self.on_progress(&from, token, jobs),
             PeerRequest::Partition(orders) => report = self.on_orders(orders),
         }
-        let answer = PeerAnswer {
+        let answer = PeerResponse {
             member: self.context.settings.member.clone(),
             store_contact_age_us: self.context.contact_age(),
             token: self.context.token,
             grant: self.election.highest_token(),
             confirmed,
             partitions: self.context.supports_partitions(),
-            allotments: self.context.supports_quota_grants(),
+            supports_quota_grants: self.context.supports_quota_grants(),
             limits,
             report,
         };
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -63,7 +63,7 @@
         | CallPurpose::JobView(_) => Some(Outcome::Unknown),
         // A lease that was renewed may have expired since; one that had ended stays so.
         CallPurpose::Scheduler {
-            what: SchedulerCall::Extend,
+            what: SchedulerCall::RenewLease,
             ..
         } if !matches!(outcome, Outcome::Answer { status: 404, .. }) => None,
         _ => Some(outcome),
--- a/crates/core/src/controller/user_answers.rs
+++ b/crates/core/src/controller/user_answers.rs
@@ -3,7 +3,7 @@
 use crate::calls::{UserAction, UserRequest, UserRequestStage};
 use crate::controller::{Controller, TaskCounts};
 use crate::Now;
-use grebewood_wire::http::{Accepted, JobStatus};
+use grebewood_wire::http::{JobAccepted, JobStatus};
 use grebewood_wire::records::FinishedJobRecord;
 
 /// A live job none of whose tasks runs.
@@ -13,7 +13,7 @@
 const RUNNING: &str = "running";
 
 /// A finished job all of whose tasks completed.
-const DONE: &str = "done";
+const COMPLETED_TASKS: &str = "done";
 
 /// A cancelled job.
 const ABORTED: &str = "aborted";
@@ -26,7 +26,7 @@
 
     /// Answers a submission or a cancellation with the job's status.
     pub(crate) fn answer_accepted(&mut self, id: u64, http_status: u16, job: &str, status: &str) {
-        let accepted = Accepted {
+        let accepted = JobAccepted {
             id: job.to_string(),
             status: status.to_string(),
         };
@@ -108,7 +108,7 @@
         self.progress.remove(&request.job);
         match request.action {
             UserAction::Poll => {
-                let all_completed = finished.status == DONE;
+                let all_completed = finished.status == COMPLETED_TASKS;
                 let answer = JobStatus {
                     id: request.job.clone(),
                     status: finished.status.clone(),
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -197,7 +197,7 @@
     /// The most puts and deletes that writing a record takes.
     pub(crate) fn cost(record: &RecordId) -> usize {
         match record {
-            RecordId::Over(_) => 4,
+            RecordId::JobEnd(_) => 4,
             _ => 1,
         }
     }
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -8,7 +8,7 @@
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, Role};
 use crate::scheduler::store_reads::{Loading, Watch};
-use crate::state::assignment_pages::Pages;
+use crate::state::assignment_pages::AssignmentPages;
 use crate::state::completed_tasks::CompletedTaskPages;
 use crate::state::fleet::Fleet;
 use crate::state::headroom::Headroom;
@@ -76,7 +76,7 @@
     pub token: u64,
     pub(crate) lease: u64,
     /// When the lease is renewed next.
-    pub(crate) extend_at: Micros,
+    pub(crate) lease_renewal_at: Micros,
     /// Whether the process was paused and the lease may have expired meanwhile. Until it is known to hold, no task is
     /// launched or stopped, nothing is written, no machine is provisioned, and no heartbeat is answered.
     pub(crate) uncertain: bool,
@@ -98,7 +98,7 @@
     /// Most operations of a transaction: that of the settings until the store refuses a transaction that fits it.
     transaction_operations: usize,
     /// The assignment pages that this scheduler writes.
-    pub pages: Pages,
+    pub pages: AssignmentPages,
 
     // Shared: jobs.
     /// Live jobs.
@@ -180,7 +180,7 @@
             token: lease.token,
             lease: lease.lease,
             // The lease may be old already, if the store is slow.
-            extend_at: lease.lease_requested_at
+            lease_renewal_at: lease.lease_requested_at
                 + context.tuning.leader_lease_us / RENEWALS_PER_LEASE,
             uncertain: false,
             began: now,
@@ -238,7 +238,7 @@
     /// Whether all records have been read and, for the holder of a partition, all tasks that may be on its machines are
     /// known, so that it can act.
     pub fn loaded(&self) -> bool {
-        self.loading.is_none() && (!self.is_holder() || self.holder_state.knows_tasks())
+        self.loading.is_none() && (!self.is_holder() || self.holder_state.is_reconciled())
     }
 
     /// Whether the live jobs have been read.
@@ -292,6 +292,6 @@
     /// Tasks of a live job that are completed and that are running, for display.
     pub fn progress_of(&self, id: &str) -> Option<(u64, u64)> {
         let job = self.jobs.get(self.jobs.find(id)?)?;
-        Some((job.done_count, u64::from(job.running)))
+        Some((job.completed_count, u64::from(job.running)))
     }
 }
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -7,7 +7,7 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_wire::http::{ExitCause, ReportedTask};
-use grebewood_wire::records::DONE_SPAN;
+use grebewood_wire::records::TASKS_PER_LEGACY_RECORD;
 use log::{info, warn};
 
 /// How long the write of a completed task may be delayed, in microseconds.
@@ -45,7 +45,11 @@
         if !job.complete(task) {
             return None;
         }
-        let page = RecordId::Done(self.completed_pages.page_of(index, task / DONE_SPAN, job));
+        let page = RecordId::Done(self.completed_pages.page_of(
+            index,
+            task / TASKS_PER_LEGACY_RECORD,
+            job,
+        ));
         self.progress_dirty.insert(index);
         // The agent keeps the result until it is acknowledged: the write can wait for others.
         let due = context.now.steady + COMPLETION_WRITE_DELAY;
@@ -62,7 +66,7 @@
         task_name: &str,
     ) {
         if self.is_holder() {
-            return self.exited_in_partition(context, name, position, cause, task_name);
+            return self.on_exit_in_partition(context, name, position, cause, task_name);
         }
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -208,7 +212,7 @@
 
     /// An agent lists an exited attempt that is on none of our pages, such as one whose removal was written before an
     /// earlier leader could have it acknowledged.
-    pub(crate) fn exited_unknown(
+    pub(crate) fn apply_unrecorded_exit(
         &mut self,
         context: &mut Context,
         name: &str,
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -24,7 +24,7 @@
         let now = context.now.steady;
         let name = status.machine.clone();
         self.add_machine_if_new(context, &status);
-        self.machine_is_up(context, &status);
+        self.note_machine_up(context, &status);
         let Some(machine) = self.machines.get_mut(&name) else {
             return false;
         };
@@ -145,7 +145,7 @@
                 let (job, seen) = (assignment.job, assignment.seen);
                 self.count_running(now, job, before, seen);
             }
-            None if exited => self.exited_unknown(context, name, job_id, task, reported),
+            None if exited => self.apply_unrecorded_exit(context, name, job_id, task, reported),
             None => self.stop_unrecorded(context, status, job_id, task, reported),
         }
     }
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -50,7 +50,7 @@
             let commands = stop_commands_for_cancelled(context, &heartbeat);
             return self.answer_heartbeat(context, request, commands);
         }
-        if self.fleet.is_gone(&heartbeat.machine) {
+        if self.fleet.is_terminated(&heartbeat.machine) {
             // The machine was deleted: a late copy of a heartbeat.
             return context.answer(request, 421, &Redirect { leader: None });
         }
@@ -166,7 +166,7 @@
             .iter()
             .filter(|exited| {
                 self.is_durable(&exited.after, exited.job)
-                    && self.holder_state.is_settled(exited.id())
+                    && self.holder_state.is_outcome_recorded(exited.id())
             })
             .take(MAX_COMMANDS)
             .map(|exited| Command {
@@ -198,9 +198,9 @@
                 commands.extend(assignment.send_stop(context.now.steady));
                 continue;
             }
-            let is_live = jobs
-                .get(assignment.job)
-                .is_some_and(|job| job.cancelled.is_none() && !job.is_done(assignment.task));
+            let is_live = jobs.get(assignment.job).is_some_and(|job| {
+                job.cancelled.is_none() && !job.is_task_completed(assignment.task)
+            });
             let page = RecordId::Page(assignment.page);
             if assignment.launched.is_none()
                 && write_buffer.is_durable(&page, assignment.written)
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -140,10 +140,14 @@
     /// for the machine at once.
     fn waits_for_leader(&self, name: &str) -> bool {
         let machine = self.machines.get(name).filter(|_| self.is_holder());
-        let is_unsettled = |exited: &ExitedAttempt| !self.holder_state.is_settled(exited.id());
+        let is_unsettled =
+            |exited: &ExitedAttempt| !self.holder_state.is_outcome_recorded(exited.id());
         machine.is_some_and(|machine| {
             machine.exited_attempts.iter().any(is_unsettled)
-                && machine.assignments.iter().all(Assignment::may_exist)
+                && machine
+                    .assignments
+                    .iter()
+                    .all(Assignment::may_be_on_machine)
         })
     }
 
--- a/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -1,13 +1,13 @@
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::Machine;
-use crate::test_support::{first_heartbeat, unread_leader};
+use crate::test_support::{first_heartbeat, leader_before_loading};
 use crate::SECOND;
 
 /// Each long poll holds a connection: with more idle machines than sockets, agents that connected later found none,
 /// and their leases expired.
 #[test]
 fn long_polls_leave_sockets_to_other_requests() {
-    let mut controller = unread_leader(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
     controller.context.settings.sockets = 20;
     let now = controller.context.now.steady;
     let leader = controller.leader.as_mut().expect("a leader");
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -112,13 +112,13 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in names {
-            self.stop_on(context, &name, 0, |a| a.job == index);
+            self.stop_assignments(context, &name, 0, |a| a.job == index);
         }
     }
 
     /// Stops the assignments of a machine that pass the test; each gets `grace` microseconds to checkpoint. Those never
     /// launched are freed at once.
-    pub(crate) fn stop_on(
+    pub(crate) fn stop_assignments(
         &mut self,
         context: &mut Context,
         name: &str,
@@ -126,7 +126,7 @@
         test: impl Fn(&Assignment) -> bool,
     ) {
         let now = context.now.steady;
-        self.remove_assignments(context, name, |a| test(a) && !a.may_exist());
+        self.remove_assignments(context, name, |a| test(a) && !a.may_be_on_machine());
         let mut any = false;
         if let Some(machine) = self.machines.get_mut(name) {
             for assignment in machine.assignments.iter_mut().filter(|a| test(a)) {
@@ -155,7 +155,7 @@
         let has_attempt = |m: &&Machine| m.assignments.iter().any(|a| a.id() == attempt);
         let machine = self.machines.values().find(has_attempt);
         if let Some(name) = machine.map(|machine| machine.name.clone()) {
-            self.stop_on(context, &name, grace, |a| a.id() == attempt);
+            self.stop_assignments(context, &name, grace, |a| a.id() == attempt);
         }
     }
 
@@ -211,7 +211,12 @@
     }
 
     /// The call with a direct command to the machine has ended.
-    pub(crate) fn on_direct(&mut self, context: &mut Context, name: &str, outcome: Outcome) {
+    pub(crate) fn on_direct_response(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        outcome: Outcome,
+    ) {
         self.direct.remove(name);
         let Outcome::Answer { status, body } = outcome else {
             return;
@@ -299,7 +304,7 @@
 
     fn carry_out_stops(&mut self, context: &mut Context, name: &str, stops: Vec<PlannedStop>) {
         for PlannedStop { attempt, grace } in stops {
-            self.stop_on(context, name, grace, |a| a.attempt == attempt);
+            self.stop_assignments(context, name, grace, |a| a.attempt == attempt);
         }
     }
 
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -33,7 +33,7 @@
 }
 
 /// How long a machine may be out of contact before it is terminated, in microseconds.
-pub(crate) fn silent_release(lease: Micros) -> Micros {
+pub(crate) fn termination_delay(lease: Micros) -> Micros {
     lease_expiry(lease) + TERMINATION_DELAY
 }
 
@@ -46,7 +46,7 @@
 
 impl Scheduler {
     /// Whether no agent reaches this controller though some should: then another controller had better lead.
-    pub(crate) fn cut_from_agents(&self, context: &Context) -> bool {
+    pub(crate) fn isolated_from_agents(&self, context: &Context) -> bool {
         let now = context.now.steady;
         // An agent that gets no response for 4 s turns to another controller, and its lease should still hold when it
         // finds the next leader there: one and a half intervals once heartbeats are far apart.
@@ -74,16 +74,16 @@
     /// such sign; nor is a page that lists a machine which the cloud's list does not show: if it were, leaders would
     /// resign in turn, and none would lead for long enough to find out that the machine is gone.
     fn expects_heartbeats(&self) -> bool {
-        let has_list = self.fleet.has_list();
+        let has_machine_list = self.fleet.has_machine_list();
         self.machines.values().any(|machine| {
             let is_recovered =
-                machine.address.is_empty() && (machine.listed.is_some() || !has_list);
+                machine.address.is_empty() && (machine.listed.is_some() || !has_machine_list);
             machine.partition.is_none() && (machine.knows_token || is_recovered)
         })
     }
 
     /// Looks after unreachable machines, stops that were not carried out, and machines that will be reclaimed.
-    pub(crate) fn run_machines(&mut self, context: &mut Context) {
+    pub(crate) fn check_machines(&mut self, context: &mut Context) {
         let now = context.now.steady;
         if now < self.next_machine_check {
             return;
@@ -223,7 +223,7 @@
             return;
         };
         let silence = now.saturating_sub(machine.last_heartbeat);
-        let gone = receives_heartbeats && silence > silent_release(context.settings.agent_lease);
+        let gone = receives_heartbeats && silence > termination_delay(context.settings.agent_lease);
         if !overdue && !gone {
             return;
         }
@@ -266,12 +266,12 @@
         };
         let is_useless = |a: &&Assignment| {
             let job = self.jobs.get(a.job);
-            job.is_none_or(|job| job.is_done(a.task))
+            job.is_none_or(|job| job.is_task_completed(a.task))
         };
         let useless = machine.assignments.iter().filter(is_useless);
         let useless: Vec<u64> = useless.map(|a| a.attempt).collect();
         if !useless.is_empty() {
-            self.stop_on(context, name, 0, |a| useless.contains(&a.attempt));
+            self.stop_assignments(context, name, 0, |a| useless.contains(&a.attempt));
         }
     }
 
@@ -304,8 +304,8 @@
         // A holder that receives no heartbeats at all cannot tell whether it is cut off itself; the leader can.
         let holder_is_synced = machine
             .partition
-            .is_some_and(|id| self.remote_partitions.is_synced(id));
-        let max_silence = silent_release(context.settings.agent_lease);
+            .is_some_and(|id| self.remote_partitions.is_holder_reconciled(id));
+        let max_silence = termination_delay(context.settings.agent_lease);
         let max_silence = match holder_is_synced && self.receives_heartbeats(context) {
             true => max_silence,
             false => 3 * max_silence,
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -77,7 +77,7 @@
         let assignments = &mut self.machines.get_mut(machine)?.assignments;
         let assignment = &mut assignments[position];
         assignment.page = to;
-        if !assignment.may_exist() {
+        if !assignment.may_be_on_machine() {
             // It is launched once it is durable on the new page.
             assignment.written = self.write_buffer.mark_dirty(RecordId::Page(to), due);
         }
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -5,7 +5,7 @@
 use crate::state::jobs::{FinalStatus, JobIndex};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
-use grebewood_wire::records::{cancel_key, CancelRecord, OLD_CANCEL};
+use grebewood_wire::records::{cancel_key, CancelRecord, LEGACY_CANCEL};
 use log::error;
 
 /// The end of a job is written ahead of changes that have been due for less than this: it is what the user waits for,
@@ -75,7 +75,7 @@
 
     /// The key under which the job's cancellation is on record, or would be.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
-        let legacy = format!("{OLD_CANCEL}{id}");
+        let legacy = format!("{LEGACY_CANCEL}{id}");
         if self.write_buffer.is_on_record(&legacy) {
             legacy
         } else {
@@ -107,7 +107,8 @@
             self.write_buffer.stale.push(cancellation);
         }
         let due = context.now.steady.saturating_sub(END_AHEAD);
-        self.write_buffer.mark_dirty_by(RecordId::Over(index), due);
+        self.write_buffer
+            .mark_dirty_by(RecordId::JobEnd(index), due);
     }
 
     /// How the job ends if it is over now.
@@ -116,6 +117,6 @@
         if job.cancelled.is_some() {
             return self.is_off_machines(index).then_some(FinalStatus::Aborted);
         }
-        job.all_done().then_some(FinalStatus::Done)
+        job.all_completed().then_some(FinalStatus::Done)
     }
 }
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -126,7 +126,7 @@
         conditions: Vec<Condition>,
     ) -> TransactionDraft {
         let now = context.now.steady;
-        let permitted_writes = context.writes_of(self.role).available(now);
+        let permitted_writes = context.write_limiter(self.role).available(now);
         let max_operations = self.transaction_operations.min(permitted_writes);
         let mut draft = TransactionDraft::new(conditions, max_operations);
         for record in self.write_buffer.due(now) {
@@ -167,7 +167,7 @@
     fn delay_flush(&mut self, context: &mut Context, draft: &TransactionDraft) {
         let now = context.now.steady;
         self.write_buffer.not_before = if draft.is_full {
-            let writes = context.writes_of(self.role);
+            let writes = context.write_limiter(self.role);
             let ready = writes.ready_at(now, OPERATIONS_OF_NEXT_FLUSH);
             ready.max(now + RATE_LIMITED_PAUSE)
         } else {
@@ -183,7 +183,7 @@
             ..
         } = draft;
         let operations = transaction.apply.len() as f64;
-        context.writes_of(self.role).take(now, operations);
+        context.write_limiter(self.role).take(now, operations);
         let purpose = self.pending(SchedulerCall::Flush);
         context.post_to_store("/txn", &transaction, purpose);
         self.write_buffer.not_before = now + context.tuning.flush_interval_us;
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -7,7 +7,9 @@
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{TransactionApplied, TransactionConflict};
-use grebewood_wire::records::{cancel_key, job_key, JobKey, DONE, FINISHED, OLD_CANCEL};
+use grebewood_wire::records::{
+    cancel_key, job_key, JobKey, COMPLETED_TASKS, FINISHED, LEGACY_CANCEL,
+};
 use log::{info, warn};
 
 /// Most ids of recently ended jobs that are kept.
@@ -88,7 +90,7 @@
             warn!(status = status, error = answer; "flush got an unexpected answer");
         }
         if status == TOO_MANY_REQUESTS {
-            context.writes_of(self.role).drain(now);
+            context.write_limiter(self.role).drain(now);
         }
         self.flush_failed(context);
     }
@@ -108,15 +110,15 @@
     fn on_record_written(&mut self, context: &mut Context, record: &RecordId) {
         let now = context.now.steady;
         match record {
-            RecordId::Over(index) => {
+            RecordId::JobEnd(index) => {
                 if let Some(job) = self.jobs.get(*index) {
                     log_job_end(job, now);
                 }
                 self.job_ended(*index);
             }
-            RecordId::PendingProvision(machine) => self.fleet.provision_written(now, machine),
-            RecordId::Allotment(partition) => {
-                self.leader_quota.allotments.written(*partition);
+            RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
+            RecordId::QuotaGrant(partition) => {
+                self.leader_quota.grants.written(*partition);
                 self.write_quota_grant(context, *partition, 0);
             }
             RecordId::Limits => self.placement.request_round(now),
@@ -132,16 +134,16 @@
         let keys = [
             job_key(&job.id),
             cancel_key(&job.id),
-            format!("{OLD_CANCEL}{}", job.id),
+            format!("{LEGACY_CANCEL}{}", job.id),
             format!("{FINISHED}{}", job.id),
-            format!("{DONE}{}/0", job.id),
+            format!("{COMPLETED_TASKS}{}/0", job.id),
         ];
         for key in &keys {
             self.write_buffer.mod_revisions.remove(key);
         }
         self.completed_pages.drop_job(index, &job);
         self.progress_dirty.remove(&index);
-        self.write_buffer.forget(&RecordId::Over(index));
+        self.write_buffer.forget(&RecordId::JobEnd(index));
         self.recently_ended.push_back(job.id);
         if self.recently_ended.len() > MAX_RECENTLY_ENDED {
             self.recently_ended.pop_front();
@@ -158,7 +160,7 @@
         tasks = job.tasks(),
         age_s = job.age(now) / SECOND,
         first_start_s = job.began_at.unwrap_or(0) / SECOND,
-        mean_run_s = job.run_mean.0 / SECOND;
+        mean_run_s = job.mean_run_time.0 / SECOND;
         "job ended"
     );
 }
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -35,7 +35,7 @@
         // The end of this job was written by an earlier flush.
         let is_readable = from_value::<FinishedJobRecord>(&entry.value).is_ok();
         if let Some(index) = self.jobs.find(job).filter(|_| is_readable) {
-            self.write_buffer.forget(&RecordId::Over(index));
+            self.write_buffer.forget(&RecordId::JobEnd(index));
             self.job_ended(index);
         }
     }
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -61,7 +61,7 @@
                 self.split_pages(context);
                 self.write_buffer.postpone(record, now + SECOND);
             }
-            RecordId::Limits | RecordId::Allotment(_) => {
+            RecordId::Limits | RecordId::QuotaGrant(_) => {
                 self.leader_quota.refused = true;
                 self.write_buffer.postpone(record, now + REFUSED_PAUSE);
             }
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -9,8 +9,8 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{to_value, Operation};
 use grebewood_wire::records::{
-    job_key, partition_key, quota_grant_key, FinishedJobRecord, CATALOGUE, DONE, FINISHED, LIMITS,
-    PAGE, RENTAL, STATS,
+    job_key, partition_key, quota_grant_key, FinishedJobRecord, CATALOGUE, COMPLETED_TASKS,
+    FINISHED, LIMITS, PAGE, PROVISION, STATS,
 };
 use log::warn;
 use serde::Serialize;
@@ -19,11 +19,11 @@
     /// Renders a record's current content; `None`: it need not be written any more.
     pub(crate) fn render(&mut self, context: &Context, record: &RecordId) -> Option<RecordWrite> {
         match record {
-            RecordId::Allotment(partition) => self.render_quota_grant(*partition),
+            RecordId::QuotaGrant(partition) => self.render_quota_grant(*partition),
             RecordId::Page(number) => self.render_assignments(context, *number),
             RecordId::Done(number) => {
                 let content = self.completed_pages.record(*number, &self.jobs);
-                Some(self.put_unchanged(format!("{DONE}{number}"), &content))
+                Some(self.put_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
             }
             RecordId::PendingProvision(machine) => self.render_provision(machine),
             RecordId::Stats => {
@@ -37,7 +37,7 @@
                 Some(self.put_unchanged(partition_key(*id), content))
             }
             RecordId::Deleted(key) => self.delete_unchanged(key),
-            RecordId::Over(index) => self.render_job_end(*index),
+            RecordId::JobEnd(index) => self.render_job_end(*index),
         }
     }
 
@@ -58,11 +58,11 @@
     }
 
     fn render_quota_grant(&mut self, partition: PartitionId) -> Option<RecordWrite> {
-        if !self.leader_quota.allotments.differs_from_record(partition) {
+        if !self.leader_quota.grants.differs_from_record(partition) {
             return None;
         }
         let claim = self.remote_partitions.claim_token(partition).unwrap_or(0);
-        let content = self.leader_quota.allotments.render(partition, claim);
+        let content = self.leader_quota.grants.render(partition, claim);
         Some(self.put_unchanged(quota_grant_key(partition), &content))
     }
 
@@ -75,7 +75,7 @@
     }
 
     fn render_provision(&self, machine: &str) -> Option<RecordWrite> {
-        let key = format!("{RENTAL}{machine}");
+        let key = format!("{PROVISION}{machine}");
         match self.fleet.provision_record(machine) {
             Some(content) => Some(self.put_unchanged(key, &content)),
             None => self.delete_unchanged(&key),
@@ -124,7 +124,7 @@
         }
         // A record of an earlier version. If there are more of them, those are left behind, which costs space but is
         // harmless.
-        let legacy = format!("{DONE}{}/0", job.id);
+        let legacy = format!("{COMPLETED_TASKS}{}/0", job.id);
         if self.write_buffer.is_on_record(&legacy)
             && write.operations.len() < self.transaction_operations
         {
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -54,7 +54,7 @@
         }
         for stop in &orders.stops {
             let is_ordered = |a: &Assignment| a.id() == stop.id;
-            self.stop_on(context, &stop.machine, stop.grace_us, is_ordered);
+            self.stop_assignments(context, &stop.machine, stop.grace_us, is_ordered);
         }
         self.held_changed = true;
         Some(self.partition_report(context, orders.seen, orders.term, accepted))
@@ -64,7 +64,7 @@
     /// task that the leader does not know was never launched, or has ended on its record: it is dropped, or
     /// stopped.
     fn reconcile(&mut self, context: &mut Context, term: u64, tasks: &[PlacedTask]) {
-        let first_time = !self.holder_state.knows_tasks();
+        let first_time = !self.holder_state.is_reconciled();
         let listed: BTreeSet<TaskAttempt> = tasks.iter().map(PlacedTask::id).collect();
         self.drop_unrecorded_placements(context, &listed);
         self.stop_unlisted(context, &listed);
@@ -87,7 +87,7 @@
         for machine in machines {
             // What this holder has placed itself is on its own record.
             let is_unknown = |a: &Assignment| !a.by_holder && !listed.contains(&a.id());
-            self.stop_on(context, &machine, 0, is_unknown);
+            self.stop_assignments(context, &machine, 0, is_unknown);
         }
     }
 
@@ -112,7 +112,7 @@
 
     /// Whether the attempt is on its machine, or has ended and the leader is told so.
     fn knows_attempt(&self, task: &PlacedTask) -> bool {
-        self.has_attempt(task) || !self.holder_state.is_settled(Some(task.id()))
+        self.has_attempt(task) || !self.holder_state.is_outcome_recorded(Some(task.id()))
     }
 
     fn has_attempt(&self, task: &PlacedTask) -> bool {
@@ -221,7 +221,7 @@
 
     /// A task on a machine of the partition has exited: the leader is told, and the agent keeps the result
     /// until the leader has it on record.
-    pub(crate) fn exited_in_partition(
+    pub(crate) fn on_exit_in_partition(
         &mut self,
         context: &mut Context,
         name: &str,
@@ -268,7 +268,7 @@
         if !self.loaded() {
             return;
         }
-        self.run_machines(context);
+        self.check_machines(context);
         if self.places_tasks(context) {
             self.run_holder_placement(context, watch);
             self.run_flush(context);
@@ -278,8 +278,8 @@
     }
 
     /// When a holder has to act next.
-    pub(crate) fn holder_wake(&self) -> Micros {
-        let mut at = self.next_machine_check.min(self.long_polls.next_until());
+    pub(crate) fn next_holder_wake(&self) -> Micros {
+        let mut at = self.next_machine_check.min(self.long_polls.next_deadline());
         if !self.held_heartbeats.is_empty() {
             at = at.min(self.held_until);
         }
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -4,7 +4,7 @@
 use crate::state::jobs::Job;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::Machine;
-use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
+use crate::test_support::{first_heartbeat, job_record, leader_before_loading, WALL};
 use crate::SECOND;
 use grebewood_wire::http::{ExitCause, Verb};
 use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskEnd};
@@ -17,7 +17,7 @@
 
 /// A controller, and the holder of a partition with one machine and no tasks, reconciled with the leader.
 fn holder() -> (Controller, Scheduler) {
-    let mut controller = unread_leader(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
     let now = controller.context.now.steady;
     let lease = FencedLease {
         token: CLAIM,
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -2,7 +2,7 @@
 
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
-use crate::state::assignment_pages::Pages;
+use crate::state::assignment_pages::AssignmentPages;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
 use crate::state::holder_quota::QueuedTask;
 use crate::state::machine::{placed_task, Assignment};
@@ -38,12 +38,13 @@
     }
 
     /// The pages to which assignments made in this role are written.
-    pub(crate) fn pages_of(role: Role) -> Pages {
+    pub(crate) fn pages_of(role: Role) -> AssignmentPages {
         match role {
-            Role::Leader => Pages::default(),
+            Role::Leader => AssignmentPages::default(),
             Role::Holder(partition) => {
                 // Holders of partitions with numbers beyond the range of pages are given nothing to place.
-                pages_of_partition(partition).map_or_else(Pages::default, Pages::of_holder)
+                pages_of_partition(partition)
+                    .map_or_else(AssignmentPages::default, AssignmentPages::of_holder)
             }
         }
     }
@@ -81,12 +82,12 @@
     ) {
         let Some(orders) = orders.filter(|_| self.places_tasks(context)) else {
             self.holder_quota.queue.clear();
-            self.holder_quota.allotment.suspend();
+            self.holder_quota.grant.suspend();
             self.holder_quota.term = None;
             return;
         };
         let quota = &mut self.holder_quota;
-        quota.allotment.set_granted(&orders.allotment);
+        quota.grant.set_granted(&orders.grant);
         quota.term = Some(term);
         quota.limits = Some(orders.limits);
         quota
@@ -199,7 +200,7 @@
             return PlacementOutcome::Waits;
         };
         let amount = Resources::of(spec.cpus, spec.gpus);
-        if !self.holder_quota.allotment.may_use(&spec.team, amount) {
+        if !self.holder_quota.grant.may_use(&spec.team, amount) {
             return PlacementOutcome::Waits;
         }
         let Some(at) = self.choose_machine(context, queued, &spec, open) else {
@@ -286,7 +287,7 @@
         let placements = quota.placements_in_answer();
         let last = quota.placements_in_answer().last();
         Some(QuotaReport {
-            held: quota.allotment.held(),
+            held: quota.grant.held(),
             waiting: self.waiting_ranges(),
             placed: placements.map(|placement| placement.task.clone()).collect(),
             version: last.map_or(quota.last_placement, |placement| placement.number),
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -4,7 +4,7 @@
 use crate::state::jobs::Job;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::{Assignment, Machine};
-use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
+use crate::test_support::{first_heartbeat, job_record, leader_before_loading, WALL};
 use crate::{Effect, NoStopwatch, Target, SECOND};
 use grebewood_wire::http::{MachineType, Transaction};
 use grebewood_wire::peer::{
@@ -37,7 +37,7 @@
 
 /// The holder of partition 1 with one machine and no tasks, reconciled with the leader.
 fn holder() -> (Controller, Scheduler) {
-    let mut controller = unread_leader(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
     controller.context.tuning.partitions_per_zone = 3;
     controller.context.tuning.allotments = 1;
     controller.context.catalogue = Some(vec![machine_type()]);
@@ -90,7 +90,7 @@
         quota: Some(Box::new(QuotaOrders {
             number: sequence,
             limits: LIMITS_REVISION,
-            allotment: vec![amount],
+            grant: vec![amount],
             work: vec![work],
             ..QuotaOrders::default()
         })),
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -43,7 +43,7 @@
                 .collect(),
             gone: self
                 .fleet
-                .gone_within(context.now.steady, TERMINATED_REPORT_TIME),
+                .terminated_within(context.now.steady, TERMINATED_REPORT_TIME),
             version,
             heartbeats: self.holder_state.heartbeats,
             quota: self.quota_report(context),
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -1,8 +1,8 @@
 //! Which tasks the leader delegates to the holders of partitions, and which it revokes.
 
 use crate::context::Context;
-use crate::scheduler::leader::placement::tasks::Placing;
-use crate::scheduler::leader::placement::{Given, QueuedJob};
+use crate::scheduler::leader::placement::tasks::PlacingJob;
+use crate::scheduler::leader::placement::{DelegationKind, QueuedJob};
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
 use crate::state::delegations::{Delegation, TaskKey};
@@ -60,21 +60,25 @@
         amount: Resources,
     ) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
-        let needed = self.needed_by(team).plus(amount);
+        let needed = self.needed_by(team).saturating_add(amount);
         // What is granted but not needed is no room under a limit that was lowered.
         if !needed.fits(limit) || self.is_over_limit(context, team) {
-            self.leader_quota.pressed.insert(team.to_string());
+            self.leader_quota
+                .teams_short_of_room
+                .insert(team.to_string());
             return false;
         }
         let room = self.room_under_limit(context, team);
         let delegations = &self.leader_quota.delegations;
         let promised = delegations.awaiting_resources(partition, team);
-        let grants = &mut self.leader_quota.allotments;
+        let grants = &mut self.leader_quota.grants;
         let queued = grants.queue(partition, team, amount, promised, room);
         if queued.is_ok() {
             self.write_quota_grant(context, partition, 0);
         } else {
-            self.leader_quota.pressed.insert(team.to_string());
+            self.leader_quota
+                .teams_short_of_room
+                .insert(team.to_string());
         }
         queued.is_ok()
     }
@@ -86,10 +90,10 @@
         partition: PartitionId,
         delay: Micros,
     ) {
-        if self.leader_quota.allotments.differs_from_record(partition) {
+        if self.leader_quota.grants.differs_from_record(partition) {
             let due = context.now.steady + delay;
             self.write_buffer
-                .mark_dirty_by(RecordId::Allotment(partition), due);
+                .mark_dirty_by(RecordId::QuotaGrant(partition), due);
         }
     }
 
@@ -97,13 +101,13 @@
     pub(crate) fn delegate(
         &mut self,
         context: &Context,
-        placing: &Placing,
+        placing: &PlacingJob,
         partition: PartitionId,
-        (task, given): (u64, Given),
+        (task, given): (u64, DelegationKind),
         machine: &str,
     ) {
         let (now, spec) = (context.now.steady, &placing.spec);
-        let awaits_resources = given == Given::Waiting;
+        let awaits_resources = given == DelegationKind::Waiting;
         if !awaits_resources {
             self.plan_on_machine(context, placing, task, machine);
         }
@@ -133,7 +137,13 @@
     }
 
     /// Accounts for a task on the machine on which a holder is to place it.
-    fn plan_on_machine(&mut self, context: &Context, placing: &Placing, task: u64, machine: &str) {
+    fn plan_on_machine(
+        &mut self,
+        context: &Context,
+        placing: &PlacingJob,
+        task: u64,
+        machine: &str,
+    ) {
         let spec = &placing.spec;
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.plan(PlannedTask {
@@ -189,9 +199,9 @@
         let partition = delegation.partition;
         if now.saturating_sub(delegation.since) > PLACEMENT_TIMEOUT {
             let until = now + SLOW_HOLDER_BACKOFF;
-            self.leader_quota.slow_until.insert(partition, until);
+            self.leader_quota.holder_slow_until.insert(partition, until);
         }
-        let grants = &mut self.leader_quota.allotments;
+        let grants = &mut self.leader_quota.grants;
         grants.unqueue(partition, &delegation.team, delegation.amount, now);
     }
 
@@ -211,7 +221,7 @@
     }
 
     /// The resources on each machine that are promised to tasks that wait for them.
-    pub(crate) fn promised_room(&self) -> BTreeMap<&str, MachineResources> {
+    pub(crate) fn promised_resources(&self) -> BTreeMap<&str, MachineResources> {
         let mut promised = BTreeMap::new();
         for (task, delegation) in self.delegations_awaiting_resources() {
             let Some(job) = self.jobs.get(task.job) else {
@@ -241,14 +251,14 @@
             for a in assignments.filter(|a| a.by_holder && ends_soon(a, now)) {
                 let unused = unused.entry((partition, a.team.clone()));
                 let unused: &mut Resources = unused.or_default();
-                *unused = unused.plus(a.amount());
+                *unused = unused.saturating_add(a.amount());
             }
         }
         for ((partition, team), unused) in &mut unused {
-            let slack = self.leader_quota.allotments.slack(*partition, team);
+            let slack = self.leader_quota.grants.slack(*partition, team);
             let delegations = &self.leader_quota.delegations;
             let promised = delegations.awaiting_resources(*partition, team);
-            *unused = unused.plus(slack).minus(promised);
+            *unused = unused.saturating_add(slack).saturating_sub(promised);
         }
         unused
     }
@@ -325,7 +335,7 @@
             }
             // They use what other tasks leave, so a limit that is used up does not matter.
             let placing = self.prepare_placing(context, *queued);
-            let Some(mut placing) = placing.filter(Placing::is_for_holders) else {
+            let Some(mut placing) = placing.filter(PlacingJob::is_for_holders) else {
                 continue;
             };
             let team = &placing.spec.team;
@@ -377,7 +387,7 @@
     fn delegate_for_later(
         &mut self,
         context: &Context,
-        placing: &mut Placing,
+        placing: &mut PlacingJob,
         machine: &mut FreeingMachine,
         unused: &mut Resources,
     ) {
@@ -394,16 +404,16 @@
                 return;
             };
             machine.take(&spec);
-            *unused = unused.minus(amount);
+            *unused = unused.saturating_sub(amount);
             placing.take_one();
-            let given = (task, Given::Waiting);
+            let given = (task, DelegationKind::Waiting);
             self.delegate(context, placing, machine.partition, given, &machine.name);
         }
     }
 
     /// Revokes tasks that holders have not placed in time, and tasks that wait for resources while another
     /// machine has room.
-    pub(crate) fn revoke_stuck(&mut self, context: &Context, open: &[OpenMachine]) {
+    pub(crate) fn revoke_overdue(&mut self, context: &Context, open: &[OpenMachine]) {
         let now = context.now.steady;
         let mut overdue: Vec<(PartitionId, JobIndex)> = Vec::new();
         for (task, delegation) in self.leader_quota.delegations.iter() {
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -65,7 +65,12 @@
     }
 
     /// Takes in the outcome of a call to the cloud.
-    pub(crate) fn on_fleet(&mut self, context: &mut Context, call: FleetCall, outcome: Outcome) {
+    pub(crate) fn on_cloud_response(
+        &mut self,
+        context: &mut Context,
+        call: FleetCall,
+        outcome: Outcome,
+    ) {
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
             _ => (0, Vec::new()),
@@ -86,12 +91,12 @@
     /// Reads the catalogue of machine types if it is due.
     fn read_catalogue(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        let due = now >= self.fleet.types_at && !self.fleet.catalogue_in_flight;
+        let due = now >= self.fleet.next_catalogue_read && !self.fleet.catalogue_in_flight;
         if !due || !context.cloud.take(now, 1.0) {
             return;
         }
         self.fleet.catalogue_in_flight = true;
-        self.fleet.types_at = now + CATALOGUE_INTERVAL;
+        self.fleet.next_catalogue_read = now + CATALOGUE_INTERVAL;
         let call = FleetCall::Types;
         self.call_cloud(context, "GET", "/machine_types", Vec::new(), call);
     }
@@ -104,7 +109,7 @@
                 catalogue.machine_types
             }
             _ => {
-                self.fleet.types_at = now + CATALOGUE_RETRY;
+                self.fleet.next_catalogue_read = now + CATALOGUE_RETRY;
                 return;
             }
         };
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -284,7 +284,7 @@
     /// Seconds of waiting batch tasks that each machine may have: with more, the last tasks start too late.
     fn backlog_limit_s(&self, context: &Context) -> f64 {
         let boot_time = self.least_boot_time(context);
-        let limit = match context.settings.longest_start(boot_time) {
+        let limit = match context.settings.longest_start_objective(boot_time) {
             Some(start) => (start as f64 * context.tuning.backlog_share) as Micros,
             None => Micros::MAX,
         };
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -1,7 +1,7 @@
 //! Boots: machines that were provisioned and have not sent a heartbeat yet.
 
 use crate::context::Context;
-use crate::scheduler::agents::unreachable::silent_release;
+use crate::scheduler::agents::unreachable::termination_delay;
 use crate::scheduler::Scheduler;
 use crate::state::fleet::{BootingMachine, MISSED_HEARTBEATS, UNKNOWN_BOOT_TIME};
 use crate::{micros, Micros, MILLI, SECOND};
@@ -22,7 +22,7 @@
 
 impl Scheduler {
     /// A machine sent a heartbeat: if it was booting, it is up now.
-    pub(crate) fn machine_is_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
+    pub(crate) fn note_machine_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
         let now = context.now.steady;
         let name = &heartbeat.machine;
         self.fleet.running_without_heartbeat.remove(name);
@@ -41,7 +41,8 @@
         let machine_type = &boot.offering.machine_type;
         self.fleet.failed_boots.remove(machine_type);
         if let Some(declared) = context.machine_type(machine_type).map(|t| t.boot_s) {
-            self.stats.booted(machine_type, micros(declared), took);
+            self.stats
+                .record_boot_time(machine_type, micros(declared), took);
         }
     }
 
@@ -94,7 +95,7 @@
         if since_heartbeat >= MISSED_HEARTBEATS * context.settings.heartbeat_interval {
             return Vec::new();
         }
-        let timeout = silent_release(context.settings.agent_lease).max(FIRST_HEARTBEAT_TIMEOUT);
+        let timeout = termination_delay(context.settings.agent_lease).max(FIRST_HEARTBEAT_TIMEOUT);
         let running = self.fleet.running_without_heartbeat.iter();
         running
             .filter(|(_, since)| now.saturating_sub(**since) > timeout)
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -69,7 +69,7 @@
                 machine.draining = true;
             }
             for TaskMove { attempt, grace } in moves {
-                self.stop_on(context, &machine, grace, |a| a.attempt == attempt);
+                self.stop_assignments(context, &machine, grace, |a| a.attempt == attempt);
             }
         }
     }
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -7,7 +7,7 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_wire as wire;
-use grebewood_wire::http::{MachineNames, ProvisionRequest, Refusal};
+use grebewood_wire::http::{ErrorResponse, MachineNames, ProvisionRequest};
 use log::{info, warn};
 use std::collections::BTreeSet;
 
@@ -24,7 +24,7 @@
 const MAX_REFUSALS: u32 = 3;
 
 fn is_no_capacity(body: &[u8]) -> bool {
-    wire::from_cbor::<Refusal>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
+    wire::from_cbor::<ErrorResponse>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
 }
 
 impl Scheduler {
@@ -110,7 +110,7 @@
             self.fleet.unavailable.remove(&offering);
         }
         for machine in machines {
-            if self.machines.contains_key(&machine) || self.fleet.is_gone(&machine) {
+            if self.machines.contains_key(&machine) || self.fleet.is_terminated(&machine) {
                 continue;
             }
             let boot = BootingMachine {
--- a/crates/core/src/scheduler/leader/fleet/tests.rs
+++ b/crates/core/src/scheduler/leader/fleet/tests.rs
@@ -1,4 +1,4 @@
-use crate::test_support::unread_leader;
+use crate::test_support::leader_before_loading;
 use crate::{Effect, Target, MILLI, SECOND};
 use grebewood_wire::records::ProvisionRecord;
 
@@ -6,7 +6,7 @@
 /// the provisioning requests that are sent again and again.
 #[test]
 fn terminations_go_before_provisioning_requests() {
-    let mut controller = unread_leader(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
     let mut leader = controller.leader.take().expect("a leader");
     let context = &mut controller.context;
     for n in 0..20 {
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -10,7 +10,7 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{Heartbeat, ReportedTask, TaskStatus};
 use grebewood_wire::peer::{
-    MachineState, PartitionReport, PeerAnswer, TaskAttempt, TaskEnd, TaskOutcome,
+    MachineState, PartitionReport, PeerResponse, TaskAttempt, TaskEnd, TaskOutcome,
 };
 use log::warn;
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
         outcome: Outcome,
     ) {
         let report = match outcome {
-            Outcome::Answer { status: 200, body } => match wire::from_peer::<PeerAnswer>(&body) {
+            Outcome::Answer { status: 200, body } => match wire::from_peer::<PeerResponse>(&body) {
                 Ok(answer) => answer.report,
                 Err(error) => {
                     warn!(partition = id, error:% = error; "cannot decode a holder's answer");
@@ -34,11 +34,11 @@
             },
             _ => None,
         };
-        self.on_report_of_holder(context, id, claim, report);
+        self.on_partition_report(context, id, claim, report);
     }
 
     /// Applies a holder's report; `None`: it did not answer.
-    pub(crate) fn on_report_of_holder(
+    pub(crate) fn on_partition_report(
         &mut self,
         context: &mut Context,
         id: PartitionId,
@@ -58,7 +58,7 @@
         let newly_reconciled = report.synced && !partition.reconciled;
         partition.apply_report(&report, context.now.steady);
         if newly_reconciled {
-            self.mark_delivered(id, Assignment::may_exist);
+            self.mark_delivered(id, Assignment::may_be_on_machine);
         }
         if !report.accepted.is_empty() {
             let accepted: BTreeSet<TaskAttempt> = report.accepted.iter().copied().collect();
@@ -126,11 +126,11 @@
         state: &MachineState,
     ) {
         let now = context.now.steady;
-        if self.fleet.is_gone(&state.machine) {
+        if self.fleet.is_terminated(&state.machine) {
             return;
         }
         let heartbeat = heartbeat_of(state);
-        self.machine_is_up(context, &heartbeat);
+        self.note_machine_up(context, &heartbeat);
         let machine_type = context.machine_type(&state.machine_type);
         let machine = self
             .machines
@@ -224,7 +224,7 @@
                     checkpointed: None,
                 };
                 if let Some((job, number)) = parse_task(&task_name) {
-                    self.exited_unknown(context, name, job, number, &task);
+                    self.apply_unrecorded_exit(context, name, job, number, &task);
                 }
             }
         }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -66,7 +66,7 @@
     }
 
     /// Why this leader has to step down, once all partitions are removed from the store.
-    pub(crate) fn dissolved(&self) -> Option<&'static str> {
+    pub(crate) fn partitions_removed(&self) -> Option<&'static str> {
         let reason = self.remote_partitions.removal_reason?;
         let mut keys = self.remote_partitions.keys_to_delete.iter();
         let is_left = |key: &String| self.write_buffer.is_dirty(&RecordId::Deleted(key.clone()));
@@ -113,8 +113,8 @@
         if self.remote_partitions.removal_reason.is_some() {
             return;
         }
-        self.remote_partitions.plan_at = context.now.steady + PLAN_INTERVAL;
-        if members.any_without && !self.remote_partitions.by_id.is_empty() {
+        self.remote_partitions.next_planning_at = context.now.steady + PLAN_INTERVAL;
+        if members.any_without_partitions && !self.remote_partitions.by_id.is_empty() {
             let reason = "a member does not understand them";
             return self.remove_partitions(context, reason, map.keys());
         }
@@ -137,7 +137,7 @@
             loads: &self.partition_loads(),
             holder_unreachable: &self.partitions_of_unreachable_holders(context),
             next_id: self.next_partition_id(),
-            may_create: all_known && members.all_answer && !members.any_without,
+            may_create: all_known && members.all_answered && !members.any_without_partitions,
             stable: self.is_stable(context),
             now: context.now.steady,
             wall_time: context.now.wall,
@@ -270,7 +270,7 @@
         } else {
             orders.sync = Some(self.tasks_in_partition(id));
             // The holder's pages may list tasks of machines that are gone.
-            orders.terminated = self.fleet.gone_within(now, Micros::MAX);
+            orders.terminated = self.fleet.terminated_within(now, Micros::MAX);
         }
         orders.quota = self.quota_orders(context, id, reconciled).map(Box::new);
         if let Some(partition) = self.remote_partitions.by_id.get_mut(&id) {
@@ -285,8 +285,8 @@
         let machines = self.machines.values();
         let machines = machines.filter(|machine| machine.partition == Some(id));
         let tasks = machines.flat_map(|machine| {
-            let may_exist = machine.assignments.iter().filter(|a| a.may_exist());
-            may_exist.map(|a| placed_task(&machine.name, a))
+            let may_be_on_machine = machine.assignments.iter().filter(|a| a.may_be_on_machine());
+            may_be_on_machine.map(|a| placed_task(&machine.name, a))
         });
         tasks.collect()
     }
@@ -306,7 +306,7 @@
                     if launchable {
                         a.launched = Some((machine.incarnation, 0));
                     }
-                    if a.may_exist() && !a.delivered && !a.recovered() {
+                    if a.may_be_on_machine() && !a.delivered && !a.recovered() {
                         orders.launches.push(placed_task(&machine.name, a));
                     }
                 }
@@ -341,7 +341,8 @@
 /// Whether the assignment is on record, and its task is still to be launched.
 fn is_launchable(a: &Assignment, jobs: &Jobs, write_buffer: &WriteBuffer) -> bool {
     let job = jobs.get(a.job);
-    let is_wanted = job.is_some_and(|job| job.cancelled.is_none() && !job.is_done(a.task));
+    let is_wanted =
+        job.is_some_and(|job| job.cancelled.is_none() && !job.is_task_completed(a.task));
     let is_on_record = write_buffer.is_durable(&RecordId::Page(a.page), a.written);
     a.launched.is_none() && a.stop.is_none() && is_wanted && is_on_record
 }
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -60,7 +60,7 @@
             return;
         }
         self.placement.wanted = false;
-        self.leader_quota.pressed.clear();
+        self.leader_quota.teams_short_of_room.clear();
         self.jobs.begin_catch_ups(now);
         let queue = self.job_queue(context);
         let mut open = self.open_machines(context);
@@ -69,7 +69,7 @@
         self.place_jobs(context, watch, order.jobs, &mut open);
         if self.grants_quota(context) {
             self.delegate_ahead(context, &queue, &order.teams_with_kept_quota);
-            self.revoke_stuck(context, &open);
+            self.revoke_overdue(context, &open);
         }
         self.placement.backlog = queue.iter().any(|queued| {
             let job = self.jobs.get(queued.index);
@@ -113,9 +113,9 @@
                 return false;
             }
             let has_quota = self.has_quota(context, queued.index);
-            let waits_long = job.must_begin(now) || job.catching_up().is_some();
+            let has_waited_long = job.must_begin(now) || job.catching_up().is_some();
             if !has_quota
-                && waits_long
+                && has_waited_long
                 && job.placeable(now) > 0
                 && self.has_quota_soon(context, queued.index, &mut ending)
             {
@@ -170,9 +170,9 @@
             _ => 1,
         };
         let wanted = Resources::of(spec.cpus, spec.gpus).times(tasks);
-        let used = self.needed_by(&spec.team).minus(freed);
+        let used = self.needed_by(&spec.team).saturating_sub(freed);
         self.limit_of(context, &spec.team)
-            .is_some_and(|quota| used.plus(wanted).fits(quota.limit))
+            .is_some_and(|quota| used.saturating_add(wanted).fits(quota.limit))
     }
 
     /// Whether the team may have one more of the job's tasks, or a whole gang, once those of the team's tasks
@@ -187,7 +187,7 @@
                 .values()
                 .flat_map(|machine| &machine.assignments)
                 .filter(|a| a.team == *team && a.remaining(now, 0) < QUOTA_KEPT_FOR)
-                .fold(Resources::ZERO, |sum, a| sum.plus(a.amount()))
+                .fold(Resources::ZERO, |sum, a| sum.saturating_add(a.amount()))
         });
         self.job_fits_limit(context, job, *freed)
     }
@@ -204,7 +204,7 @@
     pub(crate) fn open_machines(&self, context: &Context) -> Vec<OpenMachine> {
         let now = context.now.steady;
         let grants = self.grants_quota(context);
-        let promised = self.promised_room();
+        let promised = self.promised_resources();
         let free = |machine: &Machine| match promised.get(machine.name.as_str()) {
             Some(promised) => machine.free() - *promised,
             None => machine.free(),
@@ -217,7 +217,7 @@
                 machine_type: machine.machine_type.clone(),
                 spot: machine.spot,
                 free: free(machine),
-                kept_for_preemptor: machine.kept_until > now,
+                kept_for_preemptor: machine.idle_excluded_until > now,
                 headroom: MachineResources::default(),
                 placed_by: machine
                     .partition
@@ -229,7 +229,7 @@
 
 /// How a task is given to a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Given {
+pub(crate) enum DelegationKind {
     /// There are free resources for it, and it is charged to the quota grant.
     Placeable,
     /// It waits for resources that other tasks will free.
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -130,7 +130,7 @@
     fn missing_to_guarantees(&self, context: &Context) -> TeamAmounts {
         let teams = self.team_limits(context);
         let missing = teams.into_iter().map(|(team, limit)| {
-            let missing = limit.guarantee.minus(self.needed_by(&team));
+            let missing = limit.guarantee.saturating_sub(self.needed_by(&team));
             (team, missing)
         });
         missing.filter(|(_, missing)| !missing.is_zero()).collect()
@@ -141,11 +141,11 @@
         let mut usage = UsageAboveGuarantee::new();
         for assignment in self.assignments().filter(|a| a.stop.is_none()) {
             let sum = usage.entry(assignment.team.clone()).or_default();
-            *sum = sum.plus(assignment.amount());
+            *sum = sum.saturating_add(assignment.amount());
         }
         for (team, used) in &mut usage {
             let limit = self.limit_of(context, team).unwrap_or_default();
-            *used = used.minus(limit.guarantee);
+            *used = used.saturating_sub(limit.guarantee);
         }
         usage
     }
@@ -222,7 +222,7 @@
     /// Counts one more of its tasks on the machine.
     fn take(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
         machine.take(self.spec);
-        *self.missing = self.missing.minus(self.task);
+        *self.missing = self.missing.saturating_sub(self.task);
         self.tasks -= 1;
     }
 
@@ -277,7 +277,7 @@
             if *team == spec.team || !candidate.amount.fits(of_team) {
                 continue;
             }
-            above_left.insert(team.clone(), of_team.minus(candidate.amount));
+            above_left.insert(team.clone(), of_team.saturating_sub(candidate.amount));
             free = free + candidate.resources;
             chosen.push(at);
         }
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -70,14 +70,14 @@
         self.cpus + EPS >= spec.cpus && self.gpus + EPS >= spec.gpus
     }
 
-    fn plus(self, freed: MachineResources) -> Self {
+    fn saturating_add(self, freed: MachineResources) -> Self {
         QuotaLeft {
             cpus: self.cpus + freed.cpus,
             gpus: self.gpus + freed.gpus,
         }
     }
 
-    fn minus(self, spec: &Submission) -> Self {
+    fn saturating_sub(self, spec: &Submission) -> Self {
         QuotaLeft {
             cpus: self.cpus - spec.cpus,
             gpus: self.gpus - spec.gpus,
@@ -141,7 +141,7 @@
     /// Counts one more of its tasks on the machine.
     fn take(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
         machine.take(&self.job.spec);
-        self.quota = self.quota.minus(&self.job.spec);
+        self.quota = self.quota.saturating_sub(&self.job.spec);
         self.missing -= 1;
     }
 
@@ -222,7 +222,7 @@
             choice.candidates.push(at);
             choice.free = choice.free + candidate.resources;
             if candidate.team == spec.team {
-                choice.quota = choice.quota.plus(candidate.resources);
+                choice.quota = choice.quota.saturating_add(candidate.resources);
             }
         }
         suffices(&choice).then_some(choice)
@@ -243,9 +243,9 @@
                 grace,
             } = preemption;
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.kept_until = now + grace + KEPT_AFTER_STOP;
+                machine.idle_excluded_until = now + grace + KEPT_AFTER_STOP;
             }
-            self.stop_on(context, &name, grace, |a| a.attempt == attempt);
+            self.stop_assignments(context, &name, grace, |a| a.attempt == attempt);
         }
     }
 
@@ -313,7 +313,7 @@
         let assignments = machines.flat_map(|m| &m.assignments);
         for assignment in assignments.filter(|a| a.stop.is_some()) {
             let sum = stopping.entry(assignment.team.clone()).or_default();
-            *sum = sum.plus(assignment.amount());
+            *sum = sum.saturating_add(assignment.amount());
         }
         stopping
     }
@@ -369,7 +369,7 @@
     let live: u32 = job.zones.values().sum();
     let is_beginning =
         job.age(context.now.steady) > BEGIN_AFTER && u64::from(live) <= job.beginning();
-    match is_beginning || context.settings.starts_count(&job.spec.class) {
+    match is_beginning || context.settings.has_start_objective(&job.spec.class) {
         true => LEAST_COUNTED_RUN,
         false => LEAST_RUN,
     }
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -56,7 +56,7 @@
     /// Time that a job still needs if it gets all that its team's limit allows, in microseconds.
     pub(crate) fn time_needed(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
-        let left = job.tasks().saturating_sub(job.done_count) as f64;
+        let left = job.tasks().saturating_sub(job.completed_count) as f64;
         let quota = self.limit_of(context, &job.spec.team);
         let cpus = job.spec.cpus.max(EPS);
         let most = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
@@ -72,7 +72,7 @@
             .iter()
             .filter(|(_, job)| job.cancelled.is_none() && job.ending.is_none())
             .collect();
-        by_age.sort_by_key(|(index, job)| (job.age_base, *index));
+        by_age.sort_by_key(|(index, job)| (job.accepted_at, *index));
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut within = BTreeSet::new();
         for (index, job) in by_age {
@@ -80,9 +80,9 @@
             let Some(quota) = self.limit_of(context, &spec.team) else {
                 continue;
             };
-            let left = job.tasks().saturating_sub(job.done_count);
+            let left = job.tasks().saturating_sub(job.completed_count);
             let sum = sums.entry(&spec.team).or_default();
-            *sum = sum.plus(Resources::of(spec.cpus, spec.gpus).times(left));
+            *sum = sum.saturating_add(Resources::of(spec.cpus, spec.gpus).times(left));
             if sum.fits(quota.guarantee) {
                 within.insert(index);
             }
@@ -100,7 +100,7 @@
         let now = context.now.steady;
         // Where guaranteed shares are enforced, what is freed for them must not go to others.
         let enforced = self.enforces_guarantees(context);
-        let guaranteed = match enforced || context.settings.guarantees_count() {
+        let guaranteed = match enforced || context.settings.has_guarantee_objective() {
             true => self.within_guarantee(context),
             false => BTreeSet::new(),
         };
@@ -139,7 +139,7 @@
             index,
         };
         if job.must_begin(context.now.steady) {
-            return level_and_rank(level::BEGINNING, job.age_base);
+            return level_and_rank(level::BEGINNING, job.accepted_at);
         }
         // What is free now, to the one that has waited longest: a large array of higher
         // priority once kept all of a class from being served.
@@ -170,7 +170,7 @@
     /// Work that is left of a job array, in CPU microseconds. What needs its slots at once comes before what
     /// fills them one by one.
     fn work_left(&self, job: &Job) -> i64 {
-        let left = job.tasks().saturating_sub(job.done_count) as f64;
+        let left = job.tasks().saturating_sub(job.completed_count) as f64;
         let run = self.stats.expected_run(&job.spec) as f64;
         match job.shape {
             Shape::Batch => (left * job.spec.cpus * run) as i64,
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -1,7 +1,7 @@
 //! Places the tasks of one job: how many, and on which machines.
 
 use crate::context::Context;
-use crate::scheduler::leader::placement::{Given, QueuedJob};
+use crate::scheduler::leader::placement::{DelegationKind, QueuedJob};
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{
     permits, tasks_that_fit, HeadroomAccess, MachineResources, OpenMachine, Preference,
@@ -20,7 +20,7 @@
 }
 
 /// A job some of whose tasks are being placed.
-pub(crate) struct Placing {
+pub(crate) struct PlacingJob {
     /// The job.
     pub index: JobIndex,
     /// Its description.
@@ -40,7 +40,7 @@
     by_holders: bool,
 }
 
-impl Placing {
+impl PlacingJob {
     /// Whether holders of partitions may place the job's tasks.
     pub fn is_for_holders(&self) -> bool {
         self.by_holders
@@ -78,16 +78,23 @@
 
 impl Scheduler {
     /// What of the job may be placed in this round, if anything.
-    fn begin_placing(&self, context: &Context, queued: QueuedJob) -> Option<Placing> {
+    fn begin_placing(&self, context: &Context, queued: QueuedJob) -> Option<PlacingJob> {
         let placing = self.prepare_placing(context, queued)?;
         let team = &placing.spec.team;
         let limit = self.limit_of(context, team)?.limit;
-        let in_quota = self.needed_by(team).plus(placing.task).fits(limit);
+        let in_quota = self
+            .needed_by(team)
+            .saturating_add(placing.task)
+            .fits(limit);
         in_quota.then_some(placing)
     }
 
     /// The same, whatever is left of its team's limit.
-    pub(crate) fn prepare_placing(&self, context: &Context, queued: QueuedJob) -> Option<Placing> {
+    pub(crate) fn prepare_placing(
+        &self,
+        context: &Context,
+        queued: QueuedJob,
+    ) -> Option<PlacingJob> {
         let job = self.jobs.get(queued.index)?;
         let spec = &job.spec;
         let now = context.now.steady;
@@ -103,12 +110,12 @@
         // What has waited too long may take the headroom, too: not only for its beginning. The
         // rest of an array once waited for minutes beside it when nothing more could be provisioned.
         // Once there are no services any more, that goes for whatever waits long.
-        let headroom_yields = self.headroom.may_yield() && job.waits_long(now);
+        let headroom_yields = self.headroom.may_yield() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
             || job.must_begin(now)
             || job.starves(now)
             || headroom_yields;
-        Some(Placing {
+        Some(PlacingJob {
             index: queued.index,
             shape: job.shape,
             left,
@@ -125,7 +132,12 @@
     }
 
     /// Places in `open` that may take a task of the job, the best first.
-    fn candidates(&self, context: &Context, placing: &Placing, open: &[OpenMachine]) -> Vec<usize> {
+    fn candidates(
+        &self,
+        context: &Context,
+        placing: &PlacingJob,
+        open: &[OpenMachine],
+    ) -> Vec<usize> {
         let (spec, now) = (&placing.spec, context.now.steady);
         let fits = |machine: &OpenMachine| {
             placing.tasks_that_fit(machine) > 0
@@ -208,7 +220,7 @@
     fn place_on(
         &mut self,
         context: &mut Context,
-        placing: &mut Placing,
+        placing: &mut PlacingJob,
         open: &mut OpenMachine,
         gang_attempt: Option<u64>,
     ) -> ControlFlow<()> {
@@ -236,7 +248,7 @@
             self.take_task(context, placing, holder, task);
             match holder {
                 Some(partition) => {
-                    let given = (task, Given::Placeable);
+                    let given = (task, DelegationKind::Placeable);
                     self.delegate(context, placing, partition, given, &open.name)
                 }
                 None => self.assign_task(context, placing, &open.name, task, gang_attempt),
@@ -251,7 +263,7 @@
     fn charge_task(
         &mut self,
         context: &Context,
-        placing: &Placing,
+        placing: &PlacingJob,
         holder: Option<PartitionId>,
     ) -> bool {
         let team = &placing.spec.team;
@@ -265,7 +277,7 @@
     fn take_task(
         &mut self,
         context: &Context,
-        placing: &mut Placing,
+        placing: &mut PlacingJob,
         holder: Option<PartitionId>,
         task: u64,
     ) {
@@ -282,7 +294,7 @@
     fn assign_task(
         &mut self,
         context: &mut Context,
-        placing: &Placing,
+        placing: &PlacingJob,
         machine: &str,
         task: u64,
         gang_attempt: Option<u64>,
@@ -302,7 +314,7 @@
     /// How many tasks of a gang could be placed at once.
     fn gang_slots(
         &self,
-        placing: &Placing,
+        placing: &PlacingJob,
         candidates: &[usize],
         open: &[OpenMachine],
         fixed_zone: Option<&str>,
@@ -327,7 +339,7 @@
     /// The zone that a `one_zone` job is bound to: where its tasks are, else where most fit.
     fn fixed_zone(
         &self,
-        placing: &Placing,
+        placing: &PlacingJob,
         candidates: &[usize],
         open: &[OpenMachine],
     ) -> Option<String> {
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -66,7 +66,7 @@
 
     fn load_grant(&mut self, id: PartitionId, entry: &KeyValue<Value>) {
         match from_value::<QuotaGrantRecord>(&entry.value) {
-            Ok(record) => self.leader_quota.allotments.load(id, &record),
+            Ok(record) => self.leader_quota.grants.load(id, &record),
             Err(error) => {
                 error!(
                     key = entry.key, partition = id, error:% = error;
@@ -75,7 +75,7 @@
                 let in_force = self.leader_quota.limits.in_force().iter();
                 let limits = in_force.map(|(team, quota)| (team.to_string(), quota.limit));
                 let limits: TeamAmounts = limits.collect();
-                self.leader_quota.allotments.load_unreadable(id, limits);
+                self.leader_quota.grants.load_unreadable(id, limits);
             }
         }
     }
@@ -117,7 +117,7 @@
             "quotas in force have changed with a member's settings"
         );
         for team in &lowered {
-            self.leader_quota.allotments.cancel_unrecorded_growth(team);
+            self.leader_quota.grants.cancel_unrecorded_growth(team);
         }
         // What is decided and not in flight must not come on record after the lower limit.
         self.undo_unlaunched(context, &lowered);
@@ -146,7 +146,7 @@
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
-        let used = own.plus(self.leader_quota.allotments.total(team));
+        let used = own.saturating_add(self.leader_quota.grants.total(team));
         !used.fits(limit)
     }
 
@@ -164,11 +164,11 @@
         // Only what heartbeats have shown: what an earlier leader's pages list may be gone.
         for a in self.assignments().filter(|a| counts_as_running(a)) {
             let sum = running.entry(a.team.clone()).or_default();
-            *sum = sum.plus(a.amount());
+            *sum = sum.saturating_add(a.amount());
         }
         for (team, running) in running {
             let limit = self.limit_of(context, &team).unwrap_or_default().limit;
-            let excess = running.minus(limit);
+            let excess = running.saturating_sub(limit);
             if !excess.is_zero() {
                 self.stop_excess(context, &team, excess);
             }
@@ -180,7 +180,7 @@
             if excess.is_zero() {
                 break;
             }
-            excess = excess.minus(candidate.amount);
+            excess = excess.saturating_sub(candidate.amount);
             info!(
                 team = team, attempt = candidate.id.attempt, task = candidate.id.task;
                 "stopping a task, since its team's limit was lowered"
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -36,16 +36,16 @@
             return None;
         }
         let limits = self.write_buffer.mod_revisions.get(LIMITS).copied()?;
-        let allotment = self.usable_grant(context, id);
+        let grant = self.usable_grant(context, id);
         let work = if reconciled {
             self.work_to_send(id)
         } else {
             Vec::new()
         };
         Some(QuotaOrders {
-            number: self.leader_quota.allotments.number(id),
+            number: self.leader_quota.grants.number(id),
             limits,
-            allotment,
+            grant,
             work,
             revoked: self.leader_quota.delegations.revocations_to_send(id),
             reserved: self.reserved_machines(id),
@@ -58,7 +58,7 @@
         let teams = self.leader_quota.limits.in_force().iter();
         let over_limit = teams.filter(|(team, _)| self.is_over_limit(context, team));
         let over_limit: BTreeSet<String> = over_limit.map(|(team, _)| team.to_string()).collect();
-        let short_of_room = &self.leader_quota.pressed;
+        let short_of_room = &self.leader_quota.teams_short_of_room;
         let reduction = |team: &str| {
             if over_limit.contains(team) {
                 GrantReduction::All
@@ -68,7 +68,7 @@
                 GrantReduction::IdleSlack
             }
         };
-        let grants = &mut self.leader_quota.allotments;
+        let grants = &mut self.leader_quota.grants;
         grants.usable(id, context.now.steady, reduction)
     }
 
@@ -146,8 +146,8 @@
     /// Applies what a holder will use at most.
     pub(crate) fn on_held(&mut self, context: &Context, id: PartitionId, quota: &QuotaReport) {
         let now = context.now.steady;
-        self.leader_quota.allotments.on_held(id, &quota.held, now);
-        let delay = if self.leader_quota.pressed.is_empty() {
+        self.leader_quota.grants.on_held(id, &quota.held, now);
+        let delay = if self.leader_quota.teams_short_of_room.is_empty() {
             SHRINK_DELAY
         } else {
             0
@@ -175,7 +175,7 @@
         let is_known = |a: &Assignment| a.id() == placed.id();
         let known = self.position(&placed.machine, is_known).is_some();
         // A holder may still list tasks of a machine that was terminated.
-        if known || self.fleet.is_gone(&placed.machine) {
+        if known || self.fleet.is_terminated(&placed.machine) {
             return;
         }
         let index = self.jobs.find(&placed.job);
@@ -211,7 +211,7 @@
             })
         };
         let (team, amount) = (&assignment.team, assignment.amount());
-        let grants = &mut self.leader_quota.allotments;
+        let grants = &mut self.leader_quota.grants;
         if delegation.is_some_and(|delegation| !delegation.awaits_resources) {
             grants.unqueue(id, team, amount, context.now.steady);
         }
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -9,7 +9,7 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValue, KeyValueList};
 use grebewood_wire::records::{
-    CATALOGUE, DONE, JOB, OLD_CANCEL, PAGE, PARTITION, QUOTA, RENTAL, STATS,
+    CATALOGUE, COMPLETED_TASKS, JOB, LEGACY_CANCEL, PAGE, PARTITION, PROVISION, QUOTA, STATS,
 };
 use grebewood_wire::Value;
 use log::{error, warn};
@@ -32,14 +32,14 @@
 
     /// The prefixes and keys that are read.
     fn records_to_load(&self, context: &Context) -> Vec<String> {
-        let mut reads = vec![JOB.to_string(), OLD_CANCEL.to_string()];
+        let mut reads = vec![JOB.to_string(), LEGACY_CANCEL.to_string()];
         match self.partition() {
             None => {
                 // Members claim partitions only under a leader that supports them. To one that does not, claims mean
                 // nothing: its token is higher than that of every claim.
                 let partitions = context.supports_partitions().then_some(PARTITION);
                 let quota = context.supports_quota_grants().then_some(QUOTA);
-                let of_leader = [DONE, PAGE, RENTAL, STATS, CATALOGUE];
+                let of_leader = [COMPLETED_TASKS, PAGE, PROVISION, STATS, CATALOGUE];
                 let of_leader = of_leader.into_iter().chain(partitions).chain(quota);
                 reads.extend(of_leader.map(str::to_string));
             }
@@ -82,7 +82,7 @@
         };
         let Some(loading) = &mut self.loading else {
             return match prefix {
-                RENTAL => self.on_provision_sweep(context, page.ok()),
+                PROVISION => self.on_provision_sweep(context, page.ok()),
                 _ => self.on_relist(context, prefix, page.ok()),
             };
         };
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -164,7 +164,7 @@
         if page.is_ours {
             self.page_mut(page.number).add(machine, assignment);
         } else if let Some(partition) = page.written_by {
-            let grants = &mut self.leader_quota.allotments;
+            let grants = &mut self.leader_quota.grants;
             grants.place(partition, &assignment.team, assignment.amount());
         }
     }
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -5,7 +5,9 @@
 use crate::state::write_buffer::RecordId;
 use crate::SECOND;
 use grebewood_wire::http::{from_value, KeyValue};
-use grebewood_wire::records::{CompletedTasksPageRecord, LegacyCompletedTasksRecord, DONE};
+use grebewood_wire::records::{
+    CompletedTasksPageRecord, LegacyCompletedTasksRecord, COMPLETED_TASKS,
+};
 use grebewood_wire::Value;
 use log::error;
 
@@ -19,7 +21,7 @@
         for entry in entries {
             self.write_buffer
                 .note_revision(&entry.key, entry.mod_revision);
-            let name = entry.key.strip_prefix(DONE).unwrap_or_default();
+            let name = entry.key.strip_prefix(COMPLETED_TASKS).unwrap_or_default();
             match name.rsplit_once('/') {
                 Some((job, span)) => self.load_legacy_span(&entry, job, span),
                 None => self.load_completed_tasks_page(context, &entry, name),
@@ -35,7 +37,7 @@
         };
         let record = from_value::<LegacyCompletedTasksRecord>(&entry.value);
         match (span.parse(), record) {
-            (Ok(span), Ok(record)) => job.load_done(span, &record.bits),
+            (Ok(span), Ok(record)) => job.restore_completed_tasks(span, &record.bits),
             _ => log_unreadable(&entry.key),
         }
     }
@@ -73,7 +75,7 @@
         let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
-        job.load_done(span, bits);
+        job.restore_completed_tasks(span, bits);
         let Some(other) = job.completed_pages.get(&span).copied() else {
             return self.completed_pages.adopt(page, index, span, job);
         };
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -86,12 +86,12 @@
         for job in known {
             self.apply_cancellation(context, &job);
         }
-        context.cancellations.read_as_of(self.began);
+        context.cancellations.note_store_read(self.began);
     }
 
     /// Ends the jobs all of whose tasks are completed.
     pub(crate) fn end_completed_jobs(&mut self, context: &Context) {
-        let completed = self.jobs.iter().filter(|(_, job)| job.all_done());
+        let completed = self.jobs.iter().filter(|(_, job)| job.all_completed());
         let completed: Vec<JobIndex> = completed.map(|(index, _)| index).collect();
         for index in completed {
             self.end_if_over(context, index);
@@ -102,7 +102,7 @@
     pub(crate) fn note_started_jobs(&mut self, context: &Context) {
         for index in self.jobs.indices() {
             let job = self.jobs.get_mut(index);
-            if let Some(job) = job.filter(|job| job.done_count > 0) {
+            if let Some(job) = job.filter(|job| job.completed_count > 0) {
                 job.began_at = Some(job.age(context.now.steady));
             }
         }
--- a/crates/core/src/scheduler/loading/records.rs
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -7,8 +7,8 @@
 use crate::state::stats::Stats;
 use grebewood_wire::http::{from_value, KeyValue};
 use grebewood_wire::records::{
-    partition_of_page, ProvisionRecord, CATALOGUE, DONE, JOB, OLD_CANCEL, PAGE, QUOTA, RENTAL,
-    STATS,
+    partition_of_page, ProvisionRecord, CATALOGUE, COMPLETED_TASKS, JOB, LEGACY_CANCEL, PAGE,
+    PROVISION, QUOTA, STATS,
 };
 use grebewood_wire::Value;
 use log::{error, info};
@@ -22,14 +22,14 @@
         let Some(mut loading) = self.loading.take() else {
             return;
         };
-        let cancellations = self.load_jobs(context, loading.take(JOB), loading.take(OLD_CANCEL));
-        self.load_completed_tasks(context, loading.take(DONE));
+        let cancellations = self.load_jobs(context, loading.take(JOB), loading.take(LEGACY_CANCEL));
+        self.load_completed_tasks(context, loading.take(COMPLETED_TASKS));
         if self.role == Role::Leader {
             self.load_quota(context, loading.take(QUOTA));
         }
         let pages = self.own_pages(&mut loading);
         self.load_assignment_pages(context, pages);
-        self.load_provisions(context, loading.take(RENTAL));
+        self.load_provisions(context, loading.take(PROVISION));
         self.load_stats(loading.take(STATS));
         self.load_catalogue(context, loading.take(CATALOGUE));
         self.start_timers(context);
@@ -70,7 +70,7 @@
                 .note_revision(&entry.key, entry.mod_revision);
             match from_value::<ProvisionRecord>(&entry.value) {
                 Ok(provision) => {
-                    let machine = entry.key.trim_start_matches(RENTAL).to_string();
+                    let machine = entry.key.trim_start_matches(PROVISION).to_string();
                     self.fleet.recover_provision(context, machine, provision);
                 }
                 Err(error) => error!(key = entry.key, error:% = error; "record cannot be read"),
@@ -92,7 +92,7 @@
     /// The catalogue itself is read by each controller on its own: here only whether it is on record matters.
     fn load_catalogue(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         if entries.is_empty() {
-            self.fleet.types_at = context.now.steady;
+            self.fleet.next_catalogue_read = context.now.steady;
         }
         for entry in entries {
             self.write_buffer
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -38,8 +38,8 @@
 
     /// Whether the partition's holder is to be given tasks now: it places tasks, and has not been slow lately.
     pub(crate) fn may_delegate_to(&self, context: &Context, partition: PartitionId) -> bool {
-        let slow_until = self.leader_quota.slow_until.get(&partition);
-        let is_slow = slow_until.is_some_and(|until| context.now.steady < *until);
+        let holder_slow_until = self.leader_quota.holder_slow_until.get(&partition);
+        let is_slow = holder_slow_until.is_some_and(|until| context.now.steady < *until);
         self.holder_places(partition) && !is_slow
     }
 
@@ -67,15 +67,18 @@
 
     /// The resources of a team's tasks, those included that holders are to place.
     pub(crate) fn needed_by(&self, team: &str) -> Resources {
-        let delegated = self.leader_quota.allotments.needed(team);
-        self.used_by(team).plus(delegated)
+        let delegated = self.leader_quota.grants.needed(team);
+        self.used_by(team).saturating_add(delegated)
     }
 
     /// What of a team's limit is neither used nor granted to holders.
     pub(crate) fn room_under_limit(&self, context: &Context, team: &str) -> Resources {
         let limit = self.limit_of(context, team).unwrap_or_default();
-        let granted = self.leader_quota.allotments.total(team);
-        limit.limit.minus(self.used_by(team)).minus(granted)
+        let granted = self.leader_quota.grants.total(team);
+        limit
+            .limit
+            .saturating_sub(self.used_by(team))
+            .saturating_sub(granted)
     }
 
     /// The resources of a team's tasks, without those that holders place.
@@ -88,7 +91,9 @@
     pub(crate) fn fits_limit(&mut self, context: &Context, team: &str, amount: Resources) -> bool {
         let fits = amount.fits(self.room_under_limit(context, team));
         if !fits {
-            self.leader_quota.pressed.insert(team.to_string());
+            self.leader_quota
+                .teams_short_of_room
+                .insert(team.to_string());
         }
         fits
     }
@@ -97,12 +102,12 @@
     pub(crate) fn count_assignment(&mut self, assignment: &Assignment) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
-            (true, true) => self.holder_quota.allotment.take(team, amount),
+            (true, true) => self.holder_quota.grant.take(team, amount),
             // It is charged to the holder's quota grant when the leader learns of it.
             (true, false) => {}
             (false, _) => {
                 let used = self.usage.entry(team.clone()).or_default();
-                *used = used.plus(amount);
+                *used = used.saturating_add(amount);
             }
         }
     }
@@ -116,17 +121,17 @@
     ) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
-            (true, true) => self.holder_quota.allotment.give_back(team, amount),
+            (true, true) => self.holder_quota.grant.give_back(team, amount),
             (true, false) => {
                 let machine = self.machines.get(machine);
                 if let Some(partition) = machine.and_then(|machine| machine.partition) {
-                    let grants = &mut self.leader_quota.allotments;
+                    let grants = &mut self.leader_quota.grants;
                     grants.remove_placed(partition, team, amount, context.now.steady);
                 }
             }
             (false, _) => {
                 if let Some(used) = self.usage.get_mut(team) {
-                    *used = used.minus(amount);
+                    *used = used.saturating_sub(amount);
                 }
             }
         }
--- a/crates/core/src/scheduler/replies.rs
+++ b/crates/core/src/scheduler/replies.rs
@@ -15,15 +15,17 @@
         outcome: Outcome,
     ) -> Result<(), String> {
         match what {
-            SchedulerCall::Extend => return self.on_lease_renewed(context, &outcome),
+            SchedulerCall::RenewLease => return self.on_lease_renewed(context, &outcome),
             SchedulerCall::Flush => return self.on_flush(context, outcome),
             SchedulerCall::FlushReadBack => return self.on_read_back(context, outcome),
             SchedulerCall::List { prefix } => self.on_list(context, &prefix, outcome),
             SchedulerCall::Read { key } => self.on_read(context, key, outcome),
             SchedulerCall::Watch { prefix } => self.on_watch(context, prefix, outcome),
             SchedulerCall::Refresh { key } => self.on_refresh(context, &key, outcome),
-            SchedulerCall::Fleet(call) => self.on_fleet(context, call, outcome),
-            SchedulerCall::Direct { machine } => self.on_direct(context, &machine, outcome),
+            SchedulerCall::Fleet(call) => self.on_cloud_response(context, call, outcome),
+            SchedulerCall::Direct { machine } => {
+                self.on_direct_response(context, &machine, outcome)
+            }
             SchedulerCall::Orders { partition, claim } => {
                 self.on_orders_answered(context, partition, claim, outcome);
             }
@@ -37,7 +39,7 @@
             Outcome::Answer { status: 404, .. } => return Err("the lease has ended".into()),
             _ => {
                 let pause = context.tuning.leader_lease_us / URGENT_RENEWALS_PER_LEASE;
-                self.extend_at = self.extend_at.min(context.now.steady + pause);
+                self.lease_renewal_at = self.lease_renewal_at.min(context.now.steady + pause);
             }
         }
         Ok(())
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -18,17 +18,17 @@
     /// When [`Scheduler::run`] is next due, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
         if self.uncertain {
-            return self.extend_at;
+            return self.lease_renewal_at;
         }
         if let Some(loading) = &self.loading {
             let next_read = loading.next_due().unwrap_or(Micros::MAX);
-            return self.extend_at.min(next_read);
+            return self.lease_renewal_at.min(next_read);
         }
         let watches = self.watches.values().filter_map(Watch::next_due);
-        let shared = watches.fold(self.extend_at, Micros::min);
+        let shared = watches.fold(self.lease_renewal_at, Micros::min);
         let shared = shared.min(self.flush_wake());
         if self.is_holder() {
-            shared.min(self.holder_wake())
+            shared.min(self.next_holder_wake())
         } else {
             shared.min(self.leader_wake())
         }
@@ -43,7 +43,7 @@
         self.remote_partitions
             .next_wake()
             .min(held)
-            .min(self.long_polls.next_until())
+            .min(self.long_polls.next_deadline())
             .min(self.placement.next_at)
             .min(self.next_machine_check)
             .min(self.fleet.next_wake())
@@ -52,7 +52,7 @@
 
     /// Does everything that is due.
     pub(crate) fn run(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
-        if context.now.steady >= self.extend_at {
+        if context.now.steady >= self.lease_renewal_at {
             self.renew_lease(context);
         }
         if self.uncertain {
@@ -70,7 +70,7 @@
     }
 
     fn run_leader(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
-        self.run_machines(context);
+        self.check_machines(context);
         self.enforce_limits(context);
         self.run_placement(context, watch);
         self.run_fleet(context);
@@ -88,9 +88,9 @@
         } else {
             RENEWALS_PER_LEASE
         };
-        self.extend_at = context.now.steady + context.tuning.leader_lease_us / renewals;
+        self.lease_renewal_at = context.now.steady + context.tuning.leader_lease_us / renewals;
         let path = format!("/leases/{}/extend", self.lease);
-        let purpose = self.pending(SchedulerCall::Extend);
+        let purpose = self.pending(SchedulerCall::RenewLease);
         let timeout = context.tuning.leader_lease_us / RENEWALS_PER_LEASE;
         context.call(Target::Store, "POST", path, Vec::new(), timeout, purpose);
     }
--- a/crates/core/src/scheduler/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -1,7 +1,7 @@
 use crate::calls::JobViewCall;
 use crate::controller::Controller;
 use crate::scheduler::store_reads::Watch;
-use crate::test_support::unread_leader;
+use crate::test_support::leader_before_loading;
 use crate::{Effect, Outcome, SECOND};
 use grebewood_wire::http::{KeyValue, KeyValueList};
 use grebewood_wire::records::{job_key, JOB};
@@ -33,7 +33,7 @@
 }
 
 fn watching_leader() -> Controller {
-    let mut controller = unread_leader(20 * SECOND);
+    let mut controller = leader_before_loading(20 * SECOND);
     let leader = controller.leader.as_mut().expect("a leader");
     leader.watches.insert(JOB, Watch::default());
     controller.context.effects.clear();
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -142,7 +142,7 @@
 
 impl Settings {
     /// Whether an objective measures how soon work within a guaranteed share starts.
-    pub fn guarantees_count(&self) -> bool {
+    pub fn has_guarantee_objective(&self) -> bool {
         self.objectives
             .iter()
             .any(|objective| objective.kind == GUARANTEE)
@@ -150,7 +150,7 @@
 
     /// The longest time that an objective allows any class's tasks to start in, if it is longer than
     /// `boot` (both in microseconds): a shorter one cannot be met by provisioning machines.
-    pub fn longest_start(&self, boot: Micros) -> Option<Micros> {
+    pub fn longest_start_objective(&self, boot: Micros) -> Option<Micros> {
         let starts = self
             .objectives
             .iter()
@@ -162,7 +162,7 @@
     }
 
     /// Whether an objective measures how soon tasks of the class start.
-    pub fn starts_count(&self, class: &str) -> bool {
+    pub fn has_start_objective(&self, class: &str) -> bool {
         self.objectives
             .iter()
             .any(|objective| objective.class == class && objective.kind == WAIT)
--- a/crates/core/src/state/assignment_pages.rs
+++ b/crates/core/src/state/assignment_pages.rs
@@ -74,7 +74,7 @@
 
 /// The assignment pages that one scheduler writes.
 #[derive(Clone, Debug, Default)]
-pub struct Pages {
+pub struct AssignmentPages {
     pub(crate) by_number: BTreeMap<u64, Page>,
     /// The page that takes new assignments.
     open: u64,
@@ -82,10 +82,10 @@
     range: Option<Range<u64>>,
 }
 
-impl Pages {
+impl AssignmentPages {
     /// The pages of the holder of a partition, which have the numbers of this range.
-    pub fn of_holder(range: Range<u64>) -> Pages {
-        Pages {
+    pub fn of_holder(range: Range<u64>) -> AssignmentPages {
+        AssignmentPages {
             by_number: BTreeMap::new(),
             open: range.start,
             range: Some(range),
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -4,10 +4,10 @@
 //! jobs share a record, which is written every few seconds. Until then the agents keep the results, since the exit of a
 //! task is acknowledged only when it is durable.
 //!
-//! The tasks of a job are divided into spans of [`DONE_SPAN`] tasks; each span is on one page.
+//! The tasks of a job are divided into spans of [`TASKS_PER_LEGACY_RECORD`] tasks; each span is on one page.
 
 use crate::state::jobs::{Job, JobIndex, Jobs};
-use grebewood_wire::records::{CompletedTasksPageRecord, DONE_SPAN};
+use grebewood_wire::records::{CompletedTasksPageRecord, TASKS_PER_LEGACY_RECORD};
 use std::collections::BTreeSet;
 
 /// A page: which spans of which jobs are on it.
@@ -39,7 +39,10 @@
 
 /// Bytes that a span takes in the record's JSON form once all of its tasks are completed.
 fn span_bytes(job: &Job, span: u64) -> usize {
-    let tasks = job.tasks().saturating_sub(span * DONE_SPAN).min(DONE_SPAN);
+    let tasks = job
+        .tasks()
+        .saturating_sub(span * TASKS_PER_LEGACY_RECORD)
+        .min(TASKS_PER_LEGACY_RECORD);
     job.id.len() + tasks.div_ceil(TASKS_PER_DIGIT) as usize + SPAN_FRAME_BYTES
 }
 
@@ -133,7 +136,7 @@
         let spans = page.into_iter().flat_map(|page| &page.spans);
         let entries = spans.filter_map(|(index, span)| {
             let job = jobs.get(*index)?;
-            Some((job.id.clone(), *span, job.done_bits(*span)))
+            Some((job.id.clone(), *span, job.completed_bits(*span)))
         });
         CompletedTasksPageRecord {
             jobs: entries.collect(),
--- a/crates/core/src/state/delegations.rs
+++ b/crates/core/src/state/delegations.rs
@@ -72,7 +72,7 @@
         if delegation.awaits_resources {
             let teams = self.awaiting_resources.entry(partition).or_default();
             let amount = teams.entry(delegation.team.clone()).or_default();
-            *amount = amount.plus(delegation.amount);
+            *amount = amount.saturating_add(delegation.amount);
         }
         self.by_task.insert(task, delegation);
     }
@@ -86,7 +86,7 @@
         if delegation.awaits_resources {
             let teams = self.awaiting_resources.get_mut(&delegation.partition);
             if let Some(amount) = teams.and_then(|teams| teams.get_mut(&delegation.team)) {
-                *amount = amount.minus(delegation.amount);
+                *amount = amount.saturating_sub(delegation.amount);
             }
         }
         Some(delegation)
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -114,9 +114,9 @@
     /// Those that can, and have contact with the store.
     pub(crate) members: BTreeSet<Member>,
     /// Whether all siblings answered lately.
-    pub(crate) all_answer: bool,
+    pub(crate) all_answered: bool,
     /// Whether one answered that does not support partitions.
-    pub(crate) any_without: bool,
+    pub(crate) any_without_partitions: bool,
     /// Whether one answered that does not support quota grants.
     pub(crate) any_without_quota_grants: bool,
 }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -133,7 +133,7 @@
     /// When the autoscaler runs next, in microseconds.
     pub(crate) next_autoscaler_round: Micros,
     /// When the catalogue of machine types is read next, in microseconds.
-    pub types_at: Micros,
+    pub next_catalogue_read: Micros,
     /// Whether the catalogue is being read.
     pub(crate) catalogue_in_flight: bool,
     /// Machine offerings without capacity.
@@ -163,7 +163,7 @@
             list_continues_after: None,
             running_without_heartbeat: BTreeMap::new(),
             next_autoscaler_round: now + FIRST_AUTOSCALER_ROUND,
-            types_at: now + FIRST_CATALOGUE_READ,
+            next_catalogue_read: now + FIRST_CATALOGUE_READ,
             catalogue_in_flight: false,
             unavailable: BTreeMap::new(),
             failed_boots: BTreeMap::new(),
@@ -174,7 +174,7 @@
 
     /// When something is due next, in microseconds.
     pub fn next_wake(&self) -> Micros {
-        let mut at = self.next_autoscaler_round.min(self.types_at);
+        let mut at = self.next_autoscaler_round.min(self.next_catalogue_read);
         if !self.list_in_flight {
             at = at.min(self.next_list_read);
         }
@@ -193,7 +193,7 @@
     }
 
     /// The record of a provisioning request is durable: the request is sent from now on.
-    pub fn provision_written(&mut self, now: Micros, name: &str) {
+    pub fn note_provision_durable(&mut self, now: Micros, name: &str) {
         if let Some(provision) = self.provisions.get_mut(name) {
             provision.durable = true;
             provision.retry_at = now;
@@ -238,17 +238,17 @@
     }
 
     /// Whether a whole machine list was read.
-    pub fn has_list(&self) -> bool {
+    pub fn has_machine_list(&self) -> bool {
         self.last_full_list.is_some()
     }
 
     /// Whether the machine's termination was answered.
-    pub fn is_gone(&self, name: &str) -> bool {
+    pub fn is_terminated(&self, name: &str) -> bool {
         self.terminated.contains_key(name)
     }
 
     /// Machines whose termination was answered within the last `span` microseconds.
-    pub(crate) fn gone_within(&self, now: Micros, span: Micros) -> Vec<String> {
+    pub(crate) fn terminated_within(&self, now: Micros, span: Micros) -> Vec<String> {
         let recent = self.terminated.iter();
         let recent = recent.filter(|(_, at)| now.saturating_sub(**at) <= span);
         recent.map(|(name, _)| name.clone()).collect()
@@ -275,7 +275,7 @@
     /// Has the machine terminated. False if that is under way or done already.
     pub fn terminate(&mut self, name: &str, now: Micros) -> bool {
         self.next_termination = self.next_termination.min(now);
-        !self.is_gone(name) && self.terminating.insert(name.to_string())
+        !self.is_terminated(name) && self.terminating.insert(name.to_string())
     }
 
     /// How many machines boot, including those of provisioning requests that are not answered yet.
--- a/crates/core/src/state/holder.rs
+++ b/crates/core/src/state/holder.rs
@@ -44,7 +44,7 @@
 
 impl HolderState {
     /// Whether a leader has told all tasks that may be on the machines.
-    pub(crate) fn knows_tasks(&self) -> bool {
+    pub(crate) fn is_reconciled(&self) -> bool {
         self.reconciled_term > 0
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether the leader has the attempt's end on record, so that the agent may forget it.
-    pub(crate) fn is_settled(&self, attempt: Option<TaskAttempt>) -> bool {
+    pub(crate) fn is_outcome_recorded(&self, attempt: Option<TaskAttempt>) -> bool {
         attempt.is_none_or(|id| !self.outcomes.contains_key(&id))
     }
 }
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct HolderQuota {
     /// What may be used of each team's limit, and what is used.
-    pub allotment: HolderGrant,
+    pub grant: HolderGrant,
     /// The leader whose tasks may be placed, as long as it is on record; `None`: none has given orders, or
     /// another one may lead.
     pub term: Option<u64>,
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -3,7 +3,7 @@
 use crate::calls::{UserAction, UserRequest};
 use crate::{Micros, MILLI};
 use grebewood_wire as wire;
-use grebewood_wire::records::{JobKey, JobRecord, JOB, OLD_CANCEL};
+use grebewood_wire::records::{JobKey, JobRecord, JOB, LEGACY_CANCEL};
 use grebewood_wire::Value;
 use log::error;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,7 +20,7 @@
 }
 
 /// Keys that are read to build the view, in this order.
-const PREFIXES: [&str; 2] = [JOB, OLD_CANCEL];
+const PREFIXES: [&str; 2] = [JOB, LEGACY_CANCEL];
 
 /// A poll waits no longer than this: users wait 2 s for its answer.
 const POLL_PATIENCE: Micros = 1_400 * MILLI;
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -5,7 +5,7 @@
 use crate::state::jobs::task_set::TaskSet;
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{Shape, Submission};
-use grebewood_wire::records::{JobRecord, DONE_SPAN};
+use grebewood_wire::records::{JobRecord, TASKS_PER_LEGACY_RECORD};
 use grebewood_wire::validate::MAX_TASKS;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -50,13 +50,13 @@
     /// Its submission.
     pub spec: Submission,
     /// When it was accepted; may lie before the start of this process.
-    pub age_base: i64,
+    pub accepted_at: i64,
     completed: TaskSet,
     assigned: TaskSet,
     /// Tasks with more than one assignment, with the number beyond the first.
     extra_assignments: BTreeMap<u64, u32>,
     /// Number of completed tasks.
-    pub done_count: u64,
+    pub completed_count: u64,
     /// Number of tasks that are assigned and not completed.
     assigned_count: u64,
     /// All tasks before this one are completed or assigned.
@@ -88,7 +88,7 @@
     /// The pages that hold its completed tasks, by span of task numbers.
     pub completed_pages: BTreeMap<u64, u64>,
     /// Mean run time of its own tasks so far, in microseconds, with the number of runs.
-    pub run_mean: (Micros, u32),
+    pub mean_run_time: (Micros, u32),
     /// Since when it has had tasks that wait for a place.
     pub waiting_since: Option<Micros>,
     /// When a task was last placed.
@@ -115,7 +115,7 @@
             completed: TaskSet::new(tasks),
             assigned: TaskSet::new(tasks),
             extra_assignments: BTreeMap::new(),
-            done_count: 0,
+            completed_count: 0,
             assigned_count: 0,
             first_candidate: 0,
             cancelled: None,
@@ -131,7 +131,7 @@
             waiting_at_holders: 0,
             began_at: None,
             completed_pages: BTreeMap::new(),
-            run_mean: (0, 0),
+            mean_run_time: (0, 0),
             waiting_since: Some(now),
             placed_at: 0,
             catch_up: None,
@@ -139,7 +139,7 @@
             preempted: 0,
             shape: Shape::of(&record.spec).unwrap_or(Shape::Batch),
             restarts: ReplicaRestarts::default(),
-            age_base: now as i64 - age,
+            accepted_at: now as i64 - age,
             spec: record.spec,
         }
     }
@@ -154,18 +154,18 @@
         if self.cancelled.is_some() || self.ending.is_some() {
             return 0;
         }
-        let placed = self.done_count + self.assigned_count;
+        let placed = self.completed_count + self.assigned_count;
         self.tasks().saturating_sub(placed)
     }
 
     /// Whether the task is completed.
-    pub fn is_done(&self, task: u64) -> bool {
+    pub fn is_task_completed(&self, task: u64) -> bool {
         self.completed.contains(task)
     }
 
     /// Whether all of its tasks are completed.
-    pub fn all_done(&self) -> bool {
-        !self.is_daemon() && self.done_count >= self.tasks()
+    pub fn all_completed(&self) -> bool {
+        !self.is_daemon() && self.completed_count >= self.tasks()
     }
 
     /// Whether its tasks, called replicas, run until it is cancelled: none of them is ever completed.
@@ -193,7 +193,7 @@
             return false;
         }
         self.completed.insert(task);
-        self.done_count += 1;
+        self.completed_count += 1;
         if self.assigned.contains(task) {
             self.assigned_count -= 1;
         }
@@ -256,9 +256,9 @@
 
     /// A task of it took this long, in microseconds.
     pub(crate) fn note_run_time(&mut self, run_time: Micros) {
-        let (mean, runs) = self.run_mean;
+        let (mean, runs) = self.mean_run_time;
         let sum = mean * u64::from(runs) + run_time;
-        self.run_mean = (sum / (u64::from(runs) + 1), (runs + 1).min(MAX_MEAN_WEIGHT));
+        self.mean_run_time = (sum / (u64::from(runs) + 1), (runs + 1).min(MAX_MEAN_WEIGHT));
     }
 
     /// The next waiting task that may be placed now.
@@ -296,10 +296,10 @@
             && !self.keeps_failing()
     }
 
-    /// The completed tasks of a span, from `span * DONE_SPAN` on, as hexadecimal digits of four tasks each.
-    pub fn done_bits(&self, span: u64) -> String {
-        let from = span * DONE_SPAN;
-        let to = (from + DONE_SPAN).min(self.tasks());
+    /// The completed tasks of a span, from `span * TASKS_PER_LEGACY_RECORD` on, as hexadecimal digits of four tasks each.
+    pub fn completed_bits(&self, span: u64) -> String {
+        let from = span * TASKS_PER_LEGACY_RECORD;
+        let to = (from + TASKS_PER_LEGACY_RECORD).min(self.tasks());
         let firsts = (from..to).step_by(TASKS_PER_DIGIT as usize);
         let digits = firsts.map(|first| {
             let done = (0..TASKS_PER_DIGIT).filter(|bit| self.completed.contains(first + bit));
@@ -310,15 +310,15 @@
             .collect()
     }
 
-    /// Marks the tasks of a span completed that a record shows as such, in the form of [`Job::done_bits`].
-    pub fn load_done(&mut self, span: u64, digits: &str) {
-        if span > MAX_TASKS / DONE_SPAN {
+    /// Marks the tasks of a span completed that a record shows as such, in the form of [`Job::completed_bits`].
+    pub fn restore_completed_tasks(&mut self, span: u64, digits: &str) {
+        if span > MAX_TASKS / TASKS_PER_LEGACY_RECORD {
             return;
         }
-        let digits_per_span = (DONE_SPAN / TASKS_PER_DIGIT) as usize;
+        let digits_per_span = (TASKS_PER_LEGACY_RECORD / TASKS_PER_DIGIT) as usize;
         for (position, digit) in digits.chars().take(digits_per_span).enumerate() {
             let digit = digit.to_digit(16).unwrap_or(0);
-            let first = span * DONE_SPAN + position as u64 * TASKS_PER_DIGIT;
+            let first = span * TASKS_PER_LEGACY_RECORD + position as u64 * TASKS_PER_DIGIT;
             for bit in (0..TASKS_PER_DIGIT).filter(|bit| digit >> bit & 1 == 1) {
                 self.complete(first + bit);
             }
@@ -365,7 +365,7 @@
 
     /// Time since acceptance, in microseconds.
     pub fn age(&self, now: Micros) -> Micros {
-        (now as i64 - self.age_base).max(0) as Micros
+        (now as i64 - self.accepted_at).max(0) as Micros
     }
 
     /// When the job should be finished: the earliest objective that it can still meet with `need` microseconds yet to
@@ -373,7 +373,7 @@
     pub fn target(&self, context: &Context, need: Micros) -> Option<i64> {
         let earliest = (context.now.steady + need) as i64;
         let reachable = |objective: Micros| {
-            let at = self.age_base + objective as i64;
+            let at = self.accepted_at + objective as i64;
             (at >= earliest).then_some(at)
         };
         if let Some(deadline) = self.spec.deadline_s {
@@ -387,7 +387,7 @@
             .filter_map(|objective| objective.within)
             .peekable();
         if objectives.peek().is_none() {
-            return Some(self.age_base + context.tuning.default_deadline_us as i64);
+            return Some(self.accepted_at + context.tuning.default_deadline_us as i64);
         }
         objectives.filter_map(reachable).min()
     }
--- a/crates/core/src/state/jobs/job/failures.rs
+++ b/crates/core/src/state/jobs/job/failures.rs
@@ -66,7 +66,7 @@
         match self.shape {
             // No replica of a daemon ever succeeds.
             Shape::Daemon => self.restarts.avoided_machine_count() >= FAULTY_JOB_MACHINES,
-            _ => self.done_count == 0 && self.failed_on.len() >= FAULTY_JOB_MACHINES,
+            _ => self.completed_count == 0 && self.failed_on.len() >= FAULTY_JOB_MACHINES,
         }
     }
 
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -21,7 +21,7 @@
     /// Whether the job has waited so long that it is to begin ahead of its turn.
     pub fn must_begin(&self, now: Micros) -> bool {
         self.began_at.is_none()
-            && self.done_count == 0
+            && self.completed_count == 0
             && self.assigned_count == 0
             && self.age(now) > BEGIN_AFTER
     }
@@ -42,7 +42,7 @@
     }
 
     /// Whether tasks have been waiting for as long, though others of the job were placed meanwhile.
-    pub fn waits_long(&self, now: Micros) -> bool {
+    pub fn has_waited_long(&self, now: Micros) -> bool {
         self.waiting_since
             .is_some_and(|at| now.saturating_sub(at) > STARVES_AFTER)
     }
--- a/crates/core/src/state/long_polls.rs
+++ b/crates/core/src/state/long_polls.rs
@@ -47,7 +47,7 @@
     }
 
     /// When the first of them is to be answered, in microseconds.
-    pub fn next_until(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         self.by_deadline.first().map_or(Micros::MAX, |(at, _)| *at)
     }
 
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -104,7 +104,7 @@
     /// Nothing is placed on it before this time, after it refused a task.
     pub quarantined_until: Micros,
     /// Tasks of idle priority are kept off until then: tasks are preempted here for work of higher priority.
-    pub kept_until: Micros,
+    pub idle_excluded_until: Micros,
     /// When the cloud's list first showed it.
     pub listed: Option<Micros>,
     /// Whether our responses reach it, as far as its heartbeats show. Heartbeats may arrive from a machine that no
@@ -164,7 +164,7 @@
             failed_jobs: Vec::new(),
             faulty: false,
             quarantined_until: 0,
-            kept_until: 0,
+            idle_excluded_until: 0,
             listed: None,
             receives_responses: false,
             unreachable_since: None,
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -195,13 +195,13 @@
     }
 
     /// Whether the task may be on the machine.
-    pub fn may_exist(&self) -> bool {
+    pub fn may_be_on_machine(&self) -> bool {
         self.launched.is_some()
     }
 
     /// Whether it was launched without any sign yet that the agent got the launch.
     pub(crate) fn is_launch_unconfirmed(&self) -> bool {
-        self.may_exist()
+        self.may_be_on_machine()
             && self.seen == ObservedStatus::Never
             && self.stop.is_none()
             && !self.recovered()
@@ -228,7 +228,7 @@
 
     /// The command that stops it, if it is to be stopped and may be on its machine; notes that the command is sent.
     pub(crate) fn send_stop(&mut self, now: Micros) -> Option<Command> {
-        if !self.may_exist() {
+        if !self.may_be_on_machine() {
             return None;
         }
         let stop = self.stop.as_mut()?;
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -13,19 +13,19 @@
     /// The quotas in force.
     pub(crate) limits: LimitsInForce,
     /// What of the teams' limits is granted to holders.
-    pub(crate) allotments: QuotaGrants,
+    pub(crate) grants: QuotaGrants,
     /// Tasks that holders are to place.
     pub(crate) delegations: Delegations,
     /// Partitions whose holder places tasks.
     pub(crate) placing: BTreeSet<PartitionId>,
     /// Until when the leader places tasks on a partition's machines itself, since its holder is slow.
-    pub(crate) slow_until: BTreeMap<PartitionId, Micros>,
+    pub(crate) holder_slow_until: BTreeMap<PartitionId, Micros>,
     /// A member answered that does not support quota grants: no tasks are delegated meanwhile.
     pub(crate) paused: bool,
     /// The store has refused a record of a quota grant.
     pub(crate) refused: bool,
     /// Teams that lacked room under their limit lately while some of it was granted but not needed.
-    pub(crate) pressed: BTreeSet<String>,
+    pub(crate) teams_short_of_room: BTreeSet<String>,
     /// Why this leader cannot know what holders have placed, so that it has to step down for one that reads it.
     pub(crate) lost: Option<&'static str>,
     /// When limits were last enforced on running tasks.
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -133,7 +133,7 @@
     /// Decides which member is to hold which partition.
     pub(crate) planner: Planner,
     /// When the planner runs next.
-    pub(crate) plan_at: Micros,
+    pub(crate) next_planning_at: Micros,
     /// The sequence number of the last orders.
     pub(crate) sequence: u64,
     /// Why all partitions are being removed, if they are: their keys are being deleted.
@@ -161,7 +161,7 @@
     }
 
     /// Whether the partition's holder knows all tasks that may be on its machines.
-    pub(crate) fn is_synced(&self, id: PartitionId) -> bool {
+    pub(crate) fn is_holder_reconciled(&self, id: PartitionId) -> bool {
         let partition = self.by_id.get(&id);
         partition.is_some_and(|partition| partition.reconciled)
     }
--- a/crates/core/src/state/stats.rs
+++ b/crates/core/src/state/stats.rs
@@ -100,7 +100,7 @@
 
     /// A machine of the type took `boot_time` microseconds until its first heartbeat; `published` is the boot time that
     /// the cloud publishes.
-    pub fn booted(&mut self, machine_type: &str, published: Micros, boot_time: Micros) {
+    pub fn record_boot_time(&mut self, machine_type: &str, published: Micros, boot_time: Micros) {
         let bounded = (boot_time as f64).min(published as f64 * MAX_BOOT_FACTOR);
         self.boots
             .entry(machine_type.to_string())
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -27,7 +27,7 @@
     /// The request to provision the machine with this name.
     PendingProvision(String),
     /// The end of a job: writes its final status and deletes its live records.
-    Over(JobIndex),
+    JobEnd(JobIndex),
     /// Statistics of run times, startup times and the like.
     Stats,
     /// The machine types that the cloud offers.
@@ -35,7 +35,7 @@
     /// The partition with this number.
     Partition(PartitionId),
     /// The quota grant to the holder of this partition.
-    Allotment(PartitionId),
+    QuotaGrant(PartitionId),
     /// The teams' limits in force.
     Limits,
     /// A key that is to be deleted.
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -9,17 +9,17 @@
 /// Time of day at time zero of the steady clock, in microseconds since 1970.
 pub const WALL: u64 = 1_700_000_000 * SECOND;
 
-/// The fencing token under which [`unread_leader`] leads.
+/// The fencing token under which [`leader_before_loading`] leads.
 const TOKEN: u64 = 7;
 
-/// The store lease of [`unread_leader`].
+/// The store lease of [`leader_before_loading`].
 const LEASE: u64 = 1;
 
 /// Step by which [`pass`] lets time advance, in microseconds: a long one would count as a process pause.
 const STEP: Micros = 500 * MILLI;
 
 /// A controller that has just become the leader, and has read no records yet.
-pub fn unread_leader(now: Micros) -> Controller {
+pub fn leader_before_loading(now: Micros) -> Controller {
     let settings = Settings {
         siblings: vec![Sibling {
             member: "perch-1".into(),
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -46,7 +46,7 @@
             Err(_) => records.limits_unreadable = true,
         }
     } else if let Some(Ok(id)) = entry.key.strip_prefix(QUOTA).map(str::parse) {
-        records.allotments.insert(id, from_value(&entry.value).ok());
+        records.grants.insert(id, from_value(&entry.value).ok());
     }
 }
 
--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -44,7 +44,9 @@
         let outcome = update(grant);
         for (team, before) in charged_before {
             let total = self.totals.entry(team.to_string()).or_default();
-            *total = total.minus(before).plus(grant.charged(team));
+            *total = total
+                .saturating_sub(before)
+                .saturating_add(grant.charged(team));
         }
         outcome
     }
@@ -75,14 +77,18 @@
     /// What a team's tasks need that are placed by holders or are to be.
     pub fn needed(&self, team: &str) -> Resources {
         let partitions = self.partitions.values();
-        partitions.fold(Resources::ZERO, |sum, grant| sum.plus(grant.needed(team)))
+        partitions.fold(Resources::ZERO, |sum, grant| {
+            sum.saturating_add(grant.needed(team))
+        })
     }
 
     /// What no task needs of what a partition is granted of a team's limit.
     pub fn slack(&self, partition: PartitionId, team: &str) -> Resources {
         let grant = self.partitions.get(&partition);
         let team = grant.and_then(|grant| grant.team(team));
-        team.map_or(Resources::ZERO, |team| team.granted.minus(team.needed()))
+        team.map_or(Resources::ZERO, |team| {
+            team.granted.saturating_sub(team.needed())
+        })
     }
 
     /// The partition's holder is to place a task of the team; the grant grows if it has to. `room` is what
@@ -101,13 +107,16 @@
         room: Resources,
     ) -> Result<(), OverLimit> {
         let grant = self.partitions.entry(partition).or_default();
-        let needed = grant.needed(team).plus(promised).plus(amount);
-        if !needed.minus(grant.charged(team)).fits(room) {
+        let needed = grant
+            .needed(team)
+            .saturating_add(promised)
+            .saturating_add(amount);
+        if !needed.saturating_sub(grant.charged(team)).fits(room) {
             return Err(OverLimit);
         }
         self.update(partition, [team], |grant| {
             let grant = grant.team_mut(team);
-            grant.queued = grant.queued.plus(amount);
+            grant.queued = grant.queued.saturating_add(amount);
             grant.granted = grant.granted.max(needed);
             grant.slack_since = None;
         });
@@ -118,7 +127,7 @@
     pub fn unqueue(&mut self, partition: PartitionId, team: &str, amount: Resources, now: Micros) {
         if let Some(grant) = self.partitions.get_mut(&partition) {
             let grant = grant.team_mut(team);
-            grant.queued = grant.queued.minus(amount);
+            grant.queued = grant.queued.saturating_sub(amount);
             grant.update_slack(now);
         }
     }
@@ -127,7 +136,7 @@
     pub fn place(&mut self, partition: PartitionId, team: &str, amount: Resources) {
         self.update(partition, [team], |grant| {
             let grant = grant.team_mut(team);
-            grant.placed = grant.placed.plus(amount);
+            grant.placed = grant.placed.saturating_add(amount);
         });
     }
 
@@ -141,7 +150,7 @@
     ) {
         self.update(partition, [team], |grant| {
             let grant = grant.team_mut(team);
-            grant.placed = grant.placed.minus(amount);
+            grant.placed = grant.placed.saturating_sub(amount);
             grant.update_slack(now);
         });
     }
--- a/crates/quota/src/holder_grant.rs
+++ b/crates/quota/src/holder_grant.rs
@@ -26,20 +26,20 @@
 
     /// Whether a task of the team that needs this amount may be started.
     pub fn may_use(&self, team: &str, amount: Resources) -> bool {
-        let used = amount_of(&self.used, team).plus(amount);
+        let used = amount_of(&self.used, team).saturating_add(amount);
         used.fits(amount_of(&self.granted, team))
     }
 
     /// A task of the team may be on a machine from now on.
     pub fn take(&mut self, team: &str, amount: Resources) {
         let used = self.used.entry(team.to_string()).or_default();
-        *used = used.plus(amount);
+        *used = used.saturating_add(amount);
     }
 
     /// A task of the team is proven gone, or was never on record.
     pub fn give_back(&mut self, team: &str, amount: Resources) {
         if let Some(used) = self.used.get_mut(team) {
-            *used = used.minus(amount);
+            *used = used.saturating_sub(amount);
         }
     }
 
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -28,7 +28,7 @@
     /// Whether the record of the quotas in force cannot be read.
     pub limits_unreadable: bool,
     /// The quota grants by partition; `None`: the record cannot be read.
-    pub allotments: BTreeMap<PartitionId, Option<QuotaGrantRecord>>,
+    pub grants: BTreeMap<PartitionId, Option<QuotaGrantRecord>>,
     /// Partitions that are held.
     pub held: BTreeSet<PartitionId>,
     /// All tasks that may be on machines.
@@ -92,12 +92,12 @@
     fn used(&self, team: &str, partition: Option<PartitionId>) -> Resources {
         let tasks = self.tasks.iter();
         let matching = tasks.filter(|task| task.team == team && task.partition == partition);
-        matching.fold(Resources::ZERO, |sum, task| sum.plus(task.amount))
+        matching.fold(Resources::ZERO, |sum, task| sum.saturating_add(task.amount))
     }
 
     /// What the partition is granted of the team's limit.
     fn granted(&self, team: &str, partition: PartitionId, limit: Resources) -> Resources {
-        match self.allotments.get(&partition) {
+        match self.grants.get(&partition) {
             None => Resources::ZERO,
             // It may have been all of it.
             Some(None) => limit,
@@ -108,12 +108,12 @@
     /// Partitions that have a quota grant or tasks.
     fn partitions(&self) -> BTreeSet<PartitionId> {
         let with_tasks = self.tasks.iter().filter_map(|task| task.partition);
-        self.allotments.keys().copied().chain(with_tasks).collect()
+        self.grants.keys().copied().chain(with_tasks).collect()
     }
 
     /// Why it is in doubt whether the partition's grant is used; `None` if it is not in doubt.
     fn reason_for_doubt(&self, partition: PartitionId) -> Option<String> {
-        if matches!(self.allotments.get(&partition), Some(None)) {
+        if matches!(self.grants.get(&partition), Some(None)) {
             return Some(format!("{} cannot be read", quota_grant_key(partition)));
         }
         let held = self.held.contains(&partition);
@@ -128,15 +128,15 @@
         for partition in self.partitions() {
             let granted_here = self.granted(team, partition, quota.limit);
             let used_here = self.used(team, Some(partition));
-            granted = granted.plus(granted_here);
-            used = used.plus(used_here);
+            granted = granted.saturating_add(granted_here);
+            used = used.saturating_add(used_here);
             let charged_here = granted_here.max(used_here);
             if charged_here.is_zero() {
                 continue;
             }
             if let Some(reason) = self.reason_for_doubt(partition) {
                 reasons.push(reason);
-                in_doubt = in_doubt.plus(charged_here);
+                in_doubt = in_doubt.saturating_add(charged_here);
             }
         }
         TeamRow {
@@ -165,7 +165,7 @@
     fn unreadable_keys(&self) -> Vec<String> {
         let mut keys = Vec::new();
         keys.extend(self.limits_unreadable.then(|| LIMITS.to_string()));
-        let grants = self.allotments.iter();
+        let grants = self.grants.iter();
         let unreadable = grants.filter(|(_, record)| record.is_none());
         keys.extend(unreadable.map(|(partition, _)| quota_grant_key(*partition)));
         keys.extend(self.unreadable_pages.iter().cloned());
--- a/crates/quota/src/partition_grant.rs
+++ b/crates/quota/src/partition_grant.rs
@@ -34,7 +34,7 @@
 
 impl TeamGrant {
     pub(crate) fn needed(&self) -> Resources {
-        self.placed.plus(self.queued)
+        self.placed.saturating_add(self.queued)
     }
 
     pub(crate) fn update_slack(&mut self, now: Micros) {
--- a/crates/quota/src/resources.rs
+++ b/crates/quota/src/resources.rs
@@ -46,7 +46,7 @@
     }
 
     /// The sum of both, saturating.
-    pub fn plus(self, other: Resources) -> Resources {
+    pub fn saturating_add(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_add(other.cpus),
             gpus: self.gpus.saturating_add(other.gpus),
@@ -54,7 +54,7 @@
     }
 
     /// What is left when `other` is subtracted, zero at least for each resource.
-    pub fn minus(self, other: Resources) -> Resources {
+    pub fn saturating_sub(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(other.cpus),
             gpus: self.gpus.saturating_sub(other.gpus),
@@ -113,7 +113,7 @@
     let mut amounts = TeamAmounts::new();
     for TeamAmount { team, cpus, gpus } in list {
         let amount = amounts.entry(team.clone()).or_default();
-        *amount = amount.plus(Resources {
+        *amount = amount.saturating_add(Resources {
             cpus: *cpus,
             gpus: *gpus,
         });
--- a/crates/quota/tests/model/leader.rs
+++ b/crates/quota/tests/model/leader.rs
@@ -66,11 +66,11 @@
     /// What is charged against the team's limit.
     fn charged(&self, store: &Store) -> Resources {
         let by_leader = TASK.times(store.leader_tasks);
-        by_leader.plus(self.grants.total(TEAM))
+        by_leader.saturating_add(self.grants.total(TEAM))
     }
 
     pub fn room(&self, store: &Store) -> Resources {
-        self.limit().minus(self.charged(store))
+        self.limit().saturating_sub(self.charged(store))
     }
 
     fn is_over_limit(&self, store: &Store) -> bool {
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -33,7 +33,7 @@
     Records {
         leader: Some("m-0".into()),
         limits: Some(Limits::new([("t".to_string(), quota)])),
-        allotments: BTreeMap::from([(1, Some(grant(6))), (2, Some(grant(4)))]),
+        grants: BTreeMap::from([(1, Some(grant(6))), (2, Some(grant(4)))]),
         held: BTreeSet::from([1, 2]),
         tasks: vec![task(None), task(Some(1)), task(Some(1)), task(Some(2))],
         ..Records::default()
@@ -59,7 +59,7 @@
 #[test]
 fn an_unreadable_grant_counts_as_all_of_the_limit_and_its_key_is_shown() {
     let mut records = records();
-    records.allotments.insert(2, None);
+    records.grants.insert(2, None);
     records.limits_unreadable = true;
     records.unreadable_pages.push("page/0/7".into());
     let overview = Overview::of(&records);
--- a/crates/testkit/src/production/tests.rs
+++ b/crates/testkit/src/production/tests.rs
@@ -27,7 +27,7 @@
             }
             "peer-answer" => {
                 check_peer_answer(&bytes(1)).expect("an answer");
-                from_peer::<peer::PeerAnswer>(&bytes(1)).expect("an answer");
+                from_peer::<peer::PeerResponse>(&bytes(1)).expect("an answer");
                 messages += 1;
             }
             _ => {}
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -5,7 +5,7 @@
 
 use grebewood_core::{Call, Effect, Target};
 use grebewood_wire::http::{Operation, Transaction};
-use grebewood_wire::peer::{PeerAnswer, PeerRequest};
+use grebewood_wire::peer::{PeerRequest, PeerResponse};
 use grebewood_wire::{from_cbor, from_peer, to_cbor};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -158,7 +158,7 @@
 }
 
 /// The parts of an answer that are not empty.
-fn answer_parts(answer: &PeerAnswer) -> String {
+fn answer_parts(answer: &PeerResponse) -> String {
     let mut parts = vec!["answer"];
     let mut part = |present: bool, name| parts.extend(present.then_some(name));
     part(answer.confirmed.is_some(), "confirmed");
--- a/crates/testkit/src/world/checks/acceptance.rs
+++ b/crates/testkit/src/world/checks/acceptance.rs
@@ -18,7 +18,7 @@
 
 /// Why a submission must be refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-enum Refusal {
+enum ErrorResponse {
     #[error("it is no map")]
     NoMap,
     #[error("{0} is missing or invalid")]
@@ -39,20 +39,20 @@
 struct Fields(BTreeMap<String, Value>);
 
 impl Fields {
-    fn text(&self, key: &'static str) -> Result<&str, Refusal> {
+    fn text(&self, key: &'static str) -> Result<&str, ErrorResponse> {
         match self.0.get(key) {
             Some(Value::Text(text)) if !text.is_empty() => Ok(text),
-            _ => Err(Refusal::MissingOrInvalid(key)),
+            _ => Err(ErrorResponse::MissingOrInvalid(key)),
         }
     }
 
-    fn amount(&self, key: &'static str) -> Result<f64, Refusal> {
+    fn amount(&self, key: &'static str) -> Result<f64, ErrorResponse> {
         match self.0.get(key) {
             Some(Value::Integer(number)) if i128::from(*number) >= 0 => {
                 Ok(i128::from(*number) as f64)
             }
             Some(Value::Float(number)) if number.is_finite() && *number >= 0.0 => Ok(*number),
-            _ => Err(Refusal::MissingOrInvalid(key)),
+            _ => Err(ErrorResponse::MissingOrInvalid(key)),
         }
     }
 
@@ -60,7 +60,7 @@
         matches!(self.0.get(key), None | Some(Value::Null))
     }
 
-    fn optional_text(&self, key: &'static str) -> Result<Option<&str>, Refusal> {
+    fn optional_text(&self, key: &'static str) -> Result<Option<&str>, ErrorResponse> {
         match self.is_absent(key) {
             true => Ok(None),
             false => self.text(key).map(Some),
@@ -68,39 +68,39 @@
     }
 
     /// A field that must be one of these words.
-    fn word(&self, key: &'static str, known: &[&str]) -> Result<&str, Refusal> {
+    fn word(&self, key: &'static str, known: &[&str]) -> Result<&str, ErrorResponse> {
         let word = self.text(key)?;
         match known.contains(&word) {
             true => Ok(word),
-            false => Err(Refusal::Unknown(key)),
+            false => Err(ErrorResponse::Unknown(key)),
         }
     }
 
-    fn tasks(&self) -> Result<f64, Refusal> {
+    fn tasks(&self) -> Result<f64, ErrorResponse> {
         match self.0.get("shards") {
             Some(Value::Integer(number)) if (1..=MAX_TASKS).contains(&i128::from(*number)) => {
                 Ok(i128::from(*number) as f64)
             }
-            _ => Err(Refusal::MissingOrInvalid("shards")),
+            _ => Err(ErrorResponse::MissingOrInvalid("shards")),
         }
     }
 
-    fn machine_types(&self) -> Result<Option<&Vec<Value>>, Refusal> {
+    fn machine_types(&self) -> Result<Option<&Vec<Value>>, ErrorResponse> {
         match self.0.get("builds") {
             None | Some(Value::Null) => Ok(None),
             Some(Value::Array(names)) => Ok(Some(names)),
-            Some(_) => Err(Refusal::InvalidMachineTypes),
+            Some(_) => Err(ErrorResponse::InvalidMachineTypes),
         }
     }
 
     /// Checks the fields on which nothing else depends.
-    fn check_plain(&self) -> Result<(), Refusal> {
+    fn check_plain(&self) -> Result<(), ErrorResponse> {
         for key in TEXTS {
             self.text(key)?;
         }
         for key in FLAGS {
             if !matches!(self.0.get(key), Some(Value::Bool(_))) {
-                return Err(Refusal::MissingOrInvalid(key));
+                return Err(ErrorResponse::MissingOrInvalid(key));
             }
         }
         for key in AMOUNTS {
@@ -123,7 +123,7 @@
 }
 
 impl<'a> TaskNeeds<'a> {
-    fn read(fields: &'a Fields) -> Result<TaskNeeds<'a>, Refusal> {
+    fn read(fields: &'a Fields) -> Result<TaskNeeds<'a>, ErrorResponse> {
         Ok(TaskNeeds {
             cpus: fields.amount("vcpus")?,
             gpus: fields.amount("accelerators")?,
@@ -155,8 +155,8 @@
     }
 
     /// Checks a submission by the protocol's words.
-    fn check_submission(&self, body: &[u8]) -> Result<(), Refusal> {
-        let fields = from_cbor(body).map_err(|_| Refusal::NoMap)?;
+    fn check_submission(&self, body: &[u8]) -> Result<(), ErrorResponse> {
+        let fields = from_cbor(body).map_err(|_| ErrorResponse::NoMap)?;
         let fields = Fields(fields);
         fields.check_plain()?;
         let shape = fields.word("shape", &SHAPES)?;
@@ -165,17 +165,17 @@
         let needs = TaskNeeds::read(&fields)?;
         let teams = &self.configuration.settings.teams;
         let team = teams.get(fields.text("owner")?);
-        let team = team.ok_or(Refusal::UnknownTeam)?;
+        let team = team.ok_or(ErrorResponse::UnknownTeam)?;
         let together = if shape == "batch" { 1.0 } else { tasks };
         let over = needs.cpus * together > team.cpus_max + SLACK
             || needs.gpus * together > team.gpus_max + SLACK;
         if over {
-            return Err(Refusal::BeyondLimit);
+            return Err(ErrorResponse::BeyondLimit);
         }
         let mut machine_types = self.cloud.machine_types.iter();
         match machine_types.any(|machine_type| needs.fits(machine_type)) {
             true => Ok(()),
-            false => Err(Refusal::FitsNoMachineType),
+            false => Err(ErrorResponse::FitsNoMachineType),
         }
     }
 }
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -6,7 +6,7 @@
 use crate::script::Directive;
 use crate::time::Micros;
 use grebewood_core::Call;
-use grebewood_wire::peer::PeerAnswer;
+use grebewood_wire::peer::PeerResponse;
 use grebewood_wire::{from_peer, to_peer};
 
 /// What happens to a transaction whose answer is lost.
@@ -141,7 +141,7 @@
         let Some((job, _)) = forged.filter(|(_, until)| self.now < *until) else {
             return body;
         };
-        let Ok(mut answer) = from_peer::<PeerAnswer>(&body) else {
+        let Ok(mut answer) = from_peer::<PeerResponse>(&body) else {
             return body;
         };
         if let Some(confirmed) = &mut answer.confirmed {
--- a/crates/testkit/tests/stored_formats.rs
+++ b/crates/testkit/tests/stored_formats.rs
@@ -3,7 +3,7 @@
 
 use grebewood_testkit::unhex;
 use grebewood_wire::http::{from_value, to_value, Catalogue};
-use grebewood_wire::peer::{PeerAnswer, PeerRequest};
+use grebewood_wire::peer::{PeerRequest, PeerResponse};
 use grebewood_wire::records::{
     CancelRecord, CompletedTasksPageRecord, FinishedJobRecord, JobKey, JobRecord, LeaderRecord,
     LimitsRecord, PageRecord, PartitionClaim, PartitionKey, PartitionRecord, ProvisionRecord,
@@ -89,7 +89,7 @@
     for sample in samples() {
         let written = match sample.kind.as_str() {
             "request" => to_peer(&from_peer::<PeerRequest>(&sample.bytes).expect("a request")),
-            "answer" => to_peer(&from_peer::<PeerAnswer>(&sample.bytes).expect("an answer")),
+            "answer" => to_peer(&from_peer::<PeerResponse>(&sample.bytes).expect("an answer")),
             _ => continue,
         };
         assert_eq!(written, sample.bytes, "{} {}", sample.kind, sample.name);
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -15,4 +15,4 @@
     from_value, to_value, Condition, KeyValue, KeyValueList, Lease, LeaseRequest, Operation,
     Transaction, TransactionApplied, TransactionConflict, WatchEvent, WatchResponse,
 };
-pub use users::{Accepted, JobStatus, Priority, Refusal, Shape, Submission};
+pub use users::{ErrorResponse, JobAccepted, JobStatus, Priority, Shape, Submission};
--- a/crates/wire/src/http/users.rs
+++ b/crates/wire/src/http/users.rs
@@ -104,7 +104,7 @@
 
 /// Response to a submission or a cancellation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct JobAccepted {
     /// The job's id.
     #[serde(rename = "uid")]
     pub id: String,
@@ -128,7 +128,7 @@
 
 /// Body of every error response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorResponse {
     /// Why the request is refused.
     pub error: String,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -77,7 +77,8 @@
     /// may be started out of it.
     pub limits: u64,
     /// What may be used now, at most what is in the store. Teams that are not listed may use nothing.
-    pub allotment: Vec<TeamAmount>,
+    #[serde(rename = "allotment")]
+    pub grant: Vec<TeamAmount>,
     /// Tasks that the holder is to place. They are repeated until it acknowledges them.
     pub work: Vec<DelegatedWork>,
     /// Jobs whose tasks the holder is to hand back to the leader, as far as they are not placed.
@@ -288,7 +289,7 @@
 
 /// The response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PeerAnswer {
+pub struct PeerResponse {
     /// Name of the controller that answers.
     pub member: String,
     /// Time since the store last answered this controller, in microseconds; `None`: it never did.
@@ -301,13 +302,14 @@
     pub grant: u64,
     /// Cancellations that it has acknowledged to users; `None` from a version that does not remember them.
     #[serde(default)]
-    pub confirmed: Option<Confirmed>,
+    pub confirmed: Option<ConfirmedCancellations>,
     /// Whether the controller supports partitions.
     #[serde(default)]
     pub partitions: bool,
     /// Whether the controller places tasks out of quota grants.
     #[serde(default, skip_serializing_if = "crate::is_false")]
-    pub allotments: bool,
+    #[serde(rename = "allotments")]
+    pub supports_quota_grants: bool,
     /// The team limits in its settings, if it was asked for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<Vec<TeamQuotaRecord>>,
@@ -318,7 +320,7 @@
 
 /// Cancellations that a controller has acknowledged to users.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Confirmed {
+pub struct ConfirmedCancellations {
     /// Number of the request that this answers.
     pub question: u64,
     /// For how long the controller has remembered all acknowledgements, in microseconds; `None`: the list is
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -29,15 +29,15 @@
 /// Suffix that makes a job's key the key of its cancellation.
 pub const CANCEL: &str = "/cancel";
 /// Prefix of cancellations in the format of an earlier version.
-pub const OLD_CANCEL: &str = "cancel/";
+pub const LEGACY_CANCEL: &str = "cancel/";
 /// Prefix of finished jobs.
 pub const FINISHED: &str = "past/";
 /// Prefix of completed tasks.
-pub const DONE: &str = "done/";
+pub const COMPLETED_TASKS: &str = "done/";
 /// Prefix of pages of assignments.
 pub const PAGE: &str = "page/";
 /// Prefix of requests to provision machines.
-pub const RENTAL: &str = "hire/";
+pub const PROVISION: &str = "hire/";
 /// Key of the [`StatsRecord`].
 pub const STATS: &str = "stats";
 /// Key of the machine types.
@@ -132,7 +132,7 @@
 impl<'a> JobKey<'a> {
     /// Parses a key; `None` if it belongs to no such job.
     pub fn parse(key: &'a str) -> Option<JobKey<'a>> {
-        if let Some(id) = key.strip_prefix(OLD_CANCEL) {
+        if let Some(id) = key.strip_prefix(LEGACY_CANCEL) {
             return Some(JobKey::Cancelled(id));
         }
         let rest = key.strip_prefix(JOB)?;
@@ -144,7 +144,7 @@
 }
 
 /// Tasks in one [`LegacyCompletedTasksRecord`].
-pub const DONE_SPAN: u64 = 2048;
+pub const TASKS_PER_LEGACY_RECORD: u64 = 2048;
 
 /// The elected leader. The `mod_revision` of this record is the leader's fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -158,7 +158,8 @@
     pub partitions: bool,
     /// Whether the leader grants quota. Under one that does not, no partition holder writes assignments.
     #[serde(default, skip_serializing_if = "crate::is_false")]
-    pub allotments: bool,
+    #[serde(rename = "allotments")]
+    pub grants_quota: bool,
 }
 
 /// A partition: machines of one zone that are managed by one controller.
@@ -281,7 +282,7 @@
     pub tasks: u64,
 }
 
-/// Completed tasks from `n * DONE_SPAN` on, as hexadecimal digits of four tasks each.
+/// Completed tasks from `n * TASKS_PER_LEGACY_RECORD` on, as hexadecimal digits of four tasks each.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LegacyCompletedTasksRecord {
     /// The digits.
--- a/crates/wire/tests/names.rs
+++ b/crates/wire/tests/names.rs
@@ -186,7 +186,7 @@
         member: "perch-0".into(),
         incarnation: 1,
         partitions,
-        allotments: false,
+        grants_quota: false,
     };
     assert_eq!(keys(&record(false)), "member incarnation");
     assert_eq!(keys(&record(true)), "member incarnation partitions");
