--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -49,7 +49,7 @@
 /// Where a request came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interface {
-    /// Users, workers and health checks.
+    /// Users, agents and health checks.
     Front,
     /// Other controllers.
     Peer,
@@ -58,69 +58,95 @@
 /// Whom a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
+    /// The key-value store.
     Store,
+    /// The cloud that provisions machines.
     Cloud,
-    /// A worker, by its address.
+    /// An agent, by its address.
     Agent(String),
-    /// A sibling, by its place in the settings.
+    /// Another controller, by its place among the siblings in the settings.
     Peer(usize),
 }
 
 /// An HTTP request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// Number of the call, by which its reply is handed back.
     pub id: u64,
+    /// Whom it goes to.
     pub target: Target,
+    /// HTTP method.
     pub method: &'static str,
+    /// Path with its query.
     pub path: String,
+    /// Encoded body; empty if there is none.
     pub body: Vec<u8>,
+    /// How long to wait for the response, in microseconds.
     pub timeout: Micros,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug)]
 pub enum Outcome {
+    /// A response came.
     Answer {
+        /// HTTP status.
         status: u16,
+        /// Encoded body.
         body: Vec<u8>,
     },
-    /// No answer. The request may have been carried out, or may still be.
+    /// No response. The request may have been carried out, or may still be.
     Unknown,
     /// The request was never sent.
     NotSent,
-    /// An answer came that is larger than this process takes; the same request would bring it again.
+    /// A response came that is larger than this process takes; the same request would bring it again.
     TooLarge,
 }
 
-/// What a node is told.
+/// What a controller is told.
 #[derive(Clone, Debug)]
 pub enum Input {
+    /// A request arrived.
     Request {
+        /// Number of the request, by which it is answered.
         id: u64,
+        /// Where it came in.
         interface: Interface,
+        /// HTTP method.
         method: String,
+        /// Path with its query.
         path: String,
+        /// Encoded body.
         body: Vec<u8>,
     },
     /// The requester closed its connection; the answer is not needed any more.
     Gone {
+        /// Number of the request.
         id: u64,
     },
+    /// A call ended.
     Reply {
+        /// Number of the call.
         call: u64,
+        /// How it ended.
         outcome: Outcome,
     },
     /// Time has passed.
     Tick,
 }
 
-/// What a node wants done.
+/// What a controller wants done.
 #[derive(Clone, Debug)]
 pub enum Effect {
+    /// A request is to be sent.
     Call(Call),
+    /// A request is to be answered.
     Answer {
+        /// Number of the request.
         id: u64,
+        /// HTTP status.
         status: u16,
+        /// Encoded body.
         body: Vec<u8>,
         /// `Retry-After`, in seconds.
         retry_after: Option<u32>,
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -15,7 +15,7 @@
 const STATS_DELAY: Micros = SECOND;
 
 impl Scheduler {
-    /// When [`Scheduler::run`] is next due, in microseconds of the steady clock.
+    /// When `run` is next due, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
         if self.uncertain {
             return self.lease_renewal_at;
--- a/crates/testkit/src/production.rs
+++ b/crates/testkit/src/production.rs
@@ -12,11 +12,13 @@
 /// A job's description, as it is part of its record.
 #[derive(Deserialize)]
 pub struct Spec {
+    /// The job's id.
     pub uid: String,
     workclass: String,
     owner: String,
     shape: String,
     precedence: Precedence,
+    /// Number of its tasks.
     pub shards: u64,
     vcpus: f64,
     accelerators: f64,
