--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -2,11 +2,13 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
-use crate::state::fleet::{MachineOffering, MISSED_HEARTBEATS};
+use crate::state::bin_packing::{
+    machine_types, machine_types_for, permits, tasks_that_fit, MachineResources,
+};
+use crate::state::fleet::{MachineOffering, MISSED_HEARTBEATS, UNKNOWN_BOOT_TIME};
 use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
 use crate::state::machine::Machine;
-use crate::{micros, Micros, SECOND};
+use crate::{micros, Micros};
 use grebewood_quota::Resources;
 use grebewood_wire::http::{MachineType, Shape, Submission};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,9 +16,6 @@
 /// Microseconds in a second, for times as floating-point seconds.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The boot time that is assumed while no machine type is known, in microseconds.
-const UNKNOWN_BOOT_TIME: Micros = 30 * SECOND;
-
 /// The slowest image fetch that is calculated with, in GB per second.
 const LEAST_FETCH_RATE: f64 = 1e-3;
 
@@ -116,7 +115,7 @@
 
 /// The zones of all machine types.
 fn catalogue_zones(context: &Context) -> BTreeSet<&str> {
-    let zones = context.catalogue.iter().flatten().flat_map(|t| &t.zones);
+    let zones = machine_types(context).flat_map(|t| &t.zones);
     zones.map(String::as_str).collect()
 }
 
@@ -169,11 +168,7 @@
 /// The shortest time in which any machine type fetches the job's image, in microseconds.
 fn least_fetch_time(context: &Context, spec: &Submission) -> Micros {
     let rate = |t: &MachineType| t.fetch_gb_per_s.unwrap_or(1.0).max(LEAST_FETCH_RATE);
-    context
-        .catalogue
-        .iter()
-        .flatten()
-        .filter(|t| fits_type(spec, t))
+    machine_types_for(context, spec)
         .map(|t| micros(spec.image_gb / rate(t)))
         .min()
         .unwrap_or(0)
@@ -182,11 +177,8 @@
 impl Scheduler {
     /// The shortest average boot of all machine types, in microseconds.
     pub(crate) fn least_boot_time(&self, context: &Context) -> Micros {
-        context
-            .catalogue
-            .iter()
-            .flatten()
-            .map(|t| self.stats.boot_time(&t.name, micros(t.boot_s)))
+        machine_types(context)
+            .map(|t| self.expected_boot_time(t))
             .min()
             .unwrap_or(UNKNOWN_BOOT_TIME)
     }
@@ -353,12 +345,11 @@
     fn zones_for_gang<'a>(
         &self,
         context: &'a Context,
-        spec: &Submission,
+        spec: &'a Submission,
     ) -> BTreeMap<&'a str, GangZone> {
         let now = context.now.steady;
         let mut zones: BTreeMap<&str, GangZone> = BTreeMap::new();
-        let catalogue = context.catalogue.iter().flatten();
-        for machine_type in catalogue.filter(|t| fits_type(spec, t)) {
+        for machine_type in machine_types_for(context, spec) {
             for zone in &machine_type.zones {
                 let available = [false, true].into_iter().any(|spot| {
                     let offering = MachineOffering::new(&machine_type.name, zone, spot);
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::unreachable::silent_release;
 use crate::scheduler::Scheduler;
-use crate::state::fleet::{BootingMachine, MISSED_HEARTBEATS};
+use crate::state::fleet::{BootingMachine, MISSED_HEARTBEATS, UNKNOWN_BOOT_TIME};
 use crate::{micros, Micros, MILLI, SECOND};
 use grebewood_wire::http::Heartbeat;
 use log::info;
@@ -14,9 +14,6 @@
 /// How often that time is doubled at most.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// The boot time that is assumed of an unknown machine type, in microseconds.
-const UNKNOWN_BOOT_TIME: Micros = 30 * SECOND;
-
 /// What every boot may take beyond its average, in microseconds.
 const BOOT_MARGIN: Micros = 2 * SECOND;
 
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -15,6 +15,7 @@
 use log::debug;
 use std::collections::BTreeSet;
 
+pub(crate) mod assignment;
 pub(crate) mod guarantees;
 pub(crate) mod pool;
 pub(crate) mod preemption;
--- a/crates/core/src/scheduler/leader/placement/reservation.rs
+++ b/crates/core/src/scheduler/leader/placement/reservation.rs
@@ -2,8 +2,8 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, OpenMachine};
-use crate::state::jobs::{fits_type, Job, JobIndex};
+use crate::state::bin_packing::{machine_types_for, permits, tasks_that_fit, OpenMachine};
+use crate::state::jobs::{Job, JobIndex};
 use grebewood_wire::http::{Shape, Submission};
 use std::collections::BTreeSet;
 
@@ -17,12 +17,8 @@
 }
 
 /// The zones in which the cloud has machines for the job.
-fn zones_for<'a>(context: &'a Context, spec: &Submission) -> BTreeSet<&'a String> {
-    context
-        .catalogue
-        .iter()
-        .flatten()
-        .filter(|t| fits_type(spec, t))
+fn zones_for<'a>(context: &'a Context, spec: &'a Submission) -> BTreeSet<&'a String> {
+    machine_types_for(context, spec)
         .flat_map(|t| &t.zones)
         .filter(|zone| spec.zone.as_ref().is_none_or(|wanted| wanted == *zone))
         .collect()
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -69,6 +69,19 @@
     }
 }
 
+/// The machine types of the catalogue; none while it is not known.
+pub(crate) fn machine_types(context: &Context) -> impl Iterator<Item = &MachineType> {
+    context.catalogue.iter().flatten()
+}
+
+/// The machine types that fit a task of the job.
+pub(crate) fn machine_types_for<'a>(
+    context: &'a Context,
+    spec: &'a Submission,
+) -> impl Iterator<Item = &'a MachineType> {
+    machine_types(context).filter(|machine_type| fits_type(spec, machine_type))
+}
+
 /// Most tasks that [`tasks_that_fit`] counts.
 const MAX_TASKS: f64 = 1e5;
 
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -9,6 +9,9 @@
 /// A machine is not counted on once it has sent no heartbeat for so many of its intervals.
 pub(crate) const MISSED_HEARTBEATS: Micros = 3;
 
+/// The boot time that is assumed of an unknown machine type, in microseconds.
+pub(crate) const UNKNOWN_BOOT_TIME: Micros = 30 * SECOND;
+
 /// Time between the beginning of a leader's term and its first round of the autoscaler, in microseconds.
 const FIRST_AUTOSCALER_ROUND: Micros = SECOND;
 
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -7,8 +7,10 @@
 //! machines are kept free in each zone.
 
 use crate::context::Context;
-use crate::state::bin_packing::{tasks_that_fit, MachineResources};
-use crate::state::jobs::{fits_type, Job, Jobs};
+use crate::state::bin_packing::{
+    machine_types, machine_types_for, tasks_that_fit, MachineResources,
+};
+use crate::state::jobs::{Job, Jobs};
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{MachineType, Priority, Submission};
 use std::collections::BTreeSet;
@@ -71,11 +73,6 @@
     replicas_in_zone(spec) as f64 * spec.cpus
 }
 
-/// The machine types of the catalogue, as far as it is known.
-fn machine_types(context: &Context) -> impl Iterator<Item = &MachineType> {
-    context.catalogue.iter().flatten()
-}
-
 fn zone_count(context: &Context) -> u64 {
     let zones: BTreeSet<&String> = machine_types(context).flat_map(|t| &t.zones).collect();
     zones.len() as u64
@@ -85,8 +82,7 @@
 fn wanted_replicas(context: &Context, spec: &Submission, machines: u64) -> u64 {
     let zones = zone_count(context).max(1);
     let wanted = (replicas_in_zone(spec) as f64 * context.tuning.standby_jobs).ceil() as u64;
-    let per_machine = machine_types(context)
-        .filter(|t| fits_type(spec, t))
+    let per_machine = machine_types_for(context, spec)
         .map(|t| tasks_that_fit(MachineResources::of_type(t), spec))
         .min()
         .unwrap_or(0);
