--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -145,7 +145,7 @@
     /// Lists the machines.
     List,
     /// Provisions a machine.
-    PendingProvision {
+    Provision {
         /// The name under which the request can be repeated.
         name: String,
     },
@@ -208,7 +208,7 @@
     /// A page of the keys with this prefix.
     List(&'static str),
     /// Changes since the revision that was read.
-    WatchResponse,
+    Watch,
 }
 
 /// A live job as a user's request found it.
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -96,7 +96,7 @@
                 view.awaiting_reply.append(&mut view.waiting);
                 let since = view.revision.unwrap_or(0);
                 let path = format!("/changes?prefix={JOB}&since={since}&block_ms=0");
-                (path, JobViewCall::WatchResponse)
+                (path, JobViewCall::Watch)
             }
         };
         self.context
@@ -115,7 +115,7 @@
         };
         match call {
             JobViewCall::List(_) => self.on_job_list(status, &body),
-            JobViewCall::WatchResponse => match (status, wire::from_cbor::<WatchResponse>(&body)) {
+            JobViewCall::Watch => match (status, wire::from_cbor::<WatchResponse>(&body)) {
                 (200, Ok(changes)) => self.on_job_changes(changes, made_at),
                 (503, _) => self.on_store_unavailable(),
                 _ => self.on_job_changes_failed(status),
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -10,8 +10,6 @@
 use crate::{Micros, MILLI};
 use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskStatus, Verb};
 
-pub(crate) use crate::state::jobs::grace;
-
 /// How long a heartbeat may wait for a flush, in microseconds, before it is answered with what there is.
 pub(crate) const MAX_HOLD: Micros = 500 * MILLI;
 
@@ -110,7 +108,7 @@
     /// Whether the machine has free resources that jobs wait for: then the response waits for the next round of
     /// placement.
     fn has_room_for_backlog(&self, context: &Context, name: &str) -> bool {
-        let max_silence = 3 * context.settings.heartbeat_interval;
+        let max_silence = context.settings.heartbeat_timeout();
         self.placement.backlog
             && self.machines.get(name).is_some_and(|machine| {
                 machine.free().cpus > EPS && machine.usable(context.now.steady, max_silence)
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -311,7 +311,7 @@
     /// How many tasks of the job fit into the free resources of a zone's machines.
     fn tasks_that_fit_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
         let now = context.now.steady;
-        let max_silence = 3 * context.settings.heartbeat_interval;
+        let max_silence = context.settings.heartbeat_timeout();
         self.machines
             .values()
             .filter(|machine| machine.zone == zone && machine.usable(now, max_silence))
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -20,9 +20,6 @@
 /// If more than one in so many machines is unreachable, the network is taken to be at fault rather than the machines.
 const MAX_UNREACHABLE_PART: usize = 20;
 
-/// Heartbeats that may be missing in a row before a machine counts as unreachable.
-const MISSED_HEARTBEATS: u64 = 3;
-
 /// How long after an agent's lease has expired its machine is terminated, in microseconds.
 const TERMINATION_DELAY: Micros = 12 * SECOND;
 
@@ -131,7 +128,7 @@
     /// well be reachable.
     fn receives_heartbeats(&self, context: &Context) -> bool {
         let silence = context.now.steady.saturating_sub(self.last_heartbeat_at);
-        silence < MISSED_HEARTBEATS * context.settings.heartbeat_interval
+        silence < context.settings.heartbeat_timeout()
     }
 
     /// Whether the records were read so lately that machines have yet to send their first heartbeat here. A new leader
@@ -145,7 +142,7 @@
     /// controller, but nothing can be launched there: a replica placed on it would be given up for each further
     /// incarnation.
     fn misses_heartbeats(&self, context: &Context, name: &str) -> bool {
-        let max_silence = MISSED_HEARTBEATS * context.settings.heartbeat_interval;
+        let max_silence = context.settings.heartbeat_timeout();
         self.machines.get(name).is_some_and(|machine| {
             context.now.steady.saturating_sub(machine.last_heartbeat) > max_silence
         })
@@ -327,7 +324,7 @@
         unreachable: &[UnreachableMachine],
     ) {
         let now = context.now.steady;
-        let max_silence = MISSED_HEARTBEATS * context.settings.heartbeat_interval + 2 * SECOND;
+        let max_silence = context.settings.heartbeat_timeout() + 2 * SECOND;
         let are_few = unreachable.len() <= 1 + self.machines.len() / MAX_UNREACHABLE_PART;
         for UnreachableMachine { name, silence } in unreachable {
             if *silence < max_silence {
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -173,7 +173,7 @@
 
     /// Whether the machine can take a task that the leader has placed on it.
     fn can_launch(&self, context: &Context, task: &PlacedTask) -> bool {
-        let heartbeat_timeout = 3 * context.settings.heartbeat_interval;
+        let heartbeat_timeout = context.settings.heartbeat_timeout();
         let machine = self.machines.get(&task.machine);
         machine.is_some_and(|machine| {
             machine.incarnation == task.incarnation
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -111,7 +111,7 @@
 
 fn machine_state(context: &Context, machine: &Machine) -> MachineState {
     let now = context.now.steady;
-    let heartbeat_timeout = 3 * context.settings.heartbeat_interval;
+    let heartbeat_timeout = context.settings.heartbeat_timeout();
     MachineState {
         machine: machine.name.clone(),
         address: machine.address.clone(),
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -288,7 +288,7 @@
         machine: &'a Machine,
     ) -> Option<(&'a str, FreeingMachine)> {
         let now = context.now.steady;
-        let heartbeat_timeout = 3 * context.settings.heartbeat_interval;
+        let heartbeat_timeout = context.settings.heartbeat_timeout();
         if !machine.usable(now, heartbeat_timeout) {
             return None;
         }
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -81,9 +81,7 @@
         match call {
             FleetCall::Types => self.on_catalogue(context, status, &body),
             FleetCall::List => self.on_machine_list(context, status, &body),
-            FleetCall::PendingProvision { name } => {
-                self.on_provisioned(context, &name, status, &body)
-            }
+            FleetCall::Provision { name } => self.on_provisioned(context, &name, status, &body),
             FleetCall::Terminate { machines } => self.on_terminated(context, status, machines),
         }
     }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -5,7 +5,7 @@
 use crate::state::bin_packing::{
     machine_types, machine_types_for, permits, tasks_that_fit, MachineResources,
 };
-use crate::state::fleet::{MachineOffering, MISSED_HEARTBEATS, UNKNOWN_BOOT_TIME};
+use crate::state::fleet::{MachineOffering, UNKNOWN_BOOT_TIME};
 use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
 use crate::state::machine::Machine;
 use crate::{micros, Micros};
@@ -371,7 +371,7 @@
         zones: &mut BTreeMap<&str, GangZone>,
     ) {
         let now = context.now.steady;
-        let heartbeat_timeout = context.settings.heartbeat_interval * MISSED_HEARTBEATS;
+        let heartbeat_timeout = context.settings.heartbeat_timeout();
         let mut add = |machine_type: &str, zone: &str, spot: bool, slots: u64| {
             if permits(context, spec, machine_type, zone, spot) {
                 if let Some(zone) = zones.get_mut(zone) {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::leader::fleet::autoscaler::demand::{total_run_s, Demand, MICROS_PER_SECOND};
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::permits;
-use crate::state::fleet::{MachineOffering, MISSED_HEARTBEATS};
+use crate::state::fleet::MachineOffering;
 use crate::state::jobs::EPS;
 use crate::{micros, Micros};
 use grebewood_wire::http::MachineType;
@@ -111,7 +111,7 @@
     /// The machines that are up, by offering.
     pub(crate) fn supply(&self, context: &Context) -> Vec<Supply> {
         let now = context.now.steady;
-        let heartbeat_timeout = context.settings.heartbeat_interval * MISSED_HEARTBEATS;
+        let heartbeat_timeout = context.settings.heartbeat_timeout();
         let mut by_offering: BTreeMap<(&str, &str, bool), Supply> = BTreeMap::new();
         for machine in self.machines.values() {
             if !machine.counts(now, heartbeat_timeout) || machine.cpus <= 0.0 {
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::unreachable::termination_delay;
 use crate::scheduler::Scheduler;
-use crate::state::fleet::{BootingMachine, MISSED_HEARTBEATS, UNKNOWN_BOOT_TIME};
+use crate::state::fleet::{BootingMachine, UNKNOWN_BOOT_TIME};
 use crate::{micros, Micros, MILLI, SECOND};
 use grebewood_wire::http::Heartbeat;
 use log::info;
@@ -92,7 +92,7 @@
         let now = context.now.steady;
         // If none sends heartbeats, the fault is likely this controller's.
         let since_heartbeat = now.saturating_sub(self.last_heartbeat_at);
-        if since_heartbeat >= MISSED_HEARTBEATS * context.settings.heartbeat_interval {
+        if since_heartbeat >= context.settings.heartbeat_timeout() {
             return Vec::new();
         }
         let timeout = termination_delay(context.settings.agent_lease).max(FIRST_HEARTBEAT_TIMEOUT);
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -1,12 +1,11 @@
 //! Consolidation: drains machines whose tasks fit on others, so that they can be terminated.
 
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
 use crate::state::jobs::EPS;
 use crate::state::machine::{Assignment, Machine};
-use crate::{micros, Micros, SECOND};
+use crate::{Micros, SECOND};
 use log::info;
 
 /// Besides one, one of so many machines may be drained at a time.
@@ -164,10 +163,10 @@
                     && permits(context, spec, &other.machine_type, &other.zone, other.spot)
             })?;
             target.free = target.free - assignment.resources();
-            if spec.checkpoint_interval_s > 0.0 && is_worth_moving(assignment, context) {
+            if job.checkpoints() && is_worth_moving(assignment, context) {
                 moves.push(TaskMove {
                     attempt: assignment.attempt,
-                    grace: grace(micros(spec.checkpoint_duration_s)),
+                    grace: job.checkpoint_grace(),
                 });
             }
         }
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -53,7 +53,7 @@
                 number: provision.record.number,
             };
             let body = wire::to_cbor(&request);
-            let call = FleetCall::PendingProvision { name };
+            let call = FleetCall::Provision { name };
             self.call_cloud(context, "POST", "/rentals", body, call);
         }
     }
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -6,7 +6,6 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{MachineResources, OpenMachine};
-use crate::state::fleet::MISSED_HEARTBEATS;
 use crate::state::jobs::{Job, JobIndex, EPS};
 use crate::state::machine::Machine;
 use crate::{Micros, Stopwatch, SECOND};
@@ -195,7 +194,7 @@
     /// Machines that new tasks may be placed on.
     pub(crate) fn usable_machines(&self, context: &Context) -> impl Iterator<Item = &Machine> {
         let now = context.now.steady;
-        let heartbeat_timeout = context.settings.heartbeat_interval * MISSED_HEARTBEATS;
+        let heartbeat_timeout = context.settings.heartbeat_timeout();
         let machines = self.machines.values();
         machines.filter(move |machine| machine.usable(now, heartbeat_timeout))
     }
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -1,14 +1,13 @@
 //! Preemption for guaranteed shares: frees resources for teams below theirs by stopping tasks of teams above theirs.
 
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::placement::pool::PoolMachine;
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources};
 use crate::state::jobs::{Job, JobIndex};
 use crate::state::machine::{Assignment, ObservedStatus};
-use crate::{micros, Micros};
+use crate::Micros;
 use grebewood_quota::{Resources, TeamAmounts};
 use grebewood_wire::http::{Shape, Submission};
 use grebewood_wire::peer::TaskAttempt;
@@ -190,10 +189,7 @@
             team: assignment.team.clone(),
             amount: assignment.amount(),
             resources: assignment.resources(),
-            grace: match job.spec.checkpoint_interval_s > 0.0 {
-                true => grace(micros(job.spec.checkpoint_duration_s)),
-                false => 0,
-            },
+            grace: job.checkpoint_grace(),
         })
     }
 }
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -1,14 +1,13 @@
 //! Preemption by priority: stops tasks of lower priority for jobs that wait.
 
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::leader::placement::pool::PoolMachine;
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources};
 use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, EPS};
 use crate::state::machine::{Assignment, ObservedStatus};
-use crate::{micros, Micros, SECOND};
+use crate::{Micros, SECOND};
 use grebewood_quota::{Resources, TeamAmounts};
 use grebewood_wire::http::{Priority, Shape, Submission};
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,14 +69,14 @@
         self.cpus + EPS >= spec.cpus && self.gpus + EPS >= spec.gpus
     }
 
-    fn saturating_add(self, freed: MachineResources) -> Self {
+    fn with_freed(self, freed: MachineResources) -> Self {
         QuotaLeft {
             cpus: self.cpus + freed.cpus,
             gpus: self.gpus + freed.gpus,
         }
     }
 
-    fn saturating_sub(self, spec: &Submission) -> Self {
+    fn without_task(self, spec: &Submission) -> Self {
         QuotaLeft {
             cpus: self.cpus - spec.cpus,
             gpus: self.gpus - spec.gpus,
@@ -141,7 +140,7 @@
     /// Counts one more of its tasks on the machine.
     fn take(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
         machine.take(&self.job.spec);
-        self.quota = self.quota.saturating_sub(&self.job.spec);
+        self.quota = self.quota.without_task(&self.job.spec);
         self.missing -= 1;
     }
 
@@ -222,7 +221,7 @@
             choice.candidates.push(at);
             choice.free = choice.free + candidate.resources;
             if candidate.team == spec.team {
-                choice.quota = choice.quota.saturating_add(candidate.resources);
+                choice.quota = choice.quota.with_freed(candidate.resources);
             }
         }
         suffices(&choice).then_some(choice)
@@ -347,7 +346,7 @@
         let ran = assignment.started.map_or(0, |at| now.saturating_sub(at));
         let may_be_stopped = assignment.stop.is_none()
             && !job.is_daemon()
-            && job.spec.checkpoint_interval_s > 0.0
+            && job.checkpoints()
             && assignment.seen == ObservedStatus::Running
             && ran >= least_run(context, job)
             && assignment.remaining(now, 0) >= LEAST_REMAINING;
@@ -357,7 +356,7 @@
             attempt: assignment.attempt,
             guaranteed: guaranteed.contains(&assignment.job),
             team: assignment.team.clone(),
-            grace: grace(micros(job.spec.checkpoint_duration_s)),
+            grace: job.checkpoint_grace(),
             resources: assignment.resources(),
         })
     }
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -1,12 +1,11 @@
 //! Which team quotas are in force, and what the leader does when a limit is lowered.
 
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::JobIndex;
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::state::write_buffer::RecordId;
-use crate::{micros, Micros, SECOND};
+use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
 use grebewood_wire::http::{from_value, KeyValue, Shape};
@@ -199,23 +198,17 @@
         candidates
     }
 
-    fn stop_candidate(&self, a: &Assignment) -> Option<StopCandidate> {
-        let job = self.jobs.get(a.job)?;
-        let writes_checkpoints = job.spec.checkpoint_interval_s > 0.0;
+    fn stop_candidate(&self, assignment: &Assignment) -> Option<StopCandidate> {
+        let job = self.jobs.get(assignment.job)?;
         // Without one of its tasks a gang cannot run.
-        if job.shape == Shape::Gang || !(writes_checkpoints || job.is_daemon()) {
+        if job.shape == Shape::Gang || !(job.checkpoints() || job.is_daemon()) {
             return None;
         }
-        let grace_period = if writes_checkpoints {
-            grace(micros(job.spec.checkpoint_duration_s))
-        } else {
-            0
-        };
         Some(StopCandidate {
-            decided: a.decided,
-            id: a.id(),
-            grace: grace_period,
-            amount: a.amount(),
+            decided: assignment.decided,
+            id: assignment.id(),
+            grace: job.checkpoint_grace(),
+            amount: assignment.amount(),
         })
     }
 }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -140,7 +140,15 @@
     }
 }
 
+/// A machine without contact for so many heartbeat intervals takes no tasks.
+const MISSED_HEARTBEATS: Micros = 3;
+
 impl Settings {
+    /// How long a machine may be without contact and still take tasks, in microseconds.
+    pub fn heartbeat_timeout(&self) -> Micros {
+        MISSED_HEARTBEATS * self.heartbeat_interval
+    }
+
     /// Whether an objective measures how soon work within a guaranteed share starts.
     pub fn has_guarantee_objective(&self) -> bool {
         self.objectives
@@ -269,40 +277,40 @@
 tuning! {
     /// How long the leader's lease lasts without a renewal, in microseconds.
     leader_lease_us: u64 = 5 * SECOND / 2, SECOND, 60 * SECOND;
-    /// Shortest time between two writes of the ledger, in microseconds.
+    /// Shortest time between two flushes of the write buffer, in microseconds.
     flush_interval_us: u64 = 60_000, 1_000, SECOND;
     /// Time between two rounds of placement, in microseconds.
     placement_interval_us: u64 = 100_000, 10_000, 10 * SECOND;
     /// Time budget of one round of placement, in microseconds.
     placement_budget_us: u64 = 4_000, 100, SECOND;
-    /// Time between two rounds of the fleet's decider, in microseconds.
+    /// Time between two rounds of the autoscaler, in microseconds.
     decider_interval_us: u64 = 3 * SECOND, 100_000, 600 * SECOND;
-    /// How long a machine stays idle before it may be returned, in microseconds.
+    /// How long a machine stays idle before it may be terminated, in microseconds.
     idle_hold_us: u64 = 5 * SECOND, 0, 3_600 * SECOND;
     /// The same for an ordinary machine, in microseconds.
     idle_hold_ordinary_us: u64 = 2 * SECOND, 0, 3_600 * SECOND;
-    /// Time to finish in for a job that is late for every aim, in microseconds.
+    /// Time to finish in for a job that is late for every objective, in microseconds.
     late_deadline_us: u64 = 300 * SECOND, SECOND, 86_400 * SECOND;
     /// The same for machines that are about as cheap as the cheapest, in microseconds.
     late_deadline_cheap_us: u64 = 40 * SECOND, SECOND, 86_400 * SECOND;
     /// Time to finish in for a class that has neither deadline nor objective, in microseconds.
     default_deadline_us: u64 = 3_600 * SECOND, SECOND, 86_400 * SECOND;
-    /// Share of the time to a deadline that the decider plans with.
+    /// Share of the time to a deadline that the autoscaler plans with.
     deadline_share: f64 = 0.4, 0.05, 1.0;
     /// The same for machines that are about as cheap as the cheapest.
     deadline_share_cheap: f64 = 0.15, 0.05, 1.0;
     /// Tasks that a slot of a ready machine is expected to run one after the other at least,
     /// however close the deadline.
     least_rounds: f64 = 1.0, 0.5, 10.0;
-    /// Part of a machine that the unmet work must fill before one more is rented.
+    /// Part of a machine that the unmet work must fill before one more is provisioned.
     rent_threshold: f64 = 0.3, 0.0, 1.0;
     /// Longest time that the waiting work may take all machines, however late it may be finished,
-    /// in microseconds; beyond it more are rented.
+    /// in microseconds; beyond it more are provisioned.
     backlog_us: u64 = 240 * SECOND, SECOND, 86_400 * SECOND;
-    /// The same as a share of the longest time that an aim allows tasks to start in, where there is
-    /// such an aim that is longer than a boot.
+    /// The same as a share of the longest time that an objective allows tasks to start in, where there is
+    /// such an objective that is longer than a boot.
     backlog_share: f64 = 0.5, 0.05, 10.0;
-    /// Room kept free in each zone as long as there are services, in jobs of the largest one seen.
+    /// Headroom in each zone as long as there are services, in jobs of the largest one seen.
     standby_jobs: f64 = 3.0, 0.0, 100.0;
     /// What the risk of losing a spot machine adds to its price, as a factor.
     spot_risk: f64 = 1.25, 1.0, 10.0;
@@ -322,9 +330,9 @@
     partition_hysteresis: f64 = 0.25, 0.01, 10.0;
     /// 1: no partition is moved for the sake of balance.
     partition_moves_paused: u64 = 0, 0, 1;
-    /// 1: the controllers that hold partitions place tasks themselves, out of allotments of each team's
-    /// ceiling; 0: the leader places all. Without partitions it has no effect.
+    /// 1: the controllers that hold partitions place tasks themselves, out of quota grants of each team's
+    /// limit; 0: the leader places all. Without partitions it has no effect.
     allotments: u64 = 0, 0, 1;
-    /// Largest number of machines rented at once, booting ones included.
+    /// Largest number of machines provisioned at once, booting ones included.
     fleet_max: u64 = 20_000, 1, 100_000;
 }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -6,9 +6,6 @@
 use grebewood_wire::records::ProvisionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine is not counted on once it has sent no heartbeat for so many of its intervals.
-pub(crate) const MISSED_HEARTBEATS: Micros = 3;
-
 /// The boot time that is assumed of an unknown machine type, in microseconds.
 pub(crate) const UNKNOWN_BOOT_TIME: Micros = 30 * SECOND;
 
--- a/crates/core/src/state/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -7,7 +7,6 @@
 pub use crate::state::jobs::admission::{
     check_fields, check_possible, check_size, fits_type, Refused, EPS,
 };
-pub(crate) use crate::state::jobs::job::grace;
 pub use crate::state::jobs::job::starvation::BEGIN_AFTER;
 pub use crate::state::jobs::job::{FinalStatus, Job};
 
--- a/crates/core/tests/docs.rs
+++ b/crates/core/tests/docs.rs
@@ -93,6 +93,30 @@
     assert!(missing.is_empty(), "\n{}", missing.join("\n"));
 }
 
+/// Messages between quotation marks on the operators' pages are log lines of the sources.
+#[test]
+fn log_messages_that_pages_quote_exist() {
+    let mut sources = Vec::new();
+    for package in ["core", "net", "grebewood", "partition", "quota"] {
+        let folder = root().join("crates").join(package).join("src");
+        files_below(&folder, "rs", &mut sources);
+    }
+    let texts: Vec<String> = sources.iter().map(|source| read(source)).collect();
+    let mut missing = Vec::new();
+    for page in ["on-call.md", "partition.md", "quota.md"] {
+        let page = read(&root().join("docs/operations").join(page));
+        let quoted = page.split('"').skip(1).step_by(2);
+        // Lines of a page may be broken within a message; "..." stands for its rest.
+        let messages = quoted.map(|message| message.replace('\n', " "));
+        for message in messages.map(|m| m.trim_end_matches(" ...").to_string()) {
+            if !texts.iter().any(|text| text.contains(&message)) {
+                missing.push(message);
+            }
+        }
+    }
+    assert!(missing.is_empty(), "{missing:?}");
+}
+
 #[test]
 fn types_in_the_architecture_exist() {
     let words = known_words();
--- a/crates/grebewood/src/main.rs
+++ b/crates/grebewood/src/main.rs
@@ -19,7 +19,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use store::ReadError;
 
-/// A cluster scheduler: rents machines by the second and runs batch jobs on them.
+/// A cluster scheduler: provisions machines by the second and runs jobs on them.
 #[derive(Parser)]
 #[command(name = "grebewood", version, about)]
 struct Cli {
@@ -38,7 +38,7 @@
         #[arg(long, value_name = "FILE")]
         tuning: Option<PathBuf>,
     },
-    /// Shows who holds which machines, from the state service alone.
+    /// Shows who holds which machines, from the key-value store alone.
     Partitions {
         /// The settings of any controller (TOML).
         #[arg(long, value_name = "FILE")]
@@ -47,7 +47,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Shows what the teams may use and what they do, from the state service alone.
+    /// Shows what the teams may use and what they do, from the key-value store alone.
     Quota {
         /// The settings of any controller (TOML).
         #[arg(long, value_name = "FILE")]
