--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -3,7 +3,7 @@
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
 use crate::state::assignment_pages::AssignmentPages;
-use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
+use crate::state::bin_packing::{MachineResources, OpenMachine};
 use crate::state::holder_quota::QueuedTask;
 use crate::state::machine::{placed_task, Assignment};
 use crate::state::write_buffer::RecordId;
@@ -236,16 +236,7 @@
         spec: &Submission,
         open: &[OpenMachine],
     ) -> Option<usize> {
-        let fits = |machine: &OpenMachine| {
-            tasks_that_fit(machine.free, spec) > 0
-                && permits(
-                    context,
-                    spec,
-                    &machine.machine_type,
-                    &machine.zone,
-                    machine.spot,
-                )
-        };
+        let fits = |machine: &OpenMachine| machine.takes_task(context, spec);
         let proposed = open.iter().position(|m| m.name == queued.machine);
         if let Some(at) = proposed.filter(|at| fits(&open[*at])) {
             return Some(at);
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
+use crate::state::bin_packing::{tasks_that_fit, MachineResources, OpenMachine};
 use crate::state::jobs::{Job, EPS};
 use grebewood_wire::http::Submission;
 use std::collections::BTreeMap;
@@ -42,16 +42,7 @@
         spec: &Submission,
         open: &[OpenMachine],
     ) -> Vec<HeadroomMachine> {
-        let fits = |machine: &OpenMachine| {
-            tasks_that_fit(machine.free, spec) > 0
-                && permits(
-                    context,
-                    spec,
-                    &machine.machine_type,
-                    &machine.zone,
-                    machine.spot,
-                )
-        };
+        let fits = |machine: &OpenMachine| machine.takes_task(context, spec);
         let mut order: Vec<HeadroomMachine> = open
             .iter()
             .enumerate()
--- a/crates/core/src/scheduler/leader/placement/reservation.rs
+++ b/crates/core/src/scheduler/leader/placement/reservation.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::bin_packing::{machine_types_for, permits, tasks_that_fit, OpenMachine};
+use crate::state::bin_packing::{machine_types_for, tasks_that_fit, OpenMachine};
 use crate::state::jobs::{Job, JobIndex};
 use grebewood_wire::http::{Shape, Submission};
 use std::collections::BTreeSet;
@@ -77,7 +77,7 @@
     ) -> Vec<Reservable<'a>> {
         let mut reservable: Vec<Reservable> = open
             .iter()
-            .filter(|open| permits(context, spec, &open.machine_type, &open.zone, open.spot))
+            .filter(|open| open.permits(context, spec))
             .filter_map(|open| {
                 let machine = self.machines.get(&open.name)?;
                 Some(Reservable {
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::leader::placement::{DelegationKind, QueuedJob};
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{
-    permits, tasks_that_fit, HeadroomAccess, MachineResources, OpenMachine, Preference,
+    tasks_that_fit, HeadroomAccess, MachineResources, OpenMachine, Preference,
 };
 use crate::state::jobs::{JobIndex, EPS};
 use crate::Micros;
@@ -141,13 +141,7 @@
         let (spec, now) = (&placing.spec, context.now.steady);
         let fits = |machine: &OpenMachine| {
             placing.tasks_that_fit(machine) > 0
-                && permits(
-                    context,
-                    spec,
-                    &machine.machine_type,
-                    &machine.zone,
-                    machine.spot,
-                )
+                && machine.permits(context, spec)
                 && (!machine.kept_for_preemptor || spec.priority > Priority::Idle)
         };
         let fitting = open.iter().enumerate().filter(|(_, machine)| fits(machine));
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -145,6 +145,16 @@
 }
 
 impl OpenMachine {
+    /// Whether the job permits such a machine.
+    pub(crate) fn permits(&self, context: &Context, spec: &Submission) -> bool {
+        permits(context, spec, &self.machine_type, &self.zone, self.spot)
+    }
+
+    /// Whether one task of the job can be placed on it, with access to the headroom.
+    pub(crate) fn takes_task(&self, context: &Context, spec: &Submission) -> bool {
+        tasks_that_fit(self.free, spec) > 0 && self.permits(context, spec)
+    }
+
     /// The free resources for tasks with or without access to the headroom.
     pub(crate) fn free_for(&self, access: HeadroomAccess) -> MachineResources {
         match access {
