--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -1,11 +1,10 @@
-//! What a node knows of confirmed cancellations, and as of which moment it knows all of them.
+//! Which confirmed cancellations a controller knows of, and as of which moment it knows all of them.
 //!
-//! A job's tasks must be gone within `cancel_s` of the moment at which any node told a user that it
-//! is cancelled. A leader that renews workers' leases must therefore know of every confirmation up to
-//! a moment that is recent enough. It learns of them from the state service (the node's view) and,
-//! where that is out of its reach, from the other nodes: each remembers what it has told users,
-//! and lists it in answer to the leader's question. No margin in time is involved: what counts is
-//! the moment at which the last complete answer was asked for.
+//! A job's tasks must be gone within the cancellation timeout after any controller told a user that the job is cancelled. A
+//! leader that renews agents' leases must therefore know of every confirmation up to a recent moment. It learns
+//! of them from the key-value store (the controller's job view) and, where the store is out of reach, from its
+//! peers: each remembers what it has confirmed to users, and lists it in answer to the leader's question. No
+//! safety margin in time is involved: what counts is when the last complete answer was asked for.
 
 use crate::Micros;
 use grebewood_wire::peer::Confirmed;
@@ -13,6 +12,7 @@
 
 /// Most cancelled jobs that are remembered.
 const MAX_KNOWN: usize = 10_000;
+
 /// Most cancellations in one answer to another node.
 const MAX_TOLD: usize = 1_000;
 
--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -1,4 +1,4 @@
-use super::{Cancellations, MAX_KNOWN, MAX_TOLD};
+use crate::cancellations::{Cancellations, MAX_KNOWN, MAX_TOLD};
 use crate::{Micros, SECOND};
 
 const S: Micros = SECOND;
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -3,7 +3,8 @@
 use crate::calls::CallPurpose;
 use crate::cancellations::Cancellations;
 use crate::rate_limiter::RateLimiter;
-use crate::{Call, Effect, Micros, Now, Settings, Target, Tuning, MILLI};
+use crate::settings::{Settings, Tuning};
+use crate::{Call, Effect, Micros, Now, Target, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_wire as wire;
 use grebewood_wire::http::{MachineType, Refusal};
@@ -13,10 +14,13 @@
 
 /// How long the state service may take.
 pub const STORE_TIMEOUT: Micros = 1_500 * MILLI;
+
 /// With fewer puts a second for each member the leader places all tasks.
 const LEAST_HOLDER_WRITES: f64 = 2.0;
+
 /// The share of the state service's write rate that the leader takes.
 const LEADER_WRITES: f64 = 0.7;
+
 /// What of it all holders of partitions take together if they write assignments.
 const HOLDER_WRITES: f64 = 0.2;
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,21 +1,33 @@
-//! One controller: dispatches inputs to the parts, and keeps what all of them share.
+//! One controller process as a state machine: takes inputs and dispatches them to its parts.
+//!
+//! The submodules hold the parts that need the whole controller; state and rules are in [`crate::state`], the
+//! work of the leader and of partition holders in [`crate::scheduler`].
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::Context;
-use crate::election::Election;
-use crate::election::UnprovenMachines;
-use crate::job_view::JobView;
+use crate::controller::partitions::Partitions;
 use crate::scheduler::Scheduler;
-use crate::user_requests::{FinishedJobs, FinishedReads};
-use crate::{
-    partitions, Effect, Input, Interface, Micros, Now, Outcome, Settings, Stopwatch, Target,
-    Tuning, MILLI, SECOND,
-};
+use crate::settings::{Settings, Tuning};
+use crate::state::election::Election;
+use crate::state::finished_jobs::{FinishedJobs, FinishedReads};
+use crate::state::job_view::JobView;
+use crate::state::unproven_machines::UnprovenMachines;
+use crate::{Effect, Input, Interface, Micros, Now, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::peer::{PeerAnswer, PeerRequest};
 use log::{debug, info, warn};
 use std::collections::BTreeMap;
 
+pub(crate) mod candidacy;
+pub(crate) mod heartbeats;
+pub(crate) mod job_view;
+pub(crate) mod leader;
+pub(crate) mod partition_claims;
+pub(crate) mod partition_orders;
+pub(crate) mod partitions;
+pub(crate) mod peer_contact;
+pub(crate) mod user_requests;
+
 /// Without contact for this long, a node takes no requests.
 pub const CONTACT_SPAN: Micros = 2_500 * MILLI;
 
@@ -30,7 +42,7 @@
     /// What the leader last said of live jobs: completed and running tasks.
     pub progress: BTreeMap<String, (u64, u64)>,
     /// Its part in the partitions of the fleet.
-    pub partitions: partitions::Partitions,
+    pub partitions: Partitions,
     /// What this node left unproven when it last stepped down.
     pub(crate) unproven: Option<UnprovenMachines>,
     catalogue_at: Micros,
@@ -50,7 +62,7 @@
             finished_reads: FinishedReads::new(),
             job_view: JobView::default(),
             progress: BTreeMap::new(),
-            partitions: partitions::Partitions::default(),
+            partitions: Partitions::default(),
             unproven: None,
             catalogue_at: 0,
             catalogue_from_store: true,
--- a/crates/core/src/election/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -1,13 +1,12 @@
-//! The election: candidacy, claims, and stepping down.
+//! The election: candidacy, claiming the leader record, and stepping down.
 
-use super::PROBE;
-use crate::agents::LongPolls;
 use crate::calls::{CallPurpose, ElectionStep};
 use crate::context::Role;
 use crate::controller::Controller;
 use crate::scheduler::{FencedLease, Scheduler};
-use crate::user_requests::absent;
-use crate::{Outcome, MILLI, SECOND};
+use crate::state::long_polls::LongPolls;
+use crate::transactions::absent;
+use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
     Condition, KeyValue, Lease, LeaseRequest, Operation, Transaction, TransactionApplied,
@@ -15,6 +14,8 @@
 use grebewood_wire::records::{LeaderRecord, LEADER};
 use log::{info, warn};
 
+const PROBE: Micros = 500 * MILLI;
+
 impl Controller {
     pub(crate) fn run_election(&mut self) {
         let now = self.context.now.steady;
@@ -149,7 +150,7 @@
         }
     }
 
-    pub(super) fn end_lease(&mut self, lease: u64) {
+    pub(crate) fn end_lease(&mut self, lease: u64) {
         self.context.end_lease(lease);
         self.election.next_probe = self.context.now.steady + 100 * MILLI;
     }
--- a/crates/core/src/partitions/claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -1,11 +1,11 @@
-//! The node's copy of the partition map, its claims on partitions, and giving them back.
+//! The controller's copy of the partition map, its claims on partitions, and giving them back.
 
-use super::Partitions;
 use crate::calls::{CallPurpose, ClaimStep, MapCall};
 use crate::context::{Role, STORE_TIMEOUT};
+use crate::controller::partitions::Partitions;
 use crate::controller::Controller;
 use crate::scheduler::{FencedLease, Scheduler};
-use crate::user_requests::absent;
+use crate::transactions::absent;
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_partition::{Claim, PartitionId};
 use grebewood_wire as wire;
@@ -13,41 +13,22 @@
     to_value, Condition, KeyValue, KeyValueList, Lease, LeaseRequest, Operation, Redirect,
     Transaction, TransactionApplied, WatchResponse,
 };
-use grebewood_wire::records::PARTITION;
-use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER};
+use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER, PARTITION};
 use grebewood_wire::Value;
 use log::{error, info, warn};
 
 /// How long a watch of the map stays open.
 const WATCH: Micros = 10 * SECOND;
+
 /// Between two attempts to read the map.
 const AGAIN: Micros = 300 * MILLI;
+
 /// Between an attempt to claim a partition that failed and the next one.
 const CLAIM_AGAIN: Micros = 50 * MILLI;
+
 /// How long a node that no worker reached claims nothing.
 const ABSTAIN: Micros = 10 * SECOND;
 
-/// Keeps the map up to date.
-#[derive(Clone, Debug, Default)]
-pub(super) struct MapReader {
-    /// Up to date as of this revision; `None` while it is listed.
-    since: Option<u64>,
-    /// The revision of the first page of a list under way, and the last key read.
-    listing: Option<(u64, String)>,
-    busy: bool,
-    next_at: Micros,
-}
-
-impl Partitions {
-    /// When it has to act next.
-    pub fn next_wake(&self) -> Micros {
-        match self.reader.busy {
-            true => Micros::MAX,
-            false => self.reader.next_at,
-        }
-    }
-}
-
 impl Controller {
     /// Reads the map, claims what is assigned to this node, gives back what is not, and lets the
     /// holders and the leader do their part.
--- a/crates/core/src/election/contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -1,11 +1,13 @@
-//! What a leader does without the state service: whether it may go on, and until when.
+//! Questions to the peers and what their answers allow: whether a leader without the store may go on renewing agents'
+//! leases, and which machines an earlier term left unproven.
 
-use crate::agents::Machine;
 use crate::calls::CallPurpose;
 use crate::context::Role;
 use crate::controller::Controller;
-use crate::fleet::MAX_TERMINATIONS;
+use crate::scheduler::leader::fleet::MAX_TERMINATIONS;
 use crate::scheduler::Scheduler;
+use crate::state::election::{MemberView, PeerView};
+use crate::state::unproven_machines::UnprovenMachines;
 use crate::{Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_partition::Member;
 use grebewood_wire as wire;
@@ -16,8 +18,10 @@
 
 /// Without an answer from the state service for this long, a leader doubts its contact.
 const SILENT: Micros = 2 * SECOND;
+
 /// How often peers are asked while there is contact, and without.
 const ASK: Micros = SECOND;
+
 const ASK_SILENT: Micros = 400 * MILLI;
 
 /// A leader that stepped down waits so long for contact with the state service before it releases the
@@ -27,38 +31,6 @@
 /// A peer that was asked longer ago than this, without an answer since, is not counted on.
 const MEMBER_SPAN: Micros = 3 * SECOND;
 
-/// Which members can hold partitions.
-#[derive(Clone, Debug)]
-pub(crate) struct MemberView {
-    /// Those that can, and have contact with the state service.
-    pub members: BTreeSet<Member>,
-    /// Whether all siblings answered lately.
-    pub all_answer: bool,
-    /// Whether one answered that does not understand partitions.
-    pub any_without: bool,
-    /// Whether one answered that does not understand allotments.
-    pub any_without_quota_grants: bool,
-}
-
-/// What a peer last said of its contact with the state service.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct PeerView {
-    /// When the question was sent to which this was the answer.
-    asked: Micros,
-    /// When it last had contact, by our clock, at the latest.
-    contact: Option<Micros>,
-    /// It had none for some time before it answered.
-    without_contact: bool,
-    /// From when on it remembers which cancellations it confirmed and which grants it read.
-    remembers_from: Option<Micros>,
-    /// The highest grant that it read from state, or has itself.
-    grant: u64,
-    /// Whether it understands partitions.
-    partitions: bool,
-    /// Whether it understands allotments.
-    allotments: bool,
-}
-
 impl Controller {
     /// Asks the peers whether they have contact with the state service, and what they confirmed.
     /// While the leader has contact itself this only keeps its view of the peers fresh.
@@ -288,14 +260,6 @@
     }
 }
 
-/// Machines on which a leader that stepped down could not prove cancelled tasks gone.
-#[derive(Debug)]
-pub(crate) struct UnprovenMachines {
-    names: Vec<String>,
-    /// When they are released, unless a successor can read of them in the state service.
-    due: Micros,
-}
-
 impl Controller {
     /// Takes over what the leader that steps down leaves unproven.
     pub(crate) fn leave_unproven(&mut self, leader: &Scheduler) {
@@ -348,24 +312,5 @@
     }
 }
 
-impl Scheduler {
-    /// Machines that do not answer and on which cancelled tasks are not proven gone.
-    fn unproven_machines(&self, now: Micros, silence: Micros) -> Vec<String> {
-        let may_run_cancelled = |machine: &&Machine| {
-            let mut live = machine.assignments.iter().filter(|a| a.may_exist());
-            live.any(|a| {
-                let job = self.jobs.get(a.job);
-                job.is_some_and(|job| job.cancelled.is_some())
-            })
-        };
-        self.machines
-            .values()
-            .filter(|machine| now.saturating_sub(machine.last_contact_at) > silence)
-            .filter(may_run_cancelled)
-            .map(|machine| machine.name.clone())
-            .collect()
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -1,60 +1,27 @@
-//! Users' requests: submissions, polls and cancellations, at any node.
+//! Users' requests, which any controller serves: submissions, polls and cancellations.
 //!
-//! Every node serves users from its [`crate::job_view`], which is brought up to date after a request
-//! came in, so that no node can give an answer older than another's. A live job has a `job/<id>`
-//! key; when it is over, one transaction puts `past/<id>` and deletes what is under `job/<id>`. So
-//! a job that is not live in the view, and after that has no end on record, was never accepted.
+//! Every controller answers from its [`JobView`](crate::state::job_view::JobView), which is brought up to date
+//! after a request came in, so that none gives an answer older than another's. A live job has a `job/<id>` key; when
+//! it is over, one transaction puts `past/<id>` and deletes what is under `job/<id>`. A job that is not live in the
+//! view, and has no final record after that, was never accepted.
 
 use crate::calls::{CallPurpose, UserAction, UserRequest, UserRequestStage};
 use crate::context::Context;
 use crate::controller::Controller;
-use crate::jobs::{check_fields, check_possible, check_size, valid_id, Refused};
-use crate::write_buffer::RecordId;
-use crate::{Now, Outcome, Settings};
+use crate::settings::Settings;
+use crate::state::jobs::{check_fields, check_possible, check_size, Refused};
+use crate::state::write_buffer::RecordId;
+use crate::transactions::{absent, put};
+use crate::{Now, Outcome};
 use grebewood_wire as wire;
 use grebewood_wire::http::{
-    Accepted, Condition, JobStatus, KeyValue, MachineType, Operation, Submission, Transaction,
+    Accepted, Condition, JobStatus, KeyValue, MachineType, Submission, Transaction,
 };
-use grebewood_wire::records::FINISHED;
-use grebewood_wire::records::{cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord};
+use grebewood_wire::records::{
+    cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED,
+};
+use grebewood_wire::validate::valid_id;
 use log::{debug, warn};
-use std::collections::{BTreeMap, VecDeque};
-
-/// Jobs that are over, which never changes: a bounded cache.
-#[derive(Debug)]
-pub struct FinishedJobs {
-    known: BTreeMap<String, FinishedJobRecord>,
-    order: VecDeque<String>,
-    most: usize,
-}
-
-impl FinishedJobs {
-    pub fn new(most: usize) -> Self {
-        FinishedJobs {
-            known: BTreeMap::new(),
-            order: VecDeque::new(),
-            most,
-        }
-    }
-
-    pub fn get(&self, job: &str) -> Option<&FinishedJobRecord> {
-        self.known.get(job)
-    }
-
-    pub fn insert(&mut self, job: &str, record: FinishedJobRecord) {
-        if self.known.insert(job.to_string(), record).is_none() {
-            self.order.push_back(job.to_string());
-            if self.order.len() > self.most {
-                if let Some(oldest) = self.order.pop_front() {
-                    self.known.remove(&oldest);
-                }
-            }
-        }
-    }
-}
-
-/// Reads of ends that are under way, by job: requests that came in after the read was sent.
-pub type FinishedReads = BTreeMap<String, Vec<UserRequest>>;
 
 impl Controller {
     pub(crate) fn on_submission(&mut self, id: u64, body: &[u8]) {
@@ -423,21 +390,6 @@
     check_size(s, settings.store.value_bytes).and_then(|()| check_possible(s, settings, catalogue))
 }
 
-pub(crate) fn absent(key: &str) -> Condition {
-    Condition {
-        key: key.to_string(),
-        mod_revision: 0,
-    }
-}
-
-pub(crate) fn put<T: serde::Serialize>(key: String, record: &T) -> Operation {
-    Operation::Put {
-        put: key,
-        value: wire::http::to_value(record),
-        lease: None,
-    }
-}
-
 impl Context {
     /// Cost of a ledger record in puts and deletes, as an upper bound.
     pub(crate) fn cost(rec: &RecordId) -> usize {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,41 +1,34 @@
-//! The scheduler as a state machine.
+//! The cluster scheduler as a state machine.
 //!
-//! [`Controller`] takes [`Input`]s (requests, replies, the passing of time) and returns [`Effect`]s
-//! (calls to send, requests to answer). It does no I/O and reads no clock: the time comes with
-//! each input, and randomness from a seed. State in the state service is the truth; what a
-//! `Controller` holds in memory is a cache of it.
+//! [`Controller`] takes [`Input`]s (requests, replies, the passing of time) and returns [`Effect`]s (calls to
+//! send, requests to answer). It does no I/O and reads no clock: the time comes with each input, and randomness from a
+//! seed. The key-value store holds the truth; what a `Controller` keeps in memory is a cache of it.
+//!
+//! Modules import downwards only (a test reads their `use` lines): [`controller`] dispatches inputs, [`scheduler`]
+//! does the work of the leader and of partition holders, [`state`] holds data with its rules, and the modules
+//! beside them ([`context`], [`calls`], [`settings`], [`rate_limiter`], [`cancellations`]) serve all.
+
+pub use controller::Controller;
+pub use settings::{Objective, Settings, Sibling, Team, Tuning};
 
-pub mod agents;
 pub mod calls;
 pub mod cancellations;
-pub mod completed_tasks;
 pub mod context;
 pub mod controller;
-pub mod election;
-pub mod fleet;
-pub mod headroom;
-pub mod job_view;
-pub mod jobs;
-pub mod partitions;
-pub mod placement;
-pub mod quota;
 pub mod rate_limiter;
 pub mod scheduler;
 pub mod settings;
-pub mod stats;
+pub mod state;
 #[cfg(test)]
 mod test_support;
-pub mod user_requests;
-pub mod write_buffer;
-
-pub use controller::Controller;
-pub use settings::{Objective, Settings, Sibling, Team, Tuning};
+mod transactions;
 
 /// Whole microseconds, of a steady clock unless said otherwise.
 pub type Micros = u64;
 
 /// One second.
 pub const SECOND: Micros = 1_000_000;
+
 /// One millisecond.
 pub const MILLI: Micros = 1_000;
 
--- a/crates/core/src/rate_limiter.rs
+++ b/crates/core/src/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Token buckets: the controllers share the rates of the state service and the cloud.
+//! Token buckets: the controllers share the rate limits of the key-value store and of the cloud.
 
 use crate::{Micros, SECOND};
 
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,20 +1,25 @@
-//! The working state of a member that looks after machines: the leader's, or that of a partition's holder.
+//! The working state of a controller that looks after machines under a fenced lease: the leader, or a partition's holder.
 //!
-//! It is built from the key-value store after the lease was granted, and dropped whole when the lease is lost.
+//! It is built from the key-value store once the lease is granted, and dropped whole when the lease is lost. Modules
+//! under `leader` run for the leader only, those under `holder` for the holder of a partition only; the others
+//! run for both.
 
-use crate::agents::{HeldHeartbeat, LongPolls, Machine};
 use crate::calls::{CallPurpose, SchedulerCall};
-use crate::completed_tasks::CompletedTaskPages;
 use crate::context::{Context, Role};
-use crate::controller::Controller;
-use crate::fleet::Fleet;
-use crate::headroom::Headroom;
-use crate::jobs::{JobIndex, Jobs};
-use crate::partitions::{HolderState, RemotePartitions};
-use crate::placement::{Pages, Placement};
-use crate::quota::{HolderQuota, LeaderQuota};
-use crate::stats::Stats;
-use crate::write_buffer::{RecordId, WriteBuffer};
+use crate::state::assignment_pages::Pages;
+use crate::state::completed_tasks::CompletedTaskPages;
+use crate::state::fleet::Fleet;
+use crate::state::headroom::Headroom;
+use crate::state::holder::HolderState;
+use crate::state::holder_quota::HolderQuota;
+use crate::state::jobs::{JobIndex, Jobs};
+use crate::state::long_polls::{HeldHeartbeat, LongPolls};
+use crate::state::machine::Machine;
+use crate::state::placement::Placement;
+use crate::state::quota::LeaderQuota;
+use crate::state::remote_partitions::RemotePartitions;
+use crate::state::stats::Stats;
+use crate::state::write_buffer::{RecordId, WriteBuffer};
 use crate::{Micros, Outcome, Stopwatch, Target, MILLI, SECOND};
 use grebewood_quota::TeamAmounts;
 use grebewood_wire as wire;
@@ -25,17 +30,24 @@
 use log::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-mod completion;
-mod flush;
-mod loading;
-mod watches;
+pub(crate) mod agents;
+pub(crate) mod assignment_pages;
+pub(crate) mod completion;
+pub(crate) mod flush;
+pub(crate) mod holder;
+pub(crate) mod leader;
+pub(crate) mod loading;
+pub(crate) mod quota;
+pub(crate) mod store_contact;
+pub(crate) mod watches;
+pub(crate) mod write_conditions;
 
 /// The number of an attempt carries the token under which it was given, above so many bits of a count.
 const ATTEMPT_BITS: u32 = 20;
-/// By how much the writes of ends go ahead of their turn.
-const END_AHEAD: Micros = 10 * SECOND;
+
 /// How often peers are told of changed progress, so that polls at any node show short tasks too.
 const PROGRESS: Micros = 500 * MILLI;
+
 /// Every so many times they are told all of it.
 const PROGRESS_WHOLE: u32 = 5;
 
@@ -142,43 +154,6 @@
     unproven: BTreeSet<String>,
 }
 
-impl Controller {
-    pub(crate) fn run_leader(&mut self, watch: &mut dyn Stopwatch) {
-        if self.leader.is_none() {
-            return;
-        }
-        self.check_contact();
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        // Without state nobody else can lead: to step down would only lose what this node knows, as
-        // once when its only machine hung with a cancelled task in an outage.
-        if self.context.in_contact(2 * SECOND) && leader.cut_from_agents(&self.context) {
-            return self.step_down("no worker reaches this node", true);
-        }
-        leader.run(&mut self.context, watch);
-    }
-
-    /// Takes the reply to a call that was made under the grant with this token.
-    pub(crate) fn on_scheduler_reply(&mut self, token: u64, what: SchedulerCall, outcome: Outcome) {
-        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
-            if let Err(why) = leader.on_reply(&mut self.context, what, outcome) {
-                self.step_down(&why, false);
-            }
-            return;
-        }
-        let holder = self.partitions.holders.iter_mut();
-        let Some((id, leader)) = holder.into_iter().find(|(_, leader)| leader.token == token)
-        else {
-            return;
-        };
-        let id = *id;
-        if let Err(why) = leader.on_reply(&mut self.context, what, outcome) {
-            self.leave_partition(id, &why);
-        }
-    }
-}
-
 /// Most bytes of a page in a value of this size.
 fn page_bytes(value_bytes: usize) -> usize {
     value_bytes * 9 / 10
@@ -379,7 +354,7 @@
         }
     }
 
-    fn on_reply(
+    pub(crate) fn on_reply(
         &mut self,
         context: &mut Context,
         what: SchedulerCall,
--- a/crates/core/src/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -1,61 +1,30 @@
-//! Machines as their workers report them, and what is known to be on them.
+//! Machines as their agents report them: assignments on a machine, from the decision until they are proven gone.
 
 use crate::context::Context;
-use crate::jobs::parse_task;
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
-use crate::{Micros, MILLI, SECOND};
-use grebewood_wire::http::{Command, ExitCause, Heartbeat, TaskStatus, Verb};
+use crate::state::machine::{Assignment, Machine, ObservedStatus};
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, SECOND};
+use grebewood_wire::http::Heartbeat;
 use grebewood_wire::peer::TaskEnd;
 
-mod exits;
-mod heartbeat_status;
-mod heartbeats;
-mod held_heartbeats;
-mod machine;
-mod stops;
-mod unreachable;
+pub(crate) mod exits;
+pub(crate) mod heartbeat_status;
+pub(crate) mod heartbeats;
+pub(crate) mod held_heartbeats;
+pub(crate) mod stops;
+pub(crate) mod unreachable;
 
-pub use held_heartbeats::{HeldHeartbeat, LongPolls};
-pub(crate) use machine::TaskOnMachine;
-pub use machine::{Assignment, ExitedAttempt, Machine, ObservedStatus, PlannedTask, Stop};
-
-/// How long a check-in may wait for a flush before it is answered with what there is.
-const HOLD: Micros = 500 * MILLI;
-/// How long the end of a task may wait to be written.
-const DONE_DELAY: Micros = 2 * SECOND;
 /// How long the removal of an assignment may wait to be written: until then its page lists a task
 /// that is gone, which the next leader finds out from the worker's first report.
 const FREE_DELAY: Micros = 8 * SECOND;
+
 /// The part of the write rate that such removals may take.
 const FREE_WRITES: f64 = 0.2;
-/// A replica leaves a machine so long before the cloud takes it, wherever it is to go.
-const LAST_MOVE: Micros = 4 * SECOND;
-/// How long a replica of an earlier leader has run at least, as far as can be told.
-const LEAST_STAY: Micros = 30 * SECOND;
-/// A worker waits so long for an answer to its report before it goes to another node.
-const ANSWER_TIME: Micros = 4 * SECOND;
-/// A worker that has our answer tells so soon, because the token was news to it; one that does not
-/// is asked directly whether it hears us.
-const ASK_AFTER: Micros = SECOND;
-/// If more than this part of the machines is silent, they are cut off rather than gone.
-const MOST_SILENT_PART: usize = 20;
-/// Most machines that are asked so at once.
-const MOST_ASKED: usize = 100;
-/// Between two direct commands to one machine.
-const DIRECT_INTERVAL: Micros = 2 * SECOND;
-/// Most commands in one answer, so that it stays below the size limit.
-const MOST_COMMANDS: usize = 300;
-
-/// Most machines that are returned because the tasks of one job alone failed there.
-const MOST_BLAMED_BY_ONE_JOB: u32 = 2;
-
-/// An exit without a cause says nothing.
-static NO_CAUSE: ExitCause = ExitCause::Unknown(String::new());
 
 /// How a report came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Source {
+pub(crate) enum Source {
     /// A check-in: a worker has only one in flight, and carries out no answer to an earlier one.
     Heartbeat,
     /// The answer to a direct command, which may overtake the answer to a check-in.
@@ -167,43 +136,3 @@
         self.end_if_over(context, a.job);
     }
 }
-
-/// Stops for the tasks on a machine whose jobs are known to be cancelled.
-fn stop_commands_for_cancelled(context: &Context, report: &Heartbeat) -> Vec<Command> {
-    let live = report
-        .tasks
-        .iter()
-        .filter(|s| s.status != TaskStatus::Exited);
-    live.filter_map(|s| {
-        let (job, task) = parse_task(&s.task_name)?;
-        context.cancellations.get(job)?;
-        Some(stop_command(job, task, s.attempt, 0))
-    })
-    .take(MOST_COMMANDS)
-    .collect()
-}
-
-/// When a worker's lease has certainly run out after our last answer: with drift, and a little for
-/// the answer's own time.
-fn lease_end(lease: Micros) -> Micros {
-    lease + lease / 500 + 1_500 * MILLI
-}
-
-/// How long a machine may be silent before it is released.
-pub(crate) fn silent_release(lease: Micros) -> Micros {
-    lease_end(lease) + 12 * SECOND
-}
-
-/// Leeway for a task that needs `flush` to save.
-pub(crate) fn grace(flush: Micros) -> Micros {
-    flush + flush / 2 + SECOND
-}
-
-fn stop_command(job: &str, task: u64, attempt: u64, grace: Micros) -> Command {
-    Command {
-        verb: Verb::Stop,
-        task_name: format!("{job}/{task}"),
-        attempt,
-        grace_s: Some(grace as f64 / SECOND as f64),
-    }
-}
--- a/crates/core/src/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -1,19 +1,27 @@
-//! Tasks that exited, and who is to blame for those that failed.
+//! Exited tasks: results, retries, and which machine or job a failure is attributed to.
 
-use super::machine::FailureAttribution;
-use super::{ExitedAttempt, DONE_DELAY, LEAST_STAY, MOST_BLAMED_BY_ONE_JOB};
 use crate::context::Context;
-use crate::jobs::{error_backoff, JobIndex};
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
-use crate::SECOND;
+use crate::state::jobs::{error_backoff, JobIndex};
+use crate::state::machine::{ExitedAttempt, FailureAttribution};
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, SECOND};
 use grebewood_wire::http::{ExitCause, ReportedTask};
 use grebewood_wire::records::DONE_SPAN;
 use log::{info, warn};
 
+/// How long the end of a task may wait to be written.
+const DONE_DELAY: Micros = 2 * SECOND;
+
+/// How long a replica of an earlier leader has run at least, as far as can be told.
+const LEAST_STAY: Micros = 30 * SECOND;
+
+/// Most machines that are returned because the tasks of one job alone failed there.
+const MOST_BLAMED_BY_ONE_JOB: u32 = 2;
+
 impl Scheduler {
     /// Notes that a task is done; the result says when that is durable.
-    pub(super) fn completed(
+    pub(crate) fn completed(
         &mut self,
         context: &Context,
         index: JobIndex,
@@ -111,7 +119,7 @@
 
     /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is
     /// returned; by a single job alone two machines are at the most.
-    pub(super) fn note_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
+    pub(crate) fn note_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
         let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
@@ -143,7 +151,7 @@
 
     /// A job turned out to be suspect: machines that were blamed for its failures take tasks again, unless
     /// others are left that speak against them.
-    pub(super) fn lift_quarantines(&mut self, context: &Context) {
+    pub(crate) fn lift_quarantines(&mut self, context: &Context) {
         let suspect = |id: &str| self.jobs.is_suspect(id);
         for machine in self.machines.values_mut().filter(|m| m.faulty) {
             machine.forget_failures(suspect);
--- a/crates/core/src/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -1,16 +1,20 @@
-//! Reports: what they say of a machine and of the tasks on it.
+//! Applies the status in a heartbeat to what is known of the machine and of the tasks on it.
 
-use super::{Machine, ObservedStatus, Source, ANSWER_TIME, NO_CAUSE};
 use crate::context::Context;
-use crate::jobs::{parse_task, JobIndex};
+use crate::scheduler::agents::Source;
 use crate::scheduler::Scheduler;
+use crate::state::jobs::{parse_task, JobIndex};
+use crate::state::machine::{Machine, ObservedStatus, ANSWER_TIME};
 use crate::{micros, Micros};
-use grebewood_wire::http::{Heartbeat, TaskStatus};
+use grebewood_wire::http::{ExitCause, Heartbeat, TaskStatus};
 use log::{info, warn};
 
+/// An exit without a cause says nothing.
+static NO_CAUSE: ExitCause = ExitCause::Unknown(String::new());
+
 impl Scheduler {
     /// Takes in a report. Returns false if a newer one is known already.
-    pub(super) fn apply_heartbeat(
+    pub(crate) fn apply_heartbeat(
         &mut self,
         context: &mut Context,
         report: Heartbeat,
@@ -104,14 +108,14 @@
 
     /// Frees what was placed on a machine but not launched: it can only be launched by an answer
     /// that reaches the worker.
-    pub(super) fn free_unlaunched(&mut self, context: &mut Context, name: &str) {
+    pub(crate) fn free_unlaunched(&mut self, context: &mut Context, name: &str) {
         while let Some(at) = self.position(name, |a| a.launched.is_none()) {
             self.free(context, name, at);
         }
     }
 
     /// Compares a report, which has seen our token, with what should be on the machine.
-    pub(super) fn take_tasks(&mut self, context: &mut Context, report: &Heartbeat, source: Source) {
+    pub(crate) fn take_tasks(&mut self, context: &mut Context, report: &Heartbeat, source: Source) {
         let now = context.now.steady;
         let name = &report.machine;
         for s in &report.tasks {
--- a/crates/core/src/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -1,19 +1,51 @@
-//! Check-ins: who may answer them, and the commands that the answers carry.
+//! Answers heartbeats: which commands the response carries, and when it may be sent.
 
-use super::{
-    stop_command, stop_commands_for_cancelled, HeldHeartbeat, Source, HOLD, MOST_COMMANDS,
-};
 use crate::context::Context;
-use crate::controller::Controller;
-use crate::jobs::{JobIndex, EPS};
+use crate::scheduler::agents::Source;
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
-use grebewood_partition::PartitionId;
-use grebewood_wire as wire;
-use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, Redirect, Verb};
+use crate::state::jobs::{parse_task, JobIndex, EPS};
+use crate::state::long_polls::HeldHeartbeat;
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, MILLI, SECOND};
+use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskStatus, Verb};
+
+/// How long a check-in may wait for a flush before it is answered with what there is.
+pub(crate) const HOLD: Micros = 500 * MILLI;
+
+/// Most commands in one answer, so that it stays below the size limit.
+pub(crate) const MOST_COMMANDS: usize = 300;
+
+/// Stops for the tasks on a machine whose jobs are known to be cancelled.
+fn stop_commands_for_cancelled(context: &Context, report: &Heartbeat) -> Vec<Command> {
+    let live = report
+        .tasks
+        .iter()
+        .filter(|s| s.status != TaskStatus::Exited);
+    live.filter_map(|s| {
+        let (job, task) = parse_task(&s.task_name)?;
+        context.cancellations.get(job)?;
+        Some(stop_command(job, task, s.attempt, 0))
+    })
+    .take(MOST_COMMANDS)
+    .collect()
+}
+
+/// Leeway for a task that needs `flush` to save.
+pub(crate) fn grace(flush: Micros) -> Micros {
+    flush + flush / 2 + SECOND
+}
+
+pub(crate) fn stop_command(job: &str, task: u64, attempt: u64, grace: Micros) -> Command {
+    Command {
+        verb: Verb::Stop,
+        task_name: format!("{job}/{task}"),
+        attempt,
+        grace_s: Some(grace as f64 / SECOND as f64),
+    }
+}
 
 impl Scheduler {
-    pub(super) fn on_heartbeat(&mut self, context: &mut Context, request: u64, report: Heartbeat) {
+    pub(crate) fn on_heartbeat(&mut self, context: &mut Context, request: u64, report: Heartbeat) {
         let now = context.now.steady;
         self.holder_state.heartbeats += 1;
         if !self.loaded() {
@@ -79,7 +111,7 @@
         self.held_heartbeats.push(pending);
     }
 
-    pub(super) fn answer_heartbeat(
+    pub(crate) fn answer_heartbeat(
         &self,
         context: &mut Context,
         request: u64,
@@ -161,95 +193,3 @@
         commands
     }
 }
-
-impl Controller {
-    pub(crate) fn on_heartbeat(&mut self, id: u64, body: &[u8]) {
-        let report: Heartbeat = match wire::from_cbor(body) {
-            Ok(r) => r,
-            Err(e) => return self.context.refuse(id, 400, &e.to_string()),
-        };
-        if let Some(why) = report.invalid_field() {
-            return self.context.refuse(id, 400, why);
-        }
-        self.context.token = self.context.token.max(report.token);
-        if let Some(partition) = self.partition_to_report_to(&report) {
-            return self.on_partition_heartbeat(id, partition, report);
-        }
-        let me = self.context.settings.member.clone();
-        let unread = self.leader.as_ref().is_some_and(|l| !l.loaded());
-        let blind = unread && !self.may_renew();
-        match &mut self.leader {
-            // It may have come in during the standstill, and the grant may have run out.
-            Some(leader) if leader.doubtful() => {
-                self.context.refuse(id, 503, "it is not certain who leads");
-            }
-            // Its machine may be in a partition: an answer would take it from its holder.
-            Some(leader) if !leader.knows_partitions(&self.context) => {
-                self.context.refuse(id, 503, "partitions are not known yet");
-            }
-            // Before state is read only the node's own knowledge of cancellations stops tasks.
-            Some(_) if blind => {
-                self.context
-                    .refuse(id, 503, "cancellations are not known yet");
-            }
-            Some(leader) if report.token <= leader.token => {
-                leader.on_heartbeat(&mut self.context, id, report)
-            }
-            // Somebody with a higher token acts for the controllers: not us, and it is not known
-            // here who.
-            Some(_) => self.context.answer(id, 421, &Redirect { leader: None }),
-            None => {
-                let leader = self
-                    .election
-                    .leader()
-                    .filter(|l| *l != me)
-                    .map(str::to_string);
-                self.context.answer(id, 421, &Redirect { leader });
-            }
-        }
-    }
-
-    /// The partition of a reporting machine. The leader goes by what it read under its grant, other
-    /// nodes by their copy of the map: that only decides where a worker is sent.
-    fn partition_to_report_to(&self, report: &Heartbeat) -> Option<PartitionId> {
-        match &self.leader {
-            Some(leader) => leader
-                .remote_partitions
-                .partition_of(&report.zone, &report.machine),
-            None => self.partitions.map.find(&report.zone, &report.machine),
-        }
-    }
-
-    /// A check-in of a machine that is in a partition: its holder answers it, others lead it there.
-    fn on_partition_heartbeat(&mut self, id: u64, partition: PartitionId, report: Heartbeat) {
-        let may_renew = self.may_renew();
-        let Some(holder) = self.partitions.holders.get_mut(&partition) else {
-            return match self.holder_to_report_to(partition) {
-                Some(leader) => self.context.answer(
-                    id,
-                    421,
-                    &Redirect {
-                        leader: Some(leader),
-                    },
-                ),
-                None => self
-                    .context
-                    .refuse(id, 503, "its partition is not held yet"),
-            };
-        };
-        if holder.doubtful() {
-            return self
-                .context
-                .refuse(id, 503, "it is not certain who holds it");
-        }
-        if !holder.loaded() && !may_renew {
-            return self
-                .context
-                .refuse(id, 503, "cancellations are not known yet");
-        }
-        match report.token <= holder.token {
-            true => holder.on_heartbeat(&mut self.context, id, report),
-            false => self.context.answer(id, 421, &Redirect { leader: None }),
-        }
-    }
-}
--- a/crates/core/src/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -1,13 +1,14 @@
-//! Check-ins whose answers wait: for a flush or a round of placement, or, from machines with room,
-//! for work to come.
+//! Heartbeats whose response is held: until a write is durable or a round of placement is over, or, as a long poll of
+//! a machine with free resources, until work arrives.
 
-use super::{ExitedAttempt, HOLD};
 use crate::context::Context;
-use crate::jobs::EPS;
+use crate::scheduler::agents::heartbeats::HOLD;
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
+use crate::state::jobs::EPS;
+use crate::state::long_polls::HeldHeartbeat;
+use crate::state::machine::ExitedAttempt;
+use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
-use std::collections::{BTreeMap, BTreeSet};
 
 /// Longest time that a check-in waits for work. A worker gives up after [`ANSWER_TIME`], and its
 /// answer has yet to travel.
@@ -16,58 +17,6 @@
 /// Check-ins that wait for work may hold one of so many sockets.
 const LONG_POLL_SOCKETS: usize = 2;
 
-/// A check-in that is not answered yet.
-#[derive(Clone, Debug)]
-pub struct HeldHeartbeat {
-    pub request: u64,
-    /// The round of placement that it waits for.
-    pub round: u64,
-    pub machine: String,
-    pub incarnation: u64,
-    pub sequence: u64,
-    pub until: Micros,
-}
-
-/// Check-ins of machines with room, which wait for work. Reports may be several seconds apart; work
-/// that comes in between would wait for the next one, since only an answer launches anything.
-#[derive(Debug, Default)]
-pub struct LongPolls {
-    by_machine: BTreeMap<String, HeldHeartbeat>,
-    by_time: BTreeSet<(Micros, String)>,
-}
-
-impl LongPolls {
-    pub fn len(&self) -> usize {
-        self.by_machine.len()
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.by_machine.is_empty()
-    }
-
-    pub fn contains(&self, machine: &str) -> bool {
-        self.by_machine.contains_key(machine)
-    }
-
-    /// When the first of them is to be answered.
-    pub fn next_until(&self) -> Micros {
-        self.by_time.first().map_or(Micros::MAX, |(at, _)| *at)
-    }
-
-    fn insert(&mut self, pending: HeldHeartbeat) {
-        self.by_time
-            .insert((pending.until, pending.machine.clone()));
-        self.by_machine.insert(pending.machine.clone(), pending);
-    }
-
-    fn remove(&mut self, machine: &str) -> Option<HeldHeartbeat> {
-        let pending = self.by_machine.remove(machine)?;
-        self.by_time
-            .remove(&(pending.until, pending.machine.clone()));
-        Some(pending)
-    }
-}
-
 impl Scheduler {
     /// Requests of all check-ins that wait.
     pub(crate) fn waiting_heartbeats(&self) -> Vec<u64> {
@@ -114,7 +63,7 @@
 
     /// Whether a check-in of the machine may wait for work: it has room, and no task of it is likely
     /// to end meanwhile, since the worker can tell so only after our answer.
-    pub(super) fn may_long_poll(&self, context: &Context, machine: &str) -> bool {
+    pub(crate) fn may_long_poll(&self, context: &Context, machine: &str) -> bool {
         let now = context.now.steady;
         let span = long_poll_span(context);
         // Each of them holds a connection: with more idle machines than sockets the others would
@@ -132,7 +81,7 @@
         })
     }
 
-    pub(super) fn hold_long_poll(&mut self, context: &Context, mut pending: HeldHeartbeat) {
+    pub(crate) fn hold_long_poll(&mut self, context: &Context, mut pending: HeldHeartbeat) {
         pending.until = context.now.steady + long_poll_span(context);
         self.long_polls.insert(pending);
     }
@@ -180,7 +129,7 @@
             .unwrap_or(0);
     }
 
-    pub(super) fn may_be_answered(&self, context: &Context, h: &HeldHeartbeat) -> bool {
+    pub(crate) fn may_be_answered(&self, context: &Context, h: &HeldHeartbeat) -> bool {
         context.now.steady >= h.until
             || !context.in_contact(2 * SECOND)
             || (self.placement.rounds >= h.round
--- a/crates/core/src/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -1,5 +1,5 @@
-use super::HeldHeartbeat;
-use crate::agents::Machine;
+use crate::state::long_polls::HeldHeartbeat;
+use crate::state::machine::Machine;
 use crate::test_support::{first_heartbeat, unread_leader};
 use crate::SECOND;
 
--- a/crates/core/src/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -1,25 +1,30 @@
-//! Stops, direct commands, and what has to leave a machine.
+//! Stops tasks: stop commands, direct commands, and evictions from machines that will be reclaimed.
 
-use super::{
-    grace, stop_command, Assignment, Machine, ObservedStatus, Source, Stop, TaskOnMachine,
-    DIRECT_INTERVAL, LAST_MOVE, MOST_COMMANDS,
-};
 use crate::calls::SchedulerCall;
 use crate::context::Context;
-use crate::jobs::JobIndex;
-use crate::placement::{permits, slots};
+use crate::scheduler::agents::heartbeats::{grace, stop_command, MOST_COMMANDS};
+use crate::scheduler::agents::Source;
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
+use crate::state::bin_packing::{permits, slots};
+use crate::state::jobs::JobIndex;
+use crate::state::machine::{Assignment, Machine, ObservedStatus, Stop, TaskOnMachine};
+use crate::state::write_buffer::RecordId;
 use crate::{micros, Micros, Outcome, Target, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{DirectCommands, Heartbeat, ReportedTask, Submission};
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
 use log::{error, warn};
 
+/// A replica leaves a machine so long before the cloud takes it, wherever it is to go.
+const LAST_MOVE: Micros = 4 * SECOND;
+
+/// Between two direct commands to one machine.
+const DIRECT_INTERVAL: Micros = 2 * SECOND;
+
 impl Scheduler {
     /// A worker has a task that is on no page of ours. It is stopped, and counts as taken until
     /// it is proven gone.
-    pub(super) fn stop_unrecorded(
+    pub(crate) fn stop_unrecorded(
         &mut self,
         context: &mut Context,
         report: &Heartbeat,
@@ -138,13 +143,13 @@
     }
 
     /// Sends the stops of a machine straight to it.
-    pub(super) fn send_direct(&mut self, context: &mut Context, name: &str) {
+    pub(crate) fn send_direct(&mut self, context: &mut Context, name: &str) {
         self.send_commands(context, name, false);
     }
 
     /// Sends stops that are due; with `ask` the command goes out even if there are none: its answer
     /// shows that the machine hears us.
-    pub(super) fn send_commands(&mut self, context: &mut Context, name: &str, ask: bool) {
+    pub(crate) fn send_commands(&mut self, context: &mut Context, name: &str, ask: bool) {
         let now = context.now.steady;
         if self.doubtful() || self.direct.contains_key(name) {
             return;
@@ -222,7 +227,7 @@
     }
 
     /// Stops what cannot finish before the cloud takes the machine.
-    pub(super) fn drain_reclaimed(&mut self, context: &mut Context, name: &str) {
+    pub(crate) fn drain_reclaimed(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
         let Some(m) = self.machines.get(name) else {
             return;
@@ -262,7 +267,7 @@
 
     /// Replicas on a machine that is to be returned, or that the cloud takes, never end by themselves:
     /// they are stopped once there is room for them elsewhere.
-    pub(super) fn move_replicas(&mut self, context: &mut Context, name: &str) {
+    pub(crate) fn move_replicas(&mut self, context: &mut Context, name: &str) {
         let going = |m: &&Machine| m.cordoned || m.reclaim_at.is_some();
         let Some(m) = self.machines.get(name).filter(going) else {
             return;
@@ -287,7 +292,7 @@
     }
 
     /// How many tasks of the job the machines of a zone have room for.
-    pub(super) fn room_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
+    pub(crate) fn room_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
         let (now, silence) = (context.now.steady, 3 * context.settings.heartbeat_interval);
         self.machines
             .values()
--- a/crates/core/src/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -1,15 +1,33 @@
-//! Machines that are silent, and what is proven about them.
+//! Machines that stopped sending heartbeats or do not receive responses, and what that proves about their tasks.
 
-use super::{
-    lease_end, silent_release, Assignment, Machine, ANSWER_TIME, ASK_AFTER, MOST_ASKED,
-    MOST_SILENT_PART,
-};
 use crate::context::Context;
-use crate::jobs::Job;
 use crate::scheduler::Scheduler;
-use crate::{Micros, SECOND};
+use crate::state::jobs::Job;
+use crate::state::machine::{Assignment, Machine, ANSWER_TIME};
+use crate::{Micros, MILLI, SECOND};
 use log::info;
 
+/// A worker that has our answer tells so soon, because the token was news to it; one that does not
+/// is asked directly whether it hears us.
+const ASK_AFTER: Micros = SECOND;
+
+/// If more than this part of the machines is silent, they are cut off rather than gone.
+const MOST_SILENT_PART: usize = 20;
+
+/// Most machines that are asked so at once.
+const MOST_ASKED: usize = 100;
+
+/// When a worker's lease has certainly run out after our last answer: with drift, and a little for
+/// the answer's own time.
+fn lease_end(lease: Micros) -> Micros {
+    lease + lease / 500 + 1_500 * MILLI
+}
+
+/// How long a machine may be silent before it is released.
+pub(crate) fn silent_release(lease: Micros) -> Micros {
+    lease_end(lease) + 12 * SECOND
+}
+
 impl Scheduler {
     /// Whether no worker reaches this node though there should be some: then another node had
     /// better lead.
@@ -221,7 +239,7 @@
 
     /// Machines that hold replicas and are silent are asked directly, and released if that brings no
     /// answer either. Many at once are more likely cut off than gone, and keep serving meanwhile.
-    pub(super) fn check_silent_serving(
+    pub(crate) fn check_silent_serving(
         &mut self,
         context: &mut Context,
         silent: &[(Micros, String)],
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -1,13 +1,16 @@
-//! Cancellations and the ends of jobs.
+//! Cancellations and the completion of jobs.
 
-use super::{Scheduler, END_AHEAD};
 use crate::context::Context;
-use crate::jobs::{FinalStatus, JobIndex};
-use crate::write_buffer::RecordId;
-use grebewood_wire::records::OLD_CANCEL;
-use grebewood_wire::records::{cancel_key, CancelRecord};
+use crate::scheduler::Scheduler;
+use crate::state::jobs::{FinalStatus, JobIndex};
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, SECOND};
+use grebewood_wire::records::{cancel_key, CancelRecord, OLD_CANCEL};
 use log::error;
 
+/// By how much the writes of ends go ahead of their turn.
+const END_AHEAD: Micros = 10 * SECOND;
+
 impl Scheduler {
     /// Notes that the job is cancelled: nothing of it starts any more, and what may run is
     /// stopped. `record` says since when: the time to `cancel_s` runs on whoever leads. With every
@@ -65,7 +68,7 @@
     }
 
     /// The key of the job's cancellation that is on record.
-    pub(super) fn cancellation_key(&self, id: &str) -> String {
+    pub(crate) fn cancellation_key(&self, id: &str) -> String {
         let old = format!("{OLD_CANCEL}{id}");
         match self.write_buffer.mod_revisions.contains_key(&old) {
             true => old,
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -1,11 +1,11 @@
-//! The ledger's traffic: what the leader writes, and what becomes of it.
+//! Flushes the write buffer to the key-value store, and handles the outcome of each transaction.
 
-use super::{page_bytes, Scheduler};
 use crate::calls::SchedulerCall;
 use crate::context::{Context, STORE_TIMEOUT};
-use crate::jobs::{FinalStatus, JobIndex};
-use crate::user_requests::{absent, put};
-use crate::write_buffer::{Batch, RecordId, Rendered};
+use crate::scheduler::{page_bytes, Scheduler};
+use crate::state::jobs::{FinalStatus, JobIndex};
+use crate::state::write_buffer::{Batch, RecordId, Rendered};
+use crate::transactions::{absent, put};
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_wire as wire;
@@ -15,20 +15,24 @@
 };
 use grebewood_wire::records::{
     cancel_key, job_key, partition_key, quota_grant_key, FinishedJobRecord, JobKey, CATALOGUE,
-    FINISHED, LIMITS, RENTAL, STATS,
+    DONE, FINISHED, LIMITS, OLD_CANCEL, PAGE, RENTAL, STATS,
 };
-use grebewood_wire::records::{DONE, OLD_CANCEL, PAGE};
 use grebewood_wire::Value;
 use log::{error, info, warn};
 
 /// The fewest changes and the smallest value that the leader works with.
 const LEAST_TXN_OPS: usize = 3;
+
 const LEAST_VALUE: usize = 700;
+
 /// How long a record waits that the state service refused alone.
 const REFUSED_PAUSE: Micros = 5 * SECOND;
+
 /// How often, and for how long after a flush without an answer, rentals on record are compared.
 const SWEEP: Micros = 20 * SECOND;
+
 const SWEEP_FOR: Micros = 300 * SECOND;
+
 /// How long the parts of a page that is too large may wait: what is new goes first.
 const SPLIT_DELAY: Micros = 500 * MILLI;
 
@@ -39,7 +43,7 @@
     }
 
     /// Renders a record's current content.
-    pub(super) fn render(&mut self, context: &Context, rec: &RecordId) -> Option<Rendered> {
+    pub(crate) fn render(&mut self, context: &Context, rec: &RecordId) -> Option<Rendered> {
         if let RecordId::Allotment(id) = rec {
             return self.render_quota_grant(*id);
         }
@@ -163,7 +167,7 @@
     }
 
     /// When the next flush is due.
-    pub(super) fn flush_wake(&self) -> Micros {
+    pub(crate) fn flush_wake(&self) -> Micros {
         if self.write_buffer.in_flight.is_some() || self.write_conditions().is_none() {
             return Micros::MAX;
         }
@@ -252,7 +256,7 @@
         });
     }
 
-    pub(super) fn on_flush(
+    pub(crate) fn on_flush(
         &mut self,
         context: &mut Context,
         outcome: Outcome,
@@ -357,7 +361,7 @@
     /// Moves what is on pages that are larger than a value may be to others: these are written
     /// first, then the old ones. Until then what an earlier leader wrote stays as it is, and lists
     /// all of it.
-    pub(super) fn split_pages(&mut self, context: &Context) {
+    pub(crate) fn split_pages(&mut self, context: &Context) {
         let due = context.now.steady + SPLIT_DELAY;
         let pages = self.split_placements(due);
         let done = self
@@ -379,7 +383,7 @@
         }
     }
 
-    pub(super) fn flush_failed(&mut self, context: &mut Context) {
+    pub(crate) fn flush_failed(&mut self, context: &mut Context) {
         self.flush_failures = (self.flush_failures + 1).min(4);
         let pause = (100 * MILLI) << self.flush_failures;
         let jitter = context.jitter(pause / 4);
@@ -388,7 +392,7 @@
     }
 
     /// The outcome of a flush is unknown: looks whether it was applied, one key after the other.
-    pub(super) fn read_back(&mut self, context: &mut Context, batch: Batch) {
+    pub(crate) fn read_back(&mut self, context: &mut Context, batch: Batch) {
         match batch.transaction.apply.get(batch.proven) {
             Some(change) => {
                 let pending = self.pending(SchedulerCall::FlushReadBack);
@@ -403,7 +407,7 @@
     /// one of them has a new stamp is no proof: an earlier flush without an answer may have been
     /// carried out meanwhile, and then this one never will be. What only this one listed was once
     /// launched, unknown to the next leader.
-    pub(super) fn on_read_back(
+    pub(crate) fn on_read_back(
         &mut self,
         context: &mut Context,
         outcome: Outcome,
@@ -461,7 +465,7 @@
     /// back if the first flush is carried out after all: its condition, that there is no such
     /// record, holds again. The next leader would rent by it. So what is on record is looked
     /// through for a while.
-    pub(super) fn run_sweep(&mut self, context: &mut Context) {
+    pub(crate) fn run_sweep(&mut self, context: &mut Context) {
         let now = context.now.steady;
         if now < self.sweep_at || now > self.sweep_until {
             return;
@@ -475,7 +479,7 @@
     }
 
     /// Deletes rentals on record that are none of ours.
-    pub(super) fn on_sweep(&mut self, context: &mut Context, list: Option<KeyValueList>) {
+    pub(crate) fn on_sweep(&mut self, context: &mut Context, list: Option<KeyValueList>) {
         for e in list.map(|list| list.entries).unwrap_or_default() {
             let name = e.key.strip_prefix(RENTAL).unwrap_or_default();
             if self.fleet.provision_record(name).is_some()
@@ -579,7 +583,7 @@
         }
     }
 
-    pub(super) fn job_ended(&mut self, index: JobIndex) {
+    pub(crate) fn job_ended(&mut self, index: JobIndex) {
         if let Some(job) = self.jobs.remove(index) {
             for key in [
                 job_key(&job.id),
--- a/crates/core/src/partitions/holder.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -1,10 +1,11 @@
-//! The holder of a partition: carries out the leader's orders on its machines and reports to it.
+//! Carries out the leader's orders on the machines of a partition and reports to the leader.
 
-use crate::agents::{Assignment, ExitedAttempt, Machine, ObservedStatus, Stop, TaskOnMachine};
 use crate::context::{Context, Role};
-use crate::controller::Controller;
-use crate::placement::slots;
 use crate::scheduler::Scheduler;
+use crate::state::bin_packing::slots;
+use crate::state::machine::{
+    Assignment, ExitedAttempt, Machine, ObservedStatus, Stop, TaskOnMachine,
+};
 use crate::{Micros, Stopwatch, SECOND};
 use grebewood_wire::http::{ExitCause, ReportedTask, TaskStatus};
 use grebewood_wire::peer::{
@@ -12,86 +13,16 @@
     TaskState,
 };
 use log::{debug, info};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// Most outcomes, and most states of machines, in one report.
 const MOST_OUTCOMES: usize = 500;
+
 const MOST_STATES: usize = 300;
+
 /// How long the leader is told of a machine that was released.
 const GONE_TOLD: Micros = 60 * SECOND;
 
-/// What a holder knows beyond its machines.
-#[derive(Clone, Debug, Default)]
-pub struct HolderState {
-    /// Term and number of the last orders.
-    last: (u64, u64),
-    /// The term of the leader that told all tasks that may be on the machines; 0: none yet.
-    synced_term: u64,
-    /// Attempts that have ended, until the leader has that on record.
-    outcomes: BTreeMap<TaskAttempt, TaskOutcome>,
-    /// The states of machines as last told, each with its version.
-    states: BTreeMap<String, (u64, MachineState)>,
-    version: u64,
-    /// When this node learned of a job's cancellation.
-    cancelled: BTreeMap<String, Micros>,
-    /// Check-ins answered since the claim.
-    pub(crate) heartbeats: u64,
-}
-
-impl HolderState {
-    /// Whether a leader has told all tasks that may be on the machines.
-    pub(crate) fn knows_tasks(&self) -> bool {
-        self.synced_term > 0
-    }
-
-    /// Notes that a job is cancelled, from whatever source.
-    pub(crate) fn note_cancelled(&mut self, job: &str, now: Micros) {
-        self.cancelled.entry(job.to_string()).or_insert(now);
-    }
-
-    /// Whether the leader has the attempt's end on record, so that the worker may forget it.
-    pub(crate) fn is_settled(&self, attempt: Option<TaskAttempt>) -> bool {
-        attempt.is_none_or(|id| !self.outcomes.contains_key(&id))
-    }
-}
-
-impl Controller {
-    /// Takes orders for a partition. Only the leader that the state service names may give them.
-    pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
-        if !self.election.leader_is(&orders.from, orders.term) {
-            debug!("orders of {}, who does not lead", orders.from);
-            return None;
-        }
-        let holder = self.partitions.holders.get_mut(&orders.partition)?;
-        holder.carry_out_orders(&mut self.context, orders)
-    }
-}
-
-impl Controller {
-    /// What a peer said of a cancellation is never trusted over state: a job that the state service
-    /// still shows as live and not cancelled, in an answer that was asked for since, runs on.
-    pub(crate) fn retract_cancellations(&mut self) {
-        let read_up_to = self.context.cancellations.read_up_to();
-        let (job_view, holders) = (&self.job_view, self.partitions.holders.values_mut());
-        for holder in holders {
-            let jobs = &holder.jobs;
-            holder
-                .holder_state
-                .cancelled
-                .retain(|id, _| jobs.find(id).is_some());
-            let learned = holder.holder_state.cancelled.iter();
-            let wrong = learned.filter(|(id, at)| {
-                **at < read_up_to && job_view.get(id).is_some_and(|job| !job.cancelled)
-            });
-            let wrong: Vec<String> = wrong.map(|(id, _)| id.clone()).collect();
-            for id in wrong {
-                holder.holder_state.cancelled.remove(&id);
-                holder.retract_cancellation(&mut self.context, &id);
-            }
-        }
-    }
-}
-
 impl Scheduler {
     /// Carries out orders and answers with a report. Orders that are out of order, or meant for another
     /// claim, are dropped: a late copy of one would launch again what has ended since.
--- a/crates/core/src/partitions/holder/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -1,15 +1,18 @@
-use crate::agents::{HeldHeartbeat, Machine};
 use crate::context::{Context, Role};
 use crate::controller::Controller;
-use crate::jobs::Job;
 use crate::scheduler::{FencedLease, Scheduler};
+use crate::state::jobs::Job;
+use crate::state::long_polls::HeldHeartbeat;
+use crate::state::machine::Machine;
 use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
 use crate::SECOND;
 use grebewood_wire::http::{ExitCause, Verb};
 use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskEnd};
 
 const MACHINE: &str = "n-000001";
+
 const TERM: u64 = 7;
+
 const CLAIM: u64 = 9;
 
 /// A node and the holder of a partition with one machine, which has learnt that nothing is on it.
--- a/crates/core/src/quota/holder_placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -1,81 +1,28 @@
-//! The holder's side: it places the tasks that the leader has given it, out of its allotment.
+//! Places the tasks that the leader has delegated to this holder, out of its quota grant.
 
-use crate::agents::Assignment;
 use crate::context::{Context, Role};
-use crate::placement::{permits, slots, OpenMachine, Pages, Preference};
 use crate::scheduler::Scheduler;
+use crate::state::assignment_pages::Pages;
+use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{OpenMachine, Preference};
+use crate::state::holder_quota::{QueuedTask, MOST_PLACED};
+use crate::state::machine::placed_task;
+use crate::state::machine::Assignment;
+use crate::state::write_buffer::RecordId;
 use crate::{Micros, Stopwatch, MILLI};
 use grebewood_partition::PartitionId;
-use grebewood_quota::{HolderGrant, Resources};
+use grebewood_quota::Resources;
 use grebewood_wire::http::Submission;
 use grebewood_wire::peer::{
     DelegatedWork, PlacedTask, QuotaOrders, QuotaReport, TaskAttempt, TaskRanges,
 };
 use grebewood_wire::records::pages_of_partition;
 use log::debug;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Most placed tasks in one report.
-const MOST_PLACED: usize = 500;
 /// Between two looks at what waits for room.
 const PLACE_INTERVAL: Micros = 100 * MILLI;
 
-/// A task that is to be placed.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct QueuedTask {
-    /// Whether it waits for room that others leave.
-    ahead: bool,
-    level: u8,
-    /// The order in which tasks came.
-    number: u64,
-    job: String,
-    task: u64,
-    /// The machine that has room for it, or will have it, as far as the leader knew.
-    machine: String,
-    expected: Micros,
-}
-
-/// What a holder knows of its allotment and of what it is to place.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct HolderQuota {
-    pub allotment: HolderGrant,
-    /// The leader whose tasks may be placed, as long as it is on record; `None`: none has given orders, or
-    /// another one may lead.
-    pub term: Option<u64>,
-    /// The revision of the limits under which the allotment was granted; `None`: none is in force.
-    pub limits: Option<u64>,
-    queue: BTreeSet<QueuedTask>,
-    /// Number of the last task that came.
-    came: u64,
-    /// Tasks that were placed, with their numbers, until the leader knows of them.
-    placed: VecDeque<(u64, PlacedTask)>,
-    /// Number of the last of them.
-    version: u64,
-}
-
-impl HolderQuota {
-    fn is_queued(&self, job: &str, task: u64) -> bool {
-        let mut queue = self.queue.iter();
-        queue.any(|queued| queued.task == task && queued.job == job)
-    }
-
-    fn is_untold(&self, job: &str, task: u64) -> bool {
-        let mut placed = self.placed.iter();
-        placed.any(|(_, placed)| placed.task == task && placed.job == job)
-    }
-
-    fn note_placed(&mut self, placed: PlacedTask) {
-        self.version += 1;
-        self.placed.push_back((self.version, placed));
-    }
-
-    /// Whether the leader will learn only later that this attempt was placed.
-    pub(crate) fn is_told_later(&self, attempt: TaskAttempt) -> bool {
-        let later = self.placed.iter().skip(MOST_PLACED);
-        later.into_iter().any(|(_, placed)| placed.id() == attempt)
-    }
-}
-
 impl Scheduler {
     /// The partition that is held under this grant; `None`: it is the leader's.
     pub(crate) fn partition(&self) -> Option<PartitionId> {
@@ -281,7 +228,7 @@
 
     /// Whether the assignment is on its page for certain.
     pub(crate) fn is_on_record(&self, a: &Assignment) -> bool {
-        let page = crate::write_buffer::RecordId::Page(a.page);
+        let page = RecordId::Page(a.page);
         self.write_buffer.is_durable(&page, a.written)
     }
 
@@ -294,7 +241,7 @@
                 .iter_mut()
                 .filter(|a| a.by_holder && !a.delivered)
             {
-                let page = crate::write_buffer::RecordId::Page(a.page);
+                let page = RecordId::Page(a.page);
                 if self.write_buffer.is_durable(&page, a.written) {
                     a.delivered = true;
                     placed.push(placed_task(name, a));
@@ -346,18 +293,6 @@
     }
 }
 
-/// A task on a machine of a partition, as a message has it.
-pub(crate) fn placed_task(machine: &str, a: &Assignment) -> PlacedTask {
-    PlacedTask {
-        machine: machine.to_string(),
-        incarnation: a.incarnation,
-        job: a.job_id.clone(),
-        task: a.task,
-        attempt: a.attempt,
-        expected_us: a.expected,
-    }
-}
-
 /// Numbers as ranges: the first one and the one after the last.
 fn ranges_of(numbers: &BTreeSet<u64>) -> Vec<(u64, u64)> {
     let mut ranges: Vec<(u64, u64)> = Vec::new();
--- a/crates/core/src/quota/holder_placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -1,8 +1,9 @@
-use crate::agents::{Assignment, HeldHeartbeat, Machine};
 use crate::context::Role;
 use crate::controller::Controller;
-use crate::jobs::Job;
 use crate::scheduler::{FencedLease, Scheduler};
+use crate::state::jobs::Job;
+use crate::state::long_polls::HeldHeartbeat;
+use crate::state::machine::{Assignment, Machine};
 use crate::test_support::{first_heartbeat, job_record, unread_leader, WALL};
 use crate::{Effect, NoStopwatch, Target, SECOND};
 use grebewood_wire::http::{MachineType, Transaction};
@@ -12,8 +13,11 @@
 use grebewood_wire::records::{claim_key, quota_grant_key, TeamAmount, LEADER, LIMITS};
 
 const MACHINE: &str = "n-000001";
+
 const TERM: u64 = 7;
+
 const CLAIM: u64 = 9;
+
 const LIMITS_STAMP: u64 = 8;
 
 fn machine_type() -> MachineType {
@@ -243,7 +247,7 @@
 fn give_nothing_writes(node: &mut Controller, holder: &mut Scheduler) {
     node.context.effects.clear();
     holder.write_buffer.mark_dirty(
-        crate::write_buffer::RecordId::Page(1000),
+        crate::state::write_buffer::RecordId::Page(1000),
         node.context.now.steady,
     );
     run(node, holder);
--- /dev/null
+++ b/crates/core/src/scheduler/leader.rs
@@ -0,0 +1,10 @@
+//! What runs for the leader only.
+
+pub(crate) mod delegation_policy;
+pub(crate) mod fleet;
+pub(crate) mod headroom;
+pub(crate) mod partition_reports;
+pub(crate) mod partitions;
+pub(crate) mod placement;
+pub(crate) mod quota_limits;
+pub(crate) mod quota_messages;
--- a/crates/core/src/quota/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -1,12 +1,15 @@
-//! What the leader gives to holders to place, and what it takes back.
+//! Which tasks the leader delegates to the holders of partitions, and which it revokes.
 
-use super::delegations::{Delegation, TaskOfJob};
-use crate::agents::{Assignment, PlannedTask};
 use crate::context::Context;
-use crate::jobs::{JobIndex, EPS};
-use crate::placement::{permits, slots, OpenMachine, Placing, QueuedJob, Room};
+use crate::scheduler::leader::placement::tasks::Placing;
+use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
+use crate::state::bin_packing::OpenMachine;
+use crate::state::bin_packing::{permits, slots, Room};
+use crate::state::delegations::{Delegation, TaskOfJob};
+use crate::state::jobs::{JobIndex, EPS};
+use crate::state::machine::{Assignment, PlannedTask};
+use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
@@ -16,10 +19,13 @@
 
 /// A holder is given tasks for the room that is freed so soon, so that it can go on without the leader.
 const AHEAD: Micros = 4 * SECOND;
+
 /// Tasks for which there was room, and that were not placed for so long, are taken back.
 const PLACED_WITHIN: Micros = 3 * SECOND / 2;
+
 /// A holder that had to give such tasks back is given none for so long.
 const SLOW_FOR: Micros = 5 * SECOND;
+
 /// Tasks that wait for room for so long are taken back.
 const ROOM_WITHIN: Micros = 2 * AHEAD;
 
@@ -33,15 +39,6 @@
     room: Room,
 }
 
-/// How a task is given to a holder.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Given {
-    /// There is room for it, and it is charged to the allotment.
-    Room,
-    /// It waits for what other tasks will leave.
-    Waiting,
-}
-
 impl Scheduler {
     /// Charges a task to a partition's allotment, which grows if it has to and the ceiling allows it.
     pub(crate) fn charge(
@@ -132,7 +129,7 @@
     }
 
     /// A task is no longer with a holder to be placed: it is placed, or was given back.
-    pub(super) fn end_delegation(&mut self, task: TaskOfJob) -> Option<Delegation> {
+    pub(crate) fn end_delegation(&mut self, task: TaskOfJob) -> Option<Delegation> {
         let delegation = self.quota.delegations.remove(task)?;
         if let Some(m) = self.machines.get_mut(&delegation.machine) {
             m.unplan(task.0, task.1);
@@ -146,7 +143,7 @@
     }
 
     /// A task that a holder was to place is the leader's again.
-    pub(super) fn give_task_back(&mut self, context: &Context, task: TaskOfJob) {
+    pub(crate) fn give_task_back(&mut self, context: &Context, task: TaskOfJob) {
         let Some(delegation) = self.end_delegation(task) else {
             return;
         };
--- a/crates/core/src/fleet/autoscaler.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler.rs
@@ -1,19 +1,20 @@
-//! The decider: what to rent.
+//! The autoscaler: how many machines of which type to provision.
 //!
-//! It is that of the paper as changed by `DESIGN-grebewood.md`. A ready machine adds,
-//! for a job with `n` waiting tasks of run time `t` and time `D` to its deadline,
-//! `D * n / sum(n * t)` tasks, times the tasks that fit into its room; a booting machine uses `D`
-//! less its remaining boot delay, floored at zero. If work exceeds power, machines are added
-//! greedily by price per unit of the gap they close.
+//! It follows Mao, Li and Humphrey, "Cloud Auto-scaling with Deadline and Budget Constraints" (GRID 2010), with the changes
+//! listed in `docs/design.md`. A ready machine adds, for a job with `n` waiting tasks of run time `t` and time `D` to its
+//! deadline, `D * n / sum(n * t)` tasks, times the tasks that fit into its free resources; a booting machine uses `D`
+//! less its remaining boot delay, floored at zero. If work exceeds power, machines are added greedily by
+//! price per unit of the gap they close.
 
-use super::{Offer, PendingProvision};
-use crate::agents::Machine;
 use crate::context::Context;
-use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
-use crate::placement::{permits, slots};
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
+use crate::state::bin_packing::{permits, slots};
+use crate::state::fleet::{Offer, PendingProvision};
+use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
+use crate::state::machine::Machine;
+use crate::state::write_buffer::RecordId;
 use crate::{micros, Micros, SECOND};
+use grebewood_wire::http::Shape;
 use grebewood_wire::http::{MachineType, Submission};
 use grebewood_wire::records::ProvisionRecord;
 use log::info;
@@ -21,19 +22,20 @@
 
 /// Most machines in one rental request.
 const RENT_MOST: u64 = 50;
+
 /// Most machines of one offer in one round of the decider.
 const RENT_ROUND: u64 = 2 * RENT_MOST;
 
 /// Work that waits: one job's tasks.
-pub(super) struct Work<'a> {
+pub(crate) struct Work<'a> {
     spec: &'a Submission,
     /// The only zone that can take these tasks, if it is so: a job that is spread over zones needs
     /// room in each of them.
     zone: Option<String>,
     /// Waiting tasks.
-    pub(super) n: f64,
+    pub(crate) n: f64,
     /// Run time of a task, with its fetch, in seconds.
-    pub(super) t: f64,
+    pub(crate) t: f64,
     /// Time to finish in, in seconds.
     d: f64,
     /// The same for machines that are not up yet: at least a boot and a run, since less cannot
@@ -52,7 +54,7 @@
 /// need a slot each now, and come before batch work: they share the slots among themselves. As a
 /// part of all work they once seemed to get next to nothing of a machine, and dozens were rented
 /// for a few replicas.
-pub(super) fn power(
+pub(crate) fn power(
     work: &[Work],
     total: f64,
     delay: Option<f64>,
@@ -85,7 +87,7 @@
 }
 
 /// Machines of one offer that are up, with what is taken of them.
-pub(super) struct Supply {
+pub(crate) struct Supply {
     offer: Offer,
     machines: f64,
     /// Tasks by the time they still take, in seconds: that time, the part of a machine that the
@@ -123,7 +125,7 @@
 }
 
 /// How many tasks fit an empty machine of the type; 0 if the job does not permit it.
-pub(super) fn slots_of(t: &MachineType, zone: &str, spot: bool, work: &Work) -> f64 {
+pub(crate) fn slots_of(t: &MachineType, zone: &str, spot: bool, work: &Work) -> f64 {
     let spec = work.spec;
     let permitted = (spec.spot || !spot)
         && spec.zone.as_ref().is_none_or(|y| y == zone)
@@ -184,7 +186,7 @@
     }
 
     /// The work that waits, job by job; with `haste` as it is planned for cheap machines.
-    pub(super) fn waiting_work<'a>(&'a self, context: &Context, haste: bool) -> Vec<Work<'a>> {
+    pub(crate) fn waiting_work<'a>(&'a self, context: &Context, haste: bool) -> Vec<Work<'a>> {
         let now = context.now.steady;
         let (share, late) = match haste {
             true => (
@@ -356,7 +358,7 @@
     }
 
     /// The machines that are up, by offer, as the decider sees them.
-    pub(super) fn supply(&self, context: &Context) -> Vec<Supply> {
+    pub(crate) fn supply(&self, context: &Context) -> Vec<Supply> {
         let now = context.now.steady;
         let silence = context.settings.heartbeat_interval * 3;
         let mut by_offer: BTreeMap<(&str, &str, bool), Supply> = BTreeMap::new();
@@ -385,7 +387,7 @@
     }
 
     /// Power of the machines that are up or booting.
-    pub(super) fn power_of_fleet(
+    pub(crate) fn power_of_fleet(
         &self,
         context: &Context,
         supply: &[Supply],
@@ -459,7 +461,7 @@
     }
 
     /// One round of the decider.
-    pub(super) fn decide(&mut self, context: &mut Context) {
+    pub(crate) fn decide(&mut self, context: &mut Context) {
         let now = context.now.steady;
         // Before the first list, machines of an earlier leader may be missing.
         if self.fleet.listed_at.is_none() && now < self.fleet.started + 10 * SECOND {
--- a/crates/core/src/fleet/scale_in.rs
+++ b/crates/core/src/scheduler/leader/fleet/scale_in.rs
@@ -1,23 +1,25 @@
-//! What is returned, and what is emptied so that it can be.
+//! Scale in: which machines are terminated, and which are drained first (consolidation).
 
-use super::autoscaler::{power, slots_of, Work};
-use crate::agents::{grace, Machine};
 use crate::context::Context;
-use crate::jobs::EPS;
-use crate::placement::{permits, slots};
+use crate::scheduler::agents::heartbeats::grace;
+use crate::scheduler::leader::fleet::autoscaler::{power, slots_of, Work};
 use crate::scheduler::Scheduler;
+use crate::state::bin_packing::{permits, slots};
+use crate::state::jobs::EPS;
+use crate::state::machine::Machine;
 use crate::{micros, Micros, SECOND};
 use log::info;
 
 /// Beyond one, this part of the machines may be emptied at a time.
 const EMPTIED_PART: usize = 20;
+
 /// Machines are emptied no further once work has waited so long for room.
 const WAITED_LONG: Micros = 20 * SECOND;
 
 impl Scheduler {
     /// Returns machines that have been idle for the hold, if the power without them covers the
     /// work; and those that are closing, once they are empty.
-    pub(super) fn give_back(&mut self, context: &mut Context) {
+    pub(crate) fn give_back(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let mut terminate: Vec<String> = Vec::new();
         let mut idle: Vec<(bool, Micros, String)> = Vec::new();
@@ -109,7 +111,7 @@
     /// Empties machines whose tasks have room elsewhere while nothing waits for room, so that they can be
     /// returned: tasks that can save move, the others run to their end. Ordinary machines
     /// go first, then the emptiest. A machine's worth of room is left over for what comes next.
-    pub(super) fn consolidate(&mut self, context: &mut Context) {
+    pub(crate) fn consolidate(&mut self, context: &mut Context) {
         let now = context.now.steady;
         // Tasks that wait for their team's limit need no room.
         let waiting = self
--- a/crates/core/src/partitions/reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -1,12 +1,11 @@
-//! What the reports of holders mean for the leader's books.
+//! Applies the reports of partition holders to the leader's books.
 
-use super::orders::RemotePartition;
-use crate::agents::{Assignment, Machine};
 use crate::context::Context;
-use crate::jobs::parse_task;
 use crate::scheduler::Scheduler;
-use crate::{Micros, Outcome, SECOND};
-use grebewood_partition::{Load, PartitionId};
+use crate::state::jobs::parse_task;
+use crate::state::machine::{Assignment, Machine};
+use crate::Outcome;
+use grebewood_partition::PartitionId;
 use grebewood_wire as wire;
 use grebewood_wire::http::{Heartbeat, ReportedTask, TaskStatus};
 use grebewood_wire::peer::{
@@ -37,7 +36,7 @@
     }
 
     /// Takes in a holder's report.
-    pub(super) fn on_report_of_holder(
+    pub(crate) fn on_report_of_holder(
         &mut self,
         context: &mut Context,
         id: PartitionId,
@@ -230,23 +229,6 @@
     }
 }
 
-impl RemotePartition {
-    /// Notes how many check-ins the holder has answered since its claim.
-    fn note_heartbeats(&mut self, heartbeats: u64, now: Micros) {
-        let (before, at) = self.heartbeats;
-        let span = now.saturating_sub(at);
-        if span < SECOND && at > 0 {
-            return;
-        }
-        if at > 0 {
-            let rate = heartbeats.saturating_sub(before) as Load * SECOND as Load / span as Load;
-            // A mean over some seconds: one alone says little with reports that are seconds apart.
-            self.load = self.load * 0.8 + rate * 0.2;
-        }
-        self.heartbeats = (heartbeats, now);
-    }
-}
-
 /// A machine's state in the form of a report without tasks.
 fn report_of(state: &MachineState) -> Heartbeat {
     Heartbeat {
--- a/crates/core/src/partitions/orders.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -1,22 +1,17 @@
-//! The leader's side of partitions: which there are and who is to hold them, orders to the holders, and
-//! what their reports mean for its own books.
+//! Partitions as the leader manages them: which exist, who is to hold them, and orders to the holders.
 
-use crate::agents::ExitedAttempt;
-use crate::calls::SchedulerCall;
 use crate::context::Context;
-use crate::controller::Controller;
-use crate::election::MemberView;
-use crate::quota::placed_task;
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
-use crate::{Micros, Target, MILLI, SECOND};
-use grebewood_partition::map::partition_of;
+use crate::state::election::MemberView;
+use crate::state::machine::placed_task;
+use crate::state::machine::ExitedAttempt;
+use crate::state::remote_partitions::RemotePartition;
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, MILLI, SECOND};
 use grebewood_partition::{
-    Assignment as PartitionAssignment, Load, PartitionId, PartitionMap, Plan, Planner,
-    PlannerSettings,
+    Assignment as PartitionAssignment, Load, PartitionId, PartitionMap, Plan, PlannerSettings,
 };
-use grebewood_wire as wire;
-use grebewood_wire::peer::{PartitionOrders, PeerRequest, PlacedTask, TaskAttempt, TaskStop};
+use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskStop};
 use grebewood_wire::records::{
     pages_of_partition, partition_of_page, quota_grant_key, PartitionRecord,
 };
@@ -25,217 +20,19 @@
 
 /// Most launches, stops and acknowledgements in one message.
 const MOST_ORDERS: usize = 500;
-/// How long a message to a holder may take.
-const ORDERS_TIMEOUT: Micros = 900 * MILLI;
+
 /// Between two rounds of the planner.
 const PLAN_INTERVAL: Micros = 300 * MILLI;
+
 /// After a change of leader nothing is moved for so long.
 const SETTLING: Micros = 20 * SECOND;
+
 /// A holder that was given tasks and has not answered for so long loses its partition.
 const OUT_OF_TOUCH: Micros = 5 * SECOND;
+
 /// A stop is repeated after this time.
 const STOP_AGAIN: Micros = SECOND;
 
-/// A partition, as its leader sees it.
-#[derive(Clone, Debug)]
-pub(super) struct RemotePartition {
-    pub(super) record: PartitionRecord,
-    /// The claim that orders go to: who made it, and its token.
-    pub(super) claim: Option<(String, u64)>,
-    /// Its holder knows all tasks that may be on its machines.
-    pub(super) synced: bool,
-    /// The version of the last state of a machine that was taken in.
-    pub(super) seen: u64,
-    pub(super) next_poll: Micros,
-    pub(super) busy: bool,
-    /// Attempts whose outcome was taken in and may be acknowledged once it is on record.
-    pub(super) settling: BTreeSet<TaskAttempt>,
-    /// Machines that were released since the last message.
-    pub(super) terminated: Vec<String>,
-    /// Check-ins that the holder had answered at a time, and their rate.
-    pub(super) heartbeats: (u64, Micros),
-    pub(super) load: Load,
-    /// When its holder last answered.
-    pub(super) answered_at: Micros,
-    /// The number of the last task placed by the holder that is known.
-    pub(super) placed_seen: u64,
-    /// Machines on which the holder was last told to place nothing new, and those of which it has
-    /// answered that it does not.
-    pub(super) reserving: BTreeSet<String>,
-    pub(super) reserved: BTreeSet<String>,
-}
-
-impl RemotePartition {
-    fn new(record: PartitionRecord) -> RemotePartition {
-        RemotePartition {
-            record,
-            claim: None,
-            synced: false,
-            seen: 0,
-            next_poll: 0,
-            busy: false,
-            settling: BTreeSet::new(),
-            terminated: Vec::new(),
-            heartbeats: (0, 0),
-            load: 0.0,
-            answered_at: 0,
-            placed_seen: 0,
-            reserving: BTreeSet::new(),
-            reserved: BTreeSet::new(),
-        }
-    }
-
-    fn claim_changed(&mut self, claim: Option<(String, u64)>) {
-        self.claim = claim;
-        self.synced = false;
-        self.seen = 0;
-        self.busy = false;
-        self.next_poll = 0;
-        self.settling.clear();
-        self.heartbeats = (0, 0);
-        self.placed_seen = 0;
-        self.reserving.clear();
-        self.reserved.clear();
-    }
-}
-
-/// All partitions, as the leader sees them.
-#[derive(Clone, Debug, Default)]
-pub struct RemotePartitions {
-    pub(super) by_id: BTreeMap<PartitionId, RemotePartition>,
-    planner: Planner,
-    plan_at: Micros,
-    sequence: u64,
-    /// The partitions are being given up, and why: their keys are being deleted.
-    folding: Option<&'static str>,
-    /// Keys that are to be deleted.
-    deleted: BTreeSet<String>,
-}
-
-impl RemotePartitions {
-    /// When the leader has to act next.
-    pub(crate) fn next_wake(&self) -> Micros {
-        let claimed = self.by_id.values().filter(|r| r.claim.is_some() && !r.busy);
-        claimed.map(|r| r.next_poll).min().unwrap_or(Micros::MAX)
-    }
-
-    /// The partition of a machine.
-    pub(crate) fn partition_of(&self, zone: &str, machine: &str) -> Option<PartitionId> {
-        let records = self
-            .by_id
-            .iter()
-            .map(|(id, remote_partitions)| (*id, &remote_partitions.record));
-        partition_of(records, zone, machine)
-    }
-
-    /// Whether the partition's holder is in touch and knows its tasks.
-    pub(crate) fn is_synced(&self, id: PartitionId) -> bool {
-        self.by_id
-            .get(&id)
-            .is_some_and(|remote_partitions| remote_partitions.synced)
-    }
-
-    /// The number of the last task placed by the partition's holder that is known.
-    pub(crate) fn placed_seen(&self, id: PartitionId) -> u64 {
-        self.by_id
-            .get(&id)
-            .map_or(0, |remote_partitions| remote_partitions.placed_seen)
-    }
-
-    /// Whether the partition's holder has answered that it places nothing new on the machine.
-    pub(crate) fn is_reserved(&self, id: PartitionId, machine: &str) -> bool {
-        let remote_partitions = self.by_id.get(&id);
-        remote_partitions
-            .is_some_and(|remote_partitions| remote_partitions.reserved.contains(machine))
-    }
-
-    /// The fencing token of the partition's claim.
-    pub(crate) fn claim_token(&self, id: PartitionId) -> Option<u64> {
-        let claim = self.by_id.get(&id)?.claim.as_ref()?;
-        Some(claim.1)
-    }
-
-    /// The record of a partition, as it is to be written.
-    pub(crate) fn record(&self, id: PartitionId) -> Option<&PartitionRecord> {
-        self.by_id
-            .get(&id)
-            .map(|remote_partitions| &remote_partitions.record)
-    }
-
-    /// A machine of the partition was released.
-    pub(crate) fn note_terminated(&mut self, id: PartitionId, machine: &str) {
-        if let Some(remote_partitions) = self.by_id.get_mut(&id) {
-            remote_partitions.terminated.push(machine.to_string());
-        }
-    }
-}
-
-impl Controller {
-    /// The leader's part: keeps up with claims, plans, and sends orders to the holders that are due.
-    pub(crate) fn run_leader_partitions(&mut self) {
-        let now = self.context.now.steady;
-        let due = self
-            .leader
-            .as_ref()
-            .is_some_and(|l| now >= l.remote_partitions.plan_at);
-        // Members are looked at only for the planner: this runs with every input.
-        let members = due.then(|| self.partition_members());
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        if !leader.loaded() || leader.doubtful() {
-            return;
-        }
-        leader.follow_claims(&self.partitions.map);
-        if let Some(why) = leader.folded() {
-            return self.step_down(why, true);
-        }
-        if let Some(why) = leader.quota.lost {
-            return self.step_down(why, false);
-        }
-        if let Some(members) = members {
-            leader.pause_quota_grants(&self.context, members.any_without_quota_grants);
-            leader.plan_partitions(&mut self.context, &self.partitions.map, &members);
-        }
-        for orders in leader.due_orders(&self.context) {
-            self.send_orders(orders);
-        }
-    }
-
-    /// Sends orders to the member that holds the partition, which may be this one.
-    fn send_orders(&mut self, orders: PartitionOrders) {
-        let (partition, claim) = (orders.partition, orders.claim);
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        let holder = leader.holder_of(partition);
-        if holder.as_deref() == Some(self.context.settings.member.as_str()) {
-            let report = self.on_orders(orders);
-            if let Some(leader) = self.leader.as_mut() {
-                leader.on_report_of_holder(&mut self.context, partition, claim, report);
-            }
-            return;
-        }
-        let siblings = self.context.settings.siblings.iter();
-        let place = siblings
-            .enumerate()
-            .find(|(_, s)| holder.as_deref() == Some(s.member.as_str()));
-        let Some((place, _)) = place else {
-            return leader.on_report_of_holder(&mut self.context, partition, claim, None);
-        };
-        let pending = leader.pending(SchedulerCall::Orders { partition, claim });
-        let message = wire::to_peer(&PeerRequest::Partition(orders));
-        self.context.call(
-            Target::Peer(place),
-            "POST",
-            "/peer".into(),
-            message,
-            ORDERS_TIMEOUT,
-            pending,
-        );
-    }
-}
-
 impl Scheduler {
     /// Takes over the partitions on record, as a new leader.
     pub(crate) fn load_partitions(&mut self, context: &Context, map: &PartitionMap) {
@@ -272,7 +69,7 @@
     }
 
     /// Why this leader has to make room for the next one, once the partitions are off the record.
-    fn folded(&self) -> Option<&'static str> {
+    pub(crate) fn folded(&self) -> Option<&'static str> {
         let why = self.remote_partitions.folding?;
         let mut left = self.remote_partitions.deleted.iter();
         let dirty = |key: &String| self.write_buffer.is_dirty(&RecordId::Deleted(key.clone()));
@@ -280,7 +77,7 @@
     }
 
     /// Takes in who has claimed what.
-    fn follow_claims(&mut self, map: &PartitionMap) {
+    pub(crate) fn follow_claims(&mut self, map: &PartitionMap) {
         for (id, remote_partitions) in &mut self.remote_partitions.by_id {
             let Some(partition) = map.get(*id) else {
                 continue;
@@ -305,13 +102,13 @@
     }
 
     /// Who holds the partition.
-    fn holder_of(&self, id: PartitionId) -> Option<String> {
+    pub(crate) fn holder_of(&self, id: PartitionId) -> Option<String> {
         let claim = self.remote_partitions.by_id.get(&id)?.claim.as_ref()?;
         Some(claim.0.clone())
     }
 
     /// Lets the planner make, reassign and move partitions.
-    fn plan_partitions(
+    pub(crate) fn plan_partitions(
         &mut self,
         context: &mut Context,
         map: &PartitionMap,
@@ -438,7 +235,7 @@
     }
 
     /// The messages that are due.
-    fn due_orders(&mut self, context: &Context) -> Vec<PartitionOrders> {
+    pub(crate) fn due_orders(&mut self, context: &Context) -> Vec<PartitionOrders> {
         let now = context.now.steady;
         let due = self
             .remote_partitions
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -1,92 +1,28 @@
-//! Which task goes to which machine.
+//! Placement: which task goes to which machine.
 //!
-//! A round serves jobs by priority, guarantee and deadline, each as far as its team's limit and
-//! the free room allow. It has a time budget: a round that runs out of it goes on with the next
-//! job the next time.
+//! A round serves jobs by priority, guaranteed share and deadline, as far as the team's limit and the free resources allow. It
+//! has a time budget: a round that runs out of it continues with the next job the next time.
 
-use crate::agents::Machine;
 use crate::context::Context;
-use crate::jobs::{fits_type, Job, JobIndex, Shape, EPS};
 use crate::scheduler::Scheduler;
+use crate::state::bin_packing::{permits, slots, OpenMachine};
+use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
+use crate::state::machine::Machine;
 use crate::{Micros, Stopwatch, SECOND};
-use grebewood_partition::PartitionId;
 use grebewood_quota::{Resources, TeamAmounts};
-use grebewood_wire::http::{Priority, Submission};
+use grebewood_wire::http::Priority;
+use grebewood_wire::http::Shape;
 use log::debug;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
-mod guarantees;
-mod pages;
-mod preemption;
-mod queue;
-mod tasks;
-
-pub use pages::Pages;
-pub(crate) use tasks::Placing;
-
-/// By how much the writes of assignments go ahead of their turn.
-const PROD_AHEAD: Micros = 60 * SECOND;
-const HIGH_AHEAD: Micros = 10 * SECOND;
+pub(crate) mod guarantees;
+pub(crate) mod preemption;
+pub(crate) mod queue;
+pub(crate) mod tasks;
 
 /// What is left of a team's limit is kept for a job that waits only if enough is freed so soon.
 const KEPT_FOR: Micros = 60 * SECOND;
 
-/// State of the rounds.
-#[derive(Clone, Debug, Default)]
-pub struct Placement {
-    pub next_at: Micros,
-    /// Rounds keep at least their interval.
-    not_before: Micros,
-    /// Something changed that may let a task be placed.
-    pub wanted: bool,
-    /// Where the last round stopped for lack of time.
-    resume: Option<JobIndex>,
-    /// Nothing is placed before this time: a page could not be read.
-    pub blocked_until: Micros,
-    next_preemption: Micros,
-    /// Rounds so far.
-    pub rounds: u64,
-    /// The last round left tasks waiting.
-    pub backlog: bool,
-}
-
-impl Placement {
-    /// Something changed that may let a task be placed: a round is due now.
-    pub fn want(&mut self, now: Micros) {
-        self.wanted = true;
-        self.next_at = self.next_at.min(now.max(self.not_before));
-    }
-}
-
-/// A machine with room, during a round.
-pub(crate) struct OpenMachine {
-    pub name: String,
-    pub zone: String,
-    pub machine_type: String,
-    pub spot: bool,
-    pub free: Room,
-    /// Room is being made on it for work of higher priority.
-    kept: bool,
-    /// What of its room is kept for services.
-    pub headroom: Room,
-    /// The partition whose holder places tasks on it.
-    pub placed_by: Option<PartitionId>,
-}
-
-impl OpenMachine {
-    /// The room for a task of a service, or of other work.
-    fn room(&self, service: bool) -> Room {
-        match service {
-            true => self.free,
-            false => (
-                self.free.0 - self.headroom.0,
-                self.free.1 - self.headroom.1,
-                self.free.2 - self.headroom.2,
-            ),
-        }
-    }
-}
-
 /// A job in the order in which jobs are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuedJob {
@@ -295,35 +231,9 @@
     }
 }
 
-/// The zone in which room can be made for a `one_zone` job: that of its tasks, else the one where
-/// the most of them would fit.
-fn zone_for(
-    context: &Context,
-    job: &Job,
-    pool: &[(&Machine, Room, Vec<PreemptionCandidate>)],
-) -> Option<String> {
-    let spec = &job.spec;
-    if !spec.one_zone {
-        return None;
-    }
-    if let Some(zone) = job.bound_zone() {
-        return Some(zone.to_string());
-    }
-    let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-    for (m, room, victims) in pool {
-        if permits(context, spec, &m.machine_type, &m.zone, m.spot) {
-            let lower = victims.iter().filter(|v| v.priority < spec.priority);
-            let gain = lower.fold(*room, |r, v| (r.0 + v.cpus, r.1 + v.gpus, r.2 + v.memory));
-            *zones.entry(&m.zone).or_insert(0) += slots(gain, spec);
-        }
-    }
-    let best = zones.into_iter().max_by_key(|(_, n)| *n);
-    best.map(|(zone, _)| zone.to_string())
-}
-
 /// A task that may be stopped for another.
 #[derive(Clone)]
-struct PreemptionCandidate {
+pub(crate) struct PreemptionCandidate {
     ran: Micros,
     priority: Priority,
     attempt: u64,
@@ -336,53 +246,11 @@
     memory: f64,
 }
 
-/// What is sorted by to choose a machine, the best first.
-pub(crate) type Preference = (bool, bool, bool, bool, i64);
-
-/// CPUs, accelerators and memory.
-pub(crate) type Room = (f64, f64, f64);
-
-/// Whether the job permits such a machine.
-pub(crate) fn permits(
-    context: &Context,
-    spec: &Submission,
-    machine_type: &str,
-    zone: &str,
-    spot: bool,
-) -> bool {
-    (spec.spot || !spot)
-        && spec.zone.as_ref().is_none_or(|y| y == zone)
-        && context
-            .machine_type(machine_type)
-            .is_some_and(|t| fits_type(spec, t))
-}
-
-/// Free slots by zone, among the candidates.
-fn room_by_zone<'a>(
-    spec: &Submission,
-    service: bool,
-    candidates: &[(Preference, usize)],
-    open: &'a [OpenMachine],
-) -> BTreeMap<&'a str, u64> {
-    let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-    for (_, at) in candidates {
-        let o = &open[*at];
-        *zones.entry(&o.zone).or_insert(0) += slots(o.room(service), spec);
-    }
-    zones
-}
-
-/// How many tasks of the job fit into the free room.
-pub(crate) fn slots(free: (f64, f64, f64), spec: &Submission) -> u64 {
-    let fit = |have: f64, need: f64| {
-        if need <= EPS {
-            f64::MAX
-        } else {
-            ((have + EPS) / need).floor()
-        }
-    };
-    fit(free.0, spec.cpus)
-        .min(fit(free.1, spec.gpus))
-        .min(fit(free.2, spec.memory_gb))
-        .clamp(0.0, 1e5) as u64
+/// How a task is given to a holder.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Given {
+    /// There is room for it, and it is charged to the allotment.
+    Room,
+    /// It waits for what other tasks will leave.
+    Waiting,
 }
--- a/crates/core/src/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -1,12 +1,15 @@
-//! Room for teams below their guarantee: what other teams run beyond theirs makes way.
+//! Preemption for guaranteed shares: makes room for teams below theirs out of what other teams run beyond theirs.
 
-use super::{permits, slots, QueuedJob, Room};
-use crate::agents::{grace, Assignment, ObservedStatus};
 use crate::context::Context;
-use crate::jobs::{JobIndex, Shape};
+use crate::scheduler::agents::heartbeats::grace;
+use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
+use crate::state::bin_packing::{permits, slots, Room};
+use crate::state::jobs::JobIndex;
+use crate::state::machine::{Assignment, ObservedStatus};
 use crate::{micros, Micros};
 use grebewood_quota::{Resources, TeamAmounts};
+use grebewood_wire::http::Shape;
 use grebewood_wire::http::Submission;
 use grebewood_wire::peer::TaskAttempt;
 use log::{debug, info};
@@ -41,7 +44,7 @@
 impl Scheduler {
     /// Stops tasks of teams that use more than their guarantee, of whatever priority, where teams below
     /// theirs have work that waits for room. No team is brought below its own guarantee.
-    pub(super) fn make_room_for_guarantees(&mut self, context: &mut Context, queue: &[QueuedJob]) {
+    pub(crate) fn make_room_for_guarantees(&mut self, context: &mut Context, queue: &[QueuedJob]) {
         let within = self.within_guarantee(context);
         let waiting = self.waiting_within(context, queue, &within);
         if waiting.is_empty() {
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -1,21 +1,50 @@
-//! Stopping tasks of lower priority for jobs that wait.
+//! Preemption by priority: stops tasks of lower priority for jobs that wait.
 
-use super::{permits, slots, zone_for, PreemptionCandidate, QueuedJob, Room};
-use crate::agents::{grace, Machine, ObservedStatus};
 use crate::context::Context;
-use crate::jobs::{Job, JobIndex, Shape, BEGIN_AFTER, EPS};
+use crate::scheduler::agents::heartbeats::grace;
+use crate::scheduler::leader::placement::{PreemptionCandidate, QueuedJob};
 use crate::scheduler::Scheduler;
+use crate::state::bin_packing::{permits, slots, Room};
+use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, EPS};
+use crate::state::machine::{Machine, ObservedStatus};
 use crate::{micros, Micros, SECOND};
 use grebewood_quota::TeamAmounts;
 use grebewood_wire::http::Priority;
-use std::collections::BTreeSet;
+use grebewood_wire::http::Shape;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The zone in which room can be made for a `one_zone` job: that of its tasks, else the one where
+/// the most of them would fit.
+fn zone_for(
+    context: &Context,
+    job: &Job,
+    pool: &[(&Machine, Room, Vec<PreemptionCandidate>)],
+) -> Option<String> {
+    let spec = &job.spec;
+    if !spec.one_zone {
+        return None;
+    }
+    if let Some(zone) = job.bound_zone() {
+        return Some(zone.to_string());
+    }
+    let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
+    for (m, room, victims) in pool {
+        if permits(context, spec, &m.machine_type, &m.zone, m.spot) {
+            let lower = victims.iter().filter(|v| v.priority < spec.priority);
+            let gain = lower.fold(*room, |r, v| (r.0 + v.cpus, r.1 + v.gpus, r.2 + v.memory));
+            *zones.entry(&m.zone).or_insert(0) += slots(gain, spec);
+        }
+    }
+    let best = zones.into_iter().max_by_key(|(_, n)| *n);
+    best.map(|(zone, _)| zone.to_string())
+}
 
 impl Scheduler {
     /// Stops tasks of lower priority that can save, for jobs that wait for room or for their
     /// team's quota. Only as much is stopped on a machine as makes room there for a whole task,
     /// and that room is kept from lower priorities until it is taken: narrow tasks that were
     /// stopped for a wide one used to come back into the gap, to be stopped again.
-    pub(super) fn preempt(&mut self, context: &mut Context, queue: &[QueuedJob]) {
+    pub(crate) fn preempt(&mut self, context: &mut Context, queue: &[QueuedJob]) {
         let now = context.now.steady;
         let wants = |j: &Job| {
             let waited = j.waiting_since.map_or(0, |at| now.saturating_sub(at));
@@ -147,7 +176,7 @@
     }
 
     /// Tasks on the machine that may be stopped for others of higher priority.
-    pub(super) fn victims(
+    pub(crate) fn victims(
         &self,
         context: &Context,
         m: &Machine,
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -1,12 +1,13 @@
 //! The order in which waiting jobs are served.
 
-use super::QueuedJob;
 use crate::context::Context;
-use crate::jobs::{Job, JobIndex, Shape, EPS};
+use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
+use crate::state::jobs::{Job, JobIndex, EPS};
 use crate::Micros;
 use grebewood_quota::Resources;
 use grebewood_wire::http::Priority;
+use grebewood_wire::http::Shape;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Scheduler {
@@ -23,7 +24,7 @@
 
     /// Jobs within their team's guarantee: those that fit into it together with the team's earlier
     /// jobs, as far as these are unfinished. They need not wait for other teams.
-    pub(super) fn within_guarantee(&self, context: &Context) -> BTreeSet<JobIndex> {
+    pub(crate) fn within_guarantee(&self, context: &Context) -> BTreeSet<JobIndex> {
         let mut by_age: Vec<(i64, JobIndex, &Job)> = self
             .jobs
             .iter()
@@ -53,7 +54,7 @@
     /// waited long without getting any further; those that can still meet an aim before those that cannot;
     /// then those with the least work left, since that lets the most jobs meet their aims when not
     /// all of them can.
-    pub(super) fn queue(&self, context: &Context) -> Vec<QueuedJob> {
+    pub(crate) fn queue(&self, context: &Context) -> Vec<QueuedJob> {
         let now = context.now.steady;
         // Where room is made for guarantees, it must not go to others.
         let enforced = self.enforces_guarantees(context);
--- a/crates/core/src/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -1,19 +1,40 @@
-//! The tasks of one job: how many may be placed, and on which machines.
+//! Places the tasks of one job: how many, and on which machines.
 
-use super::{
-    permits, room_by_zone, slots, OpenMachine, Preference, QueuedJob, HIGH_AHEAD, PROD_AHEAD,
-};
-use crate::agents::{Assignment, TaskOnMachine};
 use crate::context::Context;
-use crate::jobs::{JobIndex, Shape, EPS};
-use crate::quota::Given;
+use crate::scheduler::leader::placement::{Given, QueuedJob};
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
-use crate::{Micros, MILLI};
+use crate::state::bin_packing::{permits, slots};
+use crate::state::bin_packing::{OpenMachine, Preference};
+use crate::state::jobs::{JobIndex, EPS};
+use crate::state::machine::{Assignment, TaskOnMachine};
+use crate::state::write_buffer::RecordId;
+use crate::{Micros, MILLI, SECOND};
 use grebewood_quota::Resources;
+use grebewood_wire::http::Shape;
 use grebewood_wire::http::{Priority, Submission};
 use grebewood_wire::peer::PlacedTask;
 use log::info;
+use std::collections::BTreeMap;
+
+/// By how much the writes of assignments go ahead of their turn.
+const PROD_AHEAD: Micros = 60 * SECOND;
+
+const HIGH_AHEAD: Micros = 10 * SECOND;
+
+/// Free slots by zone, among the candidates.
+fn room_by_zone<'a>(
+    spec: &Submission,
+    service: bool,
+    candidates: &[(Preference, usize)],
+    open: &'a [OpenMachine],
+) -> BTreeMap<&'a str, u64> {
+    let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
+    for (_, at) in candidates {
+        let o = &open[*at];
+        *zones.entry(&o.zone).or_insert(0) += slots(o.room(service), spec);
+    }
+    zones
+}
 
 /// A job some of whose tasks are being placed.
 pub(crate) struct Placing {
@@ -135,7 +156,7 @@
     }
 
     /// Places as many tasks of a job as the team's limit and the machines allow.
-    pub(super) fn place_job(
+    pub(crate) fn place_job(
         &mut self,
         context: &mut Context,
         queued: QueuedJob,
--- a/crates/core/src/quota/limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -1,10 +1,11 @@
-//! Which limits are in force, and what happens when they are lowered.
+//! Which team quotas are in force, and what happens when a limit is lowered.
 
-use crate::agents::{grace, Assignment, ObservedStatus};
 use crate::context::Context;
-use crate::jobs::JobIndex;
+use crate::scheduler::agents::heartbeats::grace;
 use crate::scheduler::Scheduler;
-use crate::write_buffer::RecordId;
+use crate::state::jobs::JobIndex;
+use crate::state::machine::{Assignment, ObservedStatus};
+use crate::state::write_buffer::RecordId;
 use crate::{micros, Micros, SECOND};
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
 use grebewood_wire::http::{from_value, KeyValue, Shape};
@@ -15,6 +16,7 @@
 
 /// Between two looks at teams that use more than their ceiling.
 const ENFORCE_INTERVAL: Micros = SECOND;
+
 /// The write of lowered limits goes ahead of its turn by so much.
 const LIMITS_AHEAD: Micros = 60 * SECOND;
 
@@ -69,7 +71,7 @@
     }
 
     /// Whether the limits in force are on record, so that holders' writes can depend on them.
-    pub(super) fn limits_are_on_record(&self) -> bool {
+    pub(crate) fn limits_are_on_record(&self) -> bool {
         self.write_buffer.mod_revisions.contains_key(LIMITS)
             && !self.write_buffer.is_dirty(&RecordId::Limits)
     }
@@ -131,7 +133,7 @@
     }
 
     /// Whether more of the team's ceiling is used or allotted than there is.
-    pub(super) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
+    pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
         let used = own.plus(self.quota.allotments.total(team));
--- a/crates/core/src/quota/holder_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -1,10 +1,10 @@
-//! The leader's side of the messages: what a holder is told, and what its answer means.
+//! Quota grants in messages: what a holder is told, and what its answer means for the leader's books.
 
-use super::delegations::TaskOfJob;
-use crate::agents::{Assignment, TaskOnMachine};
 use crate::context::Context;
-use crate::jobs::JobIndex;
 use crate::scheduler::Scheduler;
+use crate::state::delegations::TaskOfJob;
+use crate::state::jobs::JobIndex;
+use crate::state::machine::{Assignment, TaskOnMachine};
 use crate::{Micros, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_quota::GrantReduction;
@@ -17,6 +17,7 @@
 
 /// Most tasks that one message gives to a holder.
 const MOST_TASKS: usize = 500;
+
 /// How long a smaller allotment may wait to be written, if no team lacks what is asked back.
 const SHRINK_DELAY: Micros = 500 * MILLI;
 
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -1,12 +1,12 @@
-//! How a new leader reads its state back.
+//! How a new leader or holder reads its state back from the key-value store.
 
-use super::{Loading, Scheduler, Watch};
-use crate::agents::{Assignment, Stop, TaskOnMachine};
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, Role};
-use crate::jobs::{Job, JobIndex};
-use crate::stats::Stats;
-use crate::write_buffer::RecordId;
+use crate::scheduler::{Loading, Scheduler, Watch};
+use crate::state::jobs::{Job, JobIndex};
+use crate::state::machine::{Assignment, Stop, TaskOnMachine};
+use crate::state::stats::Stats;
+use crate::state::write_buffer::RecordId;
 use crate::{Outcome, MILLI, SECOND};
 use grebewood_partition::{PartitionId, PartitionMap};
 use grebewood_wire as wire;
@@ -45,7 +45,7 @@
         self.run_loading(context);
     }
 
-    pub(super) fn run_loading(&mut self, context: &mut Context) {
+    pub(crate) fn run_loading(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let token = self.token;
         let Some(loading) = &mut self.loading else {
@@ -77,7 +77,7 @@
     }
 
     /// Takes a reply to a read of the loading, or of a relist of a watch.
-    pub(super) fn on_list(&mut self, context: &mut Context, prefix: &str, outcome: Outcome) {
+    pub(crate) fn on_list(&mut self, context: &mut Context, prefix: &str, outcome: Outcome) {
         let now = context.now.steady;
         let list = match &outcome {
             Outcome::Answer { status: 200, body } => wire::from_cbor::<KeyValueList>(body),
@@ -133,7 +133,7 @@
         self.load_partitions(context, &map);
     }
 
-    pub(super) fn on_read(&mut self, context: &mut Context, key: &'static str, outcome: Outcome) {
+    pub(crate) fn on_read(&mut self, context: &mut Context, key: &'static str, outcome: Outcome) {
         let Some(loading) = &mut self.loading else {
             return;
         };
@@ -160,7 +160,7 @@
     }
 
     /// Builds the working state once everything is read.
-    pub(super) fn finish_loading(&mut self, context: &mut Context) {
+    pub(crate) fn finish_loading(&mut self, context: &mut Context) {
         if !self.loading.as_ref().is_some_and(|l| l.missing.is_empty()) {
             return;
         }
@@ -327,7 +327,7 @@
     }
 
     /// Reads completed tasks back, in the present form or in that of an earlier version.
-    pub(super) fn load_done(&mut self, context: &Context, key: &str, value: &Value) {
+    pub(crate) fn load_done(&mut self, context: &Context, key: &str, value: &Value) {
         let now = context.now.steady;
         let rest = key.strip_prefix(DONE).unwrap_or_default();
         if let Some((id, n)) = rest.rsplit_once('/') {
@@ -387,7 +387,7 @@
         }
     }
 
-    pub(super) fn load_page(&mut self, context: &mut Context, key: &str, value: &Value) {
+    pub(crate) fn load_page(&mut self, context: &mut Context, key: &str, value: &Value) {
         let number = page_number(key);
         let (Some(number), Ok(page)) = (number, from_value::<PageRecord>(value)) else {
             // Nothing can be said of what it lists: no task of any live job may be started
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -1,73 +1,20 @@
-//! Team limits while holders of partitions place tasks.
+//! Team quotas while several controllers place tasks.
 //!
-//! The leader gives the holder of a partition two things: tasks that it is to place, and an allotment, which
-//! says how much of each team's ceiling these may use. The holder chooses the machine, writes the
-//! assignment to a page of its own and launches it. So tasks go on starting when the leader ends.
+//! The leader gives the holder of a partition two things: tasks that it is to place, and a quota grant, which
+//! says how much of each team's limit these may use. The holder chooses the machine, writes the assignment to a
+//! page of its own and launches it. So tasks go on starting when the leader ends.
 //!
-//! A task never has two writers: a holder's write depends on its claim and on the record of the leader that
-//! gave it the task ([`fence`]), which outlives that leader by its lease. A new leader reads all pages after its grant,
-//! and from that moment on holders write nothing until they have heard from it: what was not on record by
-//! then, it places anew.
-//!
-//! - [`delegations`]: which tasks the leader has given to which holder;
-//! - [`delegating`]: what it gives, and takes back;
-//! - [`grants`]: the leader's side of the messages;
-//! - [`limits`]: which limits are in force, and what happens when they are lowered;
-//! - [`placing`]: the holder's side;
-//! - [`fence`]: on what its writes depend.
+//! A task never has two writers: a holder's write depends on its claim and on the record of the leader that delegated
+//! the task ([`write_conditions`](crate::scheduler::write_conditions)), which outlives that leader by its lease. A
+//! new leader reads all pages after its grant, and from then on holders write nothing until they have heard from it: what
+//! was not on record by then, it places anew.
 
-use crate::agents::Assignment;
 use crate::context::Context;
-use crate::jobs::JobIndex;
 use crate::scheduler::Scheduler;
-use crate::{Micros, Settings};
+use crate::state::jobs::JobIndex;
+use crate::state::machine::Assignment;
 use grebewood_partition::PartitionId;
-use grebewood_quota::{Limits, LimitsInForce, QuotaGrants, Resources, TeamQuota};
-use std::collections::{BTreeMap, BTreeSet};
-
-mod delegation_policy;
-mod delegations;
-mod holder_messages;
-mod holder_placement;
-mod limits;
-mod write_conditions;
-
-pub(crate) use delegation_policy::Given;
-pub(crate) use delegations::Delegations;
-pub(crate) use holder_placement::{placed_task, HolderQuota};
-
-/// The leader's part.
-#[derive(Clone, Debug, Default)]
-pub struct LeaderQuota {
-    /// The limits in force.
-    limits: LimitsInForce,
-    /// What of them is allotted to holders.
-    pub(crate) allotments: QuotaGrants,
-    /// Tasks that holders are to place.
-    pub(crate) delegations: Delegations,
-    /// Partitions whose holder places tasks.
-    placing: BTreeSet<PartitionId>,
-    /// Until when the leader places on a partition's machines itself, since its holder is slow.
-    slow_until: BTreeMap<PartitionId, Micros>,
-    /// A member was heard that places nothing: no more is given to holders meanwhile.
-    paused: bool,
-    /// The state service does not take records of allotments.
-    pub(crate) refused: bool,
-    /// Teams that lacked room under their ceiling lately while some of it was allotted for nothing.
-    pub(crate) pressed: BTreeSet<String>,
-    /// Why this leader cannot know what holders have placed, and has to make room for one that reads it.
-    pub(crate) lost: Option<&'static str>,
-    /// When limits were last enforced on what runs.
-    enforced_at: Micros,
-}
-
-impl Settings {
-    /// The limits of these settings.
-    pub fn limits(&self) -> Limits {
-        let teams = self.teams.iter();
-        Limits::new(teams.map(|(name, team)| (name.clone(), team.limit())))
-    }
-}
+use grebewood_quota::{Resources, TeamQuota};
 
 impl Scheduler {
     /// Whether holders may be given tasks and allotments now: the limits are on record, and every member
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -1,8 +1,8 @@
-//! Watches of the state service.
+//! Watches of the key-value store: jobs, cancellations and claims as they change.
 
-use super::Scheduler;
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, STORE_TIMEOUT};
+use crate::scheduler::Scheduler;
 use crate::{Outcome, Target, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{from_value, KeyValueList, WatchEvent, WatchResponse};
@@ -13,7 +13,7 @@
 const RELIST_PAGE: usize = 1_000;
 
 impl Scheduler {
-    pub(super) fn run_watches(&mut self, context: &mut Context) {
+    pub(crate) fn run_watches(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let token = self.token;
         for (prefix, w) in &mut self.watches {
@@ -45,7 +45,7 @@
         }
     }
 
-    pub(super) fn on_watch(
+    pub(crate) fn on_watch(
         &mut self,
         context: &mut Context,
         prefix: &'static str,
@@ -84,7 +84,7 @@
         }
     }
 
-    pub(super) fn on_event(&mut self, context: &mut Context, event: WatchEvent) {
+    pub(crate) fn on_event(&mut self, context: &mut Context, event: WatchEvent) {
         if let (Some(key), true) = (&event.delete, self.is_holder()) {
             // The leader ended it: what is left of it on machines belongs to no job.
             if let Some(JobKey::Live(id)) = JobKey::parse(key) {
@@ -112,7 +112,7 @@
     /// A watch was too old and a page of its keys was listed again. The watch goes on from the
     /// revision of the first page: what changed while the others were read is told again. With one
     /// page for all, a leader of more than a thousand live jobs once never learned of the rest.
-    pub(super) fn on_relist(
+    pub(crate) fn on_relist(
         &mut self,
         context: &mut Context,
         prefix: &str,
--- a/crates/core/src/quota/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -1,14 +1,14 @@
-//! On what the writes of a partition's holder depend.
+//! The conditions (compare-and-swap) on which a partition holder's writes depend.
 //!
-//! A holder may write assignments only under its claim, and only while the leader that gave it the tasks is
-//! on record: each write depends on both records. The leader's stays there for as long as its lease lasts,
-//! so tasks go on starting for that long after it has ended. The next leader reads all pages after its
-//! grant: from then on no write of a holder succeeds until that leader has given it orders. So a task is
-//! never placed by two, and a write that is carried out late fails.
+//! A holder may write assignments only under its claim, and only while the leader that delegated the tasks is on record:
+//! each write depends on both records. The leader's record stays for as long as its lease lasts, so tasks go on starting
+//! for that long after it has ended. The next leader reads all pages after its grant: from then on no write
+//! of a holder succeeds until that leader has given it orders. So a task is never placed by two controllers, and a write that is
+//! carried out late fails.
 
-use crate::agents::Assignment;
 use crate::context::Context;
 use crate::scheduler::Scheduler;
+use crate::state::machine::Assignment;
 use grebewood_wire::http::Condition;
 use grebewood_wire::records::{claim_key, LEADER, LIMITS};
 use log::info;
--- a/crates/core/src/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -1,10 +1,10 @@
 //! Pages of completed tasks.
 //!
-//! Tasks of many jobs end every second, while the state service takes some ten changes. So the
-//! completed tasks of many jobs share a record, which is written every few seconds: until then the
-//! workers keep the results, since an exited task is acknowledged only when its end is durable.
+//! Tasks of many jobs end every second, while the store takes some ten writes a second. So the completed tasks of
+//! many jobs share a record, which is written every few seconds: until then the agents keep the results, since an exited task is
+//! acknowledged only when its end is durable.
 
-use crate::jobs::{Job, JobIndex, Jobs};
+use crate::state::jobs::{Job, JobIndex, Jobs};
 use grebewood_wire::records::{CompletedTasksPageRecord, DONE_SPAN};
 use std::collections::BTreeSet;
 
--- a/crates/core/src/quota/delegations.rs
+++ b/crates/core/src/state/delegations.rs
@@ -1,6 +1,6 @@
-//! Which tasks the leader has given to which holder and does not know to be placed yet.
+//! Tasks that the leader has delegated to a holder and does not know to be placed yet.
 
-use crate::jobs::JobIndex;
+use crate::state::jobs::JobIndex;
 use crate::Micros;
 use grebewood_partition::PartitionId;
 use grebewood_quota::{Resources, TeamAmounts};
--- a/crates/core/src/quota/delegations/tests.rs
+++ b/crates/core/src/state/delegations/tests.rs
@@ -1,4 +1,4 @@
-use super::{Delegation, Delegations};
+use crate::state::delegations::{Delegation, Delegations};
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
 use std::collections::BTreeSet;
--- a/crates/core/src/election.rs
+++ b/crates/core/src/state/election.rs
@@ -1,44 +1,36 @@
-//! Who leads: the election by a lease in the key-value store.
+//! What a controller knows of the election, and of its peers.
 //!
-//! The record `leader` is put under a lease on the condition that it is absent. Its stamp is the
-//! fencing token (`token` on the wire): stamps only grow, so each new leader has a higher one,
-//! and every write of a leader is conditional on it.
+//! The record `leader` is put under a lease on the condition that it is absent. Its modification revision is the fencing token:
+//! revisions only grow, so each new leader has a higher token, and every write of a leader is conditional on
+//! it.
 
-use self::contact::PeerView;
-use crate::{Micros, MILLI};
+use crate::Micros;
+use grebewood_partition::Member;
 use grebewood_wire::records::LeaderRecord;
-use std::collections::BTreeMap;
-
-mod candidacy;
-mod contact;
-
-pub(crate) use contact::MemberView;
-pub(crate) use contact::UnprovenMachines;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// A node's view of who leads.
 #[derive(Debug)]
 pub struct Election {
     /// The leader and the record's stamp, as last read.
-    leader: Option<(LeaderRecord, u64)>,
-    busy: bool,
-    next_probe: Micros,
+    pub(crate) leader: Option<(LeaderRecord, u64)>,
+    pub(crate) busy: bool,
+    pub(crate) next_probe: Micros,
     /// No candidacy before this time.
-    abstain_until: Micros,
-    incarnation: u64,
+    pub(crate) abstain_until: Micros,
+    pub(crate) incarnation: u64,
     /// When a lease was last asked for.
-    lease_requested_at: Micros,
+    pub(crate) lease_requested_at: Micros,
     /// What each peer last said, by its place in the settings.
-    peers: BTreeMap<usize, PeerView>,
+    pub(crate) peers: BTreeMap<usize, PeerView>,
     /// Number of the last question to the peers.
-    question: u64,
+    pub(crate) question: u64,
     /// When a holder of partitions that does not lead asks its peers next.
-    next_question: Micros,
+    pub(crate) next_question: Micros,
     /// The highest fencing token of a grant that was read from state, or is our own.
-    grant: u64,
+    pub(crate) grant: u64,
 }
 
-const PROBE: Micros = 500 * MILLI;
-
 impl Election {
     pub fn new(incarnation: u64) -> Self {
         Election {
@@ -98,3 +90,35 @@
         self.next_probe = 0;
     }
 }
+
+/// Which members can hold partitions.
+#[derive(Clone, Debug)]
+pub(crate) struct MemberView {
+    /// Those that can, and have contact with the state service.
+    pub members: BTreeSet<Member>,
+    /// Whether all siblings answered lately.
+    pub all_answer: bool,
+    /// Whether one answered that does not understand partitions.
+    pub any_without: bool,
+    /// Whether one answered that does not understand allotments.
+    pub any_without_quota_grants: bool,
+}
+
+/// What a peer last said of its contact with the state service.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct PeerView {
+    /// When the question was sent to which this was the answer.
+    pub(crate) asked: Micros,
+    /// When it last had contact, by our clock, at the latest.
+    pub(crate) contact: Option<Micros>,
+    /// It had none for some time before it answered.
+    pub(crate) without_contact: bool,
+    /// From when on it remembers which cancellations it confirmed and which grants it read.
+    pub(crate) remembers_from: Option<Micros>,
+    /// The highest grant that it read from state, or has itself.
+    pub(crate) grant: u64,
+    /// Whether it understands partitions.
+    pub(crate) partitions: bool,
+    /// Whether it understands allotments.
+    pub(crate) allotments: bool,
+}
--- a/crates/core/src/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -1,23 +1,24 @@
-//! Room kept for services that are yet to come, or to come back from a machine that is gone.
+//! How much headroom is reserved for services that are yet to come, or to come back from a lost machine.
 //!
-//! A replica is missed from its first seconds on, and a machine takes far longer to boot. So as long as
-//! there are services, the decider plans for some jobs' worth of replicas in each zone besides those
-//! that wait, and placement keeps that room from batch tasks. Before the first one comes nothing is
-//! known of it but that an aim may have a class start sooner than a machine boots: while no job of
-//! such a class was seen, ordinary machines are kept free in each zone.
+//! A replica is missed from its first seconds on, and a machine takes far longer to boot. So as long as there are
+//! services, the autoscaler plans for some jobs' worth of replicas in each zone besides those that wait, and placement
+//! keeps that headroom from batch tasks. Before the first service comes, nothing is known but that a service-level
+//! objective may have a class start sooner than a machine boots: while no job of such a class was seen, ordinary
+//! machines are kept free in each zone.
 
 use crate::context::Context;
-use crate::jobs::{fits_type, Job, Jobs, EPS};
-use crate::placement::{permits, slots, OpenMachine};
-use crate::scheduler::Scheduler;
+use crate::state::bin_packing::slots;
+use crate::state::jobs::{fits_type, Job, Jobs};
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{Priority, Submission};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// At most this part of the machines is kept free.
 const KEPT_PART: u64 = 10;
+
 /// Machines' worth of room that is kept free in each zone at least.
 const LEAST: u64 = 2;
+
 /// Room is kept for so long after the last service ended.
 const KEPT_AFTER: Micros = 120 * SECOND;
 
@@ -158,39 +159,3 @@
         self.wanted.as_ref().map(|(spec, n)| (spec, *n))
     }
 }
-
-impl Scheduler {
-    /// Marks the room that is kept for services: in each zone that of machines with replicas first,
-    /// then of the fullest, until it is as much as wanted.
-    pub(crate) fn keep_headroom(&self, context: &Context, open: &mut [OpenMachine]) {
-        let Some((spec, wanted)) = self.headroom.wanted() else {
-            return;
-        };
-        let mut order: Vec<(bool, i64, usize)> = open
-            .iter()
-            .enumerate()
-            .filter(|(_, o)| {
-                slots(o.free, spec) > 0 && permits(context, spec, &o.machine_type, &o.zone, o.spot)
-            })
-            .map(|(at, o)| {
-                let serves = self.machines.get(&o.name).is_some_and(|m| {
-                    let mut jobs = m.assignments.iter().map(|a| a.job);
-                    jobs.any(|index| self.jobs.get(index).is_some_and(Job::is_daemon))
-                });
-                (!serves, (o.free.0 / EPS) as i64, at)
-            })
-            .collect();
-        order.sort();
-        let mut kept: BTreeMap<String, u64> = BTreeMap::new();
-        for (_, _, at) in order {
-            let o = &mut open[at];
-            let sum = kept.entry(o.zone.clone()).or_insert(0);
-            // No more than is wanted: a whole machine was kept at first, and in a fleet of two none was
-            // left for others.
-            let n = slots(o.free, spec).min(wanted - *sum);
-            *sum += n;
-            let room = |need: f64| need * n as f64;
-            o.headroom = (room(spec.cpus), room(spec.gpus), room(spec.memory_gb));
-        }
-    }
-}
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -1,15 +1,14 @@
-//! Live jobs: which tasks are done, which are taken, and in what order jobs are served.
+//! Live jobs: which tasks are completed, which are placed, and in what order jobs are served.
 
 use crate::context::Context;
-use crate::{micros, Micros, Settings, SECOND};
-use grebewood_wire::http::{to_value, MachineType, Priority, Submission};
+use crate::settings::Settings;
+use crate::{micros, Micros, SECOND};
+use grebewood_wire::http::{to_value, MachineType, Priority, Shape, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::{JobRecord, DONE_SPAN};
+use grebewood_wire::validate::MAX_TASKS;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use grebewood_wire::http::Shape;
-pub use grebewood_wire::validate::{valid_id, MAX_TASKS};
-
 /// Place of a job in the job table.
 pub type JobIndex = u32;
 
@@ -198,6 +197,7 @@
 
 /// A replica that ran for as long as this begins a new row of ends.
 const STEADY_RUN: Micros = 30 * SECOND;
+
 /// Longest pause before a replica that keeps ending is started again.
 const LONGEST_PAUSE: Micros = 30 * SECOND;
 
--- a/crates/core/src/agents/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,8 +1,7 @@
-//! What is known of a machine, and of the tasks given to it.
+//! What is known of a machine, and of the tasks assigned to it.
 
-use super::ANSWER_TIME;
-use crate::jobs::{parse_task, JobIndex};
-use crate::write_buffer::RecordId;
+use crate::state::jobs::{parse_task, JobIndex};
+use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
@@ -11,6 +10,9 @@
 use log::{info, warn};
 use std::collections::VecDeque;
 
+/// A worker waits so long for an answer to its report before it goes to another node.
+pub(crate) const ANSWER_TIME: Micros = 4 * SECOND;
+
 /// What a worker last said of an assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservedStatus {
@@ -257,12 +259,13 @@
 
 /// Failures of one job's tasks in a row that a machine is blamed for.
 const FAILURES_OF_ONE_JOB: usize = 4;
+
 /// Most failures that are remembered of a machine.
 const MOST_FAILURES: usize = 8;
 
 /// What failures on a machine say of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FailureAttribution {
+pub(crate) enum FailureAttribution {
     /// Nothing yet.
     None,
     /// Tasks of one job alone fail there: the job may be at fault.
@@ -352,7 +355,7 @@
     }
 
     /// Sums up anew what the assignments take, after one came or went.
-    pub(super) fn recount(&mut self) {
+    pub(crate) fn recount(&mut self) {
         let rooms = self.assignments.iter().map(|a| (a.cpus, a.gpus, a.memory));
         let rooms = rooms.chain(self.planned.iter().map(|p| p.room));
         self.used = rooms.fold((0.0, 0.0, 0.0), |sum, room| {
@@ -398,7 +401,7 @@
     }
 
     /// Notes that a task of the job failed here. Failures of a `suspect` job say nothing of the machine.
-    pub(super) fn note_failure(&mut self, job: &str, suspect: impl Fn(&str) -> bool) {
+    pub(crate) fn note_failure(&mut self, job: &str, suspect: impl Fn(&str) -> bool) {
         self.errors.push(job.to_string());
         self.forget_failures(suspect);
         let excess = self.errors.len().saturating_sub(MOST_FAILURES);
@@ -406,12 +409,12 @@
     }
 
     /// Forgets the failures of suspect jobs.
-    pub(super) fn forget_failures(&mut self, suspect: impl Fn(&str) -> bool) {
+    pub(crate) fn forget_failures(&mut self, suspect: impl Fn(&str) -> bool) {
         self.errors.retain(|id| !suspect(id));
     }
 
     /// What the failures since the last success say of the machine.
-    pub(super) fn blame(&self) -> FailureAttribution {
+    pub(crate) fn blame(&self) -> FailureAttribution {
         let first = self.errors.first();
         if self.errors.iter().any(|id| Some(id) != first) {
             return FailureAttribution::ByTwoJobs;
@@ -423,7 +426,7 @@
     }
 
     /// Takes no new tasks any more, and is returned once it is empty.
-    pub(super) fn retire_as_faulty(&mut self) {
+    pub(crate) fn retire_as_faulty(&mut self) {
         warn!("{}: faulty, to be returned", self.name);
         self.cordoned = true;
         self.draining = false;
@@ -431,7 +434,7 @@
     }
 
     /// Takes tasks again: it was not at fault.
-    pub(super) fn keep_after_all(&mut self) {
+    pub(crate) fn keep_after_all(&mut self) {
         info!(
             "{}: not faulty, jobs that failed there fail elsewhere too",
             self.name
@@ -462,3 +465,15 @@
 
 #[cfg(test)]
 mod tests;
+
+/// A task on a machine of a partition, as a message has it.
+pub(crate) fn placed_task(machine: &str, a: &Assignment) -> PlacedTask {
+    PlacedTask {
+        machine: machine.to_string(),
+        incarnation: a.incarnation,
+        job: a.job_id.clone(),
+        task: a.task,
+        attempt: a.attempt,
+        expected_us: a.expected,
+    }
+}
--- a/crates/core/src/agents/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -1,5 +1,4 @@
-use super::{Assignment, FailureAttribution, Machine, ObservedStatus};
-use crate::agents::ANSWER_TIME;
+use crate::state::machine::{Assignment, FailureAttribution, Machine, ObservedStatus, ANSWER_TIME};
 use crate::test_support::first_heartbeat;
 use crate::{Micros, SECOND};
 
--- /dev/null
+++ b/crates/core/src/state/placement.rs
@@ -0,0 +1,31 @@
+//! State that placement keeps between its rounds.
+
+use crate::state::jobs::JobIndex;
+use crate::Micros;
+
+/// State of the rounds.
+#[derive(Clone, Debug, Default)]
+pub struct Placement {
+    pub next_at: Micros,
+    /// Rounds keep at least their interval.
+    pub(crate) not_before: Micros,
+    /// Something changed that may let a task be placed.
+    pub wanted: bool,
+    /// Where the last round stopped for lack of time.
+    pub(crate) resume: Option<JobIndex>,
+    /// Nothing is placed before this time: a page could not be read.
+    pub blocked_until: Micros,
+    pub(crate) next_preemption: Micros,
+    /// Rounds so far.
+    pub rounds: u64,
+    /// The last round left tasks waiting.
+    pub backlog: bool,
+}
+
+impl Placement {
+    /// Something changed that may let a task be placed: a round is due now.
+    pub fn want(&mut self, now: Micros) {
+        self.wanted = true;
+        self.next_at = self.next_at.min(now.max(self.not_before));
+    }
+}
--- a/crates/core/src/stats.rs
+++ b/crates/core/src/state/stats.rs
@@ -3,8 +3,8 @@
 //! A run time is kept as its ratio to the owner's estimate, by class, and each sample is bounded
 //! so that one slow machine or one wild estimate cannot poison the average.
 
-use crate::jobs::Shape;
 use crate::{micros, Micros, SECOND};
+use grebewood_wire::http::Shape;
 use grebewood_wire::http::{to_value, Submission};
 use grebewood_wire::json_size;
 use grebewood_wire::records::StatsRecord;
--- a/crates/core/src/stats/tests.rs
+++ b/crates/core/src/state/stats/tests.rs
@@ -1,4 +1,4 @@
-use super::{Mean, Stats};
+use crate::state::stats::{Mean, Stats};
 use grebewood_wire::http::to_value;
 use grebewood_wire::json_size;
 
--- a/crates/core/src/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -1,17 +1,16 @@
-//! The ledger: what the holder of a grant still has to write, and what is durable already.
+//! The write-behind buffer: which records still have to be written, and which are durable.
 //!
-//! Each record that changes gets the next number of a sequence; a flush writes the current
-//! content of several records in one transaction, on the condition that the grant is still ours
-//! and that each key still has the stamp we know. The second condition guards against a
-//! transaction whose outcome was unknown and which is applied late: either it comes before the
-//! next write of the same key, which then fails and is repeated, or it fails itself.
+//! Each record that changes gets the next number of a sequence; a flush writes the current content of several records in
+//! one transaction, on the condition that the lease is still held and that each key still has the known revision. The
+//! second condition guards against a transaction whose outcome was unknown and which is applied late: either it comes
+//! before the next write of the same key, which then fails and is repeated, or it fails itself.
 //!
-//! What moves from one record to another is first written to the new one: the old one waits until
-//! that is durable ([`WriteBuffer::wait_for`]), so that at no moment it is on no record. Records whose
-//! transaction the state service called invalid go alone from then on ([`WriteBuffer::suspect`]), so
-//! that a single one cannot keep others from being written.
+//! What moves from one record to another is first written to the new one: the old one waits until that is durable
+//! ([`WriteBuffer::wait_for`]), so that it is on record at every moment. Records whose transaction the store
+//! called invalid go alone from then on ([`WriteBuffer::suspect`]), so that a single one cannot keep others from being
+//! written.
 
-use crate::jobs::JobIndex;
+use crate::state::jobs::JobIndex;
 use crate::{Micros, MILLI};
 use grebewood_partition::PartitionId;
 use grebewood_wire::http::{Condition, Operation, Transaction};
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -1,7 +1,8 @@
 //! What unit tests of several parts share.
 
-use crate::settings::Sibling;
-use crate::{Controller, Input, Micros, NoStopwatch, Now, Settings, Tuning, MILLI, SECOND};
+use crate::controller::Controller;
+use crate::settings::{Settings, Sibling, Tuning};
+use crate::{Input, Micros, NoStopwatch, Now, MILLI, SECOND};
 use grebewood_wire::http::{Heartbeat, Priority, Submission};
 use grebewood_wire::records::JobRecord;
 
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs: what is accepted, and when a replica is started again.
 
-use grebewood_core::jobs::{check_fields, check_size, Job};
+use grebewood_core::state::jobs::{check_fields, check_size, Job};
 use grebewood_core::SECOND;
 use grebewood_wire::http::{Priority, Submission};
 use grebewood_wire::records::JobRecord;
--- a/crates/core/tests/odd_submissions.rs
+++ b/crates/core/tests/odd_submissions.rs
@@ -1,6 +1,6 @@
 //! What a submission may hold, field by field.
 
-use grebewood_core::jobs::{check_fields, check_possible, Refused};
+use grebewood_core::state::jobs::{check_fields, check_possible, Refused};
 
 use grebewood_core::{Settings, Team};
 use grebewood_wire::http::{MachineType, Submission};
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -1,6 +1,6 @@
 //! What the ledger writes, in which order, and what it holds to be durable.
 
-use grebewood_core::write_buffer::{Batch, RecordId, WriteBuffer};
+use grebewood_core::state::write_buffer::{Batch, RecordId, WriteBuffer};
 use grebewood_wire::http::Transaction;
 
 fn batch(records: &[(RecordId, u64)]) -> Batch {
