--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -3,7 +3,7 @@
 use crate::calls::{UserAction, UserRequest, UserRequestStage};
 use crate::controller::{Controller, CONTACT_SPAN};
 use crate::settings::Settings;
-use crate::state::jobs::{check_fields, check_possible, check_size, Refused};
+use crate::state::jobs::{check_fields, check_possible, check_size, SubmissionRejection};
 use grebewood_wire as wire;
 use grebewood_wire::http::{MachineType, Submission};
 use grebewood_wire::validate::valid_id;
@@ -73,8 +73,8 @@
         let (status, reason) = match checked {
             // Without a clear outcome of the accepting transaction the job may still be accepted.
             _ if request.uncertain => (503, "not accepted yet".to_string()),
-            Some(Err(Refused::Invalid(reason))) => (400, reason),
-            Some(Err(Refused::Impossible(reason))) => (422, reason),
+            Some(Err(SubmissionRejection::Invalid(reason))) => (400, reason),
+            Some(Err(SubmissionRejection::Impossible(reason))) => (422, reason),
             Some(Ok(())) | None => (503, "not accepted yet".to_string()),
         };
         self.context.refuse(request.request, status, &reason);
@@ -103,7 +103,7 @@
     };
     match check_fields(&submission) {
         Ok(()) => UserAction::Submit(Box::new(submission)),
-        Err(Refused::Invalid(reason) | Refused::Impossible(reason)) => {
+        Err(SubmissionRejection::Invalid(reason) | SubmissionRejection::Impossible(reason)) => {
             UserAction::Malformed(reason)
         }
     }
@@ -114,7 +114,7 @@
     submission: &Submission,
     settings: &Settings,
     catalogue: &[MachineType],
-) -> Result<(), Refused> {
+) -> Result<(), SubmissionRejection> {
     check_size(submission, settings.store.value_bytes)?;
     check_possible(submission, settings, catalogue)
 }
--- a/crates/core/src/state/jobs/admission.rs
+++ b/crates/core/src/state/jobs/admission.rs
@@ -11,7 +11,7 @@
 
 /// Why a submission is not accepted.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Refused {
+pub enum SubmissionRejection {
     /// A field is invalid: status 400.
     #[error("{0}")]
     Invalid(String),
@@ -21,22 +21,22 @@
 }
 
 /// Checks a submission's own fields.
-pub fn check_fields(submission: &Submission) -> Result<(), Refused> {
+pub fn check_fields(submission: &Submission) -> Result<(), SubmissionRejection> {
     match submission.invalid_field() {
-        Some(why) => Err(Refused::Invalid(why)),
+        Some(why) => Err(SubmissionRejection::Invalid(why)),
         None => Ok(()),
     }
 }
 
 /// Checks that the job's record fits a value of the store, which takes up to `value_bytes` bytes. The store would refuse
 /// a longer one again and again, and the user would be told to retry each time.
-pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), Refused> {
+pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), SubmissionRejection> {
     let record = JobRecord {
         spec: submission.clone(),
         accepted_us: u64::MAX,
     };
     match json_size(&to_value(&record)) > value_bytes {
-        true => Err(Refused::Invalid("the job is too long to be kept".into())),
+        true => Err(SubmissionRejection::Invalid("the job is too long to be kept".into())),
         false => Ok(()),
     }
 }
@@ -61,8 +61,8 @@
     submission: &Submission,
     settings: &Settings,
     catalogue: &[MachineType],
-) -> Result<(), Refused> {
-    let impossible = |why: String| Err(Refused::Impossible(why));
+) -> Result<(), SubmissionRejection> {
+    let impossible = |why: String| Err(SubmissionRejection::Impossible(why));
     let Some(team) = settings.teams.get(&submission.team) else {
         return impossible(format!("owner: no team {:?}", submission.team));
     };
--- a/crates/core/tests/odd_submissions.rs
+++ b/crates/core/tests/odd_submissions.rs
@@ -1,6 +1,6 @@
 //! What a submission may hold, field by field. Fields are named as on the wire.
 
-use grebewood_core::state::jobs::{check_fields, check_possible, Refused};
+use grebewood_core::state::jobs::{check_fields, check_possible, SubmissionRejection};
 use grebewood_core::{Settings, Team};
 use grebewood_wire::http::{MachineType, Submission};
 use grebewood_wire::{from_cbor, to_cbor, Value};
@@ -207,7 +207,7 @@
         assert_eq!(check_fields(&submission), Ok(()));
         match check_possible(&submission, &settings, std::slice::from_ref(&machine_type)) {
             Ok(()) => true,
-            Err(Refused::Impossible(_)) => false,
+            Err(SubmissionRejection::Impossible(_)) => false,
             Err(other) => panic!("{other:?}"),
         }
     };
