--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{parse_task, JobIndex, EPS};
+use crate::state::jobs::{parse_task, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::stop_command;
 use crate::state::write_buffer::RecordId;
@@ -111,7 +111,7 @@
         let max_silence = context.settings.heartbeat_timeout();
         self.placement.backlog
             && self.machines.get(name).is_some_and(|machine| {
-                machine.free().cpus > EPS && machine.usable(context.now.steady, max_silence)
+                machine.free().cpus > RESOURCE_TOLERANCE && machine.usable(context.now.steady, max_silence)
             })
     }
 
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::heartbeats::MAX_HOLD;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::EPS;
+use crate::state::jobs::RESOURCE_TOLERANCE;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::{Assignment, ExitedAttempt};
 use crate::state::write_buffer::RecordId;
@@ -74,7 +74,7 @@
             assignment.stop.is_none() && assignment.remaining(now, 0) > least_remaining
         };
         self.machines.get(machine).is_some_and(|machine| {
-            machine.free().cpus > EPS
+            machine.free().cpus > RESOURCE_TOLERANCE
                 && machine.usable(now, context.settings.heartbeat_timeout())
                 && machine.exited_attempts.is_empty()
                 && machine.assignments.iter().all(runs_on)
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
 use crate::state::delegations::{Delegation, TaskKey};
-use crate::state::jobs::{JobIndex, EPS};
+use crate::state::jobs::{JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::{Assignment, Machine, PlannedTask};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
@@ -45,7 +45,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.free.cpus <= EPS
+        self.free.cpus <= RESOURCE_TOLERANCE
     }
 }
 
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -6,7 +6,7 @@
     machine_types, machine_types_for, permits, tasks_that_fit, MachineResources,
 };
 use crate::state::fleet::{MachineOffering, UNKNOWN_BOOT_TIME};
-use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
+use crate::state::jobs::{fits_type, Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::Machine;
 use crate::{micros, Micros};
 use grebewood_quota::Resources;
@@ -136,7 +136,7 @@
     zones
         .iter()
         .map(|zone| ZoneTasks::new(Some(zone), needed(zone)))
-        .filter(|in_zone| in_zone.tasks > EPS)
+        .filter(|in_zone| in_zone.tasks > RESOURCE_TOLERANCE)
         .collect()
 }
 
@@ -154,7 +154,7 @@
     } = usage;
     let rounds = (time.time_left_s / time.run_s).max(1.0);
     let tasks_in = |limit: f64, used: f64, planned: f64, need: f64| {
-        if need <= EPS {
+        if need <= RESOURCE_TOLERANCE {
             f64::MAX
         } else {
             ((limit * rounds - used - planned) / need).max(0.0)
@@ -321,7 +321,7 @@
             _ => tasks_by_zone(job, zones, tasks),
         };
         let rest = tasks - parts.iter().map(|part| part.tasks).sum::<f64>();
-        if rest > EPS {
+        if rest > RESOURCE_TOLERANCE {
             parts.push(ZoneTasks::new(None, rest));
         }
         parts
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources};
 use crate::state::fleet::MachineOffering;
-use crate::state::jobs::{fits_type, EPS};
+use crate::state::jobs::{fits_type, RESOURCE_TOLERANCE};
 use crate::Micros;
 use grebewood_wire::http::MachineType;
 use std::collections::BTreeMap;
@@ -69,8 +69,8 @@
     fn serves_stranded_tasks(&self, power: &[f64]) -> bool {
         let mut demand = self.demand.iter().enumerate();
         demand.any(|(i, d)| match d.is_batch() {
-            true => self.power[i] <= EPS && power[i] > 0.0 && self.gap[i] >= d.tasks - EPS,
-            false => self.gap[i] > EPS && power[i] > 0.0,
+            true => self.power[i] <= RESOURCE_TOLERANCE && power[i] > 0.0 && self.gap[i] >= d.tasks - RESOURCE_TOLERANCE,
+            false => self.gap[i] > RESOURCE_TOLERANCE && power[i] > 0.0,
         })
     }
 
@@ -91,7 +91,7 @@
             .sum();
         let worth_it = backlog_exceeded || self.serves_stranded_tasks(power);
         let closes = match backlog_exceeded {
-            true => closes.max(EPS),
+            true => closes.max(RESOURCE_TOLERANCE),
             false => closes,
         };
         if capacity <= 0.0 || closes <= 0.0 || (!worth_it && closes < capacity * self.least_use) {
@@ -140,7 +140,7 @@
 }
 
 fn price_per_cpu(machine_type: &MachineType, price: f64) -> f64 {
-    price / machine_type.cpus.max(EPS)
+    price / machine_type.cpus.max(RESOURCE_TOLERANCE)
 }
 
 fn lowest_price_per_cpu(catalogue: &[MachineType]) -> f64 {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::permits;
 use crate::state::fleet::MachineOffering;
-use crate::state::jobs::EPS;
+use crate::state::jobs::RESOURCE_TOLERANCE;
 use crate::{micros, Micros};
 use grebewood_wire::http::MachineType;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
         .zip(slots)
         .map(|(d, slots)| {
             if !d.is_batch() {
-                return slots * d.tasks / needed_now.max(EPS);
+                return slots * d.tasks / needed_now.max(RESOURCE_TOLERANCE);
             }
             let time_left_s = match boot_delay_s {
                 None => d.time_left_s,
@@ -93,7 +93,7 @@
             .partition_point(|task| task.remaining_s < seconds);
         let ending = match at {
             0 => 0.0,
-            _ => self.running[at - 1].machine_seconds / seconds.max(EPS),
+            _ => self.running[at - 1].machine_seconds / seconds.max(RESOURCE_TOLERANCE),
         };
         let staying = self.running.get(at).map_or(0.0, |task| task.machine_part);
         (self.machines - ending - staying).max(0.0)
@@ -133,7 +133,7 @@
                 let cpu_part = task.cpus / machine.cpus;
                 supply.running.push(RunningTask {
                     remaining_s: task.remaining(now, 0) as f64 / MICROS_PER_SECOND,
-                    machine_part: cpu_part.max(task.memory / machine.memory.max(EPS)),
+                    machine_part: cpu_part.max(task.memory / machine.memory.max(RESOURCE_TOLERANCE)),
                     machine_seconds: 0.0,
                 });
             }
@@ -204,8 +204,8 @@
         let (name, zone) = (&offering.machine_type, &offering.zone);
         match self.headroom.wanted() {
             Some((spec, replicas)) if permits(context, spec, name, zone, offering.spot) => {
-                let cpu_part = spec.cpus / machine_type.cpus.max(EPS);
-                let part = cpu_part.max(spec.memory_gb / machine_type.memory_gb.max(EPS));
+                let cpu_part = spec.cpus / machine_type.cpus.max(RESOURCE_TOLERANCE);
+                let part = cpu_part.max(spec.memory_gb / machine_type.memory_gb.max(RESOURCE_TOLERANCE));
                 part * replicas as f64
             }
             _ => 0.0,
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
-use crate::state::jobs::EPS;
+use crate::state::jobs::RESOURCE_TOLERANCE;
 use crate::state::machine::{Assignment, Machine};
 use crate::{Micros, SECOND};
 use log::info;
@@ -116,7 +116,7 @@
                 machine,
                 free: machine.free(),
             })
-            .filter(|target| target.free.cpus > EPS)
+            .filter(|target| target.free.cpus > RESOURCE_TOLERANCE)
             .collect();
         let mut drains = Vec::new();
         let candidates = drain_candidates(usable).into_iter();
--- a/crates/core/src/scheduler/leader/fleet/scale_in.rs
+++ b/crates/core/src/scheduler/leader/fleet/scale_in.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::leader::fleet::autoscaler::demand::{total_run_s, Demand, PlanningPass};
 use crate::scheduler::leader::fleet::autoscaler::supply::computing_power;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::EPS;
+use crate::state::jobs::RESOURCE_TOLERANCE;
 use crate::state::machine::Machine;
 use crate::Micros;
 use log::info;
@@ -33,7 +33,7 @@
         .iter()
         .zip(power)
         .zip(of_machine)
-        .all(|((d, power), own)| *own <= EPS || power - own + EPS >= d.tasks)
+        .all(|((d, power), own)| *own <= RESOURCE_TOLERANCE || power - own + RESOURCE_TOLERANCE >= d.tasks)
 }
 
 impl Scheduler {
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources, OpenMachine};
-use crate::state::jobs::{Job, EPS};
+use crate::state::jobs::{Job, RESOURCE_TOLERANCE};
 use grebewood_wire::http::Submission;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HeadroomMachine {
     without_services: bool,
-    /// Its free CPUs, in units of [`EPS`].
+    /// Its free CPUs, in units of [`RESOURCE_TOLERANCE`].
     free_cpus: i64,
     /// Its place among the open machines.
     at: usize,
@@ -49,7 +49,7 @@
             .filter(|(_, machine)| fits(machine))
             .map(|(at, machine)| HeadroomMachine {
                 without_services: !self.runs_services(&machine.name),
-                free_cpus: (machine.free.cpus / EPS) as i64,
+                free_cpus: (machine.free.cpus / RESOURCE_TOLERANCE) as i64,
                 at,
             })
             .collect();
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -6,7 +6,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{MachineResources, OpenMachine};
-use crate::state::jobs::{Job, JobIndex, EPS};
+use crate::state::jobs::{Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::Machine;
 use crate::{Micros, Stopwatch, SECOND};
 use grebewood_quota::{Resources, TeamAmounts};
@@ -209,7 +209,7 @@
             None => machine.free(),
         };
         self.usable_machines(context)
-            .filter(|machine| free(machine).cpus > EPS && !machine.reserved)
+            .filter(|machine| free(machine).cpus > RESOURCE_TOLERANCE && !machine.reserved)
             .map(|machine| OpenMachine {
                 name: machine.name.clone(),
                 zone: machine.zone.clone(),
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources};
-use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, EPS};
+use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, RESOURCE_TOLERANCE};
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::{Micros, SECOND};
 use grebewood_quota::{Resources, TeamAmounts};
@@ -66,7 +66,7 @@
     }
 
     fn covers(self, spec: &Submission) -> bool {
-        self.cpus + EPS >= spec.cpus && self.gpus + EPS >= spec.gpus
+        self.cpus + RESOURCE_TOLERANCE >= spec.cpus && self.gpus + RESOURCE_TOLERANCE >= spec.gpus
     }
 
     fn with_freed(self, freed: MachineResources) -> Self {
@@ -330,7 +330,7 @@
                     candidates.filter_map(|a| self.preemption_candidate(context, a, guaranteed));
                 PoolMachine::new(machine, candidates.collect())
             })
-            .filter(|machine| machine.free.cpus > EPS || !machine.candidates.is_empty())
+            .filter(|machine| machine.free.cpus > RESOURCE_TOLERANCE || !machine.candidates.is_empty())
             .collect()
     }
 
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{Job, JobIndex, EPS};
+use crate::state::jobs::{Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::Micros;
 use grebewood_quota::Resources;
 use grebewood_wire::http::{Priority, Shape};
@@ -58,7 +58,7 @@
         let run = self.stats.expected_run(&job.spec);
         let left = job.tasks().saturating_sub(job.completed_count) as f64;
         let quota = self.limit_of(context, &job.spec.team);
-        let cpus = job.spec.cpus.max(EPS);
+        let cpus = job.spec.cpus.max(RESOURCE_TOLERANCE);
         let most = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
         let rounds = (left / most.clamp(1.0, 1e6)).max(1.0);
         (run as f64 * rounds) as Micros
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -6,7 +6,7 @@
 use crate::state::bin_packing::{
     tasks_that_fit, HeadroomAccess, MachineResources, OpenMachine, Preference,
 };
-use crate::state::jobs::{JobIndex, EPS};
+use crate::state::jobs::{JobIndex, RESOURCE_TOLERANCE};
 use crate::Micros;
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
@@ -206,7 +206,7 @@
                 break;
             }
         }
-        open.retain(|machine| machine.free.cpus > EPS);
+        open.retain(|machine| machine.free.cpus > RESOURCE_TOLERANCE);
     }
 
     /// Places tasks of the job on a machine, or gives them to the holder that places them there. It breaks if
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -1,7 +1,7 @@
 //! Bin packing: whether a task fits a machine, and how many fit into its free resources.
 
 use crate::context::Context;
-use crate::state::jobs::{fits_type, EPS};
+use crate::state::jobs::{fits_type, RESOURCE_TOLERANCE};
 use grebewood_partition::PartitionId;
 use grebewood_wire::http::{MachineType, Submission};
 
@@ -103,10 +103,10 @@
 /// How many tasks of the job fit into the free resources.
 pub(crate) fn tasks_that_fit(free: MachineResources, spec: &Submission) -> u64 {
     let fit = |free: f64, need: f64| {
-        if need <= EPS {
+        if need <= RESOURCE_TOLERANCE {
             f64::MAX
         } else {
-            ((free + EPS) / need).floor()
+            ((free + RESOURCE_TOLERANCE) / need).floor()
         }
     };
     fit(free.cpus, spec.cpus)
--- a/crates/core/src/state/jobs/admission.rs
+++ b/crates/core/src/state/jobs/admission.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// Tolerance when amounts of resources are compared.
-pub const EPS: f64 = 1e-6;
+pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
 /// Why a submission is not accepted.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
@@ -51,9 +51,9 @@
             .zone
             .as_ref()
             .is_none_or(|zone| machine_type.zones.contains(zone))
-        && submission.cpus <= machine_type.cpus + EPS
-        && submission.gpus <= machine_type.gpus + EPS
-        && submission.memory_gb <= machine_type.memory_gb + EPS
+        && submission.cpus <= machine_type.cpus + RESOURCE_TOLERANCE
+        && submission.gpus <= machine_type.gpus + RESOURCE_TOLERANCE
+        && submission.memory_gb <= machine_type.memory_gb + RESOURCE_TOLERANCE
 }
 
 /// Checks whether the job can ever run.
@@ -71,8 +71,8 @@
         Some(Shape::Batch) => 1.0,
         _ => submission.tasks as f64,
     };
-    if submission.cpus * concurrent_tasks > team.cpus_max + EPS
-        || submission.gpus * concurrent_tasks > team.gpus_max + EPS
+    if submission.cpus * concurrent_tasks > team.cpus_max + RESOURCE_TOLERANCE
+        || submission.gpus * concurrent_tasks > team.gpus_max + RESOURCE_TOLERANCE
     {
         return impossible("the job needs more than the team's limit".into());
     }
