--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources};
-use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, RESOURCE_TOLERANCE};
+use crate::state::jobs::{Job, JobIndex, BEGIN_EARLY_AFTER_US, RESOURCE_TOLERANCE};
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::{Micros, SECOND};
 use grebewood_quota::{Resources, TeamAmounts};
@@ -367,7 +367,7 @@
 fn least_run(context: &Context, job: &Job) -> Micros {
     let live: u32 = job.zones.values().sum();
     let is_beginning =
-        job.age(context.now.steady) > BEGIN_AFTER && u64::from(live) <= job.beginning();
+        job.age(context.now.steady) > BEGIN_EARLY_AFTER_US && u64::from(live) <= job.beginning();
     match is_beginning || context.settings.has_start_objective(&job.spec.class) {
         true => LEAST_COUNTED_RUN,
         false => LEAST_RUN,
--- a/crates/core/src/state/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -7,7 +7,7 @@
 pub use crate::state::jobs::admission::{
     check_fields, check_possible, check_size, fits_type, SubmissionRejection, RESOURCE_TOLERANCE,
 };
-pub use crate::state::jobs::job::starvation::BEGIN_AFTER;
+pub use crate::state::jobs::job::starvation::BEGIN_EARLY_AFTER_US;
 pub use crate::state::jobs::job::{FinalStatus, Job};
 
 pub mod admission;
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -6,7 +6,7 @@
 
 /// A job that has not begun after this time, in microseconds, begins ahead of its turn: serving the least work first
 /// must not starve the largest jobs.
-pub const BEGIN_AFTER: Micros = 60 * SECOND;
+pub const BEGIN_EARLY_AFTER_US: Micros = 60 * SECOND;
 
 /// A job none of whose tasks was placed for so long, in microseconds, starves, and may take the headroom of daemons.
 const STARVES_AFTER: Micros = 70 * SECOND;
@@ -23,7 +23,7 @@
         self.began_at.is_none()
             && self.completed_count == 0
             && self.assigned_count == 0
-            && self.age(now) > BEGIN_AFTER
+            && self.age(now) > BEGIN_EARLY_AFTER_US
     }
 
     /// How many tasks a job begins with ahead of its turn; all of those that need to run together.
