--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::{parse_task, JobIndex};
-use crate::state::machine::{Machine, ObservedStatus, RESPONSE_TIMEOUT};
+use crate::state::machine::{Machine, ObservedStatus, RESPONSE_TIMEOUT_US};
 use crate::{micros, Micros};
 use grebewood_wire::http::{ExitCause, Heartbeat, ReportedTask, TaskStatus};
 use log::{info, warn};
@@ -242,7 +242,7 @@
     new_incarnation: bool,
     now: Micros,
 ) {
-    let in_time = now.saturating_sub(machine.last_response) < RESPONSE_TIMEOUT;
+    let in_time = now.saturating_sub(machine.last_response) < RESPONSE_TIMEOUT_US;
     if source == StatusSource::Heartbeat && machine.knows_token && in_time && !new_incarnation {
         machine.receives_responses = true;
         machine.unreachable_since = None;
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::{Micros, SECOND};
 
 /// Longest duration of a long poll, in microseconds. An agent gives up after
-/// [`RESPONSE_TIMEOUT`](crate::state::machine::RESPONSE_TIMEOUT), and the response has yet to travel.
+/// [`RESPONSE_TIMEOUT_US`](crate::state::machine::RESPONSE_TIMEOUT_US), and the response has yet to travel.
 const MAX_LONG_POLL: Micros = 3 * SECOND;
 
 /// Long polls may hold one of so many sockets.
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::Job;
-use crate::state::machine::{Assignment, Machine, RESPONSE_TIMEOUT};
+use crate::state::machine::{Assignment, Machine, RESPONSE_TIMEOUT_US};
 use crate::{Micros, MILLI, SECOND};
 use log::info;
 
@@ -48,7 +48,7 @@
         // An agent that gets no response for 4 s turns to another controller, and its lease should still hold when it
         // finds the next leader there: one and a half intervals once heartbeats are far apart.
         let interval = context.settings.heartbeat_interval;
-        let max_silence = (interval * 5 / 2).min((interval * 3 / 2).max(RESPONSE_TIMEOUT));
+        let max_silence = (interval * 5 / 2).min((interval * 3 / 2).max(RESPONSE_TIMEOUT_US));
         let silence = now.saturating_sub(self.last_heartbeat_at.max(self.loaded_at));
         if !self.loaded() || context.settings.siblings.is_empty() || silence <= max_silence {
             return false;
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -14,7 +14,7 @@
 pub mod assignment;
 
 /// How long an agent waits for the response to its heartbeat before it turns to another controller, in microseconds.
-pub(crate) const RESPONSE_TIMEOUT: Micros = 4 * SECOND;
+pub(crate) const RESPONSE_TIMEOUT_US: Micros = 4 * SECOND;
 
 /// Failures in a row of one job's tasks alone after which the machine may be at fault.
 const FAILURES_OF_ONE_JOB: usize = 4;
@@ -313,7 +313,7 @@
             .unreachable_since
             .map_or(0, |since| now.saturating_sub(since));
         !self.cordoned
-            && unreachable_for <= RESPONSE_TIMEOUT
+            && unreachable_for <= RESPONSE_TIMEOUT_US
             && self.reclaim_at.is_none()
             && self.incarnation > 0
             && self.quarantined_until <= now
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -1,5 +1,5 @@
 use crate::state::machine::{
-    Assignment, FailureAttribution, Machine, ObservedStatus, RESPONSE_TIMEOUT,
+    Assignment, FailureAttribution, Machine, ObservedStatus, RESPONSE_TIMEOUT_US,
 };
 use crate::test_support::first_heartbeat;
 use crate::{Micros, SECOND};
@@ -18,7 +18,7 @@
     let mut machine = machine(now);
     machine.unreachable_since = Some(now - SECOND);
     assert!(machine.counts(now, max_silence) && !machine.usable(now, max_silence));
-    machine.unreachable_since = Some(now - RESPONSE_TIMEOUT - SECOND);
+    machine.unreachable_since = Some(now - RESPONSE_TIMEOUT_US - SECOND);
     assert!(!machine.counts(now, max_silence));
     machine.receives_responses = true;
     machine.unreachable_since = None;
