--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -5,7 +5,7 @@
 use crate::state::bin_packing::{
     machine_types, machine_types_for, permits, tasks_that_fit, MachineResources,
 };
-use crate::state::fleet::{MachineOffering, UNKNOWN_BOOT_TIME};
+use crate::state::fleet::{MachineOffering, DEFAULT_BOOT_TIME_US};
 use crate::state::jobs::{fits_type, Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::Machine;
 use crate::{micros, Micros};
@@ -180,7 +180,7 @@
         machine_types(context)
             .map(|t| self.expected_boot_time(t))
             .min()
-            .unwrap_or(UNKNOWN_BOOT_TIME)
+            .unwrap_or(DEFAULT_BOOT_TIME_US)
     }
 
     /// Replicas, by job, on machines that are about to be terminated: they need a slot elsewhere now.
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::unreachable::termination_delay;
 use crate::scheduler::Scheduler;
-use crate::state::fleet::{BootingMachine, UNKNOWN_BOOT_TIME};
+use crate::state::fleet::{BootingMachine, DEFAULT_BOOT_TIME_US};
 use crate::{micros, Micros, MILLI, SECOND};
 use grebewood_wire::http::Heartbeat;
 use log::info;
@@ -118,7 +118,7 @@
     pub(crate) fn boot_timeout(&self, context: &Context, machine_type: &str) -> Micros {
         let declared = context
             .machine_type(machine_type)
-            .map_or(UNKNOWN_BOOT_TIME, |t| micros(t.boot_s));
+            .map_or(DEFAULT_BOOT_TIME_US, |t| micros(t.boot_s));
         let average = self.stats.boot_time(machine_type, declared).max(declared);
         let failed = self.fleet.failed_boots.get(machine_type).copied();
         let doublings = (failed.unwrap_or(0) / FAILED_BOOTS_PER_DOUBLING).min(MAX_DOUBLINGS);
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The boot time that is assumed of an unknown machine type, in microseconds.
-pub(crate) const UNKNOWN_BOOT_TIME: Micros = 30 * SECOND;
+pub(crate) const DEFAULT_BOOT_TIME_US: Micros = 30 * SECOND;
 
 /// Time between the beginning of a leader's term and its first round of the autoscaler, in microseconds.
 const FIRST_AUTOSCALER_ROUND: Micros = SECOND;
