--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{parse_task, JobIndex};
+use crate::state::jobs::{parse_task_name, JobIndex};
 use crate::state::machine::{Machine, ObservedStatus, RESPONSE_TIMEOUT_US};
 use crate::{micros, Micros};
 use grebewood_wire::http::{ExitCause, Heartbeat, ReportedTask, TaskStatus};
@@ -121,7 +121,7 @@
     /// Applies the status of one task.
     fn apply_task(&mut self, context: &mut Context, status: &Heartbeat, reported: &ReportedTask) {
         let name = &status.machine;
-        let Some((job_id, task)) = parse_task(&reported.task_name) else {
+        let Some((job_id, task)) = parse_task_name(&reported.task_name) else {
             warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
             return;
         };
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{parse_task, JobIndex, RESOURCE_TOLERANCE};
+use crate::state::jobs::{parse_task_name, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::stop_command;
 use crate::state::write_buffer::RecordId;
@@ -23,7 +23,7 @@
         .iter()
         .filter(|reported| reported.status != TaskStatus::Exited);
     live.filter_map(|reported| {
-        let (job, task) = parse_task(&reported.task_name)?;
+        let (job, task) = parse_task_name(&reported.task_name)?;
         context.cancellations.get(job)?;
         Some(stop_command(job, task, reported.attempt, 0))
     })
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::parse_task;
+use crate::state::jobs::parse_task_name;
 use crate::state::machine::{Assignment, Machine};
 use crate::state::remote_partitions::RemotePartition;
 use crate::{Micros, Outcome};
@@ -223,7 +223,7 @@
                     cause: Some(cause.clone()),
                     checkpointed: None,
                 };
-                if let Some((job, number)) = parse_task(&task_name) {
+                if let Some((job, number)) = parse_task_name(&task_name) {
                     self.apply_unrecorded_exit(context, name, job, number, &task);
                 }
             }
--- a/crates/core/src/state/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -29,7 +29,7 @@
 }
 
 /// Splits a task's name such as `req-000412/3` into the job's id and the task's number.
-pub fn parse_task(name: &str) -> Option<(&str, u64)> {
+pub fn parse_task_name(name: &str) -> Option<(&str, u64)> {
     let (id, task) = name.rsplit_once('/')?;
     Some((id, task.parse().ok()?))
 }
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -1,7 +1,7 @@
 //! A task that is assigned to a machine, from the decision until it is proven gone.
 
 use crate::state::bin_packing::MachineResources;
-use crate::state::jobs::{parse_task, JobIndex};
+use crate::state::jobs::{parse_task_name, JobIndex};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_quota::Resources;
@@ -277,7 +277,7 @@
 impl ExitedAttempt {
     /// Which attempt of which task it was.
     pub fn id(&self) -> Option<TaskAttempt> {
-        let (_, task) = parse_task(&self.task_name)?;
+        let (_, task) = parse_task_name(&self.task_name)?;
         Some(TaskAttempt {
             attempt: self.attempt,
             task,
