--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -6,7 +6,7 @@
     machine_types, machine_types_for, permits, tasks_that_fit, MachineResources,
 };
 use crate::state::fleet::{MachineOffering, DEFAULT_BOOT_TIME_US};
-use crate::state::jobs::{fits_type, Job, JobIndex, RESOURCE_TOLERANCE};
+use crate::state::jobs::{task_fits_machine_type, Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::Machine;
 use crate::{micros, Micros};
 use grebewood_quota::Resources;
@@ -61,7 +61,7 @@
         let permitted = (spec.spot || !spot)
             && spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
             && self.zone.as_ref().is_none_or(|wanted| wanted == zone)
-            && fits_type(spec, machine_type);
+            && task_fits_machine_type(spec, machine_type);
         if permitted {
             tasks_that_fit(MachineResources::of_type(machine_type), spec) as f64
         } else {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources};
 use crate::state::fleet::MachineOffering;
-use crate::state::jobs::{fits_type, RESOURCE_TOLERANCE};
+use crate::state::jobs::{task_fits_machine_type, RESOURCE_TOLERANCE};
 use crate::Micros;
 use grebewood_wire::http::MachineType;
 use std::collections::BTreeMap;
@@ -156,7 +156,7 @@
     let most_slots = |d: &Demand| {
         catalogue
             .iter()
-            .filter(|t| fits_type(d.spec, t))
+            .filter(|t| task_fits_machine_type(d.spec, t))
             .map(|t| tasks_that_fit(MachineResources::of_type(t), d.spec) as f64)
             .fold(1.0, f64::max)
     };
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -1,7 +1,7 @@
 //! Bin packing: whether a task fits a machine, and how many fit into its free resources.
 
 use crate::context::Context;
-use crate::state::jobs::{fits_type, RESOURCE_TOLERANCE};
+use crate::state::jobs::{task_fits_machine_type, RESOURCE_TOLERANCE};
 use grebewood_partition::PartitionId;
 use grebewood_wire::http::{MachineType, Submission};
 
@@ -79,7 +79,7 @@
     context: &'a Context,
     spec: &'a Submission,
 ) -> impl Iterator<Item = &'a MachineType> {
-    machine_types(context).filter(|machine_type| fits_type(spec, machine_type))
+    machine_types(context).filter(|machine_type| task_fits_machine_type(spec, machine_type))
 }
 
 /// Most tasks that [`tasks_that_fit`] counts.
@@ -97,7 +97,7 @@
         && spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
         && context
             .machine_type(machine_type)
-            .is_some_and(|machine_type| fits_type(spec, machine_type))
+            .is_some_and(|machine_type| task_fits_machine_type(spec, machine_type))
 }
 
 /// How many tasks of the job fit into the free resources.
--- a/crates/core/src/state/jobs.rs
+++ b/crates/core/src/state/jobs.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 pub use crate::state::jobs::admission::{
-    check_fields, check_possible, check_size, fits_type, SubmissionRejection, RESOURCE_TOLERANCE,
+    check_fields, check_possible, check_size, task_fits_machine_type, SubmissionRejection, RESOURCE_TOLERANCE,
 };
 pub use crate::state::jobs::job::starvation::BEGIN_EARLY_AFTER_US;
 pub use crate::state::jobs::job::{FinalStatus, Job};
--- a/crates/core/src/state/jobs/admission.rs
+++ b/crates/core/src/state/jobs/admission.rs
@@ -42,7 +42,7 @@
 }
 
 /// Whether one task of the job fits the machine type and the job permits it.
-pub fn fits_type(submission: &Submission, machine_type: &MachineType) -> bool {
+pub fn task_fits_machine_type(submission: &Submission, machine_type: &MachineType) -> bool {
     submission
         .machine_types
         .as_ref()
@@ -76,7 +76,7 @@
     {
         return impossible("the job needs more than the team's limit".into());
     }
-    if !catalogue.iter().any(|of| fits_type(submission, of)) {
+    if !catalogue.iter().any(|of| task_fits_machine_type(submission, of)) {
         return impossible("a task fits no allowed machine type".into());
     }
     Ok(())
