--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -110,7 +110,7 @@
         let (live, finished) = (job_key(&job.id), format!("{FINISHED}{}", job.id));
         let cancellation = self.cancellation_key(&job.id);
         let content = FinishedJobRecord {
-            status: ending.status().into(),
+            status: ending.as_str().into(),
             tasks: job.tasks(),
         };
         let mut write = RecordWrite {
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -34,7 +34,7 @@
 
 impl FinalStatus {
     /// The word for it in messages and records.
-    pub fn status(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             FinalStatus::Done => "done",
             FinalStatus::Aborted => "aborted",
