--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -342,7 +342,7 @@
 fn must_stop_for_reclamation(job: &Job, left: Micros) -> bool {
     if job.is_daemon() {
         left < job.checkpoint_grace() + LAST_MOVE
-    } else if job.checkpoints() {
+    } else if job.writes_checkpoints() {
         left < micros(job.spec.checkpoint_duration_s) + CHECKPOINT_MARGIN
     } else {
         true
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -163,7 +163,7 @@
                     && permits(context, spec, &other.machine_type, &other.zone, other.spot)
             })?;
             target.free = target.free - assignment.resources();
-            if job.checkpoints() && is_worth_moving(assignment, context) {
+            if job.writes_checkpoints() && is_worth_moving(assignment, context) {
                 moves.push(TaskMove {
                     attempt: assignment.attempt,
                     grace: job.checkpoint_grace(),
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -346,7 +346,7 @@
         let ran = assignment.started.map_or(0, |at| now.saturating_sub(at));
         let may_be_stopped = assignment.stop.is_none()
             && !job.is_daemon()
-            && job.checkpoints()
+            && job.writes_checkpoints()
             && assignment.seen == ObservedStatus::Running
             && ran >= least_run(context, job)
             && assignment.remaining(now, 0) >= LEAST_REMAINING;
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -201,7 +201,7 @@
     fn stop_candidate(&self, assignment: &Assignment) -> Option<StopCandidate> {
         let job = self.jobs.get(assignment.job)?;
         // Without one of its tasks a gang cannot run.
-        if job.shape == Shape::Gang || !(job.checkpoints() || job.is_daemon()) {
+        if job.shape == Shape::Gang || !(job.writes_checkpoints() || job.is_daemon()) {
             return None;
         }
         Some(StopCandidate {
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -174,13 +174,13 @@
     }
 
     /// Whether its tasks write checkpoints.
-    pub(crate) fn checkpoints(&self) -> bool {
+    pub(crate) fn writes_checkpoints(&self) -> bool {
         self.spec.checkpoint_interval_s > 0.0
     }
 
     /// The time that a task gets to checkpoint when it is stopped, in microseconds; 0 if it writes no checkpoints.
     pub(crate) fn checkpoint_grace(&self) -> Micros {
-        match self.checkpoints() {
+        match self.writes_checkpoints() {
             true => grace(micros(self.spec.checkpoint_duration_s)),
             false => 0,
         }
