--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -65,7 +65,7 @@
         error!(machine = name, task = reported.task_name; "machine has a task that is not on record");
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
-            job.take(task);
+            job.assign_task(task);
             *job.zones.entry(status.zone.clone()).or_insert(0) += 1;
         }
         let page = match self.is_holder() {
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -276,7 +276,7 @@
         task: u64,
     ) {
         if let Some(job) = self.jobs.get_mut(placing.index) {
-            job.take(task);
+            job.assign_task(task);
             if holder.is_none() {
                 job.note_placed(context.now.steady);
             }
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -193,7 +193,7 @@
         let job = index.and_then(|index| self.jobs.get_mut(index));
         let spec = job.map(|job| {
             if delegation.is_none() {
-                job.take(placed.task);
+                job.assign_task(placed.task);
             }
             job.note_placed(context.now.steady);
             *job.zones.entry(zone.clone()).or_insert(0) += 1;
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -154,7 +154,7 @@
     /// Takes the task of its job, if the job is known; the result is the job's description.
     fn take_loaded_task(&mut self, job: LoadedJob, task: u64, zone: &str) -> Option<Submission> {
         let job = self.jobs.get_mut(job.index()?)?;
-        job.take(task);
+        job.assign_task(task);
         *job.zones.entry(zone.to_string()).or_insert(0) += 1;
         Some(job.spec.clone())
     }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -201,7 +201,7 @@
     }
 
     /// Takes a task for an assignment.
-    pub fn take(&mut self, task: u64) {
+    pub fn assign_task(&mut self, task: u64) {
         if self.assigned.contains(task) {
             *self.extra_assignments.entry(task).or_insert(0) += 1;
             return;
@@ -281,7 +281,7 @@
     /// Takes the next waiting task that may be placed now, for a partition holder that is to place it.
     pub fn take_next(&mut self, now: Micros) -> Option<u64> {
         let task = self.next_waiting(now)?;
-        self.take(task);
+        self.assign_task(task);
         Some(task)
     }
 
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -95,7 +95,7 @@
         while let Some(since) = job.catching_up() {
             assert_eq!(since, 0);
             let task = job.next_waiting(now).expect("a waiting task");
-            job.take(task);
+            job.assign_task(task);
             job.note_placed(now);
             job.begin_catch_up(now);
             placed += 1;
