--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -184,7 +184,7 @@
             self.on_not_placed_in_time(&delegation, now);
         }
         if let Some(job) = self.jobs.get_mut(task.job) {
-            job.give_back(task.task);
+            job.unassign_task(task.task);
             if job.waiting() > 0 && job.waiting_since.is_none() {
                 job.waiting_since = Some(now);
             }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -214,7 +214,7 @@
 
     /// Gives a task back when an assignment of it is proven gone. With two assignments of one task on record, as after a
     /// crash between two writes, it is free when both are gone.
-    pub fn give_back(&mut self, task: u64) {
+    pub fn unassign_task(&mut self, task: u64) {
         if let Some(extra) = self.extra_assignments.get_mut(&task) {
             *extra -= 1;
             if *extra == 0 {
@@ -234,7 +234,7 @@
 
     /// An assignment of the task in the zone is proven gone.
     pub(crate) fn note_assignment_removed(&mut self, task: u64, zone: &str, now: Micros) {
-        self.give_back(task);
+        self.unassign_task(task);
         if let Some(count) = self.zones.get_mut(zone) {
             *count = count.saturating_sub(1);
         }
