--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -400,7 +400,7 @@
         while tasks_that_fit(machine.free, &spec) > 0 && amount.fits(*unused) && placing.has_more()
         {
             let job = self.jobs.get_mut(placing.index);
-            let Some(task) = job.and_then(|job| job.take_next(context.now.steady)) else {
+            let Some(task) = job.and_then(|job| job.assign_next_task(context.now.steady)) else {
                 return;
             };
             machine.take(&spec);
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -279,7 +279,7 @@
     }
 
     /// Takes the next waiting task that may be placed now, for a partition holder that is to place it.
-    pub fn take_next(&mut self, now: Micros) -> Option<u64> {
+    pub fn assign_next_task(&mut self, now: Micros) -> Option<u64> {
         let task = self.next_waiting(now)?;
         self.assign_task(task);
         Some(task)
