--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -228,7 +228,7 @@
             if placing.spec.spread && u64::from(in_zone) >= most_in_zone(&placing.spec) {
                 return ControlFlow::Continue(());
             }
-            let next = job.next_waiting(now).filter(|_| placing.has_more());
+            let next = job.next_waiting_task(now).filter(|_| placing.has_more());
             let Some(task) = next else {
                 return ControlFlow::Break(());
             };
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -262,7 +262,7 @@
     }
 
     /// The next waiting task that may be placed now.
-    pub fn next_waiting(&mut self, now: Micros) -> Option<u64> {
+    pub fn next_waiting_task(&mut self, now: Micros) -> Option<u64> {
         if self.waiting() == 0 {
             return None;
         }
@@ -280,7 +280,7 @@
 
     /// Takes the next waiting task that may be placed now, for a partition holder that is to place it.
     pub fn assign_next_task(&mut self, now: Micros) -> Option<u64> {
-        let task = self.next_waiting(now)?;
+        let task = self.next_waiting_task(now)?;
         self.assign_task(task);
         Some(task)
     }
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -45,8 +45,8 @@
     for ran in [SECOND, SECOND, SECOND, 90 * SECOND, 0, 0, 0, 0, 0, 0, 0, 0] {
         job.replica_ended(0, "n-000001", ran, now);
         let from = now;
-        while job.next_waiting(now) != Some(0) {
-            assert_eq!((job.next_waiting(now), job.placeable(now)), (Some(1), 1));
+        while job.next_waiting_task(now) != Some(0) {
+            assert_eq!((job.next_waiting_task(now), job.placeable(now)), (Some(1), 1));
             now += SECOND;
         }
         assert_eq!(job.placeable(now), 2);
@@ -94,7 +94,7 @@
         let mut placed = 0;
         while let Some(since) = job.catching_up() {
             assert_eq!(since, 0);
-            let task = job.next_waiting(now).expect("a waiting task");
+            let task = job.next_waiting_task(now).expect("a waiting task");
             job.assign_task(task);
             job.note_placed(now);
             job.begin_catch_up(now);
