--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -185,7 +185,7 @@
         }
         if let Some(job) = self.jobs.get_mut(task.job) {
             job.unassign_task(task.task);
-            if job.waiting() > 0 && job.waiting_since.is_none() {
+            if job.waiting_count() > 0 && job.waiting_since.is_none() {
                 job.waiting_since = Some(now);
             }
         }
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -72,7 +72,7 @@
         }
         self.placement.backlog = queue.iter().any(|queued| {
             let job = self.jobs.get(queued.index);
-            job.is_some_and(|job| job.waiting() > 0)
+            job.is_some_and(|job| job.waiting_count() > 0)
         });
         if now >= self.placement.next_preemption {
             self.placement.next_preemption = now + PREEMPTION_INTERVAL;
@@ -165,7 +165,7 @@
     fn job_fits_limit(&self, context: &Context, job: &Job, freed: Resources) -> bool {
         let spec = &job.spec;
         let tasks = match job.shape {
-            Shape::Gang => job.waiting().max(1),
+            Shape::Gang => job.waiting_count().max(1),
             _ => 1,
         };
         let wanted = Resources::of(spec.cpus, spec.gpus).times(tasks);
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -107,7 +107,7 @@
         let mut queue: Vec<QueueKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.waiting() > 0 && job.retry_at <= now)
+            .filter(|(_, job)| job.waiting_count() > 0 && job.retry_at <= now)
             .map(|(index, job)| {
                 let standing = match (guaranteed.contains(&index), enforced) {
                     (false, _) => GuaranteeStanding::Outside,
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -150,7 +150,7 @@
     }
 
     /// Number of tasks that are neither completed nor assigned.
-    pub fn waiting(&self) -> u64 {
+    pub fn waiting_count(&self) -> u64 {
         if self.cancelled.is_some() || self.ending.is_some() {
             return 0;
         }
@@ -238,7 +238,7 @@
         if let Some(count) = self.zones.get_mut(zone) {
             *count = count.saturating_sub(1);
         }
-        if self.waiting() > 0 && self.waiting_since.is_none() {
+        if self.waiting_count() > 0 && self.waiting_since.is_none() {
             self.waiting_since = Some(now);
         }
     }
@@ -263,7 +263,7 @@
 
     /// The next waiting task that may be placed now.
     pub fn next_waiting_task(&mut self, now: Micros) -> Option<u64> {
-        if self.waiting() == 0 {
+        if self.waiting_count() == 0 {
             return None;
         }
         while self.first_candidate < self.tasks() && !self.is_waiting(self.first_candidate) {
@@ -355,7 +355,7 @@
     pub fn placeable(&self, now: Micros) -> u64 {
         let backing_off = self.restarts.backing_off(now);
         let backing_off = backing_off.filter(|task| !self.assigned.contains(*task));
-        let waiting = self.waiting().saturating_sub(backing_off.count() as u64);
+        let waiting = self.waiting_count().saturating_sub(backing_off.count() as u64);
         if !self.keeps_failing() {
             return waiting;
         }
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -59,7 +59,7 @@
 
     /// While the job catches up: since when it had starved, in microseconds.
     pub fn catching_up(&self) -> Option<Micros> {
-        self.catch_up.filter(|_| self.waiting() > 0)
+        self.catch_up.filter(|_| self.waiting_count() > 0)
     }
 
     /// Whether it has so few tasks that it catches up with all of them.
@@ -70,10 +70,10 @@
     /// Notes that a task was placed.
     pub fn note_placed(&mut self, now: Micros) {
         self.placed_at = now;
-        if self.waiting() == 0 {
+        if self.waiting_count() == 0 {
             self.waiting_since = None;
         }
-        if !self.is_small() || self.waiting() == 0 {
+        if !self.is_small() || self.waiting_count() == 0 {
             self.catch_up = None;
         }
     }
