--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -331,7 +331,7 @@
     }
 
     /// Number of tasks that are on machines, as far as known.
-    pub fn live(&self) -> u64 {
+    pub fn assignment_count(&self) -> u64 {
         self.zones.values().map(|count| u64::from(*count)).sum()
     }
 
@@ -359,7 +359,7 @@
         if !self.keeps_failing() {
             return waiting;
         }
-        let more = self.max_trial_tasks(now).saturating_sub(self.live());
+        let more = self.max_trial_tasks(now).saturating_sub(self.assignment_count());
         waiting.min(more)
     }
 
