--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -210,7 +210,7 @@
             // One that keeps failing needs a machine for its next try: left out, it once had none for
             // good after its last was terminated.
             let leaving = leaving.get(&index).copied().unwrap_or(0);
-            let waiting = job.placeable(now) + job.waiting_at_holders + leaving;
+            let waiting = job.placeable_count(now) + job.waiting_at_holders + leaving;
             if waiting == 0 {
                 continue;
             }
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -79,7 +79,7 @@
         let now = context.now.steady;
         self.jobs
             .iter()
-            .filter(|(index, job)| job.placeable(now) > 0 && self.has_quota(context, *index))
+            .filter(|(index, job)| job.placeable_count(now) > 0 && self.has_quota(context, *index))
             .map(|(_, job)| now.saturating_sub(job.waiting_since.unwrap_or(now)))
             .max()
     }
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -115,7 +115,7 @@
             let has_waited_long = job.must_begin(now) || job.catching_up().is_some();
             if !has_quota
                 && has_waited_long
-                && job.placeable(now) > 0
+                && job.placeable_count(now) > 0
                 && self.has_quota_soon(context, queued.index, &mut ending)
             {
                 kept.insert(job.spec.team.clone());
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -78,7 +78,7 @@
             let mut preempting = PreemptingJob {
                 spec,
                 task: Resources::of(spec.cpus, spec.gpus),
-                tasks: job.placeable(context.now.steady) + job.waiting_at_holders,
+                tasks: job.placeable_count(context.now.steady) + job.waiting_at_holders,
                 missing,
             };
             preempting.take_free(context, &mut pool);
@@ -109,7 +109,7 @@
             self.jobs.get(*index).is_some_and(|job| {
                 let since = job.waiting_since.unwrap_or(now);
                 let waited = now.saturating_sub(since) >= context.tuning.preempt_after_us;
-                let waits = job.placeable(now) > 0 && waited;
+                let waits = job.placeable_count(now) > 0 && waited;
                 waits || job.waiting_at_holders > 0
             })
         };
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -276,7 +276,7 @@
                 job,
                 guaranteed: guaranteed.contains(&index),
                 zone: zone_for(context, job, &pool),
-                missing: job.placeable(context.now.steady),
+                missing: job.placeable_count(context.now.steady),
                 quota: QuotaLeft::new(quota.limit, self.needed_by(team), freed),
             };
             // A gang needs all of its slots: what is stopped for a part of them is stopped for nothing.
@@ -297,7 +297,7 @@
             let waited = job.waiting_since.map_or(0, |at| now.saturating_sub(at));
             job.spec.priority > Priority::Idle
                 && !job.keeps_failing()
-                && job.placeable(now) > 0
+                && job.placeable_count(now) > 0
                 && waited >= context.tuning.preempt_after_us
                 && job
                     .target(context, self.time_needed(context, job))
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -99,7 +99,7 @@
         let spec = &job.spec;
         let now = context.now.steady;
         // A job whose tasks keep failing is tried with one task at a time.
-        let mut left = job.placeable(now);
+        let mut left = job.placeable_count(now);
         if left == 0 {
             return None;
         }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -352,7 +352,7 @@
     }
 
     /// Number of tasks that may be placed now, as far as the job itself is concerned.
-    pub fn placeable(&self, now: Micros) -> u64 {
+    pub fn placeable_count(&self, now: Micros) -> u64 {
         let backing_off = self.restarts.backing_off(now);
         let backing_off = backing_off.filter(|task| !self.assigned.contains(*task));
         let waiting = self.waiting_count().saturating_sub(backing_off.count() as u64);
