--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -367,7 +367,7 @@
 fn least_run(context: &Context, job: &Job) -> Micros {
     let live: u32 = job.zones.values().sum();
     let is_beginning =
-        job.age(context.now.steady) > BEGIN_EARLY_AFTER_US && u64::from(live) <= job.beginning();
+        job.age(context.now.steady) > BEGIN_EARLY_AFTER_US && u64::from(live) <= job.initial_task_count();
     match is_beginning || context.settings.has_start_objective(&job.spec.class) {
         true => LEAST_COUNTED_RUN,
         false => LEAST_RUN,
--- a/crates/core/src/scheduler/leader/placement/reservation.rs
+++ b/crates/core/src/scheduler/leader/placement/reservation.rs
@@ -53,7 +53,7 @@
             return;
         }
         let needed = match job.shape {
-            Shape::Gang => job.beginning(),
+            Shape::Gang => job.initial_task_count(),
             _ => 1,
         };
         let mut slots = 0;
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -105,7 +105,7 @@
         }
         // Ahead of its turn a job only begins.
         if job.must_begin(now) {
-            left = left.min(job.beginning());
+            left = left.min(job.initial_task_count());
         }
         // What has waited too long may take the headroom, too: not only for its beginning. The
         // rest of an array once waited for minutes beside it when nothing more could be provisioned.
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -27,7 +27,7 @@
     }
 
     /// How many tasks a job begins with ahead of its turn; all of those that need to run together.
-    pub fn beginning(&self) -> u64 {
+    pub fn initial_task_count(&self) -> u64 {
         match self.shape {
             Shape::Batch => self.tasks().div_ceil(FIRST_TASKS_PART),
             _ => self.tasks(),
