--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -138,7 +138,7 @@
             rank,
             index,
         };
-        if job.must_begin(context.now.steady) {
+        if job.must_begin_early(context.now.steady) {
             return level_and_rank(level::BEGINNING, job.accepted_at);
         }
         // What is free now, to the one that has waited longest: a large array of higher
--- a/crates/core/src/scheduler/leader/placement/reservation.rs
+++ b/crates/core/src/scheduler/leader/placement/reservation.rs
@@ -46,7 +46,7 @@
         let Some(job) = self.jobs.get(index) else {
             return;
         };
-        if !job.must_begin(context.now.steady)
+        if !job.must_begin_early(context.now.steady)
             || !self.has_quota(context, index)
             || !can_begin(context, job)
         {
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -104,7 +104,7 @@
             return None;
         }
         // Ahead of its turn a job only begins.
-        if job.must_begin(now) {
+        if job.must_begin_early(now) {
             left = left.min(job.initial_task_count());
         }
         // What has waited too long may take the headroom, too: not only for its beginning. The
@@ -112,7 +112,7 @@
         // Once there are no services any more, that goes for whatever waits long.
         let headroom_yields = self.headroom.may_yield() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
-            || job.must_begin(now)
+            || job.must_begin_early(now)
             || job.starves(now)
             || headroom_yields;
         Some(PlacingJob {
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -289,7 +289,7 @@
     /// the others do, and no resources are reserved for it.
     pub fn may_be_placed_by_holders(&self, now: Micros) -> bool {
         self.shape == Shape::Batch
-            && !self.must_begin(now)
+            && !self.must_begin_early(now)
             && self.catching_up().is_none()
             && !self.spec.one_zone
             && !self.spec.spread
