--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -113,7 +113,7 @@
         let headroom_yields = self.headroom.may_yield() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
             || job.must_begin_early(now)
-            || job.starves(now)
+            || job.is_starving(now)
             || headroom_yields;
         Some(PlacingJob {
             index: queued.index,
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -36,7 +36,7 @@
 
     /// Whether tasks have waited so long without any being placed that they may use the headroom of daemons, too: no
     /// job may wait for much longer while there are that many free resources.
-    pub fn starves(&self, now: Micros) -> bool {
+    pub fn is_starving(&self, now: Micros) -> bool {
         let since = self.waiting_since.map(|at| at.max(self.placed_at));
         since.is_some_and(|at| now.saturating_sub(at) > STARVES_AFTER)
     }
@@ -51,7 +51,7 @@
     /// tasks are placed, a larger one in a single round. With a single round for all, every small job of an overloaded
     /// class would begin, and hardly any of them finish.
     pub fn begin_catch_up(&mut self, now: Micros) {
-        if self.catch_up.is_none() && self.starves(now) {
+        if self.catch_up.is_none() && self.is_starving(now) {
             self.has_starved = true;
             self.catch_up = Some(self.placed_at);
         }
