--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -139,7 +139,7 @@
             "replica exited"
         );
         if let Some(job) = self.jobs.get_mut(assignment.job) {
-            job.replica_ended(assignment.task, exit.machine, ran, now);
+            job.note_replica_exit(assignment.task, exit.machine, ran, now);
         }
         if *exit.cause == ExitCause::Error {
             self.note_failure(context, exit.machine, assignment.job);
--- a/crates/core/src/state/jobs/job/failures.rs
+++ b/crates/core/src/state/jobs/job/failures.rs
@@ -50,7 +50,7 @@
     }
 
     /// A replica ended by itself on `machine` after it had run for `ran` microseconds.
-    pub fn replica_ended(&mut self, task: u64, machine: &str, ran: Micros, now: Micros) {
+    pub fn note_replica_exit(&mut self, task: u64, machine: &str, ran: Micros, now: Micros) {
         self.restarts.note_exit(task, machine, ran, now);
     }
 
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -43,7 +43,7 @@
     let mut now = 100 * SECOND;
     let mut backoffs_s = Vec::new();
     for ran in [SECOND, SECOND, SECOND, 90 * SECOND, 0, 0, 0, 0, 0, 0, 0, 0] {
-        job.replica_ended(0, "n-000001", ran, now);
+        job.note_replica_exit(0, "n-000001", ran, now);
         let from = now;
         while job.next_waiting_task(now) != Some(0) {
             assert_eq!((job.next_waiting_task(now), job.placeable_count(now)), (Some(1), 1));
