--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -306,7 +306,7 @@
                     if launchable {
                         a.launched = Some((machine.incarnation, 0));
                     }
-                    if a.may_be_on_machine() && !a.delivered && !a.recovered() {
+                    if a.may_be_on_machine() && !a.delivered && !a.is_recovered() {
                         orders.launches.push(placed_task(&machine.name, a));
                     }
                 }
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -142,7 +142,7 @@
     }
 
     /// Whether an earlier leader or holder launched it, as far as known.
-    pub fn recovered(&self) -> bool {
+    pub fn is_recovered(&self) -> bool {
         self.launched == Some(LAUNCHED_EARLIER)
     }
 
@@ -172,7 +172,7 @@
         };
         if self.seen == ObservedStatus::Running && self.started.is_none() {
             // When a task of an earlier leader began is not known: it is taken to be halfway.
-            let ran = match self.recovered() {
+            let ran = match self.is_recovered() {
                 true => self.expected / 2,
                 false => 0,
             };
@@ -204,7 +204,7 @@
         self.may_be_on_machine()
             && self.seen == ObservedStatus::Never
             && self.stop.is_none()
-            && !self.recovered()
+            && !self.is_recovered()
     }
 
     /// Time that it will still take, in microseconds, by its expected run time and `fetch`, the time to fetch its image.
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -50,9 +50,9 @@
         expected: 20 * SECOND,
         stop: None,
     };
-    assert!(assignment.recovered());
+    assert!(assignment.is_recovered());
     assignment.launched = Some((1, 7));
-    assert!(!assignment.recovered());
+    assert!(!assignment.is_recovered());
 }
 
 /// Two faulty jobs that meet on a sound machine must not have it terminated.
