--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -75,7 +75,7 @@
         };
         self.machines.get(machine).is_some_and(|machine| {
             machine.free().cpus > RESOURCE_TOLERANCE
-                && machine.usable(now, context.settings.heartbeat_timeout())
+                && machine.is_usable(now, context.settings.heartbeat_timeout())
                 && machine.exited_attempts.is_empty()
                 && machine.assignments.iter().all(runs_on)
         })
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -314,7 +314,7 @@
         let max_silence = context.settings.heartbeat_timeout();
         self.machines
             .values()
-            .filter(|machine| machine.zone == zone && machine.usable(now, max_silence))
+            .filter(|machine| machine.zone == zone && machine.is_usable(now, max_silence))
             .filter(|m| permits(context, spec, &m.machine_type, &m.zone, m.spot))
             .map(|machine| tasks_that_fit(machine.free(), spec))
             .sum()
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -177,7 +177,7 @@
         let machine = self.machines.get(&task.machine);
         machine.is_some_and(|machine| {
             machine.incarnation == task.incarnation
-                && machine.usable(context.now.steady, heartbeat_timeout)
+                && machine.is_usable(context.now.steady, heartbeat_timeout)
                 && self.has_room(context, machine, task)
         })
     }
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -289,7 +289,7 @@
     ) -> Option<(&'a str, FreeingMachine)> {
         let now = context.now.steady;
         let heartbeat_timeout = context.settings.heartbeat_timeout();
-        if !machine.usable(now, heartbeat_timeout) {
+        if !machine.is_usable(now, heartbeat_timeout) {
             return None;
         }
         let partition = machine.partition?;
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -196,7 +196,7 @@
         let now = context.now.steady;
         let heartbeat_timeout = context.settings.heartbeat_timeout();
         let machines = self.machines.values();
-        machines.filter(move |machine| machine.usable(now, heartbeat_timeout))
+        machines.filter(move |machine| machine.is_usable(now, heartbeat_timeout))
     }
 
     /// Machines with free resources.
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -302,7 +302,7 @@
     }
 
     /// Whether new tasks may be placed here, given that heartbeats may be `max_silence` microseconds old.
-    pub fn usable(&self, now: Micros, max_silence: Micros) -> bool {
+    pub fn is_usable(&self, now: Micros, max_silence: Micros) -> bool {
         self.receives_responses && self.counts(now, max_silence)
     }
 
