--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -119,7 +119,7 @@
         zone: machine.zone.clone(),
         spot: machine.spot,
         incarnation: machine.incarnation,
-        counts: machine.counts(now, heartbeat_timeout),
+        counts: machine.counts_as_capacity(now, heartbeat_timeout),
         receives_responses: machine.receives_responses,
         cordoned: machine.cordoned,
         reclaim_us: machine.reclaim_at.map(|at| at.saturating_sub(now)),
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -380,7 +380,7 @@
             }
         };
         let machines = self.machines.values();
-        for machine in machines.filter(|m| m.counts(now, heartbeat_timeout)) {
+        for machine in machines.filter(|m| m.counts_as_capacity(now, heartbeat_timeout)) {
             let slots = tasks_that_fit(machine.free(), spec);
             add(&machine.machine_type, &machine.zone, machine.spot, slots);
         }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -114,7 +114,7 @@
         let heartbeat_timeout = context.settings.heartbeat_timeout();
         let mut by_offering: BTreeMap<(&str, &str, bool), Supply> = BTreeMap::new();
         for machine in self.machines.values() {
-            if !machine.counts(now, heartbeat_timeout) || machine.cpus <= 0.0 {
+            if !machine.counts_as_capacity(now, heartbeat_timeout) || machine.cpus <= 0.0 {
                 continue;
             }
             let supply = by_offering
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -303,12 +303,12 @@
 
     /// Whether new tasks may be placed here, given that heartbeats may be `max_silence` microseconds old.
     pub fn is_usable(&self, now: Micros, max_silence: Micros) -> bool {
-        self.receives_responses && self.counts(now, max_silence)
+        self.receives_responses && self.counts_as_capacity(now, max_silence)
     }
 
     /// Whether scaling out counts it as able to take tasks: also while it has yet to show that our responses reach it.
     /// To a new leader that is every machine, and it would otherwise provision a second fleet meanwhile.
-    pub fn counts(&self, now: Micros, max_silence: Micros) -> bool {
+    pub fn counts_as_capacity(&self, now: Micros, max_silence: Micros) -> bool {
         let unreachable_for = self
             .unreachable_since
             .map_or(0, |since| now.saturating_sub(since));
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -17,9 +17,9 @@
     let (now, max_silence) = (100 * SECOND, 5 * SECOND);
     let mut machine = machine(now);
     machine.unreachable_since = Some(now - SECOND);
-    assert!(machine.counts(now, max_silence) && !machine.is_usable(now, max_silence));
+    assert!(machine.counts_as_capacity(now, max_silence) && !machine.is_usable(now, max_silence));
     machine.unreachable_since = Some(now - RESPONSE_TIMEOUT_US - SECOND);
-    assert!(!machine.counts(now, max_silence));
+    assert!(!machine.counts_as_capacity(now, max_silence));
     machine.receives_responses = true;
     machine.unreachable_since = None;
     assert!(machine.is_usable(now, max_silence));
