--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -184,12 +184,12 @@
             return;
         }
         match (machine.failure_attribution(), self.jobs.get_mut(index)) {
-            (FailureAttribution::ByTwoJobs, _) => machine.retire_as_faulty(),
+            (FailureAttribution::ByTwoJobs, _) => machine.cordon_as_faulty(),
             (FailureAttribution::ByOneJob, Some(job))
                 if job.terminated_for_failures < MAX_TERMINATIONS_BY_ONE_JOB =>
             {
                 job.terminated_for_failures += 1;
-                machine.retire_as_faulty();
+                machine.cordon_as_faulty();
             }
             _ => {}
         }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -287,7 +287,7 @@
     }
 
     /// Cordons it because tasks fail here: it is terminated once it is empty.
-    pub(crate) fn retire_as_faulty(&mut self) {
+    pub(crate) fn cordon_as_faulty(&mut self) {
         warn!(machine = self.name; "machine is faulty, to be terminated");
         self.cordoned = true;
         self.draining = false;
