--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -204,7 +204,7 @@
             if machine.failure_attribution() == FailureAttribution::None
                 && !self.fleet.is_terminating(&machine.name)
             {
-                machine.uncordon_as_sound();
+                machine.uncordon_as_healthy();
                 self.placement.request_round(context.now.steady);
             }
         }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -295,7 +295,7 @@
     }
 
     /// Uncordons it: it was not at fault.
-    pub(crate) fn uncordon_as_sound(&mut self) {
+    pub(crate) fn uncordon_as_healthy(&mut self) {
         info!(machine = self.name; "machine is not faulty, the jobs that failed there fail elsewhere too");
         self.cordoned = false;
         self.faulty = false;
