--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -149,7 +149,7 @@
             machine.plan(PlannedTask {
                 job: placing.index,
                 task,
-                room: MachineResources::of_task(spec),
+                resources: MachineResources::of_task(spec),
             });
             machine.use_image(&spec.image, spec.image_gb);
             machine.idle_since = context.now.steady;
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -33,7 +33,7 @@
     /// The task's number within the job.
     pub task: u64,
     /// What it takes of a machine.
-    pub room: MachineResources,
+    pub resources: MachineResources,
 }
 
 /// A machine. Times are in microseconds of the steady clock.
@@ -217,7 +217,7 @@
     /// Sums up anew what is used, after an assignment or a planned task came or went.
     pub(crate) fn recount(&mut self) {
         let assigned = self.assignments.iter().map(Assignment::resources);
-        let planned = self.planned.iter().map(|planned| planned.room);
+        let planned = self.planned.iter().map(|planned| planned.resources);
         self.used = assigned
             .chain(planned)
             .fold(MachineResources::default(), |sum, task| sum + task);
