--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -58,7 +58,7 @@
             machine: heartbeat.machine.clone(),
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
-            until: now + MAX_HOLD,
+            deadline: now + MAX_HOLD,
         };
         if !self.apply_heartbeat(context, heartbeat, StatusSource::Heartbeat) {
             self.note_late_heartbeat(context, &held);
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -83,14 +83,14 @@
 
     /// Holds a heartbeat as a long poll.
     pub(crate) fn hold_long_poll(&mut self, context: &Context, mut held: HeldHeartbeat) {
-        held.until = context.now.steady + long_poll_duration(context);
+        held.deadline = context.now.steady + long_poll_duration(context);
         self.long_polls.insert(held);
     }
 
     /// Holds a heartbeat that waits for a write or a round of placement.
     pub(crate) fn hold_heartbeat(&mut self, held: HeldHeartbeat) {
         if self.held_heartbeats.is_empty() {
-            self.held_until = held.until;
+            self.held_until = held.deadline;
         }
         self.held_heartbeats.push(held);
     }
@@ -98,7 +98,7 @@
     /// A task was placed on the machine: the response to its long poll waits only until that is on record.
     pub(crate) fn wake_long_poll(&mut self, context: &Context, machine: &str) {
         if let Some(mut held) = self.long_polls.remove(machine) {
-            held.until = context.now.steady + MAX_HOLD;
+            held.deadline = context.now.steady + MAX_HOLD;
             self.hold_heartbeat(held);
         }
     }
@@ -123,13 +123,13 @@
                 self.held_heartbeats.push(held);
             }
         }
-        let deadlines = self.held_heartbeats.iter().map(|held| held.until);
+        let deadlines = self.held_heartbeats.iter().map(|held| held.deadline);
         self.held_until = deadlines.min().unwrap_or(0);
     }
 
     /// Whether a heartbeat may be answered now.
     pub(crate) fn may_be_answered(&self, context: &Context, held: &HeldHeartbeat) -> bool {
-        context.now.steady >= held.until
+        context.now.steady >= held.deadline
             || !context.in_contact(STORE_CONTACT)
             || (self.placement.rounds >= held.round
                 && !self.waits_for_flush(&held.machine)
--- a/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -30,7 +30,7 @@
             machine: name,
             incarnation: 1,
             sequence: 1,
-            until: now,
+            deadline: now,
         };
         leader.hold_long_poll(&controller.context, held);
     }
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -73,7 +73,7 @@
         machine: MACHINE.into(),
         incarnation: 1,
         sequence: 2,
-        until: 0,
+        deadline: 0,
     };
     let commands = holder.commands(context, &heartbeat);
     commands.into_iter().map(|command| command.verb).collect()
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -130,7 +130,7 @@
         machine: MACHINE.into(),
         incarnation: 1,
         sequence: 2,
-        until: 0,
+        deadline: 0,
     };
     holder.commands(&controller.context, &heartbeat).len()
 }
--- a/crates/core/src/state/long_polls.rs
+++ b/crates/core/src/state/long_polls.rs
@@ -17,7 +17,7 @@
     /// The heartbeat's number within the incarnation.
     pub sequence: u64,
     /// When it is answered at the latest, in microseconds.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 /// Heartbeats of machines with free resources that wait for a task. Heartbeats may be several seconds apart; a task
@@ -53,14 +53,14 @@
 
     /// Holds a heartbeat until its deadline.
     pub(crate) fn insert(&mut self, held: HeldHeartbeat) {
-        self.by_deadline.insert((held.until, held.machine.clone()));
+        self.by_deadline.insert((held.deadline, held.machine.clone()));
         self.by_machine.insert(held.machine.clone(), held);
     }
 
     /// Takes out the heartbeat of a machine.
     pub(crate) fn remove(&mut self, machine: &str) -> Option<HeldHeartbeat> {
         let held = self.by_machine.remove(machine)?;
-        self.by_deadline.remove(&(held.until, held.machine.clone()));
+        self.by_deadline.remove(&(held.deadline, held.machine.clone()));
         Some(held)
     }
 
