--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -54,7 +54,7 @@
         }
         let held = HeldHeartbeat {
             request,
-            round: 0,
+            placement_round: 0,
             machine: heartbeat.machine.clone(),
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
@@ -93,7 +93,7 @@
     fn answer_or_hold(&mut self, context: &mut Context, mut held: HeldHeartbeat) {
         if self.has_room_for_backlog(context, &held.machine) {
             self.placement.request_round(context.now.steady);
-            held.round = self.placement.rounds + 1;
+            held.placement_round = self.placement.rounds + 1;
         }
         if !self.may_be_answered(context, &held) {
             return self.hold_heartbeat(held);
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -131,7 +131,7 @@
     pub(crate) fn may_be_answered(&self, context: &Context, held: &HeldHeartbeat) -> bool {
         context.now.steady >= held.deadline
             || !context.in_contact(STORE_CONTACT)
-            || (self.placement.rounds >= held.round
+            || (self.placement.rounds >= held.placement_round
                 && !self.waits_for_flush(&held.machine)
                 && !self.waits_for_leader(&held.machine))
     }
--- a/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -26,7 +26,7 @@
         }
         let held = HeldHeartbeat {
             request: number,
-            round: 0,
+            placement_round: 0,
             machine: name,
             incarnation: 1,
             sequence: 1,
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -69,7 +69,7 @@
 fn commands_for_agent(holder: &mut Scheduler, context: &Context) -> Vec<Verb> {
     let heartbeat = HeldHeartbeat {
         request: 1,
-        round: 0,
+        placement_round: 0,
         machine: MACHINE.into(),
         incarnation: 1,
         sequence: 2,
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -126,7 +126,7 @@
 fn launches(controller: &Controller, holder: &mut Scheduler) -> usize {
     let heartbeat = HeldHeartbeat {
         request: 1,
-        round: 0,
+        placement_round: 0,
         machine: MACHINE.into(),
         incarnation: 1,
         sequence: 2,
--- a/crates/core/src/state/long_polls.rs
+++ b/crates/core/src/state/long_polls.rs
@@ -9,7 +9,7 @@
     /// The number of the request to answer.
     pub request: u64,
     /// The round of placement that it waits for; 0 if it waits for none.
-    pub round: u64,
+    pub placement_round: u64,
     /// The machine that sent it.
     pub machine: String,
     /// The agent's incarnation.
