--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -110,7 +110,7 @@
         // What has waited too long may take the headroom, too: not only for its beginning. The
         // rest of an array once waited for minutes beside it when nothing more could be provisioned.
         // Once there are no services any more, that goes for whatever waits long.
-        let headroom_yields = self.headroom.may_yield() && job.has_waited_long(now);
+        let headroom_yields = self.headroom.has_no_live_services() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
             || job.must_begin_early(now)
             || job.is_starving(now)
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -160,7 +160,7 @@
     }
 
     /// Whether headroom is kept though there are no services now.
-    pub fn may_yield(&self) -> bool {
+    pub fn has_no_live_services(&self) -> bool {
         !self.live
     }
 
