--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -47,7 +47,7 @@
             Ok(record) if record.spec.id == id => {
                 self.write_buffer.note_revision(key, mod_revision);
                 let job = Job::new(record, context.now.steady, context.now.wall);
-                self.headroom.note(&job, context.now.steady);
+                self.headroom.note_job(&job, context.now.steady);
                 self.jobs.insert(job);
                 self.placement.request_round(context.now.steady);
             }
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -98,7 +98,7 @@
 
 impl Headroom {
     /// Takes note of a job.
-    pub fn note(&mut self, job: &Job, now: Micros) {
+    pub fn note_job(&mut self, job: &Job, now: Micros) {
         if !self.classes.contains(&job.spec.class) && self.classes.len() < MAX_CLASSES {
             self.classes.insert(job.spec.class.clone());
         }
