--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -45,7 +45,7 @@
         if !job.complete(task) {
             return None;
         }
-        let page = RecordId::Done(self.completed_pages.page_of(
+        let page = RecordId::CompletedTasksPage(self.completed_pages.page_of(
             index,
             task / TASKS_PER_LEGACY_RECORD,
             job,
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -134,7 +134,7 @@
         // Once a job is over, its terminal record stands for all of its tasks.
         let over = job.is_some_and(|index| self.jobs.get(index).is_none());
         after.iter().all(|(record, version)| {
-            (over && matches!(record, RecordId::Done(..)))
+            (over && matches!(record, RecordId::CompletedTasksPage(..)))
                 || self.write_buffer.is_durable(record, *version)
         })
     }
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -21,7 +21,7 @@
         match record {
             RecordId::QuotaGrant(partition) => self.render_quota_grant(*partition),
             RecordId::Page(number) => self.render_assignments(context, *number),
-            RecordId::Done(number) => {
+            RecordId::CompletedTasksPage(number) => {
                 let content = self.completed_pages.record(*number, &self.jobs);
                 Some(self.put_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
             }
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordId {
     /// The page of completed tasks with this number.
-    Done(u64),
+    CompletedTasksPage(u64),
     /// The page of assignments with this number.
     Page(u64),
     /// The request to provision the machine with this name.
