--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -131,7 +131,7 @@
         let writes_per_second = context.settings.store.write_rps * REMOVAL_WRITE_SHARE;
         let seconds_for_all_pages = self.pages.len() as f64 / writes_per_second;
         let delay = REMOVAL_WRITE_DELAY.max((seconds_for_all_pages * 1e6) as Micros);
-        let page = RecordId::Page(assignment.page);
+        let page = RecordId::AssignmentPage(assignment.page);
         self.write_buffer
             .mark_dirty_lazily(page, context.now.steady + delay);
     }
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -199,7 +199,7 @@
             let is_live = jobs.get(assignment.job).is_some_and(|job| {
                 job.cancelled.is_none() && !job.is_task_completed(assignment.task)
             });
-            let page = RecordId::Page(assignment.page);
+            let page = RecordId::AssignmentPage(assignment.page);
             if assignment.launched.is_none()
                 && write_buffer.is_durable(&page, assignment.written)
                 && is_live
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -154,7 +154,7 @@
     /// Whether an assignment of the machine is to be launched once its page is durable.
     fn waits_for_flush(&self, name: &str) -> bool {
         let is_unwritten = |assignment: &Assignment| {
-            let page = RecordId::Page(assignment.page);
+            let page = RecordId::AssignmentPage(assignment.page);
             assignment.launched.is_none()
                 && assignment.stop.is_none()
                 && !self.write_buffer.is_durable(&page, assignment.written)
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -97,7 +97,7 @@
         };
         if !self.is_holder() {
             self.page_mut(page).add(name, &assignment);
-            self.write_buffer.mark_dirty(RecordId::Page(page), now);
+            self.write_buffer.mark_dirty(RecordId::AssignmentPage(page), now);
         }
         self.add_assignment(name, assignment);
         self.send_due_stops(context, name);
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -45,7 +45,7 @@
                     break;
                 }
                 let to = self.move_assignment(&machine, position, from, due);
-                moves.extend(to.map(|to| (RecordId::Page(from), RecordId::Page(to))));
+                moves.extend(to.map(|to| (RecordId::AssignmentPage(from), RecordId::AssignmentPage(to))));
             }
         }
         moves
@@ -79,7 +79,7 @@
         assignment.page = to;
         if !assignment.may_be_on_machine() {
             // It is launched once it is durable on the new page.
-            assignment.written = self.write_buffer.mark_dirty(RecordId::Page(to), due);
+            assignment.written = self.write_buffer.mark_dirty(RecordId::AssignmentPage(to), due);
         }
         let assignment = assignment.clone();
         self.page_mut(from).remove(machine, &assignment);
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -56,7 +56,7 @@
             context.settings.store.transaction_operations
         };
         match record {
-            RecordId::Page(_) | RecordId::CompletedTasksPage(_) | RecordId::Stats if has_large_value(batch) => {
+            RecordId::AssignmentPage(_) | RecordId::CompletedTasksPage(_) | RecordId::Stats if has_large_value(batch) => {
                 self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
                 self.split_pages(context);
                 self.write_buffer.postpone(record, now + SECOND);
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -20,7 +20,7 @@
     pub(crate) fn render(&mut self, context: &Context, record: &RecordId) -> Option<RecordWrite> {
         match record {
             RecordId::QuotaGrant(partition) => self.render_quota_grant(*partition),
-            RecordId::Page(number) => self.render_assignments(context, *number),
+            RecordId::AssignmentPage(number) => self.render_assignments(context, *number),
             RecordId::CompletedTasksPage(number) => {
                 let content = self.completed_pages.record(*number, &self.jobs);
                 Some(self.put_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -250,7 +250,7 @@
 
     /// Whether the assignment is on its page for certain.
     pub(crate) fn is_on_record(&self, a: &Assignment) -> bool {
-        let page = RecordId::Page(a.page);
+        let page = RecordId::AssignmentPage(a.page);
         self.write_buffer.is_durable(&page, a.written)
     }
 
@@ -259,7 +259,7 @@
         for (name, machine) in &mut self.machines {
             let assignments = machine.assignments.iter_mut();
             for a in assignments.filter(|a| a.by_holder && !a.delivered) {
-                let page = RecordId::Page(a.page);
+                let page = RecordId::AssignmentPage(a.page);
                 if self.write_buffer.is_durable(&page, a.written) {
                     a.delivered = true;
                     self.holder_quota.note_placed(placed_task(name, a));
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -250,7 +250,7 @@
 fn assert_nothing_is_written(controller: &mut Controller, holder: &mut Scheduler) {
     controller.context.effects.clear();
     holder.write_buffer.mark_dirty(
-        crate::state::write_buffer::RecordId::Page(1000),
+        crate::state::write_buffer::RecordId::AssignmentPage(1000),
         controller.context.now.steady,
     );
     run(controller, holder);
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -102,7 +102,7 @@
             if page.is_ours {
                 let due = context.now.steady + SECOND;
                 self.write_buffer
-                    .mark_dirty_lazily(RecordId::Page(page.number), due);
+                    .mark_dirty_lazily(RecordId::AssignmentPage(page.number), due);
             }
             return;
         }
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -23,7 +23,7 @@
     /// The page of completed tasks with this number.
     CompletedTasksPage(u64),
     /// The page of assignments with this number.
-    Page(u64),
+    AssignmentPage(u64),
     /// The request to provision the machine with this name.
     PendingProvision(String),
     /// The end of a job: writes its final status and deletes its live records.
@@ -196,7 +196,7 @@
 
     /// Whether one of these pages of assignments has changes that are not durable.
     pub fn is_any_page_dirty(&self, pages: std::ops::Range<u64>) -> bool {
-        let pages = RecordId::Page(pages.start)..RecordId::Page(pages.end);
+        let pages = RecordId::AssignmentPage(pages.start)..RecordId::AssignmentPage(pages.end);
         let mut states = self.records.range(pages).map(|(_, state)| state);
         states.any(RecordState::is_dirty)
     }
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -16,7 +16,7 @@
 #[test]
 fn the_old_record_waits_for_the_new_one() {
     let mut buffer = WriteBuffer::default();
-    let (old, new) = (RecordId::Page(0), RecordId::Page(1));
+    let (old, new) = (RecordId::AssignmentPage(0), RecordId::AssignmentPage(1));
     let version = buffer.mark_dirty(new.clone(), 5);
     buffer.mark_dirty(old.clone(), 1);
     buffer.wait_for(old.clone(), new.clone(), version);
@@ -32,18 +32,18 @@
 #[test]
 fn lazy_changes_are_written_last() {
     let mut buffer = WriteBuffer::default();
-    buffer.mark_dirty_lazily(RecordId::Page(0), 1);
-    buffer.mark_dirty_lazily(RecordId::Page(1), 2);
-    buffer.mark_dirty(RecordId::Page(2), 3);
+    buffer.mark_dirty_lazily(RecordId::AssignmentPage(0), 1);
+    buffer.mark_dirty_lazily(RecordId::AssignmentPage(1), 2);
+    buffer.mark_dirty(RecordId::AssignmentPage(2), 3);
     assert_eq!(
         buffer.due(3),
-        vec![RecordId::Page(2), RecordId::Page(0), RecordId::Page(1)]
+        vec![RecordId::AssignmentPage(2), RecordId::AssignmentPage(0), RecordId::AssignmentPage(1)]
     );
-    buffer.mark_dirty(RecordId::Page(1), 3);
-    buffer.mark_dirty_lazily(RecordId::Page(1), 3);
+    buffer.mark_dirty(RecordId::AssignmentPage(1), 3);
+    buffer.mark_dirty_lazily(RecordId::AssignmentPage(1), 3);
     assert_eq!(
         buffer.due(3),
-        vec![RecordId::Page(1), RecordId::Page(2), RecordId::Page(0)]
+        vec![RecordId::AssignmentPage(1), RecordId::AssignmentPage(2), RecordId::AssignmentPage(0)]
     );
 }
 
@@ -62,7 +62,7 @@
 #[test]
 fn a_change_during_a_flush_stays_dirty() {
     let mut buffer = WriteBuffer::default();
-    let record = RecordId::Page(0);
+    let record = RecordId::AssignmentPage(0);
     let first_version = buffer.mark_dirty(record.clone(), 5);
     let batch = batch(&[(record.clone(), first_version)]);
     let second_version = buffer.mark_dirty(record.clone(), 6);
