--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -17,7 +17,7 @@
 use crate::state::jobs::{JobIndex, Jobs};
 use crate::state::long_polls::{HeldHeartbeat, LongPolls};
 use crate::state::machine::Machine;
-use crate::state::placement::Placement;
+use crate::state::placement::PlacementState;
 use crate::state::quota::LeaderQuota;
 use crate::state::remote_partitions::RemotePartitions;
 use crate::state::stats::Stats;
@@ -112,7 +112,7 @@
     /// Averages learned from what was seen.
     pub stats: Stats,
     /// State of the placement rounds.
-    pub placement: Placement,
+    pub placement: PlacementState,
     /// Attempts numbered so far under this lease.
     attempts: u64,
 
@@ -197,7 +197,7 @@
             unreadable_jobs: Vec::new(),
             unconfirmed_cancellations: BTreeSet::new(),
             stats: Stats::default(),
-            placement: Placement::default(),
+            placement: PlacementState::default(),
             attempts: 0,
             machines: BTreeMap::new(),
             fleet: Fleet::new(now),
--- a/crates/core/src/state/placement.rs
+++ b/crates/core/src/state/placement.rs
@@ -5,7 +5,7 @@
 
 /// State that placement keeps between its rounds; times are in microseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Placement {
+pub struct PlacementState {
     /// When the next round is due.
     pub next_at: Micros,
     /// No round before this time: rounds keep at least their interval.
@@ -24,7 +24,7 @@
     pub backlog: bool,
 }
 
-impl Placement {
+impl PlacementState {
     /// Something changed that may let a task be placed: a round is due now.
     pub fn request_round(&mut self, now: Micros) {
         self.wanted = true;
