--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -14,7 +14,7 @@
 impl Controller {
     /// Takes orders for a partition, which only the leader that the store names may give.
     pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
-        if !self.election.leader_is(&orders.from, orders.term) {
+        if !self.election.is_led_by(&orders.from, orders.term) {
             let (member, token) = (orders.from.as_str(), orders.term);
             debug!(member = member, token = token; "refused orders of a member that does not lead");
             return None;
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -68,7 +68,7 @@
 
     /// Takes task counts of live jobs, which only the leader that the store names may send.
     fn on_progress(&mut self, from: &str, token: u64, jobs: Vec<(String, u64, u64)>) {
-        if !self.election.leader_is(from, token) {
+        if !self.election.is_led_by(from, token) {
             return;
         }
         for (job, completed, running) in jobs {
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether `member` leads under this token, as far as known.
-    pub fn leader_is(&self, member: &str, token: u64) -> bool {
+    pub fn is_led_by(&self, member: &str, token: u64) -> bool {
         self.leader
             .as_ref()
             .is_some_and(|leader| leader.record.member == member && leader.token == token)
