--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -70,7 +70,7 @@
 
     fn refuse_overdue_requests(&mut self) {
         let now = self.context.now.steady;
-        let overdue = |request: &UserRequest| now >= request.patient_until();
+        let overdue = |request: &UserRequest| now >= request.view_deadline();
         if !self.job_view.waiting.iter().any(overdue) {
             return;
         }
@@ -162,7 +162,7 @@
         self.context.cancellations.note_store_read(made_at);
         let now = self.context.now.steady;
         for request in std::mem::take(&mut self.job_view.awaiting_reply) {
-            if now >= request.patient_until() {
+            if now >= request.view_deadline() {
                 self.context.refuse(request.request, 503, NOT_IN_TIME);
             } else {
                 self.on_fresh_view(request);
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -61,7 +61,7 @@
 
 impl UserRequest {
     /// Until when it waits for the view, in microseconds of the steady clock.
-    pub(crate) fn patient_until(&self) -> Micros {
+    pub(crate) fn view_deadline(&self) -> Micros {
         let patience = match self.action {
             UserAction::Poll => POLL_PATIENCE,
             UserAction::Submit(_) | UserAction::Malformed(_) | UserAction::Cancel => WRITE_PATIENCE,
@@ -90,7 +90,7 @@
         } else {
             self.next_request.max(self.refresh_at)
         };
-        let patience = self.waiting.iter().map(UserRequest::patient_until).min();
+        let patience = self.waiting.iter().map(UserRequest::view_deadline).min();
         next_request.min(patience.unwrap_or(Micros::MAX))
     }
 
