--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -56,7 +56,7 @@
         let now = self.context.now.steady;
         let request = UserRequest::new(id, &job, action, now);
         // One that was accepted costs no write, however often it is repeated.
-        if !acceptable || self.job_view.knows(&job) {
+        if !acceptable || self.job_view.is_known_accepted(&job) {
             return self.send_user_request(request);
         }
         if !self.context.user_writes.take(now, 1.0) {
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -137,7 +137,7 @@
     }
 
     /// Whether the job was accepted for certain: it is live, or was seen to end lately.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn is_known_accepted(&self, id: &str) -> bool {
         let live = self.live.get(id);
         live.is_some_and(|job| job.mod_revision > 0) || self.ended.iter().any(|ended| ended == id)
     }
