--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -50,7 +50,7 @@
         self.refuse_overdue_requests();
         let now = self.context.now.steady;
         let view = &mut self.job_view;
-        let wanted = view.update_wanted() || now >= view.refresh_at;
+        let wanted = view.needs_update() || now >= view.refresh_at;
         if view.request_in_flight || now < view.next_request || !wanted {
             return;
         }
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether the view has to be brought up to date before its next refresh.
-    pub(crate) fn update_wanted(&self) -> bool {
+    pub(crate) fn needs_update(&self) -> bool {
         !self.built || !self.waiting.is_empty()
     }
 
@@ -85,7 +85,7 @@
     pub fn next_wake(&self) -> Micros {
         let next_request = if self.request_in_flight {
             Micros::MAX
-        } else if self.update_wanted() {
+        } else if self.needs_update() {
             self.next_request
         } else {
             self.next_request.max(self.refresh_at)
