--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -139,7 +139,7 @@
         self.job_view.revision.get_or_insert(list.revision);
         for entry in &list.entries {
             self.job_view
-                .put(&entry.key, &entry.value, entry.mod_revision);
+                .apply_put(&entry.key, &entry.value, entry.mod_revision);
         }
         for entry in &list.entries {
             self.note_cancellation(&entry.key, &entry.value);
@@ -172,7 +172,7 @@
 
     fn on_job_event(&mut self, event: &WatchEvent) {
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
-            self.job_view.put(key, value, event.mod_revision);
+            self.job_view.apply_put(key, value, event.mod_revision);
             self.note_cancellation(key, value);
         }
         if let Some(key) = &event.delete {
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -95,7 +95,7 @@
     }
 
     /// Takes a record that was put; keys of other records are ignored.
-    pub(crate) fn put(&mut self, key: &str, value: &Value, mod_revision: u64) {
+    pub(crate) fn apply_put(&mut self, key: &str, value: &Value, mod_revision: u64) {
         match JobKey::parse(key) {
             Some(JobKey::Live(id)) => {
                 let tasks = match wire::http::from_value::<JobRecord>(value) {
