--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -176,7 +176,7 @@
             self.note_cancellation(key, value);
         }
         if let Some(key) = &event.delete {
-            self.job_view.delete(key);
+            self.job_view.apply_delete(key);
             // Nothing of a finished job runs any more.
             if let Some(JobKey::Live(id)) = JobKey::parse(key) {
                 self.context.cancellations.forget(id);
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -123,7 +123,7 @@
     }
 
     /// Takes the deletion of a key. A cancellation goes with its job, in one transaction.
-    pub(crate) fn delete(&mut self, key: &str) {
+    pub(crate) fn apply_delete(&mut self, key: &str) {
         let Some(JobKey::Live(id)) = JobKey::parse(key) else {
             return;
         };
