--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -59,7 +59,7 @@
             return;
         }
         if !view.built && view.unlisted_prefixes.is_empty() {
-            view.restart();
+            view.reset();
         }
         view.request_in_flight = true;
         view.next_request =
@@ -206,7 +206,7 @@
         view.refresh_at = now + REFRESH_RETRY_INTERVAL;
         if status != 0 && status != 429 {
             // The changes are too old, or cannot be read: the view is listed anew.
-            view.restart();
+            view.reset();
         }
     }
 
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -143,7 +143,7 @@
     }
 
     /// Empties the view, to be listed anew.
-    pub(crate) fn restart(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.built = false;
         self.live.clear();
         self.revision = None;
