--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -91,7 +91,7 @@
             return Micros::MAX;
         }
         let due = self.write_buffer.next_due();
-        due.map_or(Micros::MAX, |due| due.max(self.write_buffer.not_before))
+        due.map_or(Micros::MAX, |due| due.max(self.write_buffer.no_flush_before))
     }
 
     /// Writes dirty records, as many as one transaction and the write rate permit.
@@ -116,7 +116,7 @@
     fn is_flush_due(&self, now: Micros) -> bool {
         let due = self.write_buffer.next_due();
         self.write_buffer.in_flight.is_none()
-            && now >= self.write_buffer.not_before
+            && now >= self.write_buffer.no_flush_before
             && due.is_some_and(|due| due <= now)
     }
 
@@ -166,7 +166,7 @@
     /// Nothing can be written now: sets when to try again.
     fn delay_flush(&mut self, context: &mut Context, draft: &TransactionDraft) {
         let now = context.now.steady;
-        self.write_buffer.not_before = if draft.is_full {
+        self.write_buffer.no_flush_before = if draft.is_full {
             let writes = context.write_limiter(self.role);
             let ready = writes.ready_at(now, OPERATIONS_OF_NEXT_FLUSH);
             ready.max(now + RATE_LIMITED_PAUSE)
@@ -186,7 +186,7 @@
         context.write_limiter(self.role).take(now, operations);
         let purpose = self.pending(SchedulerCall::Flush);
         context.post_to_store("/txn", &transaction, purpose);
-        self.write_buffer.not_before = now + context.tuning.flush_interval_us;
+        self.write_buffer.no_flush_before = now + context.tuning.flush_interval_us;
         self.write_buffer.in_flight = Some(Batch {
             records,
             transaction,
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -13,7 +13,7 @@
 impl Scheduler {
     /// Takes the reply to the read of a stale key.
     pub(crate) fn on_refresh(&mut self, context: &mut Context, key: &str, outcome: Outcome) {
-        self.write_buffer.not_before = context.now.steady;
+        self.write_buffer.no_flush_before = context.now.steady;
         match outcome {
             Outcome::Answer { status: 200, body } => {
                 let Ok(entry) = wire::from_cbor::<KeyValue<Value>>(&body) else {
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -143,7 +143,7 @@
     /// The transaction whose outcome is awaited.
     pub in_flight: Option<Batch>,
     /// No flush before this time, in microseconds of the steady clock.
-    pub not_before: Micros,
+    pub no_flush_before: Micros,
     /// Keys whose mod_revisions must be read again before the next flush.
     pub stale: Vec<String>,
     /// What must be durable before a record may be written.
@@ -328,6 +328,6 @@
 
     /// Delays the next flush by at least `pause` microseconds, and by no less than a millisecond.
     pub fn back_off(&mut self, now: Micros, pause: Micros) {
-        self.not_before = self.not_before.max(now + pause.max(MILLI));
+        self.no_flush_before = self.no_flush_before.max(now + pause.max(MILLI));
     }
 }
