--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -151,7 +151,7 @@
     let cancel = CancelRecord { cancelled_us: WALL };
     leader.on_cancelled(&mut controller.context, "req-1", Some(&cancel));
     assert_eq!(
-        leader.write_buffer.stale,
+        leader.write_buffer.stale_keys,
         vec!["job/req-1/cancel".to_string()]
     );
     controller
@@ -182,7 +182,7 @@
             job.map(|j| j.cancelled.is_some())
         };
         assert_eq!(cancelled(leader), Some(true));
-        assert_eq!(leader.write_buffer.stale, vec!["past/req-1".to_string()]);
+        assert_eq!(leader.write_buffer.stale_keys, vec!["past/req-1".to_string()]);
         let finished = FinishedJobRecord {
             status: "aborted".into(),
             tasks: 1,
@@ -198,6 +198,6 @@
         };
         leader.on_refresh(&mut controller.context, "past/req-1", outcome);
         assert_eq!(cancelled(leader), (!over).then_some(false));
-        assert!(leader.write_buffer.stale.is_empty());
+        assert!(leader.write_buffer.stale_keys.is_empty());
     }
 }
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -104,7 +104,7 @@
         if ending == FinalStatus::Aborted && !self.write_buffer.is_on_record(&cancellation) {
             // The cancellation is known from a peer or from a user's request only. A job ends as cancelled only if its
             // cancellation is on record: the mod_revision is read first.
-            self.write_buffer.stale.push(cancellation);
+            self.write_buffer.stale_keys.push(cancellation);
         }
         let due = context.now.steady.saturating_sub(END_AHEAD);
         self.write_buffer
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -102,7 +102,7 @@
         let Some(conditions) = self.write_conditions() else {
             return;
         };
-        if let Some(key) = self.write_buffer.stale.first().cloned() {
+        if let Some(key) = self.write_buffer.stale_keys.first().cloned() {
             return self.refresh_revision(context, key);
         }
         let draft = self.draft_transaction(context, conditions);
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -68,7 +68,7 @@
         self.conditions_failed(&failed_keys)?;
         if failed_keys.is_empty() {
             // The answer does not say which: the mod_revisions of all are read, at a pace that leaves the store room.
-            self.write_buffer.stale.extend(batch.keys());
+            self.write_buffer.stale_keys.extend(batch.keys());
             self.flush_failed(context);
         }
         for key in failed_keys {
@@ -78,7 +78,7 @@
             if let Some(JobKey::Cancelled(job)) = JobKey::parse(&key) {
                 self.on_cancelled(context, job, None);
             }
-            self.write_buffer.stale.push(key);
+            self.write_buffer.stale_keys.push(key);
         }
         Ok(())
     }
--- a/crates/core/src/scheduler/flush/read_back.rs
+++ b/crates/core/src/scheduler/flush/read_back.rs
@@ -66,7 +66,7 @@
     /// The flush has not been applied so far, or that cannot be told: its records are written again. Before that the
     /// mod_revisions of its keys are read, since an earlier flush may have been applied in between.
     fn flush_again(&mut self, context: &mut Context, batch: &Batch) {
-        self.write_buffer.stale.extend(batch.keys());
+        self.write_buffer.stale_keys.extend(batch.keys());
         self.flush_failed(context);
         let mut records = batch.records.iter();
         if records.any(|(record, _)| matches!(record, RecordId::PendingProvision(_))) {
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -24,7 +24,7 @@
             Outcome::Answer { status: 404, .. } => self.on_key_absent(context, key),
             _ => return self.flush_failed(context),
         }
-        self.write_buffer.stale.retain(|stale| stale != key);
+        self.write_buffer.stale_keys.retain(|stale| stale != key);
     }
 
     fn on_key_present(&mut self, key: &str, entry: &KeyValue<Value>) {
@@ -47,7 +47,7 @@
                 // The end of the job, which deletes its cancellation, may have been written late: whether it was is
                 // read next.
                 self.unconfirmed_cancellations.insert(job.to_string());
-                self.write_buffer.stale.push(format!("{FINISHED}{job}"));
+                self.write_buffer.stale_keys.push(format!("{FINISHED}{job}"));
             }
         } else if let Some(job) = key.strip_prefix(FINISHED) {
             if self.unconfirmed_cancellations.remove(job) && self.is_taken_as_cancelled(job) {
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -145,7 +145,7 @@
     /// No flush before this time, in microseconds of the steady clock.
     pub no_flush_before: Micros,
     /// Keys whose mod_revisions must be read again before the next flush.
-    pub stale: Vec<String>,
+    pub stale_keys: Vec<String>,
     /// What must be durable before a record may be written.
     prerequisites: BTreeMap<RecordId, Vec<RecordVersion>>,
     /// Records of a transaction that was called invalid: each is written alone.
