--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -129,7 +129,7 @@
         let permitted_writes = context.write_limiter(self.role).available(now);
         let max_operations = self.transaction_operations.min(permitted_writes);
         let mut draft = TransactionDraft::new(conditions, max_operations);
-        for record in self.write_buffer.due(now) {
+        for record in self.write_buffer.due_records(now) {
             if !self.may_be_written_with(&record, &draft.records) {
                 continue;
             }
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -262,7 +262,7 @@
     }
 
     /// Dirty records that are due, in the order of their due times; after them those that only tidy up.
-    pub fn due(&self, now: Micros) -> Vec<RecordId> {
+    pub fn due_records(&self, now: Micros) -> Vec<RecordId> {
         let due = self.queue.iter().take_while(|(due, _)| *due <= now);
         let is_lazy = |record: &RecordId| {
             let state = self.records.get(record);
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -36,13 +36,13 @@
     buffer.mark_dirty_lazily(RecordId::AssignmentPage(1), 2);
     buffer.mark_dirty(RecordId::AssignmentPage(2), 3);
     assert_eq!(
-        buffer.due(3),
+        buffer.due_records(3),
         vec![RecordId::AssignmentPage(2), RecordId::AssignmentPage(0), RecordId::AssignmentPage(1)]
     );
     buffer.mark_dirty(RecordId::AssignmentPage(1), 3);
     buffer.mark_dirty_lazily(RecordId::AssignmentPage(1), 3);
     assert_eq!(
-        buffer.due(3),
+        buffer.due_records(3),
         vec![RecordId::AssignmentPage(1), RecordId::AssignmentPage(2), RecordId::AssignmentPage(0)]
     );
 }
@@ -53,10 +53,10 @@
     let version = buffer.mark_dirty(RecordId::Stats, 1);
     buffer.isolate(&[(RecordId::Stats, version)]);
     buffer.postpone(&RecordId::Stats, 50);
-    assert!(buffer.is_isolated(&RecordId::Stats) && buffer.due(49).is_empty());
-    assert_eq!(buffer.due(50), vec![RecordId::Stats]);
+    assert!(buffer.is_isolated(&RecordId::Stats) && buffer.due_records(49).is_empty());
+    assert_eq!(buffer.due_records(50), vec![RecordId::Stats]);
     buffer.applied(&batch(&[(RecordId::Stats, version)]), 9);
-    assert!(!buffer.is_isolated(&RecordId::Stats) && buffer.due(90).is_empty());
+    assert!(!buffer.is_isolated(&RecordId::Stats) && buffer.due_records(90).is_empty());
 }
 
 #[test]
@@ -69,5 +69,5 @@
     buffer.applied(&batch, 9);
     assert!(buffer.is_durable(&record, first_version));
     assert!(!buffer.is_durable(&record, second_version));
-    assert_eq!(buffer.due(5), vec![record]);
+    assert_eq!(buffer.due_records(5), vec![record]);
 }
