--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -44,7 +44,7 @@
     /// Puts a key on the condition that it has not changed.
     fn put_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
         RecordWrite {
-            conditions: vec![self.write_buffer.unchanged(&key)],
+            conditions: vec![self.write_buffer.unchanged_condition(&key)],
             operations: vec![put(key, content)],
         }
     }
@@ -52,7 +52,7 @@
     /// Deletes a key on the condition that it has not changed; `None`: there is no such key.
     fn delete_unchanged(&self, key: &str) -> Option<RecordWrite> {
         self.write_buffer.is_on_record(key).then(|| RecordWrite {
-            conditions: vec![self.write_buffer.unchanged(key)],
+            conditions: vec![self.write_buffer.unchanged_condition(key)],
             operations: vec![delete(key)],
         })
     }
@@ -114,7 +114,7 @@
             tasks: job.tasks(),
         };
         let mut write = RecordWrite {
-            conditions: vec![absent(&finished), self.write_buffer.unchanged(&live)],
+            conditions: vec![absent(&finished), self.write_buffer.unchanged_condition(&live)],
             operations: vec![put(finished, &content), delete(&live)],
         };
         match ending {
@@ -134,7 +134,7 @@
     }
 
     fn add_deletion(&self, write: &mut RecordWrite, key: &str) {
-        write.conditions.push(self.write_buffer.unchanged(key));
+        write.conditions.push(self.write_buffer.unchanged_condition(key));
         write.operations.push(delete(key));
     }
 }
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -300,7 +300,7 @@
     }
 
     /// The condition that the key still has its known mod_revision.
-    pub fn unchanged(&self, key: &str) -> Condition {
+    pub fn unchanged_condition(&self, key: &str) -> Condition {
         Condition {
             key: key.to_string(),
             mod_revision: self.known_revision(key),
