--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -97,7 +97,7 @@
 
     /// The store applied the transaction at this revision.
     pub(crate) fn flushed(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
-        self.write_buffer.applied(batch, revision);
+        self.write_buffer.on_batch_applied(batch, revision);
         self.held_changed = true;
         for (record, _) in &batch.records {
             self.on_record_written(context, record);
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -308,7 +308,7 @@
     }
 
     /// The store applied the batch at this revision.
-    pub fn applied(&mut self, batch: &Batch, revision: u64) {
+    pub fn on_batch_applied(&mut self, batch: &Batch, revision: u64) {
         for key in batch.puts() {
             self.mod_revisions.insert(key.to_string(), revision);
         }
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -23,7 +23,7 @@
     assert!(buffer.must_wait(&old, &[]));
     assert!(!buffer.must_wait(&old, &[(new.clone(), version)]));
     assert!(buffer.must_wait(&old, &[]));
-    buffer.applied(&batch(&[(new, version)]), 9);
+    buffer.on_batch_applied(&batch(&[(new, version)]), 9);
     assert!(!buffer.must_wait(&old, &[]));
 }
 
@@ -55,7 +55,7 @@
     buffer.postpone(&RecordId::Stats, 50);
     assert!(buffer.is_isolated(&RecordId::Stats) && buffer.due_records(49).is_empty());
     assert_eq!(buffer.due_records(50), vec![RecordId::Stats]);
-    buffer.applied(&batch(&[(RecordId::Stats, version)]), 9);
+    buffer.on_batch_applied(&batch(&[(RecordId::Stats, version)]), 9);
     assert!(!buffer.is_isolated(&RecordId::Stats) && buffer.due_records(90).is_empty());
 }
 
@@ -66,7 +66,7 @@
     let first_version = buffer.mark_dirty(record.clone(), 5);
     let batch = batch(&[(record.clone(), first_version)]);
     let second_version = buffer.mark_dirty(record.clone(), 6);
-    buffer.applied(&batch, 9);
+    buffer.on_batch_applied(&batch, 9);
     assert!(buffer.is_durable(&record, first_version));
     assert!(!buffer.is_durable(&record, second_version));
     assert_eq!(buffer.due_records(5), vec![record]);
