--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -62,7 +62,7 @@
         if let Some(reason) = leader.partitions_removed() {
             return self.step_down(reason, StepDown::Resign);
         }
-        if let Some(reason) = leader.leader_quota.lost {
+        if let Some(reason) = leader.leader_quota.placements_unknown_reason {
             return self.step_down(reason, StepDown::LeaseLost);
         }
         if let Some(members) = members {
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -139,7 +139,7 @@
         self.leader_quota.placing.remove(&id);
         if self.leader_quota.delegations.any_in(id) {
             // The holder before it may have placed some of them, and only pages tell.
-            self.leader_quota.lost = Some("a holder does not tell what was placed before it");
+            self.leader_quota.placements_unknown_reason = Some("a holder does not tell what was placed before it");
         }
     }
 
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -27,7 +27,7 @@
     /// Teams that lacked room under their limit lately while some of it was granted but not needed.
     pub(crate) teams_short_of_room: BTreeSet<String>,
     /// Why this leader cannot know what holders have placed, so that it has to step down for one that reads it.
-    pub(crate) lost: Option<&'static str>,
+    pub(crate) placements_unknown_reason: Option<&'static str>,
     /// When limits were last enforced on running tasks.
     pub(crate) enforced_at: Micros,
 }
