--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -62,7 +62,7 @@
                 self.write_buffer.postpone(record, now + SECOND);
             }
             RecordId::Limits | RecordId::QuotaGrant(_) => {
-                self.leader_quota.refused = true;
+                self.leader_quota.grant_write_refused = true;
                 self.write_buffer.postpone(record, now + REFUSED_PAUSE);
             }
             _ => self.write_buffer.postpone(record, now + REFUSED_PAUSE),
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -23,7 +23,7 @@
         self.enforces_guarantees(context)
             && context.holders_can_write()
             && !self.leader_quota.paused
-            && !self.leader_quota.refused
+            && !self.leader_quota.grant_write_refused
     }
 
     /// Whether tasks are preempted for teams below their guaranteed share.
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -23,7 +23,7 @@
     /// A member answered that does not support quota grants: no tasks are delegated meanwhile.
     pub(crate) paused: bool,
     /// The store has refused a record of a quota grant.
-    pub(crate) refused: bool,
+    pub(crate) grant_write_refused: bool,
     /// Teams that lacked room under their limit lately while some of it was granted but not needed.
     pub(crate) teams_short_of_room: BTreeSet<String>,
     /// Why this leader cannot know what holders have placed, so that it has to step down for one that reads it.
