--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -21,7 +21,7 @@
     /// Until when the leader places tasks on a partition's machines itself, since its holder is slow.
     pub(crate) holder_slow_until: BTreeMap<PartitionId, Micros>,
     /// A member answered that does not support quota grants: no tasks are delegated meanwhile.
-    pub(crate) paused: bool,
+    pub(crate) delegation_paused: bool,
     /// The store has refused a record of a quota grant.
     pub(crate) grant_write_refused: bool,
     /// Teams that lacked room under their limit lately while some of it was granted but not needed.
