--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -121,7 +121,7 @@
         let Some(quota) = quota else {
             return self.on_places_nothing(id);
         };
-        if self.leader_quota.placing.insert(id) {
+        if self.leader_quota.placing_partitions.insert(id) {
             info!(partition = id; "the holder places tasks");
         }
         for task in &quota.placed {
@@ -136,7 +136,7 @@
 
     /// A holder has answered that it places nothing.
     fn on_places_nothing(&mut self, id: PartitionId) {
-        self.leader_quota.placing.remove(&id);
+        self.leader_quota.placing_partitions.remove(&id);
         if self.leader_quota.delegations.any_in(id) {
             // The holder before it may have placed some of them, and only pages tell.
             self.leader_quota.placements_unknown_reason = Some("a holder does not tell what was placed before it");
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -33,7 +33,7 @@
 
     /// Whether the partition's holder places tasks.
     pub(crate) fn holder_places(&self, partition: PartitionId) -> bool {
-        self.leader_quota.placing.contains(&partition)
+        self.leader_quota.placing_partitions.contains(&partition)
     }
 
     /// Whether the partition's holder is to be given tasks now: it places tasks, and has not been slow lately.
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -17,7 +17,7 @@
     /// Tasks that holders are to place.
     pub(crate) delegations: Delegations,
     /// Partitions whose holder places tasks.
-    pub(crate) placing: BTreeSet<PartitionId>,
+    pub(crate) placing_partitions: BTreeSet<PartitionId>,
     /// Until when the leader places tasks on a partition's machines itself, since its holder is slow.
     pub(crate) holder_slow_until: BTreeMap<PartitionId, Micros>,
     /// A member answered that does not support quota grants: no tasks are delegated meanwhile.
