--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -77,7 +77,7 @@
         };
         job.restore_completed_tasks(span, bits);
         let Some(other) = job.completed_pages.get(&span).copied() else {
-            return self.completed_pages.adopt(page, index, span, job);
+            return self.completed_pages.add_span(page, index, span, job);
         };
         // The span is on two pages, after a move of which only the first half was written: this page drops it once the
         // other one has the tasks of both.
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -73,12 +73,12 @@
         let has_room = |page: &CompletedTaskPage| !page.closed && page.bytes + bytes <= max_bytes;
         let page = self.pages.iter().position(has_room);
         let page = page.unwrap_or(self.pages.len()) as u64;
-        self.adopt(page, index, span, job);
+        self.add_span(page, index, span, job);
         page
     }
 
     /// Notes that the page holds the span.
-    pub fn adopt(&mut self, page: u64, index: JobIndex, span: u64, job: &mut Job) {
+    pub fn add_span(&mut self, page: u64, index: JobIndex, span: u64, job: &mut Job) {
         let bytes = span_bytes(job, span);
         let holder = self.page_mut(page);
         if holder.spans.insert((index, span)) {
