--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -141,7 +141,7 @@
         for key in &keys {
             self.write_buffer.mod_revisions.remove(key);
         }
-        self.completed_pages.drop_job(index, &job);
+        self.completed_pages.remove_job(index, &job);
         self.progress_dirty.remove(&index);
         self.write_buffer.forget(&RecordId::JobEnd(index));
         self.recently_ended.push_back(job.id);
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -120,7 +120,7 @@
     }
 
     /// Forgets a job that is over. Its entries vanish when their pages are next written.
-    pub fn drop_job(&mut self, index: JobIndex, job: &Job) {
+    pub fn remove_job(&mut self, index: JobIndex, job: &Job) {
         for (span, page) in &job.completed_pages {
             let bytes = span_bytes(job, *span);
             let page = self.page_mut(*page);
