--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -76,7 +76,7 @@
         let assignments = self.split_placements(due);
         let completed_tasks = self
             .completed_pages
-            .split(page_bytes(self.value_bytes), &mut self.jobs)
+            .split_oversized_pages(page_bytes(self.value_bytes), &mut self.jobs)
             .into_iter()
             .map(|(from, to)| (RecordId::CompletedTasksPage(from), RecordId::CompletedTasksPage(to)));
         let mut moves: Vec<(RecordId, RecordId)> = assignments;
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -89,7 +89,7 @@
 
     /// Moves spans off pages that are larger than a value may be, as an earlier leader wrote them under larger limits
     /// of the store. The result says from which page to which.
-    pub fn split(&mut self, page_bytes: usize, jobs: &mut Jobs) -> Vec<(u64, u64)> {
+    pub fn split_oversized_pages(&mut self, page_bytes: usize, jobs: &mut Jobs) -> Vec<(u64, u64)> {
         self.page_bytes = page_bytes;
         let mut moves = Vec::new();
         for page in &mut self.pages {
