--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -61,7 +61,7 @@
                 // when they are started again.
                 log_unreadable(&entry.key);
                 if let Ok(page) = number {
-                    self.completed_pages.close(page);
+                    self.completed_pages.close_page(page);
                 }
             }
         }
@@ -81,7 +81,7 @@
         };
         // The span is on two pages, after a move of which only the first half was written: this page drops it once the
         // other one has the tasks of both.
-        self.completed_pages.close(page);
+        self.completed_pages.close_page(page);
         let due = context.now.steady + SECOND;
         self.write_moved_content(RecordId::CompletedTasksPage(page), RecordId::CompletedTasksPage(other), due, due);
     }
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -115,7 +115,7 @@
     }
 
     /// The page takes no further spans: its write waits for that of another page, or its record cannot be read.
-    pub fn close(&mut self, page: u64) {
+    pub fn close_page(&mut self, page: u64) {
         self.page_mut(page).closed = true;
     }
 
