--- a/crates/core/src/scheduler/loading/records.rs
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -83,7 +83,7 @@
             self.write_buffer
                 .note_revision(&entry.key, entry.mod_revision);
             match from_value(&entry.value) {
-                Ok(record) => self.stats = Stats::load(&record),
+                Ok(record) => self.stats = Stats::from_record(&record),
                 Err(error) => error!(key = STATS, error:% = error; "record cannot be read"),
             }
         }
--- a/crates/core/src/state/stats.rs
+++ b/crates/core/src/state/stats.rs
@@ -176,7 +176,7 @@
     }
 
     /// The averages of a record, without those that are no valid numbers.
-    pub fn load(record: &StatsRecord) -> Self {
+    pub fn from_record(record: &StatsRecord) -> Self {
         let runs = record.runs.iter().filter_map(|run| {
             let (class, machine_type, value, weight) = run;
             let mean = Mean::from_record(*value as f64, *weight)?;
