--- a/crates/core/src/scheduler/leader/fleet/autoscaler.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler.rs
@@ -38,7 +38,7 @@
     pub(crate) fn run_autoscaler(&mut self, context: &mut Context) {
         let now = context.now.steady;
         // Before the first list, machines of an earlier leader may be missing.
-        if !self.fleet.has_machine_list() && now < self.fleet.started + FIRST_LIST_TIMEOUT {
+        if !self.fleet.has_machine_list() && now < self.fleet.term_started_at + FIRST_LIST_TIMEOUT {
             return;
         }
         let Some(catalogue) = context.catalogue.clone() else {
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -140,7 +140,7 @@
     /// When a whole machine list was last read, in microseconds.
     pub(crate) last_full_list: Option<Micros>,
     /// When this leader's term began, in microseconds.
-    pub(crate) started: Micros,
+    pub(crate) term_started_at: Micros,
 }
 
 impl Fleet {
@@ -165,7 +165,7 @@
             unavailable: BTreeMap::new(),
             failed_boots: BTreeMap::new(),
             last_full_list: None,
-            started: now,
+            term_started_at: now,
         }
     }
 
