--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -124,7 +124,7 @@
             awaits_resources,
             level: placing.level,
             expected: placing.expected,
-            since: now,
+            delegated_at: now,
             sent: false,
             confirmed: false,
         };
@@ -197,7 +197,7 @@
     /// tasks for a while.
     fn on_not_placed_in_time(&mut self, delegation: &Delegation, now: Micros) {
         let partition = delegation.partition;
-        if now.saturating_sub(delegation.since) > PLACEMENT_TIMEOUT {
+        if now.saturating_sub(delegation.delegated_at) > PLACEMENT_TIMEOUT {
             let until = now + SLOW_HOLDER_BACKOFF;
             self.leader_quota.holder_slow_until.insert(partition, until);
         }
@@ -422,7 +422,7 @@
             if chosen || self.leader_quota.delegations.is_revoked(partition, index) {
                 continue;
             }
-            let waited = now.saturating_sub(delegation.since);
+            let waited = now.saturating_sub(delegation.delegated_at);
             let is_overdue = if delegation.awaits_resources {
                 waited > RESOURCES_TIMEOUT
                     || (waited > PLACEMENT_TIMEOUT
--- a/crates/core/src/state/delegations.rs
+++ b/crates/core/src/state/delegations.rs
@@ -43,7 +43,7 @@
     /// How long it is expected to run, in microseconds.
     pub expected: Micros,
     /// When it was delegated.
-    pub since: Micros,
+    pub delegated_at: Micros,
     /// It was part of a message to the holder.
     pub sent: bool,
     /// The holder has answered that it has it.
--- a/crates/core/src/state/delegations/tests.rs
+++ b/crates/core/src/state/delegations/tests.rs
@@ -16,7 +16,7 @@
         awaits_resources,
         level: 6,
         expected: 1,
-        since: 0,
+        delegated_at: 0,
         sent: false,
         confirmed: false,
     }
