--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -179,7 +179,7 @@
                 .jobs
                 .find("req-1")
                 .and_then(|index| leader.jobs.get(index));
-            job.map(|j| j.cancelled.is_some())
+            job.map(|j| j.cancelled_at.is_some())
         };
         assert_eq!(cancelled(leader), Some(true));
         assert_eq!(leader.write_buffer.stale_keys, vec!["past/req-1".to_string()]);
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -197,7 +197,7 @@
                 continue;
             }
             let is_live = jobs.get(assignment.job).is_some_and(|job| {
-                job.cancelled.is_none() && !job.is_task_completed(assignment.task)
+                job.cancelled_at.is_none() && !job.is_task_completed(assignment.task)
             });
             let page = RecordId::AssignmentPage(assignment.page);
             if assignment.launched.is_none()
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -161,7 +161,7 @@
         }
         let jobs = &self.jobs;
         let is_cancelled =
-            |a: &Assignment| jobs.get(a.job).is_none_or(|job| job.cancelled.is_some());
+            |a: &Assignment| jobs.get(a.job).is_none_or(|job| job.cancelled_at.is_some());
         if machine.assignments.iter().any(is_cancelled) {
             // A hanging machine may not know yet that its lease has expired, and cancelled tasks must be gone in time.
             // The termination proves that: were they removed before it is answered, the next leader would not know
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -31,14 +31,14 @@
         let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
-        if job.cancelled.is_some() {
+        if job.cancelled_at.is_some() {
             return;
         }
         self.holder_state.note_cancelled(id, now);
         let age = record.map_or(0, |record| {
             context.now.wall.saturating_sub(record.cancelled_us)
         });
-        job.cancelled = Some(now as i64 - age as i64);
+        job.cancelled_at = Some(now as i64 - age as i64);
         job.ending = None;
         self.revoke_job(context, index);
         self.stop_job(context, index);
@@ -65,9 +65,9 @@
         context.cancellations.forget(id);
         let index = self.jobs.find(id);
         let job = index.and_then(|index| self.jobs.get_mut(index));
-        if let Some(job) = job.filter(|job| job.cancelled.is_some()) {
+        if let Some(job) = job.filter(|job| job.cancelled_at.is_some()) {
             error!(job = id; "job was taken as cancelled, but its cancellation is not on record");
-            job.cancelled = None;
+            job.cancelled_at = None;
             job.ending = None;
             self.placement.request_round(context.now.steady);
         }
@@ -114,7 +114,7 @@
     /// How the job ends if it is over now.
     fn final_status(&self, index: JobIndex) -> Option<FinalStatus> {
         let job = self.jobs.get(index)?;
-        if job.cancelled.is_some() {
+        if job.cancelled_at.is_some() {
             return self.is_off_machines(index).then_some(FinalStatus::Aborted);
         }
         job.all_completed().then_some(FinalStatus::Done)
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -58,6 +58,6 @@
 
     fn is_taken_as_cancelled(&self, job: &str) -> bool {
         let job = self.jobs.find(job).and_then(|index| self.jobs.get(index));
-        job.is_some_and(|job| job.cancelled.is_some())
+        job.is_some_and(|job| job.cancelled_at.is_some())
     }
 }
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -131,7 +131,7 @@
         let mut assignment = self.assignment_of(context, task, zone);
         assignment.launched = Some((0, 0));
         let job = self.jobs.get(assignment.job);
-        let job_ended = job.is_none_or(|job| job.cancelled.is_some());
+        let job_ended = job.is_none_or(|job| job.cancelled_at.is_some());
         assignment.stop = job_ended.then_some(Stop {
             grace: 0,
             since: context.now.steady,
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -182,7 +182,7 @@
         self.holder_quota.queue.retain(|queued| {
             let job = jobs.find(&queued.job).and_then(|index| jobs.get(index));
             // A job that is not known here yet may still appear.
-            job.is_none_or(|job| job.cancelled.is_none())
+            job.is_none_or(|job| job.cancelled_at.is_none())
         });
     }
 
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -70,7 +70,7 @@
         let mut by_age: Vec<(JobIndex, &Job)> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.cancelled.is_none() && job.ending.is_none())
+            .filter(|(_, job)| job.cancelled_at.is_none() && job.ending.is_none())
             .collect();
         by_age.sort_by_key(|(index, job)| (job.accepted_at, *index));
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
--- a/crates/core/src/scheduler/store_contact.rs
+++ b/crates/core/src/scheduler/store_contact.rs
@@ -21,7 +21,7 @@
         let mut assignments = machine.assignments.iter();
         assignments.any(|assignment| {
             let job = self.jobs.get(assignment.job);
-            assignment.may_be_on_machine() && job.is_some_and(|job| job.cancelled.is_some())
+            assignment.may_be_on_machine() && job.is_some_and(|job| job.cancelled_at.is_some())
         })
     }
 }
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -117,7 +117,7 @@
         let now = context.now.steady;
         self.live = jobs
             .iter()
-            .any(|(_, job)| job.is_daemon() && job.cancelled.is_none());
+            .any(|(_, job)| job.is_daemon() && job.cancelled_at.is_none());
         if let Some(largest) = &mut self.largest {
             if self.live {
                 largest.last_live = now;
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -62,7 +62,7 @@
     /// All tasks before this one are completed or assigned.
     first_candidate: u64,
     /// When it was cancelled, as far as known; may lie before the start of this process.
-    pub cancelled: Option<i64>,
+    pub cancelled_at: Option<i64>,
     /// Set while its terminal record is being written.
     pub ending: Option<FinalStatus>,
     /// Errors of its tasks in a row without a success.
@@ -118,7 +118,7 @@
             completed_count: 0,
             assigned_count: 0,
             first_candidate: 0,
-            cancelled: None,
+            cancelled_at: None,
             ending: None,
             consecutive_errors: 0,
             terminated_for_failures: 0,
@@ -151,7 +151,7 @@
 
     /// Number of tasks that are neither completed nor assigned.
     pub fn waiting_count(&self) -> u64 {
-        if self.cancelled.is_some() || self.ending.is_some() {
+        if self.cancelled_at.is_some() || self.ending.is_some() {
             return 0;
         }
         let placed = self.completed_count + self.assigned_count;
@@ -327,7 +327,7 @@
 
     /// Time since the cancellation in microseconds, if there is one.
     pub fn cancelled_for(&self, now: Micros) -> Option<Micros> {
-        self.cancelled.map(|at| (now as i64 - at).max(0) as Micros)
+        self.cancelled_at.map(|at| (now as i64 - at).max(0) as Micros)
     }
 
     /// Number of tasks that are on machines, as far as known.
