--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -66,7 +66,7 @@
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
             job.assign_task(task);
-            *job.zones.entry(status.zone.clone()).or_insert(0) += 1;
+            *job.assignments_by_zone.entry(status.zone.clone()).or_insert(0) += 1;
         }
         let page = match self.is_holder() {
             true => 0,
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -128,7 +128,7 @@
     }
     let most = job.tasks().div_ceil(2) as f64;
     let left = |zone: &str| {
-        let here = job.zones.get(zone).copied().unwrap_or(0);
+        let here = job.assignments_by_zone.get(zone).copied().unwrap_or(0);
         (most - f64::from(here)).max(0.0)
     };
     let all: f64 = zones.iter().map(|zone| left(zone)).sum();
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -365,7 +365,7 @@
 /// How long a task of the job must have run before it may be stopped, in microseconds. A start counts for an
 /// objective only if the task is left alone for 30 s; and what a job begins with after a long wait stays.
 fn least_run(context: &Context, job: &Job) -> Micros {
-    let live: u32 = job.zones.values().sum();
+    let live: u32 = job.assignments_by_zone.values().sum();
     let is_beginning =
         job.age(context.now.steady) > BEGIN_EARLY_AFTER_US && u64::from(live) <= job.initial_task_count();
     match is_beginning || context.settings.has_start_objective(&job.spec.class) {
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -224,7 +224,7 @@
             let Some(job) = self.jobs.get_mut(placing.index) else {
                 return ControlFlow::Break(());
             };
-            let in_zone = job.zones.get(&open.zone).copied().unwrap_or(0);
+            let in_zone = job.assignments_by_zone.get(&open.zone).copied().unwrap_or(0);
             if placing.spec.spread && u64::from(in_zone) >= most_in_zone(&placing.spec) {
                 return ControlFlow::Continue(());
             }
@@ -295,7 +295,7 @@
     ) {
         let zone = self.machines.get(machine).map(|m| m.zone.clone());
         if let (Some(zone), Some(job)) = (zone, self.jobs.get_mut(placing.index)) {
-            *job.zones.entry(zone).or_insert(0) += 1;
+            *job.assignments_by_zone.entry(zone).or_insert(0) += 1;
         }
         let attempt = match gang_attempt {
             Some(attempt) => attempt,
@@ -316,7 +316,7 @@
         let spec = &placing.spec;
         let in_zone = |zone: &str| {
             let job = self.jobs.get(placing.index);
-            let tasks = job.and_then(|job| job.zones.get(zone));
+            let tasks = job.and_then(|job| job.assignments_by_zone.get(zone));
             tasks.copied().map_or(0, u64::from)
         };
         placing
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -196,7 +196,7 @@
                 job.assign_task(placed.task);
             }
             job.note_placed(context.now.steady);
-            *job.zones.entry(zone.clone()).or_insert(0) += 1;
+            *job.assignments_by_zone.entry(zone.clone()).or_insert(0) += 1;
             job.spec.clone()
         });
         let assignment = Assignment {
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -155,7 +155,7 @@
     fn take_loaded_task(&mut self, job: LoadedJob, task: u64, zone: &str) -> Option<Submission> {
         let job = self.jobs.get_mut(job.index()?)?;
         job.assign_task(task);
-        *job.zones.entry(zone.to_string()).or_insert(0) += 1;
+        *job.assignments_by_zone.entry(zone.to_string()).or_insert(0) += 1;
         Some(job.spec.clone())
     }
 
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -76,7 +76,7 @@
     /// Since when some task of it has been running without any that failed.
     running_well_since: Micros,
     /// Number of assignments by zone.
-    pub zones: BTreeMap<String, u32>,
+    pub assignments_by_zone: BTreeMap<String, u32>,
     /// Number of its tasks that were last seen running.
     pub running: u32,
     /// Number of assigned tasks that partition holders are to place and have not placed yet.
@@ -125,7 +125,7 @@
             failed_on: BTreeSet::new(),
             retry_at: 0,
             running_well_since: 0,
-            zones: BTreeMap::new(),
+            assignments_by_zone: BTreeMap::new(),
             running: 0,
             delegated: 0,
             waiting_at_holders: 0,
@@ -235,7 +235,7 @@
     /// An assignment of the task in the zone is proven gone.
     pub(crate) fn note_assignment_removed(&mut self, task: u64, zone: &str, now: Micros) {
         self.unassign_task(task);
-        if let Some(count) = self.zones.get_mut(zone) {
+        if let Some(count) = self.assignments_by_zone.get_mut(zone) {
             *count = count.saturating_sub(1);
         }
         if self.waiting_count() > 0 && self.waiting_since.is_none() {
@@ -332,12 +332,12 @@
 
     /// Number of tasks that are on machines, as far as known.
     pub fn assignment_count(&self) -> u64 {
-        self.zones.values().map(|count| u64::from(*count)).sum()
+        self.assignments_by_zone.values().map(|count| u64::from(*count)).sum()
     }
 
     /// The zone that a `one_zone` job is bound to by the tasks that it has there; also by those on unreachable machines.
     pub fn bound_zone(&self) -> Option<&str> {
-        let mut used = self.zones.iter().filter(|(_, count)| **count > 0);
+        let mut used = self.assignments_by_zone.iter().filter(|(_, count)| **count > 0);
         match self.spec.one_zone {
             true => used.next().map(|(zone, _)| zone.as_str()),
             false => None,
@@ -346,7 +346,7 @@
 
     /// Whether the zone may take one more of its tasks, given where the others are.
     pub fn zone_permits(&self, zone: &str) -> bool {
-        let here = self.zones.get(zone).map_or(0, |count| u64::from(*count));
+        let here = self.assignments_by_zone.get(zone).map_or(0, |count| u64::from(*count));
         self.bound_zone().is_none_or(|bound| bound == zone)
             && (!self.spec.spread || here < self.spec.tasks.div_ceil(2))
     }
