--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -159,7 +159,7 @@
         class = job.spec.class,
         tasks = job.tasks(),
         age_s = job.age(now) / SECOND,
-        first_start_s = job.began_at.unwrap_or(0) / SECOND,
+        first_start_s = job.age_at_first_run.unwrap_or(0) / SECOND,
         mean_run_s = job.mean_run_time.0 / SECOND;
         "job ended"
     );
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -103,7 +103,7 @@
         for index in self.jobs.indices() {
             let job = self.jobs.get_mut(index);
             if let Some(job) = job.filter(|job| job.completed_count > 0) {
-                job.began_at = Some(job.age(context.now.steady));
+                job.age_at_first_run = Some(job.age(context.now.steady));
             }
         }
     }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -84,7 +84,7 @@
     /// How many of the delegated tasks wait for free resources.
     pub waiting_at_holders: u64,
     /// Its age, in microseconds, when a task was first seen running.
-    pub began_at: Option<Micros>,
+    pub age_at_first_run: Option<Micros>,
     /// The pages that hold its completed tasks, by span of task numbers.
     pub completed_pages: BTreeMap<u64, u64>,
     /// Mean run time of its own tasks so far, in microseconds, with the number of runs.
@@ -129,7 +129,7 @@
             running: 0,
             delegated: 0,
             waiting_at_holders: 0,
-            began_at: None,
+            age_at_first_run: None,
             completed_pages: BTreeMap::new(),
             mean_run_time: (0, 0),
             waiting_since: Some(now),
@@ -245,8 +245,8 @@
 
     /// A task of it was seen running that was not running before.
     pub(crate) fn note_running(&mut self, now: Micros) {
-        if self.began_at.is_none() {
-            self.began_at = Some(self.age(now));
+        if self.age_at_first_run.is_none() {
+            self.age_at_first_run = Some(self.age(now));
         }
         if self.running == 0 {
             self.running_well_since = now;
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -20,7 +20,7 @@
 impl Job {
     /// Whether the job has waited so long that it is to begin ahead of its turn.
     pub fn must_begin_early(&self, now: Micros) -> bool {
-        self.began_at.is_none()
+        self.age_at_first_run.is_none()
             && self.completed_count == 0
             && self.assigned_count == 0
             && self.age(now) > BEGIN_EARLY_AFTER_US
