--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -292,6 +292,6 @@
     /// Tasks of a live job that are completed and that are running, for display.
     pub fn progress_of(&self, id: &str) -> Option<(u64, u64)> {
         let job = self.jobs.get(self.jobs.find(id)?)?;
-        Some((job.completed_count, u64::from(job.running)))
+        Some((job.completed_count, u64::from(job.running_count)))
     }
 }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -196,7 +196,7 @@
         if let Some(job) = self.jobs.get_mut(index) {
             match is_running {
                 true => job.note_running(now),
-                false => job.running = job.running.saturating_sub(1),
+                false => job.running_count = job.running_count.saturating_sub(1),
             }
             self.progress_dirty.insert(index);
         }
--- a/crates/core/src/scheduler/progress.rs
+++ b/crates/core/src/scheduler/progress.rs
@@ -61,7 +61,7 @@
         while let (Some(index), true) = (self.progress_dirty.pop_first(), changed.len() < MAX_JOBS)
         {
             if let Some(job) = self.jobs.get(index) {
-                changed.push((job.id.clone(), job.completed_count, u64::from(job.running)));
+                changed.push((job.id.clone(), job.completed_count, u64::from(job.running_count)));
             }
         }
         changed
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -78,7 +78,7 @@
     /// Number of assignments by zone.
     pub assignments_by_zone: BTreeMap<String, u32>,
     /// Number of its tasks that were last seen running.
-    pub running: u32,
+    pub running_count: u32,
     /// Number of assigned tasks that partition holders are to place and have not placed yet.
     pub delegated: u64,
     /// How many of the delegated tasks wait for free resources.
@@ -126,7 +126,7 @@
             retry_at: 0,
             running_well_since: 0,
             assignments_by_zone: BTreeMap::new(),
-            running: 0,
+            running_count: 0,
             delegated: 0,
             waiting_at_holders: 0,
             age_at_first_run: None,
@@ -248,10 +248,10 @@
         if self.age_at_first_run.is_none() {
             self.age_at_first_run = Some(self.age(now));
         }
-        if self.running == 0 {
+        if self.running_count == 0 {
             self.running_well_since = now;
         }
-        self.running += 1;
+        self.running_count += 1;
     }
 
     /// A task of it took this long, in microseconds.
--- a/crates/core/src/state/jobs/job/failures.rs
+++ b/crates/core/src/state/jobs/job/failures.rs
@@ -79,7 +79,7 @@
     /// failed on one faulty machine must not be left with a single long task at a time.
     pub(crate) fn max_trial_tasks(&self, now: Micros) -> u64 {
         let ran_well = now.saturating_sub(self.running_well_since);
-        match self.running {
+        match self.running_count {
             0 => 1,
             _ => 1 << (ran_well / TRIAL_DOUBLING).min(MAX_TRIAL_DOUBLINGS),
         }
