--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -112,7 +112,7 @@
             self.plan_on_machine(context, placing, task, machine);
         }
         if let Some(job) = self.jobs.get_mut(placing.index) {
-            job.delegated += 1;
+            job.delegated_count += 1;
             job.waiting_at_holders += u64::from(awaits_resources);
         }
         let delegation = Delegation {
@@ -164,7 +164,7 @@
         }
         if let Some(job) = self.jobs.get_mut(task.job) {
             let waiting = u64::from(delegation.awaits_resources);
-            job.delegated = job.delegated.saturating_sub(1);
+            job.delegated_count = job.delegated_count.saturating_sub(1);
             job.waiting_at_holders = job.waiting_at_holders.saturating_sub(waiting);
         }
         Some(delegation)
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -243,7 +243,7 @@
         info!(paused = paused; "changed whether quota is granted to holders");
         self.leader_quota.delegation_paused = paused;
         if paused {
-            let jobs = self.jobs.iter().filter(|(_, job)| job.delegated > 0);
+            let jobs = self.jobs.iter().filter(|(_, job)| job.delegated_count > 0);
             let delegated: Vec<JobIndex> = jobs.map(|(index, _)| index).collect();
             for index in delegated {
                 self.revoke_job(context, index);
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -140,6 +140,6 @@
     /// Whether no task of the job is on a machine or delegated to a holder.
     pub(crate) fn is_off_machines(&self, index: JobIndex) -> bool {
         let job = self.jobs.get(index);
-        job.is_none_or(|job| job.assignment_count() == 0 && job.delegated == 0)
+        job.is_none_or(|job| job.assignment_count() == 0 && job.delegated_count == 0)
     }
 }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -80,7 +80,7 @@
     /// Number of its tasks that were last seen running.
     pub running_count: u32,
     /// Number of assigned tasks that partition holders are to place and have not placed yet.
-    pub delegated: u64,
+    pub delegated_count: u64,
     /// How many of the delegated tasks wait for free resources.
     pub waiting_at_holders: u64,
     /// Its age, in microseconds, when a task was first seen running.
@@ -127,7 +127,7 @@
             running_well_since: 0,
             assignments_by_zone: BTreeMap::new(),
             running_count: 0,
-            delegated: 0,
+            delegated_count: 0,
             waiting_at_holders: 0,
             age_at_first_run: None,
             completed_pages: BTreeMap::new(),
