--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -282,7 +282,7 @@
         let fetch = least_fetch_time(context, &job.spec);
         let run_s = (self.stats.expected_run(&job.spec) + fetch) as f64 / MICROS_PER_SECOND;
         // What is late for every objective may take longer: it gains nothing by expensive machines.
-        let until_deadline_s = match job.target(context, self.time_needed(context, job)) {
+        let until_deadline_s = match job.target_finish_at(context, self.time_needed(context, job)) {
             Some(at) => (at - now as i64).max(0) as f64 / MICROS_PER_SECOND * deadline_share,
             None => late_deadline as f64 / MICROS_PER_SECOND,
         };
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -300,7 +300,7 @@
                 && job.placeable_count(now) > 0
                 && waited >= context.tuning.preempt_after_us
                 && job
-                    .target(context, self.time_needed(context, job))
+                    .target_finish_at(context, self.time_needed(context, job))
                     .is_some()
         })
     }
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -160,7 +160,7 @@
         QueueKey {
             level,
             infeasible: job
-                .target(context, self.time_needed(context, job))
+                .target_finish_at(context, self.time_needed(context, job))
                 .is_none(),
             rank: self.work_left(job),
             index,
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -370,7 +370,7 @@
 
     /// When the job should be finished: the earliest objective that it can still meet with `need` microseconds yet to
     /// run, by its deadline or else by the service-level objectives of its class. None if it is late for all of them.
-    pub fn target(&self, context: &Context, need: Micros) -> Option<i64> {
+    pub fn target_finish_at(&self, context: &Context, need: Micros) -> Option<i64> {
         let earliest = (context.now.steady + need) as i64;
         let reachable = |objective: Micros| {
             let at = self.accepted_at + objective as i64;
