--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -42,7 +42,7 @@
         task: u64,
     ) -> Option<(RecordId, u64)> {
         let job = self.jobs.get_mut(index)?;
-        if !job.complete(task) {
+        if !job.complete_task(task) {
             return None;
         }
         let page = RecordId::CompletedTasksPage(self.completed_pages.page_of(
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -188,7 +188,7 @@
 
     /// Marks a task completed. A completed task does not count as assigned, though it may still be on a machine. Returns
     /// false if it was completed already or does not exist.
-    pub fn complete(&mut self, task: u64) -> bool {
+    pub fn complete_task(&mut self, task: u64) -> bool {
         if self.is_daemon() || task >= self.tasks() || self.completed.contains(task) {
             return false;
         }
@@ -320,7 +320,7 @@
             let digit = digit.to_digit(16).unwrap_or(0);
             let first = span * TASKS_PER_LEGACY_RECORD + position as u64 * TASKS_PER_DIGIT;
             for bit in (0..TASKS_PER_DIGIT).filter(|bit| digit >> bit & 1 == 1) {
-                self.complete(first + bit);
+                self.complete_task(first + bit);
             }
         }
     }
