--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -157,7 +157,7 @@
         status = job.ending.map_or("over", FinalStatus::status),
         team = job.spec.team,
         class = job.spec.class,
-        tasks = job.tasks(),
+        tasks = job.task_count(),
         age_s = job.age(now) / SECOND,
         first_start_s = job.age_at_first_run.unwrap_or(0) / SECOND,
         mean_run_s = job.mean_run_time.0 / SECOND;
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -111,7 +111,7 @@
         let cancellation = self.cancellation_key(&job.id);
         let content = FinishedJobRecord {
             status: ending.as_str().into(),
-            tasks: job.tasks(),
+            tasks: job.task_count(),
         };
         let mut write = RecordWrite {
             conditions: vec![absent(&finished), self.write_buffer.unchanged_condition(&live)],
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -126,7 +126,7 @@
     if !job.spec.spread {
         return Vec::new();
     }
-    let most = job.tasks().div_ceil(2) as f64;
+    let most = job.task_count().div_ceil(2) as f64;
     let left = |zone: &str| {
         let here = job.assignments_by_zone.get(zone).copied().unwrap_or(0);
         (most - f64::from(here)).max(0.0)
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -56,7 +56,7 @@
     /// Time that a job still needs if it gets all that its team's limit allows, in microseconds.
     pub(crate) fn time_needed(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
-        let left = job.tasks().saturating_sub(job.completed_count) as f64;
+        let left = job.task_count().saturating_sub(job.completed_count) as f64;
         let quota = self.limit_of(context, &job.spec.team);
         let cpus = job.spec.cpus.max(RESOURCE_TOLERANCE);
         let most = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
@@ -80,7 +80,7 @@
             let Some(quota) = self.limit_of(context, &spec.team) else {
                 continue;
             };
-            let left = job.tasks().saturating_sub(job.completed_count);
+            let left = job.task_count().saturating_sub(job.completed_count);
             let sum = sums.entry(&spec.team).or_default();
             *sum = sum.saturating_add(Resources::of(spec.cpus, spec.gpus).times(left));
             if sum.fits(quota.guarantee) {
@@ -170,7 +170,7 @@
     /// Work that is left of a job array, in CPU microseconds. What needs its slots at once comes before what
     /// fills them one by one.
     fn work_left(&self, job: &Job) -> i64 {
-        let left = job.tasks().saturating_sub(job.completed_count) as f64;
+        let left = job.task_count().saturating_sub(job.completed_count) as f64;
         let run = self.stats.expected_run(&job.spec) as f64;
         match job.shape {
             Shape::Batch => (left * job.spec.cpus * run) as i64,
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -40,7 +40,7 @@
 /// Bytes that a span takes in the record's JSON form once all of its tasks are completed.
 fn span_bytes(job: &Job, span: u64) -> usize {
     let tasks = job
-        .tasks()
+        .task_count()
         .saturating_sub(span * TASKS_PER_LEGACY_RECORD)
         .min(TASKS_PER_LEGACY_RECORD);
     job.id.len() + tasks.div_ceil(TASKS_PER_DIGIT) as usize + SPAN_FRAME_BYTES
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -145,7 +145,7 @@
     }
 
     /// Number of all its tasks.
-    pub fn tasks(&self) -> u64 {
+    pub fn task_count(&self) -> u64 {
         self.spec.tasks
     }
 
@@ -155,7 +155,7 @@
             return 0;
         }
         let placed = self.completed_count + self.assigned_count;
-        self.tasks().saturating_sub(placed)
+        self.task_count().saturating_sub(placed)
     }
 
     /// Whether the task is completed.
@@ -165,7 +165,7 @@
 
     /// Whether all of its tasks are completed.
     pub fn all_completed(&self) -> bool {
-        !self.is_daemon() && self.completed_count >= self.tasks()
+        !self.is_daemon() && self.completed_count >= self.task_count()
     }
 
     /// Whether its tasks, called replicas, run until it is cancelled: none of them is ever completed.
@@ -189,7 +189,7 @@
     /// Marks a task completed. A completed task does not count as assigned, though it may still be on a machine. Returns
     /// false if it was completed already or does not exist.
     pub fn complete_task(&mut self, task: u64) -> bool {
-        if self.is_daemon() || task >= self.tasks() || self.completed.contains(task) {
+        if self.is_daemon() || task >= self.task_count() || self.completed.contains(task) {
             return false;
         }
         self.completed.insert(task);
@@ -266,10 +266,10 @@
         if self.waiting_count() == 0 {
             return None;
         }
-        while self.first_candidate < self.tasks() && !self.is_waiting(self.first_candidate) {
+        while self.first_candidate < self.task_count() && !self.is_waiting(self.first_candidate) {
             self.first_candidate += 1;
         }
-        (self.first_candidate..self.tasks())
+        (self.first_candidate..self.task_count())
             .find(|task| self.is_waiting(*task) && !self.restarts.is_backing_off(*task, now))
     }
 
@@ -299,7 +299,7 @@
     /// The completed tasks of a span, from `span * TASKS_PER_LEGACY_RECORD` on, as hexadecimal digits of four tasks each.
     pub fn completed_bits(&self, span: u64) -> String {
         let from = span * TASKS_PER_LEGACY_RECORD;
-        let to = (from + TASKS_PER_LEGACY_RECORD).min(self.tasks());
+        let to = (from + TASKS_PER_LEGACY_RECORD).min(self.task_count());
         let firsts = (from..to).step_by(TASKS_PER_DIGIT as usize);
         let digits = firsts.map(|first| {
             let done = (0..TASKS_PER_DIGIT).filter(|bit| self.completed.contains(first + bit));
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -29,8 +29,8 @@
     /// How many tasks a job begins with ahead of its turn; all of those that need to run together.
     pub fn initial_task_count(&self) -> u64 {
         match self.shape {
-            Shape::Batch => self.tasks().div_ceil(FIRST_TASKS_PART),
-            _ => self.tasks(),
+            Shape::Batch => self.task_count().div_ceil(FIRST_TASKS_PART),
+            _ => self.task_count(),
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// Whether it has so few tasks that it catches up with all of them.
     fn is_small(&self) -> bool {
-        self.tasks() <= SMALL_JOB
+        self.task_count() <= SMALL_JOB
     }
 
     /// Notes that a task was placed.
@@ -95,6 +95,6 @@
 
     /// Whether so many of its tasks were preempted that it is the turn of other jobs.
     pub fn has_been_preempted_enough(&self) -> bool {
-        2 * self.preempted >= self.tasks()
+        2 * self.preempted >= self.task_count()
     }
 }
