--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -117,6 +117,6 @@
         if job.cancelled_at.is_some() {
             return self.is_off_machines(index).then_some(FinalStatus::Aborted);
         }
-        job.all_completed().then_some(FinalStatus::Done)
+        job.has_completed_all_tasks().then_some(FinalStatus::Done)
     }
 }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -164,7 +164,7 @@
     }
 
     /// Whether all of its tasks are completed.
-    pub fn all_completed(&self) -> bool {
+    pub fn has_completed_all_tasks(&self) -> bool {
         !self.is_daemon() && self.completed_count >= self.task_count()
     }
 
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -39,7 +39,7 @@
         accepted_us: 0,
     };
     let mut job = Job::new(record, 0, 0);
-    assert!(!job.complete_task(0) && !job.all_completed());
+    assert!(!job.complete_task(0) && !job.has_completed_all_tasks());
     let mut now = 100 * SECOND;
     let mut backoffs_s = Vec::new();
     for ran in [SECOND, SECOND, SECOND, 90 * SECOND, 0, 0, 0, 0, 0, 0, 0, 0] {
