--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -112,7 +112,7 @@
                 return false;
             }
             let has_quota = self.has_quota(context, queued.index);
-            let has_waited_long = job.must_begin_early(now) || job.catching_up().is_some();
+            let has_waited_long = job.must_begin_early(now) || job.catching_up_since().is_some();
             if !has_quota
                 && has_waited_long
                 && job.placeable_count(now) > 0
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -144,7 +144,7 @@
         // What is free now, to the one that has waited longest: a large array of higher
         // priority once kept all of a class from being served.
         let enforced_guarantee = standing == GuaranteeStanding::WithinEnforced;
-        if let Some(since) = job.catching_up() {
+        if let Some(since) = job.catching_up_since() {
             if job.spec.priority < Priority::High && !enforced_guarantee {
                 return level_and_rank(level::CATCHING_UP, since as i64);
             }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -290,7 +290,7 @@
     pub fn may_be_placed_by_holders(&self, now: Micros) -> bool {
         self.shape == Shape::Batch
             && !self.must_begin_early(now)
-            && self.catching_up().is_none()
+            && self.catching_up_since().is_none()
             && !self.spec.one_zone
             && !self.spec.spread
             && !self.keeps_failing()
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -58,7 +58,7 @@
     }
 
     /// While the job catches up: since when it had starved, in microseconds.
-    pub fn catching_up(&self) -> Option<Micros> {
+    pub fn catching_up_since(&self) -> Option<Micros> {
         self.catch_up.filter(|_| self.waiting_count() > 0)
     }
 
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -87,12 +87,12 @@
         };
         let mut job = Job::new(record, 0, 0);
         job.begin_catch_up(70 * SECOND);
-        assert_eq!(job.catching_up(), None);
+        assert_eq!(job.catching_up_since(), None);
         assert_eq!(job.preemption_priority(), Priority::Idle);
         let now = 71 * SECOND;
         job.begin_catch_up(now);
         let mut placed = 0;
-        while let Some(since) = job.catching_up() {
+        while let Some(since) = job.catching_up_since() {
             assert_eq!(since, 0);
             let task = job.next_waiting_task(now).expect("a waiting task");
             job.assign_task(task);
@@ -103,6 +103,6 @@
         assert_eq!(placed, placed_ahead, "of {tasks} tasks");
         assert_eq!(job.preemption_priority(), aged_priority);
         job.begin_catch_up(now + 71 * SECOND);
-        assert_eq!(job.catching_up().is_some(), tasks > placed_ahead);
+        assert_eq!(job.catching_up_since().is_some(), tasks > placed_ahead);
     }
 }
