--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -80,7 +80,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let (job, seen) = (assignment.job, assignment.seen);
+        let (job, seen) = (assignment.job, assignment.observed_status);
         let decided = assignment.decided;
         machine.assignments.push(assignment);
         machine.recount();
@@ -97,7 +97,7 @@
         machine.recount();
         machine.idle_since = now;
         self.discount_assignment(context, name, &assignment);
-        self.count_running(now, assignment.job, assignment.seen, ObservedStatus::Never);
+        self.count_running(now, assignment.job, assignment.observed_status, ObservedStatus::Never);
         if self.is_holder() {
             self.note_end(name, &assignment, TaskEnd::Gone);
         }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -140,9 +140,9 @@
                 };
                 let now = context.now.steady;
                 let assignment = &mut machine.assignments[position];
-                let before = assignment.seen;
+                let before = assignment.observed_status;
                 assignment.observe(&reported.status, now);
-                let (job, seen) = (assignment.job, assignment.seen);
+                let (job, seen) = (assignment.job, assignment.observed_status);
                 self.count_running(now, job, before, seen);
             }
             None if exited => self.apply_unrecorded_exit(context, name, job_id, task, reported),
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -84,7 +84,7 @@
         let assignment = Assignment {
             page,
             launched: Some((status.incarnation, status.sequence)),
-            seen: ObservedStatus::Running,
+            observed_status: ObservedStatus::Running,
             started: Some(now),
             stop: Some(Stop::new(0, now)),
             ..Assignment::new(TaskOnMachine {
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -100,7 +100,7 @@
 
 /// The state of a task as last seen in a heartbeat; `None`: no heartbeat has shown it.
 fn task_state(a: &Assignment) -> Option<TaskState> {
-    let status = match a.seen {
+    let status = match a.observed_status {
         ObservedStatus::Never => return None,
         ObservedStatus::Fetching => TaskStatus::Fetching,
         ObservedStatus::Running => TaskStatus::Running,
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -173,9 +173,9 @@
         else {
             return;
         };
-        let before = a.seen;
+        let before = a.observed_status;
         a.observe(status, now);
-        let (index, seen) = (a.job, a.seen);
+        let (index, seen) = (a.job, a.observed_status);
         self.count_running(now, index, before, seen);
     }
 
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -347,7 +347,7 @@
         let may_be_stopped = assignment.stop.is_none()
             && !job.is_daemon()
             && job.writes_checkpoints()
-            && assignment.seen == ObservedStatus::Running
+            && assignment.observed_status == ObservedStatus::Running
             && ran >= least_run(context, job)
             && assignment.remaining(now, 0) >= LEAST_REMAINING;
         may_be_stopped.then(|| PreemptionCandidate {
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -225,7 +225,7 @@
 
 /// Whether a heartbeat has shown the task and it is not being stopped.
 fn counts_as_running(a: &Assignment) -> bool {
-    a.seen != ObservedStatus::Never && a.stop.is_none()
+    a.observed_status != ObservedStatus::Never && a.stop.is_none()
 }
 
 /// The quotas in force on record; `None` if the record cannot be read.
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -87,7 +87,7 @@
     /// grant.
     pub by_holder: bool,
     /// What the agent last said of it.
-    pub seen: ObservedStatus,
+    pub observed_status: ObservedStatus,
     /// When it was decided, in microseconds.
     pub decided: Micros,
     /// When it was first seen running, in microseconds.
@@ -133,7 +133,7 @@
             launched: None,
             delivered: true,
             by_holder: false,
-            seen: ObservedStatus::Never,
+            observed_status: ObservedStatus::Never,
             decided: of.now,
             started: None,
             expected: task.expected_us,
@@ -161,7 +161,7 @@
 
     /// Applies what the agent says of it.
     pub fn observe(&mut self, status: &TaskStatus, now: Micros) {
-        self.seen = match status {
+        self.observed_status = match status {
             TaskStatus::Running => ObservedStatus::Running,
             TaskStatus::Checkpointing => ObservedStatus::Checkpointing,
             TaskStatus::Fetching | TaskStatus::Exited => ObservedStatus::Fetching,
@@ -170,7 +170,7 @@
                 ObservedStatus::Fetching
             }
         };
-        if self.seen == ObservedStatus::Running && self.started.is_none() {
+        if self.observed_status == ObservedStatus::Running && self.started.is_none() {
             // When a task of an earlier leader began is not known: it is taken to be halfway.
             let ran = match self.is_recovered() {
                 true => self.expected / 2,
@@ -202,7 +202,7 @@
     /// Whether it was launched without any sign yet that the agent got the launch.
     pub(crate) fn is_launch_unconfirmed(&self) -> bool {
         self.may_be_on_machine()
-            && self.seen == ObservedStatus::Never
+            && self.observed_status == ObservedStatus::Never
             && self.stop.is_none()
             && !self.is_recovered()
     }
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -44,7 +44,7 @@
         team: "t".into(),
         zone: "a".into(),
         launched: Some((0, 0)),
-        seen: ObservedStatus::Never,
+        observed_status: ObservedStatus::Never,
         decided: 0,
         started: None,
         expected: 20 * SECOND,
