--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -81,7 +81,7 @@
             return;
         };
         let (job, seen) = (assignment.job, assignment.observed_status);
-        let decided = assignment.decided;
+        let decided = assignment.decided_at;
         machine.assignments.push(assignment);
         machine.recount();
         self.count_running(decided, job, ObservedStatus::Never, seen);
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -205,7 +205,7 @@
             return None;
         }
         Some(StopCandidate {
-            decided: assignment.decided,
+            decided: assignment.decided_at,
             id: assignment.id(),
             grace: job.checkpoint_grace(),
             amount: assignment.amount(),
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -89,7 +89,7 @@
     /// What the agent last said of it.
     pub observed_status: ObservedStatus,
     /// When it was decided, in microseconds.
-    pub decided: Micros,
+    pub decided_at: Micros,
     /// When it was first seen running, in microseconds.
     pub started: Option<Micros>,
     /// How long it is expected to stay on the machine, in microseconds, without fetching its image.
@@ -134,7 +134,7 @@
             delivered: true,
             by_holder: false,
             observed_status: ObservedStatus::Never,
-            decided: of.now,
+            decided_at: of.now,
             started: None,
             expected: task.expected_us,
             stop: None,
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -45,7 +45,7 @@
         zone: "a".into(),
         launched: Some((0, 0)),
         observed_status: ObservedStatus::Never,
-        decided: 0,
+        decided_at: 0,
         started: None,
         expected: 20 * SECOND,
         stop: None,
