--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -129,7 +129,7 @@
         if assignment.stop.is_some() {
             return;
         }
-        let ran = match assignment.started {
+        let ran = match assignment.started_at {
             _ if assignment.is_recovered() => now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN,
             Some(started) => now.saturating_sub(started),
             None => 0,
@@ -154,7 +154,7 @@
         machine.failed_jobs.clear();
         job.consecutive_errors = 0;
         // Only a run seen from its beginning says how long such tasks take.
-        if let (Some(started), false) = (assignment.started, assignment.is_recovered()) {
+        if let (Some(started), false) = (assignment.started_at, assignment.is_recovered()) {
             let run_time = context.now.steady.saturating_sub(started);
             self.stats
                 .record_run(&job.spec, &machine.machine_type, run_time);
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -85,7 +85,7 @@
             page,
             launched: Some((status.incarnation, status.sequence)),
             observed_status: ObservedStatus::Running,
-            started: Some(now),
+            started_at: Some(now),
             stop: Some(Stop::new(0, now)),
             ..Assignment::new(TaskOnMachine {
                 task: &task,
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -184,7 +184,7 @@
         let now = context.now.steady;
         Some(PreemptionCandidate {
             aged: has_aged(job),
-            ran: assignment.started.map_or(0, |at| now.saturating_sub(at)),
+            ran: assignment.started_at.map_or(0, |at| now.saturating_sub(at)),
             attempt: assignment.id(),
             team: assignment.team.clone(),
             amount: assignment.amount(),
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -343,7 +343,7 @@
     ) -> Option<PreemptionCandidate> {
         let now = context.now.steady;
         let job = self.jobs.get(assignment.job)?;
-        let ran = assignment.started.map_or(0, |at| now.saturating_sub(at));
+        let ran = assignment.started_at.map_or(0, |at| now.saturating_sub(at));
         let may_be_stopped = assignment.stop.is_none()
             && !job.is_daemon()
             && job.writes_checkpoints()
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -91,7 +91,7 @@
     /// When it was decided, in microseconds.
     pub decided_at: Micros,
     /// When it was first seen running, in microseconds.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// How long it is expected to stay on the machine, in microseconds, without fetching its image.
     pub expected: Micros,
     /// Set once the task is to be stopped.
@@ -135,7 +135,7 @@
             by_holder: false,
             observed_status: ObservedStatus::Never,
             decided_at: of.now,
-            started: None,
+            started_at: None,
             expected: task.expected_us,
             stop: None,
         }
@@ -170,13 +170,13 @@
                 ObservedStatus::Fetching
             }
         };
-        if self.observed_status == ObservedStatus::Running && self.started.is_none() {
+        if self.observed_status == ObservedStatus::Running && self.started_at.is_none() {
             // When a task of an earlier leader began is not known: it is taken to be halfway.
             let ran = match self.is_recovered() {
                 true => self.expected / 2,
                 false => 0,
             };
-            self.started = Some(now.saturating_sub(ran));
+            self.started_at = Some(now.saturating_sub(ran));
         }
     }
 
@@ -209,7 +209,7 @@
 
     /// Time that it will still take, in microseconds, by its expected run time and `fetch`, the time to fetch its image.
     pub fn remaining(&self, now: Micros, fetch: Micros) -> Micros {
-        let Some(started) = self.started else {
+        let Some(started) = self.started_at else {
             return self.expected + fetch;
         };
         let ran = now.saturating_sub(started);
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -46,7 +46,7 @@
         launched: Some((0, 0)),
         observed_status: ObservedStatus::Never,
         decided_at: 0,
-        started: None,
+        started_at: None,
         expected: 20 * SECOND,
         stop: None,
     };
