--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -201,7 +201,7 @@
             });
             let page = RecordId::AssignmentPage(assignment.page);
             if assignment.launched.is_none()
-                && write_buffer.is_durable(&page, assignment.written)
+                && write_buffer.is_durable(&page, assignment.page_version)
                 && is_live
                 && !reclaimed
                 && assignment.incarnation == held.incarnation
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -157,7 +157,7 @@
             let page = RecordId::AssignmentPage(assignment.page);
             assignment.launched.is_none()
                 && assignment.stop.is_none()
-                && !self.write_buffer.is_durable(&page, assignment.written)
+                && !self.write_buffer.is_durable(&page, assignment.page_version)
         };
         self.machines
             .get(name)
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -79,7 +79,7 @@
         assignment.page = to;
         if !assignment.may_be_on_machine() {
             // It is launched once it is durable on the new page.
-            assignment.written = self.write_buffer.mark_dirty(RecordId::AssignmentPage(to), due);
+            assignment.page_version = self.write_buffer.mark_dirty(RecordId::AssignmentPage(to), due);
         }
         let assignment = assignment.clone();
         self.page_mut(from).remove(machine, &assignment);
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -251,7 +251,7 @@
     /// Whether the assignment is on its page for certain.
     pub(crate) fn is_on_record(&self, a: &Assignment) -> bool {
         let page = RecordId::AssignmentPage(a.page);
-        self.write_buffer.is_durable(&page, a.written)
+        self.write_buffer.is_durable(&page, a.page_version)
     }
 
     /// Placements that have come on record are reported to the leader from now on.
@@ -260,7 +260,7 @@
             let assignments = machine.assignments.iter_mut();
             for a in assignments.filter(|a| a.by_holder && !a.delivered) {
                 let page = RecordId::AssignmentPage(a.page);
-                if self.write_buffer.is_durable(&page, a.written) {
+                if self.write_buffer.is_durable(&page, a.page_version) {
                     a.delivered = true;
                     self.holder_quota.note_placed(placed_task(name, a));
                 }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -343,7 +343,7 @@
     let job = jobs.get(a.job);
     let is_wanted =
         job.is_some_and(|job| job.cancelled_at.is_none() && !job.is_task_completed(a.task));
-    let is_on_record = write_buffer.is_durable(&RecordId::AssignmentPage(a.page), a.written);
+    let is_on_record = write_buffer.is_durable(&RecordId::AssignmentPage(a.page), a.page_version);
     a.launched.is_none() && a.stop.is_none() && is_wanted && is_on_record
 }
 
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -47,7 +47,7 @@
         };
         let assignment = Assignment {
             page,
-            written,
+            page_version: written,
             delivered: false,
             by_holder,
             ..Assignment::new(TaskOnMachine {
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -66,7 +66,7 @@
     /// The page of assignments that it is recorded on.
     pub page: u64,
     /// The version of the page that first holds it; it may be launched once that is durable.
-    pub written: u64,
+    pub page_version: u64,
     /// CPUs that it takes.
     pub cpus: f64,
     /// Accelerators that it takes.
@@ -124,7 +124,7 @@
             attempt: task.attempt,
             incarnation: task.incarnation,
             page: 0,
-            written: 0,
+            page_version: 0,
             cpus: spec.map_or(0.0, |spec| spec.cpus),
             gpus: spec.map_or(0.0, |spec| spec.gpus),
             memory: spec.map_or(0.0, |spec| spec.memory_gb),
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -37,7 +37,7 @@
         attempt: 1,
         incarnation: 1,
         page: 0,
-        written: 0,
+        page_version: 0,
         cpus: 1.0,
         gpus: 0.0,
         memory: 1.0,
