--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -70,7 +70,7 @@
             return false;
         }
         let runs_on = |assignment: &Assignment| {
-            let least_remaining = (2 * duration).max(assignment.expected / 2);
+            let least_remaining = (2 * duration).max(assignment.expected_stay / 2);
             assignment.stop.is_none() && assignment.remaining(now, 0) > least_remaining
         };
         self.machines.get(machine).is_some_and(|machine| {
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -93,7 +93,7 @@
     /// When it was first seen running, in microseconds.
     pub started_at: Option<Micros>,
     /// How long it is expected to stay on the machine, in microseconds, without fetching its image.
-    pub expected: Micros,
+    pub expected_stay: Micros,
     /// Set once the task is to be stopped.
     pub stop: Option<Stop>,
 }
@@ -136,7 +136,7 @@
             observed_status: ObservedStatus::Never,
             decided_at: of.now,
             started_at: None,
-            expected: task.expected_us,
+            expected_stay: task.expected_us,
             stop: None,
         }
     }
@@ -173,7 +173,7 @@
         if self.observed_status == ObservedStatus::Running && self.started_at.is_none() {
             // When a task of an earlier leader began is not known: it is taken to be halfway.
             let ran = match self.is_recovered() {
-                true => self.expected / 2,
+                true => self.expected_stay / 2,
                 false => 0,
             };
             self.started_at = Some(now.saturating_sub(ran));
@@ -210,10 +210,10 @@
     /// Time that it will still take, in microseconds, by its expected run time and `fetch`, the time to fetch its image.
     pub fn remaining(&self, now: Micros, fetch: Micros) -> Micros {
         let Some(started) = self.started_at else {
-            return self.expected + fetch;
+            return self.expected_stay + fetch;
         };
         let ran = now.saturating_sub(started);
-        self.expected.saturating_sub(ran).max(ran / OVERRUN_PART)
+        self.expected_stay.saturating_sub(ran).max(ran / OVERRUN_PART)
     }
 
     /// The command that launches it.
@@ -256,7 +256,7 @@
         job: assignment.job_id.clone(),
         task: assignment.task,
         attempt: assignment.attempt,
-        expected_us: assignment.expected,
+        expected_us: assignment.expected_stay,
     }
 }
 
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -47,7 +47,7 @@
         observed_status: ObservedStatus::Never,
         decided_at: 0,
         started_at: None,
-        expected: 20 * SECOND,
+        expected_stay: 20 * SECOND,
         stop: None,
     };
     assert!(assignment.is_recovered());
