--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -71,7 +71,7 @@
         }
         let runs_on = |assignment: &Assignment| {
             let least_remaining = (2 * duration).max(assignment.expected_stay / 2);
-            assignment.stop.is_none() && assignment.remaining(now, 0) > least_remaining
+            assignment.stop.is_none() && assignment.remaining_time(now, 0) > least_remaining
         };
         self.machines.get(machine).is_some_and(|machine| {
             machine.free().cpus > RESOURCE_TOLERANCE
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -264,7 +264,7 @@
                 continue;
             };
             let fetch_time = machine.fetch_time(&job.spec.image, job.spec.image_gb);
-            let finishes = assignment.remaining(now, fetch_time) + FINISH_MARGIN < left;
+            let finishes = assignment.remaining_time(now, fetch_time) + FINISH_MARGIN < left;
             if !finishes && must_stop_for_reclamation(job, left) {
                 stops.push(PlannedStop {
                     attempt: assignment.attempt,
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -462,5 +462,5 @@
 
 /// Whether the task is likely to free its resources soon.
 fn ends_soon(a: &Assignment, now: Micros) -> bool {
-    a.stop.is_some() || a.remaining(now, 0) < LOOKAHEAD
+    a.stop.is_some() || a.remaining_time(now, 0) < LOOKAHEAD
 }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -132,7 +132,7 @@
             for task in &machine.assignments {
                 let cpu_part = task.cpus / machine.cpus;
                 supply.running.push(RunningTask {
-                    remaining_s: task.remaining(now, 0) as f64 / MICROS_PER_SECOND,
+                    remaining_s: task.remaining_time(now, 0) as f64 / MICROS_PER_SECOND,
                     machine_part: cpu_part.max(task.memory / machine.memory.max(RESOURCE_TOLERANCE)),
                     machine_seconds: 0.0,
                 });
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -175,7 +175,7 @@
 }
 
 fn is_worth_moving(assignment: &Assignment, context: &Context) -> bool {
-    assignment.remaining(context.now.steady, 0) > LEAST_REMAINING
+    assignment.remaining_time(context.now.steady, 0) > LEAST_REMAINING
 }
 
 /// Machines that may be drained, the first to be drained first.
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -185,7 +185,7 @@
             self.machines
                 .values()
                 .flat_map(|machine| &machine.assignments)
-                .filter(|a| a.team == *team && a.remaining(now, 0) < QUOTA_KEPT_FOR)
+                .filter(|a| a.team == *team && a.remaining_time(now, 0) < QUOTA_KEPT_FOR)
                 .fold(Resources::ZERO, |sum, a| sum.saturating_add(a.amount()))
         });
         self.job_fits_limit(context, job, *freed)
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -349,7 +349,7 @@
             && job.writes_checkpoints()
             && assignment.observed_status == ObservedStatus::Running
             && ran >= least_run(context, job)
-            && assignment.remaining(now, 0) >= LEAST_REMAINING;
+            && assignment.remaining_time(now, 0) >= LEAST_REMAINING;
         may_be_stopped.then(|| PreemptionCandidate {
             ran,
             priority: job.preemption_priority(),
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -208,7 +208,7 @@
     }
 
     /// Time that it will still take, in microseconds, by its expected run time and `fetch`, the time to fetch its image.
-    pub fn remaining(&self, now: Micros, fetch: Micros) -> Micros {
+    pub fn remaining_time(&self, now: Micros, fetch: Micros) -> Micros {
         let Some(started) = self.started_at else {
             return self.expected_stay + fetch;
         };
