--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -72,7 +72,7 @@
     /// Accelerators that it takes.
     pub gpus: f64,
     /// Memory that it takes, in GB.
-    pub memory: f64,
+    pub memory_gb: f64,
     /// The team that owns the job; empty if the job is not known.
     pub team: String,
     /// The machine's zone.
@@ -127,7 +127,7 @@
             page_version: 0,
             cpus: spec.map_or(0.0, |spec| spec.cpus),
             gpus: spec.map_or(0.0, |spec| spec.gpus),
-            memory: spec.map_or(0.0, |spec| spec.memory_gb),
+            memory_gb: spec.map_or(0.0, |spec| spec.memory_gb),
             team: spec.map_or(String::new(), |spec| spec.team.clone()),
             zone: of.zone,
             launched: None,
@@ -185,7 +185,7 @@
         MachineResources {
             cpus: self.cpus,
             gpus: self.gpus,
-            memory_gb: self.memory,
+            memory_gb: self.memory_gb,
         }
     }
 
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -40,7 +40,7 @@
         page_version: 0,
         cpus: 1.0,
         gpus: 0.0,
-        memory: 1.0,
+        memory_gb: 1.0,
         team: "t".into(),
         zone: "a".into(),
         launched: Some((0, 0)),
