--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -133,7 +133,7 @@
                 let cpu_part = task.cpus / machine.cpus;
                 supply.running.push(RunningTask {
                     remaining_s: task.remaining_time(now, 0) as f64 / MICROS_PER_SECOND,
-                    machine_part: cpu_part.max(task.memory_gb / machine.memory.max(RESOURCE_TOLERANCE)),
+                    machine_part: cpu_part.max(task.memory_gb / machine.memory_gb.max(RESOURCE_TOLERANCE)),
                     machine_seconds: 0.0,
                 });
             }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -58,7 +58,7 @@
     /// Accelerators that it has.
     pub gpus: f64,
     /// Memory that it has, in GB.
-    pub memory: f64,
+    pub memory_gb: f64,
     /// The agent's incarnation, by its newest status.
     pub incarnation: u64,
     /// The number of the newest status within the incarnation.
@@ -138,7 +138,7 @@
             spot: heartbeat.spot,
             cpus: machine_type.map_or(0.0, |of| of.cpus),
             gpus: machine_type.map_or(0.0, |of| of.gpus),
-            memory: machine_type.map_or(0.0, |of| of.memory_gb),
+            memory_gb: machine_type.map_or(0.0, |of| of.memory_gb),
             incarnation: 0,
             sequence: 0,
             knows_token: false,
@@ -205,7 +205,7 @@
         MachineResources {
             cpus: self.cpus,
             gpus: self.gpus,
-            memory_gb: self.memory,
+            memory_gb: self.memory_gb,
         }
     }
 
