--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -74,7 +74,7 @@
         let has_machine_list = self.fleet.has_machine_list();
         self.machines.values().any(|machine| {
             let is_recovered =
-                machine.address.is_empty() && (machine.listed.is_some() || !has_machine_list);
+                machine.address.is_empty() && (machine.first_listed_at.is_some() || !has_machine_list);
             machine.partition.is_none() && (machine.knows_token || is_recovered)
         })
     }
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -134,7 +134,7 @@
         let mut gone = Vec::new();
         for machine in self.machines.values_mut() {
             if listed.contains(machine.name.as_str()) {
-                machine.listed.get_or_insert(now);
+                machine.first_listed_at.get_or_insert(now);
             } else if is_gone_unnoticed(context, machine, loaded_at) {
                 gone.push(machine.name.clone());
             }
@@ -155,7 +155,7 @@
     let listed_timeout = 2 * context.settings.list_lag + 2 * SECOND;
     let contact_timeout = 2 * context.settings.heartbeat_interval + SECOND;
     let from_store = machine.address.is_empty().then_some(loaded_at);
-    let known_since = machine.listed.or(from_store);
+    let known_since = machine.first_listed_at.or(from_store);
     known_since.is_some_and(|at| now.saturating_sub(at) > listed_timeout)
         && now.saturating_sub(machine.last_contact_at) > contact_timeout
 }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -106,7 +106,7 @@
     /// Tasks of idle priority are kept off until then: tasks are preempted here for work of higher priority.
     pub idle_excluded_until: Micros,
     /// When the cloud's list first showed it.
-    pub listed: Option<Micros>,
+    pub first_listed_at: Option<Micros>,
     /// Whether our responses reach it, as far as its heartbeats show. Heartbeats may arrive from a machine that no
     /// response reaches, and copies of heartbeats from one that is gone: neither gets tasks.
     pub receives_responses: bool,
@@ -165,7 +165,7 @@
             faulty: false,
             quarantined_until: 0,
             idle_excluded_until: 0,
-            listed: None,
+            first_listed_at: None,
             receives_responses: false,
             unreachable_since: None,
         }
@@ -193,7 +193,7 @@
             knows_token: self.knows_token,
             cordoned: self.cordoned,
             draining: self.draining,
-            listed: self.listed,
+            first_listed_at: self.first_listed_at,
             receives_responses: self.receives_responses,
             unreachable_since: self.unreachable_since,
             ..described
