--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -33,7 +33,7 @@
         }
         if machine.address.is_empty() || machine.cpus <= 0.0 {
             let machine_type = context.machine_type(&status.machine_type);
-            machine.describe(&status, machine_type, now);
+            machine.apply_description(&status, machine_type, now);
         }
         let knows_token = status.token == self.token;
         let new_incarnation = status.incarnation > machine.incarnation;
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -137,7 +137,7 @@
             .entry(state.machine.clone())
             .or_insert_with(|| Machine::new(&heartbeat, machine_type, now));
         if machine.address.is_empty() || machine.cpus <= 0.0 {
-            machine.describe(&heartbeat, machine_type, now);
+            machine.apply_description(&heartbeat, machine_type, now);
         }
         machine.partition = Some(id);
         machine.address.clone_from(&state.address);
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -173,7 +173,7 @@
 
     /// Applies what a heartbeat says of the machine itself if until now it was known from records only, or its type was
     /// not known: without the resources of its type it would stay empty for good.
-    pub(crate) fn describe(
+    pub(crate) fn apply_description(
         &mut self,
         heartbeat: &Heartbeat,
         machine_type: Option<&MachineType>,
