--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -324,7 +324,7 @@
 /// The stops of a machine that were not sent lately; notes that they are sent.
 fn due_stops(machine: &mut Machine, now: Micros) -> Vec<Command> {
     let is_due = |assignment: &Assignment| {
-        let sent = assignment.stop.and_then(|stop| stop.sent);
+        let sent = assignment.stop.and_then(|stop| stop.sent_at);
         sent.is_none_or(|at| now >= at + STOP_RETRY_INTERVAL)
     };
     machine
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -135,7 +135,7 @@
         assignment.stop = job_ended.then_some(Stop {
             grace: 0,
             since: context.now.steady,
-            sent: None,
+            sent_at: None,
         });
         self.add_assignment(&task.machine, assignment);
     }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -351,10 +351,10 @@
 fn due_stop(machine: &str, a: &mut Assignment, now: Micros) -> Option<TaskStop> {
     let id = a.id();
     let stop = a.stop.as_mut().filter(|_| a.launched.is_some())?;
-    if stop.sent.is_some_and(|at| now < at + STOP_RETRY_INTERVAL) {
+    if stop.sent_at.is_some_and(|at| now < at + STOP_RETRY_INTERVAL) {
         return None;
     }
-    stop.sent = Some(now);
+    stop.sent_at = Some(now);
     Some(TaskStop {
         machine: machine.to_string(),
         id,
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -187,7 +187,7 @@
         LoadedJob::Unreadable => Some(Stop {
             grace: 0,
             since: task.now,
-            sent: None,
+            sent_at: None,
         }),
     };
     Assignment {
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -36,7 +36,7 @@
     /// When it was decided, in microseconds.
     pub since: Micros,
     /// When the command was last sent, in microseconds.
-    pub sent: Option<Micros>,
+    pub sent_at: Option<Micros>,
 }
 
 impl Stop {
@@ -45,7 +45,7 @@
         Stop {
             grace,
             since: now,
-            sent: None,
+            sent_at: None,
         }
     }
 }
@@ -232,7 +232,7 @@
             return None;
         }
         let stop = self.stop.as_mut()?;
-        stop.sent = Some(now);
+        stop.sent_at = Some(now);
         let grace = stop.grace;
         Some(stop_command(&self.job_id, self.task, self.attempt, grace))
     }
