--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -123,7 +123,7 @@
             amount: placing.task,
             awaits_resources,
             level: placing.level,
-            expected: placing.expected,
+            expected_stay: placing.expected,
             delegated_at: now,
             sent: false,
             confirmed: false,
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -85,7 +85,7 @@
             let of_job = work.entry(task.job).or_insert_with(|| DelegatedWork {
                 job: delegation.job_id.clone(),
                 level: delegation.level,
-                expected_us: delegation.expected,
+                expected_us: delegation.expected_stay,
                 tasks: Vec::new(),
             });
             of_job.tasks.push(DelegatedTask {
--- a/crates/core/src/state/delegations.rs
+++ b/crates/core/src/state/delegations.rs
@@ -41,7 +41,7 @@
     /// How urgent its job is: lower numbers come first.
     pub level: u8,
     /// How long it is expected to run, in microseconds.
-    pub expected: Micros,
+    pub expected_stay: Micros,
     /// When it was delegated.
     pub delegated_at: Micros,
     /// It was part of a message to the holder.
--- a/crates/core/src/state/delegations/tests.rs
+++ b/crates/core/src/state/delegations/tests.rs
@@ -15,7 +15,7 @@
         amount: Resources::of(2.0, 0.0),
         awaits_resources,
         level: 6,
-        expected: 1,
+        expected_stay: 1,
         delegated_at: 0,
         sent: false,
         confirmed: false,
