--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -127,7 +127,7 @@
                 job: work.job.clone(),
                 task: delegated.task,
                 machine: delegated.machine.clone(),
-                expected: work.expected_us,
+                expected_stay: work.expected_us,
             });
         }
     }
@@ -214,7 +214,7 @@
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
             "placed a task"
         );
-        let expected = queued.expected;
+        let expected = queued.expected_stay;
         self.assign(
             context,
             &name,
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -24,7 +24,7 @@
     /// The machine that has room for it, or will have it, as far as the leader knew.
     pub(crate) machine: String,
     /// How long it is expected to run, in microseconds.
-    pub(crate) expected: Micros,
+    pub(crate) expected_stay: Micros,
 }
 
 /// A task that the holder has placed.
