--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -166,7 +166,7 @@
         let now = context.now.steady;
         let partitions = self.remote_partitions.by_id.iter();
         let delegations = &self.leader_quota.delegations;
-        let with_tasks = partitions.filter(|(id, _)| delegations.any_in(**id));
+        let with_tasks = partitions.filter(|(id, _)| delegations.has_tasks_in(**id));
         let unreachable = with_tasks.filter(|(_, partition)| {
             let since = partition.last_answer_at.max(self.loaded_at);
             now.saturating_sub(since) > HOLDER_TIMEOUT
--- a/crates/core/src/state/delegations.rs
+++ b/crates/core/src/state/delegations.rs
@@ -114,7 +114,7 @@
     }
 
     /// Whether the partition's holder is to place any task.
-    pub fn any_in(&self, partition: PartitionId) -> bool {
+    pub fn has_tasks_in(&self, partition: PartitionId) -> bool {
         let tasks = self.by_partition.get(&partition);
         tasks.is_some_and(|tasks| !tasks.is_empty())
     }
--- a/crates/core/src/state/delegations/tests.rs
+++ b/crates/core/src/state/delegations/tests.rs
@@ -69,5 +69,5 @@
     assert_eq!(delegations.awaiting_resources(1, "u"), Resources::ZERO);
     delegations.remove(SECOND);
     assert_eq!(delegations.awaiting_resources(1, "t"), Resources::ZERO);
-    assert!(delegations.any_in(1) && !delegations.any_in(2));
+    assert!(delegations.has_tasks_in(1) && !delegations.has_tasks_in(2));
 }
