--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -181,7 +181,7 @@
             let Some(pages) = pages_of_partition(*id) else {
                 return false;
             };
-            self.pages.any_in(pages.clone()) || self.write_buffer.is_any_page_dirty(pages)
+            self.pages.has_assignments_in(pages.clone()) || self.write_buffer.is_any_page_dirty(pages)
         };
         let partitions = self.pages.numbers().filter_map(partition_of_page);
         let with_pages = partitions.filter(has_pages).max();
--- a/crates/core/src/state/assignment_pages.rs
+++ b/crates/core/src/state/assignment_pages.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether a page of the range has assignments.
-    pub(crate) fn any_in(&self, range: Range<u64>) -> bool {
+    pub(crate) fn has_assignments_in(&self, range: Range<u64>) -> bool {
         let mut pages = self.by_number.range(range);
         pages.any(|(_, page)| !page.machines.is_empty())
     }
