--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -24,7 +24,7 @@
     /// The number of a page with room for one more assignment.
     pub(crate) fn page_with_room(&mut self) -> u64 {
         let max_bytes = self.page_bytes();
-        self.pages.with_room(max_bytes)
+        self.pages.page_with_room(max_bytes)
     }
 
     /// Moves assignments off pages that are larger than a value may be. The result says from which page to which.
--- a/crates/core/src/state/assignment_pages.rs
+++ b/crates/core/src/state/assignment_pages.rs
@@ -128,7 +128,7 @@
 
     /// A page with room for one more assignment, if pages may have `max_bytes`. Assignments of one moment share a page,
     /// which is written once for all of them; when it is full, the emptiest comes next, so that few pages are written.
-    pub(crate) fn with_room(&mut self, max_bytes: usize) -> u64 {
+    pub(crate) fn page_with_room(&mut self, max_bytes: usize) -> u64 {
         let open = self.by_number.get(&self.open);
         if open.is_some_and(|page| page.has_room(max_bytes)) && self.may_grow(self.open) {
             return self.open;
