--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::assignment_pages::Page;
+use crate::state::assignment_pages::AssignmentPage;
 use crate::state::machine::Machine;
 use crate::state::write_buffer::RecordId;
 use crate::Micros;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 impl Scheduler {
-    pub(crate) fn page_mut(&mut self, number: u64) -> &mut Page {
+    pub(crate) fn page_mut(&mut self, number: u64) -> &mut AssignmentPage {
         self.pages.page_mut(number)
     }
 
--- a/crates/core/src/state/assignment_pages.rs
+++ b/crates/core/src/state/assignment_pages.rs
@@ -16,7 +16,7 @@
 
 /// A page of assignments: which machines are on it, and how large it is.
 #[derive(Clone, Debug, Default)]
-pub struct Page {
+pub struct AssignmentPage {
     /// Machines by name, with the number of their assignments on this page.
     pub(crate) machines: BTreeMap<String, usize>,
     /// An upper bound of the record's size in its JSON form.
@@ -27,7 +27,7 @@
     pub(crate) closed: bool,
 }
 
-impl Page {
+impl AssignmentPage {
     fn assignment_bytes(assignment: &Assignment) -> usize {
         let values = assignment.job_id.len() + digits(assignment.task) + digits(assignment.attempt);
         values + ASSIGNMENT_FRAME.len()
@@ -41,10 +41,10 @@
     pub fn add(&mut self, machine: &str, assignment: &Assignment) {
         let count = self.machines.entry(machine.to_string()).or_insert(0);
         if *count == 0 {
-            self.bytes += Page::machine_bytes(machine, assignment);
+            self.bytes += AssignmentPage::machine_bytes(machine, assignment);
         }
         *count += 1;
-        self.bytes += Page::assignment_bytes(assignment);
+        self.bytes += AssignmentPage::assignment_bytes(assignment);
     }
 
     /// Notes that an assignment is gone.
@@ -53,10 +53,10 @@
             return;
         };
         *count -= 1;
-        let mut freed = Page::assignment_bytes(assignment);
+        let mut freed = AssignmentPage::assignment_bytes(assignment);
         if *count == 0 {
             self.machines.remove(machine);
-            freed += Page::machine_bytes(machine, assignment);
+            freed += AssignmentPage::machine_bytes(machine, assignment);
         }
         self.bytes = self.bytes.saturating_sub(freed);
     }
@@ -75,7 +75,7 @@
 /// The assignment pages that one scheduler writes.
 #[derive(Clone, Debug, Default)]
 pub struct AssignmentPages {
-    pub(crate) by_number: BTreeMap<u64, Page>,
+    pub(crate) by_number: BTreeMap<u64, AssignmentPage>,
     /// The page that takes new assignments.
     open: u64,
     /// The numbers that a holder may use; `None`: the leader uses all others.
@@ -103,7 +103,7 @@
     }
 
     /// The page with this number, which is created if there is none.
-    pub fn page_mut(&mut self, number: u64) -> &mut Page {
+    pub fn page_mut(&mut self, number: u64) -> &mut AssignmentPage {
         self.by_number.entry(number).or_default()
     }
 
