--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -140,10 +140,10 @@
         watch: &mut dyn Stopwatch,
     ) {
         let now = context.now.steady;
-        if now < self.placement.next_at && !self.placement.wanted {
+        if now < self.placement.next_at && !self.placement.is_round_requested {
             return;
         }
-        self.placement.wanted = false;
+        self.placement.is_round_requested = false;
         self.placement.next_at = now + PLACEMENT_INTERVAL;
         self.placement.rounds += 1;
         self.held_changed = true;
@@ -167,7 +167,7 @@
                     partition = self.partition();
                     "placement round is out of time, continues with the next one"
                 );
-                self.placement.wanted = true;
+                self.placement.is_round_requested = true;
                 break;
             }
             if self.place_queued(context, &queued, &mut open) == PlacementOutcome::Placed {
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -58,7 +58,7 @@
         if now < self.placement.blocked_until || self.has_unreadable_tasks() {
             return;
         }
-        self.placement.wanted = false;
+        self.placement.is_round_requested = false;
         self.leader_quota.teams_short_of_room.clear();
         self.jobs.begin_catch_ups(now);
         let queue = self.job_queue(context);
@@ -89,7 +89,7 @@
         placement.next_at = now + context.tuning.placement_interval_us;
         placement.not_before = placement.next_at;
         placement.rounds += 1;
-        if !placement.wanted && placement.resume_with.is_none() {
+        if !placement.is_round_requested && placement.resume_with.is_none() {
             // Rounds without news are needed only for what time itself changes.
             placement.next_at = now + IDLE_INTERVAL;
         }
--- a/crates/core/src/state/placement.rs
+++ b/crates/core/src/state/placement.rs
@@ -11,7 +11,7 @@
     /// No round before this time: rounds keep at least their interval.
     pub(crate) not_before: Micros,
     /// Something changed that may let a task be placed.
-    pub wanted: bool,
+    pub is_round_requested: bool,
     /// The job that the next round begins with, since the last one ran out of time before it.
     pub(crate) resume_with: Option<JobIndex>,
     /// Nothing is placed before this time: a page could not be read.
@@ -27,7 +27,7 @@
 impl PlacementState {
     /// Something changed that may let a task be placed: a round is due now.
     pub fn request_round(&mut self, now: Micros) {
-        self.wanted = true;
+        self.is_round_requested = true;
         self.next_at = self.next_at.min(now.max(self.not_before));
     }
 }
