--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -109,7 +109,7 @@
     /// placement.
     fn has_room_for_backlog(&self, context: &Context, name: &str) -> bool {
         let max_silence = context.settings.heartbeat_timeout();
-        self.placement.backlog
+        self.placement.has_backlog
             && self.machines.get(name).is_some_and(|machine| {
                 machine.free().cpus > RESOURCE_TOLERANCE && machine.is_usable(context.now.steady, max_silence)
             })
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -283,7 +283,7 @@
         if !self.held_heartbeats.is_empty() {
             at = at.min(self.held_until);
         }
-        if self.placement.backlog {
+        if self.placement.has_backlog {
             at = at.min(self.placement.next_at);
         }
         if self.loaded() {
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -148,10 +148,10 @@
         self.placement.rounds += 1;
         self.held_changed = true;
         self.drop_queued_of_cancelled_jobs();
-        self.placement.backlog = !self.holder_quota.queue.is_empty();
-        if self.placement.backlog && self.holder_quota.term.is_some() {
+        self.placement.has_backlog = !self.holder_quota.queue.is_empty();
+        if self.placement.has_backlog && self.holder_quota.term.is_some() {
             self.place_queue(context, watch);
-            self.placement.backlog = !self.holder_quota.queue.is_empty();
+            self.placement.has_backlog = !self.holder_quota.queue.is_empty();
         }
     }
 
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -70,7 +70,7 @@
             self.delegate_ahead(context, &queue, &order.teams_with_kept_quota);
             self.revoke_overdue(context, &open);
         }
-        self.placement.backlog = queue.iter().any(|queued| {
+        self.placement.has_backlog = queue.iter().any(|queued| {
             let job = self.jobs.get(queued.index);
             job.is_some_and(|job| job.waiting_count() > 0)
         });
--- a/crates/core/src/state/placement.rs
+++ b/crates/core/src/state/placement.rs
@@ -21,7 +21,7 @@
     /// Rounds so far.
     pub rounds: u64,
     /// The last round left tasks waiting.
-    pub backlog: bool,
+    pub has_backlog: bool,
 }
 
 impl PlacementState {
