--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -87,7 +87,7 @@
         let now = context.now.steady;
         let placement = &mut self.placement;
         placement.next_at = now + context.tuning.placement_interval_us;
-        placement.not_before = placement.next_at;
+        placement.no_round_before = placement.next_at;
         placement.rounds += 1;
         if !placement.is_round_requested && placement.resume_with.is_none() {
             // Rounds without news are needed only for what time itself changes.
--- a/crates/core/src/state/placement.rs
+++ b/crates/core/src/state/placement.rs
@@ -9,7 +9,7 @@
     /// When the next round is due.
     pub next_at: Micros,
     /// No round before this time: rounds keep at least their interval.
-    pub(crate) not_before: Micros,
+    pub(crate) no_round_before: Micros,
     /// Something changed that may let a task be placed.
     pub is_round_requested: bool,
     /// The job that the next round begins with, since the last one ran out of time before it.
@@ -28,6 +28,6 @@
     /// Something changed that may let a task be placed: a round is due now.
     pub fn request_round(&mut self, now: Micros) {
         self.is_round_requested = true;
-        self.next_at = self.next_at.min(now.max(self.not_before));
+        self.next_at = self.next_at.min(now.max(self.no_round_before));
     }
 }
