--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -238,7 +238,7 @@
         self.last_answer_at = now;
         self.state_version = report.version;
         if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
-            self.placed_seen = quota.version;
+            self.last_known_placement = quota.version;
             self.reserved = std::mem::take(&mut self.reserved_sent);
         }
         self.note_heartbeats(report.heartbeats, now);
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -62,7 +62,7 @@
     /// When the holder last answered.
     pub(crate) last_answer_at: Micros,
     /// The number of the last task placed by the holder that is known.
-    pub(crate) placed_seen: u64,
+    pub(crate) last_known_placement: u64,
     /// Machines on which the holder was last told to place nothing new.
     pub(crate) reserved_sent: BTreeSet<String>,
     /// Machines on which the holder has answered that it places nothing new.
@@ -84,7 +84,7 @@
             heartbeats: HeartbeatCount::default(),
             load: 0.0,
             last_answer_at: 0,
-            placed_seen: 0,
+            last_known_placement: 0,
             reserved_sent: BTreeSet::new(),
             reserved: BTreeSet::new(),
         }
@@ -104,7 +104,7 @@
         self.next_orders_at = 0;
         self.applied_outcomes.clear();
         self.heartbeats = HeartbeatCount::default();
-        self.placed_seen = 0;
+        self.last_known_placement = 0;
         self.reserved_sent.clear();
         self.reserved.clear();
     }
@@ -167,9 +167,9 @@
     }
 
     /// The number of the last task placed by the partition's holder that is known.
-    pub(crate) fn placed_seen(&self, id: PartitionId) -> u64 {
+    pub(crate) fn last_known_placement(&self, id: PartitionId) -> u64 {
         let partition = self.by_id.get(&id);
-        partition.map_or(0, |partition| partition.placed_seen)
+        partition.map_or(0, |partition| partition.last_known_placement)
     }
 
     /// Whether the partition's holder has answered that it places nothing new on the machine.
