--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -24,7 +24,7 @@
         Some(vec![
             condition(&claim_key(partition), self.token),
             condition(LEADER, self.holder_quota.term?),
-            condition(LIMITS, self.holder_quota.limits?),
+            condition(LIMITS, self.holder_quota.limits_revision?),
         ])
     }
 
@@ -47,7 +47,7 @@
         }
         if has_failed(LIMITS) {
             // The leader tells which limits are in force now.
-            self.holder_quota.limits = None;
+            self.holder_quota.limits_revision = None;
         }
         Ok(())
     }
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -45,7 +45,7 @@
     /// another one may lead.
     pub term: Option<u64>,
     /// The mod_revision of the limits under which the grant was made; `None`: none are in force.
-    pub limits: Option<u64>,
+    pub limits_revision: Option<u64>,
     /// Tasks that are to be placed.
     pub(crate) queue: BTreeSet<QueuedTask>,
     /// The arrival number of the last task that was queued.
