--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -107,7 +107,7 @@
         if (machines.len() as u64) < requested {
             self.note_no_capacity(now, offering.clone());
         } else {
-            self.fleet.unavailable.remove(&offering);
+            self.fleet.capacity_backoffs.remove(&offering);
         }
         for machine in machines {
             if self.machines.contains_key(&machine) || self.fleet.is_terminated(&machine) {
@@ -125,7 +125,7 @@
     }
 
     fn note_no_capacity(&mut self, now: Micros, offering: MachineOffering) {
-        let backoff = self.fleet.unavailable.entry(offering).or_default();
+        let backoff = self.fleet.capacity_backoffs.entry(offering).or_default();
         backoff.refusals = (backoff.refusals + 1).min(MAX_REFUSALS);
         let doublings = backoff.refusals.saturating_sub(1);
         backoff.until = now + (FIRST_CAPACITY_BACKOFF << doublings).min(MAX_CAPACITY_BACKOFF);
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -134,7 +134,7 @@
     /// Whether the catalogue is being read.
     pub(crate) catalogue_in_flight: bool,
     /// Machine offerings without capacity.
-    pub(crate) unavailable: BTreeMap<MachineOffering, CapacityBackoff>,
+    pub(crate) capacity_backoffs: BTreeMap<MachineOffering, CapacityBackoff>,
     /// Boots of each machine type that were given up since one succeeded.
     pub(crate) failed_boots: BTreeMap<String, u32>,
     /// When a whole machine list was last read, in microseconds.
@@ -162,7 +162,7 @@
             next_autoscaler_round: now + FIRST_AUTOSCALER_ROUND,
             next_catalogue_read: now + FIRST_CATALOGUE_READ,
             catalogue_in_flight: false,
-            unavailable: BTreeMap::new(),
+            capacity_backoffs: BTreeMap::new(),
             failed_boots: BTreeMap::new(),
             last_full_list: None,
             term_started_at: now,
@@ -230,7 +230,7 @@
 
     /// Whether nothing of the offering is requested now, since it had no capacity lately.
     pub(crate) fn is_unavailable(&self, offering: &MachineOffering, now: Micros) -> bool {
-        let backoff = self.unavailable.get(offering);
+        let backoff = self.capacity_backoffs.get(offering);
         backoff.is_some_and(|backoff| backoff.until > now)
     }
 
