--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -34,7 +34,7 @@
             .unproven_machines
             .get_or_insert_with(|| UnprovenMachines {
                 names: Vec::new(),
-                due: now + TERMINATION_DELAY,
+                termination_due_at: now + TERMINATION_DELAY,
             });
         unproven.names.extend(names);
     }
@@ -42,7 +42,7 @@
     /// When unproven machines are due, in microseconds of the steady clock.
     pub(crate) fn unproven_machines_due(&self) -> Micros {
         let unproven = self.unproven_machines.as_ref();
-        unproven.map_or(Micros::MAX, |unproven| unproven.due)
+        unproven.map_or(Micros::MAX, |unproven| unproven.termination_due_at)
     }
 
     /// Terminates unproven machines that are due, if the store has been out of reach since: then it may take
--- a/crates/core/src/state/unproven_machines.rs
+++ b/crates/core/src/state/unproven_machines.rs
@@ -8,5 +8,5 @@
     /// The machines' names.
     pub(crate) names: Vec<String>,
     /// When they are terminated, unless a successor can read of them in the store by then.
-    pub(crate) due: Micros,
+    pub(crate) termination_due_at: Micros,
 }
