--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -146,7 +146,7 @@
     ) {
         let spec = &placing.spec;
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.plan(PlannedTask {
+            machine.add_planned_task(PlannedTask {
                 job: placing.index,
                 task,
                 resources: MachineResources::of_task(spec),
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -224,7 +224,7 @@
     }
 
     /// The holder of its partition is to place a task, probably here.
-    pub(crate) fn plan(&mut self, planned: PlannedTask) {
+    pub(crate) fn add_planned_task(&mut self, planned: PlannedTask) {
         self.planned.push(planned);
         self.recount();
     }
