--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -160,7 +160,7 @@
     pub(crate) fn end_delegation(&mut self, task: TaskKey) -> Option<Delegation> {
         let delegation = self.leader_quota.delegations.remove(task)?;
         if let Some(machine) = self.machines.get_mut(&delegation.machine) {
-            machine.unplan(task.job, task.task);
+            machine.remove_planned_task(task.job, task.task);
         }
         if let Some(job) = self.jobs.get_mut(task.job) {
             let waiting = u64::from(delegation.awaits_resources);
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -230,7 +230,7 @@
     }
 
     /// The task is placed, or will not be.
-    pub(crate) fn unplan(&mut self, job: JobIndex, task: u64) {
+    pub(crate) fn remove_planned_task(&mut self, job: JobIndex, task: u64) {
         self.planned
             .retain(|planned| (planned.job, planned.task) != (job, task));
         self.recount();
