--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -83,7 +83,7 @@
         let (job, seen) = (assignment.job, assignment.observed_status);
         let decided = assignment.decided_at;
         machine.assignments.push(assignment);
-        machine.recount();
+        machine.recompute_used();
         self.count_running(decided, job, ObservedStatus::Never, seen);
     }
 
@@ -94,7 +94,7 @@
             return;
         };
         let assignment = machine.assignments.remove(position);
-        machine.recount();
+        machine.recompute_used();
         machine.idle_since = now;
         self.discount_assignment(context, name, &assignment);
         self.count_running(now, assignment.job, assignment.observed_status, ObservedStatus::Never);
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -215,7 +215,7 @@
     }
 
     /// Sums up anew what is used, after an assignment or a planned task came or went.
-    pub(crate) fn recount(&mut self) {
+    pub(crate) fn recompute_used(&mut self) {
         let assigned = self.assignments.iter().map(Assignment::resources);
         let planned = self.planned.iter().map(|planned| planned.resources);
         self.used = assigned
@@ -226,14 +226,14 @@
     /// The holder of its partition is to place a task, probably here.
     pub(crate) fn add_planned_task(&mut self, planned: PlannedTask) {
         self.planned.push(planned);
-        self.recount();
+        self.recompute_used();
     }
 
     /// The task is placed, or will not be.
     pub(crate) fn remove_planned_task(&mut self, job: JobIndex, task: u64) {
         self.planned
             .retain(|planned| (planned.job, planned.task) != (job, task));
-        self.recount();
+        self.recompute_used();
     }
 
     /// Whether the image is in its cache.
