--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -84,7 +84,7 @@
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: task_name.to_string(),
                 attempt: assignment.attempt,
-                after: after.into_iter().collect(),
+                prerequisites: after.into_iter().collect(),
                 job: Some(assignment.job),
             });
         }
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -163,7 +163,7 @@
             .exited_attempts
             .iter()
             .filter(|exited| {
-                self.is_durable(&exited.after, exited.job)
+                self.is_durable(&exited.prerequisites, exited.job)
                     && self.holder_state.is_outcome_recorded(exited.id())
             })
             .take(MAX_COMMANDS)
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -236,7 +236,7 @@
         machine.exited_attempts.push(ExitedAttempt {
             task_name: task_name.to_string(),
             attempt: assignment.attempt,
-            after: Vec::new(),
+            prerequisites: Vec::new(),
             job: Some(assignment.job),
         });
         self.note_end(name, &assignment, TaskEnd::Exited(cause.clone()));
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -327,7 +327,7 @@
             .values()
             .filter(|machine| machine.partition == Some(id))
             .flat_map(|machine| &machine.exited_attempts)
-            .filter(|exited| !self.is_durable(&exited.after, exited.job))
+            .filter(|exited| !self.is_durable(&exited.prerequisites, exited.job))
             .filter_map(ExitedAttempt::id)
             .collect();
         let applied = partition.applied_outcomes.iter().copied();
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -269,7 +269,7 @@
     /// The number of the attempt.
     pub attempt: u64,
     /// Records, with their versions, that must be durable first.
-    pub after: Vec<(RecordId, u64)>,
+    pub prerequisites: Vec<(RecordId, u64)>,
     /// The place of the job in the job table, if it is known.
     pub job: Option<JobIndex>,
 }
