--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,4 +1,5 @@
-//! Data with its rules: what a controller knows of jobs, machines, partitions and quotas. Nothing here sends or answers.
+//! State that a controller keeps about jobs, machines, partitions and quotas, and the rules that apply to it. This
+//! module sends no requests and answers none.
 
 pub mod assignment_pages;
 pub mod bin_packing;
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -5,7 +5,7 @@
 use grebewood_partition::PartitionId;
 use grebewood_wire::http::{MachineType, Submission};
 
-/// CPUs, accelerators and memory of a machine, or what a task takes of them.
+/// Amounts of machine resources, such as those of a machine or those that a task takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MachineResources {
     /// CPUs.
@@ -17,7 +17,7 @@
 }
 
 impl MachineResources {
-    /// What an empty machine of the type has.
+    /// Returns the resources of an empty machine of the type.
     pub fn of_type(machine_type: &MachineType) -> Self {
         MachineResources {
             cpus: machine_type.cpus,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// What `factor` tasks take that take this each.
+    /// Returns the amounts multiplied by `factor`.
     pub fn times(self, factor: f64) -> Self {
         MachineResources {
             cpus: self.cpus * factor,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What one task of the job takes.
+    /// Returns the resources that one task of the job takes.
     pub fn of_task(spec: &Submission) -> Self {
         MachineResources {
             cpus: spec.cpus,
@@ -69,12 +69,12 @@
     }
 }
 
-/// The machine types of the catalogue; none while it is not known.
+/// Returns the machine types of the catalogue; none while the catalogue is not known.
 pub(crate) fn machine_types(context: &Context) -> impl Iterator<Item = &MachineType> {
     context.catalogue.iter().flatten()
 }
 
-/// The machine types that fit a task of the job.
+/// Returns the machine types that a task of the job fits.
 pub(crate) fn machine_types_for<'a>(
     context: &'a Context,
     spec: &'a Submission,
@@ -82,10 +82,10 @@
     machine_types(context).filter(|machine_type| task_fits_machine_type(spec, machine_type))
 }
 
-/// Most tasks that [`tasks_that_fit`] counts.
+/// Maximum number of tasks that [`tasks_that_fit`] returns.
 const MAX_TASKS: f64 = 1e5;
 
-/// Whether the job permits such a machine.
+/// Returns whether the job permits a machine of this type in this zone, and a task of the job fits an empty one.
 pub(crate) fn permits(
     context: &Context,
     spec: &Submission,
@@ -100,7 +100,7 @@
             .is_some_and(|machine_type| task_fits_machine_type(spec, machine_type))
 }
 
-/// How many tasks of the job fit into the free resources.
+/// Returns how many tasks of the job fit into the free resources.
 pub(crate) fn tasks_that_fit(free: MachineResources, spec: &Submission) -> u64 {
     let fit = |free: f64, need: f64| {
         if need <= RESOURCE_TOLERANCE {
@@ -115,47 +115,48 @@
         .clamp(0.0, MAX_TASKS) as u64
 }
 
-/// Whether tasks may take the headroom that is reserved for services.
+/// Whether tasks may use the headroom that is reserved for services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeadroomAccess {
-    /// They may: services, and what has waited too long.
+    /// For tasks that may use the headroom: replicas of services, and tasks that have waited too long.
     Granted,
-    /// They may not.
+    /// For tasks that may not use the headroom.
     Denied,
 }
 
-/// A machine with free resources, during a round of placement.
+/// A machine with free resources during a round of placement.
 pub(crate) struct OpenMachine {
-    /// Its name.
+    /// Name of the machine.
     pub name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Its free resources.
+    /// Free resources of the machine, including the headroom.
     pub free: MachineResources,
-    /// Tasks were stopped on it for a job of higher priority: idle priority is kept off.
+    /// Whether tasks were stopped on the machine for a job of higher priority. Tasks of idle priority are then not
+    /// placed on it.
     pub(crate) kept_for_preemptor: bool,
-    /// What of its free resources is headroom for services.
+    /// Part of the free resources that is headroom for services.
     pub headroom: MachineResources,
-    /// The partition whose holder places tasks on it.
+    /// Partition whose holder places tasks on the machine.
     pub placed_by: Option<PartitionId>,
 }
 
 impl OpenMachine {
-    /// Whether the job permits such a machine.
+    /// Returns whether the job permits the machine, and a task of the job fits its type.
     pub(crate) fn permits(&self, context: &Context, spec: &Submission) -> bool {
         permits(context, spec, &self.machine_type, &self.zone, self.spot)
     }
 
-    /// Whether one task of the job can be placed on it, with access to the headroom.
+    /// Returns whether one task of the job can be placed on the machine if it may use the headroom.
     pub(crate) fn takes_task(&self, context: &Context, spec: &Submission) -> bool {
         tasks_that_fit(self.free, spec) > 0 && self.permits(context, spec)
     }
 
-    /// The free resources for tasks with or without access to the headroom.
+    /// Returns the free resources for tasks with this access to the headroom.
     pub(crate) fn free_for(&self, access: HeadroomAccess) -> MachineResources {
         match access {
             HeadroomAccess::Granted => self.free,
@@ -164,17 +165,18 @@
     }
 }
 
-/// What is sorted by to choose a machine: the lowest is the best. Fields are in the order of their weight.
+/// Sort key of a machine that a task may be placed on; the lowest key is the best. Earlier fields take precedence
+/// over later ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Preference {
-    /// A replica of the job ended there by itself lately.
+    /// Whether a replica of the job recently exited on the machine without being stopped.
     pub(crate) avoided: bool,
-    /// It lacks the job's image.
+    /// Whether the machine lacks the image of the job.
     pub(crate) without_image: bool,
-    /// Its agent has no long poll open with this controller.
+    /// Whether the agent of the machine has no long poll open with this controller.
     pub(crate) without_long_poll: bool,
-    /// It is an on-demand machine.
+    /// Whether the machine is an on-demand machine.
     pub(crate) on_demand: bool,
-    /// Its free CPUs, in thousandths: the fullest machine comes first.
+    /// Free CPUs of the machine, in thousandths, so that the fullest machine comes first.
     pub(crate) free_milli_cpus: i64,
 }
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -1,43 +1,45 @@
-//! Records of completed tasks, one for each page of them.
+//! Pages of completed tasks, each of which is written as one record.
 //!
-//! Tasks of many jobs end every second, while the store takes some ten writes a second. So the completed tasks of many
-//! jobs share a record, which is written every few seconds. Until then the agents keep the results, since the exit of a
-//! task is acknowledged only when it is durable.
+//! Tasks of many jobs end every second, while the key-value store accepts about ten writes a second. The completed
+//! tasks of many jobs therefore share a record, which is written every few seconds. Until then the agents keep the
+//! results, since the exit of a task is acknowledged only once it is durable.
 //!
-//! The tasks of a job are divided into spans of [`TASKS_PER_LEGACY_RECORD`] tasks; each span is on one page.
+//! The tasks of a job are divided into spans of [`TASKS_PER_LEGACY_RECORD`] tasks. Each span is on one page.
 
 use crate::state::jobs::{Job, JobIndex, Jobs};
 use grebewood_wire::records::{CompletedTasksPageRecord, TASKS_PER_LEGACY_RECORD};
 use std::collections::BTreeSet;
 
-/// A page: which spans of which jobs are on it.
+/// A page of completed tasks, with the spans of jobs that are on it.
 #[derive(Clone, Debug, Default)]
 struct CompletedTaskPage {
     spans: BTreeSet<(JobIndex, u64)>,
-    /// Its size once all tasks of its spans are completed.
+    /// Size of the page record once all tasks of its spans are completed.
     bytes: usize,
-    /// Whether it takes no further spans: its write may wait for that of another page, or its record cannot be read.
+    /// Whether the page takes no further spans, because its write may have to wait for that of another page or
+    /// because its record cannot be read.
     closed: bool,
 }
 
-/// All pages of completed tasks.
+/// Pages of completed tasks.
 #[derive(Clone, Debug)]
 pub struct CompletedTaskPages {
     pages: Vec<CompletedTaskPage>,
-    /// Most bytes of a page.
+    /// Maximum size of a page, in bytes.
     page_bytes: usize,
 }
 
-/// Page numbers are those of our own keys and are dense; one beyond this limit can only come from a foreign record.
+/// Highest page number. Controllers use consecutive page numbers, so a higher number can only come from a foreign
+/// record.
 const MAX_PAGE_NUMBER: u64 = 10_000;
 
-/// Most bytes that a span takes in the record's JSON form besides the job's id and its bits.
+/// Upper bound of the bytes that a span takes in the JSON form of a page record, besides the job's id and the bits.
 const SPAN_FRAME_BYTES: usize = 24;
 
-/// Tasks in one hexadecimal digit.
+/// Number of tasks that one hexadecimal digit covers.
 const TASKS_PER_DIGIT: u64 = 4;
 
-/// Bytes that a span takes in the record's JSON form once all of its tasks are completed.
+/// Returns the bytes that a span takes in the JSON form of a page record once all of its tasks are completed.
 fn span_bytes(job: &Job, span: u64) -> usize {
     let tasks = job
         .task_count()
@@ -47,7 +49,7 @@
 }
 
 impl CompletedTaskPages {
-    /// Creates an empty set of pages that may have up to `page_bytes` each.
+    /// Creates an empty set of pages of up to `page_bytes` bytes each.
     pub fn new(page_bytes: usize) -> Self {
         CompletedTaskPages {
             pages: Vec::new(),
@@ -63,7 +65,8 @@
         &mut self.pages[page]
     }
 
-    /// The page that holds the span of the job; the first time, one that has room for it is chosen.
+    /// Returns the number of the page that holds the span of the job. A span that is on no page yet is added to one
+    /// with enough room.
     pub fn page_of(&mut self, index: JobIndex, span: u64, job: &mut Job) -> u64 {
         if let Some(page) = job.completed_pages.get(&span) {
             return *page;
@@ -77,18 +80,18 @@
         page
     }
 
-    /// Notes that the page holds the span.
+    /// Records that the page holds the span.
     pub fn add_span(&mut self, page: u64, index: JobIndex, span: u64, job: &mut Job) {
         let bytes = span_bytes(job, span);
-        let holder = self.page_mut(page);
-        if holder.spans.insert((index, span)) {
-            holder.bytes += bytes;
+        let holding_page = self.page_mut(page);
+        if holding_page.spans.insert((index, span)) {
+            holding_page.bytes += bytes;
         }
         job.completed_pages.insert(span, page);
     }
 
-    /// Moves spans off pages that are larger than a value may be, as an earlier leader wrote them under larger limits
-    /// of the store. The result says from which page to which.
+    /// Moves spans off pages that are larger than `page_bytes`. Such pages exist if an earlier leader wrote them
+    /// while the key-value store accepted larger values. Returns the old and the new page number of each move.
     pub fn split_oversized_pages(&mut self, page_bytes: usize, jobs: &mut Jobs) -> Vec<(u64, u64)> {
         self.page_bytes = page_bytes;
         let mut moves = Vec::new();
@@ -96,7 +99,7 @@
             page.closed |= page.bytes > page_bytes;
         }
         for from in 0..self.pages.len() {
-            // A page whose record cannot be read has no spans.
+            // A page whose record could not be read has no spans.
             while self.pages[from].bytes > page_bytes && self.pages[from].spans.len() > 1 {
                 let Some((index, span)) = self.pages[from].spans.pop_last() else {
                     break;
@@ -114,12 +117,13 @@
         moves
     }
 
-    /// The page takes no further spans: its write waits for that of another page, or its record cannot be read.
+    /// Closes a page, which then takes no further spans, because its write waits for that of another page or because
+    /// its record cannot be read.
     pub fn close_page(&mut self, page: u64) {
         self.page_mut(page).closed = true;
     }
 
-    /// Forgets a job that is over. Its entries vanish when their pages are next written.
+    /// Removes a job that has ended. Its entries disappear from the records when their pages are next written.
     pub fn remove_job(&mut self, index: JobIndex, job: &Job) {
         for (span, page) in &job.completed_pages {
             let bytes = span_bytes(job, *span);
@@ -130,7 +134,7 @@
         }
     }
 
-    /// The current content of a page.
+    /// Returns the current content of a page.
     pub fn record(&self, page: u64, jobs: &Jobs) -> CompletedTasksPageRecord {
         let page = self.pages.get(page as usize);
         let spans = page.into_iter().flat_map(|page| &page.spans);
--- a/crates/core/src/state/delegations.rs
+++ b/crates/core/src/state/delegations.rs
@@ -1,4 +1,4 @@
-//! Tasks that the leader has delegated to a holder and does not know to be placed yet.
+//! Tasks that the leader has delegated to partition holders and that are not placed yet, as far as the leader knows.
 
 use crate::state::jobs::JobIndex;
 use crate::Micros;
@@ -6,47 +6,47 @@
 use grebewood_quota::{Resources, TeamAmounts};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which task of which job.
+/// Identifies a task by its job and its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TaskKey {
-    /// The job.
+    /// Index of the job in the job table.
     pub job: JobIndex,
-    /// The task's number within the job.
+    /// Number of the task within the job.
     pub task: u64,
 }
 
 impl TaskKey {
-    /// This task of this job.
+    /// Creates the key of this task of this job.
     pub fn new(job: JobIndex, task: u64) -> TaskKey {
         TaskKey { job, task }
     }
 }
 
-/// A task that a holder is to place.
+/// A task that is delegated to a partition holder.
 #[derive(Clone, Debug)]
 pub(crate) struct Delegation {
-    /// The partition whose holder it was given to.
+    /// Partition to whose holder the task is delegated.
     pub partition: PartitionId,
-    /// The job's name.
+    /// Id of the job.
     pub job_id: String,
-    /// The machine that has room for it, or will have it soon, as far as the leader knows.
+    /// Machine that has or will soon have enough free resources for the task, as far as the leader knows.
     pub machine: String,
-    /// The job's team.
+    /// Team that owns the job.
     pub team: String,
-    /// What it takes of its team's limit.
+    /// Amount that the task takes of its team's limit.
     pub amount: Resources,
-    /// Whether it waits for the resources that another task will free. It then uses what that task leaves of
-    /// the quota grant, too: it is not charged.
+    /// Whether the task waits for resources that another task will free. It then also uses the part of the quota
+    /// grant that the other task frees, so it is not charged to the grant.
     pub awaits_resources: bool,
-    /// How urgent its job is: lower numbers come first.
+    /// Level of the job in the leader's queue. Lower levels are served first.
     pub level: u8,
-    /// How long it is expected to run, in microseconds.
+    /// Time that the task is expected to stay on its machine, in microseconds.
     pub expected_stay: Micros,
-    /// When it was delegated.
+    /// Time of the delegation, in microseconds.
     pub delegated_at: Micros,
-    /// It was part of a message to the holder.
+    /// Whether the task was part of a message to the holder.
     pub sent: bool,
-    /// The holder has answered that it has it.
+    /// Whether the holder has answered that it has the task.
     pub confirmed: bool,
 }
 
@@ -55,16 +55,16 @@
 pub(crate) struct Delegations {
     by_task: BTreeMap<TaskKey, Delegation>,
     by_partition: BTreeMap<PartitionId, BTreeSet<TaskKey>>,
-    /// Jobs whose tasks are revoked from the holder.
+    /// Jobs whose tasks are being revoked from the holder of each partition.
     revoked: BTreeMap<PartitionId, BTreeSet<JobIndex>>,
-    /// Those of them that the last message to the holder revoked.
+    /// Jobs that the last message to the holder of each partition revoked.
     revocations_sent: BTreeMap<PartitionId, BTreeSet<JobIndex>>,
-    /// What the tasks that wait for resources at a holder take of each team's limit.
+    /// Amounts of each team's limit that tasks waiting for resources at the holder of each partition take.
     awaiting_resources: BTreeMap<PartitionId, TeamAmounts>,
 }
 
 impl Delegations {
-    /// Adds a task that was given to a holder.
+    /// Adds a task that is delegated to a holder.
     pub fn insert(&mut self, task: TaskKey, delegation: Delegation) {
         let partition = delegation.partition;
         let tasks = self.by_partition.entry(partition).or_default();
@@ -77,7 +77,7 @@
         self.by_task.insert(task, delegation);
     }
 
-    /// Removes a task that is placed, or that the holder will not place.
+    /// Removes a task that has been placed or that the holder will not place.
     pub fn remove(&mut self, task: TaskKey) -> Option<Delegation> {
         let delegation = self.by_task.remove(&task)?;
         if let Some(tasks) = self.by_partition.get_mut(&delegation.partition) {
@@ -92,12 +92,12 @@
         Some(delegation)
     }
 
-    /// The delegation of a task, if it is delegated.
+    /// Returns the delegation of a task, if the task is delegated.
     pub fn get(&self, task: TaskKey) -> Option<&Delegation> {
         self.by_task.get(&task)
     }
 
-    /// Tasks that the partition's holder is to place.
+    /// Returns the tasks that are delegated to the partition's holder.
     pub fn of_partition(
         &self,
         partition: PartitionId,
@@ -106,26 +106,26 @@
         tasks.filter_map(|task| Some((*task, self.by_task.get(task)?)))
     }
 
-    /// What a team's tasks take that wait for resources at the partition's holder.
+    /// Returns the amount that the team's tasks waiting for resources at the partition's holder take.
     pub fn awaiting_resources(&self, partition: PartitionId, team: &str) -> Resources {
         let teams = self.awaiting_resources.get(&partition);
         let amount = teams.and_then(|teams| teams.get(team));
         amount.copied().unwrap_or_default()
     }
 
-    /// Whether the partition's holder is to place any task.
+    /// Returns whether any task is delegated to the partition's holder.
     pub fn has_tasks_in(&self, partition: PartitionId) -> bool {
         let tasks = self.by_partition.get(&partition);
         tasks.is_some_and(|tasks| !tasks.is_empty())
     }
 
-    /// All delegated tasks.
+    /// Returns all delegated tasks.
     pub fn iter(&self) -> impl Iterator<Item = (TaskKey, &Delegation)> {
         let tasks = self.by_task.iter();
         tasks.map(|(task, delegation)| (*task, delegation))
     }
 
-    /// Tasks of the job.
+    /// Returns the delegated tasks of the job.
     pub fn of_job(&self, job: JobIndex) -> impl Iterator<Item = (TaskKey, &Delegation)> {
         let tasks = TaskKey::new(job, 0)..=TaskKey::new(job, u64::MAX);
         let tasks = self.by_task.range(tasks);
@@ -137,26 +137,27 @@
         self.revoked.entry(partition).or_default().insert(job);
     }
 
-    /// Whether the job's tasks are being revoked from the partition's holder.
+    /// Returns whether the job's tasks are being revoked from the partition's holder.
     pub fn is_revoked(&self, partition: PartitionId, job: JobIndex) -> bool {
         let jobs = self.revoked.get(&partition);
         jobs.is_some_and(|jobs| jobs.contains(&job))
     }
 
-    /// The names of jobs whose tasks the next message revokes from the partition's holder.
+    /// Returns the ids of the jobs whose tasks the next message revokes from the partition's holder, and records
+    /// that this message is sent.
     pub fn revocations_to_send(&mut self, partition: PartitionId) -> Vec<String> {
         let jobs = self.revoked.get(&partition).cloned().unwrap_or_default();
-        let mut names = BTreeMap::new();
+        let mut ids = BTreeMap::new();
         for (task, delegation) in self.of_partition(partition) {
-            names.insert(task.job, delegation.job_id.clone());
+            ids.insert(task.job, delegation.job_id.clone());
         }
-        let revoked = jobs.iter().filter_map(|job| names.get(job).cloned());
+        let revoked = jobs.iter().filter_map(|job| ids.get(job).cloned());
         let revoked = revoked.collect();
         self.revocations_sent.insert(partition, jobs);
         revoked
     }
 
-    /// Marks these tasks as part of a message to their holder.
+    /// Records that these tasks are part of a message to their holder.
     pub fn mark_sent(&mut self, tasks: &[TaskKey]) {
         for task in tasks {
             if let Some(delegation) = self.by_task.get_mut(task) {
@@ -165,8 +166,9 @@
         }
     }
 
-    /// Applies which tasks the partition's holder has, as it answered the last message. Returns the tasks that
-    /// were sent and that it does not have: it will not place them unless they are delegated again.
+    /// Applies the list of queued tasks with which the partition's holder answered the last message. Returns the
+    /// tasks that were sent to the holder and are not on the list. The holder will not place them unless they are
+    /// delegated again.
     pub fn on_queue_reported(
         &mut self,
         partition: PartitionId,
@@ -188,7 +190,8 @@
         returned
     }
 
-    /// The holder has dropped what the last message revoked: from now on it may be given such tasks again.
+    /// Ends the revocations that the last message contained. The holder has dropped the tasks, so tasks of these
+    /// jobs may be delegated to it again.
     fn end_answered_revocations(&mut self, partition: PartitionId) {
         let answered = self.revocations_sent.remove(&partition);
         let answered = answered.unwrap_or_default();
--- a/crates/core/src/state/delegations/tests.rs
+++ b/crates/core/src/state/delegations/tests.rs
@@ -29,7 +29,8 @@
     delegations
 }
 
-/// What a message has not carried yet cannot be in its answer.
+/// The answer to a message cannot contain tasks that were not in the message. If their absence counted as a return,
+/// they would be taken back before they were sent.
 #[test]
 fn only_what_was_sent_can_be_returned() {
     let mut delegations = two_tasks();
@@ -46,13 +47,13 @@
     assert!(delegations.of_partition(1).all(|(_, d)| d.confirmed));
 }
 
-/// While a job is being revoked its tasks are not sent: a revocation that never ended would keep tasks that
-/// are delegated anew from ever being sent.
+/// Tasks of a job are not sent while the job is being revoked. A revocation that never ended would keep tasks that
+/// are delegated again from being sent.
 #[test]
 fn a_revocation_ends_once_it_is_answered() {
     let mut delegations = two_tasks();
     delegations.revoke(1, 4);
-    // An answer to a message from before the revocation ends nothing.
+    // The answer to a message that was sent before the revocation does not end the revocation.
     delegations.on_queue_reported(1, &BTreeSet::new());
     assert!(delegations.is_revoked(1, 4));
     assert_eq!(delegations.revocations_to_send(1), ["req-1"]);
--- a/crates/core/src/state/finished_jobs.rs
+++ b/crates/core/src/state/finished_jobs.rs
@@ -1,20 +1,20 @@
-//! A bounded cache of finished jobs, whose state never changes.
+//! A bounded cache of the final records of finished jobs, which never change.
 
 use crate::calls::UserRequest;
 use grebewood_wire::records::FinishedJobRecord;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The final records of finished jobs; the oldest is dropped when there are too many.
+/// Cache of the final records of finished jobs. When it is full, the record that was added first is dropped.
 #[derive(Debug)]
 pub struct FinishedJobs {
     records: BTreeMap<String, FinishedJobRecord>,
-    /// Jobs in the order in which they were noted.
+    /// Ids of the jobs in the order in which they were added.
     order: VecDeque<String>,
     capacity: usize,
 }
 
 impl FinishedJobs {
-    /// An empty cache of at most `capacity` jobs.
+    /// Creates an empty cache for at most `capacity` jobs.
     pub fn new(capacity: usize) -> Self {
         FinishedJobs {
             records: BTreeMap::new(),
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The final record of the job, if it is known.
+    /// Returns the final record of the job, if it is cached.
     pub fn get(&self, job: &str) -> Option<&FinishedJobRecord> {
         self.records.get(job)
     }
 
-    /// Notes the final record of a job.
+    /// Adds the final record of a job.
     pub fn insert(&mut self, job: &str, record: FinishedJobRecord) {
         if self.records.insert(job.to_string(), record).is_some() {
             return;
@@ -42,5 +42,6 @@
     }
 }
 
-/// Reads of final records that are under way, by job: requests that came in after the read was sent.
+/// Reads of final records that are in flight, by job id. Each has the further users' requests for the same job that
+/// arrived after the read was sent.
 pub type FinishedReads = BTreeMap<String, Vec<UserRequest>>;
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -1,10 +1,11 @@
-//! How much headroom is reserved for services that are yet to come, or to come back from a lost machine.
+//! Headroom: free resources that are reserved for the replicas of services (daemon jobs), both for new services and
+//! for replicas that have to be restarted after a machine is lost.
 //!
-//! A replica is missed from its first seconds on, and a machine takes far longer to boot. So as long as there are
-//! services, the autoscaler plans for some jobs' worth of replicas in each zone besides those that wait, and placement
-//! keeps that headroom from batch tasks. Before the first service comes, nothing is known but that a service-level
-//! objective may have a class start sooner than a machine boots: while no job of such a class was seen, on-demand
-//! machines are kept free in each zone.
+//! Users notice a missing replica within seconds, and a machine takes far longer to boot. While there are services,
+//! the autoscaler therefore plans for the replicas of some additional jobs in each zone, and placement does not give
+//! this headroom to batch tasks. Before the first service is submitted, the only known hint is a service-level
+//! objective that requires a class to start sooner than a machine boots. While no job of such a class has been seen,
+//! on-demand machines are kept free in each zone.
 
 use crate::context::Context;
 use crate::state::bin_packing::{
@@ -15,52 +16,52 @@
 use grebewood_wire::http::{MachineType, Priority, Submission};
 use std::collections::BTreeSet;
 
-/// One of so many machines may be kept free at most.
-const MACHINES_PER_HEADROOM: u64 = 10;
+/// Number of machines in the fleet for each machine that may be kept free.
+const MACHINES_PER_FREE_MACHINE: u64 = 10;
 
-/// One job's worth of headroom may take one of so many machines.
+/// Number of machines in the fleet for each machine that the headroom for the replicas of one job may take.
 const MACHINES_PER_JOB: u64 = 4;
 
-/// Machines' worth of headroom in each zone at least.
-const LEAST_MACHINES: u64 = 2;
+/// Number of machines that the headroom in each zone is worth at least, as far as the size of the fleet permits.
+const MIN_HEADROOM_MACHINES: u64 = 2;
 
-/// Headroom is kept for so long after the last service ended, in microseconds.
-const KEPT_AFTER: Micros = 120 * SECOND;
+/// Time for which headroom is kept after the last service has ended, in microseconds.
+const KEPT_AFTER_LAST_SERVICE_US: Micros = 120 * SECOND;
 
-/// Most classes that are remembered: their names are chosen by users.
+/// Maximum number of classes that are remembered. Users choose their names, so the number has to be limited.
 const MAX_CLASSES: usize = 1_000;
 
-/// The largest service that was seen.
+/// Largest service that was seen.
 #[derive(Debug)]
 struct LargestService {
     spec: Submission,
-    /// When a service was last live, in microseconds.
+    /// Time at which a service was last live, in microseconds.
     last_live: Micros,
 }
 
-/// Headroom that is wanted.
+/// Headroom that is to be reserved.
 #[derive(Debug)]
 struct WantedHeadroom {
-    /// The service that it is measured by.
+    /// Service that the headroom is measured by.
     spec: Submission,
-    /// Replicas of it that are to fit in each zone.
+    /// Number of replicas of the service that are to fit into the headroom of each zone.
     replicas: u64,
 }
 
-/// What is known of services, and the headroom that they need.
+/// Services that were seen, and the headroom that is reserved for services.
 #[derive(Debug, Default)]
 pub struct Headroom {
-    /// The largest service seen, which headroom is measured by.
+    /// Largest service that was seen, by which the headroom is measured.
     largest: Option<LargestService>,
     /// Classes of which a job was seen.
     classes: BTreeSet<String>,
-    /// Whether there are services now.
-    live: bool,
-    /// The headroom that is wanted now.
+    /// Whether there are live services.
+    has_live_services: bool,
+    /// Headroom that is to be reserved now.
     wanted: Option<WantedHeadroom>,
 }
 
-/// Replicas of the job that one zone may have to take.
+/// Returns the number of replicas of the job that a single zone may have to take.
 fn replicas_in_zone(spec: &Submission) -> u64 {
     match spec.spread {
         true => spec.tasks.div_ceil(2),
@@ -68,7 +69,7 @@
     }
 }
 
-/// CPUs of the job that one zone may have to take.
+/// Returns the CPUs that replicas of the job may take in a single zone.
 fn cpus_in_zone(spec: &Submission) -> f64 {
     replicas_in_zone(spec) as f64 * spec.cpus
 }
@@ -78,7 +79,8 @@
     zones.len() as u64
 }
 
-/// The replicas of the service that headroom is to hold in each zone, in a fleet of so many machines.
+/// Returns the number of replicas of the service that are to fit into the headroom of each zone, in a fleet of
+/// `machines` machines.
 fn wanted_replicas(context: &Context, spec: &Submission, machines: u64) -> u64 {
     let zones = zone_count(context).max(1);
     let wanted = (replicas_in_zone(spec) as f64 * context.tuning.standby_jobs).ceil() as u64;
@@ -86,18 +88,18 @@
         .map(|t| tasks_that_fit(MachineResources::of_type(t), spec))
         .min()
         .unwrap_or(0);
-    // In a small fleet it must not take the resources of all others: a tenth at most, or one
-    // job's worth if that is no more than a quarter.
-    let most = machines / MACHINES_PER_HEADROOM * per_machine / zones;
+    // In a small fleet, headroom must not take the resources of all other jobs. It takes at most a tenth of the
+    // machines, or the replicas of one job if they take no more than a quarter of the machines.
+    let most = machines / MACHINES_PER_FREE_MACHINE * per_machine / zones;
     let one_job = machines * per_machine / MACHINES_PER_JOB / zones;
-    // The first services may be small, and more come before a machine is up.
+    // The first services may be small, and more of them may be submitted before a new machine is up.
     wanted
-        .max(per_machine * LEAST_MACHINES)
+        .max(per_machine * MIN_HEADROOM_MACHINES)
         .min(most.max(replicas_in_zone(spec).min(one_job)))
 }
 
 impl Headroom {
-    /// Takes note of a job.
+    /// Records the class of a job and, if the job is the largest service so far, its submission.
     pub fn note_job(&mut self, job: &Job, now: Micros) {
         if !self.classes.contains(&job.spec.class) && self.classes.len() < MAX_CLASSES {
             self.classes.insert(job.spec.class.clone());
@@ -112,16 +114,16 @@
         }
     }
 
-    /// Looks anew at how much headroom is wanted, in a fleet of so many machines.
+    /// Recomputes the headroom for a fleet of `machines` machines.
     pub fn update(&mut self, context: &Context, jobs: &Jobs, machines: usize) {
         let now = context.now.steady;
-        self.live = jobs
+        self.has_live_services = jobs
             .iter()
             .any(|(_, job)| job.is_daemon() && job.cancelled_at.is_none());
         if let Some(largest) = &mut self.largest {
-            if self.live {
+            if self.has_live_services {
                 largest.last_live = now;
-            } else if now.saturating_sub(largest.last_live) > KEPT_AFTER {
+            } else if now.saturating_sub(largest.last_live) > KEPT_AFTER_LAST_SERVICE_US {
                 self.largest = None;
             }
         }
@@ -139,15 +141,15 @@
                 replicas: wanted_replicas(context, spec, machines),
             });
         }
-        let most = machines / MACHINES_PER_HEADROOM / zone_count(context).max(1);
+        let most = machines / MACHINES_PER_FREE_MACHINE / zone_count(context).max(1);
         Some(WantedHeadroom {
             spec: self.unseen_service(context)?,
-            replicas: LEAST_MACHINES.min(most),
+            replicas: MIN_HEADROOM_MACHINES.min(most),
         })
     }
 
-    /// Stands for a job of a class that is to start sooner than a machine boots, and of which none was
-    /// seen yet: a whole on-demand machine of the cheapest type.
+    /// Returns a service that takes a whole on-demand machine of the cheapest type, if an objective requires some
+    /// class to start sooner than such a machine boots and no job of that class has been seen yet.
     fn unseen_service(&self, context: &Context) -> Option<Submission> {
         let cheapest = machine_types(context).min_by(|a, b| a.price.total_cmp(&b.price))?;
         let boot = micros(cheapest.boot_s);
@@ -159,19 +161,20 @@
         starts_before_boot.then(|| whole_machine(cheapest))
     }
 
-    /// Whether headroom is kept though there are no services now.
+    /// Returns whether there are no live services. Headroom may still be reserved in this case.
     pub fn has_no_live_services(&self) -> bool {
-        !self.live
+        !self.has_live_services
     }
 
-    /// The service that headroom is measured by, and how many replicas of it are to fit in each zone.
+    /// Returns the service that the headroom is measured by, and the number of its replicas that are to fit into the
+    /// headroom of each zone.
     pub fn wanted(&self) -> Option<(&Submission, u64)> {
         let wanted = self.wanted.as_ref()?;
         Some((&wanted.spec, wanted.replicas))
     }
 }
 
-/// A service whose only replica takes a whole machine of the type.
+/// Returns a service whose only replica takes a whole on-demand machine of the type.
 fn whole_machine(machine_type: &MachineType) -> Submission {
     Submission {
         id: String::new(),
--- a/crates/core/src/state/holder.rs
+++ b/crates/core/src/state/holder.rs
@@ -1,59 +1,60 @@
-//! What the holder of a partition knows beyond its machines: the leader's orders, ended attempts to report,
-//! and cancelled jobs.
+//! State that a partition holder keeps besides its machines: the leader's orders, ended attempts to report, and
+//! cancelled jobs.
 
 use crate::Micros;
 use grebewood_wire::peer::{MachineState, TaskAttempt, TaskOutcome};
 use std::collections::BTreeMap;
 
-/// The number of a message with orders. Orders with a number that is not higher than the last one are stale.
+/// Number of a message with orders. Orders whose number is not higher than the last one are stale.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OrdersNumber {
-    /// The fencing token of the leader that sent them.
+    /// Fencing token of the leader that sent the orders.
     pub(crate) term: u64,
-    /// Their number among the orders of that leader.
+    /// Sequence number of the orders among those of this leader.
     pub(crate) sequence: u64,
 }
 
-/// The state of a machine as last reported to the leader.
+/// State of a machine as last reported to the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportedState {
-    /// The version of the report in which it first appeared.
+    /// Version of the report in which the state first appeared.
     pub(crate) version: u64,
-    /// The state.
+    /// Reported state.
     pub(crate) state: MachineState,
 }
 
-/// What a holder knows beyond its machines.
+/// State that a holder keeps besides its machines.
 #[derive(Clone, Debug, Default)]
 pub struct HolderState {
-    /// The number of the last orders.
+    /// Number of the last orders.
     pub(crate) last_orders: OrdersNumber,
-    /// The term of the leader with which the tasks on the machines were reconciled; 0: none yet.
+    /// Term of the leader with which the tasks on the machines were reconciled; 0 if there was none yet.
     pub(crate) reconciled_term: u64,
-    /// Attempts that have ended, until the leader has that on record.
+    /// Outcomes of ended attempts that the leader has not recorded yet.
     pub(crate) outcomes: BTreeMap<TaskAttempt, TaskOutcome>,
-    /// The states of machines as last reported, by name.
+    /// Last reported states of machines, by machine name.
     pub(crate) reported_states: BTreeMap<String, ReportedState>,
-    /// The highest version of these states.
+    /// Highest version of the reported states.
     pub(crate) state_version: u64,
-    /// When this controller learned of a job's cancellation.
+    /// Cancelled jobs, each with the time at which this controller learned of the cancellation.
     pub(crate) cancelled: BTreeMap<String, Micros>,
-    /// Heartbeats answered since the claim.
+    /// Number of heartbeats answered since the claim.
     pub(crate) heartbeats: u64,
 }
 
 impl HolderState {
-    /// Whether a leader has told all tasks that may be on the machines.
+    /// Returns whether a leader has sent all tasks that may be on the machines.
     pub(crate) fn is_reconciled(&self) -> bool {
         self.reconciled_term > 0
     }
 
-    /// Records that a job is cancelled, whatever the source.
+    /// Records the time at which this controller first learned that a job is cancelled.
     pub(crate) fn note_cancelled(&mut self, job: &str, now: Micros) {
         self.cancelled.entry(job.to_string()).or_insert(now);
     }
 
-    /// Whether the leader has the attempt's end on record, so that the agent may forget it.
+    /// Returns whether the leader has recorded the end of the attempt, so that the agent may forget it. `None`
+    /// stands for an attempt whose task name could not be parsed.
     pub(crate) fn is_outcome_recorded(&self, attempt: Option<TaskAttempt>) -> bool {
         attempt.is_none_or(|id| !self.outcomes.contains_key(&id))
     }
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -1,4 +1,4 @@
-//! A controller's view of the live jobs, as of a revision of the key-value store.
+//! A controller's view of the live jobs at a revision of the key-value store.
 
 use crate::calls::{UserAction, UserRequest};
 use crate::{Micros, MILLI};
@@ -8,80 +8,80 @@
 use log::error;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a controller knows of a live job.
+/// A live job in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LiveJob {
-    /// Number of its tasks; 0 if its record cannot be read.
+    /// Number of tasks of the job; 0 if the job record cannot be read.
     pub tasks: u64,
-    /// The mod_revision of its record; 0 if only its cancellation was read.
+    /// The mod_revision of the job record; 0 if only the cancellation was read.
     pub mod_revision: u64,
-    /// Whether it is cancelled.
+    /// Whether the job is cancelled.
     pub cancelled: bool,
 }
 
-/// Keys that are read to build the view, in this order.
+/// Key prefixes that are listed to build the view, in this order.
 const PREFIXES: [&str; 2] = [JOB, LEGACY_CANCEL];
 
-/// A poll waits no longer than this: users wait 2 s for its answer.
-const POLL_PATIENCE: Micros = 1_400 * MILLI;
+/// Time that a poll waits for the view, in microseconds. Users wait 2 s for the answer.
+const POLL_WAIT_US: Micros = 1_400 * MILLI;
 
-/// A submission or cancellation may wait longer, since users wait 5 s for its answer. With the patience of a
-/// poll they would all be refused by a slow store, or when the answer to the transaction was lost, and come
-/// again a second later each time.
-const WRITE_PATIENCE: Micros = 3_400 * MILLI;
+/// Time that a submission or cancellation waits for the view, in microseconds. Users wait 5 s for the answer. With
+/// the shorter wait of a poll, all of them would be refused when the key-value store is slow or when the answer to a
+/// transaction is lost, and users would repeat each of them a second later.
+const WRITE_WAIT_US: Micros = 3_400 * MILLI;
 
-/// Most jobs that are remembered as ended.
+/// Maximum number of ended jobs that are remembered.
 const MAX_ENDED_JOBS: usize = 500;
 
-/// The view of the live jobs, and the requests that wait for it.
+/// View of the live jobs, and the users' requests that wait for it.
 #[derive(Debug, Default)]
 pub struct JobView {
     live: BTreeMap<String, LiveJob>,
-    /// Jobs that were seen to end, the latest ones: a repeat of their submission costs no write.
+    /// Ids of the jobs that ended most recently. A repeated submission of such a job needs no write.
     ended: VecDeque<String>,
-    /// Up to date as of this revision; while the view is listed, that of the first page.
+    /// Revision up to which the view is up to date; while the view is being listed, the revision of the first page.
     pub(crate) revision: Option<u64>,
-    /// Prefixes yet to be listed.
+    /// Prefixes that are not completely listed yet.
     pub(crate) unlisted_prefixes: Vec<&'static str>,
-    /// The last key read of the first of these prefixes.
+    /// Last key that was read under the first of the unlisted prefixes.
     pub(crate) last_key: Option<String>,
-    /// Whether all prefixes were listed.
+    /// Whether all prefixes have been listed.
     pub(crate) built: bool,
-    /// Whether a request to the store is under way.
+    /// Whether a request to the key-value store is in flight.
     pub(crate) request_in_flight: bool,
-    /// No request to the store before this time.
+    /// Earliest time of the next request to the key-value store.
     pub(crate) next_request: Micros,
-    /// When the view is brought up to date even if no user's request waits for it.
+    /// Time at which the view is updated even if no user's request waits for it.
     pub(crate) refresh_at: Micros,
-    /// Users' requests that the reply under way answers.
+    /// Users' requests that wait for the reply to the request in flight.
     pub(crate) awaiting_reply: Vec<UserRequest>,
-    /// Users' requests that came in after it was sent.
+    /// Users' requests that wait for the next request to the key-value store.
     pub(crate) waiting: Vec<UserRequest>,
 }
 
 impl UserRequest {
-    /// Until when it waits for the view, in microseconds of the steady clock.
+    /// Returns the time until which the request waits for the view, in microseconds of the steady clock.
     pub(crate) fn view_deadline(&self) -> Micros {
-        let patience = match self.action {
-            UserAction::Poll => POLL_PATIENCE,
-            UserAction::Submit(_) | UserAction::Malformed(_) | UserAction::Cancel => WRITE_PATIENCE,
+        let wait = match self.action {
+            UserAction::Poll => POLL_WAIT_US,
+            UserAction::Submit(_) | UserAction::Malformed(_) | UserAction::Cancel => WRITE_WAIT_US,
         };
-        self.arrived + patience
+        self.arrived + wait
     }
 }
 
 impl JobView {
-    /// The live job with this id.
+    /// Returns the live job with this id.
     pub fn get(&self, id: &str) -> Option<&LiveJob> {
         self.live.get(id)
     }
 
-    /// Whether the view has to be brought up to date before its next refresh.
+    /// Returns whether the view has to be updated before its next refresh.
     pub(crate) fn needs_update(&self) -> bool {
         !self.built || !self.waiting.is_empty()
     }
 
-    /// When the view has to act next, in microseconds of the steady clock.
+    /// Returns the time of the next action of the view, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
         let next_request = if self.request_in_flight {
             Micros::MAX
@@ -90,18 +90,19 @@
         } else {
             self.next_request.max(self.refresh_at)
         };
-        let patience = self.waiting.iter().map(UserRequest::view_deadline).min();
-        next_request.min(patience.unwrap_or(Micros::MAX))
+        let deadline = self.waiting.iter().map(UserRequest::view_deadline).min();
+        next_request.min(deadline.unwrap_or(Micros::MAX))
     }
 
-    /// Takes a record that was put; keys of other records are ignored.
+    /// Applies a put of a record that was read from the key-value store. Keys that do not belong to a job are
+    /// ignored.
     pub(crate) fn apply_put(&mut self, key: &str, value: &Value, mod_revision: u64) {
         match JobKey::parse(key) {
             Some(JobKey::Live(id)) => {
                 let tasks = match wire::http::from_value::<JobRecord>(value) {
                     Ok(record) => record.spec.tasks,
                     Err(e) => {
-                        error!(job = id, path = key, error:% = e; "unreadable job record; the job stays known");
+                        error!(job = id, path = key, error:% = e; "cannot read job record; the job is kept in the view without tasks");
                         0
                     }
                 };
@@ -122,7 +123,8 @@
         })
     }
 
-    /// Takes the deletion of a key. A cancellation goes with its job, in one transaction.
+    /// Applies the deletion of a key that was read from the key-value store. Deletions of cancellations are ignored,
+    /// since a cancellation is deleted together with its job in one transaction.
     pub(crate) fn apply_delete(&mut self, key: &str) {
         let Some(JobKey::Live(id)) = JobKey::parse(key) else {
             return;
@@ -136,13 +138,13 @@
         }
     }
 
-    /// Whether the job was accepted for certain: it is live, or was seen to end lately.
+    /// Returns whether the job is known to have been accepted: it is live or is remembered as ended.
     pub fn is_known_accepted(&self, id: &str) -> bool {
         let live = self.live.get(id);
         live.is_some_and(|job| job.mod_revision > 0) || self.ended.iter().any(|ended| ended == id)
     }
 
-    /// Empties the view, to be listed anew.
+    /// Empties the view so that it is listed again.
     pub(crate) fn reset(&mut self) {
         self.built = false;
         self.live.clear();
--- a/crates/core/src/state/jobs/admission.rs
+++ b/crates/core/src/state/jobs/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of submissions: whether the fields are valid, the record fits the store, and the job can ever run.
+//! Admission of submissions: checks that the fields are valid, that the job's record fits the key-value store, and
+//! that the job can ever run.
 
 use crate::settings::Settings;
 use grebewood_wire::http::{to_value, MachineType, Shape, Submission};
@@ -6,16 +7,16 @@
 use grebewood_wire::records::JobRecord;
 use thiserror::Error;
 
-/// Tolerance when amounts of resources are compared.
+/// Tolerance for comparisons of resource amounts.
 pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
-/// Why a submission is not accepted.
+/// Reason for rejecting a submission.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SubmissionRejection {
-    /// A field is invalid: status 400.
+    /// Invalid field; answered with status 400.
     #[error("{0}")]
     Invalid(String),
-    /// The job can never run: status 422.
+    /// Job that can never run; answered with status 422.
     #[error("{0}")]
     Impossible(String),
 }
@@ -28,20 +29,24 @@
     }
 }
 
-/// Checks that the job's record fits a value of the store, which takes up to `value_bytes` bytes. The store would refuse
-/// a longer one again and again, and the user would be told to retry each time.
+/// Checks that the job's record fits into a value of the key-value store, which holds up to `value_bytes` bytes.
+/// Without this check the store would reject a larger record every time, and the user would be told to retry each
+/// time.
 pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), SubmissionRejection> {
     let record = JobRecord {
         spec: submission.clone(),
         accepted_us: u64::MAX,
     };
     match json_size(&to_value(&record)) > value_bytes {
-        true => Err(SubmissionRejection::Invalid("the job is too long to be kept".into())),
+        true => Err(SubmissionRejection::Invalid(
+            "the job is too long to be kept".into(),
+        )),
         false => Ok(()),
     }
 }
 
-/// Whether one task of the job fits the machine type and the job permits it.
+/// Returns whether one task of the job fits the machine type, and whether the job permits the type and one of its
+/// zones.
 pub fn task_fits_machine_type(submission: &Submission, machine_type: &MachineType) -> bool {
     submission
         .machine_types
@@ -76,7 +81,10 @@
     {
         return impossible("the job needs more than the team's limit".into());
     }
-    if !catalogue.iter().any(|of| task_fits_machine_type(submission, of)) {
+    if !catalogue
+        .iter()
+        .any(|of| task_fits_machine_type(submission, of))
+    {
         return impossible("a task fits no allowed machine type".into());
     }
     Ok(())
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A live job: its tasks, where they are, and which of them may be placed.
+//! A live job: its tasks, their assignments, and which of them may be placed.
 
 use crate::context::Context;
 use crate::state::jobs::replica_restarts::ReplicaRestarts;
@@ -12,28 +12,29 @@
 pub mod failures;
 pub mod starvation;
 
-/// Completed tasks that one hexadecimal digit of a record holds.
+/// Number of tasks that one hexadecimal digit of a record of completed tasks covers.
 const TASKS_PER_DIGIT: u64 = 4;
 
-/// Most runs that weigh in the mean run time of a job's tasks, so that it follows changes.
+/// Highest weight of the mean run time of a job's tasks. The limit lets the mean follow changes.
 const MAX_MEAN_WEIGHT: u32 = 1_000;
 
-/// The time that a task gets to checkpoint, in microseconds, if it is expected to take `duration` microseconds.
-pub(crate) fn grace(duration: Micros) -> Micros {
+/// Returns the time that a task gets to write a checkpoint, in microseconds, if writing one is expected to take
+/// `duration` microseconds.
+pub(crate) fn checkpoint_grace_for(duration: Micros) -> Micros {
     duration + duration / 2 + SECOND
 }
 
-/// How a job ends.
+/// Final status of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// All of its tasks are completed.
+    /// All tasks of the job are completed.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Aborted,
 }
 
 impl FinalStatus {
-    /// The word for it in messages and records.
+    /// Returns the name of the status in messages and records.
     pub fn as_str(self) -> &'static str {
         match self {
             FinalStatus::Done => "done",
@@ -42,71 +43,71 @@
     }
 }
 
-/// A job that is not over. Times are in microseconds of the steady clock.
+/// A job that has not ended. Times are in microseconds of the steady clock.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its id.
+    /// Id of the job.
     pub id: String,
-    /// Its submission.
+    /// Submission that describes the job.
     pub spec: Submission,
-    /// When it was accepted; may lie before the start of this process.
+    /// Time of acceptance. It may lie before the start of this process.
     pub accepted_at: i64,
     completed: TaskSet,
     assigned: TaskSet,
-    /// Tasks with more than one assignment, with the number beyond the first.
+    /// Number of additional assignments of each task that has more than one.
     extra_assignments: BTreeMap<u64, u32>,
     /// Number of completed tasks.
     pub completed_count: u64,
-    /// Number of tasks that are assigned and not completed.
+    /// Number of assigned tasks that are not completed.
     assigned_count: u64,
-    /// All tasks before this one are completed or assigned.
+    /// Lower bound of the waiting tasks: all tasks with lower numbers are completed or assigned.
     first_candidate: u64,
-    /// When it was cancelled, as far as known; may lie before the start of this process.
+    /// Time of the cancellation, if this controller knows of one. It may lie before the start of this process.
     pub cancelled_at: Option<i64>,
-    /// Set while its terminal record is being written.
+    /// Final status, set while the final record of the job is being written.
     pub ending: Option<FinalStatus>,
-    /// Errors of its tasks in a row without a success.
+    /// Number of task errors since the last success of a task.
     pub consecutive_errors: u32,
-    /// Machines that were terminated because its tasks alone kept failing there.
+    /// Number of machines that were terminated because only tasks of this job kept failing on them.
     pub terminated_for_failures: u32,
-    /// Machines on which its tasks failed, as many as are needed to find the job faulty.
+    /// Machines on which tasks of the job failed, up to the number that makes the job likely to be at fault.
     failed_on: BTreeSet<String>,
-    /// No task of it is placed before this time.
+    /// Earliest time at which a task of the job may be placed.
     pub retry_at: Micros,
-    /// Since when some task of it has been running without any that failed.
+    /// Time since which some task of the job has been running and none has failed.
     running_well_since: Micros,
-    /// Number of assignments by zone.
+    /// Number of assignments in each zone.
     pub assignments_by_zone: BTreeMap<String, u32>,
-    /// Number of its tasks that were last seen running.
+    /// Number of tasks that agents last reported as running.
     pub running_count: u32,
-    /// Number of assigned tasks that partition holders are to place and have not placed yet.
+    /// Number of assigned tasks that are delegated to partition holders and not placed yet.
     pub delegated_count: u64,
-    /// How many of the delegated tasks wait for free resources.
+    /// Number of delegated tasks that wait for resources that other tasks will free.
     pub waiting_at_holders: u64,
-    /// Its age, in microseconds, when a task was first seen running.
+    /// Age of the job, in microseconds, when a task was first reported as running.
     pub age_at_first_run: Option<Micros>,
-    /// The pages that hold its completed tasks, by span of task numbers.
+    /// Numbers of the pages that hold the completed tasks, by span of task numbers.
     pub completed_pages: BTreeMap<u64, u64>,
-    /// Mean run time of its own tasks so far, in microseconds, with the number of runs.
+    /// Mean run time of the job's tasks, in microseconds, with the weight of the mean.
     pub mean_run_time: (Micros, u32),
-    /// Since when it has had tasks that wait for a place.
+    /// Time since which the job has had waiting tasks.
     pub waiting_since: Option<Micros>,
-    /// When a task was last placed.
+    /// Time at which a task was last placed.
     placed_at: Micros,
-    /// While it catches up: when a task had last been placed before it starved.
+    /// Time at which a task was last placed before the job starved; set while the job catches up.
     catch_up: Option<Micros>,
-    /// Whether it has ever starved.
+    /// Whether the job has ever starved.
     has_starved: bool,
-    /// How many of its tasks were preempted for teams below their guaranteed share.
+    /// Number of preemptions of the job's tasks for teams below their guaranteed share.
     preempted: u64,
-    /// Whether it is a batch, a gang or a daemon.
+    /// Shape of the job: batch, gang or daemon.
     pub shape: Shape,
     restarts: ReplicaRestarts,
 }
 
 impl Job {
-    /// A job read from its record, none of whose tasks is assigned or known to be completed. `now` is the time of the
-    /// steady clock, `wall` the time of day, both in microseconds.
+    /// Creates a job from its record, without assigned or completed tasks. `now` is the time of the steady clock and
+    /// `wall` the time of day, both in microseconds.
     pub fn new(record: JobRecord, now: Micros, wall: Micros) -> Self {
         let tasks = record.spec.tasks.min(MAX_TASKS);
         let age = wall.saturating_sub(record.accepted_us) as i64;
@@ -144,12 +145,12 @@
         }
     }
 
-    /// Number of all its tasks.
+    /// Returns the number of tasks of the job.
     pub fn task_count(&self) -> u64 {
         self.spec.tasks
     }
 
-    /// Number of tasks that are neither completed nor assigned.
+    /// Returns the number of tasks that are neither completed nor assigned; 0 once the job is cancelled or ends.
     pub fn waiting_count(&self) -> u64 {
         if self.cancelled_at.is_some() || self.ending.is_some() {
             return 0;
@@ -158,36 +159,38 @@
         self.task_count().saturating_sub(placed)
     }
 
-    /// Whether the task is completed.
+    /// Returns whether the task is completed.
     pub fn is_task_completed(&self, task: u64) -> bool {
         self.completed.contains(task)
     }
 
-    /// Whether all of its tasks are completed.
+    /// Returns whether all tasks of the job are completed.
     pub fn has_completed_all_tasks(&self) -> bool {
         !self.is_daemon() && self.completed_count >= self.task_count()
     }
 
-    /// Whether its tasks, called replicas, run until it is cancelled: none of them is ever completed.
+    /// Returns whether the job is a daemon. The tasks of a daemon are called replicas; they run until the job is
+    /// cancelled and are never completed.
     pub fn is_daemon(&self) -> bool {
         self.shape == Shape::Daemon
     }
 
-    /// Whether its tasks write checkpoints.
+    /// Returns whether tasks of the job write checkpoints.
     pub(crate) fn writes_checkpoints(&self) -> bool {
         self.spec.checkpoint_interval_s > 0.0
     }
 
-    /// The time that a task gets to checkpoint when it is stopped, in microseconds; 0 if it writes no checkpoints.
+    /// Returns the time that a task gets to write a checkpoint when it is stopped, in microseconds; 0 if tasks of
+    /// the job write no checkpoints.
     pub(crate) fn checkpoint_grace(&self) -> Micros {
         match self.writes_checkpoints() {
-            true => grace(micros(self.spec.checkpoint_duration_s)),
+            true => checkpoint_grace_for(micros(self.spec.checkpoint_duration_s)),
             false => 0,
         }
     }
 
-    /// Marks a task completed. A completed task does not count as assigned, though it may still be on a machine. Returns
-    /// false if it was completed already or does not exist.
+    /// Marks a task as completed. A completed task does not count as assigned, though it may still be on a machine.
+    /// Returns false if the task was already completed or does not exist, or if the job is a daemon.
     pub fn complete_task(&mut self, task: u64) -> bool {
         if self.is_daemon() || task >= self.task_count() || self.completed.contains(task) {
             return false;
@@ -200,7 +203,7 @@
         true
     }
 
-    /// Takes a task for an assignment.
+    /// Records a new assignment of a task.
     pub fn assign_task(&mut self, task: u64) {
         if self.assigned.contains(task) {
             *self.extra_assignments.entry(task).or_insert(0) += 1;
@@ -212,8 +215,8 @@
         }
     }
 
-    /// Gives a task back when an assignment of it is proven gone. With two assignments of one task on record, as after a
-    /// crash between two writes, it is free when both are gone.
+    /// Removes one assignment of a task, which is proven gone. A task with two recorded assignments, as after a
+    /// crash between two writes, waits again only when both are gone.
     pub fn unassign_task(&mut self, task: u64) {
         if let Some(extra) = self.extra_assignments.get_mut(&task) {
             *extra -= 1;
@@ -232,7 +235,7 @@
         }
     }
 
-    /// An assignment of the task in the zone is proven gone.
+    /// Records that an assignment of the task in this zone is proven gone.
     pub(crate) fn note_assignment_removed(&mut self, task: u64, zone: &str, now: Micros) {
         self.unassign_task(task);
         if let Some(count) = self.assignments_by_zone.get_mut(zone) {
@@ -243,7 +246,7 @@
         }
     }
 
-    /// A task of it was seen running that was not running before.
+    /// Records that a task is reported as running that was not running before.
     pub(crate) fn note_running(&mut self, now: Micros) {
         if self.age_at_first_run.is_none() {
             self.age_at_first_run = Some(self.age(now));
@@ -254,14 +257,14 @@
         self.running_count += 1;
     }
 
-    /// A task of it took this long, in microseconds.
+    /// Adds the run time of a task, in microseconds, to the mean run time.
     pub(crate) fn note_run_time(&mut self, run_time: Micros) {
         let (mean, runs) = self.mean_run_time;
         let sum = mean * u64::from(runs) + run_time;
         self.mean_run_time = (sum / (u64::from(runs) + 1), (runs + 1).min(MAX_MEAN_WEIGHT));
     }
 
-    /// The next waiting task that may be placed now.
+    /// Returns the waiting task with the lowest number that may be placed now.
     pub fn next_waiting_task(&mut self, now: Micros) -> Option<u64> {
         if self.waiting_count() == 0 {
             return None;
@@ -273,20 +276,20 @@
             .find(|task| self.is_waiting(*task) && !self.restarts.is_backing_off(*task, now))
     }
 
-    /// Whether the task is neither completed nor assigned.
+    /// Returns whether the task is neither completed nor assigned.
     fn is_waiting(&self, task: u64) -> bool {
         !self.completed.contains(task) && !self.assigned.contains(task)
     }
 
-    /// Takes the next waiting task that may be placed now, for a partition holder that is to place it.
+    /// Assigns the next waiting task that may be placed now, so that a partition holder can place it.
     pub fn assign_next_task(&mut self, now: Micros) -> Option<u64> {
         let task = self.next_waiting_task(now)?;
         self.assign_task(task);
         Some(task)
     }
 
-    /// Whether partition holders, which see their own machines only, may place its tasks: each can go anywhere, whatever
-    /// the others do, and no resources are reserved for it.
+    /// Returns whether partition holders may place tasks of the job. A holder sees only its own machines, so each
+    /// task must be placeable independently of the others, and no resources may be reserved for the job.
     pub fn may_be_placed_by_holders(&self, now: Micros) -> bool {
         self.shape == Shape::Batch
             && !self.must_begin_early(now)
@@ -296,7 +299,8 @@
             && !self.keeps_failing()
     }
 
-    /// The completed tasks of a span, from `span * TASKS_PER_LEGACY_RECORD` on, as hexadecimal digits of four tasks each.
+    /// Returns the completed tasks of a span as hexadecimal digits that cover four tasks each. The first task of the
+    /// span is `span * TASKS_PER_LEGACY_RECORD`.
     pub fn completed_bits(&self, span: u64) -> String {
         let from = span * TASKS_PER_LEGACY_RECORD;
         let to = (from + TASKS_PER_LEGACY_RECORD).min(self.task_count());
@@ -310,7 +314,8 @@
             .collect()
     }
 
-    /// Marks the tasks of a span completed that a record shows as such, in the form of [`Job::completed_bits`].
+    /// Marks the tasks of a span as completed that a record lists as completed. `digits` has the format of
+    /// [`Job::completed_bits`].
     pub fn restore_completed_tasks(&mut self, span: u64, digits: &str) {
         if span > MAX_TASKS / TASKS_PER_LEGACY_RECORD {
             return;
@@ -325,51 +330,68 @@
         }
     }
 
-    /// Time since the cancellation in microseconds, if there is one.
+    /// Returns the time since the cancellation, in microseconds, if the job is cancelled.
     pub fn cancelled_for(&self, now: Micros) -> Option<Micros> {
-        self.cancelled_at.map(|at| (now as i64 - at).max(0) as Micros)
+        self.cancelled_at
+            .map(|at| (now as i64 - at).max(0) as Micros)
     }
 
-    /// Number of tasks that are on machines, as far as known.
+    /// Returns the number of assignments of the job on all machines.
     pub fn assignment_count(&self) -> u64 {
-        self.assignments_by_zone.values().map(|count| u64::from(*count)).sum()
+        self.assignments_by_zone
+            .values()
+            .map(|count| u64::from(*count))
+            .sum()
     }
 
-    /// The zone that a `one_zone` job is bound to by the tasks that it has there; also by those on unreachable machines.
+    /// Returns the zone in which a `one_zone` job has assignments, also those on unreachable machines. All other
+    /// tasks of the job must go to the same zone.
     pub fn bound_zone(&self) -> Option<&str> {
-        let mut used = self.assignments_by_zone.iter().filter(|(_, count)| **count > 0);
+        let mut used = self
+            .assignments_by_zone
+            .iter()
+            .filter(|(_, count)| **count > 0);
         match self.spec.one_zone {
             true => used.next().map(|(zone, _)| zone.as_str()),
             false => None,
         }
     }
 
-    /// Whether the zone may take one more of its tasks, given where the others are.
+    /// Returns whether one more task may be placed in the zone, given the zones of the existing assignments.
     pub fn zone_permits(&self, zone: &str) -> bool {
-        let here = self.assignments_by_zone.get(zone).map_or(0, |count| u64::from(*count));
+        let here = self
+            .assignments_by_zone
+            .get(zone)
+            .map_or(0, |count| u64::from(*count));
         self.bound_zone().is_none_or(|bound| bound == zone)
             && (!self.spec.spread || here < self.spec.tasks.div_ceil(2))
     }
 
-    /// Number of tasks that may be placed now, as far as the job itself is concerned.
+    /// Returns the number of waiting tasks that the job's own rules permit to be placed now.
     pub fn placeable_count(&self, now: Micros) -> u64 {
         let backing_off = self.restarts.backing_off(now);
         let backing_off = backing_off.filter(|task| !self.assigned.contains(*task));
-        let waiting = self.waiting_count().saturating_sub(backing_off.count() as u64);
+        let waiting = self
+            .waiting_count()
+            .saturating_sub(backing_off.count() as u64);
         if !self.keeps_failing() {
             return waiting;
         }
-        let more = self.max_trial_tasks(now).saturating_sub(self.assignment_count());
+        let more = self
+            .max_trial_tasks(now)
+            .saturating_sub(self.assignment_count());
         waiting.min(more)
     }
 
-    /// Time since acceptance, in microseconds.
+    /// Returns the time since acceptance, in microseconds.
     pub fn age(&self, now: Micros) -> Micros {
         (now as i64 - self.accepted_at).max(0) as Micros
     }
 
-    /// When the job should be finished: the earliest objective that it can still meet with `need` microseconds yet to
-    /// run, by its deadline or else by the service-level objectives of its class. None if it is late for all of them.
+    /// Returns the time at which the job should be finished: its deadline or, for a job without one, the earliest
+    /// service-level objective of its class that the job can still meet if it needs another `need` microseconds. A
+    /// job whose class has no such objective gets a default deadline. Returns `None` if no target can be met any
+    /// more.
     pub fn target_finish_at(&self, context: &Context, need: Micros) -> Option<i64> {
         let earliest = (context.now.steady + need) as i64;
         let reachable = |objective: Micros| {
--- a/crates/core/src/state/jobs/replica_restarts.rs
+++ b/crates/core/src/state/jobs/replica_restarts.rs
@@ -1,74 +1,75 @@
-//! When and where replicas of a daemon that ended by themselves are started again.
+//! Restarts of replicas that exited without being stopped: when they are restarted, and which machines are avoided.
 
 use crate::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// A replica that ran for as long as this counts as its first failure in a row, in microseconds.
-const STEADY_RUN: Micros = 30 * SECOND;
+/// Run time, in microseconds, from which on an exit counts as the first of a new series of exits.
+const STABLE_RUN_US: Micros = 30 * SECOND;
 
-/// Longest backoff before a replica that keeps ending is started again, in microseconds.
-const MAX_BACKOFF: Micros = 30 * SECOND;
+/// Longest backoff before a replica that keeps exiting is restarted, in microseconds.
+const MAX_BACKOFF_US: Micros = 30 * SECOND;
 
-/// How long other machines are preferred to one on which a replica ended, in microseconds.
-const AVOIDANCE: Micros = 2 * MAX_BACKOFF;
+/// Time for which a machine is avoided after a replica exited on it, in microseconds.
+const AVOIDANCE_US: Micros = 2 * MAX_BACKOFF_US;
 
-/// The backoff of one replica.
+/// Restart backoff of one replica.
 #[derive(Clone, Copy, Debug, Default)]
 struct Backoff {
-    /// How often in a row it ended.
+    /// Number of exits in the current series.
     exits: u32,
-    /// When it may be started again, in microseconds.
+    /// Time at which the replica may be restarted, in microseconds.
     until: Micros,
 }
 
-/// Replicas of a daemon that ended by themselves, and the machines where they did.
+/// Replicas of a daemon that exited without being stopped, and the machines on which they exited.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicaRestarts {
-    /// By the replica's task number.
+    /// Backoffs by the task number of the replica.
     backoffs: BTreeMap<u64, Backoff>,
-    /// Until when other machines are preferred to these, in microseconds.
+    /// Avoided machines, each with the time until which placement prefers others, in microseconds.
     avoided_machines: BTreeMap<String, Micros>,
 }
 
 impl ReplicaRestarts {
-    /// A replica ended by itself on `machine` after it had run for `ran` microseconds. It is started again at once,
-    /// elsewhere if it fits there; one that ends again and again after a growing backoff.
+    /// Records that a replica exited without being stopped, after `ran` microseconds on `machine`. The replica may
+    /// be restarted at once after the first exit of a series and after a growing backoff from the second exit on.
+    /// Placement prefers other machines.
     pub(crate) fn note_exit(&mut self, task: u64, machine: &str, ran: Micros, now: Micros) {
         let backoff = self.backoffs.entry(task).or_default();
-        backoff.exits = match ran >= STEADY_RUN {
+        backoff.exits = match ran >= STABLE_RUN_US {
             true => 1,
             false => backoff.exits + 1,
         };
         let duration = match backoff.exits {
             1 => 0,
-            exits => (SECOND << (exits - 2).min(6)).min(MAX_BACKOFF),
+            exits => (SECOND << (exits - 2).min(6)).min(MAX_BACKOFF_US),
         };
         backoff.until = now + duration;
         self.avoided_machines.retain(|_, until| *until > now);
         self.avoided_machines
-            .insert(machine.to_string(), now + AVOIDANCE);
+            .insert(machine.to_string(), now + AVOIDANCE_US);
     }
 
-    /// Whether other machines are preferred to this one.
+    /// Returns whether placement prefers other machines to this one.
     pub(crate) fn avoids(&self, machine: &str, now: Micros) -> bool {
         self.avoided_machines
             .get(machine)
             .is_some_and(|until| *until > now)
     }
 
-    /// On how many machines replicas ended lately.
+    /// Returns the number of avoided machines as of the last exit of a replica.
     pub(crate) fn avoided_machine_count(&self) -> usize {
         self.avoided_machines.len()
     }
 
-    /// Whether the replica waits for its backoff.
+    /// Returns whether the backoff of the replica has not ended yet.
     pub(crate) fn is_backing_off(&self, task: u64, now: Micros) -> bool {
         self.backoffs
             .get(&task)
             .is_some_and(|backoff| backoff.until > now)
     }
 
-    /// The replicas that wait for their backoff.
+    /// Returns the task numbers of the replicas whose backoff has not ended yet.
     pub(crate) fn backing_off(&self, now: Micros) -> impl Iterator<Item = u64> + '_ {
         self.backoffs
             .iter()
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,4 +1,4 @@
-//! What is known of a machine and of the tasks assigned to it.
+//! State of a machine and of the tasks assigned to it.
 
 use crate::state::bin_packing::MachineResources;
 use crate::state::jobs::JobIndex;
@@ -13,120 +13,124 @@
 
 pub mod assignment;
 
-/// How long an agent waits for the response to its heartbeat before it turns to another controller, in microseconds.
+/// Time that an agent waits for the response to its heartbeat before it sends it to another controller, in
+/// microseconds.
 pub(crate) const RESPONSE_TIMEOUT_US: Micros = 4 * SECOND;
 
-/// Failures in a row of one job's tasks alone after which the machine may be at fault.
-const FAILURES_OF_ONE_JOB: usize = 4;
+/// Number of consecutive failures, all of tasks of one job, after which the machine may be at fault.
+const MIN_FAILURES_OF_ONE_JOB: usize = 4;
 
-/// Most failures that are remembered of a machine.
+/// Maximum number of failures that are remembered for each machine.
 const MAX_FAILURES: usize = 8;
 
 /// Image fetch rate of machine types that publish none, in GB per second.
-const DEFAULT_FETCH_RATE: f64 = 1.0;
+const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
 
-/// A task that the holder of a partition is to place.
+/// A task that is delegated to the holder of the machine's partition and not placed yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedTask {
-    /// The place of its job in the job table.
+    /// Index of its job in the job table.
     pub job: JobIndex,
-    /// The task's number within the job.
+    /// Number of the task within the job.
     pub task: u64,
-    /// What it takes of a machine.
+    /// Resources that the task takes.
     pub resources: MachineResources,
 }
 
 /// A machine. Times are in microseconds of the steady clock.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name, which no other machine ever has.
+    /// Name of the machine, which is never reused.
     pub name: String,
-    /// The partition whose holder looks after it; without one this controller does itself.
+    /// Partition whose holder manages the machine; `None` if this controller manages it.
     pub partition: Option<PartitionId>,
-    /// Whether that holder counts it as able to take tasks.
+    /// Whether the partition holder counts the machine as capacity.
     pub counted_by_holder: bool,
-    /// Where the agent takes direct commands; empty while the machine is known from records only.
+    /// Address at which the agent accepts direct commands; empty while the machine is known from records only.
     pub address: String,
-    /// The name of its machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// The zone that it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// CPUs that it has.
+    /// CPUs of the machine.
     pub cpus: f64,
-    /// Accelerators that it has.
+    /// Accelerators of the machine.
     pub gpus: f64,
-    /// Memory that it has, in GB.
+    /// Memory of the machine, in GB.
     pub memory_gb: f64,
-    /// The agent's incarnation, by its newest status.
+    /// Incarnation of the agent in its newest status.
     pub incarnation: u64,
-    /// The number of the newest status within the incarnation.
+    /// Sequence number of the newest status within the incarnation.
     pub sequence: u64,
-    /// Whether its agent has shown that it knows our fencing token.
+    /// Whether the agent has shown that it knows our fencing token.
     pub knows_token: bool,
-    /// Incarnation and sequence number of the newest heartbeat, which the response to a direct command may overtake.
+    /// Incarnation and sequence number of the newest heartbeat. The response to a direct command may overtake a
+    /// heartbeat, so the newest status is not always that of a heartbeat.
     pub newest_heartbeat: (u64, u64),
-    /// When the last heartbeat came: only the response to one can launch anything.
+    /// Time of the last heartbeat. Only the response to a heartbeat can launch tasks.
     pub last_heartbeat: Micros,
-    /// When the last heartbeat or response to a direct command came.
+    /// Time of the last heartbeat or response to a direct command.
     pub last_contact_at: Micros,
-    /// When we last answered a heartbeat of it: its agent's lease expires no later than a lease duration after that.
+    /// Time of our last response to a heartbeat. The lease of the agent expires at most a lease duration later.
     pub last_response: Micros,
-    /// When the cloud reclaims it.
+    /// Time at which the cloud reclaims the machine, if it has announced that.
     pub reclaim_at: Option<Micros>,
-    /// The tasks assigned to it.
+    /// Tasks assigned to the machine.
     pub assignments: Vec<Assignment>,
-    /// What the assignments take, and the tasks that its partition's holder is to place.
+    /// Resources that the assignments and the planned tasks take.
     pub used: MachineResources,
-    /// Tasks that the holder of its partition is to place, probably here.
+    /// Tasks that the holder of the machine's partition has yet to place, probably on this machine.
     pub planned: Vec<PlannedTask>,
-    /// Whether the leader has the machine's partition place nothing new on it.
+    /// Whether the leader has told the holder of the machine's partition to place nothing new on the machine.
     pub reserved: bool,
-    /// Exits that are not acknowledged yet.
+    /// Exited attempts whose exits are not acknowledged yet.
     pub exited_attempts: Vec<ExitedAttempt>,
-    /// Since when it has had no assignment.
+    /// Time since which the machine has had no assignment.
     pub idle_since: Micros,
-    /// Images in its cache with their sizes in GB, the most recently used last.
+    /// Images in the cache of the machine with their sizes in GB, the most recently used last.
     pub images: VecDeque<(String, f64)>,
-    /// The size of its image cache, in GB.
+    /// Size of the image cache, in GB.
     pub cache_gb: f64,
-    /// How fast it fetches images, in GB per second.
+    /// Rate at which the machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// To be terminated: nothing new is placed on it.
+    /// Whether the machine is cordoned: nothing new is placed on it, and it is terminated once it is empty.
     pub cordoned: bool,
-    /// It is cordoned only to save its price: it takes tasks again if some wait for free resources.
+    /// Whether the machine is cordoned only to save its price. It takes tasks again if some wait for free resources.
     pub draining: bool,
-    /// Ids of the jobs whose tasks failed here since the last success, one for each failure.
+    /// Ids of the jobs whose tasks failed on the machine since the last success, one entry for each failure.
     pub failed_jobs: Vec<String>,
-    /// It is cordoned because tasks failed here.
+    /// Whether the machine is cordoned because tasks failed on it.
     pub faulty: bool,
-    /// Nothing is placed on it before this time, after it refused a task.
+    /// Time before which nothing is placed on the machine, because it refused a task.
     pub quarantined_until: Micros,
-    /// Tasks of idle priority are kept off until then: tasks are preempted here for work of higher priority.
+    /// Time until which tasks of idle priority are not placed on the machine, because tasks are preempted on it for
+    /// work of higher priority.
     pub idle_excluded_until: Micros,
-    /// When the cloud's list first showed it.
+    /// Time at which the cloud's machine list first showed the machine.
     pub first_listed_at: Option<Micros>,
-    /// Whether our responses reach it, as far as its heartbeats show. Heartbeats may arrive from a machine that no
-    /// response reaches, and copies of heartbeats from one that is gone: neither gets tasks.
+    /// Whether our responses reach the machine, as far as its heartbeats show. A machine may send heartbeats
+    /// although no response reaches it, and copies of its heartbeats may arrive after it is gone. It gets no tasks
+    /// in either case.
     pub receives_responses: bool,
-    /// Since when it sends heartbeats without a sign that our responses reach it.
+    /// Time since which the machine has sent heartbeats without a sign that our responses reach it.
     pub unreachable_since: Option<Micros>,
 }
 
-/// What failures on a machine say of it.
+/// Which jobs the failures on a machine come from, as evidence for a fault of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureAttribution {
-    /// Nothing yet.
+    /// Too few failures to blame the machine.
     None,
-    /// Tasks of one job alone fail there: the job may be at fault.
+    /// Repeated failures of tasks of a single job: the machine or the job may be at fault.
     ByOneJob,
-    /// Tasks of different jobs fail there.
+    /// Failures of tasks of at least two jobs.
     ByTwoJobs,
 }
 
 impl Machine {
-    /// A machine that sent its first heartbeat, without anything on it.
+    /// Creates an empty machine from its first heartbeat.
     pub fn new(heartbeat: &Heartbeat, machine_type: Option<&MachineType>, now: Micros) -> Self {
         Machine {
             name: heartbeat.machine.clone(),
@@ -158,7 +162,7 @@
             fetch_gb_per_s: machine_type
                 .and_then(|of| of.fetch_gb_per_s)
                 .filter(|rate| *rate > 0.0)
-                .unwrap_or(DEFAULT_FETCH_RATE),
+                .unwrap_or(DEFAULT_FETCH_GB_PER_S),
             cordoned: false,
             draining: false,
             failed_jobs: Vec::new(),
@@ -171,8 +175,9 @@
         }
     }
 
-    /// Applies what a heartbeat says of the machine itself if until now it was known from records only, or its type was
-    /// not known: without the resources of its type it would stay empty for good.
+    /// Applies the description of the machine in a heartbeat. The caller does so if the machine was known from
+    /// records only, or if its type was unknown: without the resources of its type, no task would ever be placed on
+    /// the machine.
     pub(crate) fn apply_description(
         &mut self,
         heartbeat: &Heartbeat,
@@ -200,7 +205,7 @@
         };
     }
 
-    /// All that it has.
+    /// Returns the total resources of the machine.
     pub fn resources(&self) -> MachineResources {
         MachineResources {
             cpus: self.cpus,
@@ -209,12 +214,13 @@
         }
     }
 
-    /// Its free resources. An assignment counts from its decision until it is proven gone.
+    /// Returns the free resources of the machine. An assignment takes its resources from the time it is decided
+    /// until it is proven gone.
     pub fn free(&self) -> MachineResources {
         self.resources() - self.used
     }
 
-    /// Sums up anew what is used, after an assignment or a planned task came or went.
+    /// Recomputes the used resources after an assignment or a planned task was added or removed.
     pub(crate) fn recompute_used(&mut self) {
         let assigned = self.assignments.iter().map(Assignment::resources);
         let planned = self.planned.iter().map(|planned| planned.resources);
@@ -223,25 +229,26 @@
             .fold(MachineResources::default(), |sum, task| sum + task);
     }
 
-    /// The holder of its partition is to place a task, probably here.
+    /// Adds a task that the holder of the machine's partition has yet to place, probably on this machine.
     pub(crate) fn add_planned_task(&mut self, planned: PlannedTask) {
         self.planned.push(planned);
         self.recompute_used();
     }
 
-    /// The task is placed, or will not be.
+    /// Removes a planned task that has been placed or that the holder will not place.
     pub(crate) fn remove_planned_task(&mut self, job: JobIndex, task: u64) {
         self.planned
             .retain(|planned| (planned.job, planned.task) != (job, task));
         self.recompute_used();
     }
 
-    /// Whether the image is in its cache.
+    /// Returns whether the image is in the cache of the machine.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(cached, _)| cached == image)
     }
 
-    /// Notes that the image of this size was used: it stays in the cache for longest.
+    /// Records that the image was used. The cache evicts the least recently used images first, and always keeps the
+    /// one used last.
     pub fn use_image(&mut self, image: &str, gb: f64) {
         self.images.retain(|(cached, _)| cached != image);
         self.images.push_back((image.to_string(), gb));
@@ -253,7 +260,7 @@
         }
     }
 
-    /// Expected time to fetch the image, in microseconds; 0 if it is in the cache.
+    /// Returns the expected time to fetch the image, in microseconds; 0 if it is in the cache.
     pub fn fetch_time(&self, image: &str, gb: f64) -> Micros {
         match self.has_image(image) {
             true => 0,
@@ -261,7 +268,8 @@
         }
     }
 
-    /// Notes that a task of the job failed here. Failures of a job that is itself at fault say nothing of the machine.
+    /// Records that a task of the job failed on the machine. Failures of jobs that are likely to be at fault
+    /// themselves do not count against the machine.
     pub(crate) fn note_failure(&mut self, job: &str, is_faulty_job: impl Fn(&str) -> bool) {
         self.failed_jobs.push(job.to_string());
         self.forget_failures(is_faulty_job);
@@ -269,45 +277,47 @@
         self.failed_jobs.drain(..excess);
     }
 
-    /// Forgets the failures of jobs that are themselves at fault.
+    /// Removes the failures of jobs that are likely to be at fault themselves.
     pub(crate) fn forget_failures(&mut self, is_faulty_job: impl Fn(&str) -> bool) {
         self.failed_jobs.retain(|id| !is_faulty_job(id));
     }
 
-    /// What the failures since the last success say of the machine.
+    /// Returns which jobs the failures since the last success on the machine come from.
     pub(crate) fn failure_attribution(&self) -> FailureAttribution {
         let first = self.failed_jobs.first();
         if self.failed_jobs.iter().any(|id| Some(id) != first) {
             return FailureAttribution::ByTwoJobs;
         }
-        match self.failed_jobs.len() >= FAILURES_OF_ONE_JOB {
+        match self.failed_jobs.len() >= MIN_FAILURES_OF_ONE_JOB {
             true => FailureAttribution::ByOneJob,
             false => FailureAttribution::None,
         }
     }
 
-    /// Cordons it because tasks fail here: it is terminated once it is empty.
+    /// Cordons the machine because tasks fail on it. It is terminated once it is empty.
     pub(crate) fn cordon_as_faulty(&mut self) {
-        warn!(machine = self.name; "machine is faulty, to be terminated");
+        warn!(machine = self.name; "machine is faulty; cordoned until it is empty and can be terminated");
         self.cordoned = true;
         self.draining = false;
         self.faulty = true;
     }
 
-    /// Uncordons it: it was not at fault.
+    /// Uncordons a machine that was cordoned for failures that are now attributed to jobs.
     pub(crate) fn uncordon_as_healthy(&mut self) {
-        info!(machine = self.name; "machine is not faulty, the jobs that failed there fail elsewhere too");
+        info!(machine = self.name; "machine is not faulty and is uncordoned; the failed jobs are likely to be at fault");
         self.cordoned = false;
         self.faulty = false;
     }
 
-    /// Whether new tasks may be placed here, given that heartbeats may be `max_silence` microseconds old.
+    /// Returns whether new tasks may be placed on the machine. Its last heartbeat may be at most `max_silence`
+    /// microseconds old.
     pub fn is_usable(&self, now: Micros, max_silence: Micros) -> bool {
         self.receives_responses && self.counts_as_capacity(now, max_silence)
     }
 
-    /// Whether scaling out counts it as able to take tasks: also while it has yet to show that our responses reach it.
-    /// To a new leader that is every machine, and it would otherwise provision a second fleet meanwhile.
+    /// Returns whether the autoscaler counts the machine as capacity. A machine counts for a limited time even if it
+    /// has not shown yet that our responses reach it. For a new leader this is so for every machine; if they did not
+    /// count, the leader would provision a second fleet.
     pub fn counts_as_capacity(&self, now: Micros, max_silence: Micros) -> bool {
         let unreachable_for = self
             .unreachable_since
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -1,4 +1,4 @@
-//! A task that is assigned to a machine, from the decision until it is proven gone.
+//! Assignments of tasks to machines, from the placement decision until the task is proven gone.
 
 use crate::state::bin_packing::MachineResources;
 use crate::state::jobs::{parse_task_name, JobIndex};
@@ -9,38 +9,39 @@
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
 use log::warn;
 
-/// What stands for the heartbeat that carried the launch if an earlier leader launched the task.
+/// Value of [`Assignment::launched`] for a task that an earlier leader or holder may have launched.
 const LAUNCHED_EARLIER: (u64, u64) = (0, 0);
 
-/// A task that overruns is expected to run for a further part of what it has run: one in so many.
-const OVERRUN_PART: u64 = 5;
+/// Divisor of the time that a task has run, which gives the least remaining time. It applies to tasks that exceed or
+/// nearly reach their expected run time.
+const OVERRUN_DIVISOR: u64 = 5;
 
-/// What an agent last said of an assignment.
+/// Status of an assignment as the agent last reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservedStatus {
-    /// Nothing yet.
+    /// Not reported yet.
     Never,
-    /// It fetches the task's image.
+    /// Fetching the image of the task.
     Fetching,
-    /// The task runs.
+    /// Running.
     Running,
-    /// The task writes a checkpoint because it is to be stopped.
+    /// Writing a checkpoint because the task is being stopped.
     Checkpointing,
 }
 
-/// How a task is to be stopped.
+/// A decision to stop a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
-    /// Time that the task gets to checkpoint, in microseconds.
+    /// Time that the task gets to write a checkpoint, in microseconds.
     pub grace: Micros,
-    /// When it was decided, in microseconds.
+    /// Time of the decision, in microseconds.
     pub since: Micros,
-    /// When the command was last sent, in microseconds.
+    /// Time at which the stop command was last sent, in microseconds.
     pub sent_at: Option<Micros>,
 }
 
 impl Stop {
-    /// A stop that is decided now and was not sent yet.
+    /// Creates a stop that is decided now and has not been sent yet.
     pub(crate) fn new(grace: Micros, now: Micros) -> Self {
         Stop {
             grace,
@@ -50,71 +51,73 @@
     }
 }
 
-/// A task given to a machine: from its decision until proof that it is gone.
+/// A task assigned to a machine. An assignment exists from the placement decision until the task is proven gone.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// The place of the job in the job table; [`JobIndex::MAX`] if the job is not known.
+    /// Index of the job in the job table; [`JobIndex::MAX`] if the job is not known.
     pub job: JobIndex,
-    /// The job's id.
+    /// Id of the job.
     pub job_id: String,
-    /// The task's number within the job.
+    /// Number of the task within the job.
     pub task: u64,
-    /// The number of the attempt, which no other assignment has.
+    /// Number of the attempt, which no other assignment has.
     pub attempt: u64,
-    /// The agent incarnation that it is meant for.
+    /// Agent incarnation that the assignment is meant for.
     pub incarnation: u64,
-    /// The page of assignments that it is recorded on.
+    /// Number of the assignment page that records the assignment.
     pub page: u64,
-    /// The version of the page that first holds it; it may be launched once that is durable.
+    /// First version of the page that holds the assignment. The task may be launched once this version is durable.
     pub page_version: u64,
-    /// CPUs that it takes.
+    /// CPUs that the task takes.
     pub cpus: f64,
-    /// Accelerators that it takes.
+    /// Accelerators that the task takes.
     pub gpus: f64,
-    /// Memory that it takes, in GB.
+    /// Memory that the task takes, in GB.
     pub memory_gb: f64,
-    /// The team that owns the job; empty if the job is not known.
+    /// Team that owns the job; empty if the job is not known.
     pub team: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Incarnation and sequence number of the heartbeat whose response carried the launch. An assignment read back from
-    /// records counts as launched by an earlier leader or holder: `(0, 0)`.
+    /// Incarnation and sequence number of the heartbeat whose response carried the launch; `None` if the task was
+    /// not launched. The sequence number is 0 if the holder of the machine's partition sends the launch. An
+    /// assignment read back from records counts as launched by an earlier leader or holder and has `(0, 0)`.
     pub launched: Option<(u64, u64)>,
-    /// To the leader, whether the holder of the machine's partition has taken it over; to a holder, whether the leader
-    /// has been told, or is to be, that it was placed.
+    /// On the leader, whether the holder of the machine's partition has accepted the assignment. On a holder,
+    /// whether the placement has been reported to the leader or is queued for the next report.
     pub delivered: bool,
-    /// Whether the holder of a partition placed it, so that it is on a page of that holder and counts against its quota
-    /// grant.
+    /// Whether a partition holder placed the task. The assignment is then recorded on a page of that holder and
+    /// counts against its quota grant.
     pub by_holder: bool,
-    /// What the agent last said of it.
+    /// Status that the agent last reported.
     pub observed_status: ObservedStatus,
-    /// When it was decided, in microseconds.
+    /// Time of the placement decision, in microseconds.
     pub decided_at: Micros,
-    /// When it was first seen running, in microseconds.
+    /// Time at which the task was first reported as running, in microseconds.
     pub started_at: Option<Micros>,
-    /// How long it is expected to stay on the machine, in microseconds, without fetching its image.
+    /// Time that the task is expected to stay on the machine, in microseconds, without fetching its image.
     pub expected_stay: Micros,
     /// Set once the task is to be stopped.
     pub stop: Option<Stop>,
 }
 
-/// What is known of a task when it is put on a machine.
+/// Data from which an [`Assignment`] is created.
 pub(crate) struct TaskOnMachine<'a> {
-    /// The task, as messages between controllers have it.
+    /// Task in the form of messages between controllers.
     pub task: &'a PlacedTask,
-    /// The place of its job in the job table, if it is known.
+    /// Index of the job in the job table, if the job is known.
     pub job: Option<JobIndex>,
-    /// Its job's description, if it is known.
+    /// Submission of the job, if the job is known.
     pub spec: Option<&'a Submission>,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// The time, in microseconds.
+    /// Current time, in microseconds.
     pub now: Micros,
 }
 
 impl Assignment {
-    /// A task that is put on a machine, or known to be there. The other fields are what a partition holder needs of a
-    /// task that the leader has placed: its record is the leader's, and nothing was observed of it.
+    /// Creates an assignment of a task that is being placed on a machine or is known to be there. The other fields
+    /// have the values that a partition holder needs for a task placed by the leader: the leader keeps the record,
+    /// and no status was observed yet.
     pub(crate) fn new(of: TaskOnMachine) -> Assignment {
         let TaskOnMachine { task, spec, .. } = of;
         Assignment {
@@ -141,12 +144,13 @@
         }
     }
 
-    /// Whether an earlier leader or holder launched it, as far as known.
+    /// Returns whether the assignment was read back from records, so that an earlier leader or holder may have
+    /// launched the task.
     pub fn is_recovered(&self) -> bool {
         self.launched == Some(LAUNCHED_EARLIER)
     }
 
-    /// Which attempt of which task it is.
+    /// Returns the numbers of the attempt and of the task.
     pub fn id(&self) -> TaskAttempt {
         TaskAttempt {
             attempt: self.attempt,
@@ -154,24 +158,25 @@
         }
     }
 
-    /// The task's name in messages: `<job>/<number>`.
+    /// Returns the name of the task in messages: `<job>/<number>`.
     pub(crate) fn task_name(&self) -> String {
         format!("{}/{}", self.job_id, self.task)
     }
 
-    /// Applies what the agent says of it.
+    /// Applies the status that the agent reports for the task.
     pub fn observe(&mut self, status: &TaskStatus, now: Micros) {
         self.observed_status = match status {
             TaskStatus::Running => ObservedStatus::Running,
             TaskStatus::Checkpointing => ObservedStatus::Checkpointing,
             TaskStatus::Fetching | TaskStatus::Exited => ObservedStatus::Fetching,
             TaskStatus::Unknown(status) => {
-                warn!(task = self.task_name(), status:? = status; "unknown status of a task");
+                warn!(task = self.task_name(), status:? = status; "agent reported an unknown task status");
                 ObservedStatus::Fetching
             }
         };
         if self.observed_status == ObservedStatus::Running && self.started_at.is_none() {
-            // When a task of an earlier leader began is not known: it is taken to be halfway.
+            // The start time of a recovered task is unknown: the task is assumed to have run for half of its
+            // expected stay.
             let ran = match self.is_recovered() {
                 true => self.expected_stay / 2,
                 false => 0,
@@ -180,7 +185,7 @@
         }
     }
 
-    /// What it takes of its machine.
+    /// Returns the machine resources that the task takes.
     pub fn resources(&self) -> MachineResources {
         MachineResources {
             cpus: self.cpus,
@@ -189,17 +194,18 @@
         }
     }
 
-    /// What it takes of its team's limit.
+    /// Returns the amount that counts against the team's limit.
     pub fn amount(&self) -> Resources {
         Resources::of(self.cpus, self.gpus)
     }
 
-    /// Whether the task may be on the machine.
+    /// Returns whether the task may be on the machine, because its launch may have been sent.
     pub fn may_be_on_machine(&self) -> bool {
         self.launched.is_some()
     }
 
-    /// Whether it was launched without any sign yet that the agent got the launch.
+    /// Returns whether this controller launched the task and the agent has not shown yet that it received the
+    /// launch.
     pub(crate) fn is_launch_unconfirmed(&self) -> bool {
         self.may_be_on_machine()
             && self.observed_status == ObservedStatus::Never
@@ -207,16 +213,19 @@
             && !self.is_recovered()
     }
 
-    /// Time that it will still take, in microseconds, by its expected run time and `fetch`, the time to fetch its image.
+    /// Returns the expected remaining time on the machine, in microseconds. A task that has not started yet also
+    /// needs `fetch`, the time to fetch its image.
     pub fn remaining_time(&self, now: Micros, fetch: Micros) -> Micros {
         let Some(started) = self.started_at else {
             return self.expected_stay + fetch;
         };
         let ran = now.saturating_sub(started);
-        self.expected_stay.saturating_sub(ran).max(ran / OVERRUN_PART)
+        self.expected_stay
+            .saturating_sub(ran)
+            .max(ran / OVERRUN_DIVISOR)
     }
 
-    /// The command that launches it.
+    /// Returns the command that launches the task.
     pub(crate) fn launch_command(&self) -> Command {
         Command {
             verb: Verb::Launch,
@@ -226,7 +235,8 @@
         }
     }
 
-    /// The command that stops it, if it is to be stopped and may be on its machine; notes that the command is sent.
+    /// Returns the command that stops the task, if the task is to be stopped and may be on its machine. Records that
+    /// the command is sent now.
     pub(crate) fn send_stop(&mut self, now: Micros) -> Option<Command> {
         if !self.may_be_on_machine() {
             return None;
@@ -238,7 +248,7 @@
     }
 }
 
-/// The command that stops an attempt of a task, which gets `grace` microseconds to checkpoint.
+/// Returns the command that stops an attempt of a task, which gets `grace` microseconds to write a checkpoint.
 pub(crate) fn stop_command(job: &str, task: u64, attempt: u64, grace: Micros) -> Command {
     Command {
         verb: Verb::Stop,
@@ -248,7 +258,7 @@
     }
 }
 
-/// A task on a machine of a partition, as messages between controllers have it.
+/// Returns an assignment in the form of messages between controllers.
 pub(crate) fn placed_task(machine: &str, assignment: &Assignment) -> PlacedTask {
     PlacedTask {
         machine: machine.to_string(),
@@ -260,22 +270,21 @@
     }
 }
 
-/// An exited attempt, which the agent lists until its exit is acknowledged. It is acknowledged once its outcome is
-/// durable.
+/// An exited attempt. The agent lists it until the exit is acknowledged, which happens once the outcome is durable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExitedAttempt {
-    /// The task's name: `<job>/<number>`.
+    /// Name of the task: `<job>/<number>`.
     pub task_name: String,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Records, with their versions, that must be durable first.
+    /// Record versions that must be durable before the exit is acknowledged.
     pub prerequisites: Vec<(RecordId, u64)>,
-    /// The place of the job in the job table, if it is known.
+    /// Index of the job in the job table, if the job is known.
     pub job: Option<JobIndex>,
 }
 
 impl ExitedAttempt {
-    /// Which attempt of which task it was.
+    /// Returns the numbers of the attempt and of the task, if the name of the task can be parsed.
     pub fn id(&self) -> Option<TaskAttempt> {
         let (_, task) = parse_task_name(&self.task_name)?;
         Some(TaskAttempt {
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -10,8 +10,8 @@
     machine
 }
 
-/// A new leader, to whom no machine has shown yet that responses reach it, must not provision machines for work that
-/// its fleet covers.
+/// A new leader does not know yet which machines its responses reach. If it did not count its machines as capacity
+/// meanwhile, it would provision more of them for work that the fleet can already do.
 #[test]
 fn a_machine_without_proof_of_responses_counts_for_a_while_but_gets_no_tasks() {
     let (now, max_silence) = (100 * SECOND, 5 * SECOND);
@@ -25,7 +25,8 @@
     assert!(machine.is_usable(now, max_silence));
 }
 
-/// The runs of recovered tasks seem short, and would make all estimates too low.
+/// The start of a recovered task is unknown, so its run seems too short. If such runs counted, all estimates would
+/// become too low.
 #[test]
 fn a_task_launched_by_an_earlier_leader_is_recovered() {
     let mut assignment = Assignment {
@@ -55,24 +56,24 @@
     assert!(!assignment.is_recovered());
 }
 
-/// Two faulty jobs that meet on a sound machine must not have it terminated.
+/// Two faulty jobs whose tasks fail on the same healthy machine must not have it terminated.
 #[test]
-fn failures_of_faulty_jobs_say_nothing_of_a_machine() {
-    let mut sound = machine(0);
+fn failures_of_faulty_jobs_are_not_attributed_to_the_machine() {
+    let mut healthy = machine(0);
     let broken = |id: &str| id.starts_with("broken");
     for _ in 0..10 {
-        sound.note_failure("broken-1", broken);
-        sound.note_failure("broken-2", broken);
-        assert_eq!(sound.failure_attribution(), FailureAttribution::None);
+        healthy.note_failure("broken-1", broken);
+        healthy.note_failure("broken-2", broken);
+        assert_eq!(healthy.failure_attribution(), FailureAttribution::None);
     }
-    sound.note_failure("req-1", broken);
-    sound.note_failure("broken-1", broken);
-    assert_eq!(sound.failure_attribution(), FailureAttribution::None);
-    sound.note_failure("req-2", broken);
-    assert_eq!(sound.failure_attribution(), FailureAttribution::ByTwoJobs);
+    healthy.note_failure("req-1", broken);
+    healthy.note_failure("broken-1", broken);
+    assert_eq!(healthy.failure_attribution(), FailureAttribution::None);
+    healthy.note_failure("req-2", broken);
+    assert_eq!(healthy.failure_attribution(), FailureAttribution::ByTwoJobs);
 }
 
-/// Failures of one job alone count against the machine from the fourth on, until the job is likely to be at fault.
+/// Failures of a single job count against the machine from the fourth on, until the job is likely to be at fault.
 #[test]
 fn failures_of_one_job_alone_count_from_the_fourth_on() {
     let mut faulty = machine(0);
--- a/crates/core/src/state/partition_map_reader.rs
+++ b/crates/core/src/state/partition_map_reader.rs
@@ -1,31 +1,31 @@
-//! How far the controller's copy of the partition map has been read.
+//! State of the reads that keep the controller's copy of the partition map up to date.
 
 use crate::Micros;
 
-/// A list of the map that is read page by page.
+/// Listing of the partition map that is read page by page.
 #[derive(Clone, Debug)]
 pub(crate) struct MapListing {
-    /// The store's revision at the first page.
+    /// Revision of the key-value store at the first page.
     pub(crate) revision: u64,
-    /// The last key that was read.
+    /// Last key that was read.
     pub(crate) last_key: String,
 }
 
-/// Keeps the controller's copy of the map up to date.
+/// Progress of the reads of the partition map.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MapReader {
-    /// The copy is up to date as of this revision; `None` while the map is listed.
+    /// Revision up to which the copy is up to date; `None` while the map is being listed.
     pub(crate) revision: Option<u64>,
-    /// A list under way, after its first page.
+    /// Listing in progress, once its first page has been read.
     pub(crate) listing: Option<MapListing>,
-    /// Whether a read is under way.
+    /// Whether a read is in flight.
     pub(crate) request_in_flight: bool,
-    /// When the next read is due, in microseconds of the steady clock.
+    /// Time at which the next read is due, in microseconds of the steady clock.
     pub(crate) next_read: Micros,
 }
 
 impl MapReader {
-    /// Whether the whole map has been read, and changes are followed since.
+    /// Returns whether the whole map has been read, so that only changes are read from then on.
     pub(crate) fn has_read_map(&self) -> bool {
         self.revision.is_some()
     }
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -1,4 +1,5 @@
-//! The leader's state of team quotas: quotas in force, grants to partition holders, and delegated tasks.
+//! The leader's state of team quotas: the quotas in force, the quota grants to partition holders, and the delegated
+//! tasks.
 
 use crate::settings::Settings;
 use crate::state::delegations::Delegations;
@@ -7,33 +8,36 @@
 use grebewood_quota::{Limits, LimitsInForce, QuotaGrants};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The leader's state of team quotas.
+/// State that the leader keeps about team quotas.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderQuota {
-    /// The quotas in force.
+    /// Quotas in force.
     pub(crate) limits: LimitsInForce,
-    /// What of the teams' limits is granted to holders.
+    /// Parts of the teams' limits that are granted to partition holders.
     pub(crate) grants: QuotaGrants,
-    /// Tasks that holders are to place.
+    /// Tasks that are delegated to partition holders and not placed yet.
     pub(crate) delegations: Delegations,
     /// Partitions whose holder places tasks.
     pub(crate) placing_partitions: BTreeSet<PartitionId>,
-    /// Until when the leader places tasks on a partition's machines itself, since its holder is slow.
+    /// Time until which tasks are not delegated to the holder of a partition because it was slow.
     pub(crate) holder_slow_until: BTreeMap<PartitionId, Micros>,
-    /// A member answered that does not support quota grants: no tasks are delegated meanwhile.
+    /// Whether delegations and quota grants are paused because a member that answered recently does not support
+    /// them.
     pub(crate) delegation_paused: bool,
-    /// The store has refused a record of a quota grant.
+    /// Whether the key-value store has refused to write a quota grant or the limits.
     pub(crate) grant_write_refused: bool,
-    /// Teams that lacked room under their limit lately while some of it was granted but not needed.
+    /// Teams whose remaining limit was too small for a task since the last round of placement began. Partition
+    /// holders are asked to return what they do not need of their quota grants for these teams.
     pub(crate) teams_short_of_room: BTreeSet<String>,
-    /// Why this leader cannot know what holders have placed, so that it has to step down for one that reads it.
+    /// Reason why this leader cannot know what holders have placed. The leader then steps down, and its successor
+    /// reads the placements from the key-value store.
     pub(crate) placements_unknown_reason: Option<&'static str>,
-    /// When limits were last enforced on running tasks.
+    /// Time at which limits were last enforced on running tasks.
     pub(crate) enforced_at: Micros,
 }
 
 impl Settings {
-    /// The teams' quotas in these settings.
+    /// Returns the teams' quotas in these settings.
     pub fn limits(&self) -> Limits {
         let teams = self.teams.iter();
         Limits::new(teams.map(|(name, team)| (name.clone(), team.limit())))
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions that other controllers hold, as the leader knows them.
+//! The leader's state of the partitions and their holders.
 
 use crate::{Micros, SECOND};
 use grebewood_partition::map::partition_of;
@@ -7,15 +7,15 @@
 use grebewood_wire::records::PartitionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The weight of the latest rate of heartbeats in the load of a partition.
+/// Weight of the latest heartbeat rate in the smoothed load of a partition.
 const LOAD_SMOOTHING: Load = 0.2;
 
-/// The claim that a partition's orders go to.
+/// Claim whose holder receives the orders of a partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RemoteClaim {
-    /// The partition holder.
+    /// Name of the member that holds the partition.
     pub(crate) member: String,
-    /// The fencing token of the claim.
+    /// Fencing token of the claim.
     pub(crate) token: u64,
 }
 
@@ -28,49 +28,49 @@
     }
 }
 
-/// How many heartbeats a holder had answered since its claim, at a time.
+/// Number of heartbeats that a holder had answered since its claim at a point in time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HeartbeatCount {
     count: u64,
-    /// 0: none is known under this claim.
+    /// Time at which the leader learned of the count, in microseconds; 0 if no count is known for the current claim.
     at: Micros,
 }
 
-/// A partition, as the leader sees it.
+/// The leader's state of a partition and its holder.
 #[derive(Clone, Debug)]
 pub(crate) struct RemotePartition {
-    /// The record as it is to be written.
+    /// Partition record as it is to be written.
     pub(crate) record: PartitionRecord,
-    /// The claim that orders go to.
+    /// Claim that orders are sent to.
     pub(crate) claim: Option<RemoteClaim>,
-    /// The holder knows all tasks that may be on the machines.
+    /// Whether the holder knows all tasks that may be on the machines.
     pub(crate) reconciled: bool,
-    /// The version of the last state of a machine that was applied.
+    /// Highest version of the machine states that were applied.
     pub(crate) state_version: u64,
-    /// When the next orders are due.
+    /// Time at which the next orders are due.
     pub(crate) next_orders_at: Micros,
-    /// Orders were sent and not answered yet.
+    /// Whether orders were sent and have not been answered yet.
     pub(crate) awaiting_answer: bool,
-    /// Attempts whose outcome was applied and may be acknowledged once it is on record.
+    /// Attempts whose outcomes were applied and may be acknowledged once they are recorded.
     pub(crate) applied_outcomes: BTreeSet<TaskAttempt>,
     /// Machines that were terminated since the last orders.
     pub(crate) terminated: Vec<String>,
-    /// The heartbeats from which the load was last derived.
+    /// Heartbeat count from which the load was last derived.
     heartbeats: HeartbeatCount,
-    /// Heartbeats per second, smoothed.
+    /// Smoothed heartbeats per second.
     pub(crate) load: Load,
-    /// When the holder last answered.
+    /// Time at which the holder last answered.
     pub(crate) last_answer_at: Micros,
-    /// The number of the last task placed by the holder that is known.
+    /// Sequence number of the last placement of the holder that the leader knows of.
     pub(crate) last_known_placement: u64,
-    /// Machines on which the holder was last told to place nothing new.
+    /// Machines on which the last orders told the holder to place nothing new.
     pub(crate) reserved_sent: BTreeSet<String>,
-    /// Machines on which the holder has answered that it places nothing new.
+    /// Machines on which the holder has confirmed that it places nothing new.
     pub(crate) reserved: BTreeSet<String>,
 }
 
 impl RemotePartition {
-    /// A partition of which only the record is known.
+    /// Creates the state of a partition of which only the record is known.
     pub(crate) fn new(record: PartitionRecord) -> RemotePartition {
         RemotePartition {
             record,
@@ -90,12 +90,13 @@
         }
     }
 
-    /// The fencing token of the claim.
+    /// Returns the fencing token of the claim.
     pub(crate) fn claim_token(&self) -> Option<u64> {
         self.claim.as_ref().map(|claim| claim.token)
     }
 
-    /// Another member holds the partition, or none: nothing is known of the new holder.
+    /// Handles a change of the claim. All state that was learned from the previous holder is dropped, since nothing
+    /// is known about the new one.
     pub(crate) fn on_claim_changed(&mut self, claim: Option<RemoteClaim>) {
         self.claim = claim;
         self.reconciled = false;
@@ -109,7 +110,7 @@
         self.reserved.clear();
     }
 
-    /// Derives the load from how many heartbeats the holder has answered since its claim.
+    /// Derives the load from the number of heartbeats that the holder has answered since its claim.
     pub(crate) fn note_heartbeats(&mut self, count: u64, now: Micros) {
         let last = self.heartbeats;
         let span = now.saturating_sub(last.at);
@@ -118,32 +119,33 @@
         }
         if last.at > 0 {
             let rate = count.saturating_sub(last.count) as Load * SECOND as Load / span as Load;
-            // Smoothed: agents send heartbeats seconds apart, so a single second says little.
+            // Agents send heartbeats seconds apart, so the rate of a single second is not representative and has to
+            // be smoothed.
             self.load = self.load * (1.0 - LOAD_SMOOTHING) + rate * LOAD_SMOOTHING;
         }
         self.heartbeats = HeartbeatCount { count, at: now };
     }
 }
 
-/// All partitions, as the leader sees them.
+/// The leader's state of all partitions.
 #[derive(Clone, Debug, Default)]
 pub struct RemotePartitions {
-    /// The partitions by number.
+    /// Partitions by number.
     pub(crate) by_id: BTreeMap<PartitionId, RemotePartition>,
-    /// Decides which member is to hold which partition.
+    /// Planner that decides which member is to hold which partition.
     pub(crate) planner: Planner,
-    /// When the planner runs next.
+    /// Time at which the planner runs next.
     pub(crate) next_planning_at: Micros,
-    /// The sequence number of the last orders.
+    /// Sequence number of the last orders.
     pub(crate) sequence: u64,
-    /// Why all partitions are being removed, if they are: their keys are being deleted.
+    /// Reason why all partitions are being removed and their keys deleted; `None` if they are not.
     pub(crate) removal_reason: Option<&'static str>,
-    /// Keys that are to be deleted.
+    /// Keys that are to be deleted from the key-value store.
     pub(crate) keys_to_delete: BTreeSet<String>,
 }
 
 impl RemotePartitions {
-    /// When the leader has to act next.
+    /// Returns the time at which the next orders are due.
     pub(crate) fn next_wake(&self) -> Micros {
         let partitions = self.by_id.values();
         let ready = partitions.filter(|p| p.claim.is_some() && !p.awaiting_answer);
@@ -153,42 +155,42 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// The partition of a machine.
+    /// Returns the partition of a machine.
     pub(crate) fn partition_of(&self, zone: &str, machine: &str) -> Option<PartitionId> {
         let partitions = self.by_id.iter();
         let records = partitions.map(|(id, partition)| (*id, &partition.record));
         partition_of(records, zone, machine)
     }
 
-    /// Whether the partition's holder knows all tasks that may be on its machines.
+    /// Returns whether the partition's holder knows all tasks that may be on its machines.
     pub(crate) fn is_holder_reconciled(&self, id: PartitionId) -> bool {
         let partition = self.by_id.get(&id);
         partition.is_some_and(|partition| partition.reconciled)
     }
 
-    /// The number of the last task placed by the partition's holder that is known.
+    /// Returns the sequence number of the last placement of the partition's holder that the leader knows of.
     pub(crate) fn last_known_placement(&self, id: PartitionId) -> u64 {
         let partition = self.by_id.get(&id);
         partition.map_or(0, |partition| partition.last_known_placement)
     }
 
-    /// Whether the partition's holder has answered that it places nothing new on the machine.
+    /// Returns whether the partition's holder has confirmed that it places nothing new on the machine.
     pub(crate) fn is_reserved(&self, id: PartitionId, machine: &str) -> bool {
         let partition = self.by_id.get(&id);
         partition.is_some_and(|partition| partition.reserved.contains(machine))
     }
 
-    /// The fencing token of the partition's claim.
+    /// Returns the fencing token of the partition's claim.
     pub(crate) fn claim_token(&self, id: PartitionId) -> Option<u64> {
         self.by_id.get(&id)?.claim_token()
     }
 
-    /// The record of a partition, as it is to be written.
+    /// Returns the record of a partition as it is to be written.
     pub(crate) fn record(&self, id: PartitionId) -> Option<&PartitionRecord> {
         self.by_id.get(&id).map(|partition| &partition.record)
     }
 
-    /// A machine of the partition was terminated.
+    /// Records that a machine of the partition was terminated.
     pub(crate) fn note_terminated(&mut self, id: PartitionId, machine: &str) {
         if let Some(partition) = self.by_id.get_mut(&id) {
             partition.terminated.push(machine.to_string());
--- a/crates/core/src/state/stats.rs
+++ b/crates/core/src/state/stats.rs
@@ -1,7 +1,7 @@
-//! Learnt averages: run times by class and machine type, and boot times by machine type.
+//! Averages learned from past tasks and boots: run times by class and machine type, and boot times by machine type.
 //!
-//! A run time is kept as its ratio to the submission's estimate, by class, and each sample is bounded so that one slow
-//! machine or one wild estimate cannot spoil the average.
+//! For each class, the ratio of run times to the estimates in submissions is averaged as well. Each sample is
+//! bounded, so that a single slow machine or a single wrong estimate cannot distort an average.
 
 use crate::{micros, Micros, SECOND};
 use grebewood_wire::http::{to_value, Shape, Submission};
@@ -9,41 +9,44 @@
 use grebewood_wire::records::StatsRecord;
 use std::collections::BTreeMap;
 
-/// How long a replica of a daemon is expected to stay, in microseconds: longer than any machine is kept.
-const UNLIMITED_STAY: Micros = 365 * 86_400 * SECOND;
+/// Time that a replica of a daemon is expected to stay on its machine, in microseconds; longer than any machine is
+/// kept.
+const UNLIMITED_STAY_US: Micros = 365 * 86_400 * SECOND;
 
-/// Largest weight of the averages of run times.
+/// Highest weight of an average of run times or of their ratios to the estimates.
 const MAX_RUN_WEIGHT: f64 = 200.0;
 
-/// Largest weight of an average of boot times.
+/// Highest weight of an average of boot times.
 const MAX_BOOT_WEIGHT: f64 = 20.0;
 
-/// Bounds of the ratio of a run time to its estimate.
+/// Lower bound of the ratio of a run time to its estimate.
 const MIN_RATIO: f64 = 0.2;
+
+/// Upper bound of the ratio of a run time to its estimate.
 const MAX_RATIO: f64 = 4.0;
 
-/// Least estimate of a run time, in seconds, that a ratio is taken to.
+/// Lower bound of the estimate that a ratio is computed with, in seconds.
 const MIN_ESTIMATE_S: f64 = 0.1;
 
-/// A run time counts as at most so many times its average, once that has some weight.
+/// Upper bound of a run time sample, as a multiple of its average, once the average has enough weight.
 const MAX_RUN_FACTOR: f64 = 4.0;
 
-/// The weight from which on an average bounds further samples.
+/// Weight from which on an average bounds further samples.
 const BOUNDING_WEIGHT: f64 = 5.0;
 
-/// A boot time counts as at most so many times the published one.
+/// Upper bound of a boot time sample, as a multiple of the published boot time.
 const MAX_BOOT_FACTOR: f64 = 3.0;
 
-/// The weight from which on a ratio is applied to estimates.
+/// Weight from which on an average ratio is applied to estimates.
 const TRUSTED_RATIO_WEIGHT: f64 = 3.0;
 
-/// How many samples the published boot time counts as.
+/// Number of samples that the published boot time counts as.
 const PUBLISHED_BOOT_WEIGHT: f64 = 3.0;
 
-/// Least expected run time, in microseconds.
-const MIN_EXPECTED_RUN: Micros = SECOND / 10;
+/// Lower bound of an expected run time, in microseconds.
+const MIN_EXPECTED_RUN_US: Micros = SECOND / 10;
 
-/// A weighted mean whose weight is bounded, so that it follows changes.
+/// A weighted mean whose weight is bounded so that the mean follows changes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     value: f64,
@@ -57,14 +60,14 @@
         self.value += (sample - self.value) / self.weight;
     }
 
-    /// A mean read from a record, unless it is no valid number.
+    /// Returns a mean read from a record; `None` if the value or the weight is not a valid number.
     fn from_record(value: f64, weight: f64) -> Option<Mean> {
         let is_valid = |number: f64| number.is_finite() && number >= 0.0;
         (is_valid(value) && is_valid(weight)).then_some(Mean { value, weight })
     }
 }
 
-/// The averages.
+/// Averages of run times and boot times.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
     /// Ratios of run times to their estimates, by class.
@@ -78,7 +81,7 @@
 }
 
 impl Stats {
-    /// A task of the job ran for `run_time` microseconds on the machine type.
+    /// Records that a task of the job ran for `run_time` microseconds on the machine type.
     pub fn record_run(&mut self, spec: &Submission, machine_type: &str, run_time: Micros) {
         let estimate = spec.expected_s.max(MIN_ESTIMATE_S) * 1e6;
         let ratio = (run_time as f64 / estimate).clamp(MIN_RATIO, MAX_RATIO);
@@ -98,8 +101,8 @@
         self.changed = true;
     }
 
-    /// A machine of the type took `boot_time` microseconds until its first heartbeat; `published` is the boot time that
-    /// the cloud publishes.
+    /// Records that a machine of the type took `boot_time` microseconds until its first heartbeat. `published` is
+    /// the boot time that the cloud publishes for the type.
     pub fn record_boot_time(&mut self, machine_type: &str, published: Micros, boot_time: Micros) {
         let bounded = (boot_time as f64).min(published as f64 * MAX_BOOT_FACTOR);
         self.boots
@@ -109,26 +112,26 @@
         self.changed = true;
     }
 
-    /// Expected run time of a task of the job, in microseconds, without fetching its image.
+    /// Returns the expected run time of a task of the job, in microseconds, without fetching its image.
     pub fn expected_run(&self, spec: &Submission) -> Micros {
         let ratio = self
             .ratios
             .get(&spec.class)
             .filter(|mean| mean.weight >= TRUSTED_RATIO_WEIGHT)
             .map_or(1.0, |mean| mean.value);
-        micros(spec.expected_s * ratio).max(MIN_EXPECTED_RUN)
+        micros(spec.expected_s * ratio).max(MIN_EXPECTED_RUN_US)
     }
 
-    /// How long a task of the job will stay on its machine, in microseconds, without fetching its image. A replica of a
-    /// daemon stays until it is stopped.
+    /// Returns the time that a task of the job is expected to stay on its machine, in microseconds, without fetching
+    /// its image. A replica of a daemon stays until it is stopped.
     pub fn expected_stay(&self, spec: &Submission) -> Micros {
         match Shape::of(spec) {
-            Some(Shape::Daemon) => UNLIMITED_STAY,
+            Some(Shape::Daemon) => UNLIMITED_STAY_US,
             _ => self.expected_run(spec),
         }
     }
 
-    /// Average boot time of the type in microseconds, in which the published one counts as a few samples.
+    /// Returns the average boot time of the type, in microseconds. The published boot time counts as a few samples.
     pub fn boot_time(&self, machine_type: &str, published: Micros) -> Micros {
         let Some(mean) = self.boots.get(machine_type) else {
             return published;
@@ -138,11 +141,13 @@
         (sum / weight) as Micros
     }
 
-    /// The record, without the averages of least weight as far as it would be larger than `bytes`.
+    /// Returns the record without the averages that have to be left out to keep it within `bytes` bytes. Averages
+    /// with the lowest weight are left out first.
     pub fn record_within(&self, bytes: usize) -> StatsRecord {
         let mut record = self.record();
         while json_size(&to_value(&record)) > bytes {
-            // What is known by class and machine type is of less use than what is known by class.
+            // Averages by class and machine type are dropped first, because they are less useful than those by
+            // class.
             if let Some(position) = lightest(record.runs.iter().map(|run| run.3)) {
                 record.runs.remove(position);
             } else if let Some(position) = lightest(record.ratios.iter().map(|ratio| ratio.2)) {
@@ -154,7 +159,7 @@
         record
     }
 
-    /// The record with all averages.
+    /// Returns the record with all averages.
     pub fn record(&self) -> StatsRecord {
         let runs = self.runs.iter().map(|((class, machine_type), mean)| {
             let (class, machine_type) = (class.clone(), machine_type.clone());
@@ -175,7 +180,7 @@
         }
     }
 
-    /// The averages of a record, without those that are no valid numbers.
+    /// Creates the averages from a record, without those that are not valid numbers.
     pub fn from_record(record: &StatsRecord) -> Self {
         let runs = record.runs.iter().filter_map(|run| {
             let (class, machine_type, value, weight) = run;
@@ -203,7 +208,7 @@
     }
 }
 
-/// The position of the least weight, the first of equal ones.
+/// Returns the position of the lowest weight, or of the first of several equal ones.
 fn lightest(weights: impl Iterator<Item = f64>) -> Option<usize> {
     weights
         .enumerate()
--- a/crates/core/src/state/stats/tests.rs
+++ b/crates/core/src/state/stats/tests.rs
@@ -2,7 +2,8 @@
 use grebewood_wire::http::to_value;
 use grebewood_wire::json_size;
 
-/// Users name classes freely: the averages by class must not grow beyond the size of a value.
+/// Users choose the names of classes, so their number is not limited. The record of averages must stay within the
+/// size of a value of the key-value store nevertheless.
 #[test]
 fn the_record_keeps_the_averages_of_most_weight_within_a_limit() {
     let mut stats = Stats::default();
--- a/crates/core/src/state/unproven_machines.rs
+++ b/crates/core/src/state/unproven_machines.rs
@@ -1,12 +1,14 @@
-//! Machines on which an earlier term may have left tasks that are not proven to have ended.
+//! Machines on which cancelled tasks may still run after this controller has given up a role.
 
 use crate::Micros;
 
-/// Machines on which a leader that stepped down could not prove that cancelled tasks have ended.
+/// Machines on which cancelled tasks were not proven to have ended when this controller stepped down as the leader
+/// or gave up a partition.
 #[derive(Debug)]
 pub(crate) struct UnprovenMachines {
-    /// The machines' names.
+    /// Names of the machines.
     pub(crate) names: Vec<String>,
-    /// When they are terminated, unless a successor can read of them in the store by then.
+    /// Time at which the machines are terminated if this controller is still without contact with the key-value
+    /// store. With contact, a successor reads from the store which tasks are on them.
     pub(crate) termination_due_at: Micros,
 }
