--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -182,7 +182,10 @@
             job.map(|j| j.cancelled_at.is_some())
         };
         assert_eq!(cancelled(leader), Some(true));
-        assert_eq!(leader.write_buffer.stale_keys, vec!["past/req-1".to_string()]);
+        assert_eq!(
+            leader.write_buffer.stale_keys,
+            vec!["past/req-1".to_string()]
+        );
         let finished = FinishedJobRecord {
             status: "aborted".into(),
             tasks: 1,
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -97,7 +97,12 @@
         machine.recompute_used();
         machine.idle_since = now;
         self.discount_assignment(context, name, &assignment);
-        self.count_running(now, assignment.job, assignment.observed_status, ObservedStatus::Never);
+        self.count_running(
+            now,
+            assignment.job,
+            assignment.observed_status,
+            ObservedStatus::Never,
+        );
         if self.is_holder() {
             self.note_end(name, &assignment, TaskEnd::Gone);
         }
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -130,7 +130,9 @@
             return;
         }
         let ran = match assignment.started_at {
-            _ if assignment.is_recovered() => now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN,
+            _ if assignment.is_recovered() => {
+                now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN
+            }
             Some(started) => now.saturating_sub(started),
             None => 0,
         };
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -111,7 +111,8 @@
         let max_silence = context.settings.heartbeat_timeout();
         self.placement.has_backlog
             && self.machines.get(name).is_some_and(|machine| {
-                machine.free().cpus > RESOURCE_TOLERANCE && machine.is_usable(context.now.steady, max_silence)
+                machine.free().cpus > RESOURCE_TOLERANCE
+                    && machine.is_usable(context.now.steady, max_silence)
             })
     }
 
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -66,7 +66,9 @@
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
             job.assign_task(task);
-            *job.assignments_by_zone.entry(status.zone.clone()).or_insert(0) += 1;
+            *job.assignments_by_zone
+                .entry(status.zone.clone())
+                .or_insert(0) += 1;
         }
         let page = match self.is_holder() {
             true => 0,
@@ -97,7 +99,8 @@
         };
         if !self.is_holder() {
             self.page_mut(page).add(name, &assignment);
-            self.write_buffer.mark_dirty(RecordId::AssignmentPage(page), now);
+            self.write_buffer
+                .mark_dirty(RecordId::AssignmentPage(page), now);
         }
         self.add_assignment(name, assignment);
         self.send_due_stops(context, name);
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -73,8 +73,8 @@
     fn expects_heartbeats(&self) -> bool {
         let has_machine_list = self.fleet.has_machine_list();
         self.machines.values().any(|machine| {
-            let is_recovered =
-                machine.address.is_empty() && (machine.first_listed_at.is_some() || !has_machine_list);
+            let is_recovered = machine.address.is_empty()
+                && (machine.first_listed_at.is_some() || !has_machine_list);
             machine.partition.is_none() && (machine.knows_token || is_recovered)
         })
     }
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -45,7 +45,9 @@
                     break;
                 }
                 let to = self.move_assignment(&machine, position, from, due);
-                moves.extend(to.map(|to| (RecordId::AssignmentPage(from), RecordId::AssignmentPage(to))));
+                moves.extend(
+                    to.map(|to| (RecordId::AssignmentPage(from), RecordId::AssignmentPage(to))),
+                );
             }
         }
         moves
@@ -79,7 +81,9 @@
         assignment.page = to;
         if !assignment.may_be_on_machine() {
             // It is launched once it is durable on the new page.
-            assignment.page_version = self.write_buffer.mark_dirty(RecordId::AssignmentPage(to), due);
+            assignment.page_version = self
+                .write_buffer
+                .mark_dirty(RecordId::AssignmentPage(to), due);
         }
         let assignment = assignment.clone();
         self.page_mut(from).remove(machine, &assignment);
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -91,7 +91,9 @@
             return Micros::MAX;
         }
         let due = self.write_buffer.next_due();
-        due.map_or(Micros::MAX, |due| due.max(self.write_buffer.no_flush_before))
+        due.map_or(Micros::MAX, |due| {
+            due.max(self.write_buffer.no_flush_before)
+        })
     }
 
     /// Writes dirty records, as many as one transaction and the write rate permit.
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -47,7 +47,9 @@
                 // The end of the job, which deletes its cancellation, may have been written late: whether it was is
                 // read next.
                 self.unconfirmed_cancellations.insert(job.to_string());
-                self.write_buffer.stale_keys.push(format!("{FINISHED}{job}"));
+                self.write_buffer
+                    .stale_keys
+                    .push(format!("{FINISHED}{job}"));
             }
         } else if let Some(job) = key.strip_prefix(FINISHED) {
             if self.unconfirmed_cancellations.remove(job) && self.is_taken_as_cancelled(job) {
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -56,7 +56,9 @@
             context.settings.store.transaction_operations
         };
         match record {
-            RecordId::AssignmentPage(_) | RecordId::CompletedTasksPage(_) | RecordId::Stats if has_large_value(batch) => {
+            RecordId::AssignmentPage(_) | RecordId::CompletedTasksPage(_) | RecordId::Stats
+                if has_large_value(batch) =>
+            {
                 self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
                 self.split_pages(context);
                 self.write_buffer.postpone(record, now + SECOND);
@@ -78,7 +80,12 @@
             .completed_pages
             .split_oversized_pages(page_bytes(self.value_bytes), &mut self.jobs)
             .into_iter()
-            .map(|(from, to)| (RecordId::CompletedTasksPage(from), RecordId::CompletedTasksPage(to)));
+            .map(|(from, to)| {
+                (
+                    RecordId::CompletedTasksPage(from),
+                    RecordId::CompletedTasksPage(to),
+                )
+            });
         let mut moves: Vec<(RecordId, RecordId)> = assignments;
         moves.extend(completed_tasks);
         moves.dedup();
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -114,7 +114,10 @@
             tasks: job.task_count(),
         };
         let mut write = RecordWrite {
-            conditions: vec![absent(&finished), self.write_buffer.unchanged_condition(&live)],
+            conditions: vec![
+                absent(&finished),
+                self.write_buffer.unchanged_condition(&live),
+            ],
             operations: vec![put(finished, &content), delete(&live)],
         };
         match ending {
@@ -134,7 +137,9 @@
     }
 
     fn add_deletion(&self, write: &mut RecordWrite, key: &str) {
-        write.conditions.push(self.write_buffer.unchanged_condition(key));
+        write
+            .conditions
+            .push(self.write_buffer.unchanged_condition(key));
         write.operations.push(delete(key));
     }
 }
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -364,8 +364,9 @@
         let now = context.now.steady;
         let needs_leader = |queued: &&QueuedJob| {
             let job = self.jobs.get(queued.index);
-            job.is_some_and(|job| job.placeable_count(now) > 0 && !job.may_be_placed_by_holders(now))
-                && self.has_quota(context, queued.index)
+            job.is_some_and(|job| {
+                job.placeable_count(now) > 0 && !job.may_be_placed_by_holders(now)
+            }) && self.has_quota(context, queued.index)
         };
         let queue = queue.iter().filter(needs_leader);
         queue.map(|queued| queued.level).min()
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -69,7 +69,11 @@
     fn serves_stranded_tasks(&self, power: &[f64]) -> bool {
         let mut demand = self.demand.iter().enumerate();
         demand.any(|(i, d)| match d.is_batch() {
-            true => self.power[i] <= RESOURCE_TOLERANCE && power[i] > 0.0 && self.gap[i] >= d.tasks - RESOURCE_TOLERANCE,
+            true => {
+                self.power[i] <= RESOURCE_TOLERANCE
+                    && power[i] > 0.0
+                    && self.gap[i] >= d.tasks - RESOURCE_TOLERANCE
+            }
             false => self.gap[i] > RESOURCE_TOLERANCE && power[i] > 0.0,
         })
     }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -133,7 +133,8 @@
                 let cpu_part = task.cpus / machine.cpus;
                 supply.running.push(RunningTask {
                     remaining_s: task.remaining_time(now, 0) as f64 / MICROS_PER_SECOND,
-                    machine_part: cpu_part.max(task.memory_gb / machine.memory_gb.max(RESOURCE_TOLERANCE)),
+                    machine_part: cpu_part
+                        .max(task.memory_gb / machine.memory_gb.max(RESOURCE_TOLERANCE)),
                     machine_seconds: 0.0,
                 });
             }
@@ -205,7 +206,8 @@
         match self.headroom.wanted() {
             Some((spec, replicas)) if permits(context, spec, name, zone, offering.spot) => {
                 let cpu_part = spec.cpus / machine_type.cpus.max(RESOURCE_TOLERANCE);
-                let part = cpu_part.max(spec.memory_gb / machine_type.memory_gb.max(RESOURCE_TOLERANCE));
+                let part =
+                    cpu_part.max(spec.memory_gb / machine_type.memory_gb.max(RESOURCE_TOLERANCE));
                 part * replicas as f64
             }
             _ => 0.0,
--- a/crates/core/src/scheduler/leader/fleet/scale_in.rs
+++ b/crates/core/src/scheduler/leader/fleet/scale_in.rs
@@ -33,7 +33,9 @@
         .iter()
         .zip(power)
         .zip(of_machine)
-        .all(|((d, power), own)| *own <= RESOURCE_TOLERANCE || power - own + RESOURCE_TOLERANCE >= d.tasks)
+        .all(|((d, power), own)| {
+            *own <= RESOURCE_TOLERANCE || power - own + RESOURCE_TOLERANCE >= d.tasks
+        })
 }
 
 impl Scheduler {
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -87,7 +87,8 @@
             // No heartbeat will tell the next leader: it would wait for this machine's lease to expire.
             let due = context.now.steady + REMOVAL_DELAY;
             if !self.is_holder() {
-                self.write_buffer.mark_dirty_by(RecordId::AssignmentPage(page), due);
+                self.write_buffer
+                    .mark_dirty_by(RecordId::AssignmentPage(page), due);
             }
         }
     }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -181,7 +181,8 @@
             let Some(pages) = pages_of_partition(*id) else {
                 return false;
             };
-            self.pages.has_assignments_in(pages.clone()) || self.write_buffer.is_any_page_dirty(pages)
+            self.pages.has_assignments_in(pages.clone())
+                || self.write_buffer.is_any_page_dirty(pages)
         };
         let partitions = self.pages.numbers().filter_map(partition_of_page);
         let with_pages = partitions.filter(has_pages).max();
@@ -351,7 +352,10 @@
 fn due_stop(machine: &str, a: &mut Assignment, now: Micros) -> Option<TaskStop> {
     let id = a.id();
     let stop = a.stop.as_mut().filter(|_| a.launched.is_some())?;
-    if stop.sent_at.is_some_and(|at| now < at + STOP_RETRY_INTERVAL) {
+    if stop
+        .sent_at
+        .is_some_and(|at| now < at + STOP_RETRY_INTERVAL)
+    {
         return None;
     }
     stop.sent_at = Some(now);
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -31,7 +31,9 @@
         let now = context.now.steady;
         let page = self.page_with_room();
         let due = now.saturating_sub(write_ahead(spec));
-        let written = self.write_buffer.mark_dirty_by(RecordId::AssignmentPage(page), due);
+        let written = self
+            .write_buffer
+            .mark_dirty_by(RecordId::AssignmentPage(page), due);
         let by_holder = self.is_holder();
         self.log_service_placement(context, name, job, task, spec);
         let Some(machine) = self.machines.get_mut(name) else {
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -178,7 +178,8 @@
         assignment: &Assignment,
     ) -> Option<PreemptionCandidate> {
         let job = self.jobs.get(assignment.job)?;
-        if job.shape != Shape::Batch || assignment.observed_status == ObservedStatus::Checkpointing {
+        if job.shape != Shape::Batch || assignment.observed_status == ObservedStatus::Checkpointing
+        {
             return None;
         }
         let now = context.now.steady;
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -330,7 +330,9 @@
                     candidates.filter_map(|a| self.preemption_candidate(context, a, guaranteed));
                 PoolMachine::new(machine, candidates.collect())
             })
-            .filter(|machine| machine.free.cpus > RESOURCE_TOLERANCE || !machine.candidates.is_empty())
+            .filter(|machine| {
+                machine.free.cpus > RESOURCE_TOLERANCE || !machine.candidates.is_empty()
+            })
             .collect()
     }
 
@@ -366,8 +368,8 @@
 /// objective only if the task is left alone for 30 s; and what a job begins with after a long wait stays.
 fn least_run(context: &Context, job: &Job) -> Micros {
     let live: u32 = job.assignments_by_zone.values().sum();
-    let is_beginning =
-        job.age(context.now.steady) > BEGIN_EARLY_AFTER_US && u64::from(live) <= job.initial_task_count();
+    let is_beginning = job.age(context.now.steady) > BEGIN_EARLY_AFTER_US
+        && u64::from(live) <= job.initial_task_count();
     match is_beginning || context.settings.has_start_objective(&job.spec.class) {
         true => LEAST_COUNTED_RUN,
         false => LEAST_RUN,
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -224,7 +224,11 @@
             let Some(job) = self.jobs.get_mut(placing.index) else {
                 return ControlFlow::Break(());
             };
-            let in_zone = job.assignments_by_zone.get(&open.zone).copied().unwrap_or(0);
+            let in_zone = job
+                .assignments_by_zone
+                .get(&open.zone)
+                .copied()
+                .unwrap_or(0);
             if placing.spec.spread && u64::from(in_zone) >= most_in_zone(&placing.spec) {
                 return ControlFlow::Continue(());
             }
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -134,7 +134,8 @@
             }
         }
         let jobs = self.jobs.iter();
-        let delegated = jobs.filter(|(_, job)| job.delegated_count > 0 && teams.contains(&job.spec.team));
+        let delegated =
+            jobs.filter(|(_, job)| job.delegated_count > 0 && teams.contains(&job.spec.team));
         let delegated: Vec<JobIndex> = delegated.map(|(index, _)| index).collect();
         for index in delegated {
             self.revoke_job(context, index);
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -139,7 +139,8 @@
         self.leader_quota.placing_partitions.remove(&id);
         if self.leader_quota.delegations.has_tasks_in(id) {
             // The holder before it may have placed some of them, and only pages tell.
-            self.leader_quota.placements_unknown_reason = Some("a holder does not tell what was placed before it");
+            self.leader_quota.placements_unknown_reason =
+                Some("a holder does not tell what was placed before it");
         }
     }
 
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -83,7 +83,12 @@
         // other one has the tasks of both.
         self.completed_pages.close_page(page);
         let due = context.now.steady + SECOND;
-        self.write_moved_content(RecordId::CompletedTasksPage(page), RecordId::CompletedTasksPage(other), due, due);
+        self.write_moved_content(
+            RecordId::CompletedTasksPage(page),
+            RecordId::CompletedTasksPage(other),
+            due,
+            due,
+        );
     }
 }
 
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -91,7 +91,10 @@
 
     /// Ends the jobs all of whose tasks are completed.
     pub(crate) fn end_completed_jobs(&mut self, context: &Context) {
-        let completed = self.jobs.iter().filter(|(_, job)| job.has_completed_all_tasks());
+        let completed = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.has_completed_all_tasks());
         let completed: Vec<JobIndex> = completed.map(|(index, _)| index).collect();
         for index in completed {
             self.end_if_over(context, index);
--- a/crates/core/src/scheduler/progress.rs
+++ b/crates/core/src/scheduler/progress.rs
@@ -61,7 +61,11 @@
         while let (Some(index), true) = (self.progress_dirty.pop_first(), changed.len() < MAX_JOBS)
         {
             if let Some(job) = self.jobs.get(index) {
-                changed.push((job.id.clone(), job.completed_count, u64::from(job.running_count)));
+                changed.push((
+                    job.id.clone(),
+                    job.completed_count,
+                    u64::from(job.running_count),
+                ));
             }
         }
         changed
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -46,7 +46,10 @@
         job.note_replica_exit(0, "n-000001", ran, now);
         let from = now;
         while job.next_waiting_task(now) != Some(0) {
-            assert_eq!((job.next_waiting_task(now), job.placeable_count(now)), (Some(1), 1));
+            assert_eq!(
+                (job.next_waiting_task(now), job.placeable_count(now)),
+                (Some(1), 1)
+            );
             now += SECOND;
         }
         assert_eq!(job.placeable_count(now), 2);
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -37,13 +37,21 @@
     buffer.mark_dirty(RecordId::AssignmentPage(2), 3);
     assert_eq!(
         buffer.due_records(3),
-        vec![RecordId::AssignmentPage(2), RecordId::AssignmentPage(0), RecordId::AssignmentPage(1)]
+        vec![
+            RecordId::AssignmentPage(2),
+            RecordId::AssignmentPage(0),
+            RecordId::AssignmentPage(1)
+        ]
     );
     buffer.mark_dirty(RecordId::AssignmentPage(1), 3);
     buffer.mark_dirty_lazily(RecordId::AssignmentPage(1), 3);
     assert_eq!(
         buffer.due_records(3),
-        vec![RecordId::AssignmentPage(1), RecordId::AssignmentPage(2), RecordId::AssignmentPage(0)]
+        vec![
+            RecordId::AssignmentPage(1),
+            RecordId::AssignmentPage(2),
+            RecordId::AssignmentPage(0)
+        ]
     );
 }
 
