--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -49,7 +49,7 @@
         };
         let assignment = Assignment {
             page,
-            page_version: written,
+            page_version,
             delivered: false,
             by_holder,
             ..Assignment::new(TaskOnMachine {
