--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -238,11 +238,11 @@
     /// The members that answered lately all support quota grants, or not all of them do: then no tasks are
     /// delegated to holders.
     pub(crate) fn pause_quota_grants(&mut self, context: &Context, paused: bool) {
-        if !context.supports_quota_grants() || self.leader_quota.delegation_paused == paused {
+        if !context.supports_quota_grants() || self.leader_quota.quota_grants_paused == paused {
             return;
         }
         info!(paused = paused; "changed whether quota is granted to holders");
-        self.leader_quota.delegation_paused = paused;
+        self.leader_quota.quota_grants_paused = paused;
         if paused {
             let jobs = self.jobs.iter().filter(|(_, job)| job.delegated_count > 0);
             let delegated: Vec<JobIndex> = jobs.map(|(index, _)| index).collect();
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -22,7 +22,7 @@
     pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         self.enforces_guarantees(context)
             && context.holders_can_write()
-            && !self.leader_quota.delegation_paused
+            && !self.leader_quota.quota_grants_paused
             && !self.leader_quota.grant_write_refused
     }
 
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -23,7 +23,7 @@
     pub(crate) holder_slow_until: BTreeMap<PartitionId, Micros>,
     /// Whether delegations and quota grants are paused because a member that answered recently does not support
     /// them.
-    pub(crate) delegation_paused: bool,
+    pub(crate) quota_grants_paused: bool,
     /// Whether the key-value store has refused to write a quota grant or the limits.
     pub(crate) grant_write_refused: bool,
     /// Teams whose remaining limit was too small for a task since the last round of placement began. Partition
