--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -31,7 +31,7 @@
         let now = context.now.steady;
         let page = self.page_with_room();
         let due = now.saturating_sub(write_ahead(spec));
-        let written = self
+        let page_version = self
             .write_buffer
             .mark_dirty_by(RecordId::AssignmentPage(page), due);
         let by_holder = self.is_holder();
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -150,7 +150,8 @@
         self.spec.tasks
     }
 
-    /// Returns the number of tasks that are neither completed nor assigned; 0 once the job is cancelled or ends.
+    /// Returns the number of tasks that are neither completed nor assigned; 0 once the job is cancelled or its final
+    /// record is being written.
     pub fn waiting_count(&self) -> u64 {
         if self.cancelled_at.is_some() || self.ending.is_some() {
             return 0;
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -13,8 +13,7 @@
 
 pub mod assignment;
 
-/// Time that an agent waits for the response to its heartbeat before it sends it to another controller, in
-/// microseconds.
+/// Time that an agent waits for the response to a heartbeat before it turns to another controller, in microseconds.
 pub(crate) const RESPONSE_TIMEOUT_US: Micros = 4 * SECOND;
 
 /// Number of consecutive failures, all of tasks of one job, after which the machine may be at fault.
@@ -29,7 +28,7 @@
 /// A task that is delegated to the holder of the machine's partition and not placed yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedTask {
-    /// Index of its job in the job table.
+    /// Index of the job in the job table.
     pub job: JobIndex,
     /// Number of the task within the job.
     pub task: u64,
@@ -95,7 +94,7 @@
     pub cache_gb: f64,
     /// Rate at which the machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Whether the machine is cordoned: nothing new is placed on it, and it is terminated once it is empty.
+    /// Whether the machine is cordoned: it is to be terminated, and nothing new is placed on it.
     pub cordoned: bool,
     /// Whether the machine is cordoned only to save its price. It takes tasks again if some wait for free resources.
     pub draining: bool,
