--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -226,18 +226,18 @@
             return;
         }
         let index = self.jobs.find(job_id);
-        let mut after = Vec::new();
+        let mut prerequisites = Vec::new();
         if self.is_holder() {
             self.note_unknown_exit(name, job_id, task, reported);
         } else if let (Some(ExitCause::Done), Some(index)) = (&reported.cause, index) {
-            after.extend(self.completed(context, index, task));
+            prerequisites.extend(self.completed(context, index, task));
             self.end_if_over(context, index);
         }
         if let Some(machine) = self.machines.get_mut(name) {
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: reported.task_name.clone(),
                 attempt: reported.attempt,
-                after,
+                prerequisites,
                 job: index,
             });
         }
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -154,7 +154,7 @@
 fn log_job_end(job: &Job, now: Micros) {
     info!(
         job = job.id,
-        status = job.ending.map_or("over", FinalStatus::status),
+        status = job.ending.map_or("over", FinalStatus::as_str),
         team = job.spec.team,
         class = job.spec.class,
         tasks = job.task_count(),
