--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -50,7 +50,7 @@
         self.refuse_overdue_requests();
         let now = self.context.now.steady;
         let view = &mut self.job_view;
-        let wanted = view.update_wanted() || now >= view.refresh_at;
+        let wanted = view.needs_update() || now >= view.refresh_at;
         if view.request_in_flight || now < view.next_request || !wanted {
             return;
         }
@@ -59,7 +59,7 @@
             return;
         }
         if !view.built && view.unlisted_prefixes.is_empty() {
-            view.restart();
+            view.reset();
         }
         view.request_in_flight = true;
         view.next_request =
@@ -70,7 +70,7 @@
 
     fn refuse_overdue_requests(&mut self) {
         let now = self.context.now.steady;
-        let overdue = |request: &UserRequest| now >= request.patient_until();
+        let overdue = |request: &UserRequest| now >= request.view_deadline();
         if !self.job_view.waiting.iter().any(overdue) {
             return;
         }
@@ -139,7 +139,7 @@
         self.job_view.revision.get_or_insert(list.revision);
         for entry in &list.entries {
             self.job_view
-                .put(&entry.key, &entry.value, entry.mod_revision);
+                .apply_put(&entry.key, &entry.value, entry.mod_revision);
         }
         for entry in &list.entries {
             self.note_cancellation(&entry.key, &entry.value);
@@ -162,7 +162,7 @@
         self.context.cancellations.note_store_read(made_at);
         let now = self.context.now.steady;
         for request in std::mem::take(&mut self.job_view.awaiting_reply) {
-            if now >= request.patient_until() {
+            if now >= request.view_deadline() {
                 self.context.refuse(request.request, 503, NOT_IN_TIME);
             } else {
                 self.on_fresh_view(request);
@@ -172,11 +172,11 @@
 
     fn on_job_event(&mut self, event: &WatchEvent) {
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
-            self.job_view.put(key, value, event.mod_revision);
+            self.job_view.apply_put(key, value, event.mod_revision);
             self.note_cancellation(key, value);
         }
         if let Some(key) = &event.delete {
-            self.job_view.delete(key);
+            self.job_view.apply_delete(key);
             // Nothing of a finished job runs any more.
             if let Some(JobKey::Live(id)) = JobKey::parse(key) {
                 self.context.cancellations.forget(id);
@@ -206,7 +206,7 @@
         view.refresh_at = now + REFRESH_RETRY_INTERVAL;
         if status != 0 && status != 429 {
             // The changes are too old, or cannot be read: the view is listed anew.
-            view.restart();
+            view.reset();
         }
     }
 
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -80,10 +80,10 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let (job, seen) = (assignment.job, assignment.seen);
-        let decided = assignment.decided;
+        let (job, seen) = (assignment.job, assignment.observed_status);
+        let decided = assignment.decided_at;
         machine.assignments.push(assignment);
-        machine.recount();
+        machine.recompute_used();
         self.count_running(decided, job, ObservedStatus::Never, seen);
     }
 
@@ -94,10 +94,15 @@
             return;
         };
         let assignment = machine.assignments.remove(position);
-        machine.recount();
+        machine.recompute_used();
         machine.idle_since = now;
         self.discount_assignment(context, name, &assignment);
-        self.count_running(now, assignment.job, assignment.seen, ObservedStatus::Never);
+        self.count_running(
+            now,
+            assignment.job,
+            assignment.observed_status,
+            ObservedStatus::Never,
+        );
         if self.is_holder() {
             self.note_end(name, &assignment, TaskEnd::Gone);
         }
@@ -131,7 +136,7 @@
         let writes_per_second = context.settings.store.write_rps * REMOVAL_WRITE_SHARE;
         let seconds_for_all_pages = self.pages.len() as f64 / writes_per_second;
         let delay = REMOVAL_WRITE_DELAY.max((seconds_for_all_pages * 1e6) as Micros);
-        let page = RecordId::Page(assignment.page);
+        let page = RecordId::AssignmentPage(assignment.page);
         self.write_buffer
             .mark_dirty_lazily(page, context.now.steady + delay);
     }
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -42,10 +42,10 @@
         task: u64,
     ) -> Option<(RecordId, u64)> {
         let job = self.jobs.get_mut(index)?;
-        if !job.complete(task) {
+        if !job.complete_task(task) {
             return None;
         }
-        let page = RecordId::Done(self.completed_pages.page_of(
+        let page = RecordId::CompletedTasksPage(self.completed_pages.page_of(
             index,
             task / TASKS_PER_LEGACY_RECORD,
             job,
@@ -84,7 +84,7 @@
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: task_name.to_string(),
                 attempt: assignment.attempt,
-                after: after.into_iter().collect(),
+                prerequisites: after.into_iter().collect(),
                 job: Some(assignment.job),
             });
         }
@@ -129,8 +129,10 @@
         if assignment.stop.is_some() {
             return;
         }
-        let ran = match assignment.started {
-            _ if assignment.recovered() => now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN,
+        let ran = match assignment.started_at {
+            _ if assignment.is_recovered() => {
+                now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN
+            }
             Some(started) => now.saturating_sub(started),
             None => 0,
         };
@@ -139,7 +141,7 @@
             "replica exited"
         );
         if let Some(job) = self.jobs.get_mut(assignment.job) {
-            job.replica_ended(assignment.task, exit.machine, ran, now);
+            job.note_replica_exit(assignment.task, exit.machine, ran, now);
         }
         if *exit.cause == ExitCause::Error {
             self.note_failure(context, exit.machine, assignment.job);
@@ -154,7 +156,7 @@
         machine.failed_jobs.clear();
         job.consecutive_errors = 0;
         // Only a run seen from its beginning says how long such tasks take.
-        if let (Some(started), false) = (assignment.started, assignment.recovered()) {
+        if let (Some(started), false) = (assignment.started_at, assignment.is_recovered()) {
             let run_time = context.now.steady.saturating_sub(started);
             self.stats
                 .record_run(&job.spec, &machine.machine_type, run_time);
@@ -184,12 +186,12 @@
             return;
         }
         match (machine.failure_attribution(), self.jobs.get_mut(index)) {
-            (FailureAttribution::ByTwoJobs, _) => machine.retire_as_faulty(),
+            (FailureAttribution::ByTwoJobs, _) => machine.cordon_as_faulty(),
             (FailureAttribution::ByOneJob, Some(job))
                 if job.terminated_for_failures < MAX_TERMINATIONS_BY_ONE_JOB =>
             {
                 job.terminated_for_failures += 1;
-                machine.retire_as_faulty();
+                machine.cordon_as_faulty();
             }
             _ => {}
         }
@@ -204,7 +206,7 @@
             if machine.failure_attribution() == FailureAttribution::None
                 && !self.fleet.is_terminating(&machine.name)
             {
-                machine.uncordon_as_sound();
+                machine.uncordon_as_healthy();
                 self.placement.request_round(context.now.steady);
             }
         }
@@ -224,18 +226,18 @@
             return;
         }
         let index = self.jobs.find(job_id);
-        let mut after = Vec::new();
+        let mut prerequisites = Vec::new();
         if self.is_holder() {
             self.note_unknown_exit(name, job_id, task, reported);
         } else if let (Some(ExitCause::Done), Some(index)) = (&reported.cause, index) {
-            after.extend(self.completed(context, index, task));
+            prerequisites.extend(self.completed(context, index, task));
             self.end_if_over(context, index);
         }
         if let Some(machine) = self.machines.get_mut(name) {
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: reported.task_name.clone(),
                 attempt: reported.attempt,
-                after,
+                prerequisites,
                 job: index,
             });
         }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -4,8 +4,8 @@
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{parse_task, JobIndex};
-use crate::state::machine::{Machine, ObservedStatus, RESPONSE_TIMEOUT};
+use crate::state::jobs::{parse_task_name, JobIndex};
+use crate::state::machine::{Machine, ObservedStatus, RESPONSE_TIMEOUT_US};
 use crate::{micros, Micros};
 use grebewood_wire::http::{ExitCause, Heartbeat, ReportedTask, TaskStatus};
 use log::{info, warn};
@@ -33,7 +33,7 @@
         }
         if machine.address.is_empty() || machine.cpus <= 0.0 {
             let machine_type = context.machine_type(&status.machine_type);
-            machine.describe(&status, machine_type, now);
+            machine.apply_description(&status, machine_type, now);
         }
         let knows_token = status.token == self.token;
         let new_incarnation = status.incarnation > machine.incarnation;
@@ -121,7 +121,7 @@
     /// Applies the status of one task.
     fn apply_task(&mut self, context: &mut Context, status: &Heartbeat, reported: &ReportedTask) {
         let name = &status.machine;
-        let Some((job_id, task)) = parse_task(&reported.task_name) else {
+        let Some((job_id, task)) = parse_task_name(&reported.task_name) else {
             warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
             return;
         };
@@ -140,9 +140,9 @@
                 };
                 let now = context.now.steady;
                 let assignment = &mut machine.assignments[position];
-                let before = assignment.seen;
+                let before = assignment.observed_status;
                 assignment.observe(&reported.status, now);
-                let (job, seen) = (assignment.job, assignment.seen);
+                let (job, seen) = (assignment.job, assignment.observed_status);
                 self.count_running(now, job, before, seen);
             }
             None if exited => self.apply_unrecorded_exit(context, name, job_id, task, reported),
@@ -196,7 +196,7 @@
         if let Some(job) = self.jobs.get_mut(index) {
             match is_running {
                 true => job.note_running(now),
-                false => job.running = job.running.saturating_sub(1),
+                false => job.running_count = job.running_count.saturating_sub(1),
             }
             self.progress_dirty.insert(index);
         }
@@ -242,7 +242,7 @@
     new_incarnation: bool,
     now: Micros,
 ) {
-    let in_time = now.saturating_sub(machine.last_response) < RESPONSE_TIMEOUT;
+    let in_time = now.saturating_sub(machine.last_response) < RESPONSE_TIMEOUT_US;
     if source == StatusSource::Heartbeat && machine.knows_token && in_time && !new_incarnation {
         machine.receives_responses = true;
         machine.unreachable_since = None;
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{parse_task, JobIndex, EPS};
+use crate::state::jobs::{parse_task_name, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::stop_command;
 use crate::state::write_buffer::RecordId;
@@ -23,7 +23,7 @@
         .iter()
         .filter(|reported| reported.status != TaskStatus::Exited);
     live.filter_map(|reported| {
-        let (job, task) = parse_task(&reported.task_name)?;
+        let (job, task) = parse_task_name(&reported.task_name)?;
         context.cancellations.get(job)?;
         Some(stop_command(job, task, reported.attempt, 0))
     })
@@ -54,11 +54,11 @@
         }
         let held = HeldHeartbeat {
             request,
-            round: 0,
+            placement_round: 0,
             machine: heartbeat.machine.clone(),
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
-            until: now + MAX_HOLD,
+            deadline: now + MAX_HOLD,
         };
         if !self.apply_heartbeat(context, heartbeat, StatusSource::Heartbeat) {
             self.note_late_heartbeat(context, &held);
@@ -93,7 +93,7 @@
     fn answer_or_hold(&mut self, context: &mut Context, mut held: HeldHeartbeat) {
         if self.has_room_for_backlog(context, &held.machine) {
             self.placement.request_round(context.now.steady);
-            held.round = self.placement.rounds + 1;
+            held.placement_round = self.placement.rounds + 1;
         }
         if !self.may_be_answered(context, &held) {
             return self.hold_heartbeat(held);
@@ -109,9 +109,10 @@
     /// placement.
     fn has_room_for_backlog(&self, context: &Context, name: &str) -> bool {
         let max_silence = context.settings.heartbeat_timeout();
-        self.placement.backlog
+        self.placement.has_backlog
             && self.machines.get(name).is_some_and(|machine| {
-                machine.free().cpus > EPS && machine.usable(context.now.steady, max_silence)
+                machine.free().cpus > RESOURCE_TOLERANCE
+                    && machine.is_usable(context.now.steady, max_silence)
             })
     }
 
@@ -134,7 +135,7 @@
         // Once a job is over, its terminal record stands for all of its tasks.
         let over = job.is_some_and(|index| self.jobs.get(index).is_none());
         after.iter().all(|(record, version)| {
-            (over && matches!(record, RecordId::Done(..)))
+            (over && matches!(record, RecordId::CompletedTasksPage(..)))
                 || self.write_buffer.is_durable(record, *version)
         })
     }
@@ -163,7 +164,7 @@
             .exited_attempts
             .iter()
             .filter(|exited| {
-                self.is_durable(&exited.after, exited.job)
+                self.is_durable(&exited.prerequisites, exited.job)
                     && self.holder_state.is_outcome_recorded(exited.id())
             })
             .take(MAX_COMMANDS)
@@ -197,11 +198,11 @@
                 continue;
             }
             let is_live = jobs.get(assignment.job).is_some_and(|job| {
-                job.cancelled.is_none() && !job.is_task_completed(assignment.task)
+                job.cancelled_at.is_none() && !job.is_task_completed(assignment.task)
             });
-            let page = RecordId::Page(assignment.page);
+            let page = RecordId::AssignmentPage(assignment.page);
             if assignment.launched.is_none()
-                && write_buffer.is_durable(&page, assignment.written)
+                && write_buffer.is_durable(&page, assignment.page_version)
                 && is_live
                 && !reclaimed
                 && assignment.incarnation == held.incarnation
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -4,14 +4,14 @@
 use crate::context::Context;
 use crate::scheduler::agents::heartbeats::MAX_HOLD;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::EPS;
+use crate::state::jobs::RESOURCE_TOLERANCE;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::{Assignment, ExitedAttempt};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 
 /// Longest duration of a long poll, in microseconds. An agent gives up after
-/// [`RESPONSE_TIMEOUT`](crate::state::machine::RESPONSE_TIMEOUT), and the response has yet to travel.
+/// [`RESPONSE_TIMEOUT_US`](crate::state::machine::RESPONSE_TIMEOUT_US), and the response has yet to travel.
 const MAX_LONG_POLL: Micros = 3 * SECOND;
 
 /// Long polls may hold one of so many sockets.
@@ -70,12 +70,12 @@
             return false;
         }
         let runs_on = |assignment: &Assignment| {
-            let least_remaining = (2 * duration).max(assignment.expected / 2);
-            assignment.stop.is_none() && assignment.remaining(now, 0) > least_remaining
+            let least_remaining = (2 * duration).max(assignment.expected_stay / 2);
+            assignment.stop.is_none() && assignment.remaining_time(now, 0) > least_remaining
         };
         self.machines.get(machine).is_some_and(|machine| {
-            machine.free().cpus > EPS
-                && machine.usable(now, context.settings.heartbeat_timeout())
+            machine.free().cpus > RESOURCE_TOLERANCE
+                && machine.is_usable(now, context.settings.heartbeat_timeout())
                 && machine.exited_attempts.is_empty()
                 && machine.assignments.iter().all(runs_on)
         })
@@ -83,14 +83,14 @@
 
     /// Holds a heartbeat as a long poll.
     pub(crate) fn hold_long_poll(&mut self, context: &Context, mut held: HeldHeartbeat) {
-        held.until = context.now.steady + long_poll_duration(context);
+        held.deadline = context.now.steady + long_poll_duration(context);
         self.long_polls.insert(held);
     }
 
     /// Holds a heartbeat that waits for a write or a round of placement.
     pub(crate) fn hold_heartbeat(&mut self, held: HeldHeartbeat) {
         if self.held_heartbeats.is_empty() {
-            self.held_until = held.until;
+            self.held_until = held.deadline;
         }
         self.held_heartbeats.push(held);
     }
@@ -98,7 +98,7 @@
     /// A task was placed on the machine: the response to its long poll waits only until that is on record.
     pub(crate) fn wake_long_poll(&mut self, context: &Context, machine: &str) {
         if let Some(mut held) = self.long_polls.remove(machine) {
-            held.until = context.now.steady + MAX_HOLD;
+            held.deadline = context.now.steady + MAX_HOLD;
             self.hold_heartbeat(held);
         }
     }
@@ -123,15 +123,15 @@
                 self.held_heartbeats.push(held);
             }
         }
-        let deadlines = self.held_heartbeats.iter().map(|held| held.until);
+        let deadlines = self.held_heartbeats.iter().map(|held| held.deadline);
         self.held_until = deadlines.min().unwrap_or(0);
     }
 
     /// Whether a heartbeat may be answered now.
     pub(crate) fn may_be_answered(&self, context: &Context, held: &HeldHeartbeat) -> bool {
-        context.now.steady >= held.until
+        context.now.steady >= held.deadline
             || !context.in_contact(STORE_CONTACT)
-            || (self.placement.rounds >= held.round
+            || (self.placement.rounds >= held.placement_round
                 && !self.waits_for_flush(&held.machine)
                 && !self.waits_for_leader(&held.machine))
     }
@@ -154,10 +154,10 @@
     /// Whether an assignment of the machine is to be launched once its page is durable.
     fn waits_for_flush(&self, name: &str) -> bool {
         let is_unwritten = |assignment: &Assignment| {
-            let page = RecordId::Page(assignment.page);
+            let page = RecordId::AssignmentPage(assignment.page);
             assignment.launched.is_none()
                 && assignment.stop.is_none()
-                && !self.write_buffer.is_durable(&page, assignment.written)
+                && !self.write_buffer.is_durable(&page, assignment.page_version)
         };
         self.machines
             .get(name)
--- a/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -26,11 +26,11 @@
         }
         let held = HeldHeartbeat {
             request: number,
-            round: 0,
+            placement_round: 0,
             machine: name,
             incarnation: 1,
             sequence: 1,
-            until: now,
+            deadline: now,
         };
         leader.hold_long_poll(&controller.context, held);
     }
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -65,8 +65,10 @@
         error!(machine = name, task = reported.task_name; "machine has a task that is not on record");
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
-            job.take(task);
-            *job.zones.entry(status.zone.clone()).or_insert(0) += 1;
+            job.assign_task(task);
+            *job.assignments_by_zone
+                .entry(status.zone.clone())
+                .or_insert(0) += 1;
         }
         let page = match self.is_holder() {
             true => 0,
@@ -84,8 +86,8 @@
         let assignment = Assignment {
             page,
             launched: Some((status.incarnation, status.sequence)),
-            seen: ObservedStatus::Running,
-            started: Some(now),
+            observed_status: ObservedStatus::Running,
+            started_at: Some(now),
             stop: Some(Stop::new(0, now)),
             ..Assignment::new(TaskOnMachine {
                 task: &task,
@@ -97,7 +99,8 @@
         };
         if !self.is_holder() {
             self.page_mut(page).add(name, &assignment);
-            self.write_buffer.mark_dirty(RecordId::Page(page), now);
+            self.write_buffer
+                .mark_dirty(RecordId::AssignmentPage(page), now);
         }
         self.add_assignment(name, assignment);
         self.send_due_stops(context, name);
@@ -264,7 +267,7 @@
                 continue;
             };
             let fetch_time = machine.fetch_time(&job.spec.image, job.spec.image_gb);
-            let finishes = assignment.remaining(now, fetch_time) + FINISH_MARGIN < left;
+            let finishes = assignment.remaining_time(now, fetch_time) + FINISH_MARGIN < left;
             if !finishes && must_stop_for_reclamation(job, left) {
                 stops.push(PlannedStop {
                     attempt: assignment.attempt,
@@ -314,7 +317,7 @@
         let max_silence = context.settings.heartbeat_timeout();
         self.machines
             .values()
-            .filter(|machine| machine.zone == zone && machine.usable(now, max_silence))
+            .filter(|machine| machine.zone == zone && machine.is_usable(now, max_silence))
             .filter(|m| permits(context, spec, &m.machine_type, &m.zone, m.spot))
             .map(|machine| tasks_that_fit(machine.free(), spec))
             .sum()
@@ -324,7 +327,7 @@
 /// The stops of a machine that were not sent lately; notes that they are sent.
 fn due_stops(machine: &mut Machine, now: Micros) -> Vec<Command> {
     let is_due = |assignment: &Assignment| {
-        let sent = assignment.stop.and_then(|stop| stop.sent);
+        let sent = assignment.stop.and_then(|stop| stop.sent_at);
         sent.is_none_or(|at| now >= at + STOP_RETRY_INTERVAL)
     };
     machine
@@ -342,7 +345,7 @@
 fn must_stop_for_reclamation(job: &Job, left: Micros) -> bool {
     if job.is_daemon() {
         left < job.checkpoint_grace() + LAST_MOVE
-    } else if job.checkpoints() {
+    } else if job.writes_checkpoints() {
         left < micros(job.spec.checkpoint_duration_s) + CHECKPOINT_MARGIN
     } else {
         true
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::Job;
-use crate::state::machine::{Assignment, Machine, RESPONSE_TIMEOUT};
+use crate::state::machine::{Assignment, Machine, RESPONSE_TIMEOUT_US};
 use crate::{Micros, MILLI, SECOND};
 use log::info;
 
@@ -48,7 +48,7 @@
         // An agent that gets no response for 4 s turns to another controller, and its lease should still hold when it
         // finds the next leader there: one and a half intervals once heartbeats are far apart.
         let interval = context.settings.heartbeat_interval;
-        let max_silence = (interval * 5 / 2).min((interval * 3 / 2).max(RESPONSE_TIMEOUT));
+        let max_silence = (interval * 5 / 2).min((interval * 3 / 2).max(RESPONSE_TIMEOUT_US));
         let silence = now.saturating_sub(self.last_heartbeat_at.max(self.loaded_at));
         if !self.loaded() || context.settings.siblings.is_empty() || silence <= max_silence {
             return false;
@@ -73,8 +73,8 @@
     fn expects_heartbeats(&self) -> bool {
         let has_machine_list = self.fleet.has_machine_list();
         self.machines.values().any(|machine| {
-            let is_recovered =
-                machine.address.is_empty() && (machine.listed.is_some() || !has_machine_list);
+            let is_recovered = machine.address.is_empty()
+                && (machine.first_listed_at.is_some() || !has_machine_list);
             machine.partition.is_none() && (machine.knows_token || is_recovered)
         })
     }
@@ -161,7 +161,7 @@
         }
         let jobs = &self.jobs;
         let is_cancelled =
-            |a: &Assignment| jobs.get(a.job).is_none_or(|job| job.cancelled.is_some());
+            |a: &Assignment| jobs.get(a.job).is_none_or(|job| job.cancelled_at.is_some());
         if machine.assignments.iter().any(is_cancelled) {
             // A hanging machine may not know yet that its lease has expired, and cancelled tasks must be gone in time.
             // The termination proves that: were they removed before it is answered, the next leader would not know
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::assignment_pages::Page;
+use crate::state::assignment_pages::AssignmentPage;
 use crate::state::machine::Machine;
 use crate::state::write_buffer::RecordId;
 use crate::Micros;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 impl Scheduler {
-    pub(crate) fn page_mut(&mut self, number: u64) -> &mut Page {
+    pub(crate) fn page_mut(&mut self, number: u64) -> &mut AssignmentPage {
         self.pages.page_mut(number)
     }
 
@@ -24,7 +24,7 @@
     /// The number of a page with room for one more assignment.
     pub(crate) fn page_with_room(&mut self) -> u64 {
         let max_bytes = self.page_bytes();
-        self.pages.with_room(max_bytes)
+        self.pages.page_with_room(max_bytes)
     }
 
     /// Moves assignments off pages that are larger than a value may be. The result says from which page to which.
@@ -45,7 +45,9 @@
                     break;
                 }
                 let to = self.move_assignment(&machine, position, from, due);
-                moves.extend(to.map(|to| (RecordId::Page(from), RecordId::Page(to))));
+                moves.extend(
+                    to.map(|to| (RecordId::AssignmentPage(from), RecordId::AssignmentPage(to))),
+                );
             }
         }
         moves
@@ -79,7 +81,9 @@
         assignment.page = to;
         if !assignment.may_be_on_machine() {
             // It is launched once it is durable on the new page.
-            assignment.written = self.write_buffer.mark_dirty(RecordId::Page(to), due);
+            assignment.page_version = self
+                .write_buffer
+                .mark_dirty(RecordId::AssignmentPage(to), due);
         }
         let assignment = assignment.clone();
         self.page_mut(from).remove(machine, &assignment);
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -91,7 +91,9 @@
             return Micros::MAX;
         }
         let due = self.write_buffer.next_due();
-        due.map_or(Micros::MAX, |due| due.max(self.write_buffer.not_before))
+        due.map_or(Micros::MAX, |due| {
+            due.max(self.write_buffer.no_flush_before)
+        })
     }
 
     /// Writes dirty records, as many as one transaction and the write rate permit.
@@ -102,7 +104,7 @@
         let Some(conditions) = self.write_conditions() else {
             return;
         };
-        if let Some(key) = self.write_buffer.stale.first().cloned() {
+        if let Some(key) = self.write_buffer.stale_keys.first().cloned() {
             return self.refresh_revision(context, key);
         }
         let draft = self.draft_transaction(context, conditions);
@@ -116,7 +118,7 @@
     fn is_flush_due(&self, now: Micros) -> bool {
         let due = self.write_buffer.next_due();
         self.write_buffer.in_flight.is_none()
-            && now >= self.write_buffer.not_before
+            && now >= self.write_buffer.no_flush_before
             && due.is_some_and(|due| due <= now)
     }
 
@@ -129,7 +131,7 @@
         let permitted_writes = context.write_limiter(self.role).available(now);
         let max_operations = self.transaction_operations.min(permitted_writes);
         let mut draft = TransactionDraft::new(conditions, max_operations);
-        for record in self.write_buffer.due(now) {
+        for record in self.write_buffer.due_records(now) {
             if !self.may_be_written_with(&record, &draft.records) {
                 continue;
             }
@@ -166,7 +168,7 @@
     /// Nothing can be written now: sets when to try again.
     fn delay_flush(&mut self, context: &mut Context, draft: &TransactionDraft) {
         let now = context.now.steady;
-        self.write_buffer.not_before = if draft.is_full {
+        self.write_buffer.no_flush_before = if draft.is_full {
             let writes = context.write_limiter(self.role);
             let ready = writes.ready_at(now, OPERATIONS_OF_NEXT_FLUSH);
             ready.max(now + RATE_LIMITED_PAUSE)
@@ -186,7 +188,7 @@
         context.write_limiter(self.role).take(now, operations);
         let purpose = self.pending(SchedulerCall::Flush);
         context.post_to_store("/txn", &transaction, purpose);
-        self.write_buffer.not_before = now + context.tuning.flush_interval_us;
+        self.write_buffer.no_flush_before = now + context.tuning.flush_interval_us;
         self.write_buffer.in_flight = Some(Batch {
             records,
             transaction,
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -68,7 +68,7 @@
         self.conditions_failed(&failed_keys)?;
         if failed_keys.is_empty() {
             // The answer does not say which: the mod_revisions of all are read, at a pace that leaves the store room.
-            self.write_buffer.stale.extend(batch.keys());
+            self.write_buffer.stale_keys.extend(batch.keys());
             self.flush_failed(context);
         }
         for key in failed_keys {
@@ -78,7 +78,7 @@
             if let Some(JobKey::Cancelled(job)) = JobKey::parse(&key) {
                 self.on_cancelled(context, job, None);
             }
-            self.write_buffer.stale.push(key);
+            self.write_buffer.stale_keys.push(key);
         }
         Ok(())
     }
@@ -97,7 +97,7 @@
 
     /// The store applied the transaction at this revision.
     pub(crate) fn flushed(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
-        self.write_buffer.applied(batch, revision);
+        self.write_buffer.on_batch_applied(batch, revision);
         self.held_changed = true;
         for (record, _) in &batch.records {
             self.on_record_written(context, record);
@@ -141,7 +141,7 @@
         for key in &keys {
             self.write_buffer.mod_revisions.remove(key);
         }
-        self.completed_pages.drop_job(index, &job);
+        self.completed_pages.remove_job(index, &job);
         self.progress_dirty.remove(&index);
         self.write_buffer.forget(&RecordId::JobEnd(index));
         self.recently_ended.push_back(job.id);
@@ -154,12 +154,12 @@
 fn log_job_end(job: &Job, now: Micros) {
     info!(
         job = job.id,
-        status = job.ending.map_or("over", FinalStatus::status),
+        status = job.ending.map_or("over", FinalStatus::as_str),
         team = job.spec.team,
         class = job.spec.class,
-        tasks = job.tasks(),
+        tasks = job.task_count(),
         age_s = job.age(now) / SECOND,
-        first_start_s = job.began_at.unwrap_or(0) / SECOND,
+        first_start_s = job.age_at_first_run.unwrap_or(0) / SECOND,
         mean_run_s = job.mean_run_time.0 / SECOND;
         "job ended"
     );
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -13,7 +13,7 @@
 impl Scheduler {
     /// Takes the reply to the read of a stale key.
     pub(crate) fn on_refresh(&mut self, context: &mut Context, key: &str, outcome: Outcome) {
-        self.write_buffer.not_before = context.now.steady;
+        self.write_buffer.no_flush_before = context.now.steady;
         match outcome {
             Outcome::Answer { status: 200, body } => {
                 let Ok(entry) = wire::from_cbor::<KeyValue<Value>>(&body) else {
@@ -24,7 +24,7 @@
             Outcome::Answer { status: 404, .. } => self.on_key_absent(context, key),
             _ => return self.flush_failed(context),
         }
-        self.write_buffer.stale.retain(|stale| stale != key);
+        self.write_buffer.stale_keys.retain(|stale| stale != key);
     }
 
     fn on_key_present(&mut self, key: &str, entry: &KeyValue<Value>) {
@@ -47,7 +47,9 @@
                 // The end of the job, which deletes its cancellation, may have been written late: whether it was is
                 // read next.
                 self.unconfirmed_cancellations.insert(job.to_string());
-                self.write_buffer.stale.push(format!("{FINISHED}{job}"));
+                self.write_buffer
+                    .stale_keys
+                    .push(format!("{FINISHED}{job}"));
             }
         } else if let Some(job) = key.strip_prefix(FINISHED) {
             if self.unconfirmed_cancellations.remove(job) && self.is_taken_as_cancelled(job) {
@@ -58,6 +60,6 @@
 
     fn is_taken_as_cancelled(&self, job: &str) -> bool {
         let job = self.jobs.find(job).and_then(|index| self.jobs.get(index));
-        job.is_some_and(|job| job.cancelled.is_some())
+        job.is_some_and(|job| job.cancelled_at.is_some())
     }
 }
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -56,13 +56,15 @@
             context.settings.store.transaction_operations
         };
         match record {
-            RecordId::Page(_) | RecordId::Done(_) | RecordId::Stats if has_large_value(batch) => {
+            RecordId::AssignmentPage(_) | RecordId::CompletedTasksPage(_) | RecordId::Stats
+                if has_large_value(batch) =>
+            {
                 self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
                 self.split_pages(context);
                 self.write_buffer.postpone(record, now + SECOND);
             }
             RecordId::Limits | RecordId::QuotaGrant(_) => {
-                self.leader_quota.refused = true;
+                self.leader_quota.grant_write_refused = true;
                 self.write_buffer.postpone(record, now + REFUSED_PAUSE);
             }
             _ => self.write_buffer.postpone(record, now + REFUSED_PAUSE),
@@ -76,9 +78,14 @@
         let assignments = self.split_placements(due);
         let completed_tasks = self
             .completed_pages
-            .split(page_bytes(self.value_bytes), &mut self.jobs)
+            .split_oversized_pages(page_bytes(self.value_bytes), &mut self.jobs)
             .into_iter()
-            .map(|(from, to)| (RecordId::Done(from), RecordId::Done(to)));
+            .map(|(from, to)| {
+                (
+                    RecordId::CompletedTasksPage(from),
+                    RecordId::CompletedTasksPage(to),
+                )
+            });
         let mut moves: Vec<(RecordId, RecordId)> = assignments;
         moves.extend(completed_tasks);
         moves.dedup();
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -20,8 +20,8 @@
     pub(crate) fn render(&mut self, context: &Context, record: &RecordId) -> Option<RecordWrite> {
         match record {
             RecordId::QuotaGrant(partition) => self.render_quota_grant(*partition),
-            RecordId::Page(number) => self.render_assignments(context, *number),
-            RecordId::Done(number) => {
+            RecordId::AssignmentPage(number) => self.render_assignments(context, *number),
+            RecordId::CompletedTasksPage(number) => {
                 let content = self.completed_pages.record(*number, &self.jobs);
                 Some(self.put_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
             }
@@ -44,7 +44,7 @@
     /// Puts a key on the condition that it has not changed.
     fn put_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
         RecordWrite {
-            conditions: vec![self.write_buffer.unchanged(&key)],
+            conditions: vec![self.write_buffer.unchanged_condition(&key)],
             operations: vec![put(key, content)],
         }
     }
@@ -52,7 +52,7 @@
     /// Deletes a key on the condition that it has not changed; `None`: there is no such key.
     fn delete_unchanged(&self, key: &str) -> Option<RecordWrite> {
         self.write_buffer.is_on_record(key).then(|| RecordWrite {
-            conditions: vec![self.write_buffer.unchanged(key)],
+            conditions: vec![self.write_buffer.unchanged_condition(key)],
             operations: vec![delete(key)],
         })
     }
@@ -110,11 +110,14 @@
         let (live, finished) = (job_key(&job.id), format!("{FINISHED}{}", job.id));
         let cancellation = self.cancellation_key(&job.id);
         let content = FinishedJobRecord {
-            status: ending.status().into(),
-            tasks: job.tasks(),
+            status: ending.as_str().into(),
+            tasks: job.task_count(),
         };
         let mut write = RecordWrite {
-            conditions: vec![absent(&finished), self.write_buffer.unchanged(&live)],
+            conditions: vec![
+                absent(&finished),
+                self.write_buffer.unchanged_condition(&live),
+            ],
             operations: vec![put(finished, &content), delete(&live)],
         };
         match ending {
@@ -134,7 +137,9 @@
     }
 
     fn add_deletion(&self, write: &mut RecordWrite, key: &str) {
-        write.conditions.push(self.write_buffer.unchanged(key));
+        write
+            .conditions
+            .push(self.write_buffer.unchanged_condition(key));
         write.operations.push(delete(key));
     }
 }
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -131,11 +131,11 @@
         let mut assignment = self.assignment_of(context, task, zone);
         assignment.launched = Some((0, 0));
         let job = self.jobs.get(assignment.job);
-        let job_ended = job.is_none_or(|job| job.cancelled.is_some());
+        let job_ended = job.is_none_or(|job| job.cancelled_at.is_some());
         assignment.stop = job_ended.then_some(Stop {
             grace: 0,
             since: context.now.steady,
-            sent: None,
+            sent_at: None,
         });
         self.add_assignment(&task.machine, assignment);
     }
@@ -177,7 +177,7 @@
         let machine = self.machines.get(&task.machine);
         machine.is_some_and(|machine| {
             machine.incarnation == task.incarnation
-                && machine.usable(context.now.steady, heartbeat_timeout)
+                && machine.is_usable(context.now.steady, heartbeat_timeout)
                 && self.has_room(context, machine, task)
         })
     }
@@ -236,7 +236,7 @@
         machine.exited_attempts.push(ExitedAttempt {
             task_name: task_name.to_string(),
             attempt: assignment.attempt,
-            after: Vec::new(),
+            prerequisites: Vec::new(),
             job: Some(assignment.job),
         });
         self.note_end(name, &assignment, TaskEnd::Exited(cause.clone()));
@@ -283,7 +283,7 @@
         if !self.held_heartbeats.is_empty() {
             at = at.min(self.held_until);
         }
-        if self.placement.backlog {
+        if self.placement.has_backlog {
             at = at.min(self.placement.next_at);
         }
         if self.loaded() {
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -69,11 +69,11 @@
 fn commands_for_agent(holder: &mut Scheduler, context: &Context) -> Vec<Verb> {
     let heartbeat = HeldHeartbeat {
         request: 1,
-        round: 0,
+        placement_round: 0,
         machine: MACHINE.into(),
         incarnation: 1,
         sequence: 2,
-        until: 0,
+        deadline: 0,
     };
     let commands = holder.commands(context, &heartbeat);
     commands.into_iter().map(|command| command.verb).collect()
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -89,7 +89,7 @@
         let quota = &mut self.holder_quota;
         quota.grant.set_granted(&orders.grant);
         quota.term = Some(term);
-        quota.limits = Some(orders.limits);
+        quota.limits_revision = Some(orders.limits);
         quota
             .placed
             .retain(|placement| placement.number > orders.seen);
@@ -127,7 +127,7 @@
                 job: work.job.clone(),
                 task: delegated.task,
                 machine: delegated.machine.clone(),
-                expected: work.expected_us,
+                expected_stay: work.expected_us,
             });
         }
     }
@@ -140,18 +140,18 @@
         watch: &mut dyn Stopwatch,
     ) {
         let now = context.now.steady;
-        if now < self.placement.next_at && !self.placement.wanted {
+        if now < self.placement.next_at && !self.placement.is_round_requested {
             return;
         }
-        self.placement.wanted = false;
+        self.placement.is_round_requested = false;
         self.placement.next_at = now + PLACEMENT_INTERVAL;
         self.placement.rounds += 1;
         self.held_changed = true;
         self.drop_queued_of_cancelled_jobs();
-        self.placement.backlog = !self.holder_quota.queue.is_empty();
-        if self.placement.backlog && self.holder_quota.term.is_some() {
+        self.placement.has_backlog = !self.holder_quota.queue.is_empty();
+        if self.placement.has_backlog && self.holder_quota.term.is_some() {
             self.place_queue(context, watch);
-            self.placement.backlog = !self.holder_quota.queue.is_empty();
+            self.placement.has_backlog = !self.holder_quota.queue.is_empty();
         }
     }
 
@@ -167,7 +167,7 @@
                     partition = self.partition();
                     "placement round is out of time, continues with the next one"
                 );
-                self.placement.wanted = true;
+                self.placement.is_round_requested = true;
                 break;
             }
             if self.place_queued(context, &queued, &mut open) == PlacementOutcome::Placed {
@@ -182,7 +182,7 @@
         self.holder_quota.queue.retain(|queued| {
             let job = jobs.find(&queued.job).and_then(|index| jobs.get(index));
             // A job that is not known here yet may still appear.
-            job.is_none_or(|job| job.cancelled.is_none())
+            job.is_none_or(|job| job.cancelled_at.is_none())
         });
     }
 
@@ -214,7 +214,7 @@
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
             "placed a task"
         );
-        let expected = queued.expected;
+        let expected = queued.expected_stay;
         self.assign(
             context,
             &name,
@@ -250,8 +250,8 @@
 
     /// Whether the assignment is on its page for certain.
     pub(crate) fn is_on_record(&self, a: &Assignment) -> bool {
-        let page = RecordId::Page(a.page);
-        self.write_buffer.is_durable(&page, a.written)
+        let page = RecordId::AssignmentPage(a.page);
+        self.write_buffer.is_durable(&page, a.page_version)
     }
 
     /// Placements that have come on record are reported to the leader from now on.
@@ -259,8 +259,8 @@
         for (name, machine) in &mut self.machines {
             let assignments = machine.assignments.iter_mut();
             for a in assignments.filter(|a| a.by_holder && !a.delivered) {
-                let page = RecordId::Page(a.page);
-                if self.write_buffer.is_durable(&page, a.written) {
+                let page = RecordId::AssignmentPage(a.page);
+                if self.write_buffer.is_durable(&page, a.page_version) {
                     a.delivered = true;
                     self.holder_quota.note_placed(placed_task(name, a));
                 }
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -126,11 +126,11 @@
 fn launches(controller: &Controller, holder: &mut Scheduler) -> usize {
     let heartbeat = HeldHeartbeat {
         request: 1,
-        round: 0,
+        placement_round: 0,
         machine: MACHINE.into(),
         incarnation: 1,
         sequence: 2,
-        until: 0,
+        deadline: 0,
     };
     holder.commands(&controller.context, &heartbeat).len()
 }
@@ -250,7 +250,7 @@
 fn assert_nothing_is_written(controller: &mut Controller, holder: &mut Scheduler) {
     controller.context.effects.clear();
     holder.write_buffer.mark_dirty(
-        crate::state::write_buffer::RecordId::Page(1000),
+        crate::state::write_buffer::RecordId::AssignmentPage(1000),
         controller.context.now.steady,
     );
     run(controller, holder);
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -100,7 +100,7 @@
 
 /// The state of a task as last seen in a heartbeat; `None`: no heartbeat has shown it.
 fn task_state(a: &Assignment) -> Option<TaskState> {
-    let status = match a.seen {
+    let status = match a.observed_status {
         ObservedStatus::Never => return None,
         ObservedStatus::Fetching => TaskStatus::Fetching,
         ObservedStatus::Running => TaskStatus::Running,
@@ -119,7 +119,7 @@
         zone: machine.zone.clone(),
         spot: machine.spot,
         incarnation: machine.incarnation,
-        counts: machine.counts(now, heartbeat_timeout),
+        counts: machine.counts_as_capacity(now, heartbeat_timeout),
         receives_responses: machine.receives_responses,
         cordoned: machine.cordoned,
         reclaim_us: machine.reclaim_at.map(|at| at.saturating_sub(now)),
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources, OpenMachine};
 use crate::state::delegations::{Delegation, TaskKey};
-use crate::state::jobs::{JobIndex, EPS};
+use crate::state::jobs::{JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::{Assignment, Machine, PlannedTask};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
@@ -45,7 +45,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.free.cpus <= EPS
+        self.free.cpus <= RESOURCE_TOLERANCE
     }
 }
 
@@ -112,7 +112,7 @@
             self.plan_on_machine(context, placing, task, machine);
         }
         if let Some(job) = self.jobs.get_mut(placing.index) {
-            job.delegated += 1;
+            job.delegated_count += 1;
             job.waiting_at_holders += u64::from(awaits_resources);
         }
         let delegation = Delegation {
@@ -123,8 +123,8 @@
             amount: placing.task,
             awaits_resources,
             level: placing.level,
-            expected: placing.expected,
-            since: now,
+            expected_stay: placing.expected,
+            delegated_at: now,
             sent: false,
             confirmed: false,
         };
@@ -146,10 +146,10 @@
     ) {
         let spec = &placing.spec;
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.plan(PlannedTask {
+            machine.add_planned_task(PlannedTask {
                 job: placing.index,
                 task,
-                room: MachineResources::of_task(spec),
+                resources: MachineResources::of_task(spec),
             });
             machine.use_image(&spec.image, spec.image_gb);
             machine.idle_since = context.now.steady;
@@ -160,11 +160,11 @@
     pub(crate) fn end_delegation(&mut self, task: TaskKey) -> Option<Delegation> {
         let delegation = self.leader_quota.delegations.remove(task)?;
         if let Some(machine) = self.machines.get_mut(&delegation.machine) {
-            machine.unplan(task.job, task.task);
+            machine.remove_planned_task(task.job, task.task);
         }
         if let Some(job) = self.jobs.get_mut(task.job) {
             let waiting = u64::from(delegation.awaits_resources);
-            job.delegated = job.delegated.saturating_sub(1);
+            job.delegated_count = job.delegated_count.saturating_sub(1);
             job.waiting_at_holders = job.waiting_at_holders.saturating_sub(waiting);
         }
         Some(delegation)
@@ -184,8 +184,8 @@
             self.on_not_placed_in_time(&delegation, now);
         }
         if let Some(job) = self.jobs.get_mut(task.job) {
-            job.give_back(task.task);
-            if job.waiting() > 0 && job.waiting_since.is_none() {
+            job.unassign_task(task.task);
+            if job.waiting_count() > 0 && job.waiting_since.is_none() {
                 job.waiting_since = Some(now);
             }
         }
@@ -197,7 +197,7 @@
     /// tasks for a while.
     fn on_not_placed_in_time(&mut self, delegation: &Delegation, now: Micros) {
         let partition = delegation.partition;
-        if now.saturating_sub(delegation.since) > PLACEMENT_TIMEOUT {
+        if now.saturating_sub(delegation.delegated_at) > PLACEMENT_TIMEOUT {
             let until = now + SLOW_HOLDER_BACKOFF;
             self.leader_quota.holder_slow_until.insert(partition, until);
         }
@@ -289,7 +289,7 @@
     ) -> Option<(&'a str, FreeingMachine)> {
         let now = context.now.steady;
         let heartbeat_timeout = context.settings.heartbeat_timeout();
-        if !machine.usable(now, heartbeat_timeout) {
+        if !machine.is_usable(now, heartbeat_timeout) {
             return None;
         }
         let partition = machine.partition?;
@@ -364,8 +364,9 @@
         let now = context.now.steady;
         let needs_leader = |queued: &&QueuedJob| {
             let job = self.jobs.get(queued.index);
-            job.is_some_and(|job| job.placeable(now) > 0 && !job.may_be_placed_by_holders(now))
-                && self.has_quota(context, queued.index)
+            job.is_some_and(|job| {
+                job.placeable_count(now) > 0 && !job.may_be_placed_by_holders(now)
+            }) && self.has_quota(context, queued.index)
         };
         let queue = queue.iter().filter(needs_leader);
         queue.map(|queued| queued.level).min()
@@ -400,7 +401,7 @@
         while tasks_that_fit(machine.free, &spec) > 0 && amount.fits(*unused) && placing.has_more()
         {
             let job = self.jobs.get_mut(placing.index);
-            let Some(task) = job.and_then(|job| job.take_next(context.now.steady)) else {
+            let Some(task) = job.and_then(|job| job.assign_next_task(context.now.steady)) else {
                 return;
             };
             machine.take(&spec);
@@ -422,7 +423,7 @@
             if chosen || self.leader_quota.delegations.is_revoked(partition, index) {
                 continue;
             }
-            let waited = now.saturating_sub(delegation.since);
+            let waited = now.saturating_sub(delegation.delegated_at);
             let is_overdue = if delegation.awaits_resources {
                 waited > RESOURCES_TIMEOUT
                     || (waited > PLACEMENT_TIMEOUT
@@ -462,5 +463,5 @@
 
 /// Whether the task is likely to free its resources soon.
 fn ends_soon(a: &Assignment, now: Micros) -> bool {
-    a.stop.is_some() || a.remaining(now, 0) < LOOKAHEAD
+    a.stop.is_some() || a.remaining_time(now, 0) < LOOKAHEAD
 }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -5,8 +5,8 @@
 use crate::state::bin_packing::{
     machine_types, machine_types_for, permits, tasks_that_fit, MachineResources,
 };
-use crate::state::fleet::{MachineOffering, UNKNOWN_BOOT_TIME};
-use crate::state::jobs::{fits_type, Job, JobIndex, EPS};
+use crate::state::fleet::{MachineOffering, DEFAULT_BOOT_TIME_US};
+use crate::state::jobs::{task_fits_machine_type, Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::Machine;
 use crate::{micros, Micros};
 use grebewood_quota::Resources;
@@ -61,7 +61,7 @@
         let permitted = (spec.spot || !spot)
             && spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
             && self.zone.as_ref().is_none_or(|wanted| wanted == zone)
-            && fits_type(spec, machine_type);
+            && task_fits_machine_type(spec, machine_type);
         if permitted {
             tasks_that_fit(MachineResources::of_type(machine_type), spec) as f64
         } else {
@@ -126,9 +126,9 @@
     if !job.spec.spread {
         return Vec::new();
     }
-    let most = job.tasks().div_ceil(2) as f64;
+    let most = job.task_count().div_ceil(2) as f64;
     let left = |zone: &str| {
-        let here = job.zones.get(zone).copied().unwrap_or(0);
+        let here = job.assignments_by_zone.get(zone).copied().unwrap_or(0);
         (most - f64::from(here)).max(0.0)
     };
     let all: f64 = zones.iter().map(|zone| left(zone)).sum();
@@ -136,7 +136,7 @@
     zones
         .iter()
         .map(|zone| ZoneTasks::new(Some(zone), needed(zone)))
-        .filter(|in_zone| in_zone.tasks > EPS)
+        .filter(|in_zone| in_zone.tasks > RESOURCE_TOLERANCE)
         .collect()
 }
 
@@ -154,7 +154,7 @@
     } = usage;
     let rounds = (time.time_left_s / time.run_s).max(1.0);
     let tasks_in = |limit: f64, used: f64, planned: f64, need: f64| {
-        if need <= EPS {
+        if need <= RESOURCE_TOLERANCE {
             f64::MAX
         } else {
             ((limit * rounds - used - planned) / need).max(0.0)
@@ -180,7 +180,7 @@
         machine_types(context)
             .map(|t| self.expected_boot_time(t))
             .min()
-            .unwrap_or(UNKNOWN_BOOT_TIME)
+            .unwrap_or(DEFAULT_BOOT_TIME_US)
     }
 
     /// Replicas, by job, on machines that are about to be terminated: they need a slot elsewhere now.
@@ -210,7 +210,7 @@
             // One that keeps failing needs a machine for its next try: left out, it once had none for
             // good after its last was terminated.
             let leaving = leaving.get(&index).copied().unwrap_or(0);
-            let waiting = job.placeable(now) + job.waiting_at_holders + leaving;
+            let waiting = job.placeable_count(now) + job.waiting_at_holders + leaving;
             if waiting == 0 {
                 continue;
             }
@@ -282,7 +282,7 @@
         let fetch = least_fetch_time(context, &job.spec);
         let run_s = (self.stats.expected_run(&job.spec) + fetch) as f64 / MICROS_PER_SECOND;
         // What is late for every objective may take longer: it gains nothing by expensive machines.
-        let until_deadline_s = match job.target(context, self.time_needed(context, job)) {
+        let until_deadline_s = match job.target_finish_at(context, self.time_needed(context, job)) {
             Some(at) => (at - now as i64).max(0) as f64 / MICROS_PER_SECOND * deadline_share,
             None => late_deadline as f64 / MICROS_PER_SECOND,
         };
@@ -321,7 +321,7 @@
             _ => tasks_by_zone(job, zones, tasks),
         };
         let rest = tasks - parts.iter().map(|part| part.tasks).sum::<f64>();
-        if rest > EPS {
+        if rest > RESOURCE_TOLERANCE {
             parts.push(ZoneTasks::new(None, rest));
         }
         parts
@@ -380,7 +380,7 @@
             }
         };
         let machines = self.machines.values();
-        for machine in machines.filter(|m| m.counts(now, heartbeat_timeout)) {
+        for machine in machines.filter(|m| m.counts_as_capacity(now, heartbeat_timeout)) {
             let slots = tasks_that_fit(machine.free(), spec);
             add(&machine.machine_type, &machine.zone, machine.spot, slots);
         }
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{permits, tasks_that_fit, MachineResources};
-use crate::state::jobs::EPS;
+use crate::state::jobs::RESOURCE_TOLERANCE;
 use crate::state::machine::{Assignment, Machine};
 use crate::{Micros, SECOND};
 use log::info;
@@ -79,7 +79,7 @@
         let now = context.now.steady;
         self.jobs
             .iter()
-            .filter(|(index, job)| job.placeable(now) > 0 && self.has_quota(context, *index))
+            .filter(|(index, job)| job.placeable_count(now) > 0 && self.has_quota(context, *index))
             .map(|(_, job)| now.saturating_sub(job.waiting_since.unwrap_or(now)))
             .max()
     }
@@ -116,7 +116,7 @@
                 machine,
                 free: machine.free(),
             })
-            .filter(|target| target.free.cpus > EPS)
+            .filter(|target| target.free.cpus > RESOURCE_TOLERANCE)
             .collect();
         let mut drains = Vec::new();
         let candidates = drain_candidates(usable).into_iter();
@@ -163,7 +163,7 @@
                     && permits(context, spec, &other.machine_type, &other.zone, other.spot)
             })?;
             target.free = target.free - assignment.resources();
-            if job.checkpoints() && is_worth_moving(assignment, context) {
+            if job.writes_checkpoints() && is_worth_moving(assignment, context) {
                 moves.push(TaskMove {
                     attempt: assignment.attempt,
                     grace: job.checkpoint_grace(),
@@ -175,7 +175,7 @@
 }
 
 fn is_worth_moving(assignment: &Assignment, context: &Context) -> bool {
-    assignment.remaining(context.now.steady, 0) > LEAST_REMAINING
+    assignment.remaining_time(context.now.steady, 0) > LEAST_REMAINING
 }
 
 /// Machines that may be drained, the first to be drained first.
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -2,7 +2,7 @@
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::parse_task;
+use crate::state::jobs::parse_task_name;
 use crate::state::machine::{Assignment, Machine};
 use crate::state::remote_partitions::RemotePartition;
 use crate::{Micros, Outcome};
@@ -137,7 +137,7 @@
             .entry(state.machine.clone())
             .or_insert_with(|| Machine::new(&heartbeat, machine_type, now));
         if machine.address.is_empty() || machine.cpus <= 0.0 {
-            machine.describe(&heartbeat, machine_type, now);
+            machine.apply_description(&heartbeat, machine_type, now);
         }
         machine.partition = Some(id);
         machine.address.clone_from(&state.address);
@@ -173,9 +173,9 @@
         else {
             return;
         };
-        let before = a.seen;
+        let before = a.observed_status;
         a.observe(status, now);
-        let (index, seen) = (a.job, a.seen);
+        let (index, seen) = (a.job, a.observed_status);
         self.count_running(now, index, before, seen);
     }
 
@@ -223,7 +223,7 @@
                     cause: Some(cause.clone()),
                     checkpointed: None,
                 };
-                if let Some((job, number)) = parse_task(&task_name) {
+                if let Some((job, number)) = parse_task_name(&task_name) {
                     self.apply_unrecorded_exit(context, name, job, number, &task);
                 }
             }
@@ -238,7 +238,7 @@
         self.last_answer_at = now;
         self.state_version = report.version;
         if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
-            self.placed_seen = quota.version;
+            self.last_known_placement = quota.version;
             self.reserved = std::mem::take(&mut self.reserved_sent);
         }
         self.note_heartbeats(report.heartbeats, now);
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -166,7 +166,7 @@
         let now = context.now.steady;
         let partitions = self.remote_partitions.by_id.iter();
         let delegations = &self.leader_quota.delegations;
-        let with_tasks = partitions.filter(|(id, _)| delegations.any_in(**id));
+        let with_tasks = partitions.filter(|(id, _)| delegations.has_tasks_in(**id));
         let unreachable = with_tasks.filter(|(_, partition)| {
             let since = partition.last_answer_at.max(self.loaded_at);
             now.saturating_sub(since) > HOLDER_TIMEOUT
@@ -181,7 +181,8 @@
             let Some(pages) = pages_of_partition(*id) else {
                 return false;
             };
-            self.pages.any_in(pages.clone()) || self.write_buffer.is_any_page_dirty(pages)
+            self.pages.has_assignments_in(pages.clone())
+                || self.write_buffer.is_any_page_dirty(pages)
         };
         let partitions = self.pages.numbers().filter_map(partition_of_page);
         let with_pages = partitions.filter(has_pages).max();
@@ -306,7 +307,7 @@
                     if launchable {
                         a.launched = Some((machine.incarnation, 0));
                     }
-                    if a.may_be_on_machine() && !a.delivered && !a.recovered() {
+                    if a.may_be_on_machine() && !a.delivered && !a.is_recovered() {
                         orders.launches.push(placed_task(&machine.name, a));
                     }
                 }
@@ -327,7 +328,7 @@
             .values()
             .filter(|machine| machine.partition == Some(id))
             .flat_map(|machine| &machine.exited_attempts)
-            .filter(|exited| !self.is_durable(&exited.after, exited.job))
+            .filter(|exited| !self.is_durable(&exited.prerequisites, exited.job))
             .filter_map(ExitedAttempt::id)
             .collect();
         let applied = partition.applied_outcomes.iter().copied();
@@ -342,8 +343,8 @@
 fn is_launchable(a: &Assignment, jobs: &Jobs, write_buffer: &WriteBuffer) -> bool {
     let job = jobs.get(a.job);
     let is_wanted =
-        job.is_some_and(|job| job.cancelled.is_none() && !job.is_task_completed(a.task));
-    let is_on_record = write_buffer.is_durable(&RecordId::Page(a.page), a.written);
+        job.is_some_and(|job| job.cancelled_at.is_none() && !job.is_task_completed(a.task));
+    let is_on_record = write_buffer.is_durable(&RecordId::AssignmentPage(a.page), a.page_version);
     a.launched.is_none() && a.stop.is_none() && is_wanted && is_on_record
 }
 
@@ -351,10 +352,13 @@
 fn due_stop(machine: &str, a: &mut Assignment, now: Micros) -> Option<TaskStop> {
     let id = a.id();
     let stop = a.stop.as_mut().filter(|_| a.launched.is_some())?;
-    if stop.sent.is_some_and(|at| now < at + STOP_RETRY_INTERVAL) {
+    if stop
+        .sent_at
+        .is_some_and(|at| now < at + STOP_RETRY_INTERVAL)
+    {
         return None;
     }
-    stop.sent = Some(now);
+    stop.sent_at = Some(now);
     Some(TaskStop {
         machine: machine.to_string(),
         id,
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -6,7 +6,7 @@
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{MachineResources, OpenMachine};
-use crate::state::jobs::{Job, JobIndex, EPS};
+use crate::state::jobs::{Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::state::machine::Machine;
 use crate::{Micros, Stopwatch, SECOND};
 use grebewood_quota::{Resources, TeamAmounts};
@@ -58,7 +58,7 @@
         if now < self.placement.blocked_until || self.has_unreadable_tasks() {
             return;
         }
-        self.placement.wanted = false;
+        self.placement.is_round_requested = false;
         self.leader_quota.teams_short_of_room.clear();
         self.jobs.begin_catch_ups(now);
         let queue = self.job_queue(context);
@@ -70,9 +70,9 @@
             self.delegate_ahead(context, &queue, &order.teams_with_kept_quota);
             self.revoke_overdue(context, &open);
         }
-        self.placement.backlog = queue.iter().any(|queued| {
+        self.placement.has_backlog = queue.iter().any(|queued| {
             let job = self.jobs.get(queued.index);
-            job.is_some_and(|job| job.waiting() > 0)
+            job.is_some_and(|job| job.waiting_count() > 0)
         });
         if now >= self.placement.next_preemption {
             self.placement.next_preemption = now + PREEMPTION_INTERVAL;
@@ -87,9 +87,9 @@
         let now = context.now.steady;
         let placement = &mut self.placement;
         placement.next_at = now + context.tuning.placement_interval_us;
-        placement.not_before = placement.next_at;
+        placement.no_round_before = placement.next_at;
         placement.rounds += 1;
-        if !placement.wanted && placement.resume_with.is_none() {
+        if !placement.is_round_requested && placement.resume_with.is_none() {
             // Rounds without news are needed only for what time itself changes.
             placement.next_at = now + IDLE_INTERVAL;
         }
@@ -112,10 +112,10 @@
                 return false;
             }
             let has_quota = self.has_quota(context, queued.index);
-            let has_waited_long = job.must_begin(now) || job.catching_up().is_some();
+            let has_waited_long = job.must_begin_early(now) || job.catching_up_since().is_some();
             if !has_quota
                 && has_waited_long
-                && job.placeable(now) > 0
+                && job.placeable_count(now) > 0
                 && self.has_quota_soon(context, queued.index, &mut ending)
             {
                 kept.insert(job.spec.team.clone());
@@ -165,7 +165,7 @@
     fn job_fits_limit(&self, context: &Context, job: &Job, freed: Resources) -> bool {
         let spec = &job.spec;
         let tasks = match job.shape {
-            Shape::Gang => job.waiting().max(1),
+            Shape::Gang => job.waiting_count().max(1),
             _ => 1,
         };
         let wanted = Resources::of(spec.cpus, spec.gpus).times(tasks);
@@ -185,7 +185,7 @@
             self.machines
                 .values()
                 .flat_map(|machine| &machine.assignments)
-                .filter(|a| a.team == *team && a.remaining(now, 0) < QUOTA_KEPT_FOR)
+                .filter(|a| a.team == *team && a.remaining_time(now, 0) < QUOTA_KEPT_FOR)
                 .fold(Resources::ZERO, |sum, a| sum.saturating_add(a.amount()))
         });
         self.job_fits_limit(context, job, *freed)
@@ -196,7 +196,7 @@
         let now = context.now.steady;
         let heartbeat_timeout = context.settings.heartbeat_timeout();
         let machines = self.machines.values();
-        machines.filter(move |machine| machine.usable(now, heartbeat_timeout))
+        machines.filter(move |machine| machine.is_usable(now, heartbeat_timeout))
     }
 
     /// Machines with free resources.
@@ -209,7 +209,7 @@
             None => machine.free(),
         };
         self.usable_machines(context)
-            .filter(|machine| free(machine).cpus > EPS && !machine.reserved)
+            .filter(|machine| free(machine).cpus > RESOURCE_TOLERANCE && !machine.reserved)
             .map(|machine| OpenMachine {
                 name: machine.name.clone(),
                 zone: machine.zone.clone(),
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
 use crate::state::bin_packing::{tasks_that_fit, MachineResources};
-use crate::state::jobs::{Job, JobIndex, BEGIN_AFTER, EPS};
+use crate::state::jobs::{Job, JobIndex, BEGIN_EARLY_AFTER_US, RESOURCE_TOLERANCE};
 use crate::state::machine::{Assignment, ObservedStatus};
 use crate::{Micros, SECOND};
 use grebewood_quota::{Resources, TeamAmounts};
@@ -66,7 +66,7 @@
     }
 
     fn covers(self, spec: &Submission) -> bool {
-        self.cpus + EPS >= spec.cpus && self.gpus + EPS >= spec.gpus
+        self.cpus + RESOURCE_TOLERANCE >= spec.cpus && self.gpus + RESOURCE_TOLERANCE >= spec.gpus
     }
 
     fn with_freed(self, freed: MachineResources) -> Self {
@@ -276,7 +276,7 @@
                 job,
                 guaranteed: guaranteed.contains(&index),
                 zone: zone_for(context, job, &pool),
-                missing: job.placeable(context.now.steady),
+                missing: job.placeable_count(context.now.steady),
                 quota: QuotaLeft::new(quota.limit, self.needed_by(team), freed),
             };
             // A gang needs all of its slots: what is stopped for a part of them is stopped for nothing.
@@ -297,10 +297,10 @@
             let waited = job.waiting_since.map_or(0, |at| now.saturating_sub(at));
             job.spec.priority > Priority::Idle
                 && !job.keeps_failing()
-                && job.placeable(now) > 0
+                && job.placeable_count(now) > 0
                 && waited >= context.tuning.preempt_after_us
                 && job
-                    .target(context, self.time_needed(context, job))
+                    .target_finish_at(context, self.time_needed(context, job))
                     .is_some()
         })
     }
@@ -330,7 +330,9 @@
                     candidates.filter_map(|a| self.preemption_candidate(context, a, guaranteed));
                 PoolMachine::new(machine, candidates.collect())
             })
-            .filter(|machine| machine.free.cpus > EPS || !machine.candidates.is_empty())
+            .filter(|machine| {
+                machine.free.cpus > RESOURCE_TOLERANCE || !machine.candidates.is_empty()
+            })
             .collect()
     }
 
@@ -343,13 +345,13 @@
     ) -> Option<PreemptionCandidate> {
         let now = context.now.steady;
         let job = self.jobs.get(assignment.job)?;
-        let ran = assignment.started.map_or(0, |at| now.saturating_sub(at));
+        let ran = assignment.started_at.map_or(0, |at| now.saturating_sub(at));
         let may_be_stopped = assignment.stop.is_none()
             && !job.is_daemon()
-            && job.checkpoints()
-            && assignment.seen == ObservedStatus::Running
+            && job.writes_checkpoints()
+            && assignment.observed_status == ObservedStatus::Running
             && ran >= least_run(context, job)
-            && assignment.remaining(now, 0) >= LEAST_REMAINING;
+            && assignment.remaining_time(now, 0) >= LEAST_REMAINING;
         may_be_stopped.then(|| PreemptionCandidate {
             ran,
             priority: job.preemption_priority(),
@@ -365,9 +367,9 @@
 /// How long a task of the job must have run before it may be stopped, in microseconds. A start counts for an
 /// objective only if the task is left alone for 30 s; and what a job begins with after a long wait stays.
 fn least_run(context: &Context, job: &Job) -> Micros {
-    let live: u32 = job.zones.values().sum();
-    let is_beginning =
-        job.age(context.now.steady) > BEGIN_AFTER && u64::from(live) <= job.beginning();
+    let live: u32 = job.assignments_by_zone.values().sum();
+    let is_beginning = job.age(context.now.steady) > BEGIN_EARLY_AFTER_US
+        && u64::from(live) <= job.initial_task_count();
     match is_beginning || context.settings.has_start_objective(&job.spec.class) {
         true => LEAST_COUNTED_RUN,
         false => LEAST_RUN,
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::scheduler::leader::placement::QueuedJob;
 use crate::scheduler::Scheduler;
-use crate::state::jobs::{Job, JobIndex, EPS};
+use crate::state::jobs::{Job, JobIndex, RESOURCE_TOLERANCE};
 use crate::Micros;
 use grebewood_quota::Resources;
 use grebewood_wire::http::{Priority, Shape};
@@ -56,9 +56,9 @@
     /// Time that a job still needs if it gets all that its team's limit allows, in microseconds.
     pub(crate) fn time_needed(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
-        let left = job.tasks().saturating_sub(job.completed_count) as f64;
+        let left = job.task_count().saturating_sub(job.completed_count) as f64;
         let quota = self.limit_of(context, &job.spec.team);
-        let cpus = job.spec.cpus.max(EPS);
+        let cpus = job.spec.cpus.max(RESOURCE_TOLERANCE);
         let most = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
         let rounds = (left / most.clamp(1.0, 1e6)).max(1.0);
         (run as f64 * rounds) as Micros
@@ -70,7 +70,7 @@
         let mut by_age: Vec<(JobIndex, &Job)> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.cancelled.is_none() && job.ending.is_none())
+            .filter(|(_, job)| job.cancelled_at.is_none() && job.ending.is_none())
             .collect();
         by_age.sort_by_key(|(index, job)| (job.accepted_at, *index));
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
@@ -80,7 +80,7 @@
             let Some(quota) = self.limit_of(context, &spec.team) else {
                 continue;
             };
-            let left = job.tasks().saturating_sub(job.completed_count);
+            let left = job.task_count().saturating_sub(job.completed_count);
             let sum = sums.entry(&spec.team).or_default();
             *sum = sum.saturating_add(Resources::of(spec.cpus, spec.gpus).times(left));
             if sum.fits(quota.guarantee) {
@@ -107,7 +107,7 @@
         let mut queue: Vec<QueueKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.waiting() > 0 && job.retry_at <= now)
+            .filter(|(_, job)| job.waiting_count() > 0 && job.retry_at <= now)
             .map(|(index, job)| {
                 let standing = match (guaranteed.contains(&index), enforced) {
                     (false, _) => GuaranteeStanding::Outside,
@@ -138,13 +138,13 @@
             rank,
             index,
         };
-        if job.must_begin(context.now.steady) {
+        if job.must_begin_early(context.now.steady) {
             return level_and_rank(level::BEGINNING, job.accepted_at);
         }
         // What is free now, to the one that has waited longest: a large array of higher
         // priority once kept all of a class from being served.
         let enforced_guarantee = standing == GuaranteeStanding::WithinEnforced;
-        if let Some(since) = job.catching_up() {
+        if let Some(since) = job.catching_up_since() {
             if job.spec.priority < Priority::High && !enforced_guarantee {
                 return level_and_rank(level::CATCHING_UP, since as i64);
             }
@@ -160,7 +160,7 @@
         QueueKey {
             level,
             infeasible: job
-                .target(context, self.time_needed(context, job))
+                .target_finish_at(context, self.time_needed(context, job))
                 .is_none(),
             rank: self.work_left(job),
             index,
@@ -170,7 +170,7 @@
     /// Work that is left of a job array, in CPU microseconds. What needs its slots at once comes before what
     /// fills them one by one.
     fn work_left(&self, job: &Job) -> i64 {
-        let left = job.tasks().saturating_sub(job.completed_count) as f64;
+        let left = job.task_count().saturating_sub(job.completed_count) as f64;
         let run = self.stats.expected_run(&job.spec) as f64;
         match job.shape {
             Shape::Batch => (left * job.spec.cpus * run) as i64,
--- a/crates/core/src/scheduler/leader/placement/reservation.rs
+++ b/crates/core/src/scheduler/leader/placement/reservation.rs
@@ -46,14 +46,14 @@
         let Some(job) = self.jobs.get(index) else {
             return;
         };
-        if !job.must_begin(context.now.steady)
+        if !job.must_begin_early(context.now.steady)
             || !self.has_quota(context, index)
             || !can_begin(context, job)
         {
             return;
         }
         let needed = match job.shape {
-            Shape::Gang => job.beginning(),
+            Shape::Gang => job.initial_task_count(),
             _ => 1,
         };
         let mut slots = 0;
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -6,7 +6,7 @@
 use crate::state::bin_packing::{
     tasks_that_fit, HeadroomAccess, MachineResources, OpenMachine, Preference,
 };
-use crate::state::jobs::{JobIndex, EPS};
+use crate::state::jobs::{JobIndex, RESOURCE_TOLERANCE};
 use crate::Micros;
 use grebewood_partition::PartitionId;
 use grebewood_quota::Resources;
@@ -99,21 +99,21 @@
         let spec = &job.spec;
         let now = context.now.steady;
         // A job whose tasks keep failing is tried with one task at a time.
-        let mut left = job.placeable(now);
+        let mut left = job.placeable_count(now);
         if left == 0 {
             return None;
         }
         // Ahead of its turn a job only begins.
-        if job.must_begin(now) {
-            left = left.min(job.beginning());
+        if job.must_begin_early(now) {
+            left = left.min(job.initial_task_count());
         }
         // What has waited too long may take the headroom, too: not only for its beginning. The
         // rest of an array once waited for minutes beside it when nothing more could be provisioned.
         // Once there are no services any more, that goes for whatever waits long.
-        let headroom_yields = self.headroom.may_yield() && job.has_waited_long(now);
+        let headroom_yields = self.headroom.has_no_live_services() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
-            || job.must_begin(now)
-            || job.starves(now)
+            || job.must_begin_early(now)
+            || job.is_starving(now)
             || headroom_yields;
         Some(PlacingJob {
             index: queued.index,
@@ -206,7 +206,7 @@
                 break;
             }
         }
-        open.retain(|machine| machine.free.cpus > EPS);
+        open.retain(|machine| machine.free.cpus > RESOURCE_TOLERANCE);
     }
 
     /// Places tasks of the job on a machine, or gives them to the holder that places them there. It breaks if
@@ -224,11 +224,15 @@
             let Some(job) = self.jobs.get_mut(placing.index) else {
                 return ControlFlow::Break(());
             };
-            let in_zone = job.zones.get(&open.zone).copied().unwrap_or(0);
+            let in_zone = job
+                .assignments_by_zone
+                .get(&open.zone)
+                .copied()
+                .unwrap_or(0);
             if placing.spec.spread && u64::from(in_zone) >= most_in_zone(&placing.spec) {
                 return ControlFlow::Continue(());
             }
-            let next = job.next_waiting(now).filter(|_| placing.has_more());
+            let next = job.next_waiting_task(now).filter(|_| placing.has_more());
             let Some(task) = next else {
                 return ControlFlow::Break(());
             };
@@ -276,7 +280,7 @@
         task: u64,
     ) {
         if let Some(job) = self.jobs.get_mut(placing.index) {
-            job.take(task);
+            job.assign_task(task);
             if holder.is_none() {
                 job.note_placed(context.now.steady);
             }
@@ -295,7 +299,7 @@
     ) {
         let zone = self.machines.get(machine).map(|m| m.zone.clone());
         if let (Some(zone), Some(job)) = (zone, self.jobs.get_mut(placing.index)) {
-            *job.zones.entry(zone).or_insert(0) += 1;
+            *job.assignments_by_zone.entry(zone).or_insert(0) += 1;
         }
         let attempt = match gang_attempt {
             Some(attempt) => attempt,
@@ -316,7 +320,7 @@
         let spec = &placing.spec;
         let in_zone = |zone: &str| {
             let job = self.jobs.get(placing.index);
-            let tasks = job.and_then(|job| job.zones.get(zone));
+            let tasks = job.and_then(|job| job.assignments_by_zone.get(zone));
             tasks.copied().map_or(0, u64::from)
         };
         placing
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -134,7 +134,8 @@
             }
         }
         let jobs = self.jobs.iter();
-        let delegated = jobs.filter(|(_, job)| job.delegated > 0 && teams.contains(&job.spec.team));
+        let delegated =
+            jobs.filter(|(_, job)| job.delegated_count > 0 && teams.contains(&job.spec.team));
         let delegated: Vec<JobIndex> = delegated.map(|(index, _)| index).collect();
         for index in delegated {
             self.revoke_job(context, index);
@@ -201,11 +202,11 @@
     fn stop_candidate(&self, assignment: &Assignment) -> Option<StopCandidate> {
         let job = self.jobs.get(assignment.job)?;
         // Without one of its tasks a gang cannot run.
-        if job.shape == Shape::Gang || !(job.checkpoints() || job.is_daemon()) {
+        if job.shape == Shape::Gang || !(job.writes_checkpoints() || job.is_daemon()) {
             return None;
         }
         Some(StopCandidate {
-            decided: assignment.decided,
+            decided: assignment.decided_at,
             id: assignment.id(),
             grace: job.checkpoint_grace(),
             amount: assignment.amount(),
@@ -225,7 +226,7 @@
 
 /// Whether a heartbeat has shown the task and it is not being stopped.
 fn counts_as_running(a: &Assignment) -> bool {
-    a.seen != ObservedStatus::Never && a.stop.is_none()
+    a.observed_status != ObservedStatus::Never && a.stop.is_none()
 }
 
 /// The quotas in force on record; `None` if the record cannot be read.
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -49,7 +49,7 @@
             work,
             revoked: self.leader_quota.delegations.revocations_to_send(id),
             reserved: self.reserved_machines(id),
-            seen: self.remote_partitions.placed_seen(id),
+            seen: self.remote_partitions.last_known_placement(id),
         })
     }
 
@@ -85,7 +85,7 @@
             let of_job = work.entry(task.job).or_insert_with(|| DelegatedWork {
                 job: delegation.job_id.clone(),
                 level: delegation.level,
-                expected_us: delegation.expected,
+                expected_us: delegation.expected_stay,
                 tasks: Vec::new(),
             });
             of_job.tasks.push(DelegatedTask {
@@ -121,7 +121,7 @@
         let Some(quota) = quota else {
             return self.on_places_nothing(id);
         };
-        if self.leader_quota.placing.insert(id) {
+        if self.leader_quota.placing_partitions.insert(id) {
             info!(partition = id; "the holder places tasks");
         }
         for task in &quota.placed {
@@ -136,10 +136,11 @@
 
     /// A holder has answered that it places nothing.
     fn on_places_nothing(&mut self, id: PartitionId) {
-        self.leader_quota.placing.remove(&id);
-        if self.leader_quota.delegations.any_in(id) {
+        self.leader_quota.placing_partitions.remove(&id);
+        if self.leader_quota.delegations.has_tasks_in(id) {
             // The holder before it may have placed some of them, and only pages tell.
-            self.leader_quota.lost = Some("a holder does not tell what was placed before it");
+            self.leader_quota.placements_unknown_reason =
+                Some("a holder does not tell what was placed before it");
         }
     }
 
@@ -193,10 +194,10 @@
         let job = index.and_then(|index| self.jobs.get_mut(index));
         let spec = job.map(|job| {
             if delegation.is_none() {
-                job.take(placed.task);
+                job.assign_task(placed.task);
             }
             job.note_placed(context.now.steady);
-            *job.zones.entry(zone.clone()).or_insert(0) += 1;
+            *job.assignments_by_zone.entry(zone.clone()).or_insert(0) += 1;
             job.spec.clone()
         });
         let assignment = Assignment {
@@ -237,13 +238,13 @@
     /// The members that answered lately all support quota grants, or not all of them do: then no tasks are
     /// delegated to holders.
     pub(crate) fn pause_quota_grants(&mut self, context: &Context, paused: bool) {
-        if !context.supports_quota_grants() || self.leader_quota.paused == paused {
+        if !context.supports_quota_grants() || self.leader_quota.quota_grants_paused == paused {
             return;
         }
         info!(paused = paused; "changed whether quota is granted to holders");
-        self.leader_quota.paused = paused;
+        self.leader_quota.quota_grants_paused = paused;
         if paused {
-            let jobs = self.jobs.iter().filter(|(_, job)| job.delegated > 0);
+            let jobs = self.jobs.iter().filter(|(_, job)| job.delegated_count > 0);
             let delegated: Vec<JobIndex> = jobs.map(|(index, _)| index).collect();
             for index in delegated {
                 self.revoke_job(context, index);
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -102,7 +102,7 @@
             if page.is_ours {
                 let due = context.now.steady + SECOND;
                 self.write_buffer
-                    .mark_dirty_lazily(RecordId::Page(page.number), due);
+                    .mark_dirty_lazily(RecordId::AssignmentPage(page.number), due);
             }
             return;
         }
@@ -154,8 +154,8 @@
     /// Takes the task of its job, if the job is known; the result is the job's description.
     fn take_loaded_task(&mut self, job: LoadedJob, task: u64, zone: &str) -> Option<Submission> {
         let job = self.jobs.get_mut(job.index()?)?;
-        job.take(task);
-        *job.zones.entry(zone.to_string()).or_insert(0) += 1;
+        job.assign_task(task);
+        *job.assignments_by_zone.entry(zone.to_string()).or_insert(0) += 1;
         Some(job.spec.clone())
     }
 
@@ -187,7 +187,7 @@
         LoadedJob::Unreadable => Some(Stop {
             grace: 0,
             since: task.now,
-            sent: None,
+            sent_at: None,
         }),
     };
     Assignment {
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -61,7 +61,7 @@
                 // when they are started again.
                 log_unreadable(&entry.key);
                 if let Ok(page) = number {
-                    self.completed_pages.close(page);
+                    self.completed_pages.close_page(page);
                 }
             }
         }
@@ -77,13 +77,18 @@
         };
         job.restore_completed_tasks(span, bits);
         let Some(other) = job.completed_pages.get(&span).copied() else {
-            return self.completed_pages.adopt(page, index, span, job);
+            return self.completed_pages.add_span(page, index, span, job);
         };
         // The span is on two pages, after a move of which only the first half was written: this page drops it once the
         // other one has the tasks of both.
-        self.completed_pages.close(page);
+        self.completed_pages.close_page(page);
         let due = context.now.steady + SECOND;
-        self.write_moved_content(RecordId::Done(page), RecordId::Done(other), due, due);
+        self.write_moved_content(
+            RecordId::CompletedTasksPage(page),
+            RecordId::CompletedTasksPage(other),
+            due,
+            due,
+        );
     }
 }
 
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -47,7 +47,7 @@
             Ok(record) if record.spec.id == id => {
                 self.write_buffer.note_revision(key, mod_revision);
                 let job = Job::new(record, context.now.steady, context.now.wall);
-                self.headroom.note(&job, context.now.steady);
+                self.headroom.note_job(&job, context.now.steady);
                 self.jobs.insert(job);
                 self.placement.request_round(context.now.steady);
             }
@@ -91,7 +91,10 @@
 
     /// Ends the jobs all of whose tasks are completed.
     pub(crate) fn end_completed_jobs(&mut self, context: &Context) {
-        let completed = self.jobs.iter().filter(|(_, job)| job.all_completed());
+        let completed = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.has_completed_all_tasks());
         let completed: Vec<JobIndex> = completed.map(|(index, _)| index).collect();
         for index in completed {
             self.end_if_over(context, index);
@@ -103,7 +106,7 @@
         for index in self.jobs.indices() {
             let job = self.jobs.get_mut(index);
             if let Some(job) = job.filter(|job| job.completed_count > 0) {
-                job.began_at = Some(job.age(context.now.steady));
+                job.age_at_first_run = Some(job.age(context.now.steady));
             }
         }
     }
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -22,8 +22,8 @@
     pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         self.enforces_guarantees(context)
             && context.holders_can_write()
-            && !self.leader_quota.paused
-            && !self.leader_quota.refused
+            && !self.leader_quota.quota_grants_paused
+            && !self.leader_quota.grant_write_refused
     }
 
     /// Whether tasks are preempted for teams below their guaranteed share.
@@ -33,7 +33,7 @@
 
     /// Whether the partition's holder places tasks.
     pub(crate) fn holder_places(&self, partition: PartitionId) -> bool {
-        self.leader_quota.placing.contains(&partition)
+        self.leader_quota.placing_partitions.contains(&partition)
     }
 
     /// Whether the partition's holder is to be given tasks now: it places tasks, and has not been slow lately.
@@ -140,6 +140,6 @@
     /// Whether no task of the job is on a machine or delegated to a holder.
     pub(crate) fn is_off_machines(&self, index: JobIndex) -> bool {
         let job = self.jobs.get(index);
-        job.is_none_or(|job| job.live() == 0 && job.delegated == 0)
+        job.is_none_or(|job| job.assignment_count() == 0 && job.delegated_count == 0)
     }
 }
--- a/crates/core/src/state/delegations/tests.rs
+++ b/crates/core/src/state/delegations/tests.rs
@@ -15,8 +15,8 @@
         amount: Resources::of(2.0, 0.0),
         awaits_resources,
         level: 6,
-        expected: 1,
-        since: 0,
+        expected_stay: 1,
+        delegated_at: 0,
         sent: false,
         confirmed: false,
     }
@@ -29,7 +29,8 @@
     delegations
 }
 
-/// What a message has not carried yet cannot be in its answer.
+/// The answer to a message cannot contain tasks that were not in the message. If their absence counted as a return,
+/// they would be taken back before they were sent.
 #[test]
 fn only_what_was_sent_can_be_returned() {
     let mut delegations = two_tasks();
@@ -46,13 +47,13 @@
     assert!(delegations.of_partition(1).all(|(_, d)| d.confirmed));
 }
 
-/// While a job is being revoked its tasks are not sent: a revocation that never ended would keep tasks that
-/// are delegated anew from ever being sent.
+/// Tasks of a job are not sent while the job is being revoked. A revocation that never ended would keep tasks that
+/// are delegated again from being sent.
 #[test]
 fn a_revocation_ends_once_it_is_answered() {
     let mut delegations = two_tasks();
     delegations.revoke(1, 4);
-    // An answer to a message from before the revocation ends nothing.
+    // The answer to a message that was sent before the revocation does not end the revocation.
     delegations.on_queue_reported(1, &BTreeSet::new());
     assert!(delegations.is_revoked(1, 4));
     assert_eq!(delegations.revocations_to_send(1), ["req-1"]);
@@ -69,5 +70,5 @@
     assert_eq!(delegations.awaiting_resources(1, "u"), Resources::ZERO);
     delegations.remove(SECOND);
     assert_eq!(delegations.awaiting_resources(1, "t"), Resources::ZERO);
-    assert!(delegations.any_in(1) && !delegations.any_in(2));
+    assert!(delegations.has_tasks_in(1) && !delegations.has_tasks_in(2));
 }
--- a/crates/core/src/state/jobs/admission.rs
+++ b/crates/core/src/state/jobs/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of submissions: whether the fields are valid, the record fits the store, and the job can ever run.
+//! Admission of submissions: checks that the fields are valid, that the job's record fits the key-value store, and
+//! that the job can ever run.
 
 use crate::settings::Settings;
 use grebewood_wire::http::{to_value, MachineType, Shape, Submission};
@@ -6,43 +7,47 @@
 use grebewood_wire::records::JobRecord;
 use thiserror::Error;
 
-/// Tolerance when amounts of resources are compared.
-pub const EPS: f64 = 1e-6;
+/// Tolerance for comparisons of resource amounts.
+pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
-/// Why a submission is not accepted.
+/// Reason for rejecting a submission.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Refused {
-    /// A field is invalid: status 400.
+pub enum SubmissionRejection {
+    /// Invalid field; answered with status 400.
     #[error("{0}")]
     Invalid(String),
-    /// The job can never run: status 422.
+    /// Job that can never run; answered with status 422.
     #[error("{0}")]
     Impossible(String),
 }
 
 /// Checks a submission's own fields.
-pub fn check_fields(submission: &Submission) -> Result<(), Refused> {
+pub fn check_fields(submission: &Submission) -> Result<(), SubmissionRejection> {
     match submission.invalid_field() {
-        Some(why) => Err(Refused::Invalid(why)),
+        Some(why) => Err(SubmissionRejection::Invalid(why)),
         None => Ok(()),
     }
 }
 
-/// Checks that the job's record fits a value of the store, which takes up to `value_bytes` bytes. The store would refuse
-/// a longer one again and again, and the user would be told to retry each time.
-pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), Refused> {
+/// Checks that the job's record fits into a value of the key-value store, which holds up to `value_bytes` bytes.
+/// Without this check the store would reject a larger record every time, and the user would be told to retry each
+/// time.
+pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), SubmissionRejection> {
     let record = JobRecord {
         spec: submission.clone(),
         accepted_us: u64::MAX,
     };
     match json_size(&to_value(&record)) > value_bytes {
-        true => Err(Refused::Invalid("the job is too long to be kept".into())),
+        true => Err(SubmissionRejection::Invalid(
+            "the job is too long to be kept".into(),
+        )),
         false => Ok(()),
     }
 }
 
-/// Whether one task of the job fits the machine type and the job permits it.
-pub fn fits_type(submission: &Submission, machine_type: &MachineType) -> bool {
+/// Returns whether one task of the job fits the machine type, and whether the job permits the type and one of its
+/// zones.
+pub fn task_fits_machine_type(submission: &Submission, machine_type: &MachineType) -> bool {
     submission
         .machine_types
         .as_ref()
@@ -51,9 +56,9 @@
             .zone
             .as_ref()
             .is_none_or(|zone| machine_type.zones.contains(zone))
-        && submission.cpus <= machine_type.cpus + EPS
-        && submission.gpus <= machine_type.gpus + EPS
-        && submission.memory_gb <= machine_type.memory_gb + EPS
+        && submission.cpus <= machine_type.cpus + RESOURCE_TOLERANCE
+        && submission.gpus <= machine_type.gpus + RESOURCE_TOLERANCE
+        && submission.memory_gb <= machine_type.memory_gb + RESOURCE_TOLERANCE
 }
 
 /// Checks whether the job can ever run.
@@ -61,8 +66,8 @@
     submission: &Submission,
     settings: &Settings,
     catalogue: &[MachineType],
-) -> Result<(), Refused> {
-    let impossible = |why: String| Err(Refused::Impossible(why));
+) -> Result<(), SubmissionRejection> {
+    let impossible = |why: String| Err(SubmissionRejection::Impossible(why));
     let Some(team) = settings.teams.get(&submission.team) else {
         return impossible(format!("owner: no team {:?}", submission.team));
     };
@@ -71,12 +76,15 @@
         Some(Shape::Batch) => 1.0,
         _ => submission.tasks as f64,
     };
-    if submission.cpus * concurrent_tasks > team.cpus_max + EPS
-        || submission.gpus * concurrent_tasks > team.gpus_max + EPS
+    if submission.cpus * concurrent_tasks > team.cpus_max + RESOURCE_TOLERANCE
+        || submission.gpus * concurrent_tasks > team.gpus_max + RESOURCE_TOLERANCE
     {
         return impossible("the job needs more than the team's limit".into());
     }
-    if !catalogue.iter().any(|of| fits_type(submission, of)) {
+    if !catalogue
+        .iter()
+        .any(|of| task_fits_machine_type(submission, of))
+    {
         return impossible("a task fits no allowed machine type".into());
     }
     Ok(())
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -39,17 +39,20 @@
         accepted_us: 0,
     };
     let mut job = Job::new(record, 0, 0);
-    assert!(!job.complete(0) && !job.all_completed());
+    assert!(!job.complete_task(0) && !job.has_completed_all_tasks());
     let mut now = 100 * SECOND;
     let mut backoffs_s = Vec::new();
     for ran in [SECOND, SECOND, SECOND, 90 * SECOND, 0, 0, 0, 0, 0, 0, 0, 0] {
-        job.replica_ended(0, "n-000001", ran, now);
+        job.note_replica_exit(0, "n-000001", ran, now);
         let from = now;
-        while job.next_waiting(now) != Some(0) {
-            assert_eq!((job.next_waiting(now), job.placeable(now)), (Some(1), 1));
+        while job.next_waiting_task(now) != Some(0) {
+            assert_eq!(
+                (job.next_waiting_task(now), job.placeable_count(now)),
+                (Some(1), 1)
+            );
             now += SECOND;
         }
-        assert_eq!(job.placeable(now), 2);
+        assert_eq!(job.placeable_count(now), 2);
         backoffs_s.push((now - from) / SECOND);
     }
     assert_eq!(backoffs_s, [0, 1, 2, 0, 1, 2, 4, 8, 16, 30, 30, 30]);
@@ -87,15 +90,15 @@
         };
         let mut job = Job::new(record, 0, 0);
         job.begin_catch_up(70 * SECOND);
-        assert_eq!(job.catching_up(), None);
+        assert_eq!(job.catching_up_since(), None);
         assert_eq!(job.preemption_priority(), Priority::Idle);
         let now = 71 * SECOND;
         job.begin_catch_up(now);
         let mut placed = 0;
-        while let Some(since) = job.catching_up() {
+        while let Some(since) = job.catching_up_since() {
             assert_eq!(since, 0);
-            let task = job.next_waiting(now).expect("a waiting task");
-            job.take(task);
+            let task = job.next_waiting_task(now).expect("a waiting task");
+            job.assign_task(task);
             job.note_placed(now);
             job.begin_catch_up(now);
             placed += 1;
@@ -103,6 +106,6 @@
         assert_eq!(placed, placed_ahead, "of {tasks} tasks");
         assert_eq!(job.preemption_priority(), aged_priority);
         job.begin_catch_up(now + 71 * SECOND);
-        assert_eq!(job.catching_up().is_some(), tasks > placed_ahead);
+        assert_eq!(job.catching_up_since().is_some(), tasks > placed_ahead);
     }
 }
