--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -39,7 +39,7 @@
             return self.context.refuse(id, 503, reason);
         }
         // Before the store is read only the controller's own knowledge of cancellations stops tasks.
-        if !leader.loaded() && !may_renew {
+        if !leader.is_loaded() && !may_renew {
             let reason = "cancellations are not known yet";
             return self.context.refuse(id, 503, reason);
         }
@@ -79,7 +79,7 @@
             let reason = "it is not certain who holds it";
             return self.context.refuse(id, 503, reason);
         }
-        if !holder.loaded() && !may_renew {
+        if !holder.is_loaded() && !may_renew {
             let reason = "cancellations are not known yet";
             return self.context.refuse(id, 503, reason);
         }
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -55,7 +55,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !leader.loaded() || leader.uncertain() {
+        if !leader.is_loaded() || leader.uncertain() {
             return;
         }
         leader.follow_claims(&self.partitions.map);
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -286,7 +286,7 @@
                 return Some(LeaseLoss::StoreServesPeer);
             }
         }
-        let unknown = scheduler.loaded() && !self.may_renew_agent_leases();
+        let unknown = scheduler.is_loaded() && !self.may_renew_agent_leases();
         unknown.then_some(LeaseLoss::CancellationsUnknown)
     }
 }
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -237,7 +237,7 @@
 
     /// Whether all records have been read and, for the holder of a partition, all tasks that may be on its machines are
     /// known, so that it can act.
-    pub fn loaded(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.loading.is_none() && (!self.is_holder() || self.holder_state.is_reconciled())
     }
 
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -41,7 +41,7 @@
     ) {
         let now = context.now.steady;
         self.holder_state.heartbeats += 1;
-        if !self.loaded() {
+        if !self.is_loaded() {
             self.last_heartbeat_at = now;
             // Renews the agent's lease and announces the token while records are still being read, which a store
             // outage may prolong: cancelled tasks must be gone in time all the same.
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -50,7 +50,7 @@
         let interval = context.settings.heartbeat_interval;
         let max_silence = (interval * 5 / 2).min((interval * 3 / 2).max(RESPONSE_TIMEOUT));
         let silence = now.saturating_sub(self.last_heartbeat_at.max(self.loaded_at));
-        if !self.loaded() || context.settings.siblings.is_empty() || silence <= max_silence {
+        if !self.is_loaded() || context.settings.siblings.is_empty() || silence <= max_silence {
             return false;
         }
         // Machines known only from records have yet to find this controller: they get more time.
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -47,7 +47,7 @@
 
     /// Applies a cancellation of the job that this controller knows of, from whatever source.
     pub(crate) fn apply_cancellation(&mut self, context: &mut Context, id: &str) {
-        if !self.loaded() {
+        if !self.is_loaded() {
             return;
         }
         let Some(known) = context.cancellations.get(id) else {
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -265,7 +265,7 @@
 
     /// Runs whatever of the holder's work is due.
     pub(crate) fn run_holder(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
-        if !self.loaded() {
+        if !self.is_loaded() {
             return;
         }
         self.check_machines(context);
@@ -286,7 +286,7 @@
         if self.placement.backlog {
             at = at.min(self.placement.next_at);
         }
-        if self.loaded() {
+        if self.is_loaded() {
             at.min(self.fleet.termination_wake())
         } else {
             Micros::MAX
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -102,7 +102,7 @@
         member: &str,
         teams: &[TeamQuotaRecord],
     ) {
-        if !self.loaded() || self.is_holder() {
+        if !self.is_loaded() || self.is_holder() {
             return;
         }
         let before = self.leader_quota.limits.in_force().clone();
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -146,7 +146,7 @@
             return false;
         };
         // Before it has read its records, and in doubt of its grant, it takes no heartbeat in.
-        let has_read = leader.loaded() && leader.loaded_at > 0;
+        let has_read = leader.is_loaded() && leader.loaded_at > 0;
         let (token, takes_in) = (leader.token, has_read && !leader.uncertain());
         let is_copy = matches!(requester, Requester::HeartbeatCopy { .. });
         if is_copy && heartbeat.token < token {
