--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -94,7 +94,7 @@
         let Some(peer) = peer else {
             return leader.on_partition_report(&mut self.context, partition, claim, None);
         };
-        let purpose = leader.pending(SchedulerCall::Orders { partition, claim });
+        let purpose = leader.call_purpose(SchedulerCall::Orders { partition, claim });
         let message = wire::to_peer(&PeerRequest::Partition(orders));
         self.context.call(
             Target::Peer(peer),
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -271,7 +271,7 @@
     }
 
     /// The purpose of a call that this scheduler makes.
-    pub(crate) fn pending(&self, what: SchedulerCall) -> CallPurpose {
+    pub(crate) fn call_purpose(&self, what: SchedulerCall) -> CallPurpose {
         CallPurpose::Scheduler {
             token: self.token,
             what,
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -184,7 +184,7 @@
         } = draft;
         let operations = transaction.apply.len() as f64;
         context.write_limiter(self.role).take(now, operations);
-        let purpose = self.pending(SchedulerCall::Flush);
+        let purpose = self.call_purpose(SchedulerCall::Flush);
         context.post_to_store("/txn", &transaction, purpose);
         self.write_buffer.not_before = now + context.tuning.flush_interval_us;
         self.write_buffer.in_flight = Some(Batch {
@@ -198,7 +198,7 @@
     /// Reads the mod_revision of a key; nothing is flushed before the reply or its timeout.
     fn refresh_revision(&mut self, context: &mut Context, key: String) {
         let now = context.now.steady;
-        let purpose = self.pending(SchedulerCall::Refresh { key: key.clone() });
+        let purpose = self.call_purpose(SchedulerCall::Refresh { key: key.clone() });
         self.write_buffer.back_off(now, STORE_TIMEOUT);
         context.read_key(&key, purpose);
     }
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -35,7 +35,7 @@
             return;
         }
         self.provision_sweep_at = now + SWEEP_INTERVAL;
-        let purpose = self.pending(SchedulerCall::List {
+        let purpose = self.call_purpose(SchedulerCall::List {
             prefix: PROVISION.into(),
         });
         let path = format!("/kv?prefix={PROVISION}&page={LIST_PAGE}");
--- a/crates/core/src/scheduler/flush/read_back.rs
+++ b/crates/core/src/scheduler/flush/read_back.rs
@@ -15,7 +15,7 @@
         let Some(operation) = batch.next_unconfirmed() else {
             return self.flushed(context, &batch, batch.confirmed_revision);
         };
-        let purpose = self.pending(SchedulerCall::FlushReadBack);
+        let purpose = self.call_purpose(SchedulerCall::FlushReadBack);
         context.read_key(operation.key(), purpose);
         self.write_buffer.in_flight = Some(batch);
     }
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -59,7 +59,7 @@
         body: Vec<u8>,
         call: FleetCall,
     ) {
-        let purpose = self.pending(SchedulerCall::Fleet(call));
+        let purpose = self.call_purpose(SchedulerCall::Fleet(call));
         let path = path.to_string();
         context.call(Target::Cloud, method, path, body, CLOUD_TIMEOUT, purpose);
     }
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -90,7 +90,7 @@
         };
         self.lease_renewal_at = context.now.steady + context.tuning.leader_lease_us / renewals;
         let path = format!("/leases/{}/extend", self.lease);
-        let purpose = self.pending(SchedulerCall::RenewLease);
+        let purpose = self.call_purpose(SchedulerCall::RenewLease);
         let timeout = context.tuning.leader_lease_us / RENEWALS_PER_LEASE;
         context.call(Target::Store, "POST", path, Vec::new(), timeout, purpose);
     }
