--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -279,7 +279,7 @@
     }
 
     /// A new number for an attempt. It contains the fencing token, so no leader or holder ever reuses one of another.
-    pub fn next_attempt(&mut self) -> u64 {
+    pub fn allocate_attempt(&mut self) -> u64 {
         self.attempts += 1;
         (self.token << ATTEMPT_BITS) + self.attempts
     }
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -208,7 +208,7 @@
             open.retain(|machine| machine.name != queued.machine);
             return PlacementOutcome::Waits;
         };
-        let attempt = self.next_attempt();
+        let attempt = self.allocate_attempt();
         let name = open[at].name.clone();
         debug!(
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -191,7 +191,7 @@
                 return;
             }
             // The tasks of one start of a gang share its attempt number.
-            gang_attempt = Some(self.next_attempt());
+            gang_attempt = Some(self.allocate_attempt());
         }
         for at in candidates {
             let machine = &mut open[at];
@@ -299,7 +299,7 @@
         }
         let attempt = match gang_attempt {
             Some(attempt) => attempt,
-            None => self.next_attempt(),
+            None => self.allocate_attempt(),
         };
         let stay = (attempt, placing.expected);
         self.assign(context, machine, placing.index, task, &placing.spec, stay);
