--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -285,7 +285,7 @@
     }
 
     /// Whether the number of the attempt was given under this lease.
-    pub(crate) fn has_numbered(&self, attempt: u64) -> bool {
+    pub(crate) fn has_allocated_attempt(&self, attempt: u64) -> bool {
         attempt >> ATTEMPT_BITS == self.token
     }
 
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -96,7 +96,7 @@
         if self.knows_attempt(task) {
             return;
         }
-        if self.has_numbered(task.attempt) {
+        if self.has_allocated_attempt(task.attempt) {
             // This holder has placed it itself and it is gone, but its page was not written since.
             self.report_outcome(TaskOutcome {
                 machine: task.machine.clone(),
