--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -34,7 +34,7 @@
 
 impl Scheduler {
     /// A machine known only from assignments on record.
-    pub(crate) fn recovered_machine(
+    pub(crate) fn recover_machine(
         &mut self,
         context: &Context,
         name: &str,
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -127,7 +127,7 @@
     /// here: either a heartbeat shows it, or it is gone.
     fn adopt_attempt(&mut self, context: &mut Context, task: &PlacedTask) {
         let zone = self.zone_of_machine(&task.machine);
-        self.recovered_machine(context, &task.machine, &zone, task.incarnation);
+        self.recover_machine(context, &task.machine, &zone, task.incarnation);
         let mut assignment = self.assignment_of(context, task, zone);
         assignment.launched = Some((0, 0));
         let job = self.jobs.get(assignment.job);
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -189,7 +189,7 @@
             );
         }
         let zone = self.zone_of_partition(id);
-        self.recovered_machine(context, &placed.machine, &zone, placed.incarnation);
+        self.recover_machine(context, &placed.machine, &zone, placed.incarnation);
         let job = index.and_then(|index| self.jobs.get_mut(index));
         let spec = job.map(|job| {
             if delegation.is_none() {
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -126,7 +126,7 @@
         };
         let assignment = recovered_assignment(page, loaded_job, task);
         self.count_on_page(page, &machine.machine, &assignment);
-        self.recovered_machine(
+        self.recover_machine(
             context,
             &machine.machine,
             &machine.zone,
