--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -243,7 +243,7 @@
             return;
         }
         self.for_each_scheduler(|context, scheduler| {
-            scheduler.uncertain = true;
+            scheduler.is_lease_uncertain = true;
             scheduler.lease_renewal_at = now;
             // No heartbeat could arrive meanwhile: that is no sign of being cut off from the agents.
             scheduler.last_heartbeat_at = now;
--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -29,7 +29,7 @@
             return self.redirect_to_leader(id);
         };
         // The heartbeat may have come in during a process pause, and the lease may have expired.
-        if leader.uncertain() {
+        if leader.is_lease_uncertain() {
             let reason = "it is not certain who leads";
             return self.context.refuse(id, 503, reason);
         }
@@ -75,7 +75,7 @@
         let Some(holder) = self.partitions.holders.get_mut(&partition) else {
             return self.redirect_to_holder(id, partition);
         };
-        if holder.uncertain() {
+        if holder.is_lease_uncertain() {
             let reason = "it is not certain who holds it";
             return self.context.refuse(id, 503, reason);
         }
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -55,7 +55,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !leader.is_loaded() || leader.uncertain() {
+        if !leader.is_loaded() || leader.is_lease_uncertain() {
             return;
         }
         leader.follow_claims(&self.partitions.map);
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -79,7 +79,7 @@
     pub(crate) lease_renewal_at: Micros,
     /// Whether the process was paused and the lease may have expired meanwhile. Until it is known to hold, no task is
     /// launched or stopped, nothing is written, no machine is provisioned, and no heartbeat is answered.
-    pub(crate) uncertain: bool,
+    pub(crate) is_lease_uncertain: bool,
     /// When the lease was acquired; the records were read after that.
     pub(crate) began: Micros,
 
@@ -182,7 +182,7 @@
             // The lease may be old already, if the store is slow.
             lease_renewal_at: lease.lease_requested_at
                 + context.tuning.leader_lease_us / RENEWALS_PER_LEASE,
-            uncertain: false,
+            is_lease_uncertain: false,
             began: now,
             loading: None,
             loaded_at: 0,
@@ -258,14 +258,14 @@
     }
 
     /// Whether the lease may have expired while the process was paused.
-    pub fn uncertain(&self) -> bool {
-        self.uncertain
+    pub fn is_lease_uncertain(&self) -> bool {
+        self.is_lease_uncertain
     }
 
     /// The lease is known to hold.
     pub(crate) fn confirm_lease(&mut self) {
-        if self.uncertain {
-            self.uncertain = false;
+        if self.is_lease_uncertain {
+            self.is_lease_uncertain = false;
             info!(token = self.token; "lease still holds after a pause of the process");
         }
     }
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -176,7 +176,7 @@
         without_stops: WithoutStops,
     ) {
         let now = context.now.steady;
-        if self.uncertain() || self.direct.contains_key(name) {
+        if self.is_lease_uncertain() || self.direct.contains_key(name) {
             return;
         }
         let Some(machine) = self.machines.get_mut(name) else {
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -26,7 +26,7 @@
             sequence: orders.sequence,
         };
         let stale = number <= self.holder_state.last_orders;
-        if orders.claim != self.token || stale || self.uncertain() {
+        if orders.claim != self.token || stale || self.is_lease_uncertain() {
             return None;
         }
         self.holder_state.last_orders = number;
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -17,7 +17,7 @@
 impl Scheduler {
     /// When `run` is next due, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
-        if self.uncertain {
+        if self.is_lease_uncertain {
             return self.lease_renewal_at;
         }
         if let Some(loading) = &self.loading {
@@ -55,7 +55,7 @@
         if context.now.steady >= self.lease_renewal_at {
             self.renew_lease(context);
         }
-        if self.uncertain {
+        if self.is_lease_uncertain {
             return;
         }
         if self.loading.is_some() {
@@ -83,7 +83,7 @@
 
     /// Sends a renewal of the lease. Its reply may be lost: the next renewal is sent all the same.
     fn renew_lease(&mut self, context: &mut Context) {
-        let renewals = if self.uncertain {
+        let renewals = if self.is_lease_uncertain {
             URGENT_RENEWALS_PER_LEASE
         } else {
             RENEWALS_PER_LEASE
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -147,7 +147,7 @@
         };
         // Before it has read its records, and in doubt of its grant, it takes no heartbeat in.
         let has_read = leader.is_loaded() && leader.loaded_at > 0;
-        let (token, takes_in) = (leader.token, has_read && !leader.uncertain());
+        let (token, takes_in) = (leader.token, has_read && !leader.is_lease_uncertain());
         let is_copy = matches!(requester, Requester::HeartbeatCopy { .. });
         if is_copy && heartbeat.token < token {
             self.faults.copies_at_newer_leader += 1;
