--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -104,7 +104,7 @@
         }
         if let (Some(leader), Some(teams)) = (&mut self.leader, &answer.limits) {
             // Only limits that this leader asked for: an earlier process of the member may have had others.
-            if asked_at >= leader.began {
+            if asked_at >= leader.lease_acquired_at {
                 leader.on_limits_announced(&mut self.context, &answer.member, teams);
             }
         }
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -81,7 +81,7 @@
     /// launched or stopped, nothing is written, no machine is provisioned, and no heartbeat is answered.
     pub(crate) is_lease_uncertain: bool,
     /// When the lease was acquired; the records were read after that.
-    pub(crate) began: Micros,
+    pub(crate) lease_acquired_at: Micros,
 
     // Shared: records in the key-value store.
     /// The reads with which the term begins, until all of them are done.
@@ -183,7 +183,7 @@
             lease_renewal_at: lease.lease_requested_at
                 + context.tuning.leader_lease_us / RENEWALS_PER_LEASE,
             is_lease_uncertain: false,
-            began: now,
+            lease_acquired_at: now,
             loading: None,
             loaded_at: 0,
             watches: BTreeMap::new(),
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -86,7 +86,9 @@
         for job in known {
             self.apply_cancellation(context, &job);
         }
-        context.cancellations.note_store_read(self.began);
+        context
+            .cancellations
+            .note_store_read(self.lease_acquired_at);
     }
 
     /// Ends the jobs all of whose tasks are completed.
