--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -126,7 +126,7 @@
     /// When the first of them is answered in any case.
     pub held_until: Micros,
     /// Whether something happened that any of them may have waited for.
-    pub held_changed: bool,
+    pub held_heartbeats_may_be_ready: bool,
     /// Heartbeats of machines with free resources that wait for tasks.
     pub long_polls: LongPolls,
     /// When any agent last sent a heartbeat.
@@ -203,7 +203,7 @@
             fleet: Fleet::new(now),
             held_heartbeats: Vec::new(),
             held_until: 0,
-            held_changed: false,
+            held_heartbeats_may_be_ready: false,
             long_polls: LongPolls::default(),
             last_heartbeat_at: now,
             direct: BTreeMap::new(),
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -110,11 +110,11 @@
             let commands = self.commands(context, &held);
             self.answer_heartbeat(context, held.request, commands);
         }
-        let due = self.held_changed || now >= self.held_until;
+        let due = self.held_heartbeats_may_be_ready || now >= self.held_until;
         if self.held_heartbeats.is_empty() || !due {
             return;
         }
-        self.held_changed = false;
+        self.held_heartbeats_may_be_ready = false;
         for held in std::mem::take(&mut self.held_heartbeats) {
             if self.may_be_answered(context, &held) {
                 let commands = self.commands(context, &held);
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -98,7 +98,7 @@
     /// The store applied the transaction at this revision.
     pub(crate) fn flushed(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
         self.write_buffer.applied(batch, revision);
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
         for (record, _) in &batch.records {
             self.on_record_written(context, record);
         }
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -56,7 +56,7 @@
             let is_ordered = |a: &Assignment| a.id() == stop.id;
             self.stop_assignments(context, &stop.machine, stop.grace_us, is_ordered);
         }
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
         Some(self.partition_report(context, orders.seen, orders.term, accepted))
     }
 
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -146,7 +146,7 @@
         self.placement.wanted = false;
         self.placement.next_at = now + PLACEMENT_INTERVAL;
         self.placement.rounds += 1;
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
         self.drop_queued_of_cancelled_jobs();
         self.placement.backlog = !self.holder_quota.queue.is_empty();
         if self.placement.backlog && self.holder_quota.term.is_some() {
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -93,7 +93,7 @@
             // Rounds without news are needed only for what time itself changes.
             placement.next_at = now + IDLE_INTERVAL;
         }
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
     }
 
     /// The jobs that may place tasks in this round, in order. What is left of a team's limit is kept for a job
