--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -124,7 +124,7 @@
     /// Heartbeats that are held until there is something to tell their agents.
     pub held_heartbeats: Vec<HeldHeartbeat>,
     /// When the first of them is answered in any case.
-    pub held_until: Micros,
+    pub next_held_deadline: Micros,
     /// Whether something happened that any of them may have waited for.
     pub held_heartbeats_may_be_ready: bool,
     /// Heartbeats of machines with free resources that wait for tasks.
@@ -202,7 +202,7 @@
             machines: BTreeMap::new(),
             fleet: Fleet::new(now),
             held_heartbeats: Vec::new(),
-            held_until: 0,
+            next_held_deadline: 0,
             held_heartbeats_may_be_ready: false,
             long_polls: LongPolls::default(),
             last_heartbeat_at: now,
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -90,7 +90,7 @@
     /// Holds a heartbeat that waits for a write or a round of placement.
     pub(crate) fn hold_heartbeat(&mut self, held: HeldHeartbeat) {
         if self.held_heartbeats.is_empty() {
-            self.held_until = held.until;
+            self.next_held_deadline = held.until;
         }
         self.held_heartbeats.push(held);
     }
@@ -110,7 +110,7 @@
             let commands = self.commands(context, &held);
             self.answer_heartbeat(context, held.request, commands);
         }
-        let due = self.held_heartbeats_may_be_ready || now >= self.held_until;
+        let due = self.held_heartbeats_may_be_ready || now >= self.next_held_deadline;
         if self.held_heartbeats.is_empty() || !due {
             return;
         }
@@ -124,7 +124,7 @@
             }
         }
         let deadlines = self.held_heartbeats.iter().map(|held| held.until);
-        self.held_until = deadlines.min().unwrap_or(0);
+        self.next_held_deadline = deadlines.min().unwrap_or(0);
     }
 
     /// Whether a heartbeat may be answered now.
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -281,7 +281,7 @@
     pub(crate) fn next_holder_wake(&self) -> Micros {
         let mut at = self.next_machine_check.min(self.long_polls.next_deadline());
         if !self.held_heartbeats.is_empty() {
-            at = at.min(self.held_until);
+            at = at.min(self.next_held_deadline);
         }
         if self.placement.backlog {
             at = at.min(self.placement.next_at);
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -38,7 +38,7 @@
         let held = if self.held_heartbeats.is_empty() {
             Micros::MAX
         } else {
-            self.held_until
+            self.next_held_deadline
         };
         self.remote_partitions
             .next_wake()
