--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -59,7 +59,7 @@
         team: &str,
         amount: Resources,
     ) -> bool {
-        let limit = self.limit_of(context, team).unwrap_or_default().limit;
+        let limit = self.team_quota(context, team).unwrap_or_default().limit;
         let needed = self.needed_by(team).saturating_add(amount);
         // What is granted but not needed is no room under a limit that was lowered.
         if !needed.fits(limit) || self.is_over_limit(context, team) {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -215,7 +215,7 @@
                 continue;
             }
             let spec = &job.spec;
-            let Some(quota) = self.limit_of(context, &spec.team) else {
+            let Some(quota) = self.team_quota(context, &spec.team) else {
                 continue;
             };
             let time = self.demand_time(context, job, pass, boot_time);
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -170,7 +170,7 @@
         };
         let wanted = Resources::of(spec.cpus, spec.gpus).times(tasks);
         let used = self.needed_by(&spec.team).saturating_sub(freed);
-        self.limit_of(context, &spec.team)
+        self.team_quota(context, &spec.team)
             .is_some_and(|quota| used.saturating_add(wanted).fits(quota.limit))
     }
 
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -143,7 +143,7 @@
             *sum = sum.saturating_add(assignment.amount());
         }
         for (team, used) in &mut usage {
-            let limit = self.limit_of(context, team).unwrap_or_default();
+            let limit = self.team_quota(context, team).unwrap_or_default();
             *used = used.saturating_sub(limit.guarantee);
         }
         usage
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -268,7 +268,7 @@
                 continue;
             };
             let team = &job.spec.team;
-            let Some(quota) = self.limit_of(context, team) else {
+            let Some(quota) = self.team_quota(context, team) else {
                 continue;
             };
             let freed = stopping.get(team).copied().unwrap_or_default();
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -57,7 +57,7 @@
     pub(crate) fn time_needed(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
         let left = job.tasks().saturating_sub(job.completed_count) as f64;
-        let quota = self.limit_of(context, &job.spec.team);
+        let quota = self.team_quota(context, &job.spec.team);
         let cpus = job.spec.cpus.max(EPS);
         let most = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
         let rounds = (left / most.clamp(1.0, 1e6)).max(1.0);
@@ -77,7 +77,7 @@
         let mut within = BTreeSet::new();
         for (index, job) in by_age {
             let spec = &job.spec;
-            let Some(quota) = self.limit_of(context, &spec.team) else {
+            let Some(quota) = self.team_quota(context, &spec.team) else {
                 continue;
             };
             let left = job.tasks().saturating_sub(job.completed_count);
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -81,7 +81,7 @@
     fn begin_placing(&self, context: &Context, queued: QueuedJob) -> Option<PlacingJob> {
         let placing = self.prepare_placing(context, queued)?;
         let team = &placing.spec.team;
-        let limit = self.limit_of(context, team)?.limit;
+        let limit = self.team_quota(context, team)?.limit;
         let in_quota = self
             .needed_by(team)
             .saturating_add(placing.task)
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -143,7 +143,7 @@
 
     /// Whether more is used and granted for the team than its limit allows.
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
-        let limit = self.limit_of(context, team).unwrap_or_default().limit;
+        let limit = self.team_quota(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
         let used = own.saturating_add(self.leader_quota.grants.total(team));
         !used.fits(limit)
@@ -166,7 +166,7 @@
             *sum = sum.saturating_add(a.amount());
         }
         for (team, running) in running {
-            let limit = self.limit_of(context, &team).unwrap_or_default().limit;
+            let limit = self.team_quota(context, &team).unwrap_or_default().limit;
             let excess = running.saturating_sub(limit);
             if !excess.is_zero() {
                 self.stop_excess(context, &team, excess);
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -44,7 +44,7 @@
     }
 
     /// A team's guaranteed share and limit: those in force, or those of the settings if quota grants are not supported.
-    pub(crate) fn limit_of(&self, context: &Context, team: &str) -> Option<TeamQuota> {
+    pub(crate) fn team_quota(&self, context: &Context, team: &str) -> Option<TeamQuota> {
         if context.supports_quota_grants() {
             self.leader_quota.limits.in_force().get(team)
         } else {
@@ -73,7 +73,7 @@
 
     /// What of a team's limit is neither used nor granted to holders.
     pub(crate) fn room_under_limit(&self, context: &Context, team: &str) -> Resources {
-        let limit = self.limit_of(context, team).unwrap_or_default();
+        let limit = self.team_quota(context, team).unwrap_or_default();
         let granted = self.leader_quota.grants.total(team);
         limit
             .limit
