--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -127,7 +127,7 @@
 
     /// What each team lacks to its guaranteed share.
     fn missing_to_guarantees(&self, context: &Context) -> TeamAmounts {
-        let teams = self.team_limits(context);
+        let teams = self.team_quotas(context);
         let missing = teams.into_iter().map(|(team, limit)| {
             let missing = limit.guarantee.saturating_sub(self.needed_by(&team));
             (team, missing)
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -53,7 +53,7 @@
     }
 
     /// The guaranteed shares and limits of all teams.
-    pub(crate) fn team_limits(&self, context: &Context) -> Vec<(String, TeamQuota)> {
+    pub(crate) fn team_quotas(&self, context: &Context) -> Vec<(String, TeamQuota)> {
         let settings = context.settings.limits();
         let limits = if context.supports_quota_grants() {
             self.leader_quota.limits.in_force()
