--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -60,7 +60,7 @@
         amount: Resources,
     ) -> bool {
         let limit = self.team_quota(context, team).unwrap_or_default().limit;
-        let needed = self.needed_by(team).saturating_add(amount);
+        let needed = self.resources_needed_by(team).saturating_add(amount);
         // What is granted but not needed is no room under a limit that was lowered.
         if !needed.fits(limit) || self.is_over_limit(context, team) {
             self.leader_quota
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -222,7 +222,7 @@
             let planned = planned_by_team.entry(&spec.team).or_default();
             let usage = LimitUsage {
                 limit: quota.limit,
-                used: self.needed_by(&spec.team),
+                used: self.resources_needed_by(&spec.team),
                 planned: *planned,
             };
             let tasks = tasks_within_limit(waiting, spec, usage, &time);
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -169,7 +169,7 @@
             _ => 1,
         };
         let wanted = Resources::of(spec.cpus, spec.gpus).times(tasks);
-        let used = self.needed_by(&spec.team).saturating_sub(freed);
+        let used = self.resources_needed_by(&spec.team).saturating_sub(freed);
         self.team_quota(context, &spec.team)
             .is_some_and(|quota| used.saturating_add(wanted).fits(quota.limit))
     }
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -129,7 +129,9 @@
     fn missing_to_guarantees(&self, context: &Context) -> TeamAmounts {
         let teams = self.team_quotas(context);
         let missing = teams.into_iter().map(|(team, limit)| {
-            let missing = limit.guarantee.saturating_sub(self.needed_by(&team));
+            let missing = limit
+                .guarantee
+                .saturating_sub(self.resources_needed_by(&team));
             (team, missing)
         });
         missing.filter(|(_, missing)| !missing.is_zero()).collect()
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -277,7 +277,7 @@
                 guaranteed: guaranteed.contains(&index),
                 zone: zone_for(context, job, &pool),
                 missing: job.placeable(context.now.steady),
-                quota: QuotaLeft::new(quota.limit, self.needed_by(team), freed),
+                quota: QuotaLeft::new(quota.limit, self.resources_needed_by(team), freed),
             };
             // A gang needs all of its slots: what is stopped for a part of them is stopped for nothing.
             let before = (job.shape == Shape::Gang).then(|| pool.clone());
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -83,7 +83,7 @@
         let team = &placing.spec.team;
         let limit = self.team_quota(context, team)?.limit;
         let in_quota = self
-            .needed_by(team)
+            .resources_needed_by(team)
             .saturating_add(placing.task)
             .fits(limit);
         in_quota.then_some(placing)
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -66,7 +66,7 @@
     }
 
     /// The resources of a team's tasks, those included that holders are to place.
-    pub(crate) fn needed_by(&self, team: &str) -> Resources {
+    pub(crate) fn resources_needed_by(&self, team: &str) -> Resources {
         let delegated = self.leader_quota.grants.needed(team);
         self.used_by(team).saturating_add(delegated)
     }
