--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -244,7 +244,8 @@
         let now = context.now.steady;
         let mut unused = BTreeMap::new();
         for machine in self.machines.values() {
-            let Some(partition) = machine.partition.filter(|id| self.holder_places(*id)) else {
+            let Some(partition) = machine.partition.filter(|id| self.holder_places_tasks(*id))
+            else {
                 continue;
             };
             let assignments = machine.assignments.iter();
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -253,7 +253,7 @@
 
     /// Whether a machine may be terminated: its holder places nothing new on it.
     pub(crate) fn may_be_terminated(&self, partition: Option<PartitionId>, machine: &str) -> bool {
-        let holder = partition.filter(|id| self.holder_places(*id));
+        let holder = partition.filter(|id| self.holder_places_tasks(*id));
         holder.is_none_or(|id| self.remote_partitions.is_reserved(id, machine))
     }
 }
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the partition's holder places tasks.
-    pub(crate) fn holder_places(&self, partition: PartitionId) -> bool {
+    pub(crate) fn holder_places_tasks(&self, partition: PartitionId) -> bool {
         self.leader_quota.placing.contains(&partition)
     }
 
@@ -40,7 +40,7 @@
     pub(crate) fn may_delegate_to(&self, context: &Context, partition: PartitionId) -> bool {
         let holder_slow_until = self.leader_quota.holder_slow_until.get(&partition);
         let is_slow = holder_slow_until.is_some_and(|until| context.now.steady < *until);
-        self.holder_places(partition) && !is_slow
+        self.holder_places_tasks(partition) && !is_slow
     }
 
     /// A team's guaranteed share and limit: those in force, or those of the settings if quota grants are not supported.
