--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -68,7 +68,7 @@
             .filter(|a| a.by_holder && self.is_on_record(a))
             .map(Assignment::id)
             .collect();
-        self.drop_unlaunched(context, |a| {
+        self.remove_unlaunched_placements(context, |a| {
             durable.contains(&a.id()) && listed.contains(&a.id())
         });
     }
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -59,7 +59,7 @@
     }
 
     /// Removes the assignments that this holder has placed and not launched, except for those that may be kept.
-    pub(crate) fn drop_unlaunched(
+    pub(crate) fn remove_unlaunched_placements(
         &mut self,
         context: &mut Context,
         keep: impl Fn(&Assignment) -> bool,
