--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -43,7 +43,7 @@
 
 impl Scheduler {
     /// Whether no agent reaches this controller though some should: then another controller had better lead.
-    pub(crate) fn isolated_from_agents(&self, context: &Context) -> bool {
+    pub(crate) fn is_isolated_from_agents(&self, context: &Context) -> bool {
         let now = context.now.steady;
         // An agent that gets no response for 4 s turns to another controller, and its lease should still hold when it
         // finds the next leader there: one and a half intervals once heartbeats are far apart.
