--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -84,7 +84,7 @@
         let decided = assignment.decided;
         machine.assignments.push(assignment);
         machine.recount();
-        self.count_running(decided, job, ObservedStatus::Never, seen);
+        self.update_running_count(decided, job, ObservedStatus::Never, seen);
     }
 
     /// Removes an assignment whose task is proven not to be on the machine, nor to start there later.
@@ -97,7 +97,7 @@
         machine.recount();
         machine.idle_since = now;
         self.discount_assignment(context, name, &assignment);
-        self.count_running(now, assignment.job, assignment.seen, ObservedStatus::Never);
+        self.update_running_count(now, assignment.job, assignment.seen, ObservedStatus::Never);
         if self.is_holder() {
             self.note_end(name, &assignment, TaskEnd::Gone);
         }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -143,7 +143,7 @@
                 let before = assignment.seen;
                 assignment.observe(&reported.status, now);
                 let (job, seen) = (assignment.job, assignment.seen);
-                self.count_running(now, job, before, seen);
+                self.update_running_count(now, job, before, seen);
             }
             None if exited => self.apply_unrecorded_exit(context, name, job_id, task, reported),
             None => self.stop_unrecorded(context, status, job_id, task, reported),
@@ -181,7 +181,7 @@
     }
 
     /// Counts a task of the job that began or ceased to run, as far as observed.
-    pub(crate) fn count_running(
+    pub(crate) fn update_running_count(
         &mut self,
         now: Micros,
         index: JobIndex,
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -176,7 +176,7 @@
         let before = a.seen;
         a.observe(status, now);
         let (index, seen) = (a.job, a.seen);
-        self.count_running(now, index, before, seen);
+        self.update_running_count(now, index, before, seen);
     }
 
     /// Applies the outcomes of attempts that have ended. A holder repeats them until they are acknowledged.
