--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -59,7 +59,7 @@
     }
 
     /// The index of the first assignment of a machine that passes the test.
-    pub(crate) fn position(
+    pub(crate) fn assignment_position(
         &self,
         machine: &str,
         test: impl Fn(&Assignment) -> bool,
@@ -119,7 +119,7 @@
         name: &str,
         test: impl Fn(&Assignment) -> bool,
     ) {
-        while let Some(position) = self.position(name, &test) {
+        while let Some(position) = self.assignment_position(name, &test) {
             self.remove_assignment(context, name, position);
         }
     }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -125,7 +125,7 @@
             warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
             return;
         };
-        let position = self.position(name, |a| {
+        let position = self.assignment_position(name, |a| {
             a.attempt == reported.attempt && a.task == task && a.job_id == job_id
         });
         let exited = reported.status == TaskStatus::Exited;
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -210,7 +210,7 @@
     fn apply_outcome(&mut self, context: &mut Context, outcome: &TaskOutcome) {
         let name = &outcome.machine;
         let task_name = format!("{}/{}", outcome.job, outcome.task);
-        let at = self.position(name, |a| a.id() == outcome.id());
+        let at = self.assignment_position(name, |a| a.id() == outcome.id());
         match (at, &outcome.end) {
             (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
             (Some(at), TaskEnd::Exited(cause)) => self.exited(context, name, at, cause, &task_name),
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -173,7 +173,9 @@
     /// A holder has placed a task.
     fn apply_placement(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
         let is_known = |a: &Assignment| a.id() == placed.id();
-        let known = self.position(&placed.machine, is_known).is_some();
+        let known = self
+            .assignment_position(&placed.machine, is_known)
+            .is_some();
         // A holder may still list tasks of a machine that was terminated.
         if known || self.fleet.is_terminated(&placed.machine) {
             return;
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -148,7 +148,7 @@
 
     fn is_assigned(&self, machine: &str, job: &str, attempt: TaskAttempt) -> bool {
         let is_this = |a: &Assignment| a.id() == attempt && a.job_id == job;
-        self.position(machine, is_this).is_some()
+        self.assignment_position(machine, is_this).is_some()
     }
 
     /// Takes the task of its job, if the job is known; the result is the job's description.
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -69,7 +69,7 @@
         };
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(position) = self.position(&name, is_dropped) {
+            while let Some(position) = self.assignment_position(&name, is_dropped) {
                 self.remove_assignment(context, &name, position);
             }
         }
