--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -98,7 +98,7 @@
         if !self.may_be_answered(context, &held) {
             return self.hold_heartbeat(held);
         }
-        let commands = self.commands(context, &held);
+        let commands = self.prepare_commands(context, &held);
         if commands.is_empty() && self.may_long_poll(context, &held.machine) {
             return self.hold_long_poll(context, held);
         }
@@ -141,7 +141,11 @@
 
     /// The commands for the response to a heartbeat. Tasks are launched only here, since an agent never carries out
     /// such a response late. Each launched task is on record, and so is each acknowledged outcome.
-    pub(crate) fn commands(&mut self, context: &Context, held: &HeldHeartbeat) -> Vec<Command> {
+    pub(crate) fn prepare_commands(
+        &mut self,
+        context: &Context,
+        held: &HeldHeartbeat,
+    ) -> Vec<Command> {
         let same_incarnation = self
             .machines
             .get(&held.machine)
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -107,7 +107,7 @@
     pub(crate) fn run_held_heartbeats(&mut self, context: &mut Context) {
         let now = context.now.steady;
         while let Some(held) = self.long_polls.pop_due(now) {
-            let commands = self.commands(context, &held);
+            let commands = self.prepare_commands(context, &held);
             self.answer_heartbeat(context, held.request, commands);
         }
         let due = self.held_heartbeats_may_be_ready || now >= self.next_held_deadline;
@@ -117,7 +117,7 @@
         self.held_heartbeats_may_be_ready = false;
         for held in std::mem::take(&mut self.held_heartbeats) {
             if self.may_be_answered(context, &held) {
-                let commands = self.commands(context, &held);
+                let commands = self.prepare_commands(context, &held);
                 self.answer_heartbeat(context, held.request, commands);
             } else {
                 self.held_heartbeats.push(held);
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -75,7 +75,7 @@
         sequence: 2,
         until: 0,
     };
-    let commands = holder.commands(context, &heartbeat);
+    let commands = holder.prepare_commands(context, &heartbeat);
     commands.into_iter().map(|command| command.verb).collect()
 }
 
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -132,7 +132,9 @@
         sequence: 2,
         until: 0,
     };
-    holder.commands(&controller.context, &heartbeat).len()
+    holder
+        .prepare_commands(&controller.context, &heartbeat)
+        .len()
 }
 
 /// The write of the last flush was carried out.
