--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -37,7 +37,7 @@
                 match wire::from_cbor::<TransactionApplied>(&body) {
                     Ok(applied) => {
                         self.flush_failures = 0;
-                        self.flushed(context, &batch, applied.revision);
+                        self.on_flush_applied(context, &batch, applied.revision);
                     }
                     Err(_) => self.read_back(context, batch),
                 }
@@ -96,7 +96,7 @@
     }
 
     /// The store applied the transaction at this revision.
-    pub(crate) fn flushed(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
+    pub(crate) fn on_flush_applied(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
         self.write_buffer.applied(batch, revision);
         self.held_heartbeats_may_be_ready = true;
         for (record, _) in &batch.records {
--- a/crates/core/src/scheduler/flush/read_back.rs
+++ b/crates/core/src/scheduler/flush/read_back.rs
@@ -13,7 +13,7 @@
     /// The outcome of a flush is unknown: looks whether it was applied, one key after the other.
     pub(crate) fn read_back(&mut self, context: &mut Context, batch: Batch) {
         let Some(operation) = batch.next_unconfirmed() else {
-            return self.flushed(context, &batch, batch.confirmed_revision);
+            return self.on_flush_applied(context, &batch, batch.confirmed_revision);
         };
         let purpose = self.call_purpose(SchedulerCall::FlushReadBack);
         context.read_key(operation.key(), purpose);
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -140,7 +140,7 @@
 /// The write of the last flush was carried out.
 fn written(controller: &mut Controller, holder: &mut Scheduler) {
     let batch = holder.write_buffer.in_flight.take().expect("a flush");
-    holder.flushed(&mut controller.context, &batch, 40);
+    holder.on_flush_applied(&mut controller.context, &batch, 40);
 }
 
 fn waiting(report: &PartitionReport) -> Vec<(u64, u64)> {
