--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -57,7 +57,7 @@
     }
 
     /// The task of the assignment at this position of the machine has exited.
-    pub(crate) fn exited(
+    pub(crate) fn on_task_exited(
         &mut self,
         context: &mut Context,
         name: &str,
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -132,7 +132,7 @@
         match position {
             Some(position) if exited => {
                 let cause = reported.cause.as_ref().unwrap_or(&NO_CAUSE);
-                self.exited(context, name, position, cause, &reported.task_name);
+                self.on_task_exited(context, name, position, cause, &reported.task_name);
             }
             Some(position) => {
                 let Some(machine) = self.machines.get_mut(name) else {
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -98,7 +98,7 @@
         commands_for_agent(&mut holder, &controller.context),
         [Verb::Launch]
     );
-    holder.exited(
+    holder.on_task_exited(
         &mut controller.context,
         MACHINE,
         0,
@@ -126,7 +126,7 @@
     let (mut controller, mut holder) = holder();
     holder.carry_out_orders(&mut controller.context, launch(2));
     commands_for_agent(&mut holder, &controller.context);
-    holder.exited(
+    holder.on_task_exited(
         &mut controller.context,
         MACHINE,
         0,
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -213,7 +213,9 @@
         let at = self.assignment_position(name, |a| a.id() == outcome.id());
         match (at, &outcome.end) {
             (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
-            (Some(at), TaskEnd::Exited(cause)) => self.exited(context, name, at, cause, &task_name),
+            (Some(at), TaskEnd::Exited(cause)) => {
+                self.on_task_exited(context, name, at, cause, &task_name)
+            }
             (None, TaskEnd::Gone) => {}
             (None, TaskEnd::Exited(cause)) => {
                 let task = ReportedTask {
