--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -45,10 +45,10 @@
 pub(crate) mod write_conditions;
 
 /// Bits of the counter in the number of an attempt; the bits above are the fencing token under which it was given.
-const ATTEMPT_BITS: u32 = 20;
+const ATTEMPT_COUNTER_BITS: u32 = 20;
 
 /// How often changed statistics are written.
-const STATS_INTERVAL: Micros = 20 * SECOND;
+const STATS_WRITE_INTERVAL_US: Micros = 20 * SECOND;
 
 /// Renewals within the lease's time to live.
 const RENEWALS_PER_LEASE: Micros = 4;
@@ -94,9 +94,9 @@
     /// Flushes in a row that failed, up to a limit.
     flush_failures: u32,
     /// Most bytes of a value: that of the settings until the store refuses a value that fits it.
-    value_bytes: usize,
+    max_value_bytes: usize,
     /// Most operations of a transaction: that of the settings until the store refuses a transaction that fits it.
-    transaction_operations: usize,
+    max_transaction_operations: usize,
     /// The assignment pages that this scheduler writes.
     pub pages: AssignmentPages,
 
@@ -106,7 +106,7 @@
     /// Jobs that ended lately, so that a late list cannot bring them back.
     recently_ended: VecDeque<String>,
     /// Keys of jobs whose records cannot be read.
-    unreadable_jobs: Vec<String>,
+    unreadable_job_keys: Vec<String>,
     /// Jobs taken as cancelled whose cancellation was not found on record: whether they are over is yet to be read.
     unconfirmed_cancellations: BTreeSet<String>,
     /// Averages learned from what was seen.
@@ -114,7 +114,7 @@
     /// State of the placement rounds.
     pub placement: Placement,
     /// Attempts numbered so far under this lease.
-    attempts: u64,
+    allocated_attempts: u64,
 
     // Shared: machines and their agents.
     /// Machines by name.
@@ -132,7 +132,7 @@
     /// When any agent last sent a heartbeat.
     pub last_heartbeat_at: Micros,
     /// Machines with a direct command in flight, with the time at which the last one was sent.
-    pub direct: BTreeMap<String, Micros>,
+    pub direct_commands_in_flight: BTreeMap<String, Micros>,
     /// When machines are next checked for being unreachable.
     pub next_machine_check: Micros,
 
@@ -167,7 +167,7 @@
 
 /// Most bytes of a page if a value may have `value_bytes`: sizes of pages are upper bounds, except for the frame of the
 /// record.
-fn page_bytes(value_bytes: usize) -> usize {
+fn max_page_bytes(value_bytes: usize) -> usize {
     value_bytes * 9 / 10
 }
 
@@ -189,16 +189,16 @@
             watches: BTreeMap::new(),
             write_buffer: WriteBuffer::default(),
             flush_failures: 0,
-            value_bytes: store.value_bytes,
-            transaction_operations: store.transaction_operations,
+            max_value_bytes: store.value_bytes,
+            max_transaction_operations: store.transaction_operations,
             pages: Scheduler::pages_of(role),
             jobs: Jobs::default(),
             recently_ended: VecDeque::new(),
-            unreadable_jobs: Vec::new(),
+            unreadable_job_keys: Vec::new(),
             unconfirmed_cancellations: BTreeSet::new(),
             stats: Stats::default(),
             placement: Placement::default(),
-            attempts: 0,
+            allocated_attempts: 0,
             machines: BTreeMap::new(),
             fleet: Fleet::new(now),
             held_heartbeats: Vec::new(),
@@ -206,17 +206,17 @@
             held_heartbeats_may_be_ready: false,
             long_polls: LongPolls::default(),
             last_heartbeat_at: now,
-            direct: BTreeMap::new(),
+            direct_commands_in_flight: BTreeMap::new(),
             next_machine_check: now,
             remote_partitions: RemotePartitions::default(),
             leader_quota: LeaderQuota::default(),
             usage: TeamAmounts::new(),
             headroom: Headroom::default(),
-            completed_pages: CompletedTaskPages::new(page_bytes(store.value_bytes)),
+            completed_pages: CompletedTaskPages::new(max_page_bytes(store.value_bytes)),
             progress_dirty: BTreeSet::new(),
             next_progress_at: now,
             progress_round: 0,
-            next_stats_at: now + STATS_INTERVAL,
+            next_stats_at: now + STATS_WRITE_INTERVAL_US,
             provision_sweep_at: 0,
             provision_sweep_until: 0,
             holder_state: HolderState::default(),
@@ -225,14 +225,14 @@
     }
 
     /// Most bytes of a page.
-    pub(crate) fn page_bytes(&self) -> usize {
-        page_bytes(self.value_bytes)
+    pub(crate) fn max_page_bytes(&self) -> usize {
+        max_page_bytes(self.max_value_bytes)
     }
 
     /// Whether a machine may have a task of a job whose record cannot be read.
     pub(crate) fn has_unreadable_tasks(&self) -> bool {
         // The team of such a task is not known.
-        !self.unreadable_jobs.is_empty() && self.assignments().any(|a| a.team.is_empty())
+        !self.unreadable_job_keys.is_empty() && self.assignments().any(|a| a.team.is_empty())
     }
 
     /// Whether all records have been read and, for the holder of a partition, all tasks that may be on its machines are
@@ -280,13 +280,13 @@
 
     /// A new number for an attempt. It contains the fencing token, so no leader or holder ever reuses one of another.
     pub fn allocate_attempt(&mut self) -> u64 {
-        self.attempts += 1;
-        (self.token << ATTEMPT_BITS) + self.attempts
+        self.allocated_attempts += 1;
+        (self.token << ATTEMPT_COUNTER_BITS) + self.allocated_attempts
     }
 
     /// Whether the number of the attempt was given under this lease.
     pub(crate) fn has_allocated_attempt(&self, attempt: u64) -> bool {
-        attempt >> ATTEMPT_BITS == self.token
+        attempt >> ATTEMPT_COUNTER_BITS == self.token
     }
 
     /// Tasks of a live job that are completed and that are running, for display.
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -18,7 +18,7 @@
 
 /// How long the write of a removed assignment may be delayed, in microseconds. Until then its page lists a task
 /// that is gone, which the next leader learns from the agent's first heartbeat.
-const REMOVAL_WRITE_DELAY: Micros = 8 * SECOND;
+const REMOVAL_WRITE_DELAY_US: Micros = 8 * SECOND;
 
 /// The share of the store's write rate that removals of assignments may take.
 const REMOVAL_WRITE_SHARE: f64 = 0.2;
@@ -76,7 +76,7 @@
         if !self.machines.contains_key(name) {
             return;
         }
-        self.count_assignment(&assignment);
+        self.charge_quota(&assignment);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -96,7 +96,7 @@
         let assignment = machine.assignments.remove(position);
         machine.recount();
         machine.idle_since = now;
-        self.discount_assignment(context, name, &assignment);
+        self.release_quota(context, name, &assignment);
         self.update_running_count(now, assignment.job, assignment.seen, ObservedStatus::Never);
         if self.is_holder() {
             self.note_end(name, &assignment, TaskEnd::Gone);
@@ -130,7 +130,7 @@
         // Every page has removals all the time: the more pages, the longer the time between two writes of one.
         let writes_per_second = context.settings.store.write_rps * REMOVAL_WRITE_SHARE;
         let seconds_for_all_pages = self.pages.len() as f64 / writes_per_second;
-        let delay = REMOVAL_WRITE_DELAY.max((seconds_for_all_pages * 1e6) as Micros);
+        let delay = REMOVAL_WRITE_DELAY_US.max((seconds_for_all_pages * 1e6) as Micros);
         let page = RecordId::Page(assignment.page);
         self.write_buffer
             .mark_dirty_lazily(page, context.now.steady + delay);
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -11,13 +11,13 @@
 use log::{info, warn};
 
 /// How long the write of a completed task may be delayed, in microseconds.
-const COMPLETION_WRITE_DELAY: Micros = 2 * SECOND;
+const COMPLETION_WRITE_DELAY_US: Micros = 2 * SECOND;
 
 /// How long a replica launched by an earlier leader has run at least, in microseconds, as far as can be told.
-const MIN_RECOVERED_RUN: Micros = 30 * SECOND;
+const MIN_RECOVERED_RUN_US: Micros = 30 * SECOND;
 
 /// How long a machine that refused a task gets no new ones, in microseconds.
-const QUARANTINE: Micros = 3 * SECOND;
+const QUARANTINE_US: Micros = 3 * SECOND;
 
 /// Most machines that are terminated because the tasks of one job alone failed there.
 const MAX_TERMINATIONS_BY_ONE_JOB: u32 = 2;
@@ -35,7 +35,7 @@
 impl Scheduler {
     /// Marks a task completed. Returns the record, with its version, that must be durable before the result may be
     /// acknowledged; nothing if the task was completed before.
-    fn completed(
+    fn mark_completed(
         &mut self,
         context: &Context,
         index: JobIndex,
@@ -52,7 +52,7 @@
         ));
         self.progress_dirty.insert(index);
         // The agent keeps the result until it is acknowledged: the write can wait for others.
-        let due = context.now.steady + COMPLETION_WRITE_DELAY;
+        let due = context.now.steady + COMPLETION_WRITE_DELAY_US;
         Some((page.clone(), self.write_buffer.mark_dirty_by(page, due)))
     }
 
@@ -103,11 +103,11 @@
             (ExitCause::NoRoom | ExitCause::Busy, _) => {
                 warn!(task = task_name, machine = machine, cause:% = exit.cause; "machine refused a task");
                 if let Some(machine) = self.machines.get_mut(machine) {
-                    machine.quarantined_until = now + QUARANTINE;
+                    machine.quarantined_until = now + QUARANTINE_US;
                 }
             }
-            (_, Some(job)) if job.is_daemon() => self.replica_exited(context, exit),
-            (ExitCause::Done, Some(_)) => return self.task_succeeded(context, exit),
+            (_, Some(job)) if job.is_daemon() => self.apply_replica_exit(context, exit),
+            (ExitCause::Done, Some(_)) => return self.apply_task_success(context, exit),
             (ExitCause::Error, Some(job)) => {
                 job.note_error(now);
                 info!(task = task_name, machine = machine; "task failed");
@@ -123,14 +123,16 @@
     }
 
     /// A replica of a daemon exited: it is to run again, however it ended. Unless it was stopped, it ended by itself.
-    fn replica_exited(&mut self, context: &Context, exit: &TaskExit) {
+    fn apply_replica_exit(&mut self, context: &Context, exit: &TaskExit) {
         let now = context.now.steady;
         let assignment = exit.assignment;
         if assignment.stop.is_some() {
             return;
         }
         let ran = match assignment.started {
-            _ if assignment.recovered() => now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN,
+            _ if assignment.recovered() => {
+                now.saturating_sub(self.loaded_at) + MIN_RECOVERED_RUN_US
+            }
             Some(started) => now.saturating_sub(started),
             None => 0,
         };
@@ -147,7 +149,11 @@
     }
 
     /// A task exited after it had done its work.
-    fn task_succeeded(&mut self, context: &Context, exit: &TaskExit) -> Option<(RecordId, u64)> {
+    fn apply_task_success(
+        &mut self,
+        context: &Context,
+        exit: &TaskExit,
+    ) -> Option<(RecordId, u64)> {
         let assignment = exit.assignment;
         let machine = self.machines.get_mut(exit.machine)?;
         let job = self.jobs.get_mut(assignment.job)?;
@@ -160,7 +166,7 @@
                 .record_run(&job.spec, &machine.machine_type, run_time);
             job.note_run_time(run_time);
         }
-        self.completed(context, assignment.job, assignment.task)
+        self.mark_completed(context, assignment.job, assignment.task)
     }
 
     /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is terminated;
@@ -173,7 +179,7 @@
         let was_likely_faulty = job.is_likely_faulty();
         job.note_failure(name);
         if job.is_likely_faulty() && !was_likely_faulty {
-            self.lift_quarantines(context);
+            self.uncordon_machines_not_at_fault(context);
         }
         let is_faulty_job = |id: &str| self.jobs.is_likely_faulty(id);
         let Some(machine) = self.machines.get_mut(name) else {
@@ -197,7 +203,7 @@
 
     /// A job turned out to be at fault itself: machines that were to be terminated for its failures take tasks again,
     /// unless failures of other jobs count against them.
-    fn lift_quarantines(&mut self, context: &Context) {
+    fn uncordon_machines_not_at_fault(&mut self, context: &Context) {
         let is_faulty_job = |id: &str| self.jobs.is_likely_faulty(id);
         for machine in self.machines.values_mut().filter(|machine| machine.faulty) {
             machine.forget_failures(is_faulty_job);
@@ -228,7 +234,7 @@
         if self.is_holder() {
             self.note_unknown_exit(name, job_id, task, reported);
         } else if let (Some(ExitCause::Done), Some(index)) = (&reported.cause, index) {
-            after.extend(self.completed(context, index, task));
+            after.extend(self.mark_completed(context, index, task));
             self.end_if_over(context, index);
         }
         if let Some(machine) = self.machines.get_mut(name) {
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -53,7 +53,7 @@
         if status.reclaim_s.is_some() {
             // Nothing is launched here any more: tasks whose record was yet to be written would otherwise wait until
             // the machine is gone.
-            self.free_unlaunched(context, &name);
+            self.remove_unlaunched(context, &name);
             self.drain_reclaimed(context, &name);
             self.move_replicas(context, &name);
         }
@@ -93,11 +93,11 @@
             machine.cordoned = true;
             self.fleet.terminate(name, now);
         }
-        self.free_unlaunched(context, name);
+        self.remove_unlaunched(context, name);
     }
 
     /// Frees what was placed on a machine but not launched: only a response that reaches the agent can launch it.
-    pub(crate) fn free_unlaunched(&mut self, context: &mut Context, name: &str) {
+    pub(crate) fn remove_unlaunched(&mut self, context: &mut Context, name: &str) {
         self.remove_assignments(context, name, |a| a.launched.is_none());
     }
 
@@ -109,7 +109,7 @@
         if let Some(machine) = self.machines.get_mut(&status.machine) {
             machine
                 .exited_attempts
-                .retain(|exited| lists(status, &exited.task_name, exited.attempt));
+                .retain(|exited| lists_attempt(status, &exited.task_name, exited.attempt));
         }
         // The response to a heartbeat may still bring a launch: in the response to a direct command absence proves
         // nothing.
@@ -146,7 +146,7 @@
                 self.update_running_count(now, job, before, seen);
             }
             None if exited => self.apply_unrecorded_exit(context, name, job_id, task, reported),
-            None => self.stop_unrecorded(context, status, job_id, task, reported),
+            None => self.stop_unrecorded_task(context, status, job_id, task, reported),
         }
     }
 
@@ -163,7 +163,9 @@
             .and_then(|machine| machine.assignments.get_mut(position))
         {
             let launched_before = assignment.launched.is_some_and(|launch| launch < newest);
-            if !launched_before || lists(status, &assignment.task_name(), assignment.attempt) {
+            if !launched_before
+                || lists_attempt(status, &assignment.task_name(), assignment.attempt)
+            {
                 position += 1;
             } else if assignment.is_launch_unconfirmed() {
                 // An agent never carries out a lost response late: the launch may be sent again, under the same
@@ -204,7 +206,7 @@
 }
 
 /// Whether the status lists the attempt of the task.
-fn lists(status: &Heartbeat, task_name: &str, attempt: u64) -> bool {
+fn lists_attempt(status: &Heartbeat, task_name: &str, attempt: u64) -> bool {
     status
         .tasks
         .iter()
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -11,7 +11,7 @@
 use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskStatus, Verb};
 
 /// How long a heartbeat may wait for a flush, in microseconds, before it is answered with what there is.
-pub(crate) const MAX_HOLD: Micros = 500 * MILLI;
+pub(crate) const MAX_HOLD_US: Micros = 500 * MILLI;
 
 /// Most commands in one response, so that it stays below the size limit.
 pub(crate) const MAX_COMMANDS: usize = 300;
@@ -58,7 +58,7 @@
             machine: heartbeat.machine.clone(),
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
-            until: now + MAX_HOLD,
+            until: now + MAX_HOLD_US,
         };
         if !self.apply_heartbeat(context, heartbeat, StatusSource::Heartbeat) {
             self.note_late_heartbeat(context, &held);
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -2,7 +2,7 @@
 //! a machine with free resources, until a task is placed on it.
 
 use crate::context::Context;
-use crate::scheduler::agents::heartbeats::MAX_HOLD;
+use crate::scheduler::agents::heartbeats::MAX_HOLD_US;
 use crate::scheduler::Scheduler;
 use crate::state::jobs::EPS;
 use crate::state::long_polls::HeldHeartbeat;
@@ -12,13 +12,13 @@
 
 /// Longest duration of a long poll, in microseconds. An agent gives up after
 /// [`RESPONSE_TIMEOUT`](crate::state::machine::RESPONSE_TIMEOUT), and the response has yet to travel.
-const MAX_LONG_POLL: Micros = 3 * SECOND;
+const MAX_LONG_POLL_US: Micros = 3 * SECOND;
 
 /// Long polls may hold one of so many sockets.
 const SOCKETS_PER_LONG_POLL: usize = 2;
 
 /// How long the store may have been out of contact, in microseconds, while heartbeats still wait for writes.
-const STORE_CONTACT: Micros = 2 * SECOND;
+const MAX_STORE_SILENCE_US: Micros = 2 * SECOND;
 
 impl Scheduler {
     /// Requests of all held heartbeats.
@@ -98,7 +98,7 @@
     /// A task was placed on the machine: the response to its long poll waits only until that is on record.
     pub(crate) fn wake_long_poll(&mut self, context: &Context, machine: &str) {
         if let Some(mut held) = self.long_polls.remove(machine) {
-            held.until = context.now.steady + MAX_HOLD;
+            held.until = context.now.steady + MAX_HOLD_US;
             self.hold_heartbeat(held);
         }
     }
@@ -130,7 +130,7 @@
     /// Whether a heartbeat may be answered now.
     pub(crate) fn may_be_answered(&self, context: &Context, held: &HeldHeartbeat) -> bool {
         context.now.steady >= held.until
-            || !context.in_contact(STORE_CONTACT)
+            || !context.in_contact(MAX_STORE_SILENCE_US)
             || (self.placement.rounds >= held.round
                 && !self.waits_for_flush(&held.machine)
                 && !self.waits_for_leader(&held.machine))
@@ -168,7 +168,7 @@
 /// How long a long poll lasts at most, in microseconds: the response comes before the next heartbeat is due, so that
 /// the agent sends as many as without long polls.
 fn long_poll_duration(context: &Context) -> Micros {
-    MAX_LONG_POLL.min(context.settings.heartbeat_interval * 3 / 4)
+    MAX_LONG_POLL_US.min(context.settings.heartbeat_interval * 3 / 4)
 }
 
 #[cfg(test)]
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -17,26 +17,26 @@
 
 /// A replica leaves a machine at the latest so long before its reclamation, in microseconds, even if it
 /// fits nowhere else.
-const LAST_MOVE: Micros = 4 * SECOND;
+const REPLICA_MOVE_MARGIN_US: Micros = 4 * SECOND;
 
 /// A task that checkpoints is stopped so long, in microseconds, before there is no time left for its checkpoint.
-const CHECKPOINT_MARGIN: Micros = 5 * SECOND;
+const CHECKPOINT_MARGIN_US: Micros = 5 * SECOND;
 
 /// A task finishes in time if it is expected to do so this long, in microseconds, before the machine's reclamation.
-const FINISH_MARGIN: Micros = SECOND;
+const FINISH_MARGIN_US: Micros = SECOND;
 
 /// Least time between two direct commands to stop the same task, in microseconds.
-const STOP_RETRY_INTERVAL: Micros = 2 * SECOND;
+const STOP_RETRY_INTERVAL_US: Micros = 2 * SECOND;
 
 /// How long a direct command waits for its response, in microseconds.
-const DIRECT_TIMEOUT: Micros = 2 * SECOND;
+const DIRECT_COMMAND_TIMEOUT_US: Micros = 2 * SECOND;
 
 /// What is expected of a task that is on a machine without being on record, in microseconds.
-const UNRECORDED_RUN: Micros = SECOND;
+const UNRECORDED_TASK_DURATION_US: Micros = SECOND;
 
 /// What is sent to a machine that has no stop due.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum WithoutStops {
+enum IfNoStopsDue {
     /// Nothing.
     SendNothing,
     /// A direct command without stops: its response shows that the agent can be reached.
@@ -52,7 +52,7 @@
 
 impl Scheduler {
     /// An agent has a task that is on none of our pages. It is stopped, and counts as assigned until it is proven gone.
-    pub(crate) fn stop_unrecorded(
+    pub(crate) fn stop_unrecorded_task(
         &mut self,
         context: &mut Context,
         status: &Heartbeat,
@@ -79,7 +79,7 @@
             job: job_id.to_string(),
             task,
             attempt: reported.attempt,
-            expected_us: UNRECORDED_RUN,
+            expected_us: UNRECORDED_TASK_DURATION_US,
         };
         let assignment = Assignment {
             page,
@@ -161,22 +161,22 @@
 
     /// Sends the stops of a machine that are due in a direct command.
     pub(crate) fn send_due_stops(&mut self, context: &mut Context, name: &str) {
-        self.send_direct_commands(context, name, WithoutStops::SendNothing);
+        self.send_direct_commands(context, name, IfNoStopsDue::SendNothing);
     }
 
     /// Sends a direct command with the stops that are due, if any: its response shows that the agent can be reached.
     pub(crate) fn probe_agent(&mut self, context: &mut Context, name: &str) {
-        self.send_direct_commands(context, name, WithoutStops::SendProbe);
+        self.send_direct_commands(context, name, IfNoStopsDue::SendProbe);
     }
 
     fn send_direct_commands(
         &mut self,
         context: &mut Context,
         name: &str,
-        without_stops: WithoutStops,
+        if_no_stops_due: IfNoStopsDue,
     ) {
         let now = context.now.steady;
-        if self.is_lease_uncertain() || self.direct.contains_key(name) {
+        if self.is_lease_uncertain() || self.direct_commands_in_flight.contains_key(name) {
             return;
         }
         let Some(machine) = self.machines.get_mut(name) else {
@@ -186,8 +186,8 @@
         if machine.address.is_empty() || machine.partition.is_some() {
             return;
         }
-        let commands = due_stops(machine, now);
-        if commands.is_empty() && without_stops == WithoutStops::SendNothing {
+        let commands = prepare_due_stops(machine, now);
+        if commands.is_empty() && if_no_stops_due == IfNoStopsDue::SendNothing {
             return;
         }
         let body = DirectCommands {
@@ -196,7 +196,7 @@
             commands,
         };
         let address = machine.address.clone();
-        self.direct.insert(name.to_string(), now);
+        self.direct_commands_in_flight.insert(name.to_string(), now);
         let purpose = self.call_purpose(SchedulerCall::Direct {
             machine: name.to_string(),
         });
@@ -205,7 +205,7 @@
             "POST",
             "/do".into(),
             wire::to_cbor(&body),
-            DIRECT_TIMEOUT,
+            DIRECT_COMMAND_TIMEOUT_US,
             purpose,
         );
     }
@@ -217,7 +217,7 @@
         name: &str,
         outcome: Outcome,
     ) {
-        self.direct.remove(name);
+        self.direct_commands_in_flight.remove(name);
         let Outcome::Answer { status, body } = outcome else {
             return;
         };
@@ -264,7 +264,7 @@
                 continue;
             };
             let fetch_time = machine.fetch_time(&job.spec.image, job.spec.image_gb);
-            let finishes = assignment.remaining(now, fetch_time) + FINISH_MARGIN < left;
+            let finishes = assignment.remaining(now, fetch_time) + FINISH_MARGIN_US < left;
             if !finishes && must_stop_for_reclamation(job, left) {
                 stops.push(PlannedStop {
                     attempt: assignment.attempt,
@@ -322,10 +322,10 @@
 }
 
 /// The stops of a machine that were not sent lately; notes that they are sent.
-fn due_stops(machine: &mut Machine, now: Micros) -> Vec<Command> {
+fn prepare_due_stops(machine: &mut Machine, now: Micros) -> Vec<Command> {
     let is_due = |assignment: &Assignment| {
         let sent = assignment.stop.and_then(|stop| stop.sent);
-        sent.is_none_or(|at| now >= at + STOP_RETRY_INTERVAL)
+        sent.is_none_or(|at| now >= at + STOP_RETRY_INTERVAL_US)
     };
     machine
         .assignments
@@ -341,9 +341,9 @@
 /// a checkpoint; the rest would only lose more work.
 fn must_stop_for_reclamation(job: &Job, left: Micros) -> bool {
     if job.is_daemon() {
-        left < job.checkpoint_grace() + LAST_MOVE
+        left < job.checkpoint_grace() + REPLICA_MOVE_MARGIN_US
     } else if job.checkpoints() {
-        left < micros(job.spec.checkpoint_duration_s) + CHECKPOINT_MARGIN
+        left < micros(job.spec.checkpoint_duration_s) + CHECKPOINT_MARGIN_US
     } else {
         true
     }
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -8,20 +8,20 @@
 use log::info;
 
 /// Time between two checks of all machines, in microseconds.
-const CHECK_INTERVAL: Micros = SECOND;
+const CHECK_INTERVAL_US: Micros = SECOND;
 
 /// How long after our response an agent is probed that has not shown that it got it, in microseconds. One that got it
 /// sends a heartbeat before that, because the fencing token was news to it.
-const PROBE_DELAY: Micros = SECOND;
+const PROBE_DELAY_US: Micros = SECOND;
 
 /// Most direct commands under way while further agents are probed.
 const MAX_PROBES: usize = 100;
 
 /// If more than one in so many machines is unreachable, the network is taken to be at fault rather than the machines.
-const MAX_UNREACHABLE_PART: usize = 20;
+const MACHINES_PER_UNREACHABLE: usize = 20;
 
 /// How long after an agent's lease has expired its machine is terminated, in microseconds.
-const TERMINATION_DELAY: Micros = 12 * SECOND;
+const TERMINATION_DELAY_US: Micros = 12 * SECOND;
 
 /// When an agent's lease has certainly expired after our last response, in microseconds: with clock drift, and some
 /// time for the response to travel.
@@ -31,7 +31,7 @@
 
 /// How long a machine may be out of contact before it is terminated, in microseconds.
 pub(crate) fn termination_delay(lease: Micros) -> Micros {
-    lease_expiry(lease) + TERMINATION_DELAY
+    lease_expiry(lease) + TERMINATION_DELAY_US
 }
 
 /// A machine with replicas that has been out of contact for a while.
@@ -85,7 +85,7 @@
         if now < self.next_machine_check {
             return;
         }
-        self.next_machine_check = now + CHECK_INTERVAL;
+        self.next_machine_check = now + CHECK_INTERVAL_US;
         let names: Vec<String> = self.machines.keys().cloned().collect();
         let mut unreachable = Vec::new();
         for name in names {
@@ -111,14 +111,14 @@
     ) {
         self.apply_lease_expiry(context, name);
         if self.misses_heartbeats(context, name) {
-            self.free_unlaunched(context, name);
+            self.remove_unlaunched(context, name);
         }
         unreachable.extend(self.unreachable_with_replicas(context, name));
         self.terminate_if_unreachable(context, name);
         if self.needs_probe(context, name) {
             self.probe_agent(context, name);
         }
-        self.stop_useless(context, name);
+        self.stop_obsolete_assignments(context, name);
         self.drain_reclaimed(context, name);
         self.move_replicas(context, name);
         self.send_due_stops(context, name);
@@ -251,13 +251,13 @@
             !machine.receives_responses
                 && !machine.cordoned
                 && now.saturating_sub(machine.last_contact_at) < max_silence
-                && now.saturating_sub(machine.last_response) >= PROBE_DELAY
-                && self.direct.len() < MAX_PROBES
+                && now.saturating_sub(machine.last_response) >= PROBE_DELAY_US
+                && self.direct_commands_in_flight.len() < MAX_PROBES
         })
     }
 
     /// Stops the assignments of a machine that belong to no live task, such as a second one of a completed task.
-    fn stop_useless(&mut self, context: &mut Context, name: &str) {
+    fn stop_obsolete_assignments(&mut self, context: &mut Context, name: &str) {
         let Some(machine) = self.machines.get(name) else {
             return;
         };
@@ -279,13 +279,13 @@
         };
         let incarnation = machine.incarnation;
         if machine.reclaim_at.is_some() || self.misses_heartbeats(context, name) {
-            self.free_unlaunched(context, name);
+            self.remove_unlaunched(context, name);
         }
         self.remove_assignments(context, name, |a| {
             a.launched.is_none() && a.incarnation != incarnation
         });
         self.terminate_for_holder(context, name);
-        self.stop_useless(context, name);
+        self.stop_obsolete_assignments(context, name);
         self.move_replicas(context, name);
     }
 
@@ -325,7 +325,7 @@
     ) {
         let now = context.now.steady;
         let max_silence = context.settings.heartbeat_timeout() + 2 * SECOND;
-        let are_few = unreachable.len() <= 1 + self.machines.len() / MAX_UNREACHABLE_PART;
+        let are_few = unreachable.len() <= 1 + self.machines.len() / MACHINES_PER_UNREACHABLE;
         for UnreachableMachine { name, silence } in unreachable {
             if *silence < max_silence {
                 self.probe_agent(context, name);
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -16,20 +16,24 @@
     }
 
     /// The partition whose holder writes the page with this number; `None`: the leader does.
-    pub(crate) fn written_by_holder(&self, context: &Context, page: u64) -> Option<PartitionId> {
+    pub(crate) fn partition_writing_page(
+        &self,
+        context: &Context,
+        page: u64,
+    ) -> Option<PartitionId> {
         let partition = partition_of_page(page).filter(|_| context.supports_quota_grants());
         partition.filter(|id| self.is_holder() || self.remote_partitions.record(*id).is_some())
     }
 
     /// The number of a page with room for one more assignment.
     pub(crate) fn page_with_room(&mut self) -> u64 {
-        let max_bytes = self.page_bytes();
+        let max_bytes = self.max_page_bytes();
         self.pages.with_room(max_bytes)
     }
 
     /// Moves assignments off pages that are larger than a value may be. The result says from which page to which.
-    pub(crate) fn split_placements(&mut self, due: Micros) -> Vec<(RecordId, RecordId)> {
-        let max_bytes = self.page_bytes();
+    pub(crate) fn split_assignment_pages(&mut self, due: Micros) -> Vec<(RecordId, RecordId)> {
+        let max_bytes = self.max_page_bytes();
         for page in self.pages.by_number.values_mut() {
             page.closed |= page.bytes > max_bytes;
         }
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -10,7 +10,7 @@
 
 /// The end of a job is written ahead of changes that have been due for less than this: it is what the user waits for,
 /// and it makes every later read of all records smaller.
-const END_AHEAD: Micros = 10 * SECOND;
+const JOB_END_PRIORITY_US: Micros = 10 * SECOND;
 
 impl Scheduler {
     /// Notes that the job is cancelled: no task of it is started any more, and those that may run are stopped.
@@ -106,7 +106,7 @@
             // cancellation is on record: the mod_revision is read first.
             self.write_buffer.stale.push(cancellation);
         }
-        let due = context.now.steady.saturating_sub(END_AHEAD);
+        let due = context.now.steady.saturating_sub(JOB_END_PRIORITY_US);
         self.write_buffer
             .mark_dirty_by(RecordId::JobEnd(index), due);
     }
@@ -115,7 +115,9 @@
     fn final_status(&self, index: JobIndex) -> Option<FinalStatus> {
         let job = self.jobs.get(index)?;
         if job.cancelled.is_some() {
-            return self.is_off_machines(index).then_some(FinalStatus::Aborted);
+            return self
+                .has_no_assigned_tasks(index)
+                .then_some(FinalStatus::Aborted);
         }
         job.all_completed().then_some(FinalStatus::Done)
     }
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -17,16 +17,16 @@
 pub(crate) mod render;
 
 /// Most bytes of the operations of a transaction, in their CBOR form.
-const TRANSACTION_BYTES: usize = 40 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
 
 /// How long a record waits that does not fit a transaction, or that the store refused when it was written alone.
-const REFUSED_PAUSE: Micros = 5 * SECOND;
+const REFUSED_PAUSE_US: Micros = 5 * SECOND;
 
 /// How long the next flush waits if all records that are due wait for others.
-const BLOCKED_PAUSE: Micros = 20 * MILLI;
+const BLOCKED_PAUSE_US: Micros = 20 * MILLI;
 
 /// How long the next flush waits at least if the write rate permits nothing.
-const RATE_LIMITED_PAUSE: Micros = 5 * MILLI;
+const RATE_LIMITED_PAUSE_US: Micros = 5 * MILLI;
 
 /// A flush that the write rate held back is tried again once the rate permits this number of operations.
 const OPERATIONS_OF_NEXT_FLUSH: f64 = 4.0;
@@ -35,7 +35,7 @@
 const MAX_COUNTED_FAILURES: u32 = 4;
 
 /// The pause after a failed flush, without jitter; it is doubled with each further failure in a row.
-const FIRST_BACKOFF: Micros = 100 * MILLI;
+const FIRST_BACKOFF_US: Micros = 100 * MILLI;
 
 /// The next transaction while it is put together.
 struct TransactionDraft {
@@ -67,7 +67,7 @@
     fn try_add(&mut self, record: RecordVersion, write: RecordWrite) -> bool {
         let operations = self.transaction.apply.len() + write.operations.len();
         let bytes = self.bytes + wire::to_cbor(&write.operations).len();
-        if operations > self.max_operations || bytes > TRANSACTION_BYTES {
+        if operations > self.max_operations || bytes > MAX_TRANSACTION_BYTES {
             self.is_full = true;
             return false;
         }
@@ -86,7 +86,7 @@
     }
 
     /// When the next flush is due.
-    pub(crate) fn flush_wake(&self) -> Micros {
+    pub(crate) fn next_flush_at(&self) -> Micros {
         if self.write_buffer.in_flight.is_some() || self.write_conditions().is_none() {
             return Micros::MAX;
         }
@@ -127,7 +127,7 @@
     ) -> TransactionDraft {
         let now = context.now.steady;
         let permitted_writes = context.write_limiter(self.role).available(now);
-        let max_operations = self.transaction_operations.min(permitted_writes);
+        let max_operations = self.max_transaction_operations.min(permitted_writes);
         let mut draft = TransactionDraft::new(conditions, max_operations);
         for record in self.write_buffer.due(now) {
             if !self.may_be_written_with(&record, &draft.records) {
@@ -142,7 +142,7 @@
                 if draft.records.is_empty() && max_operations >= Context::cost(&record) {
                     // Larger than a transaction may be: other records must not wait behind it.
                     warn!(record:? = record; "record does not fit a transaction");
-                    self.write_buffer.postpone(&record, now + REFUSED_PAUSE);
+                    self.write_buffer.postpone(&record, now + REFUSED_PAUSE_US);
                     continue;
                 }
                 break;
@@ -169,9 +169,9 @@
         self.write_buffer.not_before = if draft.is_full {
             let writes = context.write_limiter(self.role);
             let ready = writes.ready_at(now, OPERATIONS_OF_NEXT_FLUSH);
-            ready.max(now + RATE_LIMITED_PAUSE)
+            ready.max(now + RATE_LIMITED_PAUSE_US)
         } else {
-            now + BLOCKED_PAUSE
+            now + BLOCKED_PAUSE_US
         };
     }
 
@@ -204,9 +204,9 @@
     }
 
     /// A flush failed: the next one waits for longer, the more of them have failed in a row.
-    fn flush_failed(&mut self, context: &mut Context) {
+    fn on_flush_failed(&mut self, context: &mut Context) {
         self.flush_failures = (self.flush_failures + 1).min(MAX_COUNTED_FAILURES);
-        let pause = FIRST_BACKOFF << (self.flush_failures - 1);
+        let pause = FIRST_BACKOFF_US << (self.flush_failures - 1);
         let jitter = context.jitter(pause / 2);
         self.write_buffer
             .back_off(context.now.steady, pause + jitter);
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -16,11 +16,11 @@
 const MAX_RECENTLY_ENDED: usize = 200;
 
 /// Most bytes of an answer that are logged.
-const LOGGED_BYTES: usize = 200;
+const MAX_LOGGED_BYTES: usize = 200;
 
-const TOO_MANY_REQUESTS: u16 = 429;
+const HTTP_TOO_MANY_REQUESTS: u16 = 429;
 
-const UNAVAILABLE: u16 = 503;
+const HTTP_SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Scheduler {
     /// Takes the store's answer to a flush. The error says why the fenced lease is lost.
@@ -50,7 +50,7 @@
                 self.on_flush_refused(context, &batch, &beginning_of(&body));
             }
             Outcome::Answer { status, body } => self.on_flush_error(context, status, &body),
-            Outcome::NotSent => self.flush_failed(context),
+            Outcome::NotSent => self.on_flush_failed(context),
         }
         Ok(())
     }
@@ -69,7 +69,7 @@
         if failed_keys.is_empty() {
             // The answer does not say which: the mod_revisions of all are read, at a pace that leaves the store room.
             self.write_buffer.stale.extend(batch.keys());
-            self.flush_failed(context);
+            self.on_flush_failed(context);
         }
         for key in failed_keys {
             if self.is_condition(&key) {
@@ -85,14 +85,14 @@
 
     fn on_flush_error(&mut self, context: &mut Context, status: u16, body: &[u8]) {
         let now = context.now.steady;
-        if status != TOO_MANY_REQUESTS && status != UNAVAILABLE {
+        if status != HTTP_TOO_MANY_REQUESTS && status != HTTP_SERVICE_UNAVAILABLE {
             let answer = beginning_of(body);
             warn!(status = status, error = answer; "flush got an unexpected answer");
         }
-        if status == TOO_MANY_REQUESTS {
+        if status == HTTP_TOO_MANY_REQUESTS {
             context.write_limiter(self.role).drain(now);
         }
-        self.flush_failed(context);
+        self.on_flush_failed(context);
     }
 
     /// The store applied the transaction at this revision.
@@ -114,7 +114,7 @@
                 if let Some(job) = self.jobs.get(*index) {
                     log_job_end(job, now);
                 }
-                self.job_ended(*index);
+                self.forget_ended_job(*index);
             }
             RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
             RecordId::QuotaGrant(partition) => {
@@ -127,7 +127,7 @@
     }
 
     /// Forgets a job whose end is on record.
-    pub(crate) fn job_ended(&mut self, index: JobIndex) {
+    pub(crate) fn forget_ended_job(&mut self, index: JobIndex) {
         let Some(job) = self.jobs.remove(index) else {
             return;
         };
@@ -167,6 +167,6 @@
 
 /// The beginning of an answer, for the log.
 fn beginning_of(body: &[u8]) -> String {
-    let logged = &body[..body.len().min(LOGGED_BYTES)];
+    let logged = &body[..body.len().min(MAX_LOGGED_BYTES)];
     String::from_utf8_lossy(logged).to_string()
 }
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -7,7 +7,7 @@
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
-use crate::scheduler::store_reads::LIST_PAGE;
+use crate::scheduler::store_reads::LIST_PAGE_KEYS;
 use crate::scheduler::Scheduler;
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
@@ -16,16 +16,16 @@
 use log::warn;
 
 /// How often the requests on record are listed.
-const SWEEP_INTERVAL: Micros = 20 * SECOND;
+const SWEEP_INTERVAL_US: Micros = 20 * SECOND;
 
 /// For how long after a flush without an answer.
-const SWEEP_DURATION: Micros = 300 * SECOND;
+const SWEEP_DURATION_US: Micros = 300 * SECOND;
 
 impl Scheduler {
     pub(crate) fn start_provision_sweep(&mut self, context: &Context) {
         let now = context.now.steady;
-        self.provision_sweep_at = now + SWEEP_INTERVAL;
-        self.provision_sweep_until = now + SWEEP_DURATION;
+        self.provision_sweep_at = now + SWEEP_INTERVAL_US;
+        self.provision_sweep_until = now + SWEEP_DURATION_US;
     }
 
     /// Lists the provision requests on record if that is due.
@@ -34,11 +34,11 @@
         if now < self.provision_sweep_at || now > self.provision_sweep_until {
             return;
         }
-        self.provision_sweep_at = now + SWEEP_INTERVAL;
+        self.provision_sweep_at = now + SWEEP_INTERVAL_US;
         let purpose = self.call_purpose(SchedulerCall::List {
             prefix: PROVISION.into(),
         });
-        let path = format!("/kv?prefix={PROVISION}&page={LIST_PAGE}");
+        let path = format!("/kv?prefix={PROVISION}&page={LIST_PAGE_KEYS}");
         context.get_from_store(path, purpose);
     }
 
--- a/crates/core/src/scheduler/flush/read_back.rs
+++ b/crates/core/src/scheduler/flush/read_back.rs
@@ -38,7 +38,7 @@
                 batch.confirmed_operations += 1;
                 self.read_back(context, batch);
             }
-            None => self.flush_again(context, &batch),
+            None => self.retry_flush(context, &batch),
         }
         Ok(())
     }
@@ -49,12 +49,12 @@
         match (batch.next_unconfirmed()?, outcome) {
             (Operation::Put { put, value, .. }, Outcome::Answer { status: 200, body }) => {
                 let entry = wire::from_cbor::<KeyValue<Value>>(&body).ok()?;
-                let is_ours = entry.mod_revision > self.write_buffer.known_revision(put)
+                let is_as_written = entry.mod_revision > self.write_buffer.known_revision(put)
                     && wire::same_value(&entry.value, value);
                 // All operations of a transaction get the same mod_revision.
                 let is_of_batch =
                     batch.confirmed_revision == 0 || batch.confirmed_revision == entry.mod_revision;
-                (is_ours && is_of_batch).then_some(entry.mod_revision)
+                (is_as_written && is_of_batch).then_some(entry.mod_revision)
             }
             (Operation::Delete { .. }, Outcome::Answer { status: 404, .. }) => {
                 Some(batch.confirmed_revision)
@@ -65,9 +65,9 @@
 
     /// The flush has not been applied so far, or that cannot be told: its records are written again. Before that the
     /// mod_revisions of its keys are read, since an earlier flush may have been applied in between.
-    fn flush_again(&mut self, context: &mut Context, batch: &Batch) {
+    fn retry_flush(&mut self, context: &mut Context, batch: &Batch) {
         self.write_buffer.stale.extend(batch.keys());
-        self.flush_failed(context);
+        self.on_flush_failed(context);
         let mut records = batch.records.iter();
         if records.any(|(record, _)| matches!(record, RecordId::PendingProvision(_))) {
             self.start_provision_sweep(context);
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -17,12 +17,12 @@
         match outcome {
             Outcome::Answer { status: 200, body } => {
                 let Ok(entry) = wire::from_cbor::<KeyValue<Value>>(&body) else {
-                    return self.flush_failed(context);
+                    return self.on_flush_failed(context);
                 };
                 self.on_key_present(key, &entry);
             }
             Outcome::Answer { status: 404, .. } => self.on_key_absent(context, key),
-            _ => return self.flush_failed(context),
+            _ => return self.on_flush_failed(context),
         }
         self.write_buffer.stale.retain(|stale| stale != key);
     }
@@ -36,7 +36,7 @@
         let is_readable = from_value::<FinishedJobRecord>(&entry.value).is_ok();
         if let Some(index) = self.jobs.find(job).filter(|_| is_readable) {
             self.write_buffer.forget(&RecordId::JobEnd(index));
-            self.job_ended(index);
+            self.forget_ended_job(index);
         }
     }
 
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -1,8 +1,8 @@
 //! What follows when the store calls a transaction invalid: a value or the transaction is larger than it takes now.
 
 use crate::context::Context;
-use crate::scheduler::flush::REFUSED_PAUSE;
-use crate::scheduler::{page_bytes, Scheduler};
+use crate::scheduler::flush::REFUSED_PAUSE_US;
+use crate::scheduler::{max_page_bytes, Scheduler};
 use crate::state::write_buffer::{Batch, RecordId};
 use crate::{Micros, MILLI, SECOND};
 use grebewood_wire as wire;
@@ -16,7 +16,7 @@
 const MIN_VALUE_BYTES: usize = 700;
 
 /// How long the parts of a page that is too large may wait: what is new is written first.
-const SPLIT_DELAY: Micros = 500 * MILLI;
+const SPLIT_DELAY_US: Micros = 500 * MILLI;
 
 impl Scheduler {
     /// The same transaction would be refused for good, so each of its records is written alone; and one that is
@@ -32,7 +32,7 @@
                 warn!(records = count, error = answer; "store refused a transaction, its records are written one by one");
                 self.write_buffer.isolate(records);
                 let operations = batch.transaction.apply.len() / 2;
-                self.transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
+                self.max_transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
             }
         }
     }
@@ -50,33 +50,33 @@
         error!(key = keys.join(", "), error = answer; "store refused a record");
         // It was not the number of operations, then.
         let operations = batch.transaction.apply.len();
-        self.transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
+        self.max_transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
             MIN_TRANSACTION_OPERATIONS
         } else {
             context.settings.store.transaction_operations
         };
         match record {
             RecordId::Page(_) | RecordId::Done(_) | RecordId::Stats if has_large_value(batch) => {
-                self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
+                self.max_value_bytes = (self.max_value_bytes / 2).max(MIN_VALUE_BYTES);
                 self.split_pages(context);
                 self.write_buffer.postpone(record, now + SECOND);
             }
             RecordId::Limits | RecordId::QuotaGrant(_) => {
                 self.leader_quota.refused = true;
-                self.write_buffer.postpone(record, now + REFUSED_PAUSE);
+                self.write_buffer.postpone(record, now + REFUSED_PAUSE_US);
             }
-            _ => self.write_buffer.postpone(record, now + REFUSED_PAUSE),
+            _ => self.write_buffer.postpone(record, now + REFUSED_PAUSE_US),
         }
     }
 
     /// Moves content off pages that are larger than a value may be. The pages that it moves to are written first, then
     /// the old ones: until then the old ones stay as an earlier leader wrote them and list all of it.
     pub(crate) fn split_pages(&mut self, context: &Context) {
-        let due = context.now.steady + SPLIT_DELAY;
-        let assignments = self.split_placements(due);
+        let due = context.now.steady + SPLIT_DELAY_US;
+        let assignments = self.split_assignment_pages(due);
         let completed_tasks = self
             .completed_pages
-            .split(page_bytes(self.value_bytes), &mut self.jobs)
+            .split(max_page_bytes(self.max_value_bytes), &mut self.jobs)
             .into_iter()
             .map(|(from, to)| (RecordId::Done(from), RecordId::Done(to)));
         let mut moves: Vec<(RecordId, RecordId)> = assignments;
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -27,7 +27,7 @@
             }
             RecordId::PendingProvision(machine) => self.render_provision(machine),
             RecordId::Stats => {
-                let content = self.stats.record_within(self.value_bytes);
+                let content = self.stats.record_within(self.max_value_bytes);
                 Some(self.put_unchanged(STATS.into(), &content))
             }
             RecordId::Catalogue => self.render_catalogue(context),
@@ -67,7 +67,7 @@
     }
 
     fn render_assignments(&self, context: &Context, page: u64) -> Option<RecordWrite> {
-        if !self.is_holder() && self.written_by_holder(context, page).is_some() {
+        if !self.is_holder() && self.partition_writing_page(context, page).is_some() {
             return None;
         }
         let key = format!("{PAGE}0/{page}");
@@ -85,7 +85,7 @@
     fn render_catalogue(&self, context: &Context) -> Option<RecordWrite> {
         let machine_types = context.catalogue.clone()?;
         let content = wire::http::Catalogue { machine_types };
-        if wire::json_size(&to_value(&content)) > self.value_bytes {
+        if wire::json_size(&to_value(&content)) > self.max_value_bytes {
             // With a part of the catalogue on record, jobs that can run would be refused. Without a record each
             // controller asks the cloud.
             warn!(key = CATALOGUE; "record is too large for the store and is not written");
@@ -96,7 +96,7 @@
 
     fn render_limits(&self) -> Option<RecordWrite> {
         let content = self.limits_record();
-        if wire::json_size(&to_value(&content)) > self.value_bytes {
+        if wire::json_size(&to_value(&content)) > self.max_value_bytes {
             warn!(key = LIMITS; "record is too large for the store, no quota is granted to holders");
             return None;
         }
@@ -126,7 +126,7 @@
         // harmless.
         let legacy = format!("{COMPLETED_TASKS}{}/0", job.id);
         if self.write_buffer.is_on_record(&legacy)
-            && write.operations.len() < self.transaction_operations
+            && write.operations.len() < self.max_transaction_operations
         {
             self.add_deletion(&mut write, &legacy);
         }
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::Context;
-use crate::scheduler::store_reads::{Loading, LIST_PAGE};
+use crate::scheduler::store_reads::{Loading, LIST_PAGE_KEYS};
 use crate::scheduler::Scheduler;
 use crate::{Micros, Outcome, MILLI};
 use grebewood_partition::{PartitionId, PartitionMap};
@@ -20,7 +20,7 @@
 pub(crate) mod records;
 
 /// Pause before a read that failed is sent again.
-const RETRY_PAUSE: Micros = 200 * MILLI;
+const RETRY_PAUSE_US: Micros = 200 * MILLI;
 
 impl Scheduler {
     /// Begins to read the records from the store.
@@ -64,7 +64,7 @@
                 None => {
                     let last_key = loading.last_key(&read);
                     let after = last_key.map_or(String::new(), |key| format!("&since={key}"));
-                    let path = format!("/kv?prefix={read}{after}&page={LIST_PAGE}");
+                    let path = format!("/kv?prefix={read}{after}&page={LIST_PAGE_KEYS}");
                     (path, SchedulerCall::List { prefix: read })
                 }
             };
@@ -95,7 +95,7 @@
             }
             Err(error) => {
                 warn!(key = prefix, error:% = error; "list failed");
-                loading.retry(prefix, now + RETRY_PAUSE);
+                loading.retry(prefix, now + RETRY_PAUSE_US);
             }
         }
         self.run_loading(context);
@@ -130,7 +130,7 @@
                 }
             }
             Outcome::Answer { status: 404, .. } => loading.finish(key),
-            _ => loading.retry(key, context.now.steady + RETRY_PAUSE),
+            _ => loading.retry(key, context.now.steady + RETRY_PAUSE_US),
         }
         self.finish_loading(context);
     }
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -24,7 +24,7 @@
     /// The partition whose holder writes the page; `None`: the leader does.
     written_by: Option<PartitionId>,
     /// Whether this scheduler writes the page.
-    is_ours: bool,
+    is_own: bool,
 }
 
 /// A task of a job whose record can be read, or of one whose record cannot.
@@ -53,13 +53,13 @@
         let (Some(number), Ok(record)) = (number, from_value::<PageRecord>(&entry.value)) else {
             return self.on_unreadable_page(context, &entry.key, number);
         };
-        let written_by = self.written_by_holder(context, number);
+        let written_by = self.partition_writing_page(context, number);
         let page = LoadedPage {
             number,
             written_by,
-            is_ours: written_by.is_some() == self.is_holder(),
+            is_own: written_by.is_some() == self.is_holder(),
         };
-        if page.is_ours {
+        if page.is_own {
             self.page_mut(number);
         }
         for machine in &record.machines {
@@ -69,7 +69,7 @@
                 self.load_assignment(context, page, machine, job, attempt);
             }
         }
-        if let Some(partition) = written_by.filter(|_| !page.is_ours) {
+        if let Some(partition) = written_by.filter(|_| !page.is_own) {
             self.write_quota_grant(context, partition, 0);
         }
     }
@@ -99,7 +99,7 @@
         };
         if self.is_assigned(&machine.machine, job, attempt) {
             // The assignment is on two pages, after a move of which only the first half was written: this page drops it.
-            if page.is_ours {
+            if page.is_own {
                 let due = context.now.steady + SECOND;
                 self.write_buffer
                     .mark_dirty_lazily(RecordId::Page(page.number), due);
@@ -140,7 +140,7 @@
         match self.jobs.find(job) {
             Some(index) => Some(LoadedJob::Known(index)),
             None => {
-                let is_unreadable = self.unreadable_jobs.contains(&job_key(job));
+                let is_unreadable = self.unreadable_job_keys.contains(&job_key(job));
                 is_unreadable.then_some(LoadedJob::Unreadable)
             }
         }
@@ -161,7 +161,7 @@
 
     /// Counts the assignment on its page, or in the quota grant of the holder that writes the page.
     fn count_on_page(&mut self, page: LoadedPage, machine: &str, assignment: &Assignment) {
-        if page.is_ours {
+        if page.is_own {
             self.page_mut(page.number).add(machine, assignment);
         } else if let Some(partition) = page.written_by {
             let grants = &mut self.leader_quota.grants;
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -53,9 +53,9 @@
             }
             Ok(_) => error!(key = key; "record holds another job and is left as it is"),
             Err(error) => {
-                if !self.unreadable_jobs.iter().any(|known| known == key) {
+                if !self.unreadable_job_keys.iter().any(|known| known == key) {
                     error!(key = key, error:% = error; "record cannot be read and is left as it is");
-                    self.unreadable_jobs.push(key.to_string());
+                    self.unreadable_job_keys.push(key.to_string());
                 }
             }
         }
--- a/crates/core/src/scheduler/progress.rs
+++ b/crates/core/src/scheduler/progress.rs
@@ -8,21 +8,21 @@
 use grebewood_wire::peer::PeerRequest;
 
 /// How often the others are told of changed progress: often enough for polls to show short tasks.
-const PROGRESS_INTERVAL: Micros = 500 * MILLI;
+const PROGRESS_INTERVAL_US: Micros = 500 * MILLI;
 
 /// With every fifth message all jobs count as changed.
 const ROUNDS_PER_FULL_UPDATE: u32 = 5;
 
 /// Most jobs in one message.
-const MAX_JOBS: usize = 500;
+const MAX_JOBS_PER_MESSAGE: usize = 500;
 
-const PROGRESS_TIMEOUT: Micros = 900 * MILLI;
+const PROGRESS_TIMEOUT_US: Micros = 900 * MILLI;
 
 impl Scheduler {
     /// Sends changed progress if that is due.
     pub(crate) fn run_progress(&mut self, context: &mut Context) {
         if context.now.steady >= self.next_progress_at {
-            self.next_progress_at = context.now.steady + PROGRESS_INTERVAL;
+            self.next_progress_at = context.now.steady + PROGRESS_INTERVAL_US;
             self.send_progress(context);
         }
     }
@@ -49,7 +49,7 @@
                 "POST",
                 "/peer".into(),
                 message.clone(),
-                PROGRESS_TIMEOUT,
+                PROGRESS_TIMEOUT_US,
                 CallPurpose::Ignore,
             );
         }
@@ -58,8 +58,10 @@
     /// Jobs with the numbers of their completed and running tasks.
     fn take_changed_progress(&mut self) -> Vec<(String, u64, u64)> {
         let mut changed = Vec::new();
-        while let (Some(index), true) = (self.progress_dirty.pop_first(), changed.len() < MAX_JOBS)
-        {
+        while let (Some(index), true) = (
+            self.progress_dirty.pop_first(),
+            changed.len() < MAX_JOBS_PER_MESSAGE,
+        ) {
             if let Some(job) = self.jobs.get(index) {
                 changed.push((job.id.clone(), job.completed_count, u64::from(job.running)));
             }
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -99,7 +99,7 @@
     }
 
     /// Counts what an assignment takes of its team's limit, until it is proven gone.
-    pub(crate) fn count_assignment(&mut self, assignment: &Assignment) {
+    pub(crate) fn charge_quota(&mut self, assignment: &Assignment) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
             (true, true) => self.holder_quota.grant.take(team, amount),
@@ -113,7 +113,7 @@
     }
 
     /// The assignment on this machine is proven gone.
-    pub(crate) fn discount_assignment(
+    pub(crate) fn release_quota(
         &mut self,
         context: &Context,
         machine: &str,
@@ -138,7 +138,7 @@
     }
 
     /// Whether no task of the job is on a machine or delegated to a holder.
-    pub(crate) fn is_off_machines(&self, index: JobIndex) -> bool {
+    pub(crate) fn has_no_assigned_tasks(&self, index: JobIndex) -> bool {
         let job = self.jobs.get(index);
         job.is_none_or(|job| job.live() == 0 && job.delegated == 0)
     }
--- a/crates/core/src/scheduler/store_reads.rs
+++ b/crates/core/src/scheduler/store_reads.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Keys in one page of a list.
-pub(crate) const LIST_PAGE: usize = 200;
+pub(crate) const LIST_PAGE_KEYS: usize = 200;
 
 /// The reads with which a leader or holder begins: lists of prefixes and single keys, by prefix or key.
 #[derive(Debug, Default)]
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -3,7 +3,7 @@
 use crate::calls::SchedulerCall;
 use crate::context::Context;
 use crate::scheduler::store_reads::Watch;
-use crate::scheduler::{Scheduler, RENEWALS_PER_LEASE, STATS_INTERVAL};
+use crate::scheduler::{Scheduler, RENEWALS_PER_LEASE, STATS_WRITE_INTERVAL_US};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, Stopwatch, Target, SECOND};
 
@@ -12,7 +12,7 @@
 pub(crate) const URGENT_RENEWALS_PER_LEASE: Micros = 12;
 
 /// How long changed statistics may wait for their write.
-const STATS_DELAY: Micros = SECOND;
+const STATS_WRITE_DELAY_US: Micros = SECOND;
 
 impl Scheduler {
     /// When `run` is next due, in microseconds of the steady clock.
@@ -26,15 +26,15 @@
         }
         let watches = self.watches.values().filter_map(Watch::next_due);
         let shared = watches.fold(self.lease_renewal_at, Micros::min);
-        let shared = shared.min(self.flush_wake());
+        let shared = shared.min(self.next_flush_at());
         if self.is_holder() {
             shared.min(self.next_holder_wake())
         } else {
-            shared.min(self.leader_wake())
+            shared.min(self.next_leader_wake())
         }
     }
 
-    fn leader_wake(&self) -> Micros {
+    fn next_leader_wake(&self) -> Micros {
         let held = if self.held_heartbeats.is_empty() {
             Micros::MAX
         } else {
@@ -100,11 +100,11 @@
         if now < self.next_stats_at {
             return;
         }
-        self.next_stats_at = now + STATS_INTERVAL;
+        self.next_stats_at = now + STATS_WRITE_INTERVAL_US;
         if self.stats.changed {
             self.stats.changed = false;
             self.write_buffer
-                .mark_dirty_by(RecordId::Stats, now + STATS_DELAY);
+                .mark_dirty_by(RecordId::Stats, now + STATS_WRITE_DELAY_US);
         }
     }
 }
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -12,24 +12,24 @@
 use log::warn;
 
 /// Keys in one page of a list that is read again.
-const RELIST_PAGE: usize = 1_000;
+const RELIST_PAGE_KEYS: usize = 1_000;
 
 /// Milliseconds after which the store answers a watch even if nothing has changed.
 const BLOCK_MS: u64 = 10_000;
 
 /// How long a watch may take, with the time until the store answers it at the latest.
-const WATCH_TIMEOUT: Micros = 13 * SECOND;
+const WATCH_TIMEOUT_US: Micros = 13 * SECOND;
 
 /// Pause after an answer, for changes to gather.
-const PAUSE: Micros = 20 * MILLI;
+const BATCHING_PAUSE_US: Micros = 20 * MILLI;
 
 /// Pause after a request that failed.
-const RETRY_PAUSE: Micros = 300 * MILLI;
+const RETRY_PAUSE_US: Micros = 300 * MILLI;
 
 /// Pause after an answer that cannot be read.
-const UNREADABLE_PAUSE: Micros = SECOND;
+const UNREADABLE_PAUSE_US: Micros = SECOND;
 
-const GONE: u16 = 410;
+const HTTP_GONE: u16 = 410;
 
 impl Scheduler {
     /// Sends the requests of watches that are due.
@@ -43,13 +43,13 @@
                 WatchRequest::List { after } => {
                     let after = after.map_or(String::new(), |key| format!("&since={key}"));
                     let prefix = prefix.to_string();
-                    let path = format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE}");
+                    let path = format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE_KEYS}");
                     (SchedulerCall::List { prefix }, path, STORE_TIMEOUT)
                 }
                 WatchRequest::Changes { since } => {
                     let path =
                         format!("/changes?prefix={prefix}&since={since}&block_ms={BLOCK_MS}");
-                    (SchedulerCall::Watch { prefix }, path, WATCH_TIMEOUT)
+                    (SchedulerCall::Watch { prefix }, path, WATCH_TIMEOUT_US)
                 }
             };
             let purpose = CallPurpose::Scheduler { token, what };
@@ -73,27 +73,30 @@
                 match wire::from_cbor::<WatchResponse>(&body) {
                     Ok(changes) => {
                         watch.advance(&changes);
-                        watch.end_request(now + PAUSE);
+                        watch.end_request(now + BATCHING_PAUSE_US);
                         for event in changes.events {
-                            self.on_event(context, event);
+                            self.on_watch_event(context, event);
                         }
                     }
                     Err(error) => {
                         warn!(key = prefix, error:% = error; "answer to a watch cannot be read");
-                        watch.end_request(now + UNREADABLE_PAUSE);
+                        watch.end_request(now + UNREADABLE_PAUSE_US);
                     }
                 }
             }
             // Too old, or more than can be taken at once, which would be the same the next time.
-            Outcome::Answer { status: GONE, .. } | Outcome::TooLarge => {
+            Outcome::Answer {
+                status: HTTP_GONE, ..
+            }
+            | Outcome::TooLarge => {
                 watch.start_relist();
                 watch.end_request(now);
             }
-            _ => watch.end_request(now + RETRY_PAUSE),
+            _ => watch.end_request(now + RETRY_PAUSE_US),
         }
     }
 
-    fn on_event(&mut self, context: &mut Context, event: WatchEvent) {
+    fn on_watch_event(&mut self, context: &mut Context, event: WatchEvent) {
         if let (Some(key), true) = (&event.delete, self.is_holder()) {
             // The leader ended the job: what is left of it on machines belongs to no job.
             if let Some(JobKey::Live(job)) = JobKey::parse(key) {
@@ -102,11 +105,11 @@
             }
         }
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
-            self.on_put(context, key, value, event.mod_revision);
+            self.on_key_put(context, key, value, event.mod_revision);
         }
     }
 
-    fn on_put(&mut self, context: &mut Context, key: &str, value: &Value, mod_revision: u64) {
+    fn on_key_put(&mut self, context: &mut Context, key: &str, value: &Value, mod_revision: u64) {
         match JobKey::parse(key) {
             Some(JobKey::Live(job)) => {
                 self.add_job(context, key, value, mod_revision);
@@ -134,12 +137,12 @@
             return;
         };
         let Some(page) = page else {
-            return watch.end_request(now + RETRY_PAUSE);
+            return watch.end_request(now + RETRY_PAUSE_US);
         };
         watch.end_request(now);
         watch.add_page(&page);
         for entry in page.entries {
-            self.on_put(context, &entry.key, &entry.value, entry.mod_revision);
+            self.on_key_put(context, &entry.key, &entry.value, entry.mod_revision);
         }
     }
 }
