--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -65,7 +65,7 @@
         let conflict = wire::from_cbor::<TransactionConflict>(body);
         let failed_keys = conflict.map_or_else(|_| Vec::new(), |conflict| conflict.failed);
         self.write_buffer.back_off(context.now.steady, MILLI);
-        self.conditions_failed(&failed_keys)?;
+        self.on_conditions_failed(&failed_keys)?;
         if failed_keys.is_empty() {
             // The answer does not say which: the mod_revisions of all are read, at a pace that leaves the store room.
             self.write_buffer.stale.extend(batch.keys());
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -239,13 +239,13 @@
 #[test]
 fn nothing_is_written_once_another_leader_is_on_record() {
     let (mut controller, mut holder) = holder();
-    assert_eq!(holder.conditions_failed(&[LEADER.to_string()]), Ok(()));
+    assert_eq!(holder.on_conditions_failed(&[LEADER.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
     // When the limits have changed, nothing is written until the leader has sent them, either.
     carry_out(&mut controller, &mut holder, orders(5, 4, &[]));
-    assert_eq!(holder.conditions_failed(&[LIMITS.to_string()]), Ok(()));
+    assert_eq!(holder.on_conditions_failed(&[LIMITS.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
-    let ended = holder.conditions_failed(&[claim_key(1)]);
+    let ended = holder.on_conditions_failed(&[claim_key(1)]);
     assert_eq!(ended, Err("its claim has ended".to_string()));
 }
 
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -29,7 +29,7 @@
     }
 
     /// A write failed, and these conditions did not hold. The error says why the fenced lease is lost.
-    pub(crate) fn conditions_failed(&mut self, failed_keys: &[String]) -> Result<(), String> {
+    pub(crate) fn on_conditions_failed(&mut self, failed_keys: &[String]) -> Result<(), String> {
         let has_failed = |key: &str| failed_keys.iter().any(|failed| failed == key);
         let Some(partition) = self.partition() else {
             return if has_failed(LEADER) {
