--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,9 +1,9 @@
-//! The working state of a controller that looks after machines under a fenced lease: the leader, or the holder of a
+//! The state of a controller that manages machines under a fenced lease, as the leader or as the holder of a
 //! partition.
 //!
-//! It is built from the key-value store once the lease is acquired, and dropped as a whole when the lease is lost.
-//! Modules under `leader` run for the leader only, those under `holder` for the holder of a partition only; the others
-//! run for both.
+//! A controller builds this state from the key-value store after it has acquired the lease, and drops all of it
+//! when it loses the lease. Modules under `leader` run for the leader only, those under `holder` for the holder of
+//! a partition only; the others run for both.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, Role};
@@ -44,20 +44,20 @@
 pub(crate) mod watches;
 pub(crate) mod write_conditions;
 
-/// Bits of the counter in the number of an attempt; the bits above are the fencing token under which it was given.
+/// Width of the counter in the low bits of an attempt number; the bits above hold the fencing token.
 const ATTEMPT_COUNTER_BITS: u32 = 20;
 
-/// How often changed statistics are written.
+/// Interval between two writes of changed statistics.
 const STATS_WRITE_INTERVAL_US: Micros = 20 * SECOND;
 
-/// Renewals within the lease's time to live.
+/// Number of lease renewals that are sent within the time to live of the lease.
 const RENEWALS_PER_LEASE: Micros = 4;
 
-/// A fenced lease in the key-value store: a record that is attached to a lease and whose mod_revision fences off
-/// earlier owners.
+/// A lease in the key-value store with a record attached to it. The mod_revision of the record is the fencing
+/// token, which fences off earlier owners.
 #[derive(Clone, Copy, Debug)]
 pub struct FencedLease {
-    /// The record's mod_revision, which is the fencing token.
+    /// The fencing token: the mod_revision of the record.
     pub token: u64,
     /// The number of the lease.
     pub lease: u64,
@@ -65,108 +65,112 @@
     pub lease_requested_at: Micros,
 }
 
-/// The working state under one fenced lease. All times are microseconds of the steady clock.
+/// The state under one fenced lease. All times are in microseconds of the steady clock.
 ///
-/// The fields stand in three groups: those that the leader and holders of partitions share, those that only the leader
-/// uses, and those that only a holder uses.
+/// The fields are in three groups: those shared by the leader and the holders of partitions, those that only the
+/// leader uses, and those that only a holder uses.
 pub struct Scheduler {
-    // Shared by the leader and by holders of partitions: the lease.
+    // Used by the leader and by holders of partitions: the lease.
     pub(crate) role: Role,
     /// The fencing token.
     pub token: u64,
     pub(crate) lease: u64,
-    /// When the lease is renewed next.
+    /// When the next renewal of the lease is due.
     pub(crate) lease_renewal_at: Micros,
-    /// Whether the process was paused and the lease may have expired meanwhile. Until it is known to hold, no task is
-    /// launched or stopped, nothing is written, no machine is provisioned, and no heartbeat is answered.
+    /// Whether the process was paused and the lease may have expired in the meantime. Until the lease is confirmed,
+    /// the scheduler launches or stops no task, writes nothing, provisions no machine, and answers no heartbeat.
     pub(crate) is_lease_uncertain: bool,
-    /// When the lease was acquired; the records were read after that.
+    /// When the lease was acquired. All records are read after that.
     pub(crate) lease_acquired_at: Micros,
 
-    // Shared: records in the key-value store.
-    /// The reads with which the term begins, until all of them are done.
+    // Used by both: records in the key-value store.
+    /// The reads of the records that the scheduler starts from; `None` once all of them are complete.
     loading: Option<Loading>,
-    /// When all records had been read.
+    /// When all records had been read and applied; 0 before that.
     pub loaded_at: Micros,
     watches: BTreeMap<&'static str, Watch>,
-    /// What has to be written.
+    /// Records that have to be written to the key-value store.
     pub write_buffer: WriteBuffer,
-    /// Flushes in a row that failed, up to a limit.
+    /// Number of consecutive failed flushes, up to a limit.
     flush_failures: u32,
-    /// Most bytes of a value: that of the settings until the store refuses a value that fits it.
+    /// Maximum size of a value. Starts as the configured limit and is lowered when the store refuses a value within
+    /// it.
     max_value_bytes: usize,
-    /// Most operations of a transaction: that of the settings until the store refuses a transaction that fits it.
+    /// Maximum number of operations in a transaction. Starts as the configured limit and is lowered when the store
+    /// refuses a transaction within it.
     max_transaction_operations: usize,
     /// The assignment pages that this scheduler writes.
     pub pages: AssignmentPages,
 
-    // Shared: jobs.
-    /// Live jobs.
+    // Used by both: jobs.
+    /// Jobs that have not ended.
     pub jobs: Jobs,
-    /// Jobs that ended lately, so that a late list cannot bring them back.
+    /// Ids of the jobs that ended most recently, so that a list which predates their end does not add them again.
     recently_ended: VecDeque<String>,
-    /// Keys of jobs whose records cannot be read.
+    /// Keys of the job records that cannot be read.
     unreadable_job_keys: Vec<String>,
-    /// Jobs taken as cancelled whose cancellation was not found on record: whether they are over is yet to be read.
+    /// Ids of jobs that are marked as cancelled although the store has no cancellation for them. Whether such a job
+    /// has already ended is read before the mark is removed.
     unconfirmed_cancellations: BTreeSet<String>,
-    /// Averages learned from what was seen.
+    /// Averages of observed run times and startup times.
     pub stats: Stats,
     /// State of the placement rounds.
     pub placement: Placement,
-    /// Attempts numbered so far under this lease.
+    /// Count of the attempt numbers allocated under this lease.
     allocated_attempts: u64,
 
-    // Shared: machines and their agents.
+    // Used by both: machines and their agents.
     /// Machines by name.
     pub machines: BTreeMap<String, Machine>,
     /// Machines that are being provisioned or terminated, or that are gone.
     pub fleet: Fleet,
-    /// Heartbeats that are held until there is something to tell their agents.
+    /// Heartbeats whose responses are held until a write is durable or a placement round is over.
     pub held_heartbeats: Vec<HeldHeartbeat>,
-    /// When the first of them is answered in any case.
+    /// Earliest time at which a held heartbeat is answered regardless of what it waits for.
     pub next_held_deadline: Micros,
-    /// Whether something happened that any of them may have waited for.
+    /// Whether an event since the last check may have completed what a held heartbeat waits for.
     pub held_heartbeats_may_be_ready: bool,
-    /// Heartbeats of machines with free resources that wait for tasks.
+    /// Heartbeats of machines with free resources, held as long polls until a task is placed on the machine.
     pub long_polls: LongPolls,
-    /// When any agent last sent a heartbeat.
+    /// When the last heartbeat of any agent arrived.
     pub last_heartbeat_at: Micros,
-    /// Machines with a direct command in flight, with the time at which the last one was sent.
+    /// When the direct command that is in flight to a machine was sent, by machine name.
     pub direct_commands_in_flight: BTreeMap<String, Micros>,
-    /// When machines are next checked for being unreachable.
+    /// When all machines are next checked for missing heartbeats and overdue stops.
     pub next_machine_check: Micros,
 
-    // The leader only.
-    /// Partitions and what their holders have told.
+    // Used by the leader only.
+    /// Partitions and the reports of their holders.
     pub(crate) remote_partitions: RemotePartitions,
-    /// The teams' limits, and quota grants to holders.
+    /// Quotas of the teams, and quota grants to the holders of partitions.
     pub(crate) leader_quota: LeaderQuota,
-    /// What each team uses, from assignment until proof that the task is gone, without what holders have placed.
+    /// Resources that each team uses. A task counts from its assignment until it is proven gone; tasks placed by
+    /// holders are not included.
     pub usage: TeamAmounts,
-    /// Free resources that are kept for services.
+    /// Free resources that are reserved for services.
     pub headroom: Headroom,
-    /// The pages of completed tasks.
+    /// Pages of completed tasks.
     pub completed_pages: CompletedTaskPages,
-    /// Jobs whose progress changed since the peers were told.
+    /// Jobs whose progress has changed since it was last sent to the other controllers.
     pub progress_dirty: BTreeSet<JobIndex>,
     next_progress_at: Micros,
-    /// Messages of progress sent so far.
+    /// Number of progress rounds so far, with or without a message.
     progress_round: u32,
     next_stats_at: Micros,
-    /// When the provision requests on record are next compared with ours.
+    /// When the provision requests in the store are next compared with those of this leader.
     provision_sweep_at: Micros,
-    /// When that ends.
+    /// When these comparisons end.
     provision_sweep_until: Micros,
 
-    // The holder of a partition only.
-    /// What the leader has told, and what it is to be told.
+    // Used by the holder of a partition only.
+    /// Orders received from the leader, and reports that are due to it.
     pub(crate) holder_state: HolderState,
-    /// The quota grant, and the tasks that are to be placed under it.
+    /// The quota grant from the leader, and the tasks that the holder is to place under it.
     pub(crate) holder_quota: HolderQuota,
 }
 
-/// Most bytes of a page if a value may have `value_bytes`: sizes of pages are upper bounds, except for the frame of the
-/// record.
+/// Returns the maximum size of a page in bytes, for values of at most `value_bytes`. The tracked sizes of pages are
+/// upper bounds but leave out the frame of the record, for which a tenth is kept free.
 fn max_page_bytes(value_bytes: usize) -> usize {
     value_bytes * 9 / 10
 }
@@ -179,7 +183,7 @@
             role,
             token: lease.token,
             lease: lease.lease,
-            // The lease may be old already, if the store is slow.
+            // Counted from the request: with a slow store the lease may already have been running for some time.
             lease_renewal_at: lease.lease_requested_at
                 + context.tuning.leader_lease_us / RENEWALS_PER_LEASE,
             is_lease_uncertain: false,
@@ -224,29 +228,29 @@
         }
     }
 
-    /// Most bytes of a page.
+    /// Returns the maximum size of a page in bytes.
     pub(crate) fn max_page_bytes(&self) -> usize {
         max_page_bytes(self.max_value_bytes)
     }
 
-    /// Whether a machine may have a task of a job whose record cannot be read.
+    /// Returns whether a machine may have a task of a job whose record cannot be read.
     pub(crate) fn has_unreadable_tasks(&self) -> bool {
-        // The team of such a task is not known.
+        // The team of such a task is unknown.
         !self.unreadable_job_keys.is_empty() && self.assignments().any(|a| a.team.is_empty())
     }
 
-    /// Whether all records have been read and, for the holder of a partition, all tasks that may be on its machines are
-    /// known, so that it can act.
+    /// Returns whether the scheduler can act: all records have been read and, for the holder of a partition, all
+    /// tasks that may be on its machines are known.
     pub fn is_loaded(&self) -> bool {
         self.loading.is_none() && (!self.is_holder() || self.holder_state.is_reconciled())
     }
 
-    /// Whether the live jobs have been read.
+    /// Returns whether the records of the live jobs have been read.
     pub(crate) fn jobs_are_read(&self) -> bool {
         self.loading.is_none()
     }
 
-    /// Whether it is known which machines are in partitions.
+    /// Returns whether it is known which partition each machine belongs to, if any.
     pub(crate) fn knows_partitions(&self, context: &Context) -> bool {
         let loading = self.loading.as_ref();
         !context.supports_partitions() || loading.is_none_or(|loading| loading.has_read(PARTITION))
@@ -257,12 +261,12 @@
         self.lease
     }
 
-    /// Whether the lease may have expired while the process was paused.
+    /// Returns whether the lease may have expired during a pause of the process.
     pub fn is_lease_uncertain(&self) -> bool {
         self.is_lease_uncertain
     }
 
-    /// The lease is known to hold.
+    /// Records that the lease still holds, which ends the uncertainty after a pause of the process.
     pub(crate) fn confirm_lease(&mut self) {
         if self.is_lease_uncertain {
             self.is_lease_uncertain = false;
@@ -270,7 +274,7 @@
         }
     }
 
-    /// The purpose of a call that this scheduler makes.
+    /// Returns the purpose of a call that this scheduler makes, by which the reply is routed back to it.
     pub(crate) fn call_purpose(&self, what: SchedulerCall) -> CallPurpose {
         CallPurpose::Scheduler {
             token: self.token,
@@ -278,18 +282,18 @@
         }
     }
 
-    /// A new number for an attempt. It contains the fencing token, so no leader or holder ever reuses one of another.
+    /// Returns a new attempt number. It contains the fencing token, so it is never allocated under another lease.
     pub fn allocate_attempt(&mut self) -> u64 {
         self.allocated_attempts += 1;
         (self.token << ATTEMPT_COUNTER_BITS) + self.allocated_attempts
     }
 
-    /// Whether the number of the attempt was given under this lease.
+    /// Returns whether the attempt number was allocated under this lease.
     pub(crate) fn has_allocated_attempt(&self, attempt: u64) -> bool {
         attempt >> ATTEMPT_COUNTER_BITS == self.token
     }
 
-    /// Tasks of a live job that are completed and that are running, for display.
+    /// Returns the numbers of completed and of running tasks of a live job; `None` if the job is unknown.
     pub fn progress_of(&self, id: &str) -> Option<(u64, u64)> {
         let job = self.jobs.get(self.jobs.find(id)?)?;
         Some((job.completed_count, u64::from(job.running)))
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -1,5 +1,5 @@
-//! Machines by the heartbeats of their agents: the assignments on a machine, from the decision until they are
-//! proven gone.
+//! Tracks machines through the heartbeats of their agents, and the assignments on each machine from the placement
+//! decision until the task is proven gone.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -16,24 +16,25 @@
 pub(crate) mod stops;
 pub(crate) mod unreachable;
 
-/// How long the write of a removed assignment may be delayed, in microseconds. Until then its page lists a task
-/// that is gone, which the next leader learns from the agent's first heartbeat.
+/// Minimum delay of the write of a page after an assignment was removed. Until then the page lists a task that is
+/// gone; a leader that takes over learns this from the first heartbeat of the agent.
 const REMOVAL_WRITE_DELAY_US: Micros = 8 * SECOND;
 
-/// The share of the store's write rate that removals of assignments may take.
+/// Share of the configured write rate of the store that removals of assignments may use.
 const REMOVAL_WRITE_SHARE: f64 = 0.2;
 
-/// Which message carried the status of a machine.
+/// Kind of message that carried the status of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatusSource {
-    /// A heartbeat. An agent has only one in flight, and ignores a late response to an earlier one.
+    /// A heartbeat. An agent has only one in flight, and ignores the response to an earlier one.
     Heartbeat,
     /// The response to a direct command, which may overtake the response to a heartbeat.
     DirectCommand,
 }
 
 impl Scheduler {
-    /// A machine known only from assignments on record.
+    /// Returns the machine of an assignment that was read from a record or received from another controller, and
+    /// adds it if it is unknown.
     pub(crate) fn recover_machine(
         &mut self,
         context: &Context,
@@ -46,19 +47,19 @@
             Machine::new(&heartbeat, None, context.now.steady)
         });
         machine.partition = self.remote_partitions.partition_of(&machine.zone, name);
-        // Heartbeats of earlier incarnations are older than what is on record.
+        // Heartbeats of an earlier incarnation than that of the record are out of date.
         machine.incarnation = machine.incarnation.max(incarnation);
         machine
     }
 
-    /// All assignments, on whatever machine.
+    /// Iterates over the assignments on all machines.
     pub(crate) fn assignments(&self) -> impl Iterator<Item = &Assignment> {
         self.machines
             .values()
             .flat_map(|machine| &machine.assignments)
     }
 
-    /// The index of the first assignment of a machine that passes the test.
+    /// Returns the index of the first assignment of a machine that passes the test.
     pub(crate) fn assignment_position(
         &self,
         machine: &str,
@@ -71,7 +72,7 @@
             .position(test)
     }
 
-    /// Puts an assignment on a machine. It counts against quotas until it is proven absent.
+    /// Adds an assignment to a machine. It counts against the quota of its team until the task is proven gone.
     pub(crate) fn add_assignment(&mut self, name: &str, assignment: Assignment) {
         if !self.machines.contains_key(name) {
             return;
@@ -87,7 +88,7 @@
         self.update_running_count(decided, job, ObservedStatus::Never, seen);
     }
 
-    /// Removes an assignment whose task is proven not to be on the machine, nor to start there later.
+    /// Removes an assignment whose task is proven to be absent from the machine and unable to start there later.
     pub(crate) fn remove_assignment(&mut self, context: &mut Context, name: &str, position: usize) {
         let now = context.now.steady;
         let Some(machine) = self.machines.get_mut(name) else {
@@ -101,7 +102,7 @@
         if self.is_holder() {
             self.note_end(name, &assignment, TaskEnd::Gone);
         }
-        // A page is written by whoever placed what is on it.
+        // Each page is written by the controller that placed the assignments on it.
         if assignment.by_holder == self.is_holder() {
             self.remove_from_page(context, name, &assignment);
         }
@@ -124,10 +125,11 @@
         }
     }
 
-    /// Removes an assignment from its page, which is written some time later.
+    /// Removes an assignment from its page, and schedules a delayed write of the page.
     fn remove_from_page(&mut self, context: &Context, name: &str, assignment: &Assignment) {
         self.page_mut(assignment.page).remove(name, assignment);
-        // Every page has removals all the time: the more pages, the longer the time between two writes of one.
+        // Removals affect every page all the time: the delay grows with the number of pages, so that the writes of
+        // all pages stay within their share of the write rate.
         let writes_per_second = context.settings.store.write_rps * REMOVAL_WRITE_SHARE;
         let seconds_for_all_pages = self.pages.len() as f64 / writes_per_second;
         let delay = REMOVAL_WRITE_DELAY_US.max((seconds_for_all_pages * 1e6) as Micros);
@@ -137,7 +139,7 @@
     }
 }
 
-/// What stands for the heartbeat of a machine that has sent none yet.
+/// Returns a placeholder for the heartbeat of a machine that has not sent one yet.
 fn placeholder_heartbeat(name: &str, zone: &str, incarnation: u64) -> Heartbeat {
     Heartbeat {
         machine: name.to_string(),
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -1,4 +1,5 @@
-//! Exited tasks: results, retries, and whether a failure is attributed to the machine or to the job.
+//! Processes the exits of tasks: records results, schedules retries, and attributes failures to the machine or to
+//! the job.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -10,21 +11,21 @@
 use grebewood_wire::records::TASKS_PER_LEGACY_RECORD;
 use log::{info, warn};
 
-/// How long the write of a completed task may be delayed, in microseconds.
+/// Delay of the write that records a completed task, so that other completions can share it.
 const COMPLETION_WRITE_DELAY_US: Micros = 2 * SECOND;
 
-/// How long a replica launched by an earlier leader has run at least, in microseconds, as far as can be told.
+/// Run time before the records were loaded that is assumed for a replica of an earlier leader.
 const MIN_RECOVERED_RUN_US: Micros = 30 * SECOND;
 
-/// How long a machine that refused a task gets no new ones, in microseconds.
+/// Time during which a machine that refused a task gets no new ones.
 const QUARANTINE_US: Micros = 3 * SECOND;
 
-/// Most machines that are terminated because the tasks of one job alone failed there.
+/// Maximum number of machines that are terminated for failures of the tasks of a single job.
 const MAX_TERMINATIONS_BY_ONE_JOB: u32 = 2;
 
-/// The exit of a task whose assignment is known.
+/// Exit of a task whose assignment is known.
 struct TaskExit<'a> {
-    /// The machine's name.
+    /// Name of the machine.
     machine: &'a str,
     assignment: &'a Assignment,
     cause: &'a ExitCause,
@@ -33,8 +34,8 @@
 }
 
 impl Scheduler {
-    /// Marks a task completed. Returns the record, with its version, that must be durable before the result may be
-    /// acknowledged; nothing if the task was completed before.
+    /// Marks a task as completed. Returns the record, with its version, that must be durable before the exit may be
+    /// acknowledged; `None` if the task was completed before.
     fn mark_completed(
         &mut self,
         context: &Context,
@@ -51,12 +52,12 @@
             job,
         ));
         self.progress_dirty.insert(index);
-        // The agent keeps the result until it is acknowledged: the write can wait for others.
+        // The agent reports the exit until it is acknowledged, so the write may be delayed.
         let due = context.now.steady + COMPLETION_WRITE_DELAY_US;
         Some((page.clone(), self.write_buffer.mark_dirty_by(page, due)))
     }
 
-    /// The task of the assignment at this position of the machine has exited.
+    /// Handles the exit of the task whose assignment is at this position of the machine.
     pub(crate) fn on_task_exited(
         &mut self,
         context: &mut Context,
@@ -78,21 +79,21 @@
             cause,
             task_name,
         };
-        let after = self.apply_exit_cause(context, &exit);
+        let required_record = self.apply_exit_cause(context, &exit);
         self.remove_assignment(context, name, position);
         if let Some(machine) = self.machines.get_mut(name) {
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: task_name.to_string(),
                 attempt: assignment.attempt,
-                after: after.into_iter().collect(),
+                after: required_record.into_iter().collect(),
                 job: Some(assignment.job),
             });
         }
         self.end_if_over(context, assignment.job);
     }
 
-    /// Applies what the cause of an exit says of the machine and of the job. Returns the record that must be durable
-    /// before the exit is acknowledged.
+    /// Applies the cause of an exit to the machine and the job. Returns the record, with its version, that must be
+    /// durable before the exit may be acknowledged.
     fn apply_exit_cause(&mut self, context: &Context, exit: &TaskExit) -> Option<(RecordId, u64)> {
         let now = context.now.steady;
         let TaskExit {
@@ -115,14 +116,15 @@
             }
             (ExitCause::UnknownJob, Some(job)) => job.note_unknown_to_agent(now),
             (ExitCause::Unknown(cause), _) => {
-                warn!(task = task_name, machine = machine, cause:? = cause; "exit with an unknown cause");
+                warn!(task = task_name, machine = machine, cause:? = cause; "task exited with an unknown cause");
             }
             _ => {}
         }
         None
     }
 
-    /// A replica of a daemon exited: it is to run again, however it ended. Unless it was stopped, it ended by itself.
+    /// Handles the exit of a replica, which is started again whatever the cause. The exit of a replica that was to
+    /// be stopped is not recorded.
     fn apply_replica_exit(&mut self, context: &Context, exit: &TaskExit) {
         let now = context.now.steady;
         let assignment = exit.assignment;
@@ -148,7 +150,7 @@
         }
     }
 
-    /// A task exited after it had done its work.
+    /// Handles the exit of a task that completed its work.
     fn apply_task_success(
         &mut self,
         context: &Context,
@@ -159,7 +161,7 @@
         let job = self.jobs.get_mut(assignment.job)?;
         machine.failed_jobs.clear();
         job.consecutive_errors = 0;
-        // Only a run seen from its beginning says how long such tasks take.
+        // Only a run that was observed from its start gives the run time of such tasks.
         if let (Some(started), false) = (assignment.started, assignment.recovered()) {
             let run_time = context.now.steady.saturating_sub(started);
             self.stats
@@ -169,8 +171,8 @@
         self.mark_completed(context, assignment.job, assignment.task)
     }
 
-    /// A task of the job failed on the machine: one of the two is at fault. A machine that seems to be is terminated;
-    /// one job alone causes only a few terminations.
+    /// Records that a task of the job failed on the machine. The machine is terminated if it seems to be at fault,
+    /// but a single job causes only a few terminations.
     fn note_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
         let Some(job) = self.jobs.get_mut(index) else {
             return;
@@ -201,8 +203,8 @@
         }
     }
 
-    /// A job turned out to be at fault itself: machines that were to be terminated for its failures take tasks again,
-    /// unless failures of other jobs count against them.
+    /// Returns machines to service that were marked as faulty because of a job that turned out to be at fault
+    /// itself, unless failures of other jobs still count against them.
     fn uncordon_machines_not_at_fault(&mut self, context: &Context) {
         let is_faulty_job = |id: &str| self.jobs.is_likely_faulty(id);
         for machine in self.machines.values_mut().filter(|machine| machine.faulty) {
@@ -216,8 +218,8 @@
         }
     }
 
-    /// An agent lists an exited attempt that is on none of our pages, such as one whose removal was written before an
-    /// earlier leader could have it acknowledged.
+    /// Handles an exited attempt that is on none of the pages of this controller, for example because an earlier
+    /// leader wrote its removal but could not acknowledge the exit.
     pub(crate) fn apply_unrecorded_exit(
         &mut self,
         context: &mut Context,
@@ -230,24 +232,24 @@
             return;
         }
         let index = self.jobs.find(job_id);
-        let mut after = Vec::new();
+        let mut required_records = Vec::new();
         if self.is_holder() {
             self.note_unknown_exit(name, job_id, task, reported);
         } else if let (Some(ExitCause::Done), Some(index)) = (&reported.cause, index) {
-            after.extend(self.mark_completed(context, index, task));
+            required_records.extend(self.mark_completed(context, index, task));
             self.end_if_over(context, index);
         }
         if let Some(machine) = self.machines.get_mut(name) {
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: reported.task_name.clone(),
                 attempt: reported.attempt,
-                after,
+                after: required_records,
                 job: index,
             });
         }
     }
 
-    /// Whether the exit waits for its acknowledgement already.
+    /// Returns whether the exit has been recorded and waits for its acknowledgement.
     fn has_noted_exit(&self, name: &str, reported: &ReportedTask) -> bool {
         let is_reported = |exited: &ExitedAttempt| {
             exited.task_name == reported.task_name && exited.attempt == reported.attempt
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -1,4 +1,4 @@
-//! Applies the status of a machine, from a heartbeat or from the response to a direct command, to what is known of the
+//! Applies the status of a machine, from a heartbeat or from the response to a direct command, to the state of the
 //! machine and of the tasks on it.
 
 use crate::context::Context;
@@ -10,11 +10,11 @@
 use grebewood_wire::http::{ExitCause, Heartbeat, ReportedTask, TaskStatus};
 use log::{info, warn};
 
-/// Stands for the cause of an exit that was reported without one.
+/// Cause of an exit that was reported without one.
 static NO_CAUSE: ExitCause = ExitCause::Unknown(String::new());
 
 impl Scheduler {
-    /// Applies the status of a machine. Returns false if a newer one is known already.
+    /// Applies the status of a machine. Returns false if a newer status has been applied already.
     pub(crate) fn apply_heartbeat(
         &mut self,
         context: &mut Context,
@@ -51,8 +51,8 @@
             self.apply_tasks(context, &status, source);
         }
         if status.reclaim_s.is_some() {
-            // Nothing is launched here any more: tasks whose record was yet to be written would otherwise wait until
-            // the machine is gone.
+            // Nothing more is launched on a machine that will be reclaimed. Without this, tasks whose page is not
+            // written yet would wait until the machine is gone.
             self.remove_unlaunched(context, &name);
             self.drain_reclaimed(context, &name);
             self.move_replicas(context, &name);
@@ -61,8 +61,8 @@
         true
     }
 
-    /// Adds the machine if it is not known yet. One that was provisioned gets tasks at once; of others it must be
-    /// seen first that responses reach them.
+    /// Adds the machine if it is unknown. A machine that this leader provisioned takes tasks at once; any other
+    /// first has to show that responses reach it.
     fn add_machine_if_new(&mut self, context: &Context, status: &Heartbeat) {
         let name = &status.machine;
         if self.machines.contains_key(name) {
@@ -74,7 +74,8 @@
         self.machines.insert(name.clone(), machine);
     }
 
-    /// Frees what waits for its launch on a machine that no response reaches, and terminates the machine if that lasts.
+    /// Removes the unlaunched assignments of a machine that receives no responses, and terminates the machine if
+    /// that lasts for more than two agent leases.
     fn check_receives_responses(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
         let Some(machine) = self.machines.get_mut(name) else {
@@ -89,19 +90,21 @@
         let since = *machine.unreachable_since.get_or_insert(now);
         let unreachable_for = now.saturating_sub(since);
         if unreachable_for > 2 * context.settings.agent_lease && !machine.cordoned {
-            info!(machine = name; "no response reaches the machine; to be terminated");
+            info!(machine = name; "machine receives no responses and will be terminated");
             machine.cordoned = true;
             self.fleet.terminate(name, now);
         }
         self.remove_unlaunched(context, name);
     }
 
-    /// Frees what was placed on a machine but not launched: only a response that reaches the agent can launch it.
+    /// Removes the assignments of a machine that are not launched: only a response that reaches the agent can
+    /// launch them.
     pub(crate) fn remove_unlaunched(&mut self, context: &mut Context, name: &str) {
         self.remove_assignments(context, name, |a| a.launched.is_none());
     }
 
-    /// Reconciles the tasks of a status sent under our token with the assignments of the machine.
+    /// Reconciles the tasks of a status that was sent under the current fencing token with the assignments of the
+    /// machine.
     fn apply_tasks(&mut self, context: &mut Context, status: &Heartbeat, source: StatusSource) {
         for reported in &status.tasks {
             self.apply_task(context, status, reported);
@@ -111,8 +114,8 @@
                 .exited_attempts
                 .retain(|exited| lists_attempt(status, &exited.task_name, exited.attempt));
         }
-        // The response to a heartbeat may still bring a launch: in the response to a direct command absence proves
-        // nothing.
+        // The response to a heartbeat may still deliver a launch after this status, so a task that is absent from
+        // the response to a direct command may start later.
         if source == StatusSource::Heartbeat {
             self.apply_absences(context, status);
         }
@@ -150,8 +153,8 @@
         }
     }
 
-    /// Applies that launched tasks are absent from a heartbeat sent under our token. Either the task is gone, or the
-    /// response with its launch was lost.
+    /// Handles launched tasks that are absent from a heartbeat sent under the current fencing token: either the
+    /// task is gone, or the response with its launch was lost.
     fn apply_absences(&mut self, context: &mut Context, status: &Heartbeat) {
         let name = &status.machine;
         let newest = (status.incarnation, status.sequence);
@@ -168,8 +171,8 @@
             {
                 position += 1;
             } else if assignment.is_launch_unconfirmed() {
-                // An agent never carries out a lost response late: the launch may be sent again, under the same
-                // attempt, once responses arrive.
+                // An agent never carries out a lost response late, so the launch can be sent again under the same
+                // attempt number once responses reach the agent.
                 assignment.launched = None;
                 launch_was_lost = true;
                 position += 1;
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Counts a task of the job that began or ceased to run, as far as observed.
+    /// Updates the count of running tasks of the job after a task was observed to start or to stop running.
     pub(crate) fn update_running_count(
         &mut self,
         now: Micros,
@@ -205,7 +208,7 @@
     }
 }
 
-/// Whether the status lists the attempt of the task.
+/// Returns whether the status lists this attempt of the task.
 fn lists_attempt(status: &Heartbeat, task_name: &str, attempt: u64) -> bool {
     status
         .tasks
@@ -213,7 +216,7 @@
         .any(|reported| reported.attempt == attempt && reported.task_name == task_name)
 }
 
-/// Notes when and under which incarnation the machine sent its status.
+/// Records the time, the incarnation and the sequence number of a status.
 fn note_contact(machine: &mut Machine, status: &Heartbeat, source: StatusSource, now: Micros) {
     machine.address = status.address.clone();
     machine.last_contact_at = now;
@@ -226,8 +229,9 @@
     }
 }
 
-/// Notes that the agent has seen our fencing token. Until then an earlier leader that does not know yet that it was
-/// replaced may have renewed the agent's lease with its responses; a heartbeat's own response is yet to be sent.
+/// Records that the agent knows the current fencing token. Until then, an earlier leader that does not know yet
+/// that it was replaced may have renewed the agent's lease, so its expiry is counted from this status on. The
+/// handler of a heartbeat sets `last_response` itself.
 fn note_token(machine: &mut Machine, source: StatusSource, now: Micros) {
     if !machine.knows_token && source == StatusSource::DirectCommand {
         machine.last_response = now;
@@ -235,8 +239,8 @@
     machine.knows_token = true;
 }
 
-/// Notes whether our responses reach the agent. One that gets them sends its next heartbeat to this controller well
-/// before the time after which one that gets none turns to another controller.
+/// Records whether responses reach the agent. An agent that receives them sends its next heartbeat to this
+/// controller well within `RESPONSE_TIMEOUT`; one that receives none turns to another controller after that time.
 fn note_reachability(
     machine: &mut Machine,
     status: &Heartbeat,
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Answers heartbeats: which commands the response carries, and when it may be sent.
+//! Answers heartbeats: selects the commands of the response, and decides when it may be sent.
 
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
@@ -10,13 +10,13 @@
 use crate::{Micros, MILLI};
 use grebewood_wire::http::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskStatus, Verb};
 
-/// How long a heartbeat may wait for a flush, in microseconds, before it is answered with what there is.
+/// Maximum time for which the response to a heartbeat is held; it then carries the commands that are ready.
 pub(crate) const MAX_HOLD_US: Micros = 500 * MILLI;
 
-/// Most commands in one response, so that it stays below the size limit.
+/// Maximum number of commands in one response, which keeps it below the size limit.
 pub(crate) const MAX_COMMANDS: usize = 300;
 
-/// Stops for the tasks on a machine whose jobs are known to be cancelled.
+/// Returns stop commands for the reported tasks of jobs that are known to be cancelled.
 fn stop_commands_for_cancelled(context: &Context, heartbeat: &Heartbeat) -> Vec<Command> {
     let live = heartbeat
         .tasks
@@ -32,7 +32,7 @@
 }
 
 impl Scheduler {
-    /// A heartbeat arrived as request number `request`.
+    /// Handles a heartbeat that arrived as request number `request`.
     pub(crate) fn on_heartbeat(
         &mut self,
         context: &mut Context,
@@ -43,13 +43,14 @@
         self.holder_state.heartbeats += 1;
         if !self.is_loaded() {
             self.last_heartbeat_at = now;
-            // Renews the agent's lease and announces the token while records are still being read, which a store
-            // outage may prolong: cancelled tasks must be gone in time all the same.
+            // The response renews the agent's lease and announces the fencing token. It carries stops while records
+            // are still being read, which a store outage may prolong, since cancelled tasks have to be gone in time
+            // regardless.
             let commands = stop_commands_for_cancelled(context, &heartbeat);
             return self.answer_heartbeat(context, request, commands);
         }
         if self.fleet.is_terminated(&heartbeat.machine) {
-            // The machine was deleted: a late copy of a heartbeat.
+            // The machine was deleted, so this is a delayed copy of a heartbeat.
             return context.answer(request, 421, &Redirect { leader: None });
         }
         let held = HeldHeartbeat {
@@ -65,7 +66,7 @@
             return self.answer_heartbeat(context, request, Vec::new());
         }
         self.last_heartbeat_at = now;
-        // An agent sends one heartbeat at a time: it has given up the one before.
+        // An agent has one heartbeat in flight at a time, so it has given up waiting for the earlier one.
         self.refuse_held_heartbeats(context, &held.machine, "overtaken by a later report");
         let Some(machine) = self.machines.get_mut(&held.machine) else {
             return self.answer_heartbeat(context, request, Vec::new());
@@ -74,10 +75,10 @@
         self.answer_or_hold(context, held);
     }
 
-    /// A heartbeat came after a newer status of the machine. If it is a late copy, it renews no lease, and no agent
-    /// reads the response. But if it was overtaken by the response to a direct command, its agent takes our response,
-    /// so the agent's lease began when the heartbeat was sent, and must not be taken to have expired since the
-    /// response before.
+    /// Handles a heartbeat that arrived after a newer status of the machine. A delayed copy renews no lease, and no
+    /// agent reads the response. But if the response to a direct command overtook the heartbeat, the agent accepts
+    /// the response to the heartbeat: its lease then counts from the sending of this heartbeat and must not be
+    /// taken as expired by the time of the response before.
     fn note_late_heartbeat(&mut self, context: &Context, late: &HeldHeartbeat) {
         let Some(machine) = self.machines.get_mut(&late.machine) else {
             return;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Answers a heartbeat at once if it has nothing to wait for, or else holds it.
+    /// Answers a heartbeat immediately if it has nothing to wait for, and holds it otherwise.
     fn answer_or_hold(&mut self, context: &mut Context, mut held: HeldHeartbeat) {
         if self.has_room_for_backlog(context, &held.machine) {
             self.placement.request_round(context.now.steady);
@@ -105,8 +106,8 @@
         self.answer_heartbeat(context, held.request, commands);
     }
 
-    /// Whether the machine has free resources that jobs wait for: then the response waits for the next round of
-    /// placement.
+    /// Returns whether the machine has free resources that jobs are waiting for. The response then waits for the
+    /// next placement round.
     fn has_room_for_backlog(&self, context: &Context, name: &str) -> bool {
         let max_silence = context.settings.heartbeat_timeout();
         self.placement.backlog
@@ -129,28 +130,29 @@
         context.answer(request, 200, &response);
     }
 
-    /// Whether these versions of records are durable, which hold the outcome of a task of the job.
-    pub(crate) fn is_durable(&self, after: &[(RecordId, u64)], job: Option<JobIndex>) -> bool {
-        // Once a job is over, its terminal record stands for all of its tasks.
-        let over = job.is_some_and(|index| self.jobs.get(index).is_none());
-        after.iter().all(|(record, version)| {
-            (over && matches!(record, RecordId::Done(..)))
+    /// Returns whether the given versions of records, which hold the outcome of a task of the job, are durable.
+    pub(crate) fn is_durable(&self, records: &[(RecordId, u64)], job: Option<JobIndex>) -> bool {
+        // Once a job has ended, its final record stands for all of its tasks.
+        let has_job_ended = job.is_some_and(|index| self.jobs.get(index).is_none());
+        records.iter().all(|(record, version)| {
+            (has_job_ended && matches!(record, RecordId::Done(..)))
                 || self.write_buffer.is_durable(record, *version)
         })
     }
 
-    /// The commands for the response to a heartbeat. Tasks are launched only here, since an agent never carries out
-    /// such a response late. Each launched task is on record, and so is each acknowledged outcome.
+    /// Returns the commands for the response to a heartbeat, and marks the launches and stops among them as sent.
+    /// Tasks are launched only here, because an agent never carries out the response to a heartbeat late. Launches
+    /// are limited to assignments that are on record, and acknowledgements to outcomes that are durable.
     pub(crate) fn prepare_commands(
         &mut self,
         context: &Context,
         held: &HeldHeartbeat,
     ) -> Vec<Command> {
-        let same_incarnation = self
+        let is_same_incarnation = self
             .machines
             .get(&held.machine)
             .is_some_and(|machine| machine.incarnation == held.incarnation);
-        if !same_incarnation {
+        if !is_same_incarnation {
             return Vec::new();
         }
         let mut commands = self.acknowledgements(&held.machine);
@@ -158,7 +160,7 @@
         commands
     }
 
-    /// Acknowledges the exits on a machine whose outcomes are durable.
+    /// Returns acknowledgements for the exits on a machine whose outcomes are durable.
     fn acknowledgements(&self, name: &str) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
@@ -180,7 +182,7 @@
             .collect()
     }
 
-    /// Adds the stops of a machine, and launches of its assignments that are on record.
+    /// Adds the stops of a machine and the launches of its assignments that are on record.
     fn add_stops_and_launches(
         &mut self,
         context: &Context,
@@ -191,7 +193,7 @@
         let Some(machine) = self.machines.get_mut(&held.machine) else {
             return;
         };
-        let reclaimed = machine.reclaim_at.is_some();
+        let is_reclaimed = machine.reclaim_at.is_some();
         for assignment in &mut machine.assignments {
             if commands.len() >= MAX_COMMANDS {
                 break;
@@ -207,7 +209,7 @@
             if assignment.launched.is_none()
                 && write_buffer.is_durable(&page, assignment.written)
                 && is_live
-                && !reclaimed
+                && !is_reclaimed
                 && assignment.incarnation == held.incarnation
             {
                 assignment.launched = Some((held.incarnation, held.sequence));
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats whose response is held: until a write is durable or a round of placement is over, or, as a long poll of
-//! a machine with free resources, until a task is placed on it.
+//! Holds responses to heartbeats until a write is durable or a placement round is over, or, as the long poll of a
+//! machine with free resources, until a task is placed on the machine.
 
 use crate::context::Context;
 use crate::scheduler::agents::heartbeats::MAX_HOLD_US;
@@ -10,18 +10,18 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 
-/// Longest duration of a long poll, in microseconds. An agent gives up after
-/// [`RESPONSE_TIMEOUT`](crate::state::machine::RESPONSE_TIMEOUT), and the response has yet to travel.
+/// Maximum duration of a long poll. It leaves time for the response to travel, since an agent gives up after
+/// [`RESPONSE_TIMEOUT`](crate::state::machine::RESPONSE_TIMEOUT).
 const MAX_LONG_POLL_US: Micros = 3 * SECOND;
 
-/// Long polls may hold one of so many sockets.
+/// Number of sockets for each long poll: with 2, long polls may hold half of all sockets.
 const SOCKETS_PER_LONG_POLL: usize = 2;
 
-/// How long the store may have been out of contact, in microseconds, while heartbeats still wait for writes.
+/// Maximum time without contact to the store during which heartbeats still wait for writes.
 const MAX_STORE_SILENCE_US: Micros = 2 * SECOND;
 
 impl Scheduler {
-    /// Requests of all held heartbeats.
+    /// Returns the request numbers of all held heartbeats.
     pub(crate) fn waiting_heartbeats(&self) -> Vec<u64> {
         let long_polls = self.long_polls.by_machine.values();
         self.held_heartbeats
@@ -31,7 +31,7 @@
             .collect()
     }
 
-    /// The agent closed the connection of this request.
+    /// Forgets the held heartbeat of a request whose connection the agent closed.
     pub(crate) fn forget_heartbeat(&mut self, request: u64) {
         self.held_heartbeats.retain(|held| held.request != request);
         let mut long_polls = self.long_polls.by_machine.values();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Refuses the held heartbeat of the machine, if there is one.
+    /// Refuses the held heartbeats of the machine, if there are any.
     pub(crate) fn refuse_held_heartbeats(
         &mut self,
         context: &mut Context,
@@ -60,24 +60,25 @@
         }
     }
 
-    /// Whether a heartbeat of the machine may become a long poll: the machine has free resources, and none of its tasks
-    /// is likely to exit meanwhile, since the agent can send that only after our response.
+    /// Returns whether a heartbeat of the machine may become a long poll: the machine has free resources, and none
+    /// of its tasks is likely to exit during the poll, since the agent can report an exit only after the response.
     pub(crate) fn may_long_poll(&self, context: &Context, machine: &str) -> bool {
         let now = context.now.steady;
         let duration = long_poll_duration(context);
-        // Each long poll holds a connection: with more idle machines than sockets the others would find none.
+        // Each long poll holds a connection: with more idle machines than sockets, other connections would find no
+        // free socket.
         if self.long_polls.len() >= context.settings.sockets / SOCKETS_PER_LONG_POLL {
             return false;
         }
-        let runs_on = |assignment: &Assignment| {
-            let least_remaining = (2 * duration).max(assignment.expected / 2);
-            assignment.stop.is_none() && assignment.remaining(now, 0) > least_remaining
+        let keeps_running = |assignment: &Assignment| {
+            let min_remaining = (2 * duration).max(assignment.expected / 2);
+            assignment.stop.is_none() && assignment.remaining(now, 0) > min_remaining
         };
         self.machines.get(machine).is_some_and(|machine| {
             machine.free().cpus > EPS
                 && machine.usable(now, context.settings.heartbeat_timeout())
                 && machine.exited_attempts.is_empty()
-                && machine.assignments.iter().all(runs_on)
+                && machine.assignments.iter().all(keeps_running)
         })
     }
 
@@ -87,7 +88,7 @@
         self.long_polls.insert(held);
     }
 
-    /// Holds a heartbeat that waits for a write or a round of placement.
+    /// Holds a heartbeat that waits for a write or a placement round.
     pub(crate) fn hold_heartbeat(&mut self, held: HeldHeartbeat) {
         if self.held_heartbeats.is_empty() {
             self.next_held_deadline = held.until;
@@ -95,7 +96,8 @@
         self.held_heartbeats.push(held);
     }
 
-    /// A task was placed on the machine: the response to its long poll waits only until that is on record.
+    /// Ends the long poll of a machine on which a task was placed: the response now waits only until the assignment
+    /// is on record.
     pub(crate) fn wake_long_poll(&mut self, context: &Context, machine: &str) {
         if let Some(mut held) = self.long_polls.remove(machine) {
             held.until = context.now.steady + MAX_HOLD_US;
@@ -103,15 +105,15 @@
         }
     }
 
-    /// Answers the held heartbeats that wait for nothing any more, or have waited long enough.
+    /// Answers the held heartbeats that have nothing left to wait for or whose deadline has passed.
     pub(crate) fn run_held_heartbeats(&mut self, context: &mut Context) {
         let now = context.now.steady;
         while let Some(held) = self.long_polls.pop_due(now) {
             let commands = self.prepare_commands(context, &held);
             self.answer_heartbeat(context, held.request, commands);
         }
-        let due = self.held_heartbeats_may_be_ready || now >= self.next_held_deadline;
-        if self.held_heartbeats.is_empty() || !due {
+        let is_due = self.held_heartbeats_may_be_ready || now >= self.next_held_deadline;
+        if self.held_heartbeats.is_empty() || !is_due {
             return;
         }
         self.held_heartbeats_may_be_ready = false;
@@ -127,7 +129,7 @@
         self.next_held_deadline = deadlines.min().unwrap_or(0);
     }
 
-    /// Whether a heartbeat may be answered now.
+    /// Returns whether a held heartbeat may be answered now.
     pub(crate) fn may_be_answered(&self, context: &Context, held: &HeldHeartbeat) -> bool {
         context.now.steady >= held.until
             || !context.in_contact(MAX_STORE_SILENCE_US)
@@ -136,14 +138,14 @@
                 && !self.waits_for_leader(&held.machine))
     }
 
-    /// Whether a partition holder has told the leader of an exit on the machine, and the leader may send the next task
-    /// for the machine at once.
+    /// Returns whether this partition holder has reported an exit on the machine to the leader and waits for its
+    /// confirmation, with which the leader may send the next task for the machine.
     fn waits_for_leader(&self, name: &str) -> bool {
         let machine = self.machines.get(name).filter(|_| self.is_holder());
-        let is_unsettled =
+        let is_unconfirmed =
             |exited: &ExitedAttempt| !self.holder_state.is_outcome_recorded(exited.id());
         machine.is_some_and(|machine| {
-            machine.exited_attempts.iter().any(is_unsettled)
+            machine.exited_attempts.iter().any(is_unconfirmed)
                 && machine
                     .assignments
                     .iter()
@@ -151,7 +153,7 @@
         })
     }
 
-    /// Whether an assignment of the machine is to be launched once its page is durable.
+    /// Returns whether an assignment of the machine waits to be launched until its page is durable.
     fn waits_for_flush(&self, name: &str) -> bool {
         let is_unwritten = |assignment: &Assignment| {
             let page = RecordId::Page(assignment.page);
@@ -165,8 +167,8 @@
     }
 }
 
-/// How long a long poll lasts at most, in microseconds: the response comes before the next heartbeat is due, so that
-/// the agent sends as many as without long polls.
+/// Returns the maximum duration of a long poll. The response comes before the next heartbeat is due, so the agent
+/// sends as many heartbeats as without long polls.
 fn long_poll_duration(context: &Context) -> Micros {
     MAX_LONG_POLL_US.min(context.settings.heartbeat_interval * 3 / 4)
 }
--- a/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -3,8 +3,8 @@
 use crate::test_support::{first_heartbeat, leader_before_loading};
 use crate::SECOND;
 
-/// Each long poll holds a connection: with more idle machines than sockets, agents that connected later found none,
-/// and their leases expired.
+/// Each long poll holds a connection. Without a limit, a cluster with more idle machines than sockets leaves none
+/// to agents that connect later, and their leases expire.
 #[test]
 fn long_polls_leave_sockets_to_other_requests() {
     let mut controller = leader_before_loading(20 * SECOND);
