--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -14,7 +14,7 @@
 /// [`RESPONSE_TIMEOUT`](crate::state::machine::RESPONSE_TIMEOUT).
 const MAX_LONG_POLL_US: Micros = 3 * SECOND;
 
-/// Number of sockets for each long poll: with 2, long polls may hold half of all sockets.
+/// Number of sockets for each long poll; the remaining sockets stay available to other requests.
 const SOCKETS_PER_LONG_POLL: usize = 2;
 
 /// Maximum time without contact to the store during which heartbeats still wait for writes.
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -1,4 +1,4 @@
-//! Stops tasks: stop commands, direct commands, and the draining of machines that will be reclaimed.
+//! Stops tasks: sends stop commands and direct commands, and drains machines that will be reclaimed.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -15,35 +15,36 @@
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
 use log::{error, warn};
 
-/// A replica leaves a machine at the latest so long before its reclamation, in microseconds, even if it
-/// fits nowhere else.
+/// Time before the reclamation of a machine, in addition to the checkpoint grace, at which a replica is stopped
+/// even if it fits nowhere else.
 const REPLICA_MOVE_MARGIN_US: Micros = 4 * SECOND;
 
-/// A task that checkpoints is stopped so long, in microseconds, before there is no time left for its checkpoint.
+/// Time before the reclamation of a machine, in addition to the checkpoint duration, at which a task that
+/// checkpoints is stopped.
 const CHECKPOINT_MARGIN_US: Micros = 5 * SECOND;
 
-/// A task finishes in time if it is expected to do so this long, in microseconds, before the machine's reclamation.
+/// Time before the reclamation of a machine by which a task has to finish so that it is not stopped.
 const FINISH_MARGIN_US: Micros = SECOND;
 
-/// Least time between two direct commands to stop the same task, in microseconds.
+/// Minimum time between two direct commands to stop the same task.
 const STOP_RETRY_INTERVAL_US: Micros = 2 * SECOND;
 
-/// How long a direct command waits for its response, in microseconds.
+/// Timeout of a direct command.
 const DIRECT_COMMAND_TIMEOUT_US: Micros = 2 * SECOND;
 
-/// What is expected of a task that is on a machine without being on record, in microseconds.
+/// Expected run time of a task that is on a machine without being on record.
 const UNRECORDED_TASK_DURATION_US: Micros = SECOND;
 
-/// What is sent to a machine that has no stop due.
+/// What to send to a machine that has no stop due.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum IfNoStopsDue {
     /// Nothing.
     SendNothing,
-    /// A direct command without stops: its response shows that the agent can be reached.
+    /// A direct command without stops, whose response shows that the agent can be reached.
     SendProbe,
 }
 
-/// How a task on a machine that will be reclaimed is to be stopped.
+/// Stop of a task on a machine that will be reclaimed or terminated.
 struct PlannedStop {
     attempt: u64,
     /// Time for a checkpoint, in microseconds.
@@ -51,7 +52,8 @@
 }
 
 impl Scheduler {
-    /// An agent has a task that is on none of our pages. It is stopped, and counts as assigned until it is proven gone.
+    /// Stops a task that an agent reports although it is on none of the pages. It counts as assigned until it is
+    /// proven gone.
     pub(crate) fn stop_unrecorded_task(
         &mut self,
         context: &mut Context,
@@ -62,7 +64,7 @@
     ) {
         let now = context.now.steady;
         let name = &status.machine;
-        error!(machine = name, task = reported.task_name; "machine has a task that is not on record");
+        error!(machine = name, task = reported.task_name; "agent reports a task that is not on record; stopping it");
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
             job.take(task);
@@ -103,7 +105,7 @@
         self.send_due_stops(context, name);
     }
 
-    /// Stops whatever may run of a job.
+    /// Stops all tasks of a job, on all machines.
     pub(crate) fn stop_job(&mut self, context: &mut Context, index: JobIndex) {
         let names: Vec<String> = self
             .machines
@@ -116,8 +118,8 @@
         }
     }
 
-    /// Stops the assignments of a machine that pass the test; each gets `grace` microseconds to checkpoint. Those never
-    /// launched are freed at once.
+    /// Stops the assignments of a machine that pass the test and gives each of them `grace` microseconds to
+    /// checkpoint. Assignments that were never launched are removed immediately.
     pub(crate) fn stop_assignments(
         &mut self,
         context: &mut Context,
@@ -127,25 +129,25 @@
     ) {
         let now = context.now.steady;
         self.remove_assignments(context, name, |a| test(a) && !a.may_be_on_machine());
-        let mut any = false;
+        let mut has_new_stops = false;
         if let Some(machine) = self.machines.get_mut(name) {
             for assignment in machine.assignments.iter_mut().filter(|a| test(a)) {
-                // A stop without grace ends a task that is checkpointing.
+                // A stop without grace replaces one with grace, so it also ends a task that is checkpointing.
                 if assignment
                     .stop
                     .is_none_or(|stop| grace == 0 && stop.grace > 0)
                 {
                     assignment.stop = Some(Stop::new(grace, now));
-                    any = true;
+                    has_new_stops = true;
                 }
             }
         }
-        if any {
+        if has_new_stops {
             self.send_due_stops(context, name);
         }
     }
 
-    /// Stops an attempt of a task, wherever it is.
+    /// Stops an attempt of a task on whichever machine it is assigned to.
     pub(crate) fn stop_attempt(
         &mut self,
         context: &mut Context,
@@ -159,12 +161,13 @@
         }
     }
 
-    /// Sends the stops of a machine that are due in a direct command.
+    /// Sends the due stops of a machine in a direct command.
     pub(crate) fn send_due_stops(&mut self, context: &mut Context, name: &str) {
         self.send_direct_commands(context, name, IfNoStopsDue::SendNothing);
     }
 
-    /// Sends a direct command with the stops that are due, if any: its response shows that the agent can be reached.
+    /// Sends a direct command with the due stops, if any, to learn from the response whether the agent can be
+    /// reached.
     pub(crate) fn probe_agent(&mut self, context: &mut Context, name: &str) {
         self.send_direct_commands(context, name, IfNoStopsDue::SendProbe);
     }
@@ -182,7 +185,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        // The holder of its partition sends commands there.
+        // The holder of its partition sends direct commands to the machine.
         if machine.address.is_empty() || machine.partition.is_some() {
             return;
         }
@@ -210,7 +213,7 @@
         );
     }
 
-    /// The call with a direct command to the machine has ended.
+    /// Handles the end of a call that sent a direct command to the machine.
     pub(crate) fn on_direct_response(
         &mut self,
         context: &mut Context,
@@ -222,12 +225,12 @@
             return;
         };
         if status != 200 && status != 409 {
-            return warn!(machine = name, status = status; "direct command was refused");
+            return warn!(machine = name, status = status; "agent refused a direct command");
         }
         match wire::from_cbor::<Heartbeat>(&body) {
             Ok(reported) if reported.machine == name && self.is_own_machine(name) => {
                 self.apply_heartbeat(context, reported, StatusSource::DirectCommand);
-                // It came within the call's time: commands reach this incarnation now.
+                // The response came within the call's timeout, so commands reach this incarnation now.
                 if let (200, Some(machine)) = (status, self.machines.get_mut(name)) {
                     machine.receives_responses = true;
                     machine.unreachable_since = None;
@@ -242,14 +245,14 @@
         }
     }
 
-    /// Whether this controller looks after the machine itself, and knows it.
+    /// Returns whether the machine is known and this controller manages it itself.
     fn is_own_machine(&self, name: &str) -> bool {
         self.machines
             .get(name)
             .is_some_and(|machine| machine.partition.is_none())
     }
 
-    /// Stops what cannot finish before the machine's reclamation.
+    /// Stops the tasks that cannot finish before the machine's reclamation.
     pub(crate) fn drain_reclaimed(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
         let Some(machine) = self.machines.get(name) else {
@@ -264,8 +267,8 @@
                 continue;
             };
             let fetch_time = machine.fetch_time(&job.spec.image, job.spec.image_gb);
-            let finishes = assignment.remaining(now, fetch_time) + FINISH_MARGIN_US < left;
-            if !finishes && must_stop_for_reclamation(job, left) {
+            let will_finish = assignment.remaining(now, fetch_time) + FINISH_MARGIN_US < left;
+            if !will_finish && must_stop_for_reclamation(job, left) {
                 stops.push(PlannedStop {
                     attempt: assignment.attempt,
                     grace: job.checkpoint_grace(),
@@ -275,8 +278,8 @@
         self.carry_out_stops(context, name, stops);
     }
 
-    /// Replicas on a machine that is to be terminated or will be reclaimed never end by themselves: they are stopped
-    /// once there are free resources for them elsewhere.
+    /// Stops the replicas on a machine that is to be terminated or reclaimed, once there are free resources for
+    /// them elsewhere: replicas never end by themselves.
     pub(crate) fn move_replicas(&mut self, context: &mut Context, name: &str) {
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -290,9 +293,9 @@
             let Some(job) = job.filter(|job| job.is_daemon()) else {
                 continue;
             };
-            // The replicas that move already need the same free resources.
-            let fitting = self.tasks_that_fit_elsewhere(context, &assignment.zone, &job.spec);
-            if fitting > stops.len() as u64 {
+            // Replicas that are already being moved need the same free resources.
+            let fitting_tasks = self.tasks_that_fit_elsewhere(context, &assignment.zone, &job.spec);
+            if fitting_tasks > stops.len() as u64 {
                 stops.push(PlannedStop {
                     attempt: assignment.attempt,
                     grace: job.checkpoint_grace(),
@@ -308,7 +311,7 @@
         }
     }
 
-    /// How many tasks of the job fit into the free resources of a zone's machines.
+    /// Returns how many tasks of the job fit into the free resources of the machines in a zone.
     fn tasks_that_fit_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
         let now = context.now.steady;
         let max_silence = context.settings.heartbeat_timeout();
@@ -321,7 +324,7 @@
     }
 }
 
-/// The stops of a machine that were not sent lately; notes that they are sent.
+/// Returns the stops of a machine that were not sent within the retry interval, and marks them as sent.
 fn prepare_due_stops(machine: &mut Machine, now: Micros) -> Vec<Command> {
     let is_due = |assignment: &Assignment| {
         let sent = assignment.stop.and_then(|stop| stop.sent);
@@ -336,9 +339,10 @@
         .collect()
 }
 
-/// Whether a task of the job that will not finish is to be stopped when its machine is `left` microseconds away from
-/// its reclamation. A replica serves on until it fits elsewhere; what checkpoints runs on while there is time for
-/// a checkpoint; the rest would only lose more work.
+/// Returns whether a task that will not finish in time has to be stopped when its machine is `left` microseconds
+/// away from its reclamation. A replica keeps serving until it fits elsewhere. A task that checkpoints keeps
+/// running while there is time for a checkpoint. Any other task is stopped immediately, since running on would only
+/// lose more work.
 fn must_stop_for_reclamation(job: &Job, left: Micros) -> bool {
     if job.is_daemon() {
         left < job.checkpoint_grace() + REPLICA_MOVE_MARGIN_US
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -1,4 +1,5 @@
-//! Machines that stopped sending heartbeats or do not receive responses, and what that proves about their tasks.
+//! Detects machines that stopped sending heartbeats or do not receive responses, and derives what that proves about
+//! their tasks.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -7,34 +8,34 @@
 use crate::{Micros, MILLI, SECOND};
 use log::info;
 
-/// Time between two checks of all machines, in microseconds.
+/// Interval between two checks of all machines.
 const CHECK_INTERVAL_US: Micros = SECOND;
 
-/// How long after our response an agent is probed that has not shown that it got it, in microseconds. One that got it
-/// sends a heartbeat before that, because the fencing token was news to it.
+/// Time after a response at which an agent is probed that has not shown that it received the response. An agent
+/// that received it sends a heartbeat sooner, because the fencing token was new to it.
 const PROBE_DELAY_US: Micros = SECOND;
 
-/// Most direct commands under way while further agents are probed.
+/// Maximum number of direct commands in flight at which another agent is still probed.
 const MAX_PROBES: usize = 100;
 
-/// If more than one in so many machines is unreachable, the network is taken to be at fault rather than the machines.
+/// If more than one in this many machines is unreachable, the network is assumed to be at fault, not the machines.
 const MACHINES_PER_UNREACHABLE: usize = 20;
 
-/// How long after an agent's lease has expired its machine is terminated, in microseconds.
+/// Time from the expiry of an agent's lease to the termination of its machine.
 const TERMINATION_DELAY_US: Micros = 12 * SECOND;
 
-/// When an agent's lease has certainly expired after our last response, in microseconds: with clock drift, and some
-/// time for the response to travel.
+/// Returns the time after the last response at which an agent's lease has certainly expired, in microseconds. It
+/// allows for clock drift (1/500) and for the time that the response takes to travel.
 fn lease_expiry(lease: Micros) -> Micros {
     lease + lease / 500 + 1_500 * MILLI
 }
 
-/// How long a machine may be out of contact before it is terminated, in microseconds.
+/// Returns how long a machine may be out of contact before it is terminated, in microseconds.
 pub(crate) fn termination_delay(lease: Micros) -> Micros {
     lease_expiry(lease) + TERMINATION_DELAY_US
 }
 
-/// A machine with replicas that has been out of contact for a while.
+/// Machine with replicas that is out of contact.
 struct UnreachableMachine {
     name: String,
     /// Time since the last contact, in microseconds.
@@ -42,18 +43,19 @@
 }
 
 impl Scheduler {
-    /// Whether no agent reaches this controller though some should: then another controller had better lead.
+    /// Returns whether no agent reaches this controller although some should. Another controller should lead then.
     pub(crate) fn is_isolated_from_agents(&self, context: &Context) -> bool {
         let now = context.now.steady;
-        // An agent that gets no response for 4 s turns to another controller, and its lease should still hold when it
-        // finds the next leader there: one and a half intervals once heartbeats are far apart.
+        // An agent that gets no response for 4 s turns to another controller. Its lease should still hold when it
+        // finds the next leader there, so the limit is one and a half heartbeat intervals once heartbeats are far
+        // apart.
         let interval = context.settings.heartbeat_interval;
         let max_silence = (interval * 5 / 2).min((interval * 3 / 2).max(RESPONSE_TIMEOUT));
         let silence = now.saturating_sub(self.last_heartbeat_at.max(self.loaded_at));
         if !self.is_loaded() || context.settings.siblings.is_empty() || silence <= max_silence {
             return false;
         }
-        // Machines known only from records have yet to find this controller: they get more time.
+        // Machines known only from records get more time, because they have yet to find this controller.
         let in_contact_lately = |machine: &&Machine| {
             machine.partition.is_none()
                 && machine.knows_token
@@ -61,15 +63,16 @@
         };
         match self.machines.values().filter(in_contact_lately).count() {
             0 => silence > max_silence * 4 && self.expects_heartbeats(),
-            // A single machine may well be at fault itself.
+            // A single machine may be at fault itself.
             1 => silence > max_silence * 2,
             _ => true,
         }
     }
 
-    /// Whether some machine should send heartbeats to this controller. Copies of a deleted machine's heartbeats are no
-    /// such sign; nor is a page that lists a machine which the cloud's list does not show: if it were, leaders would
-    /// resign in turn, and none would lead for long enough to find out that the machine is gone.
+    /// Returns whether some machine should send heartbeats to this controller. Delayed copies of a deleted
+    /// machine's heartbeats don't count, and neither does a machine that is on a page but not in the cloud's list:
+    /// otherwise, leaders would resign in turn, and none would lead for long enough to find out that the machine is
+    /// gone.
     fn expects_heartbeats(&self) -> bool {
         let has_machine_list = self.fleet.has_machine_list();
         self.machines.values().any(|machine| {
@@ -79,7 +82,7 @@
         })
     }
 
-    /// Looks after unreachable machines, stops that were not carried out, and machines that will be reclaimed.
+    /// Handles unreachable machines, stops that were not carried out, and machines that will be reclaimed.
     pub(crate) fn check_machines(&mut self, context: &mut Context) {
         let now = context.now.steady;
         if now < self.next_machine_check {
@@ -101,7 +104,7 @@
         self.check_unreachable_replicas(context, &unreachable);
     }
 
-    /// Checks a machine that this controller looks after itself, and adds it to `unreachable` if it has replicas and is
+    /// Checks a machine that this controller manages itself, and adds it to `unreachable` if it has replicas and is
     /// out of contact.
     fn check_own_machine(
         &mut self,
@@ -124,22 +127,23 @@
         self.send_due_stops(context, name);
     }
 
-    /// Whether this controller receives heartbeats at all: if it does not, it is itself cut off, and the machines may
-    /// well be reachable.
+    /// Returns whether this controller receives any heartbeats. If it does not, the controller itself is cut off,
+    /// and the machines may still be reachable.
     fn receives_heartbeats(&self, context: &Context) -> bool {
         let silence = context.now.steady.saturating_sub(self.last_heartbeat_at);
         silence < context.settings.heartbeat_timeout()
     }
 
-    /// Whether the records were read so lately that machines have yet to send their first heartbeat here. A new leader
-    /// waits for these, to stop what it can without terminating machines.
+    /// Returns whether the records were read so recently that machines have yet to send their first heartbeat to
+    /// this controller. A new leader waits for these heartbeats, so that it can stop tasks without terminating
+    /// machines.
     fn is_newly_loaded(&self, context: &Context) -> bool {
         let first_heartbeats = context.settings.heartbeat_interval * 3 / 2 + SECOND;
         context.now.steady.saturating_sub(self.loaded_at) < first_heartbeats
     }
 
-    /// Whether a machine has sent no heartbeat for some time. It may still answer direct commands while it reaches no
-    /// controller, but nothing can be launched there: a replica placed on it would be given up for each further
+    /// Returns whether a machine has missed its heartbeats. It may still answer direct commands while it reaches no
+    /// controller, but nothing can be launched on it: a replica placed there would be abandoned with each further
     /// incarnation.
     fn misses_heartbeats(&self, context: &Context, name: &str) -> bool {
         let max_silence = context.settings.heartbeat_timeout();
@@ -148,8 +152,9 @@
         })
     }
 
-    /// Applies that the lease of a machine's agent has expired. The agent has seen our token, so only our responses
-    /// renew its lease; if the last one is too old, it has killed every task and begun a new incarnation.
+    /// Handles the expiry of the lease of a machine's agent. The agent has seen the current fencing token, so only
+    /// responses of this controller renew its lease. If the last response is too old, the agent has killed every
+    /// task and begun a new incarnation.
     fn apply_lease_expiry(&mut self, context: &mut Context, name: &str) {
         let now = context.now.steady;
         let expiry = lease_expiry(context.settings.agent_lease);
@@ -163,9 +168,10 @@
         let is_cancelled =
             |a: &Assignment| jobs.get(a.job).is_none_or(|job| job.cancelled.is_some());
         if machine.assignments.iter().any(is_cancelled) {
-            // A hanging machine may not know yet that its lease has expired, and cancelled tasks must be gone in time.
-            // The termination proves that: were they removed before it is answered, the next leader would not know
-            // that it is due.
+            // A machine that hangs may not have noticed the expiry of its lease, and cancelled tasks have to be
+            // gone in time: the termination of the machine proves that. The assignments of cancelled tasks stay
+            // until the cloud confirms the termination; without them, the next leader would not know that it is
+            // due.
             self.fleet.terminate(name, now);
             machine.cordoned = true;
         }
@@ -178,15 +184,15 @@
         if attempts.is_empty() {
             return;
         }
-        info!(machine = name; "lease of the agent has expired");
+        info!(machine = name; "agent lease expired");
         machine.incarnation += 1;
         machine.sequence = 0;
         machine.exited_attempts.clear();
         self.remove_assignments(context, name, |a| attempts.contains(&a.attempt));
     }
 
-    /// The machine if it has replicas and is out of contact. Its termination proves their absence sooner than the
-    /// expiry of its lease, so that they need not wait for that.
+    /// Returns the machine if it has replicas and is out of contact. Its termination proves that the replicas are
+    /// gone sooner than the expiry of its lease does.
     fn unreachable_with_replicas(
         &self,
         context: &Context,
@@ -206,7 +212,8 @@
         })
     }
 
-    /// Terminates a machine that has sent no heartbeat for too long, or has a task whose cancellation is overdue.
+    /// Terminates a machine that has sent no heartbeat for too long, or that has a task whose cancellation is
+    /// overdue.
     fn terminate_if_unreachable(&mut self, context: &Context, name: &str) {
         let now = context.now.steady;
         let cancel_timeout = context.settings.cancel_timeout;
@@ -214,23 +221,24 @@
             true => cancel_timeout * 3 / 4,
             false => cancel_timeout / 2,
         };
-        let overdue = self.has_older_cancellation(name, now, max_age);
+        let has_overdue_cancellation = self.has_older_cancellation(name, now, max_age);
         let receives_heartbeats = self.receives_heartbeats(context);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let silence = now.saturating_sub(machine.last_heartbeat);
-        let gone = receives_heartbeats && silence > termination_delay(context.settings.agent_lease);
-        if !overdue && !gone {
+        let is_gone =
+            receives_heartbeats && silence > termination_delay(context.settings.agent_lease);
+        if !has_overdue_cancellation && !is_gone {
             return;
         }
         machine.cordoned = true;
         if self.fleet.terminate(name, now) {
-            info!(machine = name, silence_s = silence / SECOND; "unreachable machine is terminated");
+            info!(machine = name, silence_s = silence / SECOND; "terminating unreachable machine");
         }
     }
 
-    /// Whether a task on the machine was cancelled more than `max_age` microseconds ago.
+    /// Returns whether a task on the machine was cancelled more than `max_age` microseconds ago.
     fn has_older_cancellation(&self, name: &str, now: Micros, max_age: Micros) -> bool {
         let is_older = |a: &Assignment| {
             let job = self.jobs.get(a.job);
@@ -242,8 +250,9 @@
             .is_some_and(|machine| machine.assignments.iter().any(is_older))
     }
 
-    /// Whether a machine that sends heartbeats is to be probed for whether our responses reach it. Heartbeats may be
-    /// further apart than an agent waits for a response; then they do not show it, and the machine would get no task.
+    /// Returns whether a machine that sends heartbeats has to be probed for whether responses reach it. Heartbeats
+    /// may be further apart than an agent waits for a response. They then do not show whether responses arrive, and
+    /// without a probe the machine would get no task.
     fn needs_probe(&self, context: &Context, name: &str) -> bool {
         let now = context.now.steady;
         let max_silence = 2 * context.settings.heartbeat_interval;
@@ -256,23 +265,24 @@
         })
     }
 
-    /// Stops the assignments of a machine that belong to no live task, such as a second one of a completed task.
+    /// Stops the assignments of a machine that belong to no live task, such as a second assignment of a completed
+    /// task.
     fn stop_obsolete_assignments(&mut self, context: &mut Context, name: &str) {
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let is_useless = |a: &&Assignment| {
+        let is_obsolete = |a: &&Assignment| {
             let job = self.jobs.get(a.job);
             job.is_none_or(|job| job.is_task_completed(a.task))
         };
-        let useless = machine.assignments.iter().filter(is_useless);
-        let useless: Vec<u64> = useless.map(|a| a.attempt).collect();
-        if !useless.is_empty() {
-            self.stop_assignments(context, name, 0, |a| useless.contains(&a.attempt));
+        let obsolete = machine.assignments.iter().filter(is_obsolete);
+        let obsolete_attempts: Vec<u64> = obsolete.map(|a| a.attempt).collect();
+        if !obsolete_attempts.is_empty() {
+            self.stop_assignments(context, name, 0, |a| obsolete_attempts.contains(&a.attempt));
         }
     }
 
-    /// Checks what the leader itself sees to on a machine that a partition holder looks after.
+    /// Checks a machine that a partition holder manages, for what the leader does itself.
     fn check_remote_machine(&mut self, context: &mut Context, name: &str) {
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -289,35 +299,35 @@
         self.move_replicas(context, name);
     }
 
-    /// Terminates a machine in place of its partition's holder. That terminates it after half of the time that a
-    /// cancellation may take; where there is no holder in time, the leader does.
+    /// Terminates a machine on behalf of its partition holder. The holder terminates a machine after half of the
+    /// cancellation timeout. The leader does so a little later, in case no holder does.
     fn terminate_for_holder(&mut self, context: &Context, name: &str) {
         let now = context.now.steady;
-        let overdue =
+        let has_overdue_cancellation =
             self.has_older_cancellation(name, now, context.settings.cancel_timeout * 5 / 8);
         let Some(machine) = self.machines.get(name) else {
             return;
         };
         // A holder that receives no heartbeats at all cannot tell whether it is cut off itself; the leader can.
-        let holder_is_synced = machine
+        let is_holder_synced = machine
             .partition
             .is_some_and(|id| self.remote_partitions.is_holder_reconciled(id));
         let max_silence = termination_delay(context.settings.agent_lease);
-        let max_silence = match holder_is_synced && self.receives_heartbeats(context) {
+        let max_silence = match is_holder_synced && self.receives_heartbeats(context) {
             true => max_silence,
             false => 3 * max_silence,
         };
         let silence = now.saturating_sub(machine.last_heartbeat);
-        if (overdue || silence > max_silence) && self.fleet.terminate(name, now) {
+        if (has_overdue_cancellation || silence > max_silence) && self.fleet.terminate(name, now) {
             info!(
                 machine = name, silence_s = silence / SECOND;
-                "machine is terminated, its partition holder receives no heartbeats from it"
+                "terminating machine of a partition: no heartbeats or an overdue cancellation"
             );
         }
     }
 
-    /// Probes unreachable machines with replicas, and terminates them if that brings no response either. Many at once
-    /// are more likely cut off than gone, and keep serving meanwhile.
+    /// Probes unreachable machines with replicas, and terminates them if the probe brings no response either. If
+    /// many are unreachable at once, they are more likely cut off than gone, and their replicas keep serving.
     fn check_unreachable_replicas(
         &mut self,
         context: &mut Context,
@@ -325,14 +335,15 @@
     ) {
         let now = context.now.steady;
         let max_silence = context.settings.heartbeat_timeout() + 2 * SECOND;
-        let are_few = unreachable.len() <= 1 + self.machines.len() / MACHINES_PER_UNREACHABLE;
+        let only_few_unreachable =
+            unreachable.len() <= 1 + self.machines.len() / MACHINES_PER_UNREACHABLE;
         for UnreachableMachine { name, silence } in unreachable {
             if *silence < max_silence {
                 self.probe_agent(context, name);
-            } else if are_few && self.fleet.terminate(name, now) {
+            } else if only_few_unreachable && self.fleet.terminate(name, now) {
                 info!(
                     machine = name, silence_s = silence / SECOND;
-                    "unreachable machine with replicas is terminated"
+                    "terminating unreachable machine with replicas"
                 );
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.cordoned = true;
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -1,4 +1,5 @@
-//! Flushes the write buffer to the key-value store: which records go into the next transaction, and when.
+//! Flushes the write buffer to the key-value store: selects the records of the next transaction, and decides when
+//! it is sent.
 
 use crate::calls::SchedulerCall;
 use crate::context::{Context, STORE_TIMEOUT};
@@ -16,36 +17,36 @@
 pub(crate) mod refused;
 pub(crate) mod render;
 
-/// Most bytes of the operations of a transaction, in their CBOR form.
+/// Maximum size of the operations of a transaction in their CBOR form.
 const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
 
-/// How long a record waits that does not fit a transaction, or that the store refused when it was written alone.
+/// Pause of a record that does not fit a transaction, or that the store refused when it was written alone.
 const REFUSED_PAUSE_US: Micros = 5 * SECOND;
 
-/// How long the next flush waits if all records that are due wait for others.
+/// Pause before the next flush if all due records wait for others.
 const BLOCKED_PAUSE_US: Micros = 20 * MILLI;
 
-/// How long the next flush waits at least if the write rate permits nothing.
+/// Minimum pause before the next flush if the write rate limit permits no write.
 const RATE_LIMITED_PAUSE_US: Micros = 5 * MILLI;
 
-/// A flush that the write rate held back is tried again once the rate permits this number of operations.
+/// Number of operations that the write rate limit has to permit before a flush that it delayed is tried again.
 const OPERATIONS_OF_NEXT_FLUSH: f64 = 4.0;
 
-/// Failures in a row beyond this number do not lengthen the pause any more.
+/// Number of consecutive failures after which the pause is not lengthened any more.
 const MAX_COUNTED_FAILURES: u32 = 4;
 
-/// The pause after a failed flush, without jitter; it is doubled with each further failure in a row.
+/// Pause after a failed flush, without jitter; doubled for each further consecutive failure.
 const FIRST_BACKOFF_US: Micros = 100 * MILLI;
 
-/// The next transaction while it is put together.
+/// The next transaction while it is being assembled.
 struct TransactionDraft {
     transaction: Transaction,
     records: Vec<RecordVersion>,
-    /// Most operations that it may have.
+    /// Maximum number of operations in the transaction.
     max_operations: usize,
-    /// Size of its operations in their CBOR form.
+    /// Size of the operations in their CBOR form.
     bytes: usize,
-    /// Whether a record that is due did not fit.
+    /// Whether a due record did not fit.
     is_full: bool,
 }
 
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Adds the write of a record if there is room for it.
+    /// Adds the write of a record if it fits. Returns whether it was added.
     fn try_add(&mut self, record: RecordVersion, write: RecordWrite) -> bool {
         let operations = self.transaction.apply.len() + write.operations.len();
         let bytes = self.bytes + wire::to_cbor(&write.operations).len();
@@ -80,12 +81,12 @@
 }
 
 impl Scheduler {
-    /// Whether the last flushes have failed.
+    /// Returns whether the last flush failed.
     pub(crate) fn store_is_slow(&self) -> bool {
         self.flush_failures > 0
     }
 
-    /// When the next flush is due.
+    /// Returns when the next flush is due.
     pub(crate) fn next_flush_at(&self) -> Micros {
         if self.write_buffer.in_flight.is_some() || self.write_conditions().is_none() {
             return Micros::MAX;
@@ -94,7 +95,7 @@
         due.map_or(Micros::MAX, |due| due.max(self.write_buffer.not_before))
     }
 
-    /// Writes dirty records, as many as one transaction and the write rate permit.
+    /// Writes as many due records as one transaction and the write rate limit permit.
     pub(crate) fn run_flush(&mut self, context: &mut Context) {
         if !self.is_flush_due(context.now.steady) {
             return;
@@ -140,8 +141,9 @@
             let version = self.write_buffer.version(&record);
             if !draft.try_add((record.clone(), version), write) {
                 if draft.records.is_empty() && max_operations >= Context::cost(&record) {
-                    // Larger than a transaction may be: other records must not wait behind it.
-                    warn!(record:? = record; "record does not fit a transaction");
+                    // The record exceeds the limits of a transaction by itself: other records must not wait behind
+                    // it.
+                    warn!(record:? = record; "record exceeds the transaction limits");
                     self.write_buffer.postpone(&record, now + REFUSED_PAUSE_US);
                     continue;
                 }
@@ -154,7 +156,7 @@
         draft
     }
 
-    /// Whether the record may be written now, together with these.
+    /// Returns whether the record may be written in one transaction with `others`.
     fn may_be_written_with(&mut self, record: &RecordId, others: &[RecordVersion]) -> bool {
         // A record that may have made an earlier transaction invalid is written alone.
         if !others.is_empty() && self.write_buffer.is_isolated(record) {
@@ -163,7 +165,7 @@
         !self.write_buffer.must_wait(record, others)
     }
 
-    /// Nothing can be written now: sets when to try again.
+    /// Sets the time of the next attempt after no record could be written.
     fn delay_flush(&mut self, context: &mut Context, draft: &TransactionDraft) {
         let now = context.now.steady;
         self.write_buffer.not_before = if draft.is_full {
@@ -195,7 +197,7 @@
         });
     }
 
-    /// Reads the mod_revision of a key; nothing is flushed before the reply or its timeout.
+    /// Reads the mod_revision of a key. Nothing is flushed before the reply or its timeout.
     fn refresh_revision(&mut self, context: &mut Context, key: String) {
         let now = context.now.steady;
         let purpose = self.call_purpose(SchedulerCall::Refresh { key: key.clone() });
@@ -203,7 +205,7 @@
         context.read_key(&key, purpose);
     }
 
-    /// A flush failed: the next one waits for longer, the more of them have failed in a row.
+    /// Handles a failed flush: delays the next one by an exponential backoff with jitter.
     fn on_flush_failed(&mut self, context: &mut Context) {
         self.flush_failures = (self.flush_failures + 1).min(MAX_COUNTED_FAILURES);
         let pause = FIRST_BACKOFF_US << (self.flush_failures - 1);
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -1,4 +1,4 @@
-//! What follows from the store's answer to a flush.
+//! Handles the store's response to a flush.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -12,10 +12,10 @@
 };
 use log::{info, warn};
 
-/// Most ids of recently ended jobs that are kept.
+/// Maximum number of ids of recently ended jobs that are kept.
 const MAX_RECENTLY_ENDED: usize = 200;
 
-/// Most bytes of an answer that are logged.
+/// Maximum number of bytes of a response that are logged.
 const MAX_LOGGED_BYTES: usize = 200;
 
 const HTTP_TOO_MANY_REQUESTS: u16 = 429;
@@ -23,7 +23,7 @@
 const HTTP_SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Scheduler {
-    /// Takes the store's answer to a flush. The error says why the fenced lease is lost.
+    /// Handles the store's response to a flush. The error says why the fenced lease is lost.
     pub(crate) fn on_flush(
         &mut self,
         context: &mut Context,
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    /// A condition of the transaction did not hold.
+    /// Handles a transaction that the store did not apply because a condition did not hold.
     fn on_flush_conflict(
         &mut self,
         context: &mut Context,
@@ -67,7 +67,8 @@
         self.write_buffer.back_off(context.now.steady, MILLI);
         self.on_conditions_failed(&failed_keys)?;
         if failed_keys.is_empty() {
-            // The answer does not say which: the mod_revisions of all are read, at a pace that leaves the store room.
+            // The response does not say which conditions failed, so the mod_revisions of all keys are read, with a
+            // pause that limits the load on the store.
             self.write_buffer.stale.extend(batch.keys());
             self.on_flush_failed(context);
         }
@@ -86,8 +87,8 @@
     fn on_flush_error(&mut self, context: &mut Context, status: u16, body: &[u8]) {
         let now = context.now.steady;
         if status != HTTP_TOO_MANY_REQUESTS && status != HTTP_SERVICE_UNAVAILABLE {
-            let answer = beginning_of(body);
-            warn!(status = status, error = answer; "flush got an unexpected answer");
+            let response = beginning_of(body);
+            warn!(status = status, error = response; "unexpected response to a flush");
         }
         if status == HTTP_TOO_MANY_REQUESTS {
             context.write_limiter(self.role).drain(now);
@@ -95,7 +96,7 @@
         self.on_flush_failed(context);
     }
 
-    /// The store applied the transaction at this revision.
+    /// Handles a transaction that the store has applied at this revision.
     pub(crate) fn on_flush_applied(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
         self.write_buffer.applied(batch, revision);
         self.held_heartbeats_may_be_ready = true;
@@ -165,7 +166,7 @@
     );
 }
 
-/// The beginning of an answer, for the log.
+/// Returns the beginning of a response, for the log.
 fn beginning_of(body: &[u8]) -> String {
     let logged = &body[..body.len().min(MAX_LOGGED_BYTES)];
     String::from_utf8_lossy(logged).to_string()
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -1,9 +1,10 @@
-//! Deletes provision requests that a late transaction puts back on record.
+//! Deletes provision requests that a late transaction restores in the key-value store.
 //!
-//! A provision request may be written by a flush without an answer, written again and then deleted. If the store applies
-//! the first flush after all, the request is on record again: the condition of that flush, that there is no such record,
-//! holds once more. The next leader would provision a machine by it. So the requests on record are listed again and
-//! again for some time after a flush without an answer, and those that are not ours are deleted.
+//! A flush without a response may contain a provision request that is then written again and deleted. If the store
+//! applies the first flush after that, the request is back on record, because the condition of that flush, that
+//! there is no such record, holds again. The next leader would provision a machine for it. For some time after a
+//! flush without a response, the leader therefore lists the requests on record repeatedly and deletes those that
+//! are not its own.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -15,13 +16,14 @@
 use grebewood_wire::records::PROVISION;
 use log::warn;
 
-/// How often the requests on record are listed.
+/// Interval between two lists of the requests on record.
 const SWEEP_INTERVAL_US: Micros = 20 * SECOND;
 
-/// For how long after a flush without an answer.
+/// Time after a flush without a response during which the requests on record are listed.
 const SWEEP_DURATION_US: Micros = 300 * SECOND;
 
 impl Scheduler {
+    /// Starts to list the provision requests on record repeatedly, for a limited time.
     pub(crate) fn start_provision_sweep(&mut self, context: &Context) {
         let now = context.now.steady;
         self.provision_sweep_at = now + SWEEP_INTERVAL_US;
@@ -42,7 +44,7 @@
         context.get_from_store(path, purpose);
     }
 
-    /// Deletes provision requests on record that are not ours.
+    /// Deletes the provision requests on record that are not those of this leader.
     pub(crate) fn on_provision_sweep(&mut self, context: &Context, list: Option<KeyValueList>) {
         for entry in list.map(|list| list.entries).unwrap_or_default() {
             let machine = entry.key.strip_prefix(PROVISION).unwrap_or_default();
@@ -51,7 +53,7 @@
             {
                 continue;
             }
-            warn!(key = entry.key, machine = machine; "provision request was put back by a late transaction");
+            warn!(key = entry.key, machine = machine; "late transaction restored a provision request; deleting it");
             self.write_buffer
                 .note_revision(&entry.key, entry.mod_revision);
             let record = RecordId::PendingProvision(machine.to_string());
--- a/crates/core/src/scheduler/flush/read_back.rs
+++ b/crates/core/src/scheduler/flush/read_back.rs
@@ -1,4 +1,4 @@
-//! Reads back what a flush was to write if the store's answer was lost, to see whether it was applied.
+//! Reads back the keys of a flush whose response was lost, to find out whether the store applied it.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -10,7 +10,7 @@
 use grebewood_wire::Value;
 
 impl Scheduler {
-    /// The outcome of a flush is unknown: looks whether it was applied, one key after the other.
+    /// Checks whether a flush with an unknown outcome was applied, one key at a time.
     pub(crate) fn read_back(&mut self, context: &mut Context, batch: Batch) {
         let Some(operation) = batch.next_unconfirmed() else {
             return self.on_flush_applied(context, &batch, batch.confirmed_revision);
@@ -20,10 +20,11 @@
         self.write_buffer.in_flight = Some(batch);
     }
 
-    /// A flush without an answer was applied if each of its keys is now as the flush would have it. That one of them
-    /// has a new mod_revision is no proof: an earlier flush without an answer may have been applied meanwhile, and then
-    /// this one never will be. When that was taken as a proof, a task that only the later flush listed was launched,
-    /// unknown to the next leader.
+    /// Handles the value of a key that was read back. A flush without a response was applied if each of its keys
+    /// has the content that the flush was to write. A new mod_revision of one key is no proof: an earlier flush
+    /// without a response may have been applied in the meantime, and then this one never will be. If that were
+    /// taken as proof, a task that only the later flush lists would be launched without the next leader knowing of
+    /// it.
     pub(crate) fn on_read_back(
         &mut self,
         context: &mut Context,
@@ -43,8 +44,8 @@
         Ok(())
     }
 
-    /// The mod_revision of the batch if the key that was read back is as the batch would have it. After a deletion it
-    /// is that known so far.
+    /// Returns the mod_revision of the batch if the key that was read back has the content that the batch writes.
+    /// For a deletion, returns the mod_revision that is known so far.
     fn confirmed_revision(&self, batch: &Batch, outcome: Outcome) -> Option<u64> {
         match (batch.next_unconfirmed()?, outcome) {
             (Operation::Put { put, value, .. }, Outcome::Answer { status: 200, body }) => {
@@ -63,8 +64,8 @@
         }
     }
 
-    /// The flush has not been applied so far, or that cannot be told: its records are written again. Before that the
-    /// mod_revisions of its keys are read, since an earlier flush may have been applied in between.
+    /// Schedules the records of a flush that was not applied, or for which that is unknown, to be written again.
+    /// The mod_revisions of its keys are read first, since an earlier flush may have been applied in between.
     fn retry_flush(&mut self, context: &mut Context, batch: &Batch) {
         self.write_buffer.stale.extend(batch.keys());
         self.on_flush_failed(context);
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -1,5 +1,5 @@
-//! Reads the mod_revision of a key that differs from what was known: an earlier transaction of this controller was
-//! applied after all, or another member wrote the key.
+//! Reads the mod_revision of a key that differs from the known one, because the store applied an earlier
+//! transaction of this controller after all, or because another member wrote the key.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -11,7 +11,7 @@
 use grebewood_wire::Value;
 
 impl Scheduler {
-    /// Takes the reply to the read of a stale key.
+    /// Handles the reply to the read of a key whose known mod_revision is stale.
     pub(crate) fn on_refresh(&mut self, context: &mut Context, key: &str, outcome: Outcome) {
         self.write_buffer.not_before = context.now.steady;
         match outcome {
@@ -32,7 +32,7 @@
         let Some(job) = key.strip_prefix(FINISHED) else {
             return;
         };
-        // The end of this job was written by an earlier flush.
+        // An earlier flush wrote the end of this job.
         let is_readable = from_value::<FinishedJobRecord>(&entry.value).is_ok();
         if let Some(index) = self.jobs.find(job).filter(|_| is_readable) {
             self.write_buffer.forget(&RecordId::JobEnd(index));
@@ -43,20 +43,20 @@
     fn on_key_absent(&mut self, context: &mut Context, key: &str) {
         self.write_buffer.mod_revisions.remove(key);
         if let Some(JobKey::Cancelled(job)) = JobKey::parse(key) {
-            if self.is_taken_as_cancelled(job) {
-                // The end of the job, which deletes its cancellation, may have been written late: whether it was is
-                // read next.
+            if self.is_marked_cancelled(job) {
+                // The end of the job, which deletes its cancellation, may have been applied late. The next read
+                // shows whether it was.
                 self.unconfirmed_cancellations.insert(job.to_string());
                 self.write_buffer.stale.push(format!("{FINISHED}{job}"));
             }
         } else if let Some(job) = key.strip_prefix(FINISHED) {
-            if self.unconfirmed_cancellations.remove(job) && self.is_taken_as_cancelled(job) {
+            if self.unconfirmed_cancellations.remove(job) && self.is_marked_cancelled(job) {
                 self.retract_cancellation(context, job);
             }
         }
     }
 
-    fn is_taken_as_cancelled(&self, job: &str) -> bool {
+    fn is_marked_cancelled(&self, job: &str) -> bool {
         let job = self.jobs.find(job).and_then(|index| self.jobs.get(index));
         job.is_some_and(|job| job.cancelled.is_some())
     }
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -1,4 +1,5 @@
-//! What follows when the store calls a transaction invalid: a value or the transaction is larger than it takes now.
+//! Handles transactions that the store refuses as invalid: a value or the transaction is larger than the store
+//! accepts now.
 
 use crate::context::Context;
 use crate::scheduler::flush::REFUSED_PAUSE_US;
@@ -9,18 +10,18 @@
 use grebewood_wire::http::Operation;
 use log::{error, warn};
 
-/// The limit of operations in a transaction is never lowered below this.
+/// Lower bound for the limit of operations in a transaction.
 const MIN_TRANSACTION_OPERATIONS: usize = 3;
 
-/// The limit of bytes in a value is never lowered below this.
+/// Lower bound for the limit of bytes in a value.
 const MIN_VALUE_BYTES: usize = 700;
 
-/// How long the parts of a page that is too large may wait: what is new is written first.
+/// Delay of the writes that split a page which is too large, so that new content is written first.
 const SPLIT_DELAY_US: Micros = 500 * MILLI;
 
 impl Scheduler {
-    /// The same transaction would be refused for good, so each of its records is written alone; and one that is
-    /// refused alone is made smaller.
+    /// Handles a refused transaction. The store would refuse the same transaction again, so each of its records is
+    /// written alone next, and a record that is refused alone is made smaller.
     pub(crate) fn on_flush_refused(&mut self, context: &Context, batch: &Batch, answer: &str) {
         let now = context.now.steady;
         self.write_buffer
@@ -29,7 +30,7 @@
             [(record, _)] => self.on_record_refused(context, batch, record, answer),
             records => {
                 let count = records.len();
-                warn!(records = count, error = answer; "store refused a transaction, its records are written one by one");
+                warn!(records = count, error = answer; "store refused a transaction; writing its records one by one");
                 self.write_buffer.isolate(records);
                 let operations = batch.transaction.apply.len() / 2;
                 self.max_transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The transaction of this record alone was called invalid.
+    /// Handles a record whose transaction the store refused although it held no other record.
     fn on_record_refused(
         &mut self,
         context: &Context,
@@ -48,7 +49,8 @@
         let now = context.now.steady;
         let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
         error!(key = keys.join(", "), error = answer; "store refused a record");
-        // It was not the number of operations, then.
+        // If a record with this few operations is refused, their number is not the cause, and the configured limit
+        // applies again.
         let operations = batch.transaction.apply.len();
         self.max_transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
             MIN_TRANSACTION_OPERATIONS
@@ -69,8 +71,9 @@
         }
     }
 
-    /// Moves content off pages that are larger than a value may be. The pages that it moves to are written first, then
-    /// the old ones: until then the old ones stay as an earlier leader wrote them and list all of it.
+    /// Moves content off pages that exceed the size of a value. The pages that receive the content are written
+    /// first. Until the old pages are written, they stay as an earlier leader wrote them and list all of the
+    /// content.
     pub(crate) fn split_pages(&mut self, context: &Context) {
         let due = context.now.steady + SPLIT_DELAY_US;
         let assignments = self.split_assignment_pages(due);
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Writes the record to which content was moved, and only then the one from which it was.
+    /// Schedules writes after content was moved: first the record that received the content, then the record that
+    /// lost it.
     pub(crate) fn write_moved_content(
         &mut self,
         from: RecordId,
@@ -101,7 +105,7 @@
     }
 }
 
-/// Whether one of the batch's values is larger than the smallest limit.
+/// Returns whether a value of the batch exceeds the smallest limit of a value.
 fn has_large_value(batch: &Batch) -> bool {
     let mut operations = batch.transaction.apply.iter();
     operations.any(|operation| match operation {
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -16,7 +16,7 @@
 use serde::Serialize;
 
 impl Scheduler {
-    /// Renders a record's current content; `None`: it need not be written any more.
+    /// Renders the current content of a record. Returns `None` if the record need not be written any more.
     pub(crate) fn render(&mut self, context: &Context, record: &RecordId) -> Option<RecordWrite> {
         match record {
             RecordId::QuotaGrant(partition) => self.render_quota_grant(*partition),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Puts a key on the condition that it has not changed.
+    /// Returns the write that puts a key on the condition that the key has not changed.
     fn put_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
         RecordWrite {
             conditions: vec![self.write_buffer.unchanged(&key)],
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Deletes a key on the condition that it has not changed; `None`: there is no such key.
+    /// Returns the write that deletes a key on the condition that the key has not changed; `None` if there is no
+    /// such key.
     fn delete_unchanged(&self, key: &str) -> Option<RecordWrite> {
         self.write_buffer.is_on_record(key).then(|| RecordWrite {
             conditions: vec![self.write_buffer.unchanged(key)],
@@ -86,9 +87,9 @@
         let machine_types = context.catalogue.clone()?;
         let content = wire::http::Catalogue { machine_types };
         if wire::json_size(&to_value(&content)) > self.max_value_bytes {
-            // With a part of the catalogue on record, jobs that can run would be refused. Without a record each
-            // controller asks the cloud.
-            warn!(key = CATALOGUE; "record is too large for the store and is not written");
+            // If only a part of the catalogue were on record, jobs that can run would be refused. Without a record,
+            // each controller reads the catalogue from the cloud.
+            warn!(key = CATALOGUE; "record exceeds the size of a value and is not written");
             return None;
         }
         Some(self.put_unchanged(CATALOGUE.into(), &content))
@@ -97,13 +98,13 @@
     fn render_limits(&self) -> Option<RecordWrite> {
         let content = self.limits_record();
         if wire::json_size(&to_value(&content)) > self.max_value_bytes {
-            warn!(key = LIMITS; "record is too large for the store, no quota is granted to holders");
+            warn!(key = LIMITS; "record exceeds the size of a value; partition holders get no quota grants");
             return None;
         }
         Some(self.put_unchanged(LIMITS.into(), &content))
     }
 
-    /// The end of a job: its final status is written, and its live records are deleted.
+    /// Renders the end of a job: writes its final status and deletes its live records.
     fn render_job_end(&self, index: JobIndex) -> Option<RecordWrite> {
         let job = self.jobs.get(index)?;
         let ending = job.ending?;
@@ -122,8 +123,8 @@
             FinalStatus::Done => write.conditions.push(absent(&cancellation)),
             FinalStatus::Aborted => self.add_deletion(&mut write, &cancellation),
         }
-        // A record of an earlier version. If there are more of them, those are left behind, which costs space but is
-        // harmless.
+        // A record in the format of an earlier version. Further records of this kind are left behind, which wastes
+        // space but is harmless.
         let legacy = format!("{COMPLETED_TASKS}{}/0", job.id);
         if self.write_buffer.is_on_record(&legacy)
             && write.operations.len() < self.max_transaction_operations
