--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -23,26 +23,26 @@
             RecordId::Page(number) => self.render_assignments(context, *number),
             RecordId::Done(number) => {
                 let content = self.completed_pages.record(*number, &self.jobs);
-                Some(self.put_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
+                Some(self.put_if_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
             }
             RecordId::PendingProvision(machine) => self.render_provision(machine),
             RecordId::Stats => {
                 let content = self.stats.record_within(self.max_value_bytes);
-                Some(self.put_unchanged(STATS.into(), &content))
+                Some(self.put_if_unchanged(STATS.into(), &content))
             }
             RecordId::Catalogue => self.render_catalogue(context),
             RecordId::Limits => self.render_limits(),
             RecordId::Partition(id) => {
                 let content = self.remote_partitions.record(*id)?;
-                Some(self.put_unchanged(partition_key(*id), content))
+                Some(self.put_if_unchanged(partition_key(*id), content))
             }
-            RecordId::Deleted(key) => self.delete_unchanged(key),
+            RecordId::Deleted(key) => self.delete_if_unchanged(key),
             RecordId::JobEnd(index) => self.render_job_end(*index),
         }
     }
 
     /// Returns the write that puts a key on the condition that the key has not changed.
-    fn put_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
+    fn put_if_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
         RecordWrite {
             conditions: vec![self.write_buffer.unchanged(&key)],
             operations: vec![put(key, content)],
@@ -51,7 +51,7 @@
 
     /// Returns the write that deletes a key on the condition that the key has not changed; `None` if there is no
     /// such key.
-    fn delete_unchanged(&self, key: &str) -> Option<RecordWrite> {
+    fn delete_if_unchanged(&self, key: &str) -> Option<RecordWrite> {
         self.write_buffer.is_on_record(key).then(|| RecordWrite {
             conditions: vec![self.write_buffer.unchanged(key)],
             operations: vec![delete(key)],
@@ -64,7 +64,7 @@
         }
         let claim = self.remote_partitions.claim_token(partition).unwrap_or(0);
         let content = self.leader_quota.grants.render(partition, claim);
-        Some(self.put_unchanged(quota_grant_key(partition), &content))
+        Some(self.put_if_unchanged(quota_grant_key(partition), &content))
     }
 
     fn render_assignments(&self, context: &Context, page: u64) -> Option<RecordWrite> {
@@ -72,14 +72,14 @@
             return None;
         }
         let key = format!("{PAGE}0/{page}");
-        Some(self.put_unchanged(key, &self.page_record(page)))
+        Some(self.put_if_unchanged(key, &self.page_record(page)))
     }
 
     fn render_provision(&self, machine: &str) -> Option<RecordWrite> {
         let key = format!("{PROVISION}{machine}");
         match self.fleet.provision_record(machine) {
-            Some(content) => Some(self.put_unchanged(key, &content)),
-            None => self.delete_unchanged(&key),
+            Some(content) => Some(self.put_if_unchanged(key, &content)),
+            None => self.delete_if_unchanged(&key),
         }
     }
 
@@ -92,7 +92,7 @@
             warn!(key = CATALOGUE; "record exceeds the size of a value and is not written");
             return None;
         }
-        Some(self.put_unchanged(CATALOGUE.into(), &content))
+        Some(self.put_if_unchanged(CATALOGUE.into(), &content))
     }
 
     fn render_limits(&self) -> Option<RecordWrite> {
@@ -101,7 +101,7 @@
             warn!(key = LIMITS; "record exceeds the size of a value; partition holders get no quota grants");
             return None;
         }
-        Some(self.put_unchanged(LIMITS.into(), &content))
+        Some(self.put_if_unchanged(LIMITS.into(), &content))
     }
 
     /// Renders the end of a job: writes its final status and deletes its live records.
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -1,4 +1,4 @@
-//! How a new leader or holder reads its records back from the key-value store.
+//! Reads the records of a new leader or holder from the key-value store.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::Context;
@@ -19,32 +19,32 @@
 pub(crate) mod jobs;
 pub(crate) mod records;
 
-/// Pause before a read that failed is sent again.
+/// Pause before a failed read is sent again.
 const RETRY_PAUSE_US: Micros = 200 * MILLI;
 
 impl Scheduler {
-    /// Begins to read the records from the store.
+    /// Starts to read the records from the store.
     pub(crate) fn start_loading(&mut self, context: &mut Context) {
         let reads = self.records_to_load(context);
         self.loading = Some(Loading::new(&reads, context.now.steady));
         self.run_loading(context);
     }
 
-    /// The prefixes and keys that are read.
+    /// Returns the prefixes and keys to read.
     fn records_to_load(&self, context: &Context) -> Vec<String> {
         let mut reads = vec![JOB.to_string(), LEGACY_CANCEL.to_string()];
         match self.partition() {
             None => {
-                // Members claim partitions only under a leader that supports them. To one that does not, claims mean
-                // nothing: its token is higher than that of every claim.
+                // Members claim partitions only under a leader that supports them. A leader that does not can
+                // ignore claims, since its token is higher than that of every claim.
                 let partitions = context.supports_partitions().then_some(PARTITION);
                 let quota = context.supports_quota_grants().then_some(QUOTA);
                 let of_leader = [COMPLETED_TASKS, PAGE, PROVISION, STATS, CATALOGUE];
                 let of_leader = of_leader.into_iter().chain(partitions).chain(quota);
                 reads.extend(of_leader.map(str::to_string));
             }
-            // The leader tells a holder what may be on its machines, except for what this holder or an earlier one has
-            // placed itself.
+            // The leader reports to the holder which tasks may be on its machines, except for those that this
+            // holder or an earlier one has placed.
             Some(id) if self.places_tasks(context) => reads.push(holder_pages_prefix(id)),
             Some(_) => {}
         }
@@ -73,12 +73,13 @@
         }
     }
 
-    /// Takes a page of a list: of the loading, of a watch that lists its keys again, or of the provision sweep.
+    /// Handles a page of a list: of the initial load, of a watch that lists its keys again, or of the provision
+    /// sweep.
     pub(crate) fn on_list(&mut self, context: &mut Context, prefix: &str, outcome: Outcome) {
         let now = context.now.steady;
         let page = match &outcome {
             Outcome::Answer { status: 200, body } => wire::from_cbor::<KeyValueList>(body),
-            _ => Err(wire::DecodeError("no answer".into())),
+            _ => Err(wire::DecodeError("no response".into())),
         };
         let Some(loading) = &mut self.loading else {
             return match prefix {
@@ -94,7 +95,7 @@
                 }
             }
             Err(error) => {
-                warn!(key = prefix, error:% = error; "list failed");
+                warn!(key = prefix, error:% = error; "listing keys failed");
                 loading.retry(prefix, now + RETRY_PAUSE_US);
             }
         }
@@ -102,7 +103,8 @@
         self.finish_loading(context);
     }
 
-    /// Takes the partitions as soon as all of them have been read: heartbeats are answered by them.
+    /// Loads the partitions as soon as all of them have been read, because the responses to heartbeats depend on
+    /// them.
     fn on_partitions_read(&mut self, context: &Context) {
         let entries = self.loading.as_mut().map(|loading| loading.take(PARTITION));
         let mut map = PartitionMap::default();
@@ -116,7 +118,7 @@
         self.load_partitions(context, &map);
     }
 
-    /// Takes the reply to the read of a single key.
+    /// Handles the reply to the read of a single key.
     pub(crate) fn on_read(&mut self, context: &mut Context, key: &'static str, outcome: Outcome) {
         let Some(loading) = &mut self.loading else {
             return;
@@ -136,12 +138,13 @@
     }
 }
 
-/// What the keys of the assignment pages of a partition's holder begin with, and those of some other pages.
+/// Returns the key prefix of the assignment pages that the holder of a partition writes. Pages of some other
+/// partitions have the same prefix.
 fn holder_pages_prefix(partition: PartitionId) -> String {
     format!("{PAGE}0/{partition}")
 }
 
-/// The number of an assignment page, from its key.
+/// Returns the number of an assignment page from its key.
 fn page_number(key: &str) -> Option<u64> {
     key.rsplit_once('/')?.1.parse().ok()
 }
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -1,4 +1,4 @@
-//! Reads the assignment pages back.
+//! Loads the assignment pages.
 
 use crate::context::Context;
 use crate::scheduler::loading::page_number;
@@ -14,28 +14,30 @@
 use grebewood_wire::Value;
 use log::error;
 
-/// How an assignment counts as launched that an earlier leader or holder wrote: before every heartbeat.
+/// Launch of an assignment that an earlier leader or holder wrote: earlier than every heartbeat.
 const LAUNCHED_EARLIER: (u64, u64) = (0, 0);
 
-/// Which page is being read.
+/// An assignment page that is being loaded.
 #[derive(Clone, Copy)]
 struct LoadedPage {
     number: u64,
-    /// The partition whose holder writes the page; `None`: the leader does.
+    /// The partition whose holder writes the page; `None` if the leader does.
     written_by: Option<PartitionId>,
     /// Whether this scheduler writes the page.
     is_own: bool,
 }
 
-/// A task of a job whose record can be read, or of one whose record cannot.
+/// Job of a loaded assignment.
 #[derive(Clone, Copy)]
 enum LoadedJob {
+    /// The record of the job has been read.
     Known(JobIndex),
+    /// The record of the job cannot be read.
     Unreadable,
 }
 
 impl Scheduler {
-    /// Takes all assignment pages.
+    /// Loads all assignment pages.
     pub(crate) fn load_assignment_pages(
         &mut self,
         context: &mut Context,
@@ -74,10 +76,10 @@
         }
     }
 
-    /// Nothing can be said of what the page lists: no task of any live job may be started until every machine has sent
-    /// a heartbeat or was terminated.
+    /// Handles a page that cannot be read. Its assignments are unknown, so no task of any live job may be started
+    /// until every machine has sent a heartbeat or was terminated.
     fn on_unreadable_page(&mut self, context: &Context, key: &str, number: Option<u64>) {
-        error!(key = key; "record cannot be read, nothing is placed until all machines have been heard");
+        error!(key = key; "record cannot be read; no task is placed until all machines had time to send a heartbeat");
         self.placement.blocked_until =
             context.now.steady + context.settings.agent_lease * 2 + 10 * SECOND;
         if let Some(number) = number {
@@ -93,12 +95,13 @@
         job: &str,
         attempt: TaskAttempt,
     ) {
-        // A job that is not found is over; whatever still runs of it is stopped when the agent's heartbeat lists it.
+        // A job that is not found has ended. Tasks of it that still run are stopped when a heartbeat lists them.
         let Some(loaded_job) = self.find_loaded_job(job) else {
             return;
         };
         if self.is_assigned(&machine.machine, job, attempt) {
-            // The assignment is on two pages, after a move of which only the first half was written: this page drops it.
+            // The assignment is on two pages, because only the first half of a move was written. It is dropped from
+            // this page.
             if page.is_own {
                 let due = context.now.steady + SECOND;
                 self.write_buffer
@@ -135,7 +138,7 @@
         self.add_assignment(&machine.machine, assignment);
     }
 
-    /// The job of an assignment; `None`: it is over.
+    /// Returns the job of an assignment; `None` if it has ended.
     fn find_loaded_job(&self, job: &str) -> Option<LoadedJob> {
         match self.jobs.find(job) {
             Some(index) => Some(LoadedJob::Known(index)),
@@ -151,7 +154,7 @@
         self.assignment_position(machine, is_this).is_some()
     }
 
-    /// Takes the task of its job, if the job is known; the result is the job's description.
+    /// Marks the task as assigned if its job is known, and returns the description of the job.
     fn take_loaded_task(&mut self, job: LoadedJob, task: u64, zone: &str) -> Option<Submission> {
         let job = self.jobs.get_mut(job.index()?)?;
         job.take(task);
@@ -180,8 +183,8 @@
 }
 
 fn recovered_assignment(page: LoadedPage, job: LoadedJob, task: TaskOnMachine) -> Assignment {
-    // Of a job whose record cannot be read neither the team nor the resources are known: its tasks are stopped, and
-    // nothing is placed until they are proven gone.
+    // If the record of the job cannot be read, neither its team nor its resources are known. Its tasks are stopped,
+    // and no task is placed until they are proven gone.
     let stop = match job {
         LoadedJob::Known(_) => None,
         LoadedJob::Unreadable => Some(Stop {
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -1,4 +1,4 @@
-//! Reads completed tasks back, in the present form or in that of an earlier version.
+//! Loads the records of completed tasks, in the current format and in that of an earlier version.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -12,7 +12,7 @@
 use log::error;
 
 impl Scheduler {
-    /// Takes all records of completed tasks.
+    /// Loads all records of completed tasks.
     pub(crate) fn load_completed_tasks(
         &mut self,
         context: &Context,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A record of an earlier version: the completed tasks of one span of a job.
+    /// Loads a record in the format of an earlier version: the completed tasks of one span of a job.
     fn load_legacy_span(&mut self, entry: &KeyValue<Value>, job: &str, span: &str) {
         let index = self.jobs.find(job);
         let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) else {
@@ -57,8 +57,8 @@
                 }
             }
             (number, _) => {
-                // The record is left as it is. Agents keep the results of tasks, so those that it lists end at once
-                // when they are started again.
+                // The record is left as it is. Agents keep the results of tasks, so a task that the page lists ends
+                // immediately when it is started again.
                 log_unreadable(&entry.key);
                 if let Ok(page) = number {
                     self.completed_pages.close(page);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The completed tasks of one span of a job, as the page lists them.
+    /// Loads the completed tasks of one span of a job from a page.
     fn load_span(&mut self, context: &Context, page: u64, job: &str, span: u64, bits: &str) {
         let Some(index) = self.jobs.find(job) else {
             return;
@@ -79,8 +79,8 @@
         let Some(other) = job.completed_pages.get(&span).copied() else {
             return self.completed_pages.adopt(page, index, span, job);
         };
-        // The span is on two pages, after a move of which only the first half was written: this page drops it once the
-        // other one has the tasks of both.
+        // The span is on two pages, because only the first half of a move was written. This page drops it once the
+        // other page has the completed tasks of both.
         self.completed_pages.close(page);
         let due = context.now.steady + SECOND;
         self.write_moved_content(RecordId::Done(page), RecordId::Done(other), due, due);
@@ -88,5 +88,5 @@
 }
 
 fn log_unreadable(key: &str) {
-    error!(key = key; "record cannot be read, tasks that it lists as completed may run again");
+    error!(key = key; "record cannot be read; tasks that it lists as completed may run again");
 }
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -1,4 +1,4 @@
-//! Reads jobs and their cancellations back.
+//! Loads jobs and their cancellations.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -9,8 +9,8 @@
 use log::error;
 
 impl Scheduler {
-    /// Adds the live jobs. The result are all cancellations: those of an earlier version, then those that are listed
-    /// with the jobs.
+    /// Adds the live jobs. Returns all cancellations: first those in the format of an earlier version, then those
+    /// that are listed with the jobs.
     pub(crate) fn load_jobs(
         &mut self,
         context: &Context,
@@ -29,7 +29,7 @@
         all_cancellations
     }
 
-    /// Adds a live job from its record, unless it is known or has ended.
+    /// Adds a live job from its record, unless it is already known or ended recently.
     pub(crate) fn add_job(
         &mut self,
         context: &Context,
@@ -51,7 +51,7 @@
                 self.jobs.insert(job);
                 self.placement.request_round(context.now.steady);
             }
-            Ok(_) => error!(key = key; "record holds another job and is left as it is"),
+            Ok(_) => error!(key = key; "record contains a different job id and is left as it is"),
             Err(error) => {
                 if !self.unreadable_job_keys.iter().any(|known| known == key) {
                     error!(key = key, error:% = error; "record cannot be read and is left as it is");
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Applies the cancellations on record, then those that this controller knows of from later requests or from its
-    /// peers.
+    /// Applies the cancellations on record, then those that this controller has learned from later requests or from
+    /// its peers.
     pub(crate) fn load_cancellations(
         &mut self,
         context: &mut Context,
@@ -75,7 +75,7 @@
         for entry in entries {
             let record = from_value::<CancelRecord>(&entry.value);
             if let Err(error) = &record {
-                error!(key = entry.key, error:% = error; "record cannot be read and counts as a cancellation");
+                error!(key = entry.key, error:% = error; "cancellation record cannot be read; treating the job as cancelled");
             }
             if let Some(JobKey::Cancelled(job)) = JobKey::parse(&entry.key) {
                 self.on_cancelled(context, job, record.ok().as_ref());
@@ -91,7 +91,7 @@
             .note_store_read(self.lease_acquired_at);
     }
 
-    /// Ends the jobs all of whose tasks are completed.
+    /// Ends the jobs whose tasks are all completed.
     pub(crate) fn end_completed_jobs(&mut self, context: &Context) {
         let completed = self.jobs.iter().filter(|(_, job)| job.all_completed());
         let completed: Vec<JobIndex> = completed.map(|(index, _)| index).collect();
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Jobs with completed tasks have begun, at their present age at the latest.
+    /// Sets the start time of jobs that have completed tasks: at the latest, they started at their current age.
     pub(crate) fn note_started_jobs(&mut self, context: &Context) {
         for index in self.jobs.indices() {
             let job = self.jobs.get_mut(index);
--- a/crates/core/src/scheduler/loading/records.rs
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -1,4 +1,4 @@
-//! Builds the working state once all records have been read.
+//! Builds the state of the scheduler once all records have been read.
 
 use crate::context::{Context, Role};
 use crate::scheduler::loading::{holder_pages_prefix, page_number};
@@ -14,7 +14,7 @@
 use log::{error, info};
 
 impl Scheduler {
-    /// Builds the working state if everything has been read.
+    /// Builds the state of the scheduler if all records have been read.
     pub(crate) fn finish_loading(&mut self, context: &mut Context) {
         if !self.loading.as_ref().is_some_and(Loading::is_finished) {
             return;
@@ -37,12 +37,12 @@
         self.watches.insert(JOB, watch);
         self.load_cancellations(context, &cancellations);
         self.note_durable_placements();
-        // An earlier leader may have written pages under larger limits of the store.
+        // An earlier leader may have written pages under higher limits of the store.
         self.split_pages(context);
         self.end_completed_jobs(context);
         self.note_started_jobs(context);
-        // Before anything is placed: otherwise, in the first second of each leader, batch tasks took the room that is
-        // kept for services.
+        // The headroom is computed before any task is placed. Otherwise, batch tasks take the resources that are
+        // reserved for services during the first second of each leader.
         self.headroom
             .update(context, &self.jobs, self.machines.len());
         info!(
@@ -53,12 +53,13 @@
         );
     }
 
-    /// The assignment pages that are read under this fenced lease.
+    /// Returns the assignment pages that this scheduler needs: all pages for the leader, those of its partition for
+    /// a holder.
     fn own_pages(&self, loading: &mut Loading) -> Vec<KeyValue<Value>> {
         let Some(partition) = self.partition() else {
             return loading.take(PAGE);
         };
-        // The prefix is that of pages of some other partitions, too.
+        // Pages of some other partitions have the same prefix.
         let mut pages = loading.take(&holder_pages_prefix(partition));
         pages.retain(|page| page_number(&page.key).and_then(partition_of_page) == Some(partition));
         pages
@@ -89,7 +90,8 @@
         }
     }
 
-    /// The catalogue itself is read by each controller on its own: here only whether it is on record matters.
+    /// Records the revision of the catalogue record, or requests a read of the catalogue if there is no record. Its
+    /// content is not needed here, since each controller reads the catalogue on its own.
     fn load_catalogue(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         if entries.is_empty() {
             self.fleet.next_catalogue_read = context.now.steady;
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of the key-value store: jobs and cancellations as they change.
+//! Watches the key-value store for changes of jobs and cancellations.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, STORE_TIMEOUT};
@@ -11,28 +11,28 @@
 use grebewood_wire::Value;
 use log::warn;
 
-/// Keys in one page of a list that is read again.
+/// Number of keys in a page of a list that is read again.
 const RELIST_PAGE_KEYS: usize = 1_000;
 
-/// Milliseconds after which the store answers a watch even if nothing has changed.
+/// Time in milliseconds after which the store answers a watch request even if nothing has changed.
 const BLOCK_MS: u64 = 10_000;
 
-/// How long a watch may take, with the time until the store answers it at the latest.
+/// Timeout of a watch request: the blocking time and a margin for the response.
 const WATCH_TIMEOUT_US: Micros = 13 * SECOND;
 
-/// Pause after an answer, for changes to gather.
+/// Pause after a response, so that the next one reports several changes at once.
 const BATCHING_PAUSE_US: Micros = 20 * MILLI;
 
-/// Pause after a request that failed.
+/// Pause after a failed request.
 const RETRY_PAUSE_US: Micros = 300 * MILLI;
 
-/// Pause after an answer that cannot be read.
+/// Pause after a response that cannot be read.
 const UNREADABLE_PAUSE_US: Micros = SECOND;
 
 const HTTP_GONE: u16 = 410;
 
 impl Scheduler {
-    /// Sends the requests of watches that are due.
+    /// Sends the watch requests that are due.
     pub(crate) fn run_watches(&mut self, context: &mut Context) {
         let token = self.token;
         for (prefix, watch) in &mut self.watches {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes the answer to a watch.
+    /// Handles the response to a watch request.
     pub(crate) fn on_watch(
         &mut self,
         context: &mut Context,
@@ -79,12 +79,13 @@
                         }
                     }
                     Err(error) => {
-                        warn!(key = prefix, error:% = error; "answer to a watch cannot be read");
+                        warn!(key = prefix, error:% = error; "response to a watch cannot be read");
                         watch.end_request(now + UNREADABLE_PAUSE_US);
                     }
                 }
             }
-            // Too old, or more than can be taken at once, which would be the same the next time.
+            // The requested revision is too old, or the response is too large, which would be the same for the next
+            // request.
             Outcome::Answer {
                 status: HTTP_GONE, ..
             }
@@ -98,7 +99,7 @@
 
     fn on_watch_event(&mut self, context: &mut Context, event: WatchEvent) {
         if let (Some(key), true) = (&event.delete, self.is_holder()) {
-            // The leader ended the job: what is left of it on machines belongs to no job.
+            // The leader has ended the job. Its remaining tasks on machines belong to no job now.
             if let Some(JobKey::Live(job)) = JobKey::parse(key) {
                 let index = self.jobs.find(job);
                 index.and_then(|index| self.jobs.remove(index));
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Takes a page of a watch's keys, which are listed again since the changes were too old or too many. With a single
-    /// page for all of them a leader of more than a thousand live jobs never learned of the rest.
+    /// Handles a page of the keys of a watch, which are listed again because the changes were too old or too many.
+    /// If only one page were read, a leader with more than a thousand live jobs would never learn of the rest.
     pub(crate) fn on_relist(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// The paths of the requests that the leader sends now.
+/// Returns the paths of the requests that the leader sends now.
 fn requests(controller: &mut Controller) -> Vec<String> {
     let leader = controller.leader.as_mut().expect("a leader");
     leader.run_watches(&mut controller.context);
@@ -61,7 +61,7 @@
         ["/kv?prefix=job/&since=job/req-1&page=1000"]
     );
     take(&mut controller, page(2, 45, false));
-    // What changed since the first page was read is told again.
+    // Changes since the first page was read are reported again.
     assert_eq!(
         requests(&mut controller),
         ["/changes?prefix=job/&since=40&block_ms=10000"]
