--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -1,4 +1,4 @@
-//! Assignment pages: moves assignments off pages that have become too large, and renders pages.
+//! Assignment pages: moves assignments off pages that have become too large, and renders the content of pages.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -15,7 +15,7 @@
         self.pages.page_mut(number)
     }
 
-    /// The partition whose holder writes the page with this number; `None`: the leader does.
+    /// Returns the partition whose holder writes the page with this number; `None` if the leader does.
     pub(crate) fn partition_writing_page(
         &self,
         context: &Context,
@@ -25,13 +25,14 @@
         partition.filter(|id| self.is_holder() || self.remote_partitions.record(*id).is_some())
     }
 
-    /// The number of a page with room for one more assignment.
+    /// Returns the number of a page with room for one more assignment.
     pub(crate) fn page_with_room(&mut self) -> u64 {
         let max_bytes = self.max_page_bytes();
         self.pages.with_room(max_bytes)
     }
 
-    /// Moves assignments off pages that are larger than a value may be. The result says from which page to which.
+    /// Moves assignments off pages that exceed the size of a value. Returns the source and the destination page of
+    /// each move.
     pub(crate) fn split_assignment_pages(&mut self, due: Micros) -> Vec<(RecordId, RecordId)> {
         let max_bytes = self.max_page_bytes();
         for page in self.pages.by_number.values_mut() {
@@ -55,7 +56,8 @@
         moves
     }
 
-    /// The assignments on a page: the name of the machine, and the position among the machine's assignments.
+    /// Returns the assignments on a page, each as the name of its machine and its position among the assignments of
+    /// the machine.
     fn assignments_on_page(&self, number: u64) -> Vec<(String, usize)> {
         let Some(page) = self.pages.by_number.get(&number) else {
             return Vec::new();
@@ -69,7 +71,7 @@
         assignments.flatten().collect()
     }
 
-    /// Moves an assignment to a page with room, whose number is the result.
+    /// Moves an assignment to a page with room, and returns the number of that page.
     fn move_assignment(
         &mut self,
         machine: &str,
@@ -82,7 +84,7 @@
         let assignment = &mut assignments[position];
         assignment.page = to;
         if !assignment.may_be_on_machine() {
-            // It is launched once it is durable on the new page.
+            // The assignment is launched once it is durable on the new page.
             assignment.written = self.write_buffer.mark_dirty(RecordId::Page(to), due);
         }
         let assignment = assignment.clone();
@@ -91,7 +93,7 @@
         Some(to)
     }
 
-    /// The current content of a page.
+    /// Returns the current content of a page.
     pub(crate) fn page_record(&self, number: u64) -> PageRecord {
         let page = self.pages.by_number.get(&number);
         let names = page.into_iter().flat_map(|page| page.machines.keys());
@@ -104,7 +106,7 @@
     }
 }
 
-/// The assignments of a machine on this page, grouped by the incarnation of the agent that is to run them.
+/// Returns the assignments of a machine on this page, grouped by the incarnation of the agent that is to run them.
 fn assignments_by_incarnation(machine: &Machine, page: u64) -> Vec<MachineAssignments> {
     let mut groups: BTreeMap<u64, Vec<(String, u64, u64)>> = BTreeMap::new();
     let on_page = machine.assignments.iter();
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -1,4 +1,4 @@
-//! Cancellations and the end of jobs.
+//! Handles cancellations and the end of jobs.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -8,22 +8,24 @@
 use grebewood_wire::records::{cancel_key, CancelRecord, LEGACY_CANCEL};
 use log::error;
 
-/// The end of a job is written ahead of changes that have been due for less than this: it is what the user waits for,
-/// and it makes every later read of all records smaller.
+/// Priority of the write of a job end: it precedes changes that have been due for less than this time, because the
+/// user waits for it, and because it makes every later read of all records smaller.
 const JOB_END_PRIORITY_US: Micros = 10 * SECOND;
 
 impl Scheduler {
-    /// Notes that the job is cancelled: no task of it is started any more, and those that may run are stopped.
+    /// Marks the job as cancelled: no task of it is started any more, and tasks that may be running are stopped.
     ///
-    /// `record` says since when: the time that a cancellation may take runs on under the next leader. When it began
-    /// anew with every leader, a machine that could not be reached was kept too long.
+    /// `record` contains the time of the cancellation, from which the cancellation timeout is counted also under
+    /// later leaders. Without this, each new leader would restart the timeout and keep an unreachable machine for
+    /// too long.
     pub(crate) fn on_cancelled(
         &mut self,
         context: &mut Context,
         id: &str,
         record: Option<&CancelRecord>,
     ) {
-        // A job that another leader accepted meanwhile may not be known yet: its cancellation waits for its record.
+        // A job that another leader accepted in the meantime may not be known yet. Its cancellation is applied when
+        // its record arrives.
         let Some(index) = self.jobs.find(id) else {
             return;
         };
@@ -45,7 +47,7 @@
         self.end_if_over(context, index);
     }
 
-    /// Applies a cancellation of the job that this controller knows of, from whatever source.
+    /// Applies the cancellation of a job if this controller knows of one from any source.
     pub(crate) fn apply_cancellation(&mut self, context: &mut Context, id: &str) {
         if !self.is_loaded() {
             return;
@@ -59,21 +61,21 @@
         self.on_cancelled(context, id, Some(&record));
     }
 
-    /// The store has no cancellation of this job after all: what was known of it was wrong, and the job runs. Only its
-    /// record may end it.
+    /// Retracts the cancellation of a job for which the store has none: the information was wrong, and the job
+    /// continues. Only a cancellation that is on record may end it.
     pub(crate) fn retract_cancellation(&mut self, context: &mut Context, id: &str) {
         context.cancellations.forget(id);
         let index = self.jobs.find(id);
         let job = index.and_then(|index| self.jobs.get_mut(index));
         if let Some(job) = job.filter(|job| job.cancelled.is_some()) {
-            error!(job = id; "job was taken as cancelled, but its cancellation is not on record");
+            error!(job = id; "cancellation of the job is not on record; the job continues");
             job.cancelled = None;
             job.ending = None;
             self.placement.request_round(context.now.steady);
         }
     }
 
-    /// The key under which the job's cancellation is on record, or would be.
+    /// Returns the key under which the cancellation of the job is, or would be, on record.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
         let legacy = format!("{LEGACY_CANCEL}{id}");
         if self.write_buffer.is_on_record(&legacy) {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Writes the end of a job if it is over.
+    /// Schedules the write of the end of a job if the job is over.
     pub(crate) fn end_if_over(&mut self, context: &Context, index: JobIndex) {
         // Only the leader ends jobs.
         if self.is_holder() {
@@ -102,8 +104,8 @@
         let id = job.id.clone();
         let cancellation = self.cancellation_key(&id);
         if ending == FinalStatus::Aborted && !self.write_buffer.is_on_record(&cancellation) {
-            // The cancellation is known from a peer or from a user's request only. A job ends as cancelled only if its
-            // cancellation is on record: the mod_revision is read first.
+            // The cancellation is known only from a peer or from a user request. A job ends as cancelled only if
+            // its cancellation is on record, so the mod_revision of that record is read first.
             self.write_buffer.stale.push(cancellation);
         }
         let due = context.now.steady.saturating_sub(JOB_END_PRIORITY_US);
@@ -111,7 +113,7 @@
             .mark_dirty_by(RecordId::JobEnd(index), due);
     }
 
-    /// How the job ends if it is over now.
+    /// Returns the final status of the job if it is over.
     fn final_status(&self, index: JobIndex) -> Option<FinalStatus> {
         let job = self.jobs.get(index)?;
         if job.cancelled.is_some() {
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Handles a page that cannot be read. Its assignments are unknown, so no task of any live job may be started
-    /// until every machine has sent a heartbeat or was terminated.
+    /// Handles a page that cannot be read. Its assignments are unknown, so no task is started until every machine
+    /// has had time to send a heartbeat or to be terminated.
     fn on_unreadable_page(&mut self, context: &Context, key: &str, number: Option<u64>) {
         error!(key = key; "record cannot be read; no task is placed until all machines had time to send a heartbeat");
         self.placement.blocked_until =
--- a/crates/core/src/scheduler/progress.rs
+++ b/crates/core/src/scheduler/progress.rs
@@ -1,4 +1,4 @@
-//! Tells the other controllers how far jobs have come, so that each of them can answer polls with it.
+//! Sends the progress of jobs to the other controllers, so that each of them can answer polls.
 
 use crate::calls::CallPurpose;
 use crate::context::Context;
@@ -7,13 +7,13 @@
 use grebewood_wire as wire;
 use grebewood_wire::peer::PeerRequest;
 
-/// How often the others are told of changed progress: often enough for polls to show short tasks.
+/// Interval between progress messages, short enough for polls to show short tasks.
 const PROGRESS_INTERVAL_US: Micros = 500 * MILLI;
 
-/// With every fifth message all jobs count as changed.
+/// Every round with a multiple of this number sends all jobs, not only those whose progress changed.
 const ROUNDS_PER_FULL_UPDATE: u32 = 5;
 
-/// Most jobs in one message.
+/// Maximum number of jobs in one message.
 const MAX_JOBS_PER_MESSAGE: usize = 500;
 
 const PROGRESS_TIMEOUT_US: Micros = 900 * MILLI;
@@ -28,7 +28,8 @@
     }
 
     fn send_progress(&mut self, context: &mut Context) {
-        // A controller that could not be reached missed what has not changed since: all of it is sent again at times.
+        // A controller that was unreachable has missed progress that has not changed since, so the progress of all
+        // jobs is sent again regularly.
         self.progress_round += 1;
         if self.progress_round.is_multiple_of(ROUNDS_PER_FULL_UPDATE) {
             let all = self.jobs.iter().map(|(index, _)| index);
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Jobs with the numbers of their completed and running tasks.
+    /// Removes jobs from the set of those with changed progress. Returns their ids with the numbers of their
+    /// completed and running tasks.
     fn take_changed_progress(&mut self) -> Vec<(String, u64, u64)> {
         let mut changed = Vec::new();
         while let (Some(index), true) = (
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -1,13 +1,15 @@
 //! Team quotas while several controllers place tasks.
 //!
-//! The leader gives the holder of a partition two things: tasks that it is to place, and a quota grant, which says how
-//! much of each team's limit they may use. The holder chooses the machine, writes the assignment to a page of its own
-//! and launches it. So tasks go on starting when the leader ends.
+//! The leader sends the holder of a partition two things: the tasks that it is to place, and a quota grant, which
+//! is the part of each team's limit that these tasks may use. The holder chooses a machine for each task, writes
+//! the assignment to one of its own pages, and launches the task. Tasks therefore continue to start after the
+//! leader has failed.
 //!
-//! A task is never placed by two controllers: a holder's write depends on its claim and on the record of the leader that
-//! delegated the task ([`write_conditions`](crate::scheduler::write_conditions)), which outlives that leader by its
-//! lease. A new leader reads all pages after it has acquired its lease, and from then on holders write nothing until
-//! they have heard from it: what was not on record by then, it places anew.
+//! No task is placed by two controllers. A write of a holder depends on its claim and on the record of the leader
+//! that delegated the task ([`write_conditions`](crate::scheduler::write_conditions)), and that record outlives the
+//! leader by the time to live of its lease. A new leader reads all pages after it has acquired its lease, and from
+//! then on holders write nothing until they have received its orders. The new leader places the tasks that were not
+//! on record by then again.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -17,8 +19,8 @@
 use grebewood_quota::{Resources, TeamQuota};
 
 impl Scheduler {
-    /// Whether holders may be given tasks and quota grants now: the limits are on record, and every member that was heard
-    /// supports quota grants.
+    /// Returns whether holders may be given tasks and quota grants now: the limits are on record, and every known
+    /// member supports quota grants.
     pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         self.enforces_guarantees(context)
             && context.holders_can_write()
@@ -26,24 +28,26 @@
             && !self.leader_quota.refused
     }
 
-    /// Whether tasks are preempted for teams below their guaranteed share.
+    /// Returns whether tasks are preempted for teams that are below their guaranteed share.
     pub(crate) fn enforces_guarantees(&self, context: &Context) -> bool {
         context.supports_quota_grants() && self.limits_are_on_record()
     }
 
-    /// Whether the partition's holder places tasks.
+    /// Returns whether the partition's holder places tasks.
     pub(crate) fn holder_places_tasks(&self, partition: PartitionId) -> bool {
         self.leader_quota.placing.contains(&partition)
     }
 
-    /// Whether the partition's holder is to be given tasks now: it places tasks, and has not been slow lately.
+    /// Returns whether the partition's holder may be given tasks now: it places tasks, and has not been slow
+    /// recently.
     pub(crate) fn may_delegate_to(&self, context: &Context, partition: PartitionId) -> bool {
         let holder_slow_until = self.leader_quota.holder_slow_until.get(&partition);
         let is_slow = holder_slow_until.is_some_and(|until| context.now.steady < *until);
         self.holder_places_tasks(partition) && !is_slow
     }
 
-    /// A team's guaranteed share and limit: those in force, or those of the settings if quota grants are not supported.
+    /// Returns a team's quota (guaranteed share and limit): the one in force, or the one of the settings if quota
+    /// grants are not supported.
     pub(crate) fn team_quota(&self, context: &Context, team: &str) -> Option<TeamQuota> {
         if context.supports_quota_grants() {
             self.leader_quota.limits.in_force().get(team)
@@ -52,7 +56,7 @@
         }
     }
 
-    /// The guaranteed shares and limits of all teams.
+    /// Returns the quotas of all teams.
     pub(crate) fn team_quotas(&self, context: &Context) -> Vec<(String, TeamQuota)> {
         let settings = context.settings.limits();
         let limits = if context.supports_quota_grants() {
@@ -65,13 +69,13 @@
         owned.collect()
     }
 
-    /// The resources of a team's tasks, those included that holders are to place.
+    /// Returns the resources of a team's tasks, including the tasks that are delegated to holders.
     pub(crate) fn resources_needed_by(&self, team: &str) -> Resources {
         let delegated = self.leader_quota.grants.needed(team);
         self.used_by(team).saturating_add(delegated)
     }
 
-    /// What of a team's limit is neither used nor granted to holders.
+    /// Returns the part of a team's limit that is neither used nor granted to holders.
     pub(crate) fn room_under_limit(&self, context: &Context, team: &str) -> Resources {
         let limit = self.team_quota(context, team).unwrap_or_default();
         let granted = self.leader_quota.grants.total(team);
@@ -81,13 +85,13 @@
             .saturating_sub(granted)
     }
 
-    /// The resources of a team's tasks, without those that holders place.
+    /// Returns the resources of a team's tasks, without those that holders place.
     fn used_by(&self, team: &str) -> Resources {
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Whether the amount fits what is left of a team's limit. If not, the holders are asked to give back what they do not
-    /// need of their quota grants.
+    /// Returns whether the amount fits into the remainder of a team's limit. If it does not, the holders are asked
+    /// to return the parts of their quota grants that they do not need.
     pub(crate) fn fits_limit(&mut self, context: &Context, team: &str, amount: Resources) -> bool {
         let fits = amount.fits(self.room_under_limit(context, team));
         if !fits {
@@ -98,12 +102,12 @@
         fits
     }
 
-    /// Counts what an assignment takes of its team's limit, until it is proven gone.
+    /// Charges the resources of an assignment to the quota of its team, until the task is proven gone.
     pub(crate) fn charge_quota(&mut self, assignment: &Assignment) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
             (true, true) => self.holder_quota.grant.take(team, amount),
-            // It is charged to the holder's quota grant when the leader learns of it.
+            // The leader charges it to the holder's quota grant when it learns of the assignment.
             (true, false) => {}
             (false, _) => {
                 let used = self.usage.entry(team.clone()).or_default();
@@ -112,7 +116,8 @@
         }
     }
 
-    /// The assignment on this machine is proven gone.
+    /// Releases the resources of an assignment on this machine, whose task is proven gone, from the quota of its
+    /// team.
     pub(crate) fn release_quota(
         &mut self,
         context: &Context,
@@ -137,7 +142,7 @@
         }
     }
 
-    /// Whether no task of the job is on a machine or delegated to a holder.
+    /// Returns whether no task of the job is on a machine or delegated to a holder.
     pub(crate) fn has_no_assigned_tasks(&self, index: JobIndex) -> bool {
         let job = self.jobs.get(index);
         job.is_none_or(|job| job.live() == 0 && job.delegated == 0)
--- a/crates/core/src/scheduler/replies.rs
+++ b/crates/core/src/scheduler/replies.rs
@@ -1,4 +1,4 @@
-//! Takes the replies to a scheduler's calls.
+//! Routes the replies to the calls of a scheduler to their handlers.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -7,7 +7,7 @@
 use crate::Outcome;
 
 impl Scheduler {
-    /// Takes the reply to a call. The error says why the fenced lease is lost.
+    /// Handles the reply to a call. The error says why the fenced lease is lost.
     pub(crate) fn on_reply(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/store_contact.rs
+++ b/crates/core/src/scheduler/store_contact.rs
@@ -1,12 +1,12 @@
-//! Which machines matter when the leader decides how long it may go on without contact to the key-value store.
+//! Selects the machines that limit how long the leader may go on without contact to the key-value store.
 
 use crate::scheduler::Scheduler;
 use crate::state::machine::Machine;
 use crate::Micros;
 
 impl Scheduler {
-    /// The names of machines that have been unreachable for longer than `max_silence` and on which tasks of cancelled
-    /// jobs are not proven gone.
+    /// Returns the names of the machines that have been out of contact for longer than `max_silence` and may still
+    /// have tasks of cancelled jobs.
     pub(crate) fn unproven_machines(&self, now: Micros, max_silence: Micros) -> Vec<String> {
         let machines = self.machines.values();
         let silent =
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -1,4 +1,4 @@
-//! What a scheduler does as time passes.
+//! Runs the periodic work of a scheduler.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -7,15 +7,15 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, Stopwatch, Target, SECOND};
 
-/// Renewals within the lease's time to live after a failed renewal, and while it is not known whether the lease still
-/// holds.
+/// Number of lease renewals that are sent within the time to live of the lease after a failed renewal, and while it
+/// is uncertain whether the lease still holds.
 pub(crate) const URGENT_RENEWALS_PER_LEASE: Micros = 12;
 
-/// How long changed statistics may wait for their write.
+/// Delay of the write of changed statistics.
 const STATS_WRITE_DELAY_US: Micros = SECOND;
 
 impl Scheduler {
-    /// When `run` is next due, in microseconds of the steady clock.
+    /// Returns when `run` is next due, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
         if self.is_lease_uncertain {
             return self.lease_renewal_at;
@@ -81,7 +81,7 @@
         self.run_progress(context);
     }
 
-    /// Sends a renewal of the lease. Its reply may be lost: the next renewal is sent all the same.
+    /// Sends a renewal of the lease. The reply may be lost, so the next renewal is sent regardless of it.
     fn renew_lease(&mut self, context: &mut Context) {
         let renewals = if self.is_lease_uncertain {
             URGENT_RENEWALS_PER_LEASE
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -1,12 +1,12 @@
 //! The conditions (compare-and-swap) on which all writes under a fenced lease depend.
 //!
-//! The leader's writes depend on its own record.
+//! The writes of the leader depend on the leader record.
 //!
-//! A holder may write assignments only under its claim, and only while the leader that delegated the tasks is on record:
-//! each of its writes depends on both records. The leader's record lasts as long as its lease, so tasks go on starting
-//! for that long after the leader has ended. The next leader reads all pages after it has acquired its lease: from then
-//! on no write of a holder succeeds until that leader has given it orders. So a task is never placed by two controllers,
-//! and a write that the store applies late fails.
+//! A holder may write assignments only under its claim, and only while the leader that delegated the tasks is on
+//! record: each of its writes depends on both records. The leader record lasts as long as the leader's lease, so
+//! tasks continue to start for that time after the leader has failed. The next leader reads all pages after it has
+//! acquired its lease, and from then on no write of a holder succeeds until that leader has sent it orders. Thus no
+//! task is placed by two controllers, and a write that the store applies late fails.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -16,7 +16,7 @@
 use log::info;
 
 impl Scheduler {
-    /// The conditions of all writes under this fenced lease; `None`: nothing may be written now.
+    /// Returns the conditions of all writes under this fenced lease; `None` if nothing may be written now.
     pub(crate) fn write_conditions(&self) -> Option<Vec<Condition>> {
         let Some(partition) = self.partition() else {
             return Some(vec![condition(LEADER, self.token)]);
@@ -28,7 +28,8 @@
         ])
     }
 
-    /// A write failed, and these conditions did not hold. The error says why the fenced lease is lost.
+    /// Handles a write that failed because these conditions did not hold. The error says why the fenced lease is
+    /// lost.
     pub(crate) fn on_conditions_failed(&mut self, failed_keys: &[String]) -> Result<(), String> {
         let has_failed = |key: &str| failed_keys.iter().any(|failed| failed == key);
         let Some(partition) = self.partition() else {
@@ -42,23 +43,23 @@
             return Err("its claim has ended".into());
         }
         if has_failed(LEADER) {
-            info!(partition = partition; "nothing is placed until the next leader gives orders");
+            info!(partition = partition; "leader record changed; placing no task until the next leader sends orders");
             self.holder_quota.term = None;
         }
         if has_failed(LIMITS) {
-            // The leader tells which limits are in force now.
+            // The next orders of the leader contain the limits in force.
             self.holder_quota.limits = None;
         }
         Ok(())
     }
 
-    /// Whether the key is that of one of the conditions, which no flush writes.
+    /// Returns whether the key is that of one of the conditions, which no flush writes.
     pub(crate) fn is_condition(&self, key: &str) -> bool {
         let claim = self.partition().map(claim_key);
         key == LEADER || (self.is_holder() && key == LIMITS) || claim.as_deref() == Some(key)
     }
 
-    /// Removes the assignments that this holder has placed and not launched, except for those that may be kept.
+    /// Removes the assignments that this holder has placed and not launched, except for those that `keep` selects.
     pub(crate) fn remove_unlaunched_placements(
         &mut self,
         context: &mut Context,
