--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -86,7 +86,8 @@
     // Used by both: records in the key-value store.
     /// The reads of the records that the scheduler starts from; `None` once all of them are complete.
     loading: Option<Loading>,
-    /// When all records had been read and applied; 0 before that.
+    /// When all records had been read and applied; for a holder, when it had first reconciled its tasks with the
+    /// leader. 0 before that.
     pub loaded_at: Micros,
     watches: BTreeMap<&'static str, Watch>,
     /// Records that have to be written to the key-value store.
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -61,8 +61,8 @@
         true
     }
 
-    /// Adds the machine if it is unknown. A machine that this leader provisioned takes tasks at once; any other
-    /// first has to show that responses reach it.
+    /// Adds the machine if it is unknown. A machine that was provisioned and is booting takes tasks immediately;
+    /// any other first has to show that responses reach it.
     fn add_machine_if_new(&mut self, context: &Context, status: &Heartbeat) {
         let name = &status.machine;
         if self.machines.contains_key(name) {
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -77,8 +77,8 @@
 
     /// Handles a heartbeat that arrived after a newer status of the machine. A delayed copy renews no lease, and no
     /// agent reads the response. But if the response to a direct command overtook the heartbeat, the agent accepts
-    /// the response to the heartbeat: its lease then counts from the sending of this heartbeat and must not be
-    /// taken as expired by the time of the response before.
+    /// the response to the heartbeat. Its lease then counts from the sending of this heartbeat, so its expiry must
+    /// not be computed from the previous response.
     fn note_late_heartbeat(&mut self, context: &Context, late: &HeldHeartbeat) {
         let Some(machine) = self.machines.get_mut(&late.machine) else {
             return;
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -23,7 +23,8 @@
 /// checkpoints is stopped.
 const CHECKPOINT_MARGIN_US: Micros = 5 * SECOND;
 
-/// Time before the reclamation of a machine by which a task has to finish so that it is not stopped.
+/// Margin by which a task has to be expected to finish before the reclamation of its machine, so that it is not
+/// stopped.
 const FINISH_MARGIN_US: Micros = SECOND;
 
 /// Minimum time between two direct commands to stop the same task.
--- a/crates/core/src/scheduler/flush/read_back.rs
+++ b/crates/core/src/scheduler/flush/read_back.rs
@@ -44,8 +44,8 @@
         Ok(())
     }
 
-    /// Returns the mod_revision of the batch if the key that was read back has the content that the batch writes.
-    /// For a deletion, returns the mod_revision that is known so far.
+    /// Returns the mod_revision of the batch if the key that was read back has the content that the batch writes;
+    /// `None` if it has not or if that is unknown. For a deletion, returns the mod_revision that is known so far.
     fn confirmed_revision(&self, batch: &Batch, outcome: Outcome) -> Option<u64> {
         match (batch.next_unconfirmed()?, outcome) {
             (Operation::Put { put, value, .. }, Outcome::Answer { status: 200, body }) => {
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -49,7 +49,7 @@
         let now = context.now.steady;
         let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
         error!(key = keys.join(", "), error = answer; "store refused a record");
-        // If a record with this few operations is refused, their number is not the cause, and the configured limit
+        // A refusal with no more than the minimum number of operations has another cause, so the configured limit
         // applies again.
         let operations = batch.transaction.apply.len();
         self.max_transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -75,7 +75,7 @@
         for entry in entries {
             let record = from_value::<CancelRecord>(&entry.value);
             if let Err(error) = &record {
-                error!(key = entry.key, error:% = error; "cancellation record cannot be read; treating the job as cancelled");
+                error!(key = entry.key, error:% = error; "cancellation cannot be read; treating the job as cancelled");
             }
             if let Some(JobKey::Cancelled(job)) = JobKey::parse(&entry.key) {
                 self.on_cancelled(context, job, record.ok().as_ref());
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Sets the start time of jobs that have completed tasks: at the latest, they started at their current age.
+    /// Sets the time to the first start of jobs that have completed tasks to their current age, which is its upper
+    /// bound.
     pub(crate) fn note_started_jobs(&mut self, context: &Context) {
         for index in self.jobs.indices() {
             let job = self.jobs.get_mut(index);
--- a/crates/core/src/scheduler/progress.rs
+++ b/crates/core/src/scheduler/progress.rs
@@ -10,7 +10,7 @@
 /// Interval between progress messages, short enough for polls to show short tasks.
 const PROGRESS_INTERVAL_US: Micros = 500 * MILLI;
 
-/// Every round with a multiple of this number sends all jobs, not only those whose progress changed.
+/// Number of progress rounds after which the progress of all jobs is sent, not only what changed.
 const ROUNDS_PER_FULL_UPDATE: u32 = 5;
 
 /// Maximum number of jobs in one message.
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -19,8 +19,9 @@
 use grebewood_quota::{Resources, TeamQuota};
 
 impl Scheduler {
-    /// Returns whether holders may be given tasks and quota grants now: the limits are on record, and every known
-    /// member supports quota grants.
+    /// Returns whether holders may be given tasks and quota grants now: the limits are on record, the write rate
+    /// suffices for several members, no member has answered that does not support quota grants, and the store has
+    /// not refused a record of them.
     pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         self.enforces_guarantees(context)
             && context.holders_can_write()
