--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -59,7 +59,7 @@
 pub struct FencedLease {
     /// The fencing token: the mod_revision of the record.
     pub token: u64,
-    /// The number of the lease.
+    /// The id of the lease.
     pub lease: u64,
     /// When the lease was requested, in microseconds of the steady clock.
     pub lease_requested_at: Micros,
@@ -257,7 +257,7 @@
         !context.supports_partitions() || loading.is_none_or(|loading| loading.has_read(PARTITION))
     }
 
-    /// The number of the lease.
+    /// Returns the id of the lease.
     pub(crate) fn lease(&self) -> u64 {
         self.lease
     }
