--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -29,7 +29,7 @@
             return self.redirect_to_leader(id);
         };
         // The heartbeat may have come in during a process pause, and the lease may have expired.
-        if leader.uncertain() {
+        if leader.is_lease_uncertain() {
             let reason = "it is not certain who leads";
             return self.context.refuse(id, 503, reason);
         }
@@ -39,7 +39,7 @@
             return self.context.refuse(id, 503, reason);
         }
         // Before the store is read only the controller's own knowledge of cancellations stops tasks.
-        if !leader.loaded() && !may_renew {
+        if !leader.is_loaded() && !may_renew {
             let reason = "cancellations are not known yet";
             return self.context.refuse(id, 503, reason);
         }
@@ -75,11 +75,11 @@
         let Some(holder) = self.partitions.holders.get_mut(&partition) else {
             return self.redirect_to_holder(id, partition);
         };
-        if holder.uncertain() {
+        if holder.is_lease_uncertain() {
             let reason = "it is not certain who holds it";
             return self.context.refuse(id, 503, reason);
         }
-        if !holder.loaded() && !may_renew {
+        if !holder.is_loaded() && !may_renew {
             let reason = "cancellations are not known yet";
             return self.context.refuse(id, 503, reason);
         }
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -55,7 +55,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !leader.loaded() || leader.uncertain() {
+        if !leader.is_loaded() || leader.is_lease_uncertain() {
             return;
         }
         leader.follow_claims(&self.partitions.map);
@@ -94,7 +94,7 @@
         let Some(peer) = peer else {
             return leader.on_partition_report(&mut self.context, partition, claim, None);
         };
-        let purpose = leader.pending(SchedulerCall::Orders { partition, claim });
+        let purpose = leader.call_purpose(SchedulerCall::Orders { partition, claim });
         let message = wire::to_peer(&PeerRequest::Partition(orders));
         self.context.call(
             Target::Peer(peer),
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -104,7 +104,7 @@
         }
         if let (Some(leader), Some(teams)) = (&mut self.leader, &answer.limits) {
             // Only limits that this leader asked for: an earlier process of the member may have had others.
-            if asked_at >= leader.began {
+            if asked_at >= leader.lease_acquired_at {
                 leader.on_limits_announced(&mut self.context, &answer.member, teams);
             }
         }
@@ -286,7 +286,7 @@
                 return Some(LeaseLoss::StoreServesPeer);
             }
         }
-        let unknown = scheduler.loaded() && !self.may_renew_agent_leases();
+        let unknown = scheduler.is_loaded() && !self.may_renew_agent_leases();
         unknown.then_some(LeaseLoss::CancellationsUnknown)
     }
 }
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -1,4 +1,5 @@
-//! Flushes the write buffer to the key-value store: which records go into the next transaction, and when.
+//! Flushes the write buffer to the key-value store: selects the records of the next transaction, and decides when
+//! it is sent.
 
 use crate::calls::SchedulerCall;
 use crate::context::{Context, STORE_TIMEOUT};
@@ -16,36 +17,36 @@
 pub(crate) mod refused;
 pub(crate) mod render;
 
-/// Most bytes of the operations of a transaction, in their CBOR form.
-const TRANSACTION_BYTES: usize = 40 * 1024;
+/// Maximum size of the operations of a transaction in their CBOR form.
+const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
 
-/// How long a record waits that does not fit a transaction, or that the store refused when it was written alone.
-const REFUSED_PAUSE: Micros = 5 * SECOND;
+/// Pause of a record that does not fit a transaction, or that the store refused when it was written alone.
+const REFUSED_PAUSE_US: Micros = 5 * SECOND;
 
-/// How long the next flush waits if all records that are due wait for others.
-const BLOCKED_PAUSE: Micros = 20 * MILLI;
+/// Pause before the next flush if all due records wait for others.
+const BLOCKED_PAUSE_US: Micros = 20 * MILLI;
 
-/// How long the next flush waits at least if the write rate permits nothing.
-const RATE_LIMITED_PAUSE: Micros = 5 * MILLI;
+/// Minimum pause before the next flush if the write rate limit permits no write.
+const RATE_LIMITED_PAUSE_US: Micros = 5 * MILLI;
 
-/// A flush that the write rate held back is tried again once the rate permits this number of operations.
+/// Number of operations that the write rate limit has to permit before a flush that it delayed is tried again.
 const OPERATIONS_OF_NEXT_FLUSH: f64 = 4.0;
 
-/// Failures in a row beyond this number do not lengthen the pause any more.
+/// Number of consecutive failures after which the pause is not lengthened any more.
 const MAX_COUNTED_FAILURES: u32 = 4;
 
-/// The pause after a failed flush, without jitter; it is doubled with each further failure in a row.
-const FIRST_BACKOFF: Micros = 100 * MILLI;
+/// Pause after a failed flush, without jitter; doubled for each further consecutive failure.
+const FIRST_BACKOFF_US: Micros = 100 * MILLI;
 
-/// The next transaction while it is put together.
+/// The next transaction while it is being assembled.
 struct TransactionDraft {
     transaction: Transaction,
     records: Vec<RecordVersion>,
-    /// Most operations that it may have.
+    /// Maximum number of operations in the transaction.
     max_operations: usize,
-    /// Size of its operations in their CBOR form.
+    /// Size of the operations in their CBOR form.
     bytes: usize,
-    /// Whether a record that is due did not fit.
+    /// Whether a due record did not fit.
     is_full: bool,
 }
 
@@ -63,11 +64,11 @@
         }
     }
 
-    /// Adds the write of a record if there is room for it.
+    /// Adds the write of a record if it fits. Returns whether it was added.
     fn try_add(&mut self, record: RecordVersion, write: RecordWrite) -> bool {
         let operations = self.transaction.apply.len() + write.operations.len();
         let bytes = self.bytes + wire::to_cbor(&write.operations).len();
-        if operations > self.max_operations || bytes > TRANSACTION_BYTES {
+        if operations > self.max_operations || bytes > MAX_TRANSACTION_BYTES {
             self.is_full = true;
             return false;
         }
@@ -80,13 +81,13 @@
 }
 
 impl Scheduler {
-    /// Whether the last flushes have failed.
+    /// Returns whether the last flush failed.
     pub(crate) fn store_is_slow(&self) -> bool {
         self.flush_failures > 0
     }
 
-    /// When the next flush is due.
-    pub(crate) fn flush_wake(&self) -> Micros {
+    /// Returns when the next flush is due.
+    pub(crate) fn next_flush_at(&self) -> Micros {
         if self.write_buffer.in_flight.is_some() || self.write_conditions().is_none() {
             return Micros::MAX;
         }
@@ -96,7 +97,7 @@
         })
     }
 
-    /// Writes dirty records, as many as one transaction and the write rate permit.
+    /// Writes as many due records as one transaction and the write rate limit permit.
     pub(crate) fn run_flush(&mut self, context: &mut Context) {
         if !self.is_flush_due(context.now.steady) {
             return;
@@ -129,7 +130,7 @@
     ) -> TransactionDraft {
         let now = context.now.steady;
         let permitted_writes = context.write_limiter(self.role).available(now);
-        let max_operations = self.transaction_operations.min(permitted_writes);
+        let max_operations = self.max_transaction_operations.min(permitted_writes);
         let mut draft = TransactionDraft::new(conditions, max_operations);
         for record in self.write_buffer.due_records(now) {
             if !self.may_be_written_with(&record, &draft.records) {
@@ -142,9 +143,10 @@
             let version = self.write_buffer.version(&record);
             if !draft.try_add((record.clone(), version), write) {
                 if draft.records.is_empty() && max_operations >= Context::cost(&record) {
-                    // Larger than a transaction may be: other records must not wait behind it.
-                    warn!(record:? = record; "record does not fit a transaction");
-                    self.write_buffer.postpone(&record, now + REFUSED_PAUSE);
+                    // The record exceeds the limits of a transaction by itself: other records must not wait behind
+                    // it.
+                    warn!(record:? = record; "record exceeds the transaction limits");
+                    self.write_buffer.postpone(&record, now + REFUSED_PAUSE_US);
                     continue;
                 }
                 break;
@@ -156,7 +158,7 @@
         draft
     }
 
-    /// Whether the record may be written now, together with these.
+    /// Returns whether the record may be written in one transaction with `others`.
     fn may_be_written_with(&mut self, record: &RecordId, others: &[RecordVersion]) -> bool {
         // A record that may have made an earlier transaction invalid is written alone.
         if !others.is_empty() && self.write_buffer.is_isolated(record) {
@@ -165,15 +167,15 @@
         !self.write_buffer.must_wait(record, others)
     }
 
-    /// Nothing can be written now: sets when to try again.
+    /// Sets the time of the next attempt after no record could be written.
     fn delay_flush(&mut self, context: &mut Context, draft: &TransactionDraft) {
         let now = context.now.steady;
         self.write_buffer.no_flush_before = if draft.is_full {
             let writes = context.write_limiter(self.role);
             let ready = writes.ready_at(now, OPERATIONS_OF_NEXT_FLUSH);
-            ready.max(now + RATE_LIMITED_PAUSE)
+            ready.max(now + RATE_LIMITED_PAUSE_US)
         } else {
-            now + BLOCKED_PAUSE
+            now + BLOCKED_PAUSE_US
         };
     }
 
@@ -186,7 +188,7 @@
         } = draft;
         let operations = transaction.apply.len() as f64;
         context.write_limiter(self.role).take(now, operations);
-        let purpose = self.pending(SchedulerCall::Flush);
+        let purpose = self.call_purpose(SchedulerCall::Flush);
         context.post_to_store("/txn", &transaction, purpose);
         self.write_buffer.no_flush_before = now + context.tuning.flush_interval_us;
         self.write_buffer.in_flight = Some(Batch {
@@ -197,18 +199,18 @@
         });
     }
 
-    /// Reads the mod_revision of a key; nothing is flushed before the reply or its timeout.
+    /// Reads the mod_revision of a key. Nothing is flushed before the reply or its timeout.
     fn refresh_revision(&mut self, context: &mut Context, key: String) {
         let now = context.now.steady;
-        let purpose = self.pending(SchedulerCall::Refresh { key: key.clone() });
+        let purpose = self.call_purpose(SchedulerCall::Refresh { key: key.clone() });
         self.write_buffer.back_off(now, STORE_TIMEOUT);
         context.read_key(&key, purpose);
     }
 
-    /// A flush failed: the next one waits for longer, the more of them have failed in a row.
-    fn flush_failed(&mut self, context: &mut Context) {
+    /// Handles a failed flush: delays the next one by an exponential backoff with jitter.
+    fn on_flush_failed(&mut self, context: &mut Context) {
         self.flush_failures = (self.flush_failures + 1).min(MAX_COUNTED_FAILURES);
-        let pause = FIRST_BACKOFF << (self.flush_failures - 1);
+        let pause = FIRST_BACKOFF_US << (self.flush_failures - 1);
         let jitter = context.jitter(pause / 2);
         self.write_buffer
             .back_off(context.now.steady, pause + jitter);
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -16,41 +16,42 @@
 use serde::Serialize;
 
 impl Scheduler {
-    /// Renders a record's current content; `None`: it need not be written any more.
+    /// Renders the current content of a record. Returns `None` if the record need not be written any more.
     pub(crate) fn render(&mut self, context: &Context, record: &RecordId) -> Option<RecordWrite> {
         match record {
             RecordId::QuotaGrant(partition) => self.render_quota_grant(*partition),
             RecordId::AssignmentPage(number) => self.render_assignments(context, *number),
             RecordId::CompletedTasksPage(number) => {
                 let content = self.completed_pages.record(*number, &self.jobs);
-                Some(self.put_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
+                Some(self.put_if_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
             }
             RecordId::PendingProvision(machine) => self.render_provision(machine),
             RecordId::Stats => {
-                let content = self.stats.record_within(self.value_bytes);
-                Some(self.put_unchanged(STATS.into(), &content))
+                let content = self.stats.record_within(self.max_value_bytes);
+                Some(self.put_if_unchanged(STATS.into(), &content))
             }
             RecordId::Catalogue => self.render_catalogue(context),
             RecordId::Limits => self.render_limits(),
             RecordId::Partition(id) => {
                 let content = self.remote_partitions.record(*id)?;
-                Some(self.put_unchanged(partition_key(*id), content))
+                Some(self.put_if_unchanged(partition_key(*id), content))
             }
-            RecordId::Deleted(key) => self.delete_unchanged(key),
+            RecordId::Deleted(key) => self.delete_if_unchanged(key),
             RecordId::JobEnd(index) => self.render_job_end(*index),
         }
     }
 
-    /// Puts a key on the condition that it has not changed.
-    fn put_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
+    /// Returns the write that puts a key on the condition that the key has not changed.
+    fn put_if_unchanged<T: Serialize>(&self, key: String, content: &T) -> RecordWrite {
         RecordWrite {
             conditions: vec![self.write_buffer.unchanged_condition(&key)],
             operations: vec![put(key, content)],
         }
     }
 
-    /// Deletes a key on the condition that it has not changed; `None`: there is no such key.
-    fn delete_unchanged(&self, key: &str) -> Option<RecordWrite> {
+    /// Returns the write that deletes a key on the condition that the key has not changed; `None` if there is no
+    /// such key.
+    fn delete_if_unchanged(&self, key: &str) -> Option<RecordWrite> {
         self.write_buffer.is_on_record(key).then(|| RecordWrite {
             conditions: vec![self.write_buffer.unchanged_condition(key)],
             operations: vec![delete(key)],
@@ -63,47 +64,47 @@
         }
         let claim = self.remote_partitions.claim_token(partition).unwrap_or(0);
         let content = self.leader_quota.grants.render(partition, claim);
-        Some(self.put_unchanged(quota_grant_key(partition), &content))
+        Some(self.put_if_unchanged(quota_grant_key(partition), &content))
     }
 
     fn render_assignments(&self, context: &Context, page: u64) -> Option<RecordWrite> {
-        if !self.is_holder() && self.written_by_holder(context, page).is_some() {
+        if !self.is_holder() && self.partition_writing_page(context, page).is_some() {
             return None;
         }
         let key = format!("{PAGE}0/{page}");
-        Some(self.put_unchanged(key, &self.page_record(page)))
+        Some(self.put_if_unchanged(key, &self.page_record(page)))
     }
 
     fn render_provision(&self, machine: &str) -> Option<RecordWrite> {
         let key = format!("{PROVISION}{machine}");
         match self.fleet.provision_record(machine) {
-            Some(content) => Some(self.put_unchanged(key, &content)),
-            None => self.delete_unchanged(&key),
+            Some(content) => Some(self.put_if_unchanged(key, &content)),
+            None => self.delete_if_unchanged(&key),
         }
     }
 
     fn render_catalogue(&self, context: &Context) -> Option<RecordWrite> {
         let machine_types = context.catalogue.clone()?;
         let content = wire::http::Catalogue { machine_types };
-        if wire::json_size(&to_value(&content)) > self.value_bytes {
-            // With a part of the catalogue on record, jobs that can run would be refused. Without a record each
-            // controller asks the cloud.
-            warn!(key = CATALOGUE; "record is too large for the store and is not written");
+        if wire::json_size(&to_value(&content)) > self.max_value_bytes {
+            // If only a part of the catalogue were on record, jobs that can run would be refused. Without a record,
+            // each controller reads the catalogue from the cloud.
+            warn!(key = CATALOGUE; "record exceeds the size of a value and is not written");
             return None;
         }
-        Some(self.put_unchanged(CATALOGUE.into(), &content))
+        Some(self.put_if_unchanged(CATALOGUE.into(), &content))
     }
 
     fn render_limits(&self) -> Option<RecordWrite> {
         let content = self.limits_record();
-        if wire::json_size(&to_value(&content)) > self.value_bytes {
-            warn!(key = LIMITS; "record is too large for the store, no quota is granted to holders");
+        if wire::json_size(&to_value(&content)) > self.max_value_bytes {
+            warn!(key = LIMITS; "record exceeds the size of a value; partition holders get no quota grants");
             return None;
         }
-        Some(self.put_unchanged(LIMITS.into(), &content))
+        Some(self.put_if_unchanged(LIMITS.into(), &content))
     }
 
-    /// The end of a job: its final status is written, and its live records are deleted.
+    /// Renders the end of a job: writes its final status and deletes its live records.
     fn render_job_end(&self, index: JobIndex) -> Option<RecordWrite> {
         let job = self.jobs.get(index)?;
         let ending = job.ending?;
@@ -125,11 +126,11 @@
             FinalStatus::Done => write.conditions.push(absent(&cancellation)),
             FinalStatus::Aborted => self.add_deletion(&mut write, &cancellation),
         }
-        // A record of an earlier version. If there are more of them, those are left behind, which costs space but is
-        // harmless.
+        // A record in the format of an earlier version. Further records of this kind are left behind, which wastes
+        // space but is harmless.
         let legacy = format!("{COMPLETED_TASKS}{}/0", job.id);
         if self.write_buffer.is_on_record(&legacy)
-            && write.operations.len() < self.transaction_operations
+            && write.operations.len() < self.max_transaction_operations
         {
             self.add_deletion(&mut write, &legacy);
         }
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -26,7 +26,7 @@
             sequence: orders.sequence,
         };
         let stale = number <= self.holder_state.last_orders;
-        if orders.claim != self.token || stale || self.uncertain() {
+        if orders.claim != self.token || stale || self.is_lease_uncertain() {
             return None;
         }
         self.holder_state.last_orders = number;
@@ -56,7 +56,7 @@
             let is_ordered = |a: &Assignment| a.id() == stop.id;
             self.stop_assignments(context, &stop.machine, stop.grace_us, is_ordered);
         }
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
         Some(self.partition_report(context, orders.seen, orders.term, accepted))
     }
 
@@ -96,7 +96,7 @@
         if self.knows_attempt(task) {
             return;
         }
-        if self.has_numbered(task.attempt) {
+        if self.has_allocated_attempt(task.attempt) {
             // This holder has placed it itself and it is gone, but its page was not written since.
             self.report_outcome(TaskOutcome {
                 machine: task.machine.clone(),
@@ -127,7 +127,7 @@
     /// here: either a heartbeat shows it, or it is gone.
     fn adopt_attempt(&mut self, context: &mut Context, task: &PlacedTask) {
         let zone = self.zone_of_machine(&task.machine);
-        self.recovered_machine(context, &task.machine, &zone, task.incarnation);
+        self.recover_machine(context, &task.machine, &zone, task.incarnation);
         let mut assignment = self.assignment_of(context, task, zone);
         assignment.launched = Some((0, 0));
         let job = self.jobs.get(assignment.job);
@@ -265,7 +265,7 @@
 
     /// Runs whatever of the holder's work is due.
     pub(crate) fn run_holder(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
-        if !self.loaded() {
+        if !self.is_loaded() {
             return;
         }
         self.check_machines(context);
@@ -281,12 +281,12 @@
     pub(crate) fn next_holder_wake(&self) -> Micros {
         let mut at = self.next_machine_check.min(self.long_polls.next_deadline());
         if !self.held_heartbeats.is_empty() {
-            at = at.min(self.held_until);
+            at = at.min(self.next_held_deadline);
         }
         if self.placement.has_backlog {
             at = at.min(self.placement.next_at);
         }
-        if self.loaded() {
+        if self.is_loaded() {
             at.min(self.fleet.termination_wake())
         } else {
             Micros::MAX
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -68,7 +68,7 @@
             .filter(|a| a.by_holder && self.is_on_record(a))
             .map(Assignment::id)
             .collect();
-        self.drop_unlaunched(context, |a| {
+        self.remove_unlaunched_placements(context, |a| {
             durable.contains(&a.id()) && listed.contains(&a.id())
         });
     }
@@ -146,7 +146,7 @@
         self.placement.is_round_requested = false;
         self.placement.next_at = now + PLACEMENT_INTERVAL;
         self.placement.rounds += 1;
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
         self.drop_queued_of_cancelled_jobs();
         self.placement.has_backlog = !self.holder_quota.queue.is_empty();
         if self.placement.has_backlog && self.holder_quota.term.is_some() {
@@ -208,7 +208,7 @@
             open.retain(|machine| machine.name != queued.machine);
             return PlacementOutcome::Waits;
         };
-        let attempt = self.next_attempt();
+        let attempt = self.allocate_attempt();
         let name = open[at].name.clone();
         debug!(
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -132,13 +132,15 @@
         sequence: 2,
         deadline: 0,
     };
-    holder.commands(&controller.context, &heartbeat).len()
+    holder
+        .prepare_commands(&controller.context, &heartbeat)
+        .len()
 }
 
 /// The write of the last flush was carried out.
 fn written(controller: &mut Controller, holder: &mut Scheduler) {
     let batch = holder.write_buffer.in_flight.take().expect("a flush");
-    holder.flushed(&mut controller.context, &batch, 40);
+    holder.on_flush_applied(&mut controller.context, &batch, 40);
 }
 
 fn waiting(report: &PartitionReport) -> Vec<(u64, u64)> {
@@ -237,13 +239,13 @@
 #[test]
 fn nothing_is_written_once_another_leader_is_on_record() {
     let (mut controller, mut holder) = holder();
-    assert_eq!(holder.conditions_failed(&[LEADER.to_string()]), Ok(()));
+    assert_eq!(holder.on_conditions_failed(&[LEADER.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
     // When the limits have changed, nothing is written until the leader has sent them, either.
     carry_out(&mut controller, &mut holder, orders(5, 4, &[]));
-    assert_eq!(holder.conditions_failed(&[LIMITS.to_string()]), Ok(()));
+    assert_eq!(holder.on_conditions_failed(&[LIMITS.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
-    let ended = holder.conditions_failed(&[claim_key(1)]);
+    let ended = holder.on_conditions_failed(&[claim_key(1)]);
     assert_eq!(ended, Err("its claim has ended".to_string()));
 }
 
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -59,8 +59,8 @@
         team: &str,
         amount: Resources,
     ) -> bool {
-        let limit = self.limit_of(context, team).unwrap_or_default().limit;
-        let needed = self.needed_by(team).saturating_add(amount);
+        let limit = self.team_quota(context, team).unwrap_or_default().limit;
+        let needed = self.resources_needed_by(team).saturating_add(amount);
         // What is granted but not needed is no room under a limit that was lowered.
         if !needed.fits(limit) || self.is_over_limit(context, team) {
             self.leader_quota
@@ -244,7 +244,8 @@
         let now = context.now.steady;
         let mut unused = BTreeMap::new();
         for machine in self.machines.values() {
-            let Some(partition) = machine.partition.filter(|id| self.holder_places(*id)) else {
+            let Some(partition) = machine.partition.filter(|id| self.holder_places_tasks(*id))
+            else {
                 continue;
             };
             let assignments = machine.assignments.iter();
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -215,14 +215,14 @@
                 continue;
             }
             let spec = &job.spec;
-            let Some(quota) = self.limit_of(context, &spec.team) else {
+            let Some(quota) = self.team_quota(context, &spec.team) else {
                 continue;
             };
             let time = self.demand_time(context, job, pass, boot_time);
             let planned = planned_by_team.entry(&spec.team).or_default();
             let usage = LimitUsage {
                 limit: quota.limit,
-                used: self.needed_by(&spec.team),
+                used: self.resources_needed_by(&spec.team),
                 planned: *planned,
             };
             let tasks = tasks_within_limit(waiting, spec, usage, &time);
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -176,7 +176,7 @@
         let before = a.observed_status;
         a.observe(status, now);
         let (index, seen) = (a.job, a.observed_status);
-        self.count_running(now, index, before, seen);
+        self.update_running_count(now, index, before, seen);
     }
 
     /// Applies the outcomes of attempts that have ended. A holder repeats them until they are acknowledged.
@@ -210,10 +210,12 @@
     fn apply_outcome(&mut self, context: &mut Context, outcome: &TaskOutcome) {
         let name = &outcome.machine;
         let task_name = format!("{}/{}", outcome.job, outcome.task);
-        let at = self.position(name, |a| a.id() == outcome.id());
+        let at = self.assignment_position(name, |a| a.id() == outcome.id());
         match (at, &outcome.end) {
             (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
-            (Some(at), TaskEnd::Exited(cause)) => self.exited(context, name, at, cause, &task_name),
+            (Some(at), TaskEnd::Exited(cause)) => {
+                self.on_task_exited(context, name, at, cause, &task_name)
+            }
             (None, TaskEnd::Gone) => {}
             (None, TaskEnd::Exited(cause)) => {
                 let task = ReportedTask {
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -93,7 +93,7 @@
             // Rounds without news are needed only for what time itself changes.
             placement.next_at = now + IDLE_INTERVAL;
         }
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
     }
 
     /// The jobs that may place tasks in this round, in order. What is left of a team's limit is kept for a job
@@ -169,8 +169,8 @@
             _ => 1,
         };
         let wanted = Resources::of(spec.cpus, spec.gpus).times(tasks);
-        let used = self.needed_by(&spec.team).saturating_sub(freed);
-        self.limit_of(context, &spec.team)
+        let used = self.resources_needed_by(&spec.team).saturating_sub(freed);
+        self.team_quota(context, &spec.team)
             .is_some_and(|quota| used.saturating_add(wanted).fits(quota.limit))
     }
 
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -127,9 +127,11 @@
 
     /// What each team lacks to its guaranteed share.
     fn missing_to_guarantees(&self, context: &Context) -> TeamAmounts {
-        let teams = self.team_limits(context);
+        let teams = self.team_quotas(context);
         let missing = teams.into_iter().map(|(team, limit)| {
-            let missing = limit.guarantee.saturating_sub(self.needed_by(&team));
+            let missing = limit
+                .guarantee
+                .saturating_sub(self.resources_needed_by(&team));
             (team, missing)
         });
         missing.filter(|(_, missing)| !missing.is_zero()).collect()
@@ -143,7 +145,7 @@
             *sum = sum.saturating_add(assignment.amount());
         }
         for (team, used) in &mut usage {
-            let limit = self.limit_of(context, team).unwrap_or_default();
+            let limit = self.team_quota(context, team).unwrap_or_default();
             *used = used.saturating_sub(limit.guarantee);
         }
         usage
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -81,9 +81,9 @@
     fn begin_placing(&self, context: &Context, queued: QueuedJob) -> Option<PlacingJob> {
         let placing = self.prepare_placing(context, queued)?;
         let team = &placing.spec.team;
-        let limit = self.limit_of(context, team)?.limit;
+        let limit = self.team_quota(context, team)?.limit;
         let in_quota = self
-            .needed_by(team)
+            .resources_needed_by(team)
             .saturating_add(placing.task)
             .fits(limit);
         in_quota.then_some(placing)
@@ -191,7 +191,7 @@
                 return;
             }
             // The tasks of one start of a gang share its attempt number.
-            gang_attempt = Some(self.next_attempt());
+            gang_attempt = Some(self.allocate_attempt());
         }
         for at in candidates {
             let machine = &mut open[at];
@@ -303,7 +303,7 @@
         }
         let attempt = match gang_attempt {
             Some(attempt) => attempt,
-            None => self.next_attempt(),
+            None => self.allocate_attempt(),
         };
         let stay = (attempt, placing.expected);
         self.assign(context, machine, placing.index, task, &placing.spec, stay);
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -102,7 +102,7 @@
         member: &str,
         teams: &[TeamQuotaRecord],
     ) {
-        if !self.loaded() || self.is_holder() {
+        if !self.is_loaded() || self.is_holder() {
             return;
         }
         let before = self.leader_quota.limits.in_force().clone();
@@ -129,7 +129,7 @@
         let is_undone = |a: &Assignment| a.launched.is_none() && teams.contains(&a.team);
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(at) = self.position(&name, is_undone) {
+            while let Some(at) = self.assignment_position(&name, is_undone) {
                 self.remove_assignment(context, &name, at);
             }
         }
@@ -144,7 +144,7 @@
 
     /// Whether more is used and granted for the team than its limit allows.
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
-        let limit = self.limit_of(context, team).unwrap_or_default().limit;
+        let limit = self.team_quota(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
         let used = own.saturating_add(self.leader_quota.grants.total(team));
         !used.fits(limit)
@@ -167,7 +167,7 @@
             *sum = sum.saturating_add(a.amount());
         }
         for (team, running) in running {
-            let limit = self.limit_of(context, &team).unwrap_or_default().limit;
+            let limit = self.team_quota(context, &team).unwrap_or_default().limit;
             let excess = running.saturating_sub(limit);
             if !excess.is_zero() {
                 self.stop_excess(context, &team, excess);
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -174,7 +174,9 @@
     /// A holder has placed a task.
     fn apply_placement(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
         let is_known = |a: &Assignment| a.id() == placed.id();
-        let known = self.position(&placed.machine, is_known).is_some();
+        let known = self
+            .assignment_position(&placed.machine, is_known)
+            .is_some();
         // A holder may still list tasks of a machine that was terminated.
         if known || self.fleet.is_terminated(&placed.machine) {
             return;
@@ -190,7 +192,7 @@
             );
         }
         let zone = self.zone_of_partition(id);
-        self.recovered_machine(context, &placed.machine, &zone, placed.incarnation);
+        self.recover_machine(context, &placed.machine, &zone, placed.incarnation);
         let job = index.and_then(|index| self.jobs.get_mut(index));
         let spec = job.map(|job| {
             if delegation.is_none() {
@@ -254,7 +256,7 @@
 
     /// Whether a machine may be terminated: its holder places nothing new on it.
     pub(crate) fn may_be_terminated(&self, partition: Option<PartitionId>, machine: &str) -> bool {
-        let holder = partition.filter(|id| self.holder_places(*id));
+        let holder = partition.filter(|id| self.holder_places_tasks(*id));
         holder.is_none_or(|id| self.remote_partitions.is_reserved(id, machine))
     }
 }
