--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -58,7 +58,7 @@
         if !leader.loaded() || leader.uncertain() {
             return;
         }
-        leader.follow_claims(&self.partitions.map);
+        leader.apply_claim_changes(&self.partitions.map);
         if let Some(reason) = leader.partitions_removed() {
             return self.step_down(reason, StepDown::Resign);
         }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -74,7 +74,7 @@
     }
 
     /// Applies changes of claims.
-    pub(crate) fn follow_claims(&mut self, map: &PartitionMap) {
+    pub(crate) fn apply_claim_changes(&mut self, map: &PartitionMap) {
         for (id, partition) in &mut self.remote_partitions.by_id {
             let Some(observed) = map.get(*id) else {
                 continue;
