--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -59,7 +59,7 @@
             return;
         }
         leader.apply_claim_changes(&self.partitions.map);
-        if let Some(reason) = leader.partitions_removed() {
+        if let Some(reason) = leader.finished_removal_reason() {
             return self.step_down(reason, StepDown::Resign);
         }
         if let Some(reason) = leader.leader_quota.lost {
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -66,7 +66,7 @@
     }
 
     /// Why this leader has to step down, once all partitions are removed from the store.
-    pub(crate) fn partitions_removed(&self) -> Option<&'static str> {
+    pub(crate) fn finished_removal_reason(&self) -> Option<&'static str> {
         let reason = self.remote_partitions.removal_reason?;
         let mut keys = self.remote_partitions.keys_to_delete.iter();
         let is_left = |key: &String| self.write_buffer.is_dirty(&RecordId::Deleted(key.clone()));
