--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -69,7 +69,7 @@
             leader.pause_quota_grants(&self.context, members.any_without_quota_grants);
             leader.plan_partitions(&mut self.context, &self.partitions.map, &members);
         }
-        for orders in leader.due_orders(&self.context) {
+        for orders in leader.take_due_orders(&self.context) {
             self.send_orders(orders);
         }
     }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -231,7 +231,7 @@
     }
 
     /// The orders that are due.
-    pub(crate) fn due_orders(&mut self, context: &Context) -> Vec<PartitionOrders> {
+    pub(crate) fn take_due_orders(&mut self, context: &Context) -> Vec<PartitionOrders> {
         let now = context.now.steady;
         let partitions = self.remote_partitions.by_id.iter();
         let due = partitions.filter(|(_, partition)| {
