--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -40,7 +40,7 @@
         });
         job.cancelled = Some(now as i64 - age as i64);
         job.ending = None;
-        self.revoke_job(context, index);
+        self.revoke_delegated_tasks(context, index);
         self.stop_job(context, index);
         self.end_if_over(context, index);
     }
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -206,7 +206,7 @@
     }
 
     /// Revokes a job's tasks from all holders, as far as they are not placed.
-    pub(crate) fn revoke_job(&mut self, context: &Context, index: JobIndex) {
+    pub(crate) fn revoke_delegated_tasks(&mut self, context: &Context, index: JobIndex) {
         let tasks = self.leader_quota.delegations.of_job(index);
         let tasks: Vec<(TaskKey, PartitionId, bool)> = tasks
             .map(|(task, delegation)| (task, delegation.partition, delegation.sent))
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -137,7 +137,7 @@
         let delegated = jobs.filter(|(_, job)| job.delegated > 0 && teams.contains(&job.spec.team));
         let delegated: Vec<JobIndex> = delegated.map(|(index, _)| index).collect();
         for index in delegated {
-            self.revoke_job(context, index);
+            self.revoke_delegated_tasks(context, index);
         }
     }
 
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -246,7 +246,7 @@
             let jobs = self.jobs.iter().filter(|(_, job)| job.delegated > 0);
             let delegated: Vec<JobIndex> = jobs.map(|(index, _)| index).collect();
             for index in delegated {
-                self.revoke_job(context, index);
+                self.revoke_delegated_tasks(context, index);
             }
         }
     }
