--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -119,7 +119,7 @@
             RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
             RecordId::QuotaGrant(partition) => {
                 self.leader_quota.grants.written(*partition);
-                self.write_quota_grant(context, *partition, 0);
+                self.schedule_quota_grant_write(context, *partition, 0);
             }
             RecordId::Limits => self.placement.request_round(now),
             _ => {}
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -74,7 +74,7 @@
         let grants = &mut self.leader_quota.grants;
         let queued = grants.queue(partition, team, amount, promised, room);
         if queued.is_ok() {
-            self.write_quota_grant(context, partition, 0);
+            self.schedule_quota_grant_write(context, partition, 0);
         } else {
             self.leader_quota
                 .teams_short_of_room
@@ -84,7 +84,7 @@
     }
 
     /// Writes the partition's quota grant after this delay, if it is not what is on record.
-    pub(crate) fn write_quota_grant(
+    pub(crate) fn schedule_quota_grant_write(
         &mut self,
         context: &Context,
         partition: PartitionId,
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -152,7 +152,7 @@
         } else {
             0
         };
-        self.write_quota_grant(context, id, delay);
+        self.schedule_quota_grant_write(context, id, delay);
     }
 
     fn tasks_in(&self, ranges: &[TaskRanges]) -> BTreeSet<TaskKey> {
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -70,7 +70,7 @@
             }
         }
         if let Some(partition) = written_by.filter(|_| !page.is_ours) {
-            self.write_quota_grant(context, partition, 0);
+            self.schedule_quota_grant_write(context, partition, 0);
         }
     }
 
