--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -66,7 +66,7 @@
             return self.step_down(reason, StepDown::LeaseLost);
         }
         if let Some(members) = members {
-            leader.pause_quota_grants(&self.context, members.any_without_quota_grants);
+            leader.set_quota_grants_paused(&self.context, members.any_without_quota_grants);
             leader.plan_partitions(&mut self.context, &self.partitions.map, &members);
         }
         for orders in leader.take_due_orders(&self.context) {
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -236,7 +236,7 @@
 
     /// The members that answered lately all support quota grants, or not all of them do: then no tasks are
     /// delegated to holders.
-    pub(crate) fn pause_quota_grants(&mut self, context: &Context, paused: bool) {
+    pub(crate) fn set_quota_grants_paused(&mut self, context: &Context, paused: bool) {
         if !context.supports_quota_grants() || self.leader_quota.paused == paused {
             return;
         }
