--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -215,7 +215,7 @@
             "placed a task"
         );
         let expected = queued.expected;
-        self.assign(
+        self.create_assignment(
             context,
             &name,
             index,
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -19,7 +19,7 @@
 impl Scheduler {
     /// Puts a task on a machine, which launches it once that is durable; `attempt` is its number, and `expected`
     /// how long it is expected to stay, in microseconds.
-    pub(crate) fn assign(
+    pub(crate) fn create_assignment(
         &mut self,
         context: &Context,
         name: &str,
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -302,7 +302,7 @@
             None => self.next_attempt(),
         };
         let stay = (attempt, placing.expected);
-        self.assign(context, machine, placing.index, task, &placing.spec, stay);
+        self.create_assignment(context, machine, placing.index, task, &placing.spec, stay);
     }
 
     /// How many tasks of a gang could be placed at once.
