--- a/crates/core/src/scheduler/leader.rs
+++ b/crates/core/src/scheduler/leader.rs
@@ -1,4 +1,4 @@
-//! What runs for the leader only.
+//! Functions that only the leader runs: placement, partition management, team quotas and the fleet.
 
 pub(crate) mod delegation_policy;
 pub(crate) mod fleet;
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -1,4 +1,4 @@
-//! Which tasks the leader delegates to the holders of partitions, and which it revokes.
+//! Decides which tasks the leader delegates to partition holders and which delegated tasks it revokes.
 
 use crate::context::Context;
 use crate::scheduler::leader::placement::tasks::PlacingJob;
@@ -16,20 +16,20 @@
 use log::debug;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A holder is given tasks for resources that are freed within this time, so that it can go on without the
-/// leader.
-const LOOKAHEAD: Micros = 4 * SECOND;
+/// Tasks are delegated for resources that are expected to be freed within this time, so that a holder can continue
+/// to place tasks without hearing from the leader.
+const LOOKAHEAD_US: Micros = 4 * SECOND;
 
-/// Tasks for which there was room are revoked if they are not placed within this time.
-const PLACEMENT_TIMEOUT: Micros = 3 * SECOND / 2;
+/// Delegated tasks for which there were free resources are revoked if they are not placed within this time.
+const PLACEMENT_TIMEOUT_US: Micros = 3 * SECOND / 2;
 
-/// How long a holder that had to return such tasks is given none.
-const SLOW_HOLDER_BACKOFF: Micros = 5 * SECOND;
+/// Time for which no tasks are delegated to a holder that has not placed a task within [`PLACEMENT_TIMEOUT_US`].
+const SLOW_HOLDER_BACKOFF_US: Micros = 5 * SECOND;
 
-/// Tasks that wait for resources are revoked if they are not placed within this time.
-const RESOURCES_TIMEOUT: Micros = 2 * LOOKAHEAD;
+/// Delegated tasks that wait for resources are revoked if they are not placed within this time.
+const RESOURCES_TIMEOUT_US: Micros = 2 * LOOKAHEAD_US;
 
-/// A machine of a partition whose holder places tasks, and the resources that will be free on it soon.
+/// A machine of a partition whose holder places tasks, with the resources that will be free on it soon.
 struct FreeingMachine {
     name: String,
     partition: PartitionId,
@@ -40,19 +40,21 @@
 }
 
 impl FreeingMachine {
-    fn take(&mut self, spec: &Submission) {
+    /// Subtracts the resources of one task of the job from those that will be free.
+    fn allocate_task(&mut self, spec: &Submission) {
         self.free = self.free - MachineResources::of_task(spec);
     }
 
+    /// Returns whether no CPUs will be free.
     fn is_full(&self) -> bool {
         self.free.cpus <= EPS
     }
 }
 
 impl Scheduler {
-    /// Charges a task to a partition's quota grant, which grows if it has to and the team's limit allows it.
-    /// Whether it did.
-    pub(crate) fn charge(
+    /// Charges a task to a partition's quota grant if the team's limit allows it, and returns whether it did. The
+    /// grant grows if it is too small for the task. A refusal marks the team as short of room.
+    pub(crate) fn try_charge_quota_grant(
         &mut self,
         context: &Context,
         partition: PartitionId,
@@ -61,7 +63,7 @@
     ) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let needed = self.needed_by(team).saturating_add(amount);
-        // What is granted but not needed is no room under a limit that was lowered.
+        // After a limit was lowered, granted but unused quota may exceed it, so it must not be used for new tasks.
         if !needed.fits(limit) || self.is_over_limit(context, team) {
             self.leader_quota
                 .teams_short_of_room
@@ -83,7 +85,7 @@
         queued.is_ok()
     }
 
-    /// Writes the partition's quota grant after this delay, if it is not what is on record.
+    /// Schedules a write of the partition's quota grant after this delay if it differs from the record.
     pub(crate) fn schedule_quota_grant_write(
         &mut self,
         context: &Context,
@@ -97,17 +99,17 @@
         }
     }
 
-    /// Delegates a task to the holder of a partition, which is to place it on this machine if it can.
-    pub(crate) fn delegate(
+    /// Delegates a task to the holder of a partition. The holder is to place the task on this machine if it can.
+    pub(crate) fn delegate_task(
         &mut self,
         context: &Context,
         placing: &PlacingJob,
         partition: PartitionId,
-        (task, given): (u64, DelegationKind),
+        (task, kind): (u64, DelegationKind),
         machine: &str,
     ) {
         let (now, spec) = (context.now.steady, &placing.spec);
-        let awaits_resources = given == DelegationKind::Waiting;
+        let awaits_resources = kind == DelegationKind::Waiting;
         if !awaits_resources {
             self.plan_on_machine(context, placing, task, machine);
         }
@@ -120,23 +122,23 @@
             job_id: spec.id.clone(),
             machine: machine.to_string(),
             team: spec.team.clone(),
-            amount: placing.task,
+            amount: placing.task_amount,
             awaits_resources,
             level: placing.level,
-            expected: placing.expected,
+            expected: placing.expected_stay,
             since: now,
             sent: false,
             confirmed: false,
         };
         debug!(
-            job = spec.id, task = task, partition = partition, given:? = given;
+            job = spec.id, task = task, partition = partition, given:? = kind;
             "delegated a task to a partition holder"
         );
         let delegations = &mut self.leader_quota.delegations;
         delegations.insert(TaskKey::new(placing.index, task), delegation);
     }
 
-    /// Accounts for a task on the machine on which a holder is to place it.
+    /// Counts the resources of a task as used on the machine on which a holder is to place it.
     fn plan_on_machine(
         &mut self,
         context: &Context,
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A task is no longer delegated to a holder: it is placed, or was returned.
+    /// Ends the delegation of a task that is placed or that the holder will not place, and returns the delegation.
     pub(crate) fn end_delegation(&mut self, task: TaskKey) -> Option<Delegation> {
         let delegation = self.leader_quota.delegations.remove(task)?;
         if let Some(machine) = self.machines.get_mut(&delegation.machine) {
@@ -170,18 +172,19 @@
         Some(delegation)
     }
 
-    /// A task that a holder was to place is the leader's to place again.
-    pub(crate) fn return_task(&mut self, context: &Context, task: TaskKey) {
+    /// Ends the delegation of a task that the holder has not placed and adds the task to the waiting tasks of its
+    /// job again.
+    pub(crate) fn requeue_delegated_task(&mut self, context: &Context, task: TaskKey) {
         let Some(delegation) = self.end_delegation(task) else {
             return;
         };
         let now = context.now.steady;
         debug!(
             job = delegation.job_id, task = task.task, partition = delegation.partition;
-            "a partition holder returned a task"
+            "a delegated task was not placed and waits at the leader again"
         );
         if !delegation.awaits_resources {
-            self.on_not_placed_in_time(&delegation, now);
+            self.release_unplaced_charge(&delegation, now);
         }
         if let Some(job) = self.jobs.get_mut(task.job) {
             job.give_back(task.task);
@@ -193,19 +196,20 @@
         self.end_if_over(context, task.job);
     }
 
-    /// A task for which there was room was returned: it is no longer charged, and a slow holder is given no
-    /// tasks for a while.
-    fn on_not_placed_in_time(&mut self, delegation: &Delegation, now: Micros) {
+    /// Removes the charge for a task that was not placed from the quota grant. A holder that has kept the task for
+    /// longer than [`PLACEMENT_TIMEOUT_US`] counts as slow and gets no tasks for a while.
+    fn release_unplaced_charge(&mut self, delegation: &Delegation, now: Micros) {
         let partition = delegation.partition;
-        if now.saturating_sub(delegation.since) > PLACEMENT_TIMEOUT {
-            let until = now + SLOW_HOLDER_BACKOFF;
+        if now.saturating_sub(delegation.since) > PLACEMENT_TIMEOUT_US {
+            let until = now + SLOW_HOLDER_BACKOFF_US;
             self.leader_quota.holder_slow_until.insert(partition, until);
         }
         let grants = &mut self.leader_quota.grants;
         grants.unqueue(partition, &delegation.team, delegation.amount, now);
     }
 
-    /// Revokes a job's tasks from all holders, as far as they are not placed.
+    /// Revokes the job's delegated tasks from all holders. Tasks that were not sent yet wait at the leader again
+    /// at once.
     pub(crate) fn revoke_delegated_tasks(&mut self, context: &Context, index: JobIndex) {
         let tasks = self.leader_quota.delegations.of_job(index);
         let tasks: Vec<(TaskKey, PartitionId, bool)> = tasks
@@ -215,12 +219,12 @@
             if sent {
                 self.leader_quota.delegations.revoke(partition, index);
             } else {
-                self.return_task(context, task);
+                self.requeue_delegated_task(context, task);
             }
         }
     }
 
-    /// The resources on each machine that are promised to tasks that wait for them.
+    /// Returns the resources on each machine that are promised to delegated tasks that wait for resources.
     pub(crate) fn promised_resources(&self) -> BTreeMap<&str, MachineResources> {
         let mut promised = BTreeMap::new();
         for (task, delegation) in self.delegations_awaiting_resources() {
@@ -239,7 +243,9 @@
         delegations.filter(|(_, delegation)| delegation.awaits_resources)
     }
 
-    /// What of each partition's quota grants will not be used soon, less what is promised to tasks.
+    /// Returns the part of each partition's quota grant that will be unused soon, without what is promised to
+    /// delegated tasks that wait for resources. A team is listed only if a task of it that the holder placed will
+    /// end soon.
     fn grants_unused_soon(&self, context: &Context) -> BTreeMap<(PartitionId, String), Resources> {
         let now = context.now.steady;
         let mut unused = BTreeMap::new();
@@ -263,7 +269,8 @@
         unused
     }
 
-    /// Machines on which tasks will free resources soon, less what is promised to tasks.
+    /// Returns the machines on which tasks will free resources soon, without the resources that are promised to
+    /// delegated tasks.
     fn freeing_machines(&self, context: &Context) -> Vec<FreeingMachine> {
         let mut freeing: BTreeMap<&str, FreeingMachine> = self
             .machines
@@ -273,15 +280,15 @@
         for (task, delegation) in self.delegations_awaiting_resources() {
             let machine = freeing.get_mut(delegation.machine.as_str());
             if let (Some(machine), Some(job)) = (machine, self.jobs.get(task.job)) {
-                machine.take(&job.spec);
+                machine.allocate_task(&job.spec);
             }
         }
         let freeing = freeing.into_values();
         freeing.filter(|machine| !machine.is_full()).collect()
     }
 
-    /// What will be free on a machine soon; `None` if no task frees anything on it or its holder is given no
-    /// tasks.
+    /// Returns the resources that will be free on a machine soon; `None` if no task frees CPUs on it soon, if it
+    /// is not usable, or if no tasks may be delegated to its holder.
     fn freeing_machine<'a>(
         &self,
         context: &Context,
@@ -313,44 +320,45 @@
         Some((&machine.name, freeing))
     }
 
-    /// Delegates tasks for the resources that are freed soon, in the order in which jobs are served. Quota
-    /// grants do not grow for them: they use what the tasks before them leave.
+    /// Delegates tasks for resources that will be freed soon, in the order of the job queue. Quota grants do not
+    /// grow for these tasks, which use the quota of the tasks that end.
     ///
-    /// Teams in `kept_teams` get nothing: what their tasks leave of their limit is kept for a job that needs
-    /// more of it at once.
-    pub(crate) fn delegate_ahead(
+    /// No tasks of `teams_with_reserved_quota` are delegated: the quota that their tasks free is reserved for a
+    /// job that needs more of it at once.
+    pub(crate) fn delegate_to_freeing_machines(
         &mut self,
         context: &Context,
         queue: &[QueuedJob],
-        kept_teams: &BTreeSet<String>,
+        teams_with_reserved_quota: &BTreeSet<String>,
     ) {
-        let leader_level = self.level_for_leader(context, queue);
-        self.revoke_awaiting_resources(|d| leader_level.is_some_and(|level| d.level >= level));
-        self.revoke_awaiting_resources(|d| kept_teams.contains(&d.team));
+        let leader_only_level = self.most_urgent_leader_only_level(context, queue);
+        self.revoke_awaiting_resources(|d| leader_only_level.is_some_and(|level| d.level >= level));
+        self.revoke_awaiting_resources(|d| teams_with_reserved_quota.contains(&d.team));
         let mut freeing = self.freeing_machines(context);
         let mut unused = self.grants_unused_soon(context);
         for queued in queue {
-            if freeing.is_empty() || leader_level.is_some_and(|level| queued.level >= level) {
+            if freeing.is_empty() || leader_only_level.is_some_and(|level| queued.level >= level) {
                 break;
             }
-            // They use what other tasks leave, so a limit that is used up does not matter.
+            // The tasks use quota that other tasks free, so the unused part of the limit does not matter.
             let placing = self.prepare_placing(context, *queued);
             let Some(mut placing) = placing.filter(PlacingJob::is_for_holders) else {
                 continue;
             };
             let team = &placing.spec.team;
-            if kept_teams.contains(team) || self.is_over_limit(context, team) {
+            if teams_with_reserved_quota.contains(team) || self.is_over_limit(context, team) {
                 continue;
             }
             for machine in &mut freeing {
                 let grant = (machine.partition, placing.spec.team.clone());
                 if let Some(unused) = unused.get_mut(&grant) {
-                    self.delegate_for_later(context, &mut placing, machine, unused);
+                    self.delegate_to_freeing_machine(context, &mut placing, machine, unused);
                 }
             }
             freeing.retain(|machine| !machine.is_full());
-            // What is left is for more tasks of this job. Less urgent jobs would take it first: resources that
-            // were preempted for a team below its guaranteed share would then go to others again.
+            // The remaining resources are for more tasks of this job. If tasks of less urgent jobs were delegated
+            // for them, resources that were freed by preemption for a team below its guaranteed share would go to
+            // other teams again.
             if placing.has_more() && self.has_quota(context, queued.index) {
                 self.revoke_awaiting_resources(|d| d.level > queued.level);
                 break;
@@ -358,9 +366,10 @@
         }
     }
 
-    /// The most urgent level of jobs that only the leader can place: gangs, and jobs that have waited too long
-    /// to begin or to catch up. Holders must not take the resources for them first.
-    fn level_for_leader(&self, context: &Context, queue: &[QueuedJob]) -> Option<u8> {
+    /// Returns the most urgent level of the jobs in the queue that fit their team's limit and that only the leader
+    /// can place, such as gangs and jobs that have waited too long to start or that catch up. Holders must not use
+    /// the resources that these jobs wait for.
+    fn most_urgent_leader_only_level(&self, context: &Context, queue: &[QueuedJob]) -> Option<u8> {
         let now = context.now.steady;
         let needs_leader = |queued: &&QueuedJob| {
             let job = self.jobs.get(queued.index);
@@ -371,7 +380,8 @@
         queue.map(|queued| queued.level).min()
     }
 
-    /// Revokes tasks that wait for resources at holders, of those that are chosen.
+    /// Revokes all delegated tasks of each job with a chosen task, from the holder at which the chosen task waits for
+    /// resources.
     fn revoke_awaiting_resources(&mut self, is_chosen: impl Fn(&Delegation) -> bool) {
         let delegations = self.delegations_awaiting_resources();
         let chosen = delegations.filter(|(_, delegation)| is_chosen(delegation));
@@ -383,8 +393,9 @@
         }
     }
 
-    /// Delegates tasks of a job for what will be free on a machine, as far as the quota grant will have room.
-    fn delegate_for_later(
+    /// Delegates tasks of a job for the resources that will be free on a machine, as far as they fit `unused`, the
+    /// part of the quota grant that will be unused.
+    fn delegate_to_freeing_machine(
         &mut self,
         context: &Context,
         placing: &mut PlacingJob,
@@ -396,39 +407,45 @@
         if !permits(context, &spec, machine_type, zone, machine.spot) {
             return;
         }
-        let amount = placing.task;
+        let amount = placing.task_amount;
         while tasks_that_fit(machine.free, &spec) > 0 && amount.fits(*unused) && placing.has_more()
         {
             let job = self.jobs.get_mut(placing.index);
             let Some(task) = job.and_then(|job| job.take_next(context.now.steady)) else {
                 return;
             };
-            machine.take(&spec);
+            machine.allocate_task(&spec);
             *unused = unused.saturating_sub(amount);
-            placing.take_one();
-            let given = (task, DelegationKind::Waiting);
-            self.delegate(context, placing, machine.partition, given, &machine.name);
+            placing.count_placed_task();
+            let delegated = (task, DelegationKind::Waiting);
+            self.delegate_task(
+                context,
+                placing,
+                machine.partition,
+                delegated,
+                &machine.name,
+            );
         }
     }
 
-    /// Revokes tasks that holders have not placed in time, and tasks that wait for resources while another
-    /// machine has room.
-    pub(crate) fn revoke_overdue(&mut self, context: &Context, open: &[OpenMachine]) {
+    /// Revokes tasks that holders have not placed in time. Tasks that wait for resources are revoked earlier if a
+    /// machine outside the partition has free resources for them.
+    pub(crate) fn revoke_overdue_delegations(&mut self, context: &Context, open: &[OpenMachine]) {
         let now = context.now.steady;
         let mut overdue: Vec<(PartitionId, JobIndex)> = Vec::new();
         for (task, delegation) in self.leader_quota.delegations.iter() {
             let (partition, index) = (delegation.partition, task.job);
-            let chosen = overdue.last() == Some(&(partition, index));
-            if chosen || self.leader_quota.delegations.is_revoked(partition, index) {
+            let is_chosen = overdue.last() == Some(&(partition, index));
+            if is_chosen || self.leader_quota.delegations.is_revoked(partition, index) {
                 continue;
             }
             let waited = now.saturating_sub(delegation.since);
             let is_overdue = if delegation.awaits_resources {
-                waited > RESOURCES_TIMEOUT
-                    || (waited > PLACEMENT_TIMEOUT
+                waited > RESOURCES_TIMEOUT_US
+                    || (waited > PLACEMENT_TIMEOUT_US
                         && self.has_room_elsewhere(context, partition, index, open))
             } else {
-                waited > PLACEMENT_TIMEOUT
+                waited > PLACEMENT_TIMEOUT_US
             };
             if is_overdue {
                 overdue.push((partition, index));
@@ -439,7 +456,8 @@
         }
     }
 
-    /// Whether a machine outside the partition has room for a task of the job.
+    /// Returns whether a task of the job fits the free resources of a machine whose tasks the partition's holder
+    /// does not place; true if the job is not known any more.
     fn has_room_elsewhere(
         &self,
         context: &Context,
@@ -460,7 +478,7 @@
     }
 }
 
-/// Whether the task is likely to free its resources soon.
+/// Returns whether the task is being stopped or is expected to end soon.
 fn ends_soon(a: &Assignment, now: Micros) -> bool {
-    a.stop.is_some() || a.remaining(now, 0) < LOOKAHEAD
+    a.stop.is_some() || a.remaining(now, 0) < LOOKAHEAD_US
 }
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -1,4 +1,4 @@
-//! Reserves headroom for services on machines during a round of placement.
+//! Reserves headroom for services on machines during a placement round.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -7,29 +7,31 @@
 use grebewood_wire::http::Submission;
 use std::collections::BTreeMap;
 
-/// A machine that may hold headroom, in the order in which headroom is reserved.
+/// A machine on which headroom may be reserved. Machines are sorted in the order in which headroom is reserved.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HeadroomMachine {
-    without_services: bool,
-    /// Its free CPUs, in units of [`EPS`].
+    /// Whether no replica of a service is assigned to the machine.
+    lacks_services: bool,
+    /// The machine's free CPUs, in units of [`EPS`].
     free_cpus: i64,
-    /// Its place among the open machines.
-    at: usize,
+    /// The machine's position among the open machines.
+    position: usize,
 }
 
 impl Scheduler {
-    /// Marks the headroom that is reserved for services: in each zone on machines with replicas first,
-    /// then on the fullest, until it is as much as wanted.
+    /// Reserves the wanted headroom for services in each zone: first on machines with replicas of services, then
+    /// on the others. In both groups the machines with the fewest free CPUs come first.
     pub(crate) fn reserve_headroom(&self, context: &Context, open: &mut [OpenMachine]) {
         let Some((spec, wanted)) = self.headroom.wanted() else {
             return;
         };
         let mut reserved: BTreeMap<String, u64> = BTreeMap::new();
-        for HeadroomMachine { at, .. } in self.headroom_machines_in_order(context, spec, open) {
-            let machine = &mut open[at];
+        for HeadroomMachine { position, .. } in self.headroom_machines_in_order(context, spec, open)
+        {
+            let machine = &mut open[position];
             let in_zone = reserved.entry(machine.zone.clone()).or_insert(0);
-            // No more than is wanted: a whole machine was kept at first, and in a fleet of two none was
-            // left for others.
+            // Only the wanted headroom is reserved, not whole machines: in a fleet of two machines, nothing would
+            // be left for other jobs.
             let replicas = tasks_that_fit(machine.free, spec).min(wanted - *in_zone);
             *in_zone += replicas;
             machine.headroom = MachineResources::of_task(spec).times(replicas as f64);
@@ -47,10 +49,10 @@
             .iter()
             .enumerate()
             .filter(|(_, machine)| fits(machine))
-            .map(|(at, machine)| HeadroomMachine {
-                without_services: !self.runs_services(&machine.name),
+            .map(|(position, machine)| HeadroomMachine {
+                lacks_services: !self.runs_services(&machine.name),
                 free_cpus: (machine.free.cpus / EPS) as i64,
-                at,
+                position,
             })
             .collect();
         order.sort();
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -28,7 +28,10 @@
             Outcome::Answer { status: 200, body } => match wire::from_peer::<PeerResponse>(&body) {
                 Ok(answer) => answer.report,
                 Err(error) => {
-                    warn!(partition = id, error:% = error; "cannot decode a holder's answer");
+                    warn!(
+                        partition = id, error:% = error;
+                        "cannot decode the response of a partition holder"
+                    );
                     None
                 }
             },
@@ -37,7 +40,7 @@
         self.on_partition_report(context, id, claim, report);
     }
 
-    /// Applies a holder's report; `None`: it did not answer.
+    /// Applies a holder's report; `None` if the holder did not answer.
     pub(crate) fn on_partition_report(
         &mut self,
         context: &mut Context,
@@ -55,9 +58,9 @@
         let Some(report) = report.filter(|report| report.claim == claim) else {
             return;
         };
-        let newly_reconciled = report.synced && !partition.reconciled;
+        let is_newly_reconciled = report.synced && !partition.reconciled;
         partition.apply_report(&report, context.now.steady);
-        if newly_reconciled {
+        if is_newly_reconciled {
             self.mark_delivered(id, Assignment::may_be_on_machine);
         }
         if !report.accepted.is_empty() {
@@ -70,9 +73,9 @@
         }
         self.apply_outcomes(context, id, report.outcomes);
         if let Some(quota) = report.quota.filter(|_| report.synced) {
-            self.on_held(context, id, &quota);
+            self.apply_held_quota(context, id, &quota);
         }
-        self.refresh_machines(context, id);
+        self.refresh_machine_contacts(context, id);
         self.placement.request_round(context.now.steady);
     }
 
@@ -92,7 +95,7 @@
         }
     }
 
-    /// The holder has accepted these assignments.
+    /// Marks the assignments in the partition that the holder has accepted as delivered.
     fn mark_delivered(&mut self, id: PartitionId, accepted: impl Fn(&Assignment) -> bool) {
         let machines = self.machines.values_mut();
         let machines = machines.filter(|machine| machine.partition == Some(id));
@@ -101,8 +104,8 @@
         }
     }
 
-    /// The last contact of the holder with a machine counts as that of the leader.
-    fn refresh_machines(&mut self, context: &Context, id: PartitionId) {
+    /// Counts this report as contact of the leader with each machine that the holder counts as able to take tasks.
+    fn refresh_machine_contacts(&mut self, context: &Context, id: PartitionId) {
         let now = context.now.steady;
         let mut any_in_contact = false;
         for machine in self.machines.values_mut() {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Applies the state of a machine as its holder reports it.
+    /// Applies the state of a machine that its holder reports.
     fn apply_machine_state(
         &mut self,
         context: &mut Context,
@@ -141,11 +144,11 @@
         }
         machine.partition = Some(id);
         machine.address.clone_from(&state.address);
-        // It may be lower than before: a holder may have expected an agent incarnation that the next holder
-        // finds has not begun.
+        // The incarnation may be lower than before: a holder may have expected an agent incarnation that, as the
+        // next holder finds, has not begun.
         machine.incarnation = state.incarnation;
         machine.receives_responses = state.receives_responses;
-        // Whether the agent receives responses is for its holder to tell.
+        // Only the holder knows whether the agent receives responses.
         machine.unreachable_since = None;
         machine.counted_by_holder = state.counts;
         machine.cordoned |= state.cordoned;
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Applies the status of a task as its machine's holder reports it.
+    /// Applies the status of a task that the machine's holder reports.
     fn apply_task_state(
         &mut self,
         context: &Context,
@@ -169,17 +172,18 @@
         let now = context.now.steady;
         let machine = self.machines.get_mut(name);
         let assignments = machine.map(|machine| machine.assignments.iter_mut());
-        let Some(a) = assignments.and_then(|mut assignments| assignments.find(|a| a.id() == id))
+        let Some(assignment) =
+            assignments.and_then(|mut assignments| assignments.find(|a| a.id() == id))
         else {
             return;
         };
-        let before = a.seen;
-        a.observe(status, now);
-        let (index, seen) = (a.job, a.seen);
+        let before = assignment.seen;
+        assignment.observe(status, now);
+        let (index, seen) = (assignment.job, assignment.seen);
         self.count_running(now, index, before, seen);
     }
 
-    /// Applies the outcomes of attempts that have ended. A holder repeats them until they are acknowledged.
+    /// Applies the outcomes of attempts that have ended. A holder repeats each outcome until it is acknowledged.
     fn apply_outcomes(
         &mut self,
         context: &mut Context,
@@ -190,7 +194,7 @@
             return;
         };
         let reported: BTreeSet<TaskAttempt> = outcomes.iter().map(TaskOutcome::id).collect();
-        // What is no longer reported was acknowledged.
+        // Outcomes that are no longer reported were acknowledged.
         let applied = &mut partition.applied_outcomes;
         applied.retain(|attempt| reported.contains(attempt));
         let new = outcomes.into_iter();
@@ -232,7 +236,7 @@
 }
 
 impl RemotePartition {
-    /// Applies what a holder's report says of the partition itself.
+    /// Applies the parts of a holder's report that concern the partition itself.
     fn apply_report(&mut self, report: &PartitionReport, now: Micros) {
         self.reconciled |= report.synced;
         self.last_answer_at = now;
@@ -245,7 +249,7 @@
     }
 }
 
-/// A machine's state in the form of a heartbeat without tasks.
+/// Returns a machine's state in the form of a heartbeat without tasks.
 fn heartbeat_of(state: &MachineState) -> Heartbeat {
     Heartbeat {
         machine: state.machine.clone(),
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions as the leader manages them: which exist, who is to hold them, and orders to the holders.
+//! Manages partitions for the leader: creates and assigns them, and builds the orders to their holders.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -19,23 +19,24 @@
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most launches, stops and acknowledgements in one message.
-const MAX_ORDERS: usize = 500;
+/// Maximum number each of launches, stops and acknowledgements in one message.
+const MAX_ORDERS_PER_MESSAGE: usize = 500;
 
-/// Time between two rounds of the planner.
-const PLAN_INTERVAL: Micros = 300 * MILLI;
+/// Time between two planner rounds.
+const PLAN_INTERVAL_US: Micros = 300 * MILLI;
 
-/// How long after a change of leader no partition is moved for the sake of balance.
-const STABILIZATION_TIME: Micros = 20 * SECOND;
+/// Time after a change of leader during which no partition is moved to balance the load.
+const STABILIZATION_TIME_US: Micros = 20 * SECOND;
 
-/// A holder that was given tasks and has not answered for this long loses its partition.
-const HOLDER_TIMEOUT: Micros = 5 * SECOND;
+/// A holder to which tasks are delegated and that has not answered for this long loses its partition.
+const HOLDER_TIMEOUT_US: Micros = 5 * SECOND;
 
 /// Time after which a stop is repeated.
-const STOP_RETRY_INTERVAL: Micros = SECOND;
+const STOP_RETRY_INTERVAL_US: Micros = SECOND;
 
 impl Scheduler {
-    /// Loads the partitions on record, as a new leader.
+    /// Loads the partitions on record into the state of a new leader. Removes all of them if a record cannot be
+    /// read.
     pub(crate) fn load_partitions(&mut self, context: &Context, map: &PartitionMap) {
         for (id, record) in map.iter() {
             let mut partition = RemotePartition::new(record.record.clone());
@@ -43,12 +44,12 @@
             self.remote_partitions.by_id.insert(id, partition);
         }
         if map.unreadable().next().is_some() {
-            self.remove_partitions(context, "a partition's record cannot be read", map.keys());
+            self.remove_partitions(context, "a partition record cannot be read", map.keys());
         }
     }
 
-    /// Removes all partitions. Their machines may have seen fencing tokens that are higher than this
-    /// leader's, so that only the next leader can manage them.
+    /// Starts to remove all partitions and their quota grants from the store. The machines may have seen fencing
+    /// tokens higher than this leader's, so only the next leader can manage them.
     fn remove_partitions(&mut self, context: &Context, reason: &'static str, keys: Vec<String>) {
         if self.remote_partitions.removal_reason.is_none() {
             warn!(reason = reason; "removing all partitions");
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Why this leader has to step down, once all partitions are removed from the store.
+    /// Returns the reason for the removal of all partitions once they are removed from the store. This leader then
+    /// has to step down.
     pub(crate) fn finished_removal_reason(&self) -> Option<&'static str> {
         let reason = self.remote_partitions.removal_reason?;
         let mut keys = self.remote_partitions.keys_to_delete.iter();
@@ -73,37 +75,39 @@
         (!keys.any(is_left)).then_some(reason)
     }
 
-    /// Applies changes of claims.
+    /// Applies the claims that have changed in the partition map. After a change, nothing is launched on the
+    /// partition's machines until the new holder reports.
     pub(crate) fn apply_claim_changes(&mut self, map: &PartitionMap) {
         for (id, partition) in &mut self.remote_partitions.by_id {
             let Some(observed) = map.get(*id) else {
                 continue;
             };
-            // The map may be older than what this leader read itself.
+            // The map may be older than a claim that this leader has read itself.
             let known_token = partition.claim_token();
-            let changed = match &observed.claim {
+            let has_changed = match &observed.claim {
                 Some(claim) => known_token.is_none_or(|known| claim.token > known),
                 None => known_token.is_some(),
             };
-            if !changed {
+            if !has_changed {
                 continue;
             }
             partition.on_claim_changed(observed.claim.as_ref().map(RemoteClaim::from));
             let machines = self.machines.values_mut();
             for machine in machines.filter(|machine| machine.partition == Some(*id)) {
-                // Until its holder reports otherwise nothing can be launched there.
+                // Nothing can be launched there until the holder reports that its responses reach the machine.
                 machine.receives_responses = false;
             }
         }
     }
 
-    /// The member that holds the partition.
+    /// Returns the member that holds the partition.
     pub(crate) fn holder_of(&self, id: PartitionId) -> Option<String> {
         let claim = self.remote_partitions.by_id.get(&id)?.claim.as_ref()?;
         Some(claim.member.clone())
     }
 
-    /// Lets the planner create, reassign and move partitions.
+    /// Runs the planner, which creates, reassigns and moves partitions. If a member does not support partitions,
+    /// removes all of them instead.
     pub(crate) fn plan_partitions(
         &mut self,
         context: &mut Context,
@@ -113,9 +117,9 @@
         if self.remote_partitions.removal_reason.is_some() {
             return;
         }
-        self.remote_partitions.next_planning_at = context.now.steady + PLAN_INTERVAL;
+        self.remote_partitions.next_planning_at = context.now.steady + PLAN_INTERVAL_US;
         if members.any_without_partitions && !self.remote_partitions.by_id.is_empty() {
-            let reason = "a member does not understand them";
+            let reason = "a member does not support partitions";
             return self.remove_partitions(context, reason, map.keys());
         }
         for PartitionAssignment { id, record } in self.planned_assignments(context, map, members) {
@@ -153,15 +157,16 @@
             .collect()
     }
 
-    /// Whether there was no recent change of leader, all holders are reconciled and the store answers in time.
+    /// Returns whether the leader has not changed recently, all holders are reconciled and the store answers in
+    /// time.
     fn is_stable(&self, context: &Context) -> bool {
         let leading_for = context.now.steady.saturating_sub(self.loaded_at);
         let mut partitions = self.remote_partitions.by_id.values();
         let reconciled = partitions.all(|partition| partition.reconciled);
-        leading_for > STABILIZATION_TIME && reconciled && !self.store_is_slow()
+        leading_for > STABILIZATION_TIME_US && reconciled && !self.store_is_slow()
     }
 
-    /// Partitions whose holder was given tasks to place and has not answered for a while.
+    /// Returns the partitions to whose holder tasks are delegated and whose holder has not answered for a while.
     fn partitions_of_unreachable_holders(&self, context: &Context) -> BTreeSet<PartitionId> {
         let now = context.now.steady;
         let partitions = self.remote_partitions.by_id.iter();
@@ -169,13 +174,13 @@
         let with_tasks = partitions.filter(|(id, _)| delegations.any_in(**id));
         let unreachable = with_tasks.filter(|(_, partition)| {
             let since = partition.last_answer_at.max(self.loaded_at);
-            now.saturating_sub(since) > HOLDER_TIMEOUT
+            now.saturating_sub(since) > HOLDER_TIMEOUT_US
         });
         unreachable.map(|(id, _)| *id).collect()
     }
 
-    /// The number of the next new partition. It must be higher than that of any partition whose holder has left
-    /// pages, since a partition's number determines its pages.
+    /// Returns the number of the next new partition. It must be higher than that of any partition whose holder has
+    /// left pages, since a partition's number determines its pages.
     fn next_partition_id(&self) -> PartitionId {
         let has_pages = |id: &PartitionId| {
             let Some(pages) = pages_of_partition(*id) else {
@@ -189,8 +194,9 @@
         with_pages.max(known).unwrap_or(0) + 1
     }
 
-    /// Writes that a partition is to be held by a member. From now on its machines are its holder's: the
-    /// record may be applied from the moment at which it is sent, and then the holder renews their leases.
+    /// Assigns a partition to a member and schedules the write of its record. The machines of a new partition
+    /// belong to its holder from now on: the store may apply the record from the moment at which it is sent, and
+    /// then the holder renews their leases.
     fn assign_partition(
         &mut self,
         context: &mut Context,
@@ -212,7 +218,7 @@
             .mark_dirty(RecordId::Partition(id), context.now.steady);
     }
 
-    /// The leader's own machines of a new partition become its holder's.
+    /// Hands the machines of a new partition that the leader has managed itself over to the partition's holder.
     fn hand_machines_over(&mut self, context: &mut Context, id: PartitionId) {
         let mut names = Vec::new();
         for machine in self.machines.values_mut() {
@@ -230,21 +236,21 @@
         }
     }
 
-    /// The orders that are due.
+    /// Returns the orders that are due now and counts them as sent.
     pub(crate) fn take_due_orders(&mut self, context: &Context) -> Vec<PartitionOrders> {
         let now = context.now.steady;
         let partitions = self.remote_partitions.by_id.iter();
         let due = partitions.filter(|(_, partition)| {
-            let ready = partition.claim.is_some() && !partition.awaiting_answer;
-            ready && now >= partition.next_orders_at
+            let is_ready = partition.claim.is_some() && !partition.awaiting_answer;
+            is_ready && now >= partition.next_orders_at
         });
         let due: Vec<PartitionId> = due.map(|(id, _)| *id).collect();
         due.into_iter()
-            .filter_map(|id| self.next_orders(context, id))
+            .filter_map(|id| self.build_orders(context, id))
             .collect()
     }
 
-    fn next_orders(&mut self, context: &Context, id: PartitionId) -> Option<PartitionOrders> {
+    fn build_orders(&mut self, context: &Context, id: PartitionId) -> Option<PartitionOrders> {
         let now = context.now.steady;
         let partition = self.remote_partitions.by_id.get_mut(&id)?;
         let claim = partition.claim_token()?;
@@ -280,7 +286,7 @@
         Some(orders)
     }
 
-    /// All tasks that may be on the partition's machines.
+    /// Returns all tasks that may be on the partition's machines.
     fn tasks_in_partition(&self, id: PartitionId) -> Vec<PlacedTask> {
         let machines = self.machines.values();
         let machines = machines.filter(|machine| machine.partition == Some(id));
@@ -298,26 +304,26 @@
         for machine in machines.filter(|m| m.partition == Some(orders.partition)) {
             let may_take_tasks = machine.reclaim_at.is_none();
             for a in &mut machine.assignments {
-                if orders.launches.len() < MAX_ORDERS {
-                    let launchable = may_take_tasks
+                if orders.launches.len() < MAX_ORDERS_PER_MESSAGE {
+                    let may_launch = may_take_tasks
                         && a.incarnation == machine.incarnation
                         && is_launchable(a, jobs, write_buffer);
-                    // From now on it may be there, whether the message arrives or not.
-                    if launchable {
+                    // From now on the task may be on the machine, whether or not the message arrives.
+                    if may_launch {
                         a.launched = Some((machine.incarnation, 0));
                     }
                     if a.may_be_on_machine() && !a.delivered && !a.recovered() {
                         orders.launches.push(placed_task(&machine.name, a));
                     }
                 }
-                if orders.stops.len() < MAX_ORDERS {
-                    orders.stops.extend(due_stop(&machine.name, a, now));
+                if orders.stops.len() < MAX_ORDERS_PER_MESSAGE {
+                    orders.stops.extend(take_due_stop(&machine.name, a, now));
                 }
             }
         }
     }
 
-    /// Attempts whose outcome is on record.
+    /// Returns the attempts whose outcome was applied and is on record.
     fn attempts_to_acknowledge(&self, id: PartitionId) -> Vec<TaskAttempt> {
         let Some(partition) = self.remote_partitions.by_id.get(&id) else {
             return Vec::new();
@@ -333,12 +339,12 @@
         let applied = partition.applied_outcomes.iter().copied();
         applied
             .filter(|attempt| !not_on_record.contains(attempt))
-            .take(MAX_ORDERS)
+            .take(MAX_ORDERS_PER_MESSAGE)
             .collect()
     }
 }
 
-/// Whether the assignment is on record, and its task is still to be launched.
+/// Returns whether the assignment is on record and its task is still to be launched.
 fn is_launchable(a: &Assignment, jobs: &Jobs, write_buffer: &WriteBuffer) -> bool {
     let job = jobs.get(a.job);
     let is_wanted =
@@ -347,11 +353,14 @@
     a.launched.is_none() && a.stop.is_none() && is_wanted && is_on_record
 }
 
-/// The order to stop a task, if one is due; it counts as sent from now on.
-fn due_stop(machine: &str, a: &mut Assignment, now: Micros) -> Option<TaskStop> {
+/// Returns the order to stop a task if one is due, and counts it as sent.
+fn take_due_stop(machine: &str, a: &mut Assignment, now: Micros) -> Option<TaskStop> {
     let id = a.id();
     let stop = a.stop.as_mut().filter(|_| a.launched.is_some())?;
-    if stop.sent.is_some_and(|at| now < at + STOP_RETRY_INTERVAL) {
+    if stop
+        .sent
+        .is_some_and(|at| now < at + STOP_RETRY_INTERVAL_US)
+    {
         return None;
     }
     stop.sent = Some(now);
@@ -362,7 +371,7 @@
     })
 }
 
-/// The zones in which machines can be provisioned.
+/// Returns the zones in which machines can be provisioned.
 fn zones_with_machines(context: &Context) -> BTreeSet<String> {
     let machine_types = context.catalogue.iter().flatten();
     machine_types
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -1,7 +1,8 @@
-//! Placement: which task goes to which machine.
+//! Task placement: decides which task runs on which machine.
 //!
-//! A round serves jobs by priority, guaranteed share and deadline, as far as the team's limit and the free resources allow. It
-//! has a time budget: a round that runs out of it continues with the next job the next time.
+//! A placement round serves the waiting jobs in the order of the job queue, as far as the team's limit and the
+//! free resources allow. Each round has a time budget. The round after one that exceeds its budget starts with the
+//! job at which that one stopped.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -22,34 +23,36 @@
 pub(crate) mod reservation;
 pub(crate) mod tasks;
 
-/// What is left of a team's limit is kept for a job that waits only if enough is freed so soon, in microseconds.
-const QUOTA_KEPT_FOR: Micros = 60 * SECOND;
+/// The rest of a team's limit is reserved for a waiting job only if tasks that end within this time free enough of
+/// it for the job.
+const QUOTA_RESERVATION_WINDOW_US: Micros = 60 * SECOND;
 
-/// Time between two rounds if nothing changed, in microseconds.
-const IDLE_INTERVAL: Micros = SECOND;
+/// Time between two placement rounds if nothing has changed.
+const IDLE_ROUND_INTERVAL_US: Micros = SECOND;
 
-/// Time between two rounds of preemption, in microseconds.
-const PREEMPTION_INTERVAL: Micros = SECOND;
+/// Time between two preemption rounds.
+const PREEMPTION_INTERVAL_US: Micros = SECOND;
 
-/// A job in the order in which jobs are served.
+/// An entry of the job queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuedJob {
-    /// The job.
+    /// The job's place in the job table.
     pub index: JobIndex,
-    /// How urgent it is: lower numbers come first.
+    /// The job's level of urgency: lower levels are served first.
     pub level: u8,
 }
 
-/// The jobs that may place tasks in a round.
+/// The jobs whose tasks may be placed in a round.
 struct RoundOrder {
+    /// The jobs, in the order in which the round serves them.
     jobs: Vec<QueuedJob>,
-    /// Teams the rest of whose limit is kept for a job that has waited long.
-    teams_with_kept_quota: BTreeSet<String>,
+    /// Teams for which the rest of the limit is reserved for a job that has waited long.
+    teams_with_reserved_quota: BTreeSet<String>,
 }
 
 impl Scheduler {
-    /// Runs a round of placement if it is due.
-    pub(crate) fn run_placement(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
+    /// Runs a placement round if one is due.
+    pub(crate) fn run_placement(&mut self, context: &mut Context, stopwatch: &mut dyn Stopwatch) {
         let now = context.now.steady;
         if now < self.placement.next_at {
             return;
@@ -65,18 +68,18 @@
         let mut open = self.open_machines(context);
         self.reserve_headroom(context, &mut open);
         let order = self.round_order(context, &queue);
-        self.place_jobs(context, watch, order.jobs, &mut open);
+        self.place_jobs(context, stopwatch, order.jobs, &mut open);
         if self.grants_quota(context) {
-            self.delegate_ahead(context, &queue, &order.teams_with_kept_quota);
-            self.revoke_overdue(context, &open);
+            self.delegate_to_freeing_machines(context, &queue, &order.teams_with_reserved_quota);
+            self.revoke_overdue_delegations(context, &open);
         }
         self.placement.backlog = queue.iter().any(|queued| {
             let job = self.jobs.get(queued.index);
             job.is_some_and(|job| job.waiting() > 0)
         });
         if now >= self.placement.next_preemption {
-            self.placement.next_preemption = now + PREEMPTION_INTERVAL;
-            self.preempt(context, &queue);
+            self.placement.next_preemption = now + PREEMPTION_INTERVAL_US;
+            self.preempt_by_priority(context, &queue);
             if self.enforces_guarantees(context) {
                 self.preempt_for_guarantees(context, &queue);
             }
@@ -90,25 +93,29 @@
         placement.not_before = placement.next_at;
         placement.rounds += 1;
         if !placement.wanted && placement.resume_with.is_none() {
-            // Rounds without news are needed only for what time itself changes.
-            placement.next_at = now + IDLE_INTERVAL;
+            // Without changes, a round is needed only because time passes: backoffs end and waiting jobs become
+            // overdue.
+            placement.next_at = now + IDLE_ROUND_INTERVAL_US;
         }
         self.held_changed = true;
     }
 
-    /// The jobs that may place tasks in this round, in order. What is left of a team's limit is kept for a job
-    /// that has waited long and needs more of it: narrow tasks once took it as it became free, and a job of wide
-    /// ones, or a gang, never began.
+    /// Returns the jobs whose tasks may be placed in this round: those that fit their team's limit, starting with
+    /// the job at which the last round stopped.
+    ///
+    /// If a job has waited long and does not fit the rest of its team's limit, but will soon, that rest is
+    /// reserved for it, and the team's later jobs are left out. Without this, tasks that need few resources use
+    /// the quota as soon as it is freed, and a gang or a job whose tasks need many resources never starts.
     fn round_order(&mut self, context: &Context, queue: &[QueuedJob]) -> RoundOrder {
         let now = context.now.steady;
-        let mut kept: BTreeSet<String> = BTreeSet::new();
-        let mut ending = TeamAmounts::new();
+        let mut reserved_teams: BTreeSet<String> = BTreeSet::new();
+        let mut freed_soon_by_team = TeamAmounts::new();
         let mut jobs = queue.to_vec();
         jobs.retain(|queued| {
             let Some(job) = self.jobs.get(queued.index) else {
                 return false;
             };
-            if kept.contains(&job.spec.team) {
+            if reserved_teams.contains(&job.spec.team) {
                 return false;
             }
             let has_quota = self.has_quota(context, queued.index);
@@ -116,9 +123,9 @@
             if !has_quota
                 && has_waited_long
                 && job.placeable(now) > 0
-                && self.has_quota_soon(context, queued.index, &mut ending)
+                && self.has_quota_soon(context, queued.index, &mut freed_soon_by_team)
             {
-                kept.insert(job.spec.team.clone());
+                reserved_teams.insert(job.spec.team.clone());
             }
             has_quota
         });
@@ -129,15 +136,15 @@
         }
         RoundOrder {
             jobs,
-            teams_with_kept_quota: kept,
+            teams_with_reserved_quota: reserved_teams,
         }
     }
 
-    /// Places tasks of the jobs in this order, until nothing is free or the time budget is used up.
+    /// Places tasks of the jobs in this order until no machine is open or the time budget is exceeded.
     fn place_jobs(
         &mut self,
         context: &mut Context,
-        watch: &mut dyn Stopwatch,
+        stopwatch: &mut dyn Stopwatch,
         order: Vec<QueuedJob>,
         open: &mut Vec<OpenMachine>,
     ) {
@@ -145,23 +152,24 @@
             if open.is_empty() {
                 break;
             }
-            if watch.elapsed() > context.tuning.placement_budget_us {
+            if stopwatch.elapsed() > context.tuning.placement_budget_us {
                 self.placement.resume_with = Some(queued.index);
-                debug!("placement round out of time, to be continued");
+                debug!("placement round exceeded its time budget; the next round continues it");
                 break;
             }
             self.place_job(context, queued, open);
-            self.reserve_for_beginning(context, queued.index, open);
+            self.reserve_for_overdue_start(context, queued.index, open);
         }
     }
 
-    /// Whether the job's team may have one more of its tasks; all that wait of a gang.
+    /// Returns whether one more task of the job fits its team's limit. For a gang, all waiting tasks must fit.
     pub(crate) fn has_quota(&self, context: &Context, index: JobIndex) -> bool {
         let job = self.jobs.get(index);
         job.is_some_and(|job| self.job_fits_limit(context, job, Resources::ZERO))
     }
 
-    /// Whether a task of the job, or a whole gang, is within its team's limit once so much is freed.
+    /// Returns whether one more task of the job, or all waiting tasks of a gang, fit the team's limit once the
+    /// team has freed the amount `freed`.
     fn job_fits_limit(&self, context: &Context, job: &Job, freed: Resources) -> bool {
         let spec = &job.spec;
         let tasks = match job.shape {
@@ -174,24 +182,30 @@
             .is_some_and(|quota| used.saturating_add(wanted).fits(quota.limit))
     }
 
-    /// Whether the team may have one more of the job's tasks, or a whole gang, once those of the team's tasks
-    /// that are about to end have ended. How much that is, is summed up once a round for each team.
-    fn has_quota_soon(&self, context: &Context, index: JobIndex, ending: &mut TeamAmounts) -> bool {
+    /// Returns whether one more task of the job, or all waiting tasks of a gang, will fit the team's limit once
+    /// the team's tasks that are expected to end soon have ended. `freed_soon_by_team` caches what these tasks
+    /// use, so that it is summed up once per team and round.
+    fn has_quota_soon(
+        &self,
+        context: &Context,
+        index: JobIndex,
+        freed_soon_by_team: &mut TeamAmounts,
+    ) -> bool {
         let Some(job) = self.jobs.get(index) else {
             return false;
         };
         let (team, now) = (&job.spec.team, context.now.steady);
-        let freed = ending.entry(team.clone()).or_insert_with(|| {
+        let freed = freed_soon_by_team.entry(team.clone()).or_insert_with(|| {
             self.machines
                 .values()
                 .flat_map(|machine| &machine.assignments)
-                .filter(|a| a.team == *team && a.remaining(now, 0) < QUOTA_KEPT_FOR)
+                .filter(|a| a.team == *team && a.remaining(now, 0) < QUOTA_RESERVATION_WINDOW_US)
                 .fold(Resources::ZERO, |sum, a| sum.saturating_add(a.amount()))
         });
         self.job_fits_limit(context, job, *freed)
     }
 
-    /// Machines that new tasks may be placed on.
+    /// Returns the machines on which new tasks may be placed.
     pub(crate) fn usable_machines(&self, context: &Context) -> impl Iterator<Item = &Machine> {
         let now = context.now.steady;
         let heartbeat_timeout = context.settings.heartbeat_timeout();
@@ -199,7 +213,8 @@
         machines.filter(move |machine| machine.usable(now, heartbeat_timeout))
     }
 
-    /// Machines with free resources.
+    /// Returns the usable machines with free CPUs, except those on which nothing new is to be placed. Resources
+    /// that are promised to delegated tasks do not count as free.
     pub(crate) fn open_machines(&self, context: &Context) -> Vec<OpenMachine> {
         let now = context.now.steady;
         let grants = self.grants_quota(context);
@@ -226,11 +241,11 @@
     }
 }
 
-/// How a task is given to a holder.
+/// Whether a task that is delegated to a partition holder can be placed at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DelegationKind {
-    /// There are free resources for it, and it is charged to the quota grant.
+    /// Free resources exist for the task, and it is charged to the quota grant.
     Placeable,
-    /// It waits for resources that other tasks will free.
+    /// The task waits for resources that other tasks will free.
     Waiting,
 }
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -1,4 +1,4 @@
-//! Puts tasks on machines, and has that written.
+//! Creates assignments of tasks to machines and schedules the writes that record them.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -10,15 +10,16 @@
 use grebewood_wire::peer::PlacedTask;
 use log::info;
 
-/// By how much the writes of assignments of priority `prod` go ahead of their turn, in microseconds.
-const PROD_AHEAD: Micros = 60 * SECOND;
+/// Time by which the writes of assignments of priority `prod` are scheduled ahead of others.
+const PROD_WRITE_ADVANCE_US: Micros = 60 * SECOND;
 
-/// The same for priority `high`.
-const HIGH_AHEAD: Micros = 10 * SECOND;
+/// Time by which the writes of assignments of priority `high` are scheduled ahead of others.
+const HIGH_WRITE_ADVANCE_US: Micros = 10 * SECOND;
 
 impl Scheduler {
-    /// Puts a task on a machine, which launches it once that is durable; `attempt` is its number, and `expected`
-    /// how long it is expected to stay, in microseconds.
+    /// Assigns a task to a machine. The machine is told to launch the task once the assignment is durable.
+    /// `attempt` is the attempt number, and `expected` is how long the task is expected to stay on the machine, in
+    /// microseconds.
     pub(crate) fn create_assignment(
         &mut self,
         context: &Context,
@@ -30,7 +31,7 @@
     ) {
         let now = context.now.steady;
         let page = self.page_with_room();
-        let due = now.saturating_sub(write_ahead(spec));
+        let due = now.saturating_sub(write_advance(spec));
         let written = self.write_buffer.mark_dirty_by(RecordId::Page(page), due);
         let by_holder = self.is_holder();
         self.log_service_placement(context, name, job, task, spec);
@@ -62,7 +63,7 @@
         machine.idle_since = now;
         self.page_mut(page).add(name, &assignment);
         self.add_assignment(name, assignment);
-        // Its answer carries the launch once the page is written.
+        // The response to the agent's long poll carries the launch once the page is written.
         self.wake_long_poll(context, name);
     }
 
@@ -83,17 +84,18 @@
         info!(
             job = spec.id, task = task, machine = name, zone = machine.zone, age_ms = age / MILLI,
             image_cached = machine.has_image(&spec.image), free_cpus = machine.free().cpus;
-            "placing a task of a service"
+            "placing a replica of a service on a machine"
         );
     }
 }
 
-/// By how much the write of an assignment goes ahead of its turn, in microseconds. When far more is to be written
-/// than the rate allows, as after a failover, services once waited half a minute behind hundreds of batch tasks.
-fn write_ahead(spec: &Submission) -> Micros {
+/// Returns the time by which the write of an assignment is scheduled ahead of others, in microseconds. After a
+/// failover, far more writes are due than the rate limit allows. Without this lead, the writes for services wait
+/// half a minute behind those of hundreds of batch tasks.
+fn write_advance(spec: &Submission) -> Micros {
     match spec.priority {
-        Priority::Prod => PROD_AHEAD,
-        Priority::High => HIGH_AHEAD,
+        Priority::Prod => PROD_WRITE_ADVANCE_US,
+        Priority::High => HIGH_WRITE_ADVANCE_US,
         _ => 0,
     }
 }
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -1,4 +1,5 @@
-//! Preemption for guaranteed shares: frees resources for teams below theirs by stopping tasks of teams above theirs.
+//! Preemption for guaranteed shares: stops tasks of teams that use more than their guaranteed share to free
+//! resources for teams that use less than theirs.
 
 use crate::context::Context;
 use crate::scheduler::leader::placement::pool::PoolMachine;
@@ -14,25 +15,26 @@
 use log::{debug, info};
 use std::collections::BTreeSet;
 
-/// A task that may be stopped if its team uses more than its guaranteed share.
+/// A task that may be preempted if its team uses more than its guaranteed share.
 struct PreemptionCandidate {
-    /// Its job has waited or was preempted long enough: it is stopped last.
-    aged: bool,
-    /// How long it has run, in microseconds.
-    ran: Micros,
+    /// Whether the task's job has risen in priority after it starved, or has been preempted often enough. Its
+    /// tasks are preempted last.
+    has_aged: bool,
+    /// How long the task has run, in microseconds.
+    ran_for: Micros,
     attempt: TaskAttempt,
     team: String,
-    /// What it uses of its team's limit.
+    /// What the task uses of its team's limit.
     amount: Resources,
     resources: MachineResources,
-    /// Time for its checkpoint, in microseconds.
+    /// Time that the task gets to write a checkpoint, in microseconds.
     grace: Micros,
 }
 
-/// A task that is to be stopped.
+/// A decision to preempt a task.
 struct Preemption {
     attempt: TaskAttempt,
-    /// Time for its checkpoint, in microseconds.
+    /// Time that the task gets to write a checkpoint, in microseconds.
     grace: Micros,
 }
 
@@ -40,15 +42,16 @@
 type UsageAboveGuarantee = TeamAmounts;
 
 impl Scheduler {
-    /// Stops tasks of teams that use more than their guaranteed share, of whatever priority, where teams below
-    /// theirs have tasks that wait for free resources. No team is brought below its own guaranteed share.
+    /// Preempts tasks of teams that use more than their guaranteed share, regardless of priority, for teams that
+    /// use less than theirs and have tasks waiting for free resources. No team is brought below its own guaranteed
+    /// share.
     pub(crate) fn preempt_for_guarantees(&mut self, context: &mut Context, queue: &[QueuedJob]) {
         for Preemption { attempt, grace } in self.preemptions_for_guarantees(context, queue) {
             info!(
                 task = attempt.task, attempt = attempt.attempt;
                 "preempting a task for a team below its guaranteed share"
             );
-            self.note_preempted(attempt);
+            self.count_preemption(attempt);
             self.stop_attempt(context, attempt, grace);
         }
     }
@@ -58,36 +61,36 @@
         context: &Context,
         queue: &[QueuedJob],
     ) -> Vec<Preemption> {
-        let within = self.within_guarantee(context);
-        let waiting = self.waiting_within_guarantee(context, queue, &within);
+        let within_guarantee = self.jobs_within_guarantee(context);
+        let waiting = self.waiting_jobs_within_guarantee(context, queue, &within_guarantee);
         if waiting.is_empty() {
             return Vec::new();
         }
         let mut above = self.usage_above_guarantees(context);
-        let mut pool = self.guarantee_pool(context, &within);
-        let mut missing = self.missing_to_guarantees(context);
+        let mut pool = self.guarantee_pool(context, &within_guarantee);
+        let mut shortfalls = self.guarantee_shortfalls(context);
         let mut preemptions = Vec::new();
         for index in waiting {
             let Some(job) = self.jobs.get(index) else {
                 continue;
             };
-            let Some(missing) = missing.get_mut(&job.spec.team) else {
+            let Some(shortfall) = shortfalls.get_mut(&job.spec.team) else {
                 continue;
             };
             let spec = &job.spec;
             let mut preempting = PreemptingJob {
                 spec,
-                task: Resources::of(spec.cpus, spec.gpus),
-                tasks: job.placeable(context.now.steady) + job.waiting_at_holders,
-                missing,
+                task_amount: Resources::of(spec.cpus, spec.gpus),
+                missing_tasks: job.placeable(context.now.steady) + job.waiting_at_holders,
+                shortfall,
             };
-            preempting.take_free(context, &mut pool);
-            preemptions.extend(preempting.preempt(context, &mut pool, &mut above));
+            preempting.allocate_free(context, &mut pool);
+            preemptions.extend(preempting.choose_preemptions(context, &mut pool, &mut above));
         }
         preemptions
     }
 
-    fn note_preempted(&mut self, attempt: TaskAttempt) {
+    fn count_preemption(&mut self, attempt: TaskAttempt) {
         let index = self
             .assignments()
             .find(|a| a.id() == attempt)
@@ -97,12 +100,13 @@
         }
     }
 
-    /// Jobs within their team's guaranteed share that have waited for free resources.
-    fn waiting_within_guarantee(
+    /// Returns the jobs within their team's guaranteed share that wait for free resources: those that have waited
+    /// long enough, and those with tasks that wait at partition holders.
+    fn waiting_jobs_within_guarantee(
         &self,
         context: &Context,
         queue: &[QueuedJob],
-        within: &BTreeSet<JobIndex>,
+        within_guarantee: &BTreeSet<JobIndex>,
     ) -> Vec<JobIndex> {
         let now = context.now.steady;
         let waits = |index: &JobIndex| {
@@ -114,28 +118,32 @@
             })
         };
         let mut waiting: Vec<JobIndex> = queue.iter().map(|queued| queued.index).collect();
-        // Jobs all of whose tasks were given to holders are in no queue.
+        // The queue does not contain jobs whose tasks are all delegated to holders.
         let at_holders = self
             .jobs
             .iter()
             .filter(|(_, job)| job.waiting_at_holders > 0);
         waiting.extend(at_holders.map(|(index, _)| index));
         let mut seen = BTreeSet::new();
-        waiting.retain(|index| seen.insert(*index) && within.contains(index) && waits(index));
+        waiting.retain(|index| {
+            seen.insert(*index) && within_guarantee.contains(index) && waits(index)
+        });
         waiting
     }
 
-    /// What each team lacks to its guaranteed share.
-    fn missing_to_guarantees(&self, context: &Context) -> TeamAmounts {
+    /// Returns how much each team below its guaranteed share may still use of it.
+    fn guarantee_shortfalls(&self, context: &Context) -> TeamAmounts {
         let teams = self.team_limits(context);
-        let missing = teams.into_iter().map(|(team, limit)| {
-            let missing = limit.guarantee.saturating_sub(self.needed_by(&team));
-            (team, missing)
+        let shortfalls = teams.into_iter().map(|(team, limit)| {
+            let shortfall = limit.guarantee.saturating_sub(self.needed_by(&team));
+            (team, shortfall)
         });
-        missing.filter(|(_, missing)| !missing.is_zero()).collect()
+        shortfalls
+            .filter(|(_, shortfall)| !shortfall.is_zero())
+            .collect()
     }
 
-    /// What each team's tasks that stay use above its guaranteed share.
+    /// Returns what each team uses above its guaranteed share, without tasks that are being stopped.
     fn usage_above_guarantees(&self, context: &Context) -> UsageAboveGuarantee {
         let mut usage = UsageAboveGuarantee::new();
         for assignment in self.assignments().filter(|a| a.stop.is_none()) {
@@ -149,29 +157,31 @@
         usage
     }
 
-    /// The machines, with the tasks that may be stopped there in the order in which they are. Tasks that a team
-    /// runs within its guaranteed share are not among them.
+    /// Returns the usable machines, each with the tasks that may be preempted, in the order in which they are.
+    /// Tasks of jobs within their team's guaranteed share are not among them.
     fn guarantee_pool(
         &self,
         context: &Context,
-        within: &BTreeSet<JobIndex>,
+        within_guarantee: &BTreeSet<JobIndex>,
     ) -> Vec<PoolMachine<'_, PreemptionCandidate>> {
         self.usable_machines(context)
             .map(|machine| {
                 let staying = machine.assignments.iter().filter(|a| a.stop.is_none());
                 let mut candidates: Vec<PreemptionCandidate> = staying
-                    .filter(|a| !within.contains(&a.job))
+                    .filter(|a| !within_guarantee.contains(&a.job))
                     .filter_map(|a| self.guarantee_candidate(context, a))
                     .collect();
-                // The youngest first, of whatever priority. With the lowest priority first a whole class was
-                // stopped again and again and hardly any of its jobs ended.
-                candidates.sort_by_key(|c| (c.aged, c.ran, c.attempt));
+                // Tasks that have run for the shortest time come first, regardless of priority. With the lowest
+                // priority first, all jobs of one class are preempted again and again, and hardly any of them
+                // finish.
+                candidates.sort_by_key(|c| (c.has_aged, c.ran_for, c.attempt));
                 PoolMachine::new(machine, candidates)
             })
             .collect()
     }
 
-    /// The task, if it may be stopped for a guaranteed share: services and gangs are left alone.
+    /// Returns the task as a candidate if it may be preempted for a guaranteed share. Tasks of services and gangs
+    /// are not preempted, nor are tasks that are writing a checkpoint in order to stop.
     fn guarantee_candidate(
         &self,
         context: &Context,
@@ -183,8 +193,8 @@
         }
         let now = context.now.steady;
         Some(PreemptionCandidate {
-            aged: has_aged(job),
-            ran: assignment.started.map_or(0, |at| now.saturating_sub(at)),
+            has_aged: has_aged(job),
+            ran_for: assignment.started.map_or(0, |at| now.saturating_sub(at)),
             attempt: assignment.id(),
             team: assignment.team.clone(),
             amount: assignment.amount(),
@@ -198,42 +208,42 @@
     job.has_been_preempted_enough() || job.preemption_priority() > job.spec.priority
 }
 
-/// A job of a team below its guaranteed share.
+/// A job of a team below its guaranteed share, for which tasks of other teams are preempted.
 struct PreemptingJob<'a> {
     spec: &'a Submission,
-    /// What a task uses of the team's limit.
-    task: Resources,
+    /// What one task of the job uses of the team's limit.
+    task_amount: Resources,
     /// How many of its tasks still lack resources.
-    tasks: u64,
-    /// What the team still lacks to its guaranteed share.
-    missing: &'a mut Resources,
+    missing_tasks: u64,
+    /// How much the team may still use of its guaranteed share.
+    shortfall: &'a mut Resources,
 }
 
 impl PreemptingJob<'_> {
-    /// Whether more of its tasks are to get resources.
+    /// Returns whether the job has more tasks that lack resources and fit the guaranteed share.
     fn has_more(&self) -> bool {
-        self.tasks > 0 && self.task.fits(*self.missing)
+        self.missing_tasks > 0 && self.task_amount.fits(*self.shortfall)
     }
 
-    /// Counts one more of its tasks on the machine.
-    fn take(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
-        machine.take(self.spec);
-        *self.missing = self.missing.saturating_sub(self.task);
-        self.tasks -= 1;
+    /// Allocates resources on the machine and a part of the guaranteed share to one more task of the job.
+    fn allocate_on(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
+        machine.allocate_task(self.spec);
+        *self.shortfall = self.shortfall.saturating_sub(self.task_amount);
+        self.missing_tasks -= 1;
     }
 
-    /// Takes what is free or will be.
-    fn take_free(&mut self, context: &Context, pool: &mut [PoolMachine<PreemptionCandidate>]) {
+    /// Allocates resources that are free or will be to tasks of the job.
+    fn allocate_free(&mut self, context: &Context, pool: &mut [PoolMachine<PreemptionCandidate>]) {
         let spec = self.spec;
         for machine in pool.iter_mut().filter(|m| m.permits(context, spec)) {
             while self.has_more() && tasks_that_fit(machine.free, spec) > 0 {
-                self.take(machine);
+                self.allocate_on(machine);
             }
         }
     }
 
-    /// Chooses tasks of teams above their guaranteed share to be stopped.
-    fn preempt(
+    /// Chooses tasks of teams above their guaranteed share to preempt for the rest of the job's tasks.
+    fn choose_preemptions(
         &mut self,
         context: &Context,
         pool: &mut [PoolMachine<PreemptionCandidate>],
@@ -243,11 +253,11 @@
         let spec = self.spec;
         for machine in pool.iter_mut().filter(|m| m.permits(context, spec)) {
             while self.has_more() {
-                let Some(chosen) = machine.preempt(spec, above) else {
+                let Some(chosen) = machine.choose_preemptions(spec, above) else {
                     break;
                 };
                 preemptions.extend(chosen);
-                self.take(machine);
+                self.allocate_on(machine);
             }
         }
         preemptions
@@ -255,8 +265,9 @@
 }
 
 impl PoolMachine<'_, PreemptionCandidate> {
-    /// Chooses tasks to stop so that one task of the job fits; `None`: there are not enough.
-    fn preempt(
+    /// Chooses tasks to preempt on the machine so that one task of the job fits. Returns `None` if the candidates
+    /// do not free enough.
+    fn choose_preemptions(
         &mut self,
         spec: &Submission,
         above: &mut UsageAboveGuarantee,
@@ -280,7 +291,10 @@
         if tasks_that_fit(free, spec) == 0 || chosen.is_empty() {
             return None;
         }
-        debug!(machine = self.machine.name, tasks = chosen.len(); "tasks to be preempted");
+        debug!(
+            machine = self.machine.name, tasks = chosen.len();
+            "chose tasks to preempt for a guaranteed share"
+        );
         *above = above_left;
         self.free = free;
         let stopped = chosen.into_iter().rev();
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption by priority: stops tasks of lower priority for jobs that wait.
+//! Preemption by priority: stops tasks of lower priority to free resources for waiting jobs.
 
 use crate::context::Context;
 use crate::scheduler::leader::placement::pool::PoolMachine;
@@ -12,44 +12,47 @@
 use grebewood_wire::http::{Priority, Shape, Submission};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a task must have run before it may be stopped, in microseconds.
-const LEAST_RUN: Micros = 5 * SECOND;
+/// Time that a task must have run before it may be preempted.
+const MIN_RUN_US: Micros = 5 * SECOND;
 
-/// The same where a start counts only if the task is left alone for 30 s, in microseconds.
-const LEAST_COUNTED_RUN: Micros = 31 * SECOND;
+/// Time that a task must have run before it may be preempted if its start counts for an objective only after 30 s
+/// without interruption.
+const MIN_COUNTED_RUN_US: Micros = 31 * SECOND;
 
-/// A task that will end sooner than this is not stopped, in microseconds.
-const LEAST_REMAINING: Micros = 10 * SECOND;
+/// A task that is expected to end sooner than this is not preempted.
+const MIN_REMAINING_US: Micros = 10 * SECOND;
 
-/// How long lower priorities are kept off a machine after its stopped tasks should have ended, in microseconds.
-const KEPT_AFTER_STOP: Micros = 4 * SECOND;
+/// Time for which tasks of idle priority are not placed on a machine after its preempted tasks should have ended.
+const IDLE_EXCLUSION_AFTER_STOP_US: Micros = 4 * SECOND;
 
-/// A task that may be stopped for another of higher priority.
+/// A task that may be preempted for a job of higher priority.
 #[derive(Clone)]
 struct PreemptionCandidate {
-    /// How long it has run, in microseconds.
-    ran: Micros,
+    /// How long the task has run, in microseconds.
+    ran_for: Micros,
+    /// The priority that decides for which jobs the task may be preempted.
     priority: Priority,
     attempt: u64,
-    /// Whether its job is within its team's guaranteed share, where that is enforced.
-    guaranteed: bool,
+    /// Whether the task's job is within its team's guaranteed share; false while guaranteed shares are not
+    /// enforced.
+    is_within_guarantee: bool,
     team: String,
-    /// Time for its checkpoint, in microseconds.
+    /// Time that the task gets to write a checkpoint, in microseconds.
     grace: Micros,
     resources: MachineResources,
 }
 
-/// A task that is to be stopped.
+/// A decision to preempt a task.
 struct Preemption {
     machine: String,
     attempt: u64,
-    /// Time for its checkpoint, in microseconds.
+    /// Time that the task gets to write a checkpoint, in microseconds.
     grace: Micros,
 }
 
 type Pool<'a> = [PoolMachine<'a, PreemptionCandidate>];
 
-/// What is left of a team's limit.
+/// The unused part of a team's limit.
 #[derive(Clone, Copy)]
 struct QuotaLeft {
     cpus: f64,
@@ -57,7 +60,8 @@
 }
 
 impl QuotaLeft {
-    /// What is left once the tasks that are being stopped have ended.
+    /// Computes what is left of `limit` once the tasks that are being stopped have ended, with `used` the present
+    /// use and `freed` the part of it that those tasks free.
     fn new(limit: Resources, used: Resources, freed: Resources) -> Self {
         QuotaLeft {
             cpus: limit.cpus() - used.cpus() + freed.cpus(),
@@ -65,7 +69,7 @@
         }
     }
 
-    fn covers(self, spec: &Submission) -> bool {
+    fn covers_task(self, spec: &Submission) -> bool {
         self.cpus + EPS >= spec.cpus && self.gpus + EPS >= spec.gpus
     }
 
@@ -84,9 +88,9 @@
     }
 }
 
-/// The zone in which resources can be freed for a `one_zone` job: that of its tasks, else the one where
-/// the most of them would fit.
-fn zone_for(context: &Context, job: &Job, pool: &Pool) -> Option<String> {
+/// Returns the zone in which to free resources for a `one_zone` job: the zone that its tasks bind it to, or else
+/// the one in which the most of its tasks would fit. Returns `None` for other jobs.
+fn preemption_zone(context: &Context, job: &Job, pool: &Pool) -> Option<String> {
     let spec = &job.spec;
     if !spec.one_zone {
         return None;
@@ -105,31 +109,31 @@
     best.map(|(zone, _)| zone.to_string())
 }
 
-/// Tasks that are chosen to be stopped on a machine, and what is free then.
-struct Choice {
-    /// Their places among the machine's candidates, ascending.
+/// Tasks that are chosen to be preempted on a machine, and the resources and quota that are free after that.
+struct ChosenTasks {
+    /// The indices of the chosen tasks among the machine's candidates, ascending.
     candidates: Vec<usize>,
     free: MachineResources,
     quota: QuotaLeft,
 }
 
-/// A job that tasks of lower priority are stopped for.
+/// A job for which tasks of lower priority are preempted.
 struct PreemptingJob<'a> {
     job: &'a Job,
-    /// Whether it is within its team's guaranteed share, where that is enforced.
-    guaranteed: bool,
-    /// The only zone for its tasks, if there is one.
+    /// Whether the job is within its team's guaranteed share; false while guaranteed shares are not enforced.
+    is_within_guarantee: bool,
+    /// The only zone in which its tasks may be placed, if there is one.
     zone: Option<String>,
     /// How many of its tasks still lack resources.
-    missing: u64,
-    /// What is left of its team's limit.
+    missing_tasks: u64,
+    /// The unused part of its team's limit.
     quota: QuotaLeft,
 }
 
 impl PreemptingJob<'_> {
-    /// Whether the machine may take its tasks. Free resources in a zone that may take none of its tasks, given
-    /// where the others are, are of no use: tasks there were once stopped for it, came back, and were stopped
-    /// again.
+    /// Returns whether a task of the job may be placed on the machine, also given the zones of its other tasks.
+    /// Without the check of the zones, tasks are preempted in a zone that the job cannot use, start there again
+    /// and are preempted again.
     fn may_use(&self, context: &Context, machine: &PoolMachine<PreemptionCandidate>) -> bool {
         let zone = &machine.machine.zone;
         machine.permits(context, &self.job.spec)
@@ -137,56 +141,58 @@
             && self.zone.as_ref().is_none_or(|only| only == zone)
     }
 
-    /// Counts one more of its tasks on the machine.
-    fn take(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
-        machine.take(&self.job.spec);
+    /// Allocates resources on the machine and quota of the team to one more task of the job.
+    fn allocate_on(&mut self, machine: &mut PoolMachine<PreemptionCandidate>) {
+        machine.allocate_task(&self.job.spec);
         self.quota = self.quota.without_task(&self.job.spec);
-        self.missing -= 1;
+        self.missing_tasks -= 1;
     }
 
-    /// Takes what is free or will be, then chooses tasks to stop.
-    fn preempt(&mut self, context: &Context, pool: &mut Pool) -> Vec<Preemption> {
-        self.take_free(context, pool);
+    /// Allocates what is free or will be to tasks of the job, then chooses the tasks to preempt for the rest of
+    /// its tasks.
+    fn choose_preemptions(&mut self, context: &Context, pool: &mut Pool) -> Vec<Preemption> {
+        self.allocate_free(context, pool);
         let mut preemptions = Vec::new();
         for machine in pool {
-            if self.missing == 0 {
+            if self.missing_tasks == 0 {
                 break;
             }
             if !machine.candidates.is_empty() && self.may_use(context, machine) {
-                self.preempt_on(machine, &mut preemptions);
+                self.choose_preemptions_on(machine, &mut preemptions);
             }
         }
         preemptions
     }
 
-    fn take_free(&mut self, context: &Context, pool: &mut Pool) {
+    fn allocate_free(&mut self, context: &Context, pool: &mut Pool) {
         let spec = &self.job.spec;
         for machine in pool {
-            while self.missing > 0
-                && self.quota.covers(spec)
+            while self.missing_tasks > 0
+                && self.quota.covers_task(spec)
                 && tasks_that_fit(machine.free, spec) > 0
                 && self.may_use(context, machine)
             {
-                self.take(machine);
+                self.allocate_on(machine);
             }
         }
     }
 
-    fn preempt_on(
+    fn choose_preemptions_on(
         &mut self,
         machine: &mut PoolMachine<PreemptionCandidate>,
         preemptions: &mut Vec<Preemption>,
     ) {
         let team = &self.job.spec.team;
-        // Its own team's tasks first, since they free quota too; then the youngest.
+        // Tasks of the job's own team come first, since stopping them also frees quota; then those that have run
+        // for the shortest time.
         machine
             .candidates
-            .sort_by_key(|c| (c.team != *team, c.ran, c.attempt));
-        while self.missing > 0 {
-            let Some(choice) = self.choose(machine) else {
+            .sort_by_key(|c| (c.team != *team, c.ran_for, c.attempt));
+        while self.missing_tasks > 0 {
+            let Some(chosen_tasks) = self.choose_tasks(machine) else {
                 break;
             };
-            for at in choice.candidates.into_iter().rev() {
+            for at in chosen_tasks.candidates.into_iter().rev() {
                 let candidate = machine.candidates.remove(at);
                 preemptions.push(Preemption {
                     machine: machine.machine.name.clone(),
@@ -194,46 +200,48 @@
                     grace: candidate.grace,
                 });
             }
-            machine.free = choice.free;
-            self.quota = choice.quota;
-            self.take(machine);
+            machine.free = chosen_tasks.free;
+            self.quota = chosen_tasks.quota;
+            self.allocate_on(machine);
         }
     }
 
-    /// Chooses the tasks to stop so that one more task of the job fits; `None`: there are not enough.
-    fn choose(&self, machine: &PoolMachine<PreemptionCandidate>) -> Option<Choice> {
+    /// Chooses tasks to preempt on the machine so that one more task of the job fits. Returns `None` if stopping
+    /// all of the candidates that it may preempt does not free enough.
+    fn choose_tasks(&self, machine: &PoolMachine<PreemptionCandidate>) -> Option<ChosenTasks> {
         let spec = &self.job.spec;
-        let mut choice = Choice {
+        let mut chosen_tasks = ChosenTasks {
             candidates: Vec::new(),
             free: machine.free,
             quota: self.quota,
         };
-        let suffices =
-            |choice: &Choice| tasks_that_fit(choice.free, spec) > 0 && choice.quota.covers(spec);
+        let suffices = |chosen_tasks: &ChosenTasks| {
+            tasks_that_fit(chosen_tasks.free, spec) > 0 && chosen_tasks.quota.covers_task(spec)
+        };
         for (at, candidate) in machine.candidates.iter().enumerate() {
-            if suffices(&choice) {
+            if suffices(&chosen_tasks) {
                 break;
             }
-            let served_first = candidate.guaranteed && !self.guaranteed;
-            if candidate.priority >= spec.priority || served_first {
+            let is_protected = candidate.is_within_guarantee && !self.is_within_guarantee;
+            if candidate.priority >= spec.priority || is_protected {
                 continue;
             }
-            choice.candidates.push(at);
-            choice.free = choice.free + candidate.resources;
+            chosen_tasks.candidates.push(at);
+            chosen_tasks.free = chosen_tasks.free + candidate.resources;
             if candidate.team == spec.team {
-                choice.quota = choice.quota.with_freed(candidate.resources);
+                chosen_tasks.quota = chosen_tasks.quota.with_freed(candidate.resources);
             }
         }
-        suffices(&choice).then_some(choice)
+        suffices(&chosen_tasks).then_some(chosen_tasks)
     }
 }
 
 impl Scheduler {
-    /// Stops tasks of lower priority that write checkpoints, for jobs that wait for free resources or for their
-    /// team's quota. Only as much is stopped on a machine as lets a whole task fit there, and what it leaves is
-    /// kept from lower priorities until it is taken: narrow tasks that were stopped for a wide one used to come
-    /// back into the gap, to be stopped again.
-    pub(crate) fn preempt(&mut self, context: &mut Context, queue: &[QueuedJob]) {
+    /// Preempts tasks of lower priority that write checkpoints, for jobs that wait for free resources or for their
+    /// team's quota. A task is preempted only if whole tasks of the waiting job fit the machine after that, and
+    /// tasks of idle priority are then kept off the machine for a short time. Without this, the preempted tasks
+    /// start again on the freed resources before the waiting job is placed, and are preempted again.
+    pub(crate) fn preempt_by_priority(&mut self, context: &mut Context, queue: &[QueuedJob]) {
         let now = context.now.steady;
         for preemption in self.choose_preemptions(context, queue) {
             let Preemption {
@@ -242,7 +250,7 @@
                 grace,
             } = preemption;
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.idle_excluded_until = now + grace + KEPT_AFTER_STOP;
+                machine.idle_excluded_until = now + grace + IDLE_EXCLUSION_AFTER_STOP_US;
             }
             self.stop_assignments(context, &name, grace, |a| a.attempt == attempt);
         }
@@ -254,13 +262,13 @@
         if waiting.is_empty() {
             return Vec::new();
         }
-        // Where guaranteed shares are enforced, tasks within them are placed before all others, and are not
-        // stopped for those.
+        // While guaranteed shares are enforced, tasks within them are placed before others and are not preempted
+        // for others.
         let guaranteed = match self.enforces_guarantees(context) {
-            true => self.within_guarantee(context),
+            true => self.jobs_within_guarantee(context),
             false => BTreeSet::new(),
         };
-        let stopping = self.usage_being_stopped(context);
+        let stopping = self.usage_of_stopping_tasks(context);
         let mut pool = self.preemption_pool(context, &guaranteed);
         let mut preemptions = Vec::new();
         for index in waiting {
@@ -274,23 +282,24 @@
             let freed = stopping.get(team).copied().unwrap_or_default();
             let mut preempting = PreemptingJob {
                 job,
-                guaranteed: guaranteed.contains(&index),
-                zone: zone_for(context, job, &pool),
-                missing: job.placeable(context.now.steady),
+                is_within_guarantee: guaranteed.contains(&index),
+                zone: preemption_zone(context, job, &pool),
+                missing_tasks: job.placeable(context.now.steady),
                 quota: QuotaLeft::new(quota.limit, self.needed_by(team), freed),
             };
-            // A gang needs all of its slots: what is stopped for a part of them is stopped for nothing.
-            let before = (job.shape == Shape::Gang).then(|| pool.clone());
-            let chosen = preempting.preempt(context, &mut pool);
-            match before {
-                Some(before) if preempting.missing > 0 => pool = before,
+            // A gang starts only with all of its tasks, so it preempts nothing unless all of them will fit.
+            let pool_before = (job.shape == Shape::Gang).then(|| pool.clone());
+            let chosen = preempting.choose_preemptions(context, &mut pool);
+            match pool_before {
+                Some(pool_before) if preempting.missing_tasks > 0 => pool = pool_before,
                 _ => preemptions.extend(chosen),
             }
         }
         preemptions
     }
 
-    /// Whether the job has waited long enough for tasks of lower priority to be stopped.
+    /// Returns whether tasks of lower priority may be preempted for the job: it is above idle priority, has waited
+    /// long enough, has tasks to place, does not keep failing, and can still meet an objective.
     fn may_preempt(&self, context: &Context, index: JobIndex) -> bool {
         let now = context.now.steady;
         self.jobs.get(index).is_some_and(|job| {
@@ -305,8 +314,8 @@
         })
     }
 
-    /// What each team's tasks that are being stopped use of its limit.
-    fn usage_being_stopped(&self, context: &Context) -> TeamAmounts {
+    /// Returns what the tasks that are being stopped on usable machines use of each team's limit.
+    fn usage_of_stopping_tasks(&self, context: &Context) -> TeamAmounts {
         let mut stopping = TeamAmounts::new();
         let machines = self.usable_machines(context);
         let assignments = machines.flat_map(|m| &m.assignments);
@@ -317,7 +326,7 @@
         stopping
     }
 
-    /// Machines with free resources, or with tasks that may be stopped.
+    /// Returns the usable machines that have free CPUs or tasks that may be preempted.
     fn preemption_pool(
         &self,
         context: &Context,
@@ -334,7 +343,7 @@
             .collect()
     }
 
-    /// The task, if it may be stopped for others of higher priority.
+    /// Returns the task as a candidate if it may be preempted for jobs of higher priority.
     fn preemption_candidate(
         &self,
         context: &Context,
@@ -343,18 +352,18 @@
     ) -> Option<PreemptionCandidate> {
         let now = context.now.steady;
         let job = self.jobs.get(assignment.job)?;
-        let ran = assignment.started.map_or(0, |at| now.saturating_sub(at));
+        let ran_for = assignment.started.map_or(0, |at| now.saturating_sub(at));
         let may_be_stopped = assignment.stop.is_none()
             && !job.is_daemon()
             && job.checkpoints()
             && assignment.seen == ObservedStatus::Running
-            && ran >= least_run(context, job)
-            && assignment.remaining(now, 0) >= LEAST_REMAINING;
+            && ran_for >= min_run_before_preemption(context, job)
+            && assignment.remaining(now, 0) >= MIN_REMAINING_US;
         may_be_stopped.then(|| PreemptionCandidate {
-            ran,
+            ran_for,
             priority: job.preemption_priority(),
             attempt: assignment.attempt,
-            guaranteed: guaranteed.contains(&assignment.job),
+            is_within_guarantee: guaranteed.contains(&assignment.job),
             team: assignment.team.clone(),
             grace: job.checkpoint_grace(),
             resources: assignment.resources(),
@@ -362,14 +371,16 @@
     }
 }
 
-/// How long a task of the job must have run before it may be stopped, in microseconds. A start counts for an
-/// objective only if the task is left alone for 30 s; and what a job begins with after a long wait stays.
-fn least_run(context: &Context, job: &Job) -> Micros {
-    let live: u32 = job.zones.values().sum();
-    let is_beginning =
-        job.age(context.now.steady) > BEGIN_AFTER && u64::from(live) <= job.beginning();
+/// Returns how long a task of the job must have run before it may be preempted, in microseconds. The time is
+/// longer if an objective measures how soon tasks of the job's class start, because such a start counts only if
+/// the task runs for 30 s without interruption. It is also longer for a job older than [`BEGIN_AFTER`] that has no
+/// more tasks on machines than it starts with, so that a job that started late keeps its first tasks.
+fn min_run_before_preemption(context: &Context, job: &Job) -> Micros {
+    let tasks_on_machines: u32 = job.zones.values().sum();
+    let is_beginning = job.age(context.now.steady) > BEGIN_AFTER
+        && u64::from(tasks_on_machines) <= job.beginning();
     match is_beginning || context.settings.has_start_objective(&job.spec.class) {
-        true => LEAST_COUNTED_RUN,
-        false => LEAST_RUN,
+        true => MIN_COUNTED_RUN_US,
+        false => MIN_RUN_US,
     }
 }
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs are served.
+//! The job queue: the order in which waiting jobs are served.
 
 use crate::context::Context;
 use crate::scheduler::leader::placement::QueuedJob;
@@ -9,99 +9,105 @@
 use grebewood_wire::http::{Priority, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Levels of urgency in the queue: lower ones are served first.
+/// Levels of urgency in the job queue: lower levels are served first. A job has the lowest level that applies to it.
 mod level {
-    /// The beginning of a job that has waited long for one.
-    pub(super) const BEGINNING: u8 = 0;
-    /// Within a guaranteed share, where that is enforced.
+    /// The start of a job that has waited too long to start.
+    pub(super) const OVERDUE_START: u8 = 0;
+    /// Jobs within their team's guaranteed share, while guaranteed shares are enforced.
     pub(super) const ENFORCED_GUARANTEE: u8 = 1;
-    /// Priority `prod`.
+    /// Jobs of priority `prod`.
     pub(super) const PROD: u8 = 2;
-    /// Priority `high`.
+    /// Jobs of priority `high`.
     pub(super) const HIGH: u8 = 3;
-    /// Has waited long without getting any further.
+    /// Jobs that have starved and catch up.
     pub(super) const CATCHING_UP: u8 = 4;
-    /// Within a guaranteed share, where an objective counts how soon it starts.
+    /// Jobs within their team's guaranteed share, if an objective measures how soon such jobs start.
     pub(super) const GUARANTEED: u8 = 5;
-    /// Priority `normal`.
+    /// Jobs of priority `normal`.
     pub(super) const NORMAL: u8 = 6;
-    /// Priority `idle`.
+    /// Jobs of priority `idle`.
     pub(super) const IDLE: u8 = 7;
 }
 
-/// How a job stands to its team's guaranteed share.
+/// Whether a job is within its team's guaranteed share, and how that affects its level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GuaranteeStanding {
-    /// It is not within it, or that counts for nothing.
+    /// The job exceeds the guaranteed share, or guaranteed shares do not affect the order: they are not enforced,
+    /// and no objective depends on them.
     Outside,
-    /// It is within it, and an objective counts how soon it starts.
+    /// The job is within the guaranteed share, and an objective measures how soon such jobs start.
     Within,
-    /// It is within it, and that is enforced.
+    /// The job is within the guaranteed share, and guaranteed shares are enforced.
     WithinEnforced,
 }
 
-/// What jobs are sorted by: the first in the queue is the lowest.
+/// Sort key of the job queue: the job with the lowest key is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     level: u8,
-    /// Whether it can meet no objective any more.
-    infeasible: bool,
-    /// Within a level: the time since which it waits, in microseconds, or the work that is left, in
-    /// CPU microseconds.
+    /// Whether the job can no longer meet any objective.
+    misses_all_objectives: bool,
+    /// The rank within the level. For an overdue start this is when the job was accepted, for a job that catches
+    /// up since when it had starved, both in microseconds. For all others it is the work left, in CPU
+    /// microseconds.
     rank: i64,
     index: JobIndex,
 }
 
 impl Scheduler {
-    /// Time that a job still needs if it gets all that its team's limit allows, in microseconds.
+    /// Returns the time that a job still needs, in microseconds, if it gets as many CPUs as its team's limit
+    /// allows.
     pub(crate) fn time_needed(&self, context: &Context, job: &Job) -> Micros {
         let run = self.stats.expected_run(&job.spec);
         let left = job.tasks().saturating_sub(job.completed_count) as f64;
         let quota = self.limit_of(context, &job.spec.team);
         let cpus = job.spec.cpus.max(EPS);
-        let most = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
-        let rounds = (left / most.clamp(1.0, 1e6)).max(1.0);
+        let max_parallel_tasks = quota.map_or(left, |quota| (quota.limit.cpus() / cpus).floor());
+        let rounds = (left / max_parallel_tasks.clamp(1.0, 1e6)).max(1.0);
         (run as f64 * rounds) as Micros
     }
 
-    /// Jobs within their team's guaranteed share: those that fit into it together with the team's earlier
-    /// jobs, as far as these are unfinished. They need not wait for other teams.
-    pub(crate) fn within_guarantee(&self, context: &Context) -> BTreeSet<JobIndex> {
+    /// Returns the jobs that are within their team's guaranteed share. A job is within it if its unfinished tasks
+    /// and those of all earlier jobs of the team fit it together. Such jobs do not have to wait for other teams.
+    pub(crate) fn jobs_within_guarantee(&self, context: &Context) -> BTreeSet<JobIndex> {
         let mut by_age: Vec<(JobIndex, &Job)> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.cancelled.is_none() && job.ending.is_none())
             .collect();
         by_age.sort_by_key(|(index, job)| (job.accepted_at, *index));
-        let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
-        let mut within = BTreeSet::new();
+        let mut totals_by_team: BTreeMap<&str, Resources> = BTreeMap::new();
+        let mut within_guarantee = BTreeSet::new();
         for (index, job) in by_age {
             let spec = &job.spec;
             let Some(quota) = self.limit_of(context, &spec.team) else {
                 continue;
             };
             let left = job.tasks().saturating_sub(job.completed_count);
-            let sum = sums.entry(&spec.team).or_default();
-            *sum = sum.saturating_add(Resources::of(spec.cpus, spec.gpus).times(left));
-            if sum.fits(quota.guarantee) {
-                within.insert(index);
+            let team_total = totals_by_team.entry(&spec.team).or_default();
+            *team_total =
+                team_total.saturating_add(Resources::of(spec.cpus, spec.gpus).times(left));
+            if team_total.fits(quota.guarantee) {
+                within_guarantee.insert(index);
             }
         }
-        within
+        within_guarantee
     }
 
-    /// The order in which waiting jobs are served: first the beginning of jobs that have waited
-    /// long for one; then, where guaranteed shares are enforced, what is within them; then by priority, with those
-    /// within their team's guaranteed share after the high ones and before all others, where an objective counts
-    /// how soon they start; before these what has waited long without getting any further; those that can still
-    /// meet an objective before those that cannot; then those with the least work left, since that lets the most
-    /// jobs meet their objectives when not all of them can.
+    /// Returns the waiting jobs in the order in which they are served: by the levels of the module `level`, and
+    /// within a level by the rest of `QueueKey`.
+    ///
+    /// On level `OVERDUE_START` the job that was accepted first comes first, and on level `CATCHING_UP` the one
+    /// that has starved for longest. On all other levels, jobs that can still meet an objective come before those
+    /// that cannot, and among them the jobs with the least work left come first: if not all jobs can meet their
+    /// objectives, this order lets the most of them do so.
     pub(crate) fn job_queue(&self, context: &Context) -> Vec<QueuedJob> {
         let now = context.now.steady;
-        // Where guaranteed shares are enforced, what is freed for them must not go to others.
-        let enforced = self.enforces_guarantees(context);
-        let guaranteed = match enforced || context.settings.has_guarantee_objective() {
-            true => self.within_guarantee(context),
+        // Resources that preemption frees for a guaranteed share must not go to other teams.
+        let are_guarantees_enforced = self.enforces_guarantees(context);
+        let guaranteed = match are_guarantees_enforced || context.settings.has_guarantee_objective()
+        {
+            true => self.jobs_within_guarantee(context),
             false => BTreeSet::new(),
         };
         let mut queue: Vec<QueueKey> = self
@@ -109,7 +115,7 @@
             .iter()
             .filter(|(_, job)| job.waiting() > 0 && job.retry_at <= now)
             .map(|(index, job)| {
-                let standing = match (guaranteed.contains(&index), enforced) {
+                let standing = match (guaranteed.contains(&index), are_guarantees_enforced) {
                     (false, _) => GuaranteeStanding::Outside,
                     (true, false) => GuaranteeStanding::Within,
                     (true, true) => GuaranteeStanding::WithinEnforced,
@@ -124,7 +130,7 @@
             .collect()
     }
 
-    /// What the job is sorted by.
+    /// Returns the sort key of the job.
     fn queue_key(
         &self,
         context: &Context,
@@ -132,25 +138,25 @@
         job: &Job,
         standing: GuaranteeStanding,
     ) -> QueueKey {
-        let level_and_rank = |level, rank| QueueKey {
+        let key_with = |level, rank| QueueKey {
             level,
-            infeasible: false,
+            misses_all_objectives: false,
             rank,
             index,
         };
         if job.must_begin(context.now.steady) {
-            return level_and_rank(level::BEGINNING, job.accepted_at);
+            return key_with(level::OVERDUE_START, job.accepted_at);
         }
-        // What is free now, to the one that has waited longest: a large array of higher
-        // priority once kept all of a class from being served.
-        let enforced_guarantee = standing == GuaranteeStanding::WithinEnforced;
+        // Among starved jobs, the one that has waited longest is served first. Without this level, a large array
+        // of higher priority can keep all jobs of a class from being served.
+        let is_within_enforced_guarantee = standing == GuaranteeStanding::WithinEnforced;
         if let Some(since) = job.catching_up() {
-            if job.spec.priority < Priority::High && !enforced_guarantee {
-                return level_and_rank(level::CATCHING_UP, since as i64);
+            if job.spec.priority < Priority::High && !is_within_enforced_guarantee {
+                return key_with(level::CATCHING_UP, since as i64);
             }
         }
         let level = match job.spec.priority {
-            _ if enforced_guarantee => level::ENFORCED_GUARANTEE,
+            _ if is_within_enforced_guarantee => level::ENFORCED_GUARANTEE,
             Priority::Prod => level::PROD,
             Priority::High => level::HIGH,
             _ if standing == GuaranteeStanding::Within => level::GUARANTEED,
@@ -159,7 +165,7 @@
         };
         QueueKey {
             level,
-            infeasible: job
+            misses_all_objectives: job
                 .target(context, self.time_needed(context, job))
                 .is_none(),
             rank: self.work_left(job),
@@ -167,8 +173,9 @@
         }
     }
 
-    /// Work that is left of a job array, in CPU microseconds. What needs its slots at once comes before what
-    /// fills them one by one.
+    /// Returns the work left of a batch job, in CPU microseconds, and 0 for gangs and services. These need
+    /// resources for their tasks at the same time, so they are served before batch jobs, which use free resources
+    /// one task at a time.
     fn work_left(&self, job: &Job) -> i64 {
         let left = job.tasks().saturating_sub(job.completed_count) as f64;
         let run = self.stats.expected_run(&job.spec) as f64;
--- a/crates/core/src/scheduler/leader/placement/reservation.rs
+++ b/crates/core/src/scheduler/leader/placement/reservation.rs
@@ -1,4 +1,4 @@
-//! Reservation of machines, within a round, for jobs that are to begin ahead of their turn.
+//! Reserves machines during a placement round for jobs that have waited too long to start.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -8,36 +8,40 @@
 use std::collections::BTreeSet;
 
 /// A machine that may be reserved for a job.
-struct Reservable<'a> {
+struct ReservableMachine<'a> {
     name: &'a str,
     zone: &'a str,
     free_cpus: f64,
-    /// Tasks of the job that fit the empty machine.
+    /// How many tasks of the job fit the empty machine.
     slots: u64,
 }
 
-/// The zones in which the cloud has machines for the job.
-fn zones_for<'a>(context: &'a Context, spec: &'a Submission) -> BTreeSet<&'a String> {
+/// Returns the zones in which the cloud offers machine types for the job and which the job permits.
+fn zones_with_machines_for<'a>(context: &'a Context, spec: &'a Submission) -> BTreeSet<&'a String> {
     machine_types_for(context, spec)
         .flat_map(|t| &t.zones)
         .filter(|zone| spec.zone.as_ref().is_none_or(|wanted| wanted == *zone))
         .collect()
 }
 
-/// A gang that is spread and has but one zone can never begin: a machine was once kept for one for good, and
-/// others waited beside it.
-fn can_begin(context: &Context, job: &Job) -> bool {
+/// Returns whether the job can start in the zones that it has. A spread gang that has only one zone can never
+/// start. Without this check, machines stay reserved for such a gang forever while other jobs wait for them.
+fn can_start(context: &Context, job: &Job) -> bool {
     let spec = &job.spec;
     let needs_two_zones = job.shape == Shape::Gang && spec.spread && spec.tasks > 1;
-    !needs_two_zones || zones_for(context, spec).len() >= 2
+    !needs_two_zones || zones_with_machines_for(context, spec).len() >= 2
 }
 
 impl Scheduler {
-    /// A job that is to begin ahead of its turn and found no free resources for a task: the machine with the most
-    /// free CPUs that it could use is kept from the jobs after it, so that its free resources add up. Narrow tasks
-    /// once took each slot as it became free, and a job of wide ones began after ten minutes. For a
-    /// gang as many machines are kept as hold all of it: with one it once waited for good.
-    pub(crate) fn reserve_for_beginning(
+    /// Reserves machines for a job that has waited too long to start and still has no task assigned, so that free
+    /// resources accumulate on them: it removes the machines from `open`, and jobs that are served later in the
+    /// round cannot use them. The machines with the most free CPUs that the job permits are reserved. Nothing is
+    /// reserved if the job does not fit its team's limit or cannot start in its zones.
+    ///
+    /// Without the reservation, tasks that need few resources use each slot as soon as it is freed, and a job
+    /// whose tasks need many resources starts only after ten minutes. For a gang, enough machines are reserved for
+    /// all of its tasks: with a single machine it would never start.
+    pub(crate) fn reserve_for_overdue_start(
         &self,
         context: &Context,
         index: JobIndex,
@@ -48,39 +52,40 @@
         };
         if !job.must_begin(context.now.steady)
             || !self.has_quota(context, index)
-            || !can_begin(context, job)
+            || !can_start(context, job)
         {
             return;
         }
-        let needed = match job.shape {
+        let needed_slots = match job.shape {
             Shape::Gang => job.beginning(),
             _ => 1,
         };
-        let mut slots = 0;
+        let mut reserved_slots = 0;
         let mut reserved = BTreeSet::new();
-        for machine in self.reservable(context, &job.spec, open) {
-            if slots >= needed {
+        for machine in self.reservable_machines(context, &job.spec, open) {
+            if reserved_slots >= needed_slots {
                 break;
             }
-            slots += machine.slots;
+            reserved_slots += machine.slots;
             reserved.insert(machine.name.to_string());
         }
         open.retain(|machine| !reserved.contains(&machine.name));
     }
 
-    /// Machines that may be reserved for the job, those with the most free CPUs first.
-    fn reservable<'a>(
+    /// Returns the machines that may be reserved for the job, those with the most free CPUs first. For a
+    /// `one_zone` job these are the machines in the zone of the first one.
+    fn reservable_machines<'a>(
         &self,
         context: &Context,
         spec: &Submission,
         open: &'a [OpenMachine],
-    ) -> Vec<Reservable<'a>> {
-        let mut reservable: Vec<Reservable> = open
+    ) -> Vec<ReservableMachine<'a>> {
+        let mut reservable: Vec<ReservableMachine> = open
             .iter()
             .filter(|open| open.permits(context, spec))
             .filter_map(|open| {
                 let machine = self.machines.get(&open.name)?;
-                Some(Reservable {
+                Some(ReservableMachine {
                     name: &open.name,
                     zone: &open.zone,
                     free_cpus: open.free.cpus,
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -1,4 +1,4 @@
-//! Places the tasks of one job: how many, and on which machines.
+//! Places the tasks of one job: decides how many are placed in a round, and on which machines.
 
 use crate::context::Context;
 use crate::scheduler::leader::placement::{DelegationKind, QueuedJob};
@@ -14,61 +14,61 @@
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
 
-/// How many of its tasks a job that is spread over zones may have in one of them.
-fn most_in_zone(spec: &Submission) -> u64 {
+/// Returns how many tasks of a job that is spread over zones may be in one zone.
+fn max_tasks_in_zone(spec: &Submission) -> u64 {
     spec.tasks.div_ceil(2)
 }
 
-/// A job some of whose tasks are being placed.
+/// A job whose tasks are being placed in this round.
 pub(crate) struct PlacingJob {
-    /// The job.
+    /// The job's place in the job table.
     pub index: JobIndex,
-    /// Its description.
+    /// The job's submission.
     pub spec: Submission,
     shape: Shape,
-    /// How many more tasks may be placed in this round.
-    left: u64,
-    /// Whether it may take the headroom that is reserved for services.
-    headroom: HeadroomAccess,
-    /// How long a task is expected to stay, in microseconds.
-    pub expected: Micros,
-    /// What a task takes of its team's limit.
-    pub task: Resources,
-    /// Its level in the queue.
+    /// How many more of its tasks may be placed in this round.
+    tasks_left: u64,
+    /// Whether its tasks may use the headroom that is reserved for services.
+    headroom_access: HeadroomAccess,
+    /// How long a task is expected to stay on its machine, in microseconds.
+    pub expected_stay: Micros,
+    /// What one task uses of its team's limit.
+    pub task_amount: Resources,
+    /// The job's level in the job queue.
     pub level: u8,
-    /// Whether the holder of a partition may place its tasks.
-    by_holders: bool,
+    /// Whether partition holders may place its tasks.
+    may_be_placed_by_holders: bool,
 }
 
 impl PlacingJob {
-    /// Whether holders of partitions may place the job's tasks.
+    /// Returns whether partition holders may place the job's tasks.
     pub fn is_for_holders(&self) -> bool {
-        self.by_holders
+        self.may_be_placed_by_holders
     }
 
-    /// Whether more of its tasks may be placed in this round.
+    /// Returns whether more of its tasks may be placed in this round.
     pub fn has_more(&self) -> bool {
-        self.left > 0
+        self.tasks_left > 0
     }
 
-    /// Counts one more task that is placed.
-    pub fn take_one(&mut self) {
-        self.left = self.left.saturating_sub(1);
+    /// Counts one more task as placed in this round.
+    pub fn count_placed_task(&mut self) {
+        self.tasks_left = self.tasks_left.saturating_sub(1);
     }
 
-    /// How many of its tasks fit the free resources of a machine.
+    /// Returns how many of its tasks fit the free resources of a machine.
     fn tasks_that_fit(&self, open: &OpenMachine) -> u64 {
-        tasks_that_fit(open.free_for(self.headroom), &self.spec)
+        tasks_that_fit(open.free_for(self.headroom_access), &self.spec)
     }
 
-    /// Free slots for its tasks by zone, on the open machines at these places.
+    /// Returns how many of its tasks fit the open machines at these positions, by zone.
     fn slots_by_zone<'a>(
         &self,
-        places: &[usize],
+        positions: &[usize],
         open: &'a [OpenMachine],
     ) -> BTreeMap<&'a str, u64> {
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for at in places {
+        for at in positions {
             let machine = &open[*at];
             *zones.entry(&machine.zone).or_insert(0) += self.tasks_that_fit(machine);
         }
@@ -77,19 +77,25 @@
 }
 
 impl Scheduler {
-    /// What of the job may be placed in this round, if anything.
-    fn begin_placing(&self, context: &Context, queued: QueuedJob) -> Option<PlacingJob> {
+    /// Returns what of the job may be placed in this round; `None` if no task may be placed or one more would
+    /// exceed the team's limit.
+    fn prepare_placing_within_limit(
+        &self,
+        context: &Context,
+        queued: QueuedJob,
+    ) -> Option<PlacingJob> {
         let placing = self.prepare_placing(context, queued)?;
         let team = &placing.spec.team;
         let limit = self.limit_of(context, team)?.limit;
-        let in_quota = self
+        let is_within_limit = self
             .needed_by(team)
-            .saturating_add(placing.task)
+            .saturating_add(placing.task_amount)
             .fits(limit);
-        in_quota.then_some(placing)
+        is_within_limit.then_some(placing)
     }
 
-    /// The same, whatever is left of its team's limit.
+    /// Returns what of the job may be placed in this round, regardless of the team's limit; `None` if no task may
+    /// be.
     pub(crate) fn prepare_placing(
         &self,
         context: &Context,
@@ -98,18 +104,19 @@
         let job = self.jobs.get(queued.index)?;
         let spec = &job.spec;
         let now = context.now.steady;
-        // A job whose tasks keep failing is tried with one task at a time.
-        let mut left = job.placeable(now);
-        if left == 0 {
+        // This limits a job whose tasks keep failing to a few tasks at a time, at first to one.
+        let mut tasks_left = job.placeable(now);
+        if tasks_left == 0 {
             return None;
         }
-        // Ahead of its turn a job only begins.
+        // A job that has waited too long to start gets resources ahead of its turn only for its first tasks.
         if job.must_begin(now) {
-            left = left.min(job.beginning());
+            tasks_left = tasks_left.min(job.beginning());
         }
-        // What has waited too long may take the headroom, too: not only for its beginning. The
-        // rest of an array once waited for minutes beside it when nothing more could be provisioned.
-        // Once there are no services any more, that goes for whatever waits long.
+        // Tasks that have waited too long may also use the headroom, and not only the first tasks of a job.
+        // Without this, the rest of an array can wait for minutes next to unused headroom when no more machines
+        // can be provisioned. If no service is live, this also applies to jobs that had other tasks placed
+        // meanwhile.
         let headroom_yields = self.headroom.may_yield() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
             || job.must_begin(now)
@@ -118,21 +125,21 @@
         Some(PlacingJob {
             index: queued.index,
             shape: job.shape,
-            left,
-            headroom: match may_take_headroom {
+            tasks_left,
+            headroom_access: match may_take_headroom {
                 true => HeadroomAccess::Granted,
                 false => HeadroomAccess::Denied,
             },
-            expected: self.stats.expected_stay(spec),
-            task: Resources::of(spec.cpus, spec.gpus),
+            expected_stay: self.stats.expected_stay(spec),
+            task_amount: Resources::of(spec.cpus, spec.gpus),
             level: queued.level,
-            by_holders: job.may_be_placed_by_holders(now),
+            may_be_placed_by_holders: job.may_be_placed_by_holders(now),
             spec: spec.clone(),
         })
     }
 
-    /// Places in `open` that may take a task of the job, the best first.
-    fn candidates(
+    /// Returns the positions in `open` of the machines on which a task of the job may be placed, the best first.
+    fn candidate_machines(
         &self,
         context: &Context,
         placing: &PlacingJob,
@@ -152,7 +159,7 @@
         candidates.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// What a machine is chosen by.
+    /// Returns the sort key by which a machine is chosen for a task of the job.
     pub(crate) fn preference(
         &self,
         index: JobIndex,
@@ -171,26 +178,28 @@
         }
     }
 
-    /// Places as many tasks of a job as the team's limit and the machines allow.
+    /// Places as many tasks of a job as the team's limit and the machines allow. A gang is placed only as a whole.
     pub(crate) fn place_job(
         &mut self,
         context: &mut Context,
         queued: QueuedJob,
         open: &mut Vec<OpenMachine>,
     ) {
-        let Some(mut placing) = self.begin_placing(context, queued) else {
+        let Some(mut placing) = self.prepare_placing_within_limit(context, queued) else {
             return;
         };
-        let candidates = self.candidates(context, &placing, open);
+        let candidates = self.candidate_machines(context, &placing, open);
         let fixed_zone = self.fixed_zone(&placing, &candidates, open);
         let mut gang_attempt = None;
         if placing.shape == Shape::Gang {
             let slots = self.gang_slots(&placing, &candidates, open, fixed_zone.as_deref());
-            let whole_gang = placing.task.times(placing.left);
-            if slots < placing.left || !self.fits_limit(context, &placing.spec.team, whole_gang) {
+            let whole_gang = placing.task_amount.times(placing.tasks_left);
+            if slots < placing.tasks_left
+                || !self.fits_limit(context, &placing.spec.team, whole_gang)
+            {
                 return;
             }
-            // The tasks of one start of a gang share its attempt number.
+            // All tasks of a gang that are placed together share one attempt number.
             gang_attempt = Some(self.next_attempt());
         }
         for at in candidates {
@@ -201,7 +210,7 @@
             {
                 continue;
             }
-            let placed = self.place_on(context, &mut placing, machine, gang_attempt);
+            let placed = self.place_on_machine(context, &mut placing, machine, gang_attempt);
             if placed.is_break() {
                 break;
             }
@@ -209,9 +218,9 @@
         open.retain(|machine| machine.free.cpus > EPS);
     }
 
-    /// Places tasks of the job on a machine, or gives them to the holder that places them there. It breaks if
-    /// no more of the job can be placed in this round.
-    fn place_on(
+    /// Places tasks of the job on a machine, or delegates them to the partition holder that places tasks there.
+    /// Breaks if no more tasks of the job can be placed in this round.
+    fn place_on_machine(
         &mut self,
         context: &mut Context,
         placing: &mut PlacingJob,
@@ -219,31 +228,31 @@
         gang_attempt: Option<u64>,
     ) -> ControlFlow<()> {
         let now = context.now.steady;
-        let holder = open.placed_by.filter(|_| placing.by_holders);
+        let holder_partition = open.placed_by.filter(|_| placing.may_be_placed_by_holders);
         while placing.tasks_that_fit(open) > 0 {
             let Some(job) = self.jobs.get_mut(placing.index) else {
                 return ControlFlow::Break(());
             };
             let in_zone = job.zones.get(&open.zone).copied().unwrap_or(0);
-            if placing.spec.spread && u64::from(in_zone) >= most_in_zone(&placing.spec) {
+            if placing.spec.spread && u64::from(in_zone) >= max_tasks_in_zone(&placing.spec) {
                 return ControlFlow::Continue(());
             }
             let next = job.next_waiting(now).filter(|_| placing.has_more());
             let Some(task) = next else {
                 return ControlFlow::Break(());
             };
-            if !self.charge_task(context, placing, holder) {
-                // What another partition does not use of its quota grant may do here.
-                return match holder {
+            if !self.try_charge_task(context, placing, holder_partition) {
+                // The quota grant of another partition may still cover the task, so other machines are tried.
+                return match holder_partition {
                     Some(_) => ControlFlow::Continue(()),
                     None => ControlFlow::Break(()),
                 };
             }
-            self.take_task(context, placing, holder, task);
-            match holder {
+            self.take_task(context, placing, holder_partition, task);
+            match holder_partition {
                 Some(partition) => {
-                    let given = (task, DelegationKind::Placeable);
-                    self.delegate(context, placing, partition, given, &open.name)
+                    let delegated = (task, DelegationKind::Placeable);
+                    self.delegate_task(context, placing, partition, delegated, &open.name)
                 }
                 None => self.assign_task(context, placing, &open.name, task, gang_attempt),
             }
@@ -252,39 +261,41 @@
         ControlFlow::Continue(())
     }
 
-    /// Whether one more task of the job is within the quota grant of the holder, if one is to place it, or else
-    /// within its team's limit.
-    fn charge_task(
+    /// Returns whether the quota allows one more task of the job. If a holder is to place the task, charges it to
+    /// the holder's quota grant; otherwise checks the team's limit.
+    fn try_charge_task(
         &mut self,
         context: &Context,
         placing: &PlacingJob,
-        holder: Option<PartitionId>,
+        holder_partition: Option<PartitionId>,
     ) -> bool {
         let team = &placing.spec.team;
-        match holder {
-            Some(partition) => self.charge(context, partition, team, placing.task),
-            None => self.fits_limit(context, team, placing.task),
+        match holder_partition {
+            Some(partition) => {
+                self.try_charge_quota_grant(context, partition, team, placing.task_amount)
+            }
+            None => self.fits_limit(context, team, placing.task_amount),
         }
     }
 
-    /// The task waits no more: it is being placed.
+    /// Takes a task from the waiting tasks of its job, because it is being placed.
     fn take_task(
         &mut self,
         context: &Context,
         placing: &mut PlacingJob,
-        holder: Option<PartitionId>,
+        holder_partition: Option<PartitionId>,
         task: u64,
     ) {
         if let Some(job) = self.jobs.get_mut(placing.index) {
             job.take(task);
-            if holder.is_none() {
+            if holder_partition.is_none() {
                 job.note_placed(context.now.steady);
             }
         }
-        placing.take_one();
+        placing.count_placed_task();
     }
 
-    /// Places a task that was taken on a machine that this leader places on.
+    /// Assigns a task that was taken to a machine on which the leader itself places tasks.
     fn assign_task(
         &mut self,
         context: &mut Context,
@@ -301,11 +312,11 @@
             Some(attempt) => attempt,
             None => self.next_attempt(),
         };
-        let stay = (attempt, placing.expected);
+        let stay = (attempt, placing.expected_stay);
         self.create_assignment(context, machine, placing.index, task, &placing.spec, stay);
     }
 
-    /// How many tasks of a gang could be placed at once.
+    /// Returns how many tasks of a gang can be placed at once, in `fixed_zone` if the gang is bound to a zone.
     fn gang_slots(
         &self,
         placing: &PlacingJob,
@@ -324,13 +335,14 @@
             .into_iter()
             .filter(|(zone, _)| fixed_zone.is_none_or(|fixed| fixed == *zone))
             .map(|(zone, slots)| match spec.spread {
-                true => slots.min(most_in_zone(spec).saturating_sub(in_zone(zone))),
+                true => slots.min(max_tasks_in_zone(spec).saturating_sub(in_zone(zone))),
                 false => slots,
             })
             .sum()
     }
 
-    /// The zone that a `one_zone` job is bound to: where its tasks are, else where most fit.
+    /// Returns the zone for a `one_zone` job: the one that its tasks bind it to, or else the one in which the most
+    /// of its tasks fit. Returns `None` for other jobs.
     fn fixed_zone(
         &self,
         placing: &PlacingJob,
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -1,4 +1,4 @@
-//! Which team quotas are in force, and what the leader does when a limit is lowered.
+//! Loads and applies the team quotas in force, and enforces limits that were lowered.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -15,14 +15,15 @@
 use log::{error, info};
 use std::cmp::Reverse;
 
-/// Time between two checks for teams that use more than their limit.
-const ENFORCE_INTERVAL: Micros = SECOND;
+/// Time between two checks for teams that exceed their limit.
+const ENFORCEMENT_INTERVAL_US: Micros = SECOND;
 
-/// By how much the write of changed limits goes ahead of other writes.
-const LIMITS_WRITE_PRIORITY: Micros = 60 * SECOND;
+/// Time by which the write of changed limits is scheduled ahead of other writes.
+const LIMITS_WRITE_ADVANCE_US: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// Loads the quotas in force and the quota grants on record, as a new leader.
+    /// Loads the team quotas and the quota grants on record into the state of a new leader. Schedules the deletion
+    /// of grants whose partition does not exist.
     pub(crate) fn load_quota(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         if !context.supports_quota_grants() {
             return;
@@ -69,7 +70,7 @@
             Err(error) => {
                 error!(
                     key = entry.key, partition = id, error:% = error;
-                    "cannot read a quota grant, it counts as all of each team's limit"
+                    "cannot read a quota grant record; it counts as the full limit of each team"
                 );
                 let in_force = self.leader_quota.limits.in_force().iter();
                 let limits = in_force.map(|(team, quota)| (team.to_string(), quota.limit));
@@ -79,23 +80,24 @@
         }
     }
 
-    /// Whether the quotas in force are on record, so that holders' writes can be conditional on them.
+    /// Returns whether the quotas in force are on record, so that the writes of holders can be conditional on
+    /// them.
     pub(crate) fn limits_are_on_record(&self) -> bool {
         self.write_buffer.mod_revisions.contains_key(LIMITS)
             && !self.write_buffer.is_dirty(&RecordId::Limits)
     }
 
     fn write_limits(&mut self, context: &Context) {
-        let due = context.now.steady.saturating_sub(LIMITS_WRITE_PRIORITY);
+        let due = context.now.steady.saturating_sub(LIMITS_WRITE_ADVANCE_US);
         self.write_buffer.mark_dirty_by(RecordId::Limits, due);
     }
 
-    /// The quotas in force, as a record.
+    /// Returns the quotas in force in the form of a record.
     pub(crate) fn limits_record(&self) -> LimitsRecord {
         self.leader_quota.limits.in_force().to_record()
     }
 
-    /// A member has announced the quotas in its settings to this leader.
+    /// Applies the quotas in the settings of a member, which the member has announced to this leader.
     pub(crate) fn on_limits_announced(
         &mut self,
         context: &mut Context,
@@ -118,14 +120,14 @@
         for team in &lowered {
             self.leader_quota.grants.cancel_unrecorded_growth(team);
         }
-        // What is decided and not in flight must not come on record after the lower limit.
-        self.undo_unlaunched(context, &lowered);
+        // A placement that is decided but not being written must not come on record after the lower limit.
+        self.undo_unlaunched_placements(context, &lowered);
         self.write_limits(context);
         self.placement.request_round(context.now.steady);
     }
 
-    /// Undoes placements for these teams that were not launched, and revokes their delegated tasks.
-    fn undo_unlaunched(&mut self, context: &mut Context, teams: &[String]) {
+    /// Removes the assignments of these teams that were not launched, and revokes their delegated tasks.
+    fn undo_unlaunched_placements(&mut self, context: &mut Context, teams: &[String]) {
         let is_undone = |a: &Assignment| a.launched.is_none() && teams.contains(&a.team);
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Whether more is used and granted for the team than its limit allows.
+    /// Returns whether the team's use and its quota grants together exceed its limit.
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
@@ -149,18 +151,18 @@
         !used.fits(limit)
     }
 
-    /// Stops running tasks of teams beyond their limit, which was lowered: the youngest first, of those that
-    /// write checkpoints or never end by themselves. All others run to their end.
+    /// Stops running tasks of teams that exceed a lowered limit, those that were placed last first. Only replicas
+    /// and tasks that write checkpoints are stopped; all other tasks run to their end.
     pub(crate) fn enforce_limits(&mut self, context: &mut Context) {
         let now = context.now.steady;
         if !context.supports_quota_grants()
-            || now < self.leader_quota.enforced_at + ENFORCE_INTERVAL
+            || now < self.leader_quota.enforced_at + ENFORCEMENT_INTERVAL_US
         {
             return;
         }
         self.leader_quota.enforced_at = now;
         let mut running = TeamAmounts::new();
-        // Only what heartbeats have shown: what an earlier leader's pages list may be gone.
+        // Only tasks that a heartbeat has shown count: those listed on the pages of an earlier leader may be gone.
         for a in self.assignments().filter(|a| counts_as_running(a)) {
             let sum = running.entry(a.team.clone()).or_default();
             *sum = sum.saturating_add(a.amount());
@@ -188,24 +190,24 @@
         }
     }
 
-    /// The team's tasks that may be stopped, the youngest first.
+    /// Returns the team's tasks that may be stopped, those that were placed last first.
     fn stop_candidates(&self, team: &str) -> Vec<StopCandidate> {
         let running = self.assignments();
         let running = running.filter(|a| a.team == team && counts_as_running(a));
         let mut candidates: Vec<StopCandidate> =
             running.filter_map(|a| self.stop_candidate(a)).collect();
-        candidates.sort_by_key(|candidate| Reverse((candidate.decided, candidate.id)));
+        candidates.sort_by_key(|candidate| Reverse((candidate.placed_at, candidate.id)));
         candidates
     }
 
     fn stop_candidate(&self, assignment: &Assignment) -> Option<StopCandidate> {
         let job = self.jobs.get(assignment.job)?;
-        // Without one of its tasks a gang cannot run.
+        // A gang cannot run without one of its tasks.
         if job.shape == Shape::Gang || !(job.checkpoints() || job.is_daemon()) {
             return None;
         }
         Some(StopCandidate {
-            decided: assignment.decided,
+            placed_at: assignment.decided,
             id: assignment.id(),
             grace: job.checkpoint_grace(),
             amount: assignment.amount(),
@@ -215,27 +217,27 @@
 
 /// A task that may be stopped because its team's limit was lowered.
 struct StopCandidate {
-    /// When it was placed.
-    decided: Micros,
+    /// When the task was placed, in microseconds.
+    placed_at: Micros,
     id: TaskAttempt,
-    /// How long it may take to write a checkpoint.
+    /// Time that the task gets to write a checkpoint, in microseconds.
     grace: Micros,
     amount: Resources,
 }
 
-/// Whether a heartbeat has shown the task and it is not being stopped.
+/// Returns whether a heartbeat has shown the task and it is not being stopped.
 fn counts_as_running(a: &Assignment) -> bool {
     a.seen != ObservedStatus::Never && a.stop.is_none()
 }
 
-/// The quotas in force on record; `None` if the record cannot be read.
+/// Returns the team quotas from their record; `None` if the record cannot be read.
 fn recorded_limits(value: &Value) -> Option<Limits> {
     match from_value::<LimitsRecord>(value) {
         Ok(record) => Some(Limits::from_teams(&record.teams)),
         Err(error) => {
             error!(
                 key = LIMITS, error:% = error;
-                "cannot read the quotas in force, this member's settings are used"
+                "cannot read the record of team quotas; using this member's settings"
             );
             None
         }
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -1,5 +1,5 @@
-//! Quota grants in messages: what a partition holder is told, and what its answer means for the leader's
-//! state.
+//! Builds the part of the messages to partition holders that is about quota grants and delegated tasks, and
+//! applies the holders' reports to the leader's state.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -17,15 +17,15 @@
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most tasks that one message delegates to a holder.
-const MAX_DELEGATED: usize = 500;
+/// Maximum number of tasks that one message delegates to a holder.
+const MAX_DELEGATED_TASKS: usize = 500;
 
-/// How long the write of a smaller quota grant may be delayed, if no team lacks what is revoked.
-const SHRINK_DELAY: Micros = 500 * MILLI;
+/// Time by which the write of a smaller quota grant is delayed while no team is short of quota.
+const GRANT_REDUCTION_DELAY_US: Micros = 500 * MILLI;
 
 impl Scheduler {
-    /// What the partition's holder is told of its quota grant and of tasks to place; `None` while no limits
-    /// are on record. Tasks are delegated only to a holder that is `reconciled`.
+    /// Returns the quota grant and the delegated tasks for the partition's holder; `None` while quota grants are not
+    /// supported or no limits are on record. Tasks are delegated only to a holder that is `reconciled`.
     pub(crate) fn quota_orders(
         &mut self,
         context: &Context,
@@ -53,7 +53,7 @@
         })
     }
 
-    /// What the partition's holder may use, less what is revoked.
+    /// Returns what the partition's holder may use of its grant: the grant without the part that is revoked.
     fn usable_grant(&mut self, context: &Context, id: PartitionId) -> Vec<TeamAmount> {
         let teams = self.leader_quota.limits.in_force().iter();
         let over_limit = teams.filter(|(team, _)| self.is_over_limit(context, team));
@@ -72,7 +72,7 @@
         grants.usable(id, context.now.steady, reduction)
     }
 
-    /// Tasks that the holder has not confirmed to have.
+    /// Returns delegated tasks that the holder has not confirmed, and marks them as sent.
     fn work_to_send(&mut self, id: PartitionId) -> Vec<DelegatedWork> {
         let delegations = &self.leader_quota.delegations;
         let tasks = delegations.of_partition(id);
@@ -81,7 +81,7 @@
         });
         let mut work: BTreeMap<JobIndex, DelegatedWork> = BTreeMap::new();
         let mut sent: Vec<TaskKey> = Vec::new();
-        for (task, delegation) in unconfirmed.take(MAX_DELEGATED) {
+        for (task, delegation) in unconfirmed.take(MAX_DELEGATED_TASKS) {
             let of_job = work.entry(task.job).or_insert_with(|| DelegatedWork {
                 job: delegation.job_id.clone(),
                 level: delegation.level,
@@ -99,7 +99,7 @@
         work.into_values().collect()
     }
 
-    /// Machines of the partition on which nothing new is to be placed.
+    /// Returns the machines of the partition on which nothing new is to be placed.
     fn reserved_machines(&self, id: PartitionId) -> Vec<String> {
         let machines = self.machines.values();
         machines
@@ -109,9 +109,9 @@
             .collect()
     }
 
-    /// Applies what a reconciled holder reports of its grant and of the tasks that it has placed; `None`: it
-    /// places nothing. This comes before the outcomes in the same report, which may be those of tasks that it
-    /// has placed, and [`Self::on_held`] after them.
+    /// Applies the tasks that a reconciled holder reports as placed and as still waiting; `quota` is `None` if the
+    /// holder places no tasks. The caller applies the outcomes of the same report after this, since they may
+    /// belong to tasks that the holder has just placed, and then calls [`Self::apply_held_quota`].
     pub(crate) fn apply_placements(
         &mut self,
         context: &mut Context,
@@ -119,50 +119,59 @@
         quota: Option<&QuotaReport>,
     ) {
         let Some(quota) = quota else {
-            return self.on_places_nothing(id);
+            return self.on_holder_places_nothing(id);
         };
         if self.leader_quota.placing.insert(id) {
-            info!(partition = id; "the holder places tasks");
+            info!(partition = id; "partition holder reports that it places tasks");
         }
         for task in &quota.placed {
             self.apply_placement(context, id, task);
         }
-        let queued = self.tasks_in(&quota.waiting);
+        let queued = self.expand_task_ranges(&quota.waiting);
         let delegations = &mut self.leader_quota.delegations;
         for task in delegations.on_queue_reported(id, &queued) {
-            self.return_task(context, task);
+            self.requeue_delegated_task(context, task);
         }
     }
 
-    /// A holder has answered that it places nothing.
-    fn on_places_nothing(&mut self, id: PartitionId) {
+    /// Handles a report in which the holder says that it places no tasks.
+    fn on_holder_places_nothing(&mut self, id: PartitionId) {
         self.leader_quota.placing.remove(&id);
         if self.leader_quota.delegations.any_in(id) {
-            // The holder before it may have placed some of them, and only pages tell.
-            self.leader_quota.lost = Some("a holder does not tell what was placed before it");
+            // The previous holder may have placed some of the delegated tasks. Only the pages show which, so a new
+            // leader has to read them.
+            self.leader_quota.lost =
+                Some("a partition holder does not report which tasks the previous holder placed");
         }
     }
 
-    /// Applies what a holder will use at most.
-    pub(crate) fn on_held(&mut self, context: &Context, id: PartitionId, quota: &QuotaReport) {
+    /// Applies the amounts that a holder reports as the most that it will use.
+    pub(crate) fn apply_held_quota(
+        &mut self,
+        context: &Context,
+        id: PartitionId,
+        quota: &QuotaReport,
+    ) {
         let now = context.now.steady;
         self.leader_quota.grants.on_held(id, &quota.held, now);
         let delay = if self.leader_quota.teams_short_of_room.is_empty() {
-            SHRINK_DELAY
+            GRANT_REDUCTION_DELAY_US
         } else {
             0
         };
         self.schedule_quota_grant_write(context, id, delay);
     }
 
-    fn tasks_in(&self, ranges: &[TaskRanges]) -> BTreeSet<TaskKey> {
+    /// Returns the tasks in these ranges of the jobs that are known.
+    fn expand_task_ranges(&self, ranges: &[TaskRanges]) -> BTreeSet<TaskKey> {
         let mut tasks = BTreeSet::new();
         for TaskRanges { job, ranges } in ranges {
             let Some(index) = self.jobs.find(job) else {
                 continue;
             };
             for (first, end) in ranges {
-                // A message must not make this member count beyond the most tasks that a job may have.
+                // The bound keeps a faulty message from making this member enumerate more tasks than a job may
+                // have.
                 let end = (*end).min(MAX_TASKS);
                 tasks.extend((*first..end).map(|task| TaskKey::new(index, task)));
             }
@@ -170,22 +179,22 @@
         tasks
     }
 
-    /// A holder has placed a task.
+    /// Applies the placement of a task that a holder reports.
     fn apply_placement(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
         let is_known = |a: &Assignment| a.id() == placed.id();
-        let known = self.position(&placed.machine, is_known).is_some();
-        // A holder may still list tasks of a machine that was terminated.
-        if known || self.fleet.is_terminated(&placed.machine) {
+        let is_already_known = self.position(&placed.machine, is_known).is_some();
+        // A holder may still report tasks of a machine that was terminated.
+        if is_already_known || self.fleet.is_terminated(&placed.machine) {
             return;
         }
         let index = self.jobs.find(&placed.job);
         let delegation = self.end_delegation_of(id, placed);
         if delegation.is_none() {
-            // It is on the holder's pages still, though an earlier holder has reported its end: it counts until
-            // that is proven again.
+            // The task is still on the holder's pages although an earlier holder reported its end. It counts as
+            // placed until its end is proven again.
             debug!(
                 partition = id, job = placed.job, task = placed.task;
-                "a holder has a task that was not delegated to it"
+                "partition holder reports a placed task that was not delegated to it"
             );
         }
         let zone = self.zone_of_partition(id);
@@ -219,7 +228,8 @@
         self.add_assignment(&placed.machine, assignment);
     }
 
-    /// Ends the delegation of a task that the partition's holder has placed, if it was delegated to it.
+    /// Ends the delegation of a task that the partition's holder has placed, if the task was delegated to that
+    /// holder.
     fn end_delegation_of(&mut self, id: PartitionId, placed: &PlacedTask) -> Option<Delegation> {
         let task = TaskKey::new(self.jobs.find(&placed.job)?, placed.task);
         let delegation = self.leader_quota.delegations.get(task)?;
@@ -234,13 +244,13 @@
         record.map_or_else(String::new, |record| record.zone.clone())
     }
 
-    /// The members that answered lately all support quota grants, or not all of them do: then no tasks are
-    /// delegated to holders.
+    /// Pauses or resumes quota grants. The caller pauses them if a member that answered lately does not support
+    /// them. While they are paused, no tasks are delegated to holders.
     pub(crate) fn set_quota_grants_paused(&mut self, context: &Context, paused: bool) {
         if !context.supports_quota_grants() || self.leader_quota.paused == paused {
             return;
         }
-        info!(paused = paused; "changed whether quota is granted to holders");
+        info!(paused = paused; "paused or resumed quota grants to partition holders");
         self.leader_quota.paused = paused;
         if paused {
             let jobs = self.jobs.iter().filter(|(_, job)| job.delegated > 0);
@@ -251,9 +261,10 @@
         }
     }
 
-    /// Whether a machine may be terminated: its holder places nothing new on it.
+    /// Returns whether a machine may be terminated. If the holder of its partition places tasks, the holder must
+    /// have confirmed that it places nothing new on the machine.
     pub(crate) fn may_be_terminated(&self, partition: Option<PartitionId>, machine: &str) -> bool {
-        let holder = partition.filter(|id| self.holder_places(*id));
-        holder.is_none_or(|id| self.remote_partitions.is_reserved(id, machine))
+        let placing_partition = partition.filter(|id| self.holder_places(*id));
+        placing_partition.is_none_or(|id| self.remote_partitions.is_reserved(id, machine))
     }
 }
