--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -58,18 +58,18 @@
         if !leader.is_loaded() || leader.is_lease_uncertain() {
             return;
         }
-        leader.follow_claims(&self.partitions.map);
-        if let Some(reason) = leader.partitions_removed() {
+        leader.apply_claim_changes(&self.partitions.map);
+        if let Some(reason) = leader.finished_removal_reason() {
             return self.step_down(reason, StepDown::Resign);
         }
         if let Some(reason) = leader.leader_quota.placements_unknown_reason {
             return self.step_down(reason, StepDown::LeaseLost);
         }
         if let Some(members) = members {
-            leader.pause_quota_grants(&self.context, members.any_without_quota_grants);
+            leader.set_quota_grants_paused(&self.context, members.any_without_quota_grants);
             leader.plan_partitions(&mut self.context, &self.partitions.map, &members);
         }
-        for orders in leader.due_orders(&self.context) {
+        for orders in leader.take_due_orders(&self.context) {
             self.send_orders(orders);
         }
     }
