--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -3,7 +3,7 @@
 use crate::calls::CallPurpose;
 use crate::controller::peer_contact::CONTACT_LOST_AFTER;
 use crate::controller::Controller;
-use crate::scheduler::leader::fleet::MAX_TERMINATIONS;
+use crate::scheduler::leader::fleet::MAX_TERMINATIONS_PER_CALL;
 use crate::scheduler::Scheduler;
 use crate::state::unproven_machines::UnprovenMachines;
 use crate::{Micros, Target, SECOND};
@@ -62,7 +62,7 @@
         let member = self.context.settings.member.as_str();
         let names = unproven.names.join(",");
         info!(member = member, machines = names.as_str(); "terminating machines with cancelled tasks");
-        for machines in unproven.names.chunks(MAX_TERMINATIONS) {
+        for machines in unproven.names.chunks(MAX_TERMINATIONS_PER_CALL) {
             let machines = machines.to_vec();
             self.context.call(
                 Target::Cloud,
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -17,7 +17,7 @@
 pub(crate) mod termination;
 
 /// Most machines in one termination call.
-pub(crate) const MAX_TERMINATIONS: usize = 100;
+pub(crate) const MAX_TERMINATIONS_PER_CALL: usize = 100;
 
 /// How long the cloud may take to answer, in microseconds.
 const CLOUD_TIMEOUT: Micros = 4 * SECOND;
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::FleetCall;
 use crate::context::Context;
-use crate::scheduler::leader::fleet::MAX_TERMINATIONS;
+use crate::scheduler::leader::fleet::MAX_TERMINATIONS_PER_CALL;
 use crate::scheduler::Scheduler;
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
@@ -29,7 +29,7 @@
             return;
         }
         fleet.termination_in_flight = true;
-        let next = fleet.terminating.iter().take(MAX_TERMINATIONS);
+        let next = fleet.terminating.iter().take(MAX_TERMINATIONS_PER_CALL);
         let machines: Vec<String> = next.cloned().collect();
         let body = wire::to_cbor(&MachineNames {
             machines: machines.clone(),
