--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -99,7 +99,7 @@
         self.discount_assignment(context, name, &assignment);
         self.count_running(now, assignment.job, assignment.seen, ObservedStatus::Never);
         if self.is_holder() {
-            self.note_end(name, &assignment, TaskEnd::Gone);
+            self.report_attempt_end(name, &assignment, TaskEnd::Gone);
         }
         // A page is written by whoever placed what is on it.
         if assignment.by_holder == self.is_holder() {
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -163,7 +163,7 @@
                 job = task.job, task = task.task, machine = task.machine;
                 "refused to launch a task"
             );
-            self.note_end(&task.machine, &assignment, TaskEnd::Gone);
+            self.report_attempt_end(&task.machine, &assignment, TaskEnd::Gone);
             return true;
         }
         self.add_assignment(&task.machine, assignment);
@@ -203,7 +203,7 @@
     }
 
     /// Reports to the leader how an attempt ended.
-    pub(crate) fn note_end(&mut self, machine: &str, a: &Assignment, end: TaskEnd) {
+    pub(crate) fn report_attempt_end(&mut self, machine: &str, a: &Assignment, end: TaskEnd) {
         self.report_outcome(TaskOutcome {
             machine: machine.to_string(),
             job: a.job_id.clone(),
@@ -239,7 +239,7 @@
             after: Vec::new(),
             job: Some(assignment.job),
         });
-        self.note_end(name, &assignment, TaskEnd::Exited(cause.clone()));
+        self.report_attempt_end(name, &assignment, TaskEnd::Exited(cause.clone()));
         self.remove_assignment(context, name, at);
     }
 
