--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -226,7 +226,7 @@
         let index = self.jobs.find(job_id);
         let mut after = Vec::new();
         if self.is_holder() {
-            self.note_unknown_exit(name, job_id, task, reported);
+            self.report_unknown_exit(name, job_id, task, reported);
         } else if let (Some(ExitCause::Done), Some(index)) = (&reported.cause, index) {
             after.extend(self.completed(context, index, task));
             self.end_if_over(context, index);
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -245,7 +245,7 @@
 
     /// An agent reports the exit of an attempt that the leader did not list: the leader has that on record, or
     /// knows what it means.
-    pub(crate) fn note_unknown_exit(
+    pub(crate) fn report_unknown_exit(
         &mut self,
         name: &str,
         job: &str,
