--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -44,7 +44,7 @@
             self.holder_state.outcomes.remove(attempt);
         }
         for machine in &orders.terminated {
-            self.terminated(context, machine);
+            self.remove_terminated_machine(context, machine);
         }
         let mut accepted = Vec::new();
         if reconciled {
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -52,12 +52,12 @@
             return;
         }
         for name in machines {
-            self.terminated(context, &name);
+            self.remove_terminated_machine(context, &name);
         }
     }
 
     /// A termination was answered 200: the machine and all that was on it are gone.
-    pub(crate) fn terminated(&mut self, context: &mut Context, name: &str) {
+    pub(crate) fn remove_terminated_machine(&mut self, context: &mut Context, name: &str) {
         if let Some(partition) = self.machines.get(name).and_then(|m| m.partition) {
             self.remote_partitions.note_terminated(partition, name);
         }
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -84,7 +84,7 @@
     ) {
         for machine in &report.gone {
             if self.machines.contains_key(machine) {
-                self.terminated(context, machine);
+                self.remove_terminated_machine(context, machine);
             }
         }
         for state in &report.machines {
