--- a/crates/core/src/scheduler/holder.rs
+++ b/crates/core/src/scheduler/holder.rs
@@ -1,5 +1,5 @@
-//! What only the holder of a partition does: carry out the leader's orders, place the tasks that the leader
-//! has delegated to it, and report to the leader.
+//! The work that only a partition holder does: carrying out the leader's orders, placing the tasks that the leader
+//! has delegated to it, and reporting to the leader.
 
 pub(crate) mod orders;
 pub(crate) mod placement;
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out the leader's orders on the machines of a partition.
+//! Carries out the leader's orders to the holder of a partition.
 
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
@@ -14,8 +14,8 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// Carries out orders and answers with a report. Stale orders, and those for another claim, are dropped:
-    /// a late copy of one would launch again what has ended since.
+    /// Carries out orders and returns a report. Drops stale orders and orders for another claim: a late copy of
+    /// orders would launch a task again that has ended since.
     pub(crate) fn carry_out_orders(
         &mut self,
         context: &mut Context,
@@ -25,8 +25,8 @@
             term: orders.term,
             sequence: orders.sequence,
         };
-        let stale = number <= self.holder_state.last_orders;
-        if orders.claim != self.token || stale || self.uncertain() {
+        let is_stale = number <= self.holder_state.last_orders;
+        if orders.claim != self.token || is_stale || self.uncertain() {
             return None;
         }
         self.holder_state.last_orders = number;
@@ -36,8 +36,8 @@
         if let Some(tasks) = &orders.sync {
             self.reconcile(context, orders.term, tasks);
         }
-        let reconciled = self.holder_state.reconciled_term == orders.term;
-        if reconciled {
+        let is_reconciled = self.holder_state.reconciled_term == orders.term;
+        if is_reconciled {
             self.apply_quota_orders(context, orders.term, orders.quota.as_deref());
         }
         for attempt in &orders.acknowledged {
@@ -47,7 +47,7 @@
             self.remove_terminated_machine(context, machine);
         }
         let mut accepted = Vec::new();
-        if reconciled {
+        if is_reconciled {
             let launches = orders.launches.iter();
             let launches = launches.filter(|task| self.accept_launch(context, task));
             accepted.extend(launches.map(PlacedTask::id));
@@ -60,11 +60,10 @@
         Some(self.partition_report(context, orders.seen, orders.term, accepted))
     }
 
-    /// Reconciles the tasks known here with those that may be on the machines as far as the leader knows. A
-    /// task that the leader does not know was never launched, or has ended on its record: it is dropped, or
-    /// stopped.
+    /// Reconciles the tasks known here with those that may be on the machines according to the leader. A task that
+    /// the leader does not list was never launched, or its end is recorded in the store: it is dropped or stopped.
     fn reconcile(&mut self, context: &mut Context, term: u64, tasks: &[PlacedTask]) {
-        let first_time = !self.holder_state.is_reconciled();
+        let is_first_time = !self.holder_state.is_reconciled();
         let listed: BTreeSet<TaskAttempt> = tasks.iter().map(PlacedTask::id).collect();
         self.drop_unrecorded_placements(context, &listed);
         self.stop_unlisted(context, &listed);
@@ -72,7 +71,7 @@
             self.reconcile_listed(context, task);
         }
         self.holder_state.reconciled_term = term;
-        if first_time {
+        if is_first_time {
             self.loaded_at = context.now.steady;
             self.last_heartbeat_at = context.now.steady;
             info!(
@@ -82,22 +81,23 @@
         }
     }
 
+    /// Stops the tasks that the leader placed and does not list.
     fn stop_unlisted(&mut self, context: &mut Context, listed: &BTreeSet<TaskAttempt>) {
         let machines: Vec<String> = self.machines.keys().cloned().collect();
         for machine in machines {
-            // What this holder has placed itself is on its own record.
+            // Tasks that this holder placed itself are recorded on its own pages.
             let is_unknown = |a: &Assignment| !a.by_holder && !listed.contains(&a.id());
             self.stop_assignments(context, &machine, 0, is_unknown);
         }
     }
 
-    /// Reconciles one task that may be on a machine as far as the leader knows.
+    /// Reconciles one task that may be on a machine according to the leader.
     fn reconcile_listed(&mut self, context: &mut Context, task: &PlacedTask) {
         if self.knows_attempt(task) {
             return;
         }
         if self.has_numbered(task.attempt) {
-            // This holder has placed it itself and it is gone, but its page was not written since.
+            // This holder placed the task itself and the task is gone, but its page has not been written since.
             self.report_outcome(TaskOutcome {
                 machine: task.machine.clone(),
                 job: task.job.clone(),
@@ -110,11 +110,13 @@
         }
     }
 
-    /// Whether the attempt is on its machine, or has ended and the leader is told so.
+    /// Returns whether the attempt is on its machine, or has ended and its outcome is being reported to the
+    /// leader.
     fn knows_attempt(&self, task: &PlacedTask) -> bool {
         self.has_attempt(task) || !self.holder_state.is_outcome_recorded(Some(task.id()))
     }
 
+    /// Returns whether the attempt is assigned to its machine.
     fn has_attempt(&self, task: &PlacedTask) -> bool {
         let machine = self.machines.get(&task.machine);
         machine.is_some_and(|machine| {
@@ -123,8 +125,8 @@
         })
     }
 
-    /// Adopts a task that an earlier holder, or the leader itself, may have launched. It is never launched
-    /// here: either a heartbeat shows it, or it is gone.
+    /// Adopts a task that an earlier holder, or the leader itself, may have launched. This holder never launches
+    /// the task: either a heartbeat shows it, or it is gone.
     fn adopt_attempt(&mut self, context: &mut Context, task: &PlacedTask) {
         let zone = self.zone_of_machine(&task.machine);
         self.recovered_machine(context, &task.machine, &zone, task.incarnation);
@@ -145,8 +147,8 @@
         machine.map_or_else(String::new, |machine| machine.zone.clone())
     }
 
-    /// Accepts a task that is to be launched. Returns false if it cannot be accepted yet since its job is not
-    /// known here.
+    /// Accepts a task that is to be launched. Returns false if the task cannot be accepted yet because its job is
+    /// not known here.
     fn accept_launch(&mut self, context: &mut Context, task: &PlacedTask) -> bool {
         if self.knows_attempt(task) {
             return true;
@@ -158,7 +160,7 @@
         let zone = self.zone_of_machine(&task.machine);
         let assignment = self.assignment_of(context, task, zone);
         if !can_launch {
-            // It is never launched: the leader places it anew.
+            // The task is never launched; the leader places it again.
             debug!(
                 job = task.job, task = task.task, machine = task.machine;
                 "refused to launch a task"
@@ -171,7 +173,7 @@
         true
     }
 
-    /// Whether the machine can take a task that the leader has placed on it.
+    /// Returns whether the machine can take a task that the leader has placed on it.
     fn can_launch(&self, context: &Context, task: &PlacedTask) -> bool {
         let heartbeat_timeout = context.settings.heartbeat_timeout();
         let machine = self.machines.get(&task.machine);
@@ -182,7 +184,8 @@
         })
     }
 
-    /// Whether what this holder has placed itself leaves room for a task that the leader has placed.
+    /// Returns whether the tasks on the machine leave room for a task that the leader has placed. Always true if
+    /// this holder places no tasks itself.
     fn has_room(&self, context: &Context, machine: &Machine, task: &PlacedTask) -> bool {
         let index = self.jobs.find(&task.job);
         let job = index.and_then(|index| self.jobs.get(index));
@@ -190,6 +193,7 @@
             || job.is_none_or(|job| tasks_that_fit(machine.free(), &job.spec) > 0)
     }
 
+    /// Returns the assignment of a task that the leader has placed.
     fn assignment_of(&self, context: &Context, task: &PlacedTask, zone: String) -> Assignment {
         let index = self.jobs.find(&task.job);
         let job = index.and_then(|index| self.jobs.get(index));
@@ -202,7 +206,7 @@
         })
     }
 
-    /// Reports to the leader how an attempt ended.
+    /// Reports the end of an attempt to the leader.
     pub(crate) fn report_attempt_end(&mut self, machine: &str, a: &Assignment, end: TaskEnd) {
         self.report_outcome(TaskOutcome {
             machine: machine.to_string(),
@@ -213,14 +217,14 @@
         });
     }
 
-    /// Reports an outcome to the leader until it is acknowledged. One that is known already stays.
+    /// Reports an outcome to the leader until the leader acknowledges it. The first outcome of an attempt stays.
     fn report_outcome(&mut self, outcome: TaskOutcome) {
         let outcomes = &mut self.holder_state.outcomes;
         outcomes.entry(outcome.id()).or_insert(outcome);
     }
 
-    /// A task on a machine of the partition has exited: the leader is told, and the agent keeps the result
-    /// until the leader has it on record.
+    /// Handles the exit of a task on a machine of the partition: reports it to the leader. The agent keeps the
+    /// result until the store has it.
     pub(crate) fn on_exit_in_partition(
         &mut self,
         context: &mut Context,
@@ -243,8 +247,8 @@
         self.remove_assignment(context, name, at);
     }
 
-    /// An agent reports the exit of an attempt that the leader did not list: the leader has that on record, or
-    /// knows what it means.
+    /// Reports to the leader the exit of an attempt that the leader did not list. The leader has recorded that
+    /// exit in the store, or knows how to treat it.
     pub(crate) fn report_unknown_exit(
         &mut self,
         name: &str,
@@ -263,7 +267,7 @@
         });
     }
 
-    /// Runs whatever of the holder's work is due.
+    /// Runs the periodic work of a holder that is due.
     pub(crate) fn run_holder(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
         if !self.loaded() {
             return;
@@ -277,7 +281,7 @@
         self.run_held_heartbeats(context);
     }
 
-    /// When a holder has to act next.
+    /// Returns when a holder has to act next, in microseconds.
     pub(crate) fn next_holder_wake(&self) -> Micros {
         let mut at = self.next_machine_check.min(self.long_polls.next_deadline());
         if !self.held_heartbeats.is_empty() {
@@ -293,7 +297,7 @@
         }
     }
 
-    /// Whether this scheduler runs for a partition holder, not for the leader.
+    /// Returns whether this scheduler runs for a partition holder rather than for the leader.
     pub(crate) fn is_holder(&self) -> bool {
         self.role != Role::Leader
     }
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -15,7 +15,7 @@
 
 const CLAIM: u64 = 9;
 
-/// A controller, and the holder of a partition with one machine and no tasks, reconciled with the leader.
+/// Returns a controller and the holder of a partition with one machine and no tasks, reconciled with the leader.
 fn holder() -> (Controller, Scheduler) {
     let mut controller = leader_before_loading(20 * SECOND);
     let now = controller.context.now.steady;
@@ -106,7 +106,7 @@
         "req-1/0",
     );
     assert_eq!(commands_for_agent(&mut holder, &controller.context), []);
-    // The outcome is reported until it is acknowledged.
+    // The outcome is reported until the leader acknowledges it.
     for sequence in 3..5 {
         let report = holder.carry_out_orders(&mut controller.context, orders(sequence));
         let outcomes = report.expect("a report").outcomes;
@@ -120,7 +120,8 @@
     );
 }
 
-/// A copy of orders that arrives late would launch again a task that has ended and was acknowledged.
+/// Without the check of the sequence number, a late copy of orders would launch a task again that has ended and
+/// was acknowledged.
 #[test]
 fn orders_that_arrive_late_launch_nothing() {
     let (mut controller, mut holder) = holder();
@@ -158,7 +159,7 @@
         );
     }
     assert_eq!(commands_for_agent(&mut holder, &controller.context), []);
-    // Orders of a member that is not the leader on record are dropped, too.
+    // Orders of a member that is not the leader according to the store are dropped, too.
     controller.partitions.holders.insert(1, Box::new(holder));
     let not_from_leader = PartitionOrders {
         from: "perch-9".into(),
@@ -167,7 +168,7 @@
     assert_eq!(controller.on_orders(not_from_leader), None);
 }
 
-/// A task that a later leader does not list was never launched, or has ended on its record.
+/// A task that a later leader does not list was never launched, or its end is recorded in the store.
 #[test]
 fn tasks_that_a_new_leader_does_not_list_are_dropped() {
     let (mut controller, mut holder) = holder();
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -1,4 +1,4 @@
-//! Places the tasks that the leader has delegated to this holder, out of its quota grant.
+//! Places the tasks that the leader has delegated to this holder, within its quota grant.
 
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
@@ -16,20 +16,20 @@
 use log::debug;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between two placement rounds while tasks are queued.
-const PLACEMENT_INTERVAL: Micros = 100 * MILLI;
+/// Interval between two placement rounds while tasks are queued, in microseconds.
+const PLACEMENT_INTERVAL_US: Micros = 100 * MILLI;
 
-/// What became of the attempt to place a queued task.
+/// Result of trying to place a queued task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlacementOutcome {
-    /// It is on a machine.
+    /// The task was assigned to a machine.
     Placed,
-    /// It stays in the queue.
+    /// The task stays in the queue.
     Waits,
 }
 
 impl Scheduler {
-    /// The partition that is held under this claim; `None`: this scheduler runs for the leader.
+    /// Returns the partition that this scheduler holds, or `None` if it runs for the leader.
     pub(crate) fn partition(&self) -> Option<PartitionId> {
         match self.role {
             Role::Leader => None,
@@ -37,26 +37,27 @@
         }
     }
 
-    /// The pages to which assignments made in this role are written.
+    /// Returns the pages to which assignments made in this role are written.
     pub(crate) fn pages_of(role: Role) -> AssignmentPages {
         match role {
             Role::Leader => AssignmentPages::default(),
             Role::Holder(partition) => {
-                // Holders of partitions with numbers beyond the range of pages are given nothing to place.
+                // Holders whose partition number lies beyond the range of pages place no tasks.
                 pages_of_partition(partition)
                     .map_or_else(AssignmentPages::default, AssignmentPages::of_holder)
             }
         }
     }
 
-    /// Whether the holder places tasks, if the leader delegates any to it.
+    /// Returns whether this holder places the tasks that the leader delegates to it.
     pub(crate) fn places_tasks(&self, context: &Context) -> bool {
         let pages = self.partition().and_then(pages_of_partition);
         context.supports_quota_grants() && pages.is_some()
     }
 
-    /// A new leader has listed what may be on the machines: what was not on record by then is not launched any
-    /// more, since the leader may place it anew.
+    /// Clears the queue and drops unlaunched placements, after a new leader has listed the tasks that may be on
+    /// the machines. Only placements that are durable and listed are kept. All other tasks must not be launched
+    /// any more, since the leader may place them again.
     pub(crate) fn drop_unrecorded_placements(
         &mut self,
         context: &mut Context,
@@ -65,7 +66,7 @@
         self.holder_quota.queue.clear();
         let durable: BTreeSet<TaskAttempt> = self
             .assignments()
-            .filter(|a| a.by_holder && self.is_on_record(a))
+            .filter(|a| a.by_holder && self.is_assignment_durable(a))
             .map(Assignment::id)
             .collect();
         self.drop_unlaunched(context, |a| {
@@ -73,7 +74,8 @@
         });
     }
 
-    /// Applies what the leader says of the quota grant and of tasks to place. `None`: it grants no quota.
+    /// Applies the leader's orders about the quota grant and the tasks to place; `None` if the leader grants no
+    /// quota.
     pub(crate) fn apply_quota_orders(
         &mut self,
         context: &Context,
@@ -105,6 +107,7 @@
         self.placement.request_round(context.now.steady);
     }
 
+    /// Queues delegated tasks of a job, except those that are assigned, queued or placed already.
     fn queue_work(&mut self, work: &DelegatedWork) {
         let assigned: BTreeSet<u64> = self
             .assignments()
@@ -113,10 +116,10 @@
             .collect();
         let quota = &mut self.holder_quota;
         for delegated in &work.tasks {
-            let known = assigned.contains(&delegated.task)
+            let is_known = assigned.contains(&delegated.task)
                 || quota.is_queued(&work.job, delegated.task)
                 || quota.is_placed_unacknowledged(&work.job, delegated.task);
-            if known {
+            if is_known {
                 continue;
             }
             quota.last_arrival += 1;
@@ -133,7 +136,7 @@
     }
 
     /// Runs a placement round if one is due: places queued tasks as far as free resources and the quota grant
-    /// allow. A round that runs out of time continues with the next one.
+    /// permit. If a round runs out of time, the next round continues.
     pub(crate) fn run_holder_placement(
         &mut self,
         context: &mut Context,
@@ -144,7 +147,7 @@
             return;
         }
         self.placement.wanted = false;
-        self.placement.next_at = now + PLACEMENT_INTERVAL;
+        self.placement.next_at = now + PLACEMENT_INTERVAL_US;
         self.placement.rounds += 1;
         self.held_changed = true;
         self.drop_queued_of_cancelled_jobs();
@@ -155,6 +158,7 @@
         }
     }
 
+    /// Places queued tasks in the order of the queue until the round runs out of time or of machines.
     fn place_queue(&mut self, context: &mut Context, watch: &mut dyn Stopwatch) {
         let mut open = self.open_machines(context);
         let queue: Vec<QueuedTask> = self.holder_quota.queue.iter().cloned().collect();
@@ -165,29 +169,29 @@
             if watch.elapsed() > context.tuning.placement_budget_us {
                 debug!(
                     partition = self.partition();
-                    "placement round is out of time, continues with the next one"
+                    "placement round ran out of time; the next round continues"
                 );
                 self.placement.wanted = true;
                 break;
             }
-            if self.place_queued(context, &queued, &mut open) == PlacementOutcome::Placed {
+            if self.place_queued_task(context, &queued, &mut open) == PlacementOutcome::Placed {
                 self.holder_quota.queue.remove(&queued);
             }
         }
     }
 
-    /// Tasks of cancelled jobs are not queued any longer; the leader counts them as returned.
+    /// Removes the tasks of cancelled jobs from the queue; the leader counts them as returned.
     fn drop_queued_of_cancelled_jobs(&mut self) {
         let jobs = &self.jobs;
         self.holder_quota.queue.retain(|queued| {
             let job = jobs.find(&queued.job).and_then(|index| jobs.get(index));
-            // A job that is not known here yet may still appear.
+            // A job that this holder does not know yet may still appear.
             job.is_none_or(|job| job.cancelled.is_none())
         });
     }
 
-    /// Places a task if a machine has room for it and the quota grant covers it.
-    fn place_queued(
+    /// Places a queued task if the quota grant covers it and a machine has room for it.
+    fn place_queued_task(
         &mut self,
         context: &mut Context,
         queued: &QueuedTask,
@@ -203,13 +207,14 @@
         if !self.holder_quota.grant.may_use(&spec.team, amount) {
             return PlacementOutcome::Waits;
         }
-        let Some(at) = self.choose_machine(context, queued, &spec, open) else {
-            // What is free on its machine is kept for it: otherwise tasks that need less take it as it becomes free.
+        let Some(position) = self.choose_machine(context, queued, &spec, open) else {
+            // The free resources of the proposed machine are kept for this task. Otherwise, smaller tasks would
+            // take them as they become free.
             open.retain(|machine| machine.name != queued.machine);
             return PlacementOutcome::Waits;
         };
         let attempt = self.next_attempt();
-        let name = open[at].name.clone();
+        let name = open[position].name.clone();
         debug!(
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
             "placed a task"
@@ -223,12 +228,13 @@
             &spec,
             (attempt, expected),
         );
-        open[at].free = open[at].free - MachineResources::of_task(&spec);
+        open[position].free = open[position].free - MachineResources::of_task(&spec);
         open.retain(|machine| machine.free.cpus > 0.0);
         PlacementOutcome::Placed
     }
 
-    /// The machine that the leader proposed, if it still has room; else the best of those that have.
+    /// Returns the position in `open` of the machine that the leader proposed, if it still has room for the task,
+    /// or else of the best machine that has room.
     fn choose_machine(
         &self,
         context: &Context,
@@ -248,13 +254,13 @@
         best.map(|(at, _)| at)
     }
 
-    /// Whether the assignment is on its page for certain.
-    pub(crate) fn is_on_record(&self, a: &Assignment) -> bool {
+    /// Returns whether the assignment is durable: the store is known to have the page that lists it.
+    pub(crate) fn is_assignment_durable(&self, a: &Assignment) -> bool {
         let page = RecordId::Page(a.page);
         self.write_buffer.is_durable(&page, a.written)
     }
 
-    /// Placements that have come on record are reported to the leader from now on.
+    /// Marks placements that have become durable, so that they are reported to the leader from now on.
     pub(crate) fn note_durable_placements(&mut self) {
         for (name, machine) in &mut self.machines {
             let assignments = machine.assignments.iter_mut();
@@ -268,8 +274,8 @@
         }
     }
 
-    /// What the leader is told of the quota grant and of placed and queued tasks; `None`: this holder places
-    /// nothing.
+    /// Returns the report about the quota grant and about placed and queued tasks, or `None` if this holder places
+    /// no tasks.
     pub(crate) fn quota_report(&self, context: &Context) -> Option<QuotaReport> {
         if !self.places_tasks(context) {
             return None;
@@ -285,7 +291,8 @@
         })
     }
 
-    /// Tasks that are to be placed, are being written, or are only in a later answer.
+    /// Returns the delegated tasks that are queued, are placed but not durable yet, or are left for a later
+    /// report.
     fn waiting_ranges(&self) -> Vec<TaskRanges> {
         let quota = &self.holder_quota;
         let queued = quota.queue.iter();
@@ -308,7 +315,7 @@
     }
 }
 
-/// Numbers as ranges, each from its first number to below its second.
+/// Returns the numbers as half-open ranges: each includes its first number and excludes its second.
 fn ranges_of(numbers: &BTreeSet<u64>) -> Vec<(u64, u64)> {
     let mut ranges: Vec<(u64, u64)> = Vec::new();
     for number in numbers {
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// The holder of partition 1 with one machine and no tasks, reconciled with the leader.
+/// Returns a controller and the holder of partition 1 with one machine and no tasks, reconciled with the leader.
 fn holder() -> (Controller, Scheduler) {
     let mut controller = leader_before_loading(20 * SECOND);
     controller.context.tuning.partitions_per_zone = 3;
@@ -63,7 +63,7 @@
     (controller, holder)
 }
 
-/// Orders that grant this many CPUs and delegate these tasks.
+/// Returns orders that grant this many CPUs and delegate these tasks.
 fn orders(sequence: u64, cpus: u64, tasks: &[u64]) -> PartitionOrders {
     let task = |task: &u64| DelegatedTask {
         task: *task,
@@ -107,11 +107,11 @@
     report.expect("a report")
 }
 
-fn run(controller: &mut Controller, holder: &mut Scheduler) {
+fn run_holder(controller: &mut Controller, holder: &mut Scheduler) {
     holder.run_holder(&mut controller.context, &mut NoStopwatch);
 }
 
-/// The transactions that were sent.
+/// Returns the transactions that were sent to the store, and clears the list of effects.
 fn transactions(controller: &mut Controller) -> Vec<Transaction> {
     let effects = std::mem::take(&mut controller.context.effects);
     let calls = effects.into_iter().filter_map(|effect| match effect {
@@ -123,7 +123,7 @@
         .collect()
 }
 
-fn launches(controller: &Controller, holder: &mut Scheduler) -> usize {
+fn command_count(controller: &Controller, holder: &mut Scheduler) -> usize {
     let heartbeat = HeldHeartbeat {
         request: 1,
         round: 0,
@@ -135,13 +135,13 @@
     holder.commands(&controller.context, &heartbeat).len()
 }
 
-/// The write of the last flush was carried out.
-fn written(controller: &mut Controller, holder: &mut Scheduler) {
+/// Completes the write of the last flush.
+fn complete_flush(controller: &mut Controller, holder: &mut Scheduler) {
     let batch = holder.write_buffer.in_flight.take().expect("a flush");
     holder.flushed(&mut controller.context, &batch, 40);
 }
 
-fn waiting(report: &PartitionReport) -> Vec<(u64, u64)> {
+fn waiting_ranges(report: &PartitionReport) -> Vec<(u64, u64)> {
     let quota = report.quota.as_ref().expect("a holder that places");
     quota
         .waiting
@@ -150,12 +150,12 @@
         .collect()
 }
 
-/// Each of the three conditions keeps a task from being placed twice.
+/// Each of the three conditions prevents a task from being placed twice.
 #[test]
 fn a_write_depends_on_the_claim_the_leader_and_the_limits() {
     let (mut controller, mut holder) = holder();
     carry_out(&mut controller, &mut holder, orders(2, 4, &[0, 1]));
-    run(&mut controller, &mut holder);
+    run_holder(&mut controller, &mut holder);
     let transactions = transactions(&mut controller);
     assert_eq!(transactions.len(), 1);
     let mod_revision = |key: &str| {
@@ -173,43 +173,43 @@
 fn a_task_is_launched_and_reported_once_it_is_on_record() {
     let (mut controller, mut holder) = holder();
     carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
-    run(&mut controller, &mut holder);
-    assert_eq!(launches(&controller, &mut holder), 0);
+    run_holder(&mut controller, &mut holder);
+    assert_eq!(command_count(&controller, &mut holder), 0);
     let report = carry_out(&mut controller, &mut holder, orders(3, 4, &[]));
-    assert_eq!(waiting(&report), [(0, 1)]);
-    written(&mut controller, &mut holder);
+    assert_eq!(waiting_ranges(&report), [(0, 1)]);
+    complete_flush(&mut controller, &mut holder);
     let report = carry_out(&mut controller, &mut holder, orders(4, 4, &[0]));
     let placed = &report.quota.as_ref().expect("a report").placed;
     assert_eq!(placed.len(), 1);
-    assert_eq!(waiting(&report), []);
-    assert_eq!(launches(&controller, &mut holder), 1);
+    assert_eq!(waiting_ranges(&report), []);
+    assert_eq!(command_count(&controller, &mut holder), 1);
 }
 
 #[test]
 fn no_more_is_started_than_is_granted() {
     let (mut controller, mut holder) = holder();
     let report = carry_out(&mut controller, &mut holder, orders(2, 2, &[0, 1, 2, 3]));
-    assert_eq!(waiting(&report), [(0, 4)]);
-    run(&mut controller, &mut holder);
+    assert_eq!(waiting_ranges(&report), [(0, 4)]);
+    run_holder(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 2);
-    // What is revoked is held as long as tasks use it.
+    // Revoked quota is held as long as tasks use it.
     let report = carry_out(&mut controller, &mut holder, orders(3, 0, &[]));
     let held = &report.quota.as_ref().expect("a report").held;
     assert_eq!(held[0].cpus, 2_000_000);
 }
 
-/// The next leader has read the pages after it was elected: what was not on them it places anew.
+/// The next leader reads the pages after its election and places tasks again that are not on them.
 #[test]
 fn what_was_not_on_record_is_dropped_when_the_leader_changes() {
     let (mut controller, mut holder) = holder();
     carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
-    run(&mut controller, &mut holder);
-    written(&mut controller, &mut holder);
+    run_holder(&mut controller, &mut holder);
+    complete_flush(&mut controller, &mut holder);
     let on_record = holder.assignments().next().expect("a task").id();
     carry_out(&mut controller, &mut holder, orders(3, 4, &[1, 2]));
     controller.context.now.steady += SECOND;
     holder.placement.next_at = 0;
-    run(&mut controller, &mut holder);
+    run_holder(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 3);
     let listed = PlacedTask {
         machine: MACHINE.into(),
@@ -225,21 +225,21 @@
         ..orders(1, 4, &[])
     };
     let report = carry_out(&mut controller, &mut holder, sync);
-    assert_eq!(waiting(&report), []);
+    assert_eq!(waiting_ranges(&report), []);
     assert_eq!(
         holder.assignments().map(Assignment::id).collect::<Vec<_>>(),
         [on_record]
     );
-    assert_eq!(launches(&controller, &mut holder), 1);
+    assert_eq!(command_count(&controller, &mut holder), 1);
 }
 
-/// Another leader was elected: until it has given orders, nothing is written.
+/// After another leader was elected, the holder writes nothing until that leader has given orders.
 #[test]
 fn nothing_is_written_once_another_leader_is_on_record() {
     let (mut controller, mut holder) = holder();
     assert_eq!(holder.conditions_failed(&[LEADER.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
-    // When the limits have changed, nothing is written until the leader has sent them, either.
+    // After the limits have changed, the holder writes nothing until the leader has sent them.
     carry_out(&mut controller, &mut holder, orders(5, 4, &[]));
     assert_eq!(holder.conditions_failed(&[LIMITS.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
@@ -253,7 +253,7 @@
         crate::state::write_buffer::RecordId::Page(1000),
         controller.context.now.steady,
     );
-    run(controller, holder);
+    run_holder(controller, holder);
     assert_eq!(transactions(controller).len(), 0);
 }
 
@@ -265,38 +265,39 @@
         quota.reserved = vec![MACHINE.into()];
     }
     carry_out(&mut controller, &mut holder, reserving.clone());
-    run(&mut controller, &mut holder);
+    run_holder(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 0);
     let mut revoking = orders(3, 4, &[]);
     if let Some(quota) = &mut revoking.quota {
         quota.revoked = vec!["req-1".into()];
     }
     let report = carry_out(&mut controller, &mut holder, revoking);
-    assert_eq!(waiting(&report), []);
+    assert_eq!(waiting_ranges(&report), []);
 }
 
-/// A leader that grants nothing may place the tasks itself.
+/// A leader that grants no quota may place the tasks itself.
 #[test]
 fn under_a_leader_without_quota_grants_nothing_is_placed() {
     let (mut controller, mut holder) = holder();
     carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
-    let without = PartitionOrders {
+    let without_quota = PartitionOrders {
         quota: None,
         ..orders(3, 4, &[])
     };
-    carry_out(&mut controller, &mut holder, without);
-    run(&mut controller, &mut holder);
+    carry_out(&mut controller, &mut holder, without_quota);
+    run_holder(&mut controller, &mut holder);
     assert_eq!(holder.assignments().count(), 0);
     assert_eq!(transactions(&mut controller).len(), 0);
 }
 
-/// The holder's own tasks have left no room for a launch of the leader: it is placed elsewhere.
+/// A launch for which the holder's own tasks leave no room is refused, so that the leader places the task
+/// elsewhere.
 #[test]
 fn a_launch_without_room_is_refused() {
     let (mut controller, mut holder) = holder();
     carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
-    run(&mut controller, &mut holder);
-    holder.machines.get_mut(MACHINE).expect("it").cpus = 1.0;
+    run_holder(&mut controller, &mut holder);
+    holder.machines.get_mut(MACHINE).expect("the machine").cpus = 1.0;
     let launch = PartitionOrders {
         launches: vec![PlacedTask {
             machine: MACHINE.into(),
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -1,4 +1,4 @@
-//! What the holder of a partition reports to the leader in answer to its orders.
+//! The report that a partition holder sends to the leader in response to its orders.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -8,18 +8,18 @@
 use grebewood_wire::http::TaskStatus;
 use grebewood_wire::peer::{MachineState, PartitionReport, TaskAttempt, TaskState};
 
-/// Most outcomes of attempts in one report.
+/// Maximum number of attempt outcomes in one report.
 const MAX_OUTCOMES: usize = 500;
 
-/// Most states of machines in one report.
-const MAX_STATES: usize = 300;
+/// Maximum number of machine states in one report.
+const MAX_MACHINE_STATES: usize = 300;
 
-/// How long the leader is told of a machine that was terminated.
-const TERMINATED_REPORT_TIME: Micros = 60 * SECOND;
+/// Time for which reports list a machine after its termination was confirmed, in microseconds.
+const TERMINATED_REPORT_TIME_US: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// The report in answer to orders of this term. `seen` is the version of the last machine state that the
-    /// leader has, and `accepted` are the launches that were accepted.
+    /// Returns the report in response to orders of this term. `seen` is the version of the last machine state that
+    /// the leader knows, and `accepted` lists the launches that were accepted.
     pub(crate) fn partition_report(
         &mut self,
         context: &Context,
@@ -43,25 +43,26 @@
                 .collect(),
             gone: self
                 .fleet
-                .terminated_within(context.now.steady, TERMINATED_REPORT_TIME),
+                .terminated_within(context.now.steady, TERMINATED_REPORT_TIME_US),
             version,
             heartbeats: self.holder_state.heartbeats,
             quota: self.quota_report(context),
         }
     }
 
-    /// The states of machines with a higher version than this, the lowest versions first.
+    /// Returns the machine states with a higher version than this, the lowest versions first, up to the maximum of
+    /// one report.
     fn states_since(&self, version: u64) -> Vec<&ReportedState> {
         let states = self.holder_state.reported_states.values();
         let mut changed: Vec<&ReportedState> = states
             .filter(|reported| reported.version > version)
             .collect();
         changed.sort_by_key(|reported| reported.version);
-        changed.truncate(MAX_STATES);
+        changed.truncate(MAX_MACHINE_STATES);
         changed
     }
 
-    /// Gives each machine whose state has changed since it was last reported the next version.
+    /// Updates the state to report of each machine whose state has changed, and gives it the next version.
     fn update_reported_states(&mut self, context: &Context) {
         let holder = &mut self.holder_state;
         let machines = &self.machines;
@@ -87,7 +88,8 @@
     }
 }
 
-/// Whether two states say the same. The time left to a spot reclamation is no change: it passes by itself.
+/// Returns whether two states are the same. A different time left to a spot reclamation does not count as a
+/// change, since that time decreases by itself.
 fn is_same_state(a: &MachineState, b: &MachineState) -> bool {
     a.incarnation == b.incarnation
         && a.counts == b.counts
@@ -98,7 +100,7 @@
         && a.address == b.address
 }
 
-/// The state of a task as last seen in a heartbeat; `None`: no heartbeat has shown it.
+/// Returns the state of a task as last seen in a heartbeat, or `None` if no heartbeat has shown the task.
 fn task_state(a: &Assignment) -> Option<TaskState> {
     let status = match a.seen {
         ObservedStatus::Never => return None,
@@ -109,6 +111,7 @@
     Some(TaskState { id: a.id(), status })
 }
 
+/// Returns the current state of a machine.
 fn machine_state(context: &Context, machine: &Machine) -> MachineState {
     let now = context.now.steady;
     let heartbeat_timeout = context.settings.heartbeat_timeout();
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: calls to the cloud, and what follows from their answers.
+//! The fleet: sends calls to the cloud and handles their responses.
 
 use crate::calls::{FleetCall, SchedulerCall};
 use crate::context::Context;
@@ -16,23 +16,23 @@
 pub(crate) mod scale_in;
 pub(crate) mod termination;
 
-/// Most machines in one termination call.
+/// Maximum number of machines in one termination call.
 pub(crate) const MAX_TERMINATIONS_PER_CALL: usize = 100;
 
-/// How long the cloud may take to answer, in microseconds.
-const CLOUD_TIMEOUT: Micros = 4 * SECOND;
+/// Timeout of a call to the cloud, in microseconds.
+const CLOUD_TIMEOUT_US: Micros = 4 * SECOND;
 
-/// Time between two reads of the catalogue of machine types, in microseconds.
-const CATALOGUE_INTERVAL: Micros = 60 * SECOND;
+/// Interval between two reads of the catalogue of machine types, in microseconds.
+const CATALOGUE_INTERVAL_US: Micros = 60 * SECOND;
 
-/// The same after a read that failed, in microseconds.
-const CATALOGUE_RETRY: Micros = 5 * SECOND;
+/// Delay before the catalogue is read again after a failed read, in microseconds.
+const CATALOGUE_RETRY_DELAY_US: Micros = 5 * SECOND;
 
 impl Scheduler {
-    /// All timers of the fleet.
+    /// Runs the periodic work of the fleet that is due.
     pub(crate) fn run_fleet(&mut self, context: &mut Context) {
-        // A termination may be what a cancellation waits for. Provisioning requests without an outcome, each
-        // sent anew after a second, could take all calls that the cloud's limit leaves.
+        // Terminations go first because a cancellation may wait for one. Provisioning requests without a known
+        // outcome are sent again after a second and could use up all calls that the cloud's rate limit permits.
         self.send_terminations(context);
         self.send_provisions(context);
         self.read_machine_list(context);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Makes a call to the cloud.
+    /// Sends a call to the cloud.
     pub(crate) fn call_cloud(
         &mut self,
         context: &mut Context,
@@ -61,10 +61,10 @@
     ) {
         let purpose = self.pending(SchedulerCall::Fleet(call));
         let path = path.to_string();
-        context.call(Target::Cloud, method, path, body, CLOUD_TIMEOUT, purpose);
+        context.call(Target::Cloud, method, path, body, CLOUD_TIMEOUT_US, purpose);
     }
 
-    /// Takes in the outcome of a call to the cloud.
+    /// Handles the outcome of a call to the cloud.
     pub(crate) fn on_cloud_response(
         &mut self,
         context: &mut Context,
@@ -89,12 +89,12 @@
     /// Reads the catalogue of machine types if it is due.
     fn read_catalogue(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        let due = now >= self.fleet.next_catalogue_read && !self.fleet.catalogue_in_flight;
-        if !due || !context.cloud.take(now, 1.0) {
+        let is_due = now >= self.fleet.next_catalogue_read && !self.fleet.catalogue_in_flight;
+        if !is_due || !context.cloud.take(now, 1.0) {
             return;
         }
         self.fleet.catalogue_in_flight = true;
-        self.fleet.next_catalogue_read = now + CATALOGUE_INTERVAL;
+        self.fleet.next_catalogue_read = now + CATALOGUE_INTERVAL_US;
         let call = FleetCall::Types;
         self.call_cloud(context, "GET", "/machine_types", Vec::new(), call);
     }
@@ -107,7 +107,7 @@
                 catalogue.machine_types
             }
             _ => {
-                self.fleet.next_catalogue_read = now + CATALOGUE_RETRY;
+                self.fleet.next_catalogue_read = now + CATALOGUE_RETRY_DELAY_US;
                 return;
             }
         };
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: the tasks that wait for machines, and how soon they are to be completed.
+//! Demand: the tasks that wait for machines, and the time in which they are to be completed.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -16,47 +16,53 @@
 /// Microseconds in a second, for times as floating-point seconds.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The slowest image fetch that is calculated with, in GB per second.
-const LEAST_FETCH_RATE: f64 = 1e-3;
+/// Lower bound of the image fetch rate used in estimates, in GB per second.
+const MIN_FETCH_RATE_GB_PER_S: f64 = 1e-3;
 
-/// With fewer tasks than this left under its team's limit, a job is no demand.
-const LEAST_TASKS: f64 = 0.5;
+/// A job of which fewer tasks than this fit under its team's limit is left out of the demand.
+const MIN_TASKS_IN_DEMAND: f64 = 0.5;
 
-/// Which machine offerings a pass of the autoscaler plans with.
+/// A pass of the autoscaler, which determines the offerings that may be added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlanningPass {
-    /// Only those that are about as cheap as the cheapest, to finish in a short time.
+    /// Adds only offerings that are about as cheap as the cheapest, for a short completion time.
     CheapOfferings,
-    /// All of them, to finish in the time that the deadline allows.
+    /// Adds any offering, for the completion time that the deadline allows.
     AllOfferings,
 }
 
 /// Waiting tasks of one job.
 pub(crate) struct Demand<'a> {
-    /// The job's description.
+    /// Job submission.
     pub(crate) spec: &'a Submission,
-    /// The only zone that can take these tasks, if there is one: a job that is spread over zones needs free
+    /// Zone in which these tasks must run; `None` if any zone will do. A job that is spread over zones needs free
     /// resources in each of them.
     pub(crate) zone: Option<String>,
-    /// How many tasks wait: the paper's `n`.
+    /// Number of waiting tasks: the paper's `n`.
     pub(crate) tasks: f64,
-    /// Run time of a task with its image fetch, in seconds: the paper's `t`.
+    /// Run time of a task, image fetch included, in seconds: the paper's `t`.
     pub(crate) run_s: f64,
-    /// Time to complete them in, in seconds: the paper's `D`.
+    /// Time in which the tasks are to be completed, in seconds: the paper's `D`.
     pub(crate) time_left_s: f64,
-    /// The same for machines that are still booting: at least a boot and a run, since less cannot be met by
-    /// anything that is provisioned now.
+    /// The same time for machines that are still booting, in seconds. It is at least one boot plus one run, since
+    /// a machine that is provisioned now cannot be faster.
     pub(crate) time_left_booting_s: f64,
 }
 
 impl Demand<'_> {
-    /// Whether the tasks may run one after the other; those of gangs and services need a slot each.
+    /// Returns whether the tasks may run one after the other. Tasks of gangs and services each need a slot of
+    /// their own.
     pub(crate) fn is_batch(&self) -> bool {
         Shape::of(self.spec) == Some(Shape::Batch)
     }
 
-    /// How many of the tasks fit an empty machine of the type; 0 if the job does not permit it.
-    pub(crate) fn slots(&self, machine_type: &MachineType, zone: &str, spot: bool) -> f64 {
+    /// Returns how many of the tasks fit on an empty machine of the type, or 0 if the job may not run there.
+    pub(crate) fn slots_per_machine(
+        &self,
+        machine_type: &MachineType,
+        zone: &str,
+        spot: bool,
+    ) -> f64 {
         let spec = self.spec;
         let permitted = (spec.spot || !spot)
             && spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
@@ -70,23 +76,23 @@
     }
 }
 
-/// Run time of all waiting tasks, in seconds: the paper's `sum(n * t)`.
+/// Returns the total run time of all waiting tasks, in seconds: the paper's `sum(n * t)`.
 pub(crate) fn total_run_s(demand: &[Demand]) -> f64 {
     demand.iter().map(|d| d.tasks * d.run_s).sum()
 }
 
-/// How long a task of a job runs, and how soon the job's tasks are to be completed, in seconds.
+/// Run time of a job's tasks and the time in which they are to be completed, in seconds. See [`Demand`].
 struct DemandTime {
     run_s: f64,
     time_left_s: f64,
     time_left_booting_s: f64,
 }
 
-/// Waiting tasks of a job that are to be placed in a zone.
+/// Number of waiting tasks of a job that are to be placed in a zone.
 struct ZoneTasks {
-    /// The zone; `None`: any will do.
+    /// Zone, or `None` if any zone will do.
     zone: Option<String>,
-    /// How many they are.
+    /// Number of tasks.
     tasks: f64,
 }
 
@@ -97,50 +103,55 @@
     }
 }
 
-/// CPUs and accelerators of a team that demand counted so far takes of its limit.
+/// CPUs and accelerators of a team's limit that the demand counted so far takes up.
 #[derive(Clone, Copy, Default)]
 struct PlannedUsage {
     cpus: f64,
     gpus: f64,
 }
 
-/// A team's limit, and what is taken of it.
+/// Limit of a team, and what is used of it.
 struct LimitUsage {
     limit: Resources,
-    /// What the team's tasks use.
+    /// Resources of the team's tasks, including those delegated to partition holders.
     used: Resources,
-    /// What demand counted so far takes.
+    /// Resources that the demand counted so far takes up.
     planned: PlannedUsage,
 }
 
-/// The zones of all machine types.
+/// Returns the zones of all machine types in the catalogue.
 fn catalogue_zones(context: &Context) -> BTreeSet<&str> {
     let zones = machine_types(context).flat_map(|t| &t.zones);
     zones.map(String::as_str).collect()
 }
 
-/// What each zone must take of the waiting tasks of a job that is spread over zones, since the others may
-/// take no more. Without this, free resources in one zone once seemed to do for all, and half of the
-/// replicas of services waited for minutes.
+/// Returns, for a job that is spread over zones, how many of its waiting tasks each zone must take because the
+/// other zones may take no more. Without this, free resources in one zone would count as enough for all tasks, and
+/// half of the replicas of a service would wait for minutes.
 fn tasks_by_zone(job: &Job, zones: &BTreeSet<&str>, tasks: f64) -> Vec<ZoneTasks> {
     if !job.spec.spread {
         return Vec::new();
     }
-    let most = job.tasks().div_ceil(2) as f64;
-    let left = |zone: &str| {
-        let here = job.zones.get(zone).copied().unwrap_or(0);
-        (most - f64::from(here)).max(0.0)
+    let max_per_zone = job.tasks().div_ceil(2) as f64;
+    let capacity_left = |zone: &str| {
+        let in_zone = job.zones.get(zone).copied().unwrap_or(0);
+        (max_per_zone - f64::from(in_zone)).max(0.0)
+    };
+    let total_capacity_left: f64 = zones.iter().map(|zone| capacity_left(zone)).sum();
+    let required = |zone: &str| {
+        (tasks - (total_capacity_left - capacity_left(zone)))
+            .max(0.0)
+            .min(tasks)
     };
-    let all: f64 = zones.iter().map(|zone| left(zone)).sum();
-    let needed = |zone: &str| (tasks - (all - left(zone))).max(0.0).min(tasks);
     zones
         .iter()
-        .map(|zone| ZoneTasks::new(Some(zone), needed(zone)))
+        .map(|zone| ZoneTasks::new(Some(zone), required(zone)))
         .filter(|in_zone| in_zone.tasks > EPS)
         .collect()
 }
 
-/// How many of the waiting tasks the team's limit lets run in the time that is left, whatever is provisioned.
+/// Returns how many of the waiting tasks can run within the team's limit in the time left, regardless of how many
+/// machines are provisioned.
 fn tasks_within_limit(
     waiting: u64,
     spec: &Submission,
@@ -165,9 +176,9 @@
         .min(tasks_in(limit.gpus(), used.gpus(), planned.gpus, spec.gpus))
 }
 
-/// The shortest time in which any machine type fetches the job's image, in microseconds.
-fn least_fetch_time(context: &Context, spec: &Submission) -> Micros {
-    let rate = |t: &MachineType| t.fetch_gb_per_s.unwrap_or(1.0).max(LEAST_FETCH_RATE);
+/// Returns the shortest time in which any suitable machine type fetches the job's image, in microseconds.
+fn shortest_fetch_time(context: &Context, spec: &Submission) -> Micros {
+    let rate = |t: &MachineType| t.fetch_gb_per_s.unwrap_or(1.0).max(MIN_FETCH_RATE_GB_PER_S);
     machine_types_for(context, spec)
         .map(|t| micros(spec.image_gb / rate(t)))
         .min()
@@ -175,42 +186,43 @@
 }
 
 impl Scheduler {
-    /// The shortest average boot of all machine types, in microseconds.
-    pub(crate) fn least_boot_time(&self, context: &Context) -> Micros {
+    /// Returns the shortest average boot time of all machine types, in microseconds.
+    pub(crate) fn shortest_boot_time(&self, context: &Context) -> Micros {
         machine_types(context)
             .map(|t| self.expected_boot_time(t))
             .min()
             .unwrap_or(UNKNOWN_BOOT_TIME)
     }
 
-    /// Replicas, by job, on machines that are about to be terminated: they need a slot elsewhere now.
-    fn leaving_replicas(&self) -> BTreeMap<JobIndex, u64> {
-        let mut leaving = BTreeMap::new();
-        let is_leaving = |m: &&Machine| m.cordoned || m.reclaim_at.is_some();
-        for machine in self.machines.values().filter(is_leaving) {
+    /// Returns, by job, the number of replicas on machines that are cordoned or about to be reclaimed. They need
+    /// slots on other machines now.
+    fn displaced_replicas(&self) -> BTreeMap<JobIndex, u64> {
+        let mut displaced = BTreeMap::new();
+        let is_going_away = |m: &&Machine| m.cordoned || m.reclaim_at.is_some();
+        for machine in self.machines.values().filter(is_going_away) {
             for assignment in &machine.assignments {
                 let job = self.jobs.get(assignment.job);
                 if job.is_some_and(Job::is_daemon) && assignment.stop.is_none() {
-                    *leaving.entry(assignment.job).or_insert(0) += 1;
+                    *displaced.entry(assignment.job).or_insert(0) += 1;
                 }
             }
         }
-        leaving
+        displaced
     }
 
-    /// The demand, job by job, for a pass of the autoscaler.
+    /// Returns the demand of all jobs for a pass of the autoscaler.
     pub(crate) fn demand<'a>(&'a self, context: &Context, pass: PlanningPass) -> Vec<Demand<'a>> {
         let now = context.now.steady;
         let zones = catalogue_zones(context);
-        let boot_time = self.least_boot_time(context);
+        let boot_time = self.shortest_boot_time(context);
         let mut demand = self.headroom_demand(&zones);
-        let leaving = self.leaving_replicas();
+        let displaced = self.displaced_replicas();
         let mut planned_by_team: BTreeMap<&str, PlannedUsage> = BTreeMap::new();
         for (index, job) in self.jobs.iter() {
-            // One that keeps failing needs a machine for its next try: left out, it once had none for
-            // good after its last was terminated.
-            let leaving = leaving.get(&index).copied().unwrap_or(0);
-            let waiting = job.placeable(now) + job.waiting_at_holders + leaving;
+            // A job whose tasks keep failing counts too: left out, it would get no machine for its next attempt
+            // once its last machine is terminated, and would wait forever.
+            let displaced = displaced.get(&index).copied().unwrap_or(0);
+            let waiting = job.placeable(now) + job.waiting_at_holders + displaced;
             if waiting == 0 {
                 continue;
             }
@@ -226,7 +238,7 @@
                 planned: *planned,
             };
             let tasks = tasks_within_limit(waiting, spec, usage, &time);
-            if tasks < LEAST_TASKS {
+            if tasks < MIN_TASKS_IN_DEMAND {
                 continue;
             }
             planned.cpus += tasks * spec.cpus;
@@ -244,7 +256,8 @@
         demand
     }
 
-    /// The headroom that services are to find when they come: it takes no time of the fleet's.
+    /// Returns the demand for headroom, the free resources that are kept for future services. With a run time of
+    /// one second, it takes up almost no computing power that batch tasks could use.
     fn headroom_demand<'a>(&'a self, zones: &BTreeSet<&str>) -> Vec<Demand<'a>> {
         let Some((spec, replicas)) = self.headroom.wanted() else {
             return Vec::new();
@@ -263,7 +276,7 @@
             .collect()
     }
 
-    /// How long a task of the job runs, and how soon the job's tasks are to be completed.
+    /// Returns the run time of the job's tasks and the time in which they are to be completed.
     fn demand_time(
         &self,
         context: &Context,
@@ -279,9 +292,9 @@
             }
             PlanningPass::AllOfferings => (tuning.deadline_share, tuning.late_deadline_us),
         };
-        let fetch = least_fetch_time(context, &job.spec);
+        let fetch = shortest_fetch_time(context, &job.spec);
         let run_s = (self.stats.expected_run(&job.spec) + fetch) as f64 / MICROS_PER_SECOND;
-        // What is late for every objective may take longer: it gains nothing by expensive machines.
+        // A job that is late for every objective gains nothing from expensive machines, so it may take longer.
         let until_deadline_s = match job.target(context, self.time_needed(context, job)) {
             Some(at) => (at - now as i64).max(0) as f64 / MICROS_PER_SECOND * deadline_share,
             None => late_deadline as f64 / MICROS_PER_SECOND,
@@ -289,7 +302,7 @@
         let time_left_s = until_deadline_s.max(run_s * tuning.least_rounds);
         let boot_s = boot_time as f64 / MICROS_PER_SECOND;
         DemandTime {
-            // Waiting tasks of other shapes need a slot each, now.
+            // Tasks of gangs and services each need a slot of their own, now and for all of the time left.
             run_s: match job.shape {
                 Shape::Batch => run_s,
                 _ => time_left_s,
@@ -299,7 +312,7 @@
         }
     }
 
-    /// Splits the waiting tasks of a job by the zones that have to take them.
+    /// Splits the waiting tasks of a job by the zones that must take them.
     fn demand_by_zone(
         &self,
         context: &Context,
@@ -308,28 +321,29 @@
         tasks: f64,
     ) -> Vec<ZoneTasks> {
         let mut parts = match job.shape {
-            // The rest of a job bound to one zone has no use for free resources elsewhere: with some there,
-            // nothing was once provisioned in its own, and it waited for its first tasks to end.
+            // A job that is bound to one zone cannot use free resources elsewhere. If they counted, nothing would
+            // be provisioned in its zone, and its remaining tasks would wait for the first ones to end.
             _ if job.bound_zone().is_some() => vec![ZoneTasks::new(job.bound_zone(), tasks)],
-            // Half of the slots in each of two zones are none for a gang that is to be in one.
+            // A gang that must run in one zone cannot use half of its slots in each of two zones.
             Shape::Gang if job.spec.one_zone => {
                 let zone = self.gang_zone(context, job, tasks);
                 vec![ZoneTasks { zone, tasks }]
             }
-            // Tasks that run one after the other can wait for free resources anywhere.
+            // Batch tasks may run one after the other wherever resources become free.
             Shape::Batch => Vec::new(),
             _ => tasks_by_zone(job, zones, tasks),
         };
-        let rest = tasks - parts.iter().map(|part| part.tasks).sum::<f64>();
-        if rest > EPS {
-            parts.push(ZoneTasks::new(None, rest));
+        let tasks_without_zone = tasks - parts.iter().map(|part| part.tasks).sum::<f64>();
+        if tasks_without_zone > EPS {
+            parts.push(ZoneTasks::new(None, tasks_without_zone));
         }
         parts
     }
 
-    /// The zone in which slots are sought for a gang that is to be in one zone: where there are enough, or
-    /// more may be provisioned; of these where there are the most, booting machines included. Half of the
-    /// slots in each of two zones once seemed to do, nothing was provisioned, and the gang waited for good.
+    /// Returns the zone in which to look for slots for a gang that must run in one zone. Zones that have enough
+    /// slots or in which machines may be provisioned come first, and among them the zone with the most slots,
+    /// including those on booting and requested machines. Without this choice, half of the slots in each of two
+    /// zones would count as enough, nothing would be provisioned, and the gang would wait forever.
     fn gang_zone(&self, context: &Context, job: &Job, tasks: f64) -> Option<String> {
         let spec = &job.spec;
         let mut zones = self.zones_for_gang(context, spec);
@@ -337,11 +351,12 @@
         zones
             .into_iter()
             .filter(|(zone, _)| spec.zone.as_ref().is_none_or(|wanted| wanted == zone))
-            .max_by_key(|(_, zone)| (zone.available || zone.slots as f64 >= tasks, zone.slots))
+            .max_by_key(|(_, zone)| (zone.can_provision || zone.slots as f64 >= tasks, zone.slots))
             .map(|(zone, _)| zone.to_string())
     }
 
-    /// The zones of the machine types that fit the job, and whether machines may be provisioned there for it.
+    /// Returns the zones of the machine types that fit the job, and whether machines may be provisioned there for
+    /// it.
     fn zones_for_gang<'a>(
         &self,
         context: &'a Context,
@@ -351,19 +366,19 @@
         let mut zones: BTreeMap<&str, GangZone> = BTreeMap::new();
         for machine_type in machine_types_for(context, spec) {
             for zone in &machine_type.zones {
-                let available = [false, true].into_iter().any(|spot| {
+                let can_provision = [false, true].into_iter().any(|spot| {
                     let offering = MachineOffering::new(&machine_type.name, zone, spot);
                     permits(context, spec, &machine_type.name, zone, spot)
                         && (!spot || machine_type.spot_price.is_some())
                         && !self.fleet.is_unavailable(&offering, now)
                 });
-                zones.entry(zone).or_default().available |= available;
+                zones.entry(zone).or_default().can_provision |= can_provision;
             }
         }
         zones
     }
 
-    /// Adds the slots for the job's tasks on machines that are up, booting or requested.
+    /// Adds up the slots for the job's tasks on machines that are up, booting or requested, by zone.
     fn add_slots(
         &self,
         context: &Context,
@@ -401,11 +416,11 @@
     }
 }
 
-/// What a zone has for a gang.
+/// Slots of a zone for a gang.
 #[derive(Clone, Copy, Default)]
 struct GangZone {
-    /// Whether machines for it may be provisioned there.
-    available: bool,
-    /// Slots for its tasks, on machines that are up, booting or requested.
+    /// Whether machines for the gang may be provisioned in the zone.
+    can_provision: bool,
+    /// Number of slots for its tasks, on machines that are up, booting or requested.
     slots: u64,
 }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -1,4 +1,4 @@
-//! The plan: which machines to add so that the supply covers the demand.
+//! The plan: decides which machines to add so that the supply covers the demand.
 
 use crate::context::Context;
 use crate::scheduler::leader::fleet::autoscaler::demand::{
@@ -13,43 +13,43 @@
 use grebewood_wire::http::MachineType;
 use std::collections::BTreeMap;
 
-/// Most machines in one provisioning request.
+/// Maximum number of machines in one provisioning request.
 pub(crate) const MAX_MACHINES_PER_REQUEST: u64 = 50;
 
-/// Most machines of one offering in one round of the autoscaler.
+/// Maximum number of machines of one offering that one round of the autoscaler adds.
 const MAX_MACHINES_PER_OFFERING: u64 = 2 * MAX_MACHINES_PER_REQUEST;
 
-/// Most machines that one pass of the autoscaler adds.
+/// Maximum number of machines that one pass of the autoscaler adds.
 const MAX_MACHINES_PER_PASS: usize = 200;
 
-/// An offering is about as cheap as the cheapest if its price per CPU is at most this multiple of it.
+/// An offering counts as cheap if its price per CPU is at most this multiple of the lowest price per CPU.
 const CHEAP_PRICE_FACTOR: f64 = 1.5;
 
-/// How many machines of which offering are to be provisioned.
+/// Number of machines to provision, by offering.
 pub(crate) type ProvisionPlan = BTreeMap<MachineOffering, u64>;
 
-/// An offering that a pass may add machines of.
+/// An offering of which a pass may add machines.
 struct Candidate {
     offering: MachineOffering,
-    /// Its price, with the risk of spot reclamation as a factor.
+    /// Price of one machine, multiplied by a risk factor for spot machines, which the cloud may reclaim.
     price: f64,
     /// Computing power of one machine, for each demand.
     power: Vec<f64>,
 }
 
-/// The demand that the computing power of the fleet does not cover, while machines are added to the plan.
+/// Demand that the computing power of the fleet does not cover, updated as machines are added to the plan.
 struct UnmetDemand<'a> {
     demand: &'a [Demand<'a>],
-    /// Computing power before the pass, for each demand.
+    /// Computing power of the fleet and the plan before the pass, for each demand.
     power: Vec<f64>,
-    /// Tasks of each demand that are not covered yet.
+    /// Number of tasks of each demand that are not covered yet.
     gap: Vec<f64>,
-    /// The part of a machine's power that has to close gaps before the machine is worth its price.
-    least_use: f64,
+    /// Fraction of a machine's computing power that must close gaps before the machine is added.
+    min_useful_fraction: f64,
 }
 
 impl<'a> UnmetDemand<'a> {
-    fn new(demand: &'a [Demand<'a>], power: Vec<f64>, least_use: f64) -> Self {
+    fn new(demand: &'a [Demand<'a>], power: Vec<f64>, min_useful_fraction: f64) -> Self {
         let gap = demand
             .iter()
             .zip(&power)
@@ -59,14 +59,14 @@
             demand,
             power,
             gap,
-            least_use,
+            min_useful_fraction,
         }
     }
 
-    /// Whether demand that nothing covers would get its first machine. Tasks that no machine can take get one
-    /// however little they fill, and so do tasks that each need a slot now: a gang that lacked one slot once
-    /// waited for good.
-    fn serves_stranded_tasks(&self, power: &[f64]) -> bool {
+    /// Returns whether a machine of this power serves tasks that must get a machine however little of it they use.
+    /// These are batch tasks for which the fleet has no computing power and this pass has added none, and tasks of
+    /// gangs and services that lack a slot. Without this rule, a gang that lacks one slot would wait forever.
+    fn serves_uncovered_tasks(&self, power: &[f64]) -> bool {
         let mut demand = self.demand.iter().enumerate();
         demand.any(|(i, d)| match d.is_batch() {
             true => self.power[i] <= EPS && power[i] > 0.0 && self.gap[i] >= d.tasks - EPS,
@@ -74,34 +74,38 @@
         })
     }
 
-    /// The price of a machine per second of missing run time that it adds; `None`: it is not worth adding.
+    /// Returns the price of a machine per second of missing run time that it adds, or `None` if it is not worth
+    /// adding.
     fn cost(&self, candidate: &Candidate, backlog_exceeded: bool) -> Option<f64> {
         let power = &candidate.power;
-        // Seconds of run time that the machine can take, and those of them that are missing.
-        let capacity: f64 = power
+        // Seconds of run time that the machine can take, and how many of those seconds close a gap.
+        let capacity_s: f64 = power
             .iter()
             .zip(self.demand)
             .map(|(power, d)| power * d.run_s)
             .sum();
-        let closes: f64 = power
+        let closed_s: f64 = power
             .iter()
             .zip(&self.gap)
             .zip(self.demand)
             .map(|((power, gap), d)| power.min(*gap) * d.run_s)
             .sum();
-        let worth_it = backlog_exceeded || self.serves_stranded_tasks(power);
-        let closes = match backlog_exceeded {
-            true => closes.max(EPS),
-            false => closes,
+        let is_threshold_waived = backlog_exceeded || self.serves_uncovered_tasks(power);
+        let closed_s = match backlog_exceeded {
+            true => closed_s.max(EPS),
+            false => closed_s,
         };
-        if capacity <= 0.0 || closes <= 0.0 || (!worth_it && closes < capacity * self.least_use) {
+        if capacity_s <= 0.0
+            || closed_s <= 0.0
+            || (!is_threshold_waived && closed_s < capacity_s * self.min_useful_fraction)
+        {
             return None;
         }
-        Some(candidate.price / closes)
+        Some(candidate.price / closed_s)
     }
 
-    /// The candidate with the lowest price per second of missing run time.
-    fn cheapest<'c>(
+    /// Returns the candidate with the lowest price per second of missing run time.
+    fn cheapest_candidate<'c>(
         &self,
         candidates: &'c [Candidate],
         plan: &ProvisionPlan,
@@ -123,15 +127,15 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    /// A machine of this power is added.
-    fn close(&mut self, power: &[f64]) {
+    /// Reduces the gaps by the computing power of a machine that is added to the plan.
+    fn close_gaps(&mut self, power: &[f64]) {
         for (gap, power) in self.gap.iter_mut().zip(power) {
             *gap = (*gap - power).max(0.0);
         }
     }
 }
 
-/// The price of a machine of the type; `None`: there are no spot machines of it.
+/// Returns the price of a spot or on-demand machine of the type, or `None` if the type has no spot machines.
 fn price_of(machine_type: &MachineType, spot: bool) -> Option<f64> {
     match spot {
         true => machine_type.spot_price,
@@ -143,6 +147,7 @@
     price / machine_type.cpus.max(EPS)
 }
 
+/// Returns the lowest price per CPU of all offerings.
 fn lowest_price_per_cpu(catalogue: &[MachineType]) -> f64 {
     let lowest = |t: &MachineType| t.spot_price.unwrap_or(t.price).min(t.price);
     catalogue
@@ -151,9 +156,10 @@
         .fold(f64::MAX, f64::min)
 }
 
-/// Seconds that one machine would take for all waiting batch tasks.
+/// Returns how many seconds one machine takes to run all waiting batch tasks, if it is for each job of the type with
+/// the most slots.
 fn batch_backlog_s(catalogue: &[MachineType], demand: &[Demand]) -> f64 {
-    let most_slots = |d: &Demand| {
+    let max_slots = |d: &Demand| {
         catalogue
             .iter()
             .filter(|t| fits_type(d.spec, t))
@@ -163,12 +169,13 @@
     demand
         .iter()
         .filter(|d| d.is_batch())
-        .map(|d| d.tasks * d.run_s / most_slots(d))
+        .map(|d| d.tasks * d.run_s / max_slots(d))
         .sum()
 }
 
 impl Scheduler {
-    /// Adds machines to the plan while the demand exceeds the computing power, by price per unit of the gap.
+    /// Adds machines to the plan while the demand exceeds the computing power, the lowest price per unit of the gap
+    /// first.
     pub(crate) fn add_to_plan(
         &self,
         context: &Context,
@@ -187,25 +194,25 @@
         let candidates = self.candidate_offerings(context, catalogue, &demand, pass);
         let backlog_s = batch_backlog_s(catalogue, &demand);
         let backlog_limit_s = self.backlog_limit_s(context);
-        let ready: f64 = supply.iter().map(|s| s.machines).sum();
+        let machines_up: f64 = supply.iter().map(|s| s.machines).sum();
         let planned = plan.values().sum::<u64>() as usize;
         let booting = self.fleet.booting_count() + planned;
         let fleet_max = context.tuning.fleet_max as usize;
-        let most = fleet_max.saturating_sub(self.machines.len() + booting);
-        for added in 0..most.min(MAX_MACHINES_PER_PASS) {
-            // Far deadlines let the computing power cover any demand on paper: a few machines once worked off
-            // a growing queue for a whole day.
-            let machines = ready + (booting + added) as f64;
+        let max_added = fleet_max.saturating_sub(self.machines.len() + booting);
+        for added in 0..max_added.min(MAX_MACHINES_PER_PASS) {
+            // With distant deadlines, the computing power covers almost any demand in the calculation. Without a
+            // limit on the backlog, a few machines would work through a growing queue for a whole day.
+            let machines = machines_up + (booting + added) as f64;
             let backlog_exceeded = backlog_s > machines * backlog_limit_s;
-            let Some(best) = unmet.cheapest(&candidates, plan, backlog_exceeded) else {
+            let Some(best) = unmet.cheapest_candidate(&candidates, plan, backlog_exceeded) else {
                 break;
             };
-            unmet.close(&best.power);
+            unmet.close_gaps(&best.power);
             *plan.entry(best.offering.clone()).or_insert(0) += 1;
         }
     }
 
-    /// Computing power of a machine that is provisioned now, for each demand.
+    /// Returns the computing power of a machine that is provisioned now, for each demand.
     fn power_of_new_machine(
         &self,
         machine_type: &MachineType,
@@ -215,16 +222,17 @@
     ) -> Vec<f64> {
         let boot_s = self.expected_boot_time(machine_type) as f64 / MICROS_PER_SECOND;
         computing_power(demand, total_run_s(demand), Some(boot_s), |d| {
-            d.slots(machine_type, zone, spot)
+            d.slots_per_machine(machine_type, zone, spot)
         })
     }
 
+    /// Adds the computing power of the machines that are in the plan already.
     fn add_power_of_plan(
         &self,
         catalogue: &[MachineType],
         demand: &[Demand],
         plan: &ProvisionPlan,
-        sum: &mut [f64],
+        total_power: &mut [f64],
     ) {
         for (offering, number) in plan {
             let mut types = catalogue.iter();
@@ -233,13 +241,13 @@
             };
             let power =
                 self.power_of_new_machine(machine_type, &offering.zone, offering.spot, demand);
-            for (sum, power) in sum.iter_mut().zip(power) {
+            for (sum, power) in total_power.iter_mut().zip(power) {
                 *sum += power * *number as f64;
             }
         }
     }
 
-    /// The offerings that machines may be requested of now.
+    /// Returns the offerings of which machines may be requested now.
     fn candidate_offerings(
         &self,
         context: &Context,
@@ -247,7 +255,7 @@
         demand: &[Demand],
         pass: PlanningPass,
     ) -> Vec<Candidate> {
-        let lowest = lowest_price_per_cpu(catalogue);
+        let lowest_price = lowest_price_per_cpu(catalogue);
         let mut candidates = Vec::new();
         for machine_type in catalogue {
             for zone in &machine_type.zones {
@@ -256,15 +264,15 @@
                         continue;
                     };
                     let offering = MachineOffering::new(&machine_type.name, zone, spot);
-                    let too_expensive = pass == PlanningPass::CheapOfferings
-                        && price_per_cpu(machine_type, price) > lowest * CHEAP_PRICE_FACTOR;
-                    if too_expensive || !self.may_request(context, &offering) {
+                    let is_too_expensive = pass == PlanningPass::CheapOfferings
+                        && price_per_cpu(machine_type, price) > lowest_price * CHEAP_PRICE_FACTOR;
+                    if is_too_expensive || !self.may_request(context, &offering) {
                         continue;
                     }
-                    let risk = if spot { context.tuning.spot_risk } else { 1.0 };
+                    let risk_factor = if spot { context.tuning.spot_risk } else { 1.0 };
                     candidates.push(Candidate {
                         offering,
-                        price: price * risk,
+                        price: price * risk_factor,
                         power: self.power_of_new_machine(machine_type, zone, spot, demand),
                     });
                 }
@@ -273,17 +281,18 @@
         candidates
     }
 
-    /// Whether machines of the offering may be requested: it did not lack capacity lately, and no request
-    /// for it is unanswered.
+    /// Returns whether machines of the offering may be requested: the offering did not lack capacity recently,
+    /// and no provisioning request for it is unanswered.
     fn may_request(&self, context: &Context, offering: &MachineOffering) -> bool {
         let mut unanswered = self.fleet.unanswered_provisions();
         !self.fleet.is_unavailable(offering, context.now.steady)
             && !unanswered.any(|provision| provision.offering() == *offering)
     }
 
-    /// Seconds of waiting batch tasks that each machine may have: with more, the last tasks start too late.
+    /// Returns the maximum backlog of batch tasks per machine, in seconds. With a larger backlog, the last tasks
+    /// start too late.
     fn backlog_limit_s(&self, context: &Context) -> f64 {
-        let boot_time = self.least_boot_time(context);
+        let boot_time = self.shortest_boot_time(context);
         let limit = match context.settings.longest_start_objective(boot_time) {
             Some(start) => (start as f64 * context.tuning.backlog_share) as Micros,
             None => Micros::MAX,
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -1,4 +1,4 @@
-//! Supply: what the machines that are up or booting can complete of the demand in time.
+//! Supply: how many of the waiting tasks the machines that are up, booting or requested can complete in time.
 
 use crate::context::Context;
 use crate::scheduler::leader::fleet::autoscaler::demand::{total_run_s, Demand, MICROS_PER_SECOND};
@@ -10,11 +10,13 @@
 use grebewood_wire::http::MachineType;
 use std::collections::BTreeMap;
 
-/// Tasks of each demand that a machine with `slots` for them completes in time: the paper's computing power
-/// `P`, times the slots. `boot_delay_s` is what remains of the boot, in seconds, of a machine that is not up.
-/// Gangs and services need a slot each now, and come before batch tasks: they share the slots among themselves.
-/// As a part of all demand they once seemed to get next to nothing of a machine, and dozens were provisioned
-/// for a few replicas.
+/// Returns, for each demand, how many of its tasks a machine completes in time: the paper's computing power `P`,
+/// multiplied by the number of `slots` that the machine has for tasks of that demand. `boot_delay_s` is the
+/// remaining boot time, in seconds, of a machine that is not up yet.
+///
+/// Each task of a gang or service needs a slot immediately and takes precedence over batch tasks, so gangs and
+/// services share the slots only among themselves. If they shared the slots with all demand, they would be
+/// credited with almost nothing of a machine, and dozens of machines would be provisioned for a few replicas.
 pub(crate) fn computing_power(
     demand: &[Demand],
     total_run_s: f64,
@@ -22,7 +24,7 @@
     slots: impl Fn(&Demand) -> f64,
 ) -> Vec<f64> {
     let slots: Vec<f64> = demand.iter().map(slots).collect();
-    let needed_now: f64 = demand
+    let tasks_needing_slots: f64 = demand
         .iter()
         .zip(&slots)
         .filter(|(d, slots)| !d.is_batch() && **slots > 0.0)
@@ -33,7 +35,7 @@
         .zip(slots)
         .map(|(d, slots)| {
             if !d.is_batch() {
-                return slots * d.tasks / needed_now.max(EPS);
+                return slots * d.tasks / tasks_needing_slots.max(EPS);
             }
             let time_left_s = match boot_delay_s {
                 None => d.time_left_s,
@@ -48,67 +50,72 @@
         .collect()
 }
 
-/// A task on a machine that is up, as the supply sums it up.
+/// A task on a machine that is up, with the sums that [`Supply::compute_sums`] stores in it.
 struct RunningTask {
-    /// Time that it will still take, in seconds.
+    /// Remaining run time, in seconds.
     remaining_s: f64,
-    /// The part of a machine that it takes; after summing up, that of this and all later tasks.
-    machine_part: f64,
-    /// The sum of the products of both, up to this task.
+    /// Fraction of a machine that the task uses. After [`Supply::compute_sums`]: the sum of this fraction over
+    /// this and all later tasks.
+    machine_fraction: f64,
+    /// Sum of remaining run time times fraction of a machine, over all tasks up to and including this one.
     machine_seconds: f64,
 }
 
-/// Machines of one offering that are up, with what is taken of them.
+/// Machines of one offering that are up, with the tasks on them.
 pub(crate) struct Supply {
-    /// What they are.
+    /// Offering of the machines.
     offering: MachineOffering,
-    /// How many there are.
+    /// Number of machines.
     pub(crate) machines: f64,
-    /// Their tasks, by the time that these still take.
+    /// Tasks on the machines, sorted by remaining run time once [`Supply::compute_sums`] has run.
     running: Vec<RunningTask>,
 }
 
 impl Supply {
-    fn sum_up(&mut self) {
+    /// Sorts the tasks by remaining run time and stores the running sums in them.
+    fn compute_sums(&mut self) {
         self.running
             .sort_by(|a, b| a.remaining_s.total_cmp(&b.remaining_s));
         let mut machine_seconds = 0.0;
         for task in &mut self.running {
-            machine_seconds += task.remaining_s * task.machine_part;
+            machine_seconds += task.remaining_s * task.machine_fraction;
             task.machine_seconds = machine_seconds;
         }
-        // The sum of the parts from each task on is needed as often as that of the products.
-        let mut machine_part = 0.0;
+        // `average_free_machines` needs the sum of the fractions from a given task on.
+        let mut machine_fraction = 0.0;
         for task in self.running.iter_mut().rev() {
-            machine_part += task.machine_part;
-            task.machine_part = machine_part;
+            machine_fraction += task.machine_fraction;
+            task.machine_fraction = machine_fraction;
         }
     }
 
-    /// How many machines are free on average over the next `seconds`: a task that ends before leaves its
-    /// resources for the rest of the time.
-    fn free_within(&self, seconds: f64) -> f64 {
-        let at = self
+    /// Returns how many machines are free on average over the next `seconds`. A task that ends earlier frees its
+    /// resources for the rest of that time.
+    fn average_free_machines(&self, seconds: f64) -> f64 {
+        let first_staying = self
             .running
             .partition_point(|task| task.remaining_s < seconds);
-        let ending = match at {
+        let ending_machines = match first_staying {
             0 => 0.0,
-            _ => self.running[at - 1].machine_seconds / seconds.max(EPS),
+            _ => self.running[first_staying - 1].machine_seconds / seconds.max(EPS),
         };
-        let staying = self.running.get(at).map_or(0.0, |task| task.machine_part);
-        (self.machines - ending - staying).max(0.0)
+        let staying_machines = self
+            .running
+            .get(first_staying)
+            .map_or(0.0, |task| task.machine_fraction);
+        (self.machines - ending_machines - staying_machines).max(0.0)
     }
 }
 
-/// Adds the computing power of a machine to a sum.
-fn add_power(sum: &mut [f64], power: Vec<f64>) {
-    for (sum, power) in sum.iter_mut().zip(power) {
+/// Adds computing power, demand by demand, to the sums.
+fn add_power(total_power: &mut [f64], power: Vec<f64>) {
+    for (sum, power) in total_power.iter_mut().zip(power) {
         *sum += power;
     }
 }
 
 impl Scheduler {
-    /// The machines that are up, by offering.
+    /// Returns the machines that are up, grouped by offering.
     pub(crate) fn supply(&self, context: &Context) -> Vec<Supply> {
         let now = context.now.steady;
         let heartbeat_timeout = context.settings.heartbeat_timeout();
@@ -130,72 +137,76 @@
                 });
             supply.machines += 1.0;
             for task in &machine.assignments {
-                let cpu_part = task.cpus / machine.cpus;
+                let cpu_fraction = task.cpus / machine.cpus;
                 supply.running.push(RunningTask {
                     remaining_s: task.remaining(now, 0) as f64 / MICROS_PER_SECOND,
-                    machine_part: cpu_part.max(task.memory / machine.memory.max(EPS)),
+                    machine_fraction: cpu_fraction.max(task.memory / machine.memory.max(EPS)),
                     machine_seconds: 0.0,
                 });
             }
         }
         let mut supply: Vec<Supply> = by_offering.into_values().collect();
-        for of_offering in &mut supply {
-            of_offering.sum_up();
+        for offering_supply in &mut supply {
+            offering_supply.compute_sums();
         }
         supply
     }
 
-    /// Computing power of the machines that are up, booting or requested, for each demand.
+    /// Returns the computing power of all machines that are up, booting or requested, for each demand.
     pub(crate) fn power_of_fleet(
         &self,
         context: &Context,
         supply: &[Supply],
         demand: &[Demand],
     ) -> Vec<f64> {
-        let total = total_run_s(demand);
-        let mut sum = vec![0.0; demand.len()];
-        self.add_power_of_supply(context, supply, demand, total, &mut sum);
-        self.add_power_of_booting(context, demand, total, &mut sum);
-        self.add_power_of_requested(context, demand, total, &mut sum);
-        sum
+        let total_run_s = total_run_s(demand);
+        let mut total_power = vec![0.0; demand.len()];
+        self.add_power_of_supply(context, supply, demand, total_run_s, &mut total_power);
+        self.add_power_of_booting(context, demand, total_run_s, &mut total_power);
+        self.add_power_of_requested(context, demand, total_run_s, &mut total_power);
+        total_power
     }
 
+    /// Adds the computing power of the machines that are up.
     fn add_power_of_supply(
         &self,
         context: &Context,
         supply: &[Supply],
         demand: &[Demand],
-        total: f64,
-        sum: &mut [f64],
+        total_run_s: f64,
+        total_power: &mut [f64],
     ) {
-        for of_offering in supply {
+        for offering_supply in supply {
             let MachineOffering {
                 machine_type,
                 zone,
                 spot,
-            } = &of_offering.offering;
+            } = &offering_supply.offering;
             let Some(machine_type) = context.machine_type(machine_type) else {
                 continue;
             };
-            let headroom = self.headroom_machines(context, machine_type, &of_offering.offering);
-            // What is free now counts whole, what is freed within the time left by the part of it that is
-            // left then.
-            let power = computing_power(demand, total, None, |d| {
-                // What needs its slots now does not wait for others to end.
+            let headroom =
+                self.machines_for_headroom(context, machine_type, &offering_supply.offering);
+            // Resources that are free now count fully. Resources that a task frees within the time left count for
+            // the fraction of that time that is left then.
+            let power = computing_power(demand, total_run_s, None, |d| {
+                // Gangs and services need their slots now, so only resources that are free now count.
                 let free = match d.is_batch() {
-                    true => (of_offering.free_within(d.time_left_s) - headroom).max(0.0),
-                    false => of_offering.free_within(0.0),
+                    true => {
+                        (offering_supply.average_free_machines(d.time_left_s) - headroom).max(0.0)
+                    }
+                    false => offering_supply.average_free_machines(0.0),
                 };
-                d.slots(machine_type, zone, *spot) * free
+                d.slots_per_machine(machine_type, zone, *spot) * free
             });
-            add_power(sum, power);
+            add_power(total_power, power);
         }
     }
 
-    /// How many machines of the offering the headroom takes, as a fraction. Headroom for services is not free
-    /// for batch tasks: counted as such, it once kept all other jobs of a small fleet waiting for good, since
-    /// nothing was provisioned for them.
-    fn headroom_machines(
+    /// Returns how many machines of the offering, as a fractional number, the headroom for services uses. Headroom
+    /// is not available to batch tasks. If it counted as free for them, nothing would be provisioned for the other
+    /// jobs of a small fleet, and they would wait forever.
+    fn machines_for_headroom(
         &self,
         context: &Context,
         machine_type: &MachineType,
@@ -204,20 +215,22 @@
         let (name, zone) = (&offering.machine_type, &offering.zone);
         match self.headroom.wanted() {
             Some((spec, replicas)) if permits(context, spec, name, zone, offering.spot) => {
-                let cpu_part = spec.cpus / machine_type.cpus.max(EPS);
-                let part = cpu_part.max(spec.memory_gb / machine_type.memory_gb.max(EPS));
-                part * replicas as f64
+                let cpu_fraction = spec.cpus / machine_type.cpus.max(EPS);
+                let machine_fraction =
+                    cpu_fraction.max(spec.memory_gb / machine_type.memory_gb.max(EPS));
+                machine_fraction * replicas as f64
             }
             _ => 0.0,
         }
     }
 
+    /// Adds the computing power of the machines that are booting.
     fn add_power_of_booting(
         &self,
         context: &Context,
         demand: &[Demand],
-        total: f64,
-        sum: &mut [f64],
+        total_run_s: f64,
+        total_power: &mut [f64],
     ) {
         let now = context.now.steady;
         for booting in self.fleet.booting_machines.values() {
@@ -229,31 +242,32 @@
             let Some(machine_type) = context.machine_type(name) else {
                 continue;
             };
-            let spent = now.saturating_sub(booting.requested_at);
-            if !booting.running && spent > self.boot_timeout(context, name) {
-                // Overdue boots lose their power and are replaced.
+            let elapsed = now.saturating_sub(booting.requested_at);
+            if !booting.running && elapsed > self.boot_timeout(context, name) {
+                // An overdue boot counts as no computing power, so that a replacement is provisioned.
                 continue;
             }
             let delay_s = match booting.running {
                 true => 0.0,
                 false => {
-                    let boot = self.expected_boot_time(machine_type);
-                    boot.saturating_sub(spent) as f64 / MICROS_PER_SECOND
+                    let boot_time = self.expected_boot_time(machine_type);
+                    boot_time.saturating_sub(elapsed) as f64 / MICROS_PER_SECOND
                 }
             };
-            let power = computing_power(demand, total, Some(delay_s), |d| {
-                d.slots(machine_type, zone, *spot)
+            let power = computing_power(demand, total_run_s, Some(delay_s), |d| {
+                d.slots_per_machine(machine_type, zone, *spot)
             });
-            add_power(sum, power);
+            add_power(total_power, power);
         }
     }
 
+    /// Adds the computing power of the machines in provisioning requests that are not answered yet.
     fn add_power_of_requested(
         &self,
         context: &Context,
         demand: &[Demand],
-        total: f64,
-        sum: &mut [f64],
+        total_run_s: f64,
+        total_power: &mut [f64],
     ) {
         for provision in self.fleet.unanswered_provisions() {
             let record = &provision.record;
@@ -261,14 +275,14 @@
                 continue;
             };
             let boot_s = self.expected_boot_time(machine_type) as f64 / MICROS_PER_SECOND;
-            let power = computing_power(demand, total, Some(boot_s), |d| {
-                record.number as f64 * d.slots(machine_type, &record.zone, record.spot)
+            let power = computing_power(demand, total_run_s, Some(boot_s), |d| {
+                record.number as f64 * d.slots_per_machine(machine_type, &record.zone, record.spot)
             });
-            add_power(sum, power);
+            add_power(total_power, power);
         }
     }
 
-    /// How long a machine of the type takes to boot on average, in microseconds.
+    /// Returns the average boot time of the machine type, in microseconds.
     pub(crate) fn expected_boot_time(&self, machine_type: &MachineType) -> Micros {
         let declared = micros(machine_type.boot_s);
         self.stats.boot_time(&machine_type.name, declared)
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -1,4 +1,4 @@
-//! Boots: machines that were provisioned and have not sent a heartbeat yet.
+//! Boots: machines that were provisioned and have not sent a heartbeat to this leader yet.
 
 use crate::context::Context;
 use crate::scheduler::agents::unreachable::termination_delay;
@@ -8,20 +8,21 @@
 use grebewood_wire::http::Heartbeat;
 use log::info;
 
-/// So many boots of a type given up in a row double the time that the next ones get.
+/// Number of boots of a machine type given up in a row after which the boot timeout of the type doubles.
 const FAILED_BOOTS_PER_DOUBLING: u32 = 10;
 
-/// How often that time is doubled at most.
+/// Maximum number of times that the boot timeout of a machine type doubles.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// What every boot may take beyond its average, in microseconds.
-const BOOT_MARGIN: Micros = 2 * SECOND;
+/// Time added to every boot timeout, in microseconds.
+const BOOT_MARGIN_US: Micros = 2 * SECOND;
 
-/// The least time that a machine that the list shows as running has for its first heartbeat, in microseconds.
-const FIRST_HEARTBEAT_TIMEOUT: Micros = 30 * SECOND;
+/// Minimum time that a machine has for its first heartbeat after the machine list shows it as running, in
+/// microseconds.
+const FIRST_HEARTBEAT_TIMEOUT_US: Micros = 30 * SECOND;
 
 impl Scheduler {
-    /// A machine sent a heartbeat: if it was booting, it is up now.
+    /// Records that a machine sent a heartbeat. If it was booting, its boot is complete.
     pub(crate) fn note_machine_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
         let now = context.now.steady;
         let name = &heartbeat.machine;
@@ -35,50 +36,54 @@
         self.fleet.note_listed(name);
     }
 
+    /// Records the boot time of a machine in the statistics of its type.
     fn note_boot_time(&mut self, context: &Context, name: &str, boot: &BootingMachine) {
-        let took = context.now.steady.saturating_sub(boot.requested_at);
-        info!(machine = name, boot_ms = took / MILLI; "machine is up");
+        let boot_time = context.now.steady.saturating_sub(boot.requested_at);
+        info!(machine = name, boot_ms = boot_time / MILLI; "machine is up");
         let machine_type = &boot.offering.machine_type;
         self.fleet.failed_boots.remove(machine_type);
-        if let Some(declared) = context.machine_type(machine_type).map(|t| t.boot_s) {
+        if let Some(published) = context.machine_type(machine_type).map(|t| t.boot_s) {
             self.stats
-                .record_boot_time(machine_type, micros(declared), took);
+                .record_boot_time(machine_type, micros(published), boot_time);
         }
     }
 
-    /// Gives up boots that are far overdue, that vanished from the machine list, or whose machines are
-    /// listed as running without ever sending a heartbeat.
+    /// Gives up boots that are far overdue, boots of machines that vanished from the machine list, and boots of
+    /// machines that have been listed as running for too long without a heartbeat.
     pub(crate) fn check_boots(&mut self, context: &Context) {
         let now = context.now.steady;
-        let mut terminate = Vec::new();
+        let mut to_terminate = Vec::new();
         let mut vanished = Vec::new();
         for (name, boot) in &self.fleet.booting_machines {
             if self.is_far_overdue(context, boot) {
-                terminate.push(name.clone());
+                to_terminate.push(name.clone());
             } else if self.has_vanished(context, boot) {
                 vanished.push(name.clone());
             }
         }
-        terminate.extend(self.running_without_heartbeat(context));
+        to_terminate.extend(self.running_without_heartbeat(context));
         for name in vanished {
             self.fleet.booting_machines.remove(&name);
         }
-        for name in terminate {
+        for name in to_terminate {
             if self.fleet.terminate(&name, now) {
                 info!(machine = name; "terminating a machine that did not come up");
-                self.note_failed_boot(&name);
+                self.count_failed_boot(&name);
             }
         }
     }
 
+    /// Returns whether the machine is not listed as running and its boot has taken more than one and a half times
+    /// the timeout.
     fn is_far_overdue(&self, context: &Context, boot: &BootingMachine) -> bool {
         let timeout = self.boot_timeout(context, &boot.offering.machine_type);
-        let spent = context.now.steady.saturating_sub(boot.requested_at);
-        !boot.running && spent > timeout + timeout / 2
+        let elapsed = context.now.steady.saturating_sub(boot.requested_at);
+        !boot.running && elapsed > timeout + timeout / 2
     }
 
-    /// Whether the machine was listed once, and is listed no more. What no list shows because there was none
-    /// has not vanished: boots were once given up during an outage of the cloud, and provisioned anew after it.
+    /// Returns whether the machine list once showed the machine and no longer does. The time of the last full list
+    /// counts instead of the current time: otherwise, boots would be given up during an outage of the cloud, which
+    /// provides no lists, and their machines would be provisioned again after it.
     fn has_vanished(&self, context: &Context, boot: &BootingMachine) -> bool {
         let last_full_list = self.fleet.last_full_list.unwrap_or(0);
         let timeout = 3 * context.settings.list_lag + 10 * SECOND;
@@ -86,16 +91,17 @@
             .is_some_and(|at| last_full_list.saturating_sub(at) > timeout)
     }
 
-    /// Machines that have been listed as running for too long without a heartbeat. One that is cut off for
-    /// longer than this has lost its tasks; one that is unreachable is terminated as late.
+    /// Returns the machines that have been listed as running for too long without a heartbeat. A machine that is
+    /// cut off for this long has lost its tasks, and an unreachable machine is not terminated any earlier.
     fn running_without_heartbeat(&self, context: &Context) -> Vec<String> {
         let now = context.now.steady;
-        // If none sends heartbeats, the fault is likely this controller's.
+        // If no machine sends heartbeats, this controller is probably at fault.
         let since_heartbeat = now.saturating_sub(self.last_heartbeat_at);
         if since_heartbeat >= context.settings.heartbeat_timeout() {
             return Vec::new();
         }
-        let timeout = termination_delay(context.settings.agent_lease).max(FIRST_HEARTBEAT_TIMEOUT);
+        let timeout =
+            termination_delay(context.settings.agent_lease).max(FIRST_HEARTBEAT_TIMEOUT_US);
         let running = self.fleet.running_without_heartbeat.iter();
         running
             .filter(|(_, since)| now.saturating_sub(**since) > timeout)
@@ -103,7 +109,8 @@
             .collect()
     }
 
-    fn note_failed_boot(&mut self, name: &str) {
+    /// Counts a boot that was given up, unless the machine was listed as running.
+    fn count_failed_boot(&mut self, name: &str) {
         let boot = self.fleet.booting_machines.get(name);
         if let Some(boot) = boot.filter(|boot| !boot.running) {
             let machine_type = boot.offering.machine_type.clone();
@@ -111,18 +118,19 @@
         }
     }
 
-    /// How long a boot may take before it counts for nothing, in microseconds: by the average, but not by one
-    /// that was learnt while machines were up within seconds. Boots of usual length were once all given up
-    /// after that, for good, since none came up to be learnt from. For the same reason a type gets
-    /// more time when one boot after the other is given up.
+    /// Returns how long a boot may take before it counts as no computing power, in microseconds. The timeout is
+    /// based on the average boot time of the type, or on the published boot time if that is longer. An average
+    /// learned while machines came up within seconds would cause every boot of usual length to be given up,
+    /// forever, since no boot would complete and correct the average. For the same reason, the timeout grows as
+    /// boots of the type are given up in a row.
     pub(crate) fn boot_timeout(&self, context: &Context, machine_type: &str) -> Micros {
-        let declared = context
+        let published = context
             .machine_type(machine_type)
             .map_or(UNKNOWN_BOOT_TIME, |t| micros(t.boot_s));
-        let average = self.stats.boot_time(machine_type, declared).max(declared);
-        let failed = self.fleet.failed_boots.get(machine_type).copied();
-        let doublings = (failed.unwrap_or(0) / FAILED_BOOTS_PER_DOUBLING).min(MAX_DOUBLINGS);
-        let timeout = (average as f64 * context.tuning.boot_overdue) as Micros + BOOT_MARGIN;
+        let average = self.stats.boot_time(machine_type, published).max(published);
+        let failed_boots = self.fleet.failed_boots.get(machine_type).copied();
+        let doublings = (failed_boots.unwrap_or(0) / FAILED_BOOTS_PER_DOUBLING).min(MAX_DOUBLINGS);
+        let timeout = (average as f64 * context.tuning.boot_overdue) as Micros + BOOT_MARGIN_US;
         timeout << doublings
     }
 }
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -1,4 +1,5 @@
-//! Consolidation: drains machines whose tasks fit on others, so that they can be terminated.
+//! Consolidation: drains machines whose tasks fit on other machines, so that the drained machines can be
+//! terminated.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -8,57 +9,58 @@
 use crate::{Micros, SECOND};
 use log::info;
 
-/// Besides one, one of so many machines may be drained at a time.
+/// One machine, and one more for each so many usable machines, may be drained at a time.
 const MACHINES_PER_DRAIN: usize = 20;
 
-/// How many candidates are tried for each machine that may be drained; the others come next time.
+/// Number of candidates that one round tries for each machine that may be drained.
 const CANDIDATES_PER_DRAIN: usize = 8;
 
-/// Machines are drained no further once tasks have waited so long for free resources, in microseconds.
-const MAX_WAIT: Micros = 20 * SECOND;
+/// Draining stops once a job has waited longer than this for free resources, in microseconds.
+const MAX_WAIT_US: Micros = 20 * SECOND;
 
-/// Part of its CPUs that must be free on a machine before it is drained.
-const LEAST_FREE_PART: f64 = 0.25;
+/// A machine is drained only if more than this fraction of its CPUs is free.
+const MIN_FREE_CPU_FRACTION: f64 = 0.25;
 
-/// The free CPUs of the fleet must be this multiple of the machine's own before it is drained: as many are left
-/// over for what comes next.
-const LEAST_FREE_MACHINES: f64 = 2.0;
+/// A machine is drained only if the fleet's free CPUs are at least this multiple of the machine's CPUs. Then at
+/// least one machine's worth of them is left for new tasks.
+const MIN_FREE_CPUS_FACTOR: f64 = 2.0;
 
-/// Tasks that end sooner than this are not moved, in microseconds.
-const LEAST_REMAINING: Micros = 20 * SECOND;
+/// Tasks with at most this much remaining run time are not moved, in microseconds.
+const MIN_REMAINING_US: Micros = 20 * SECOND;
 
-/// A machine that may take tasks of drained ones.
+/// A machine that may take tasks of drained machines.
 #[derive(Clone)]
 struct TargetMachine<'a> {
     machine: &'a Machine,
     free: MachineResources,
 }
 
-/// A task that is stopped with a checkpoint, to go on elsewhere.
+/// A task that is stopped with a checkpoint and resumed on another machine.
 struct TaskMove {
     attempt: u64,
-    /// Time for the checkpoint, in microseconds.
+    /// Time that the task has for its checkpoint, in microseconds.
     grace: Micros,
 }
 
-/// A machine to be drained.
+/// A machine to be drained, and the tasks to be moved off it.
 struct Drain {
     machine: String,
     moves: Vec<TaskMove>,
 }
 
 impl Scheduler {
-    /// Drains machines whose tasks fit elsewhere while nothing waits for free resources, so that they can be
-    /// terminated: tasks with checkpoints move, the others run to their end. On-demand machines go first, then
-    /// the emptiest. A machine's worth of free resources is left over for what comes next.
+    /// Drains machines whose tasks fit elsewhere, so that they can be terminated, while no job waits for free
+    /// resources. Tasks with checkpoints are moved; the other tasks run to their end. On-demand machines are
+    /// drained before spot machines, and the emptiest of each first. Free CPUs worth one machine are left for new
+    /// tasks.
     pub(crate) fn consolidate(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let longest_wait = self.longest_wait(context);
-        if longest_wait.is_some_and(|wait| wait > MAX_WAIT) {
+        if longest_wait.is_some_and(|wait| wait > MAX_WAIT_US) {
             self.stop_draining(now);
         }
-        let hold = context.tuning.idle_hold_us;
-        if longest_wait.is_some() || now.saturating_sub(self.loaded_at) < hold {
+        let idle_hold = context.tuning.idle_hold_us;
+        if longest_wait.is_some() || now.saturating_sub(self.loaded_at) < idle_hold {
             return;
         }
         for Drain { machine, moves } in self.choose_drains(context) {
@@ -73,8 +75,8 @@
         }
     }
 
-    /// How long the first of the waiting jobs has waited, in microseconds. Tasks that wait for their team's
-    /// limit need no free resources.
+    /// Returns the longest time for which a job has waited for free resources, in microseconds. Jobs that wait for
+    /// their team's limit do not count, since free resources would not help them.
     fn longest_wait(&self, context: &Context) -> Option<Micros> {
         let now = context.now.steady;
         self.jobs
@@ -84,31 +86,32 @@
             .max()
     }
 
-    /// Tasks have waited long, and the other machines have no free resources for them: machines that are being
-    /// drained take tasks again. They once stood half empty for as long as their last tasks took, while jobs
-    /// waited and nothing could be provisioned.
+    /// Lets machines that are being drained take tasks again, after tasks have waited long because the other
+    /// machines have no free resources for them. Without this, drained machines would stay half empty until their
+    /// last tasks end, while jobs wait and no machines can be provisioned.
     fn stop_draining(&mut self, now: Micros) {
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             if machine.assignments.is_empty() || self.fleet.is_terminating(&machine.name) {
                 continue;
             }
-            info!(machine = machine.name; "draining stopped, tasks wait for free resources");
+            info!(machine = machine.name; "stopped draining a machine because tasks wait for free resources");
             machine.draining = false;
             machine.cordoned = false;
             self.placement.request_round(now);
         }
     }
 
-    /// How many more machines may be drained now.
+    /// Returns how many more machines may be drained now.
     fn drains_left(&self, usable: usize) -> usize {
-        let draining = |m: &&Machine| m.cordoned && !m.assignments.is_empty();
-        let under_way = self.machines.values().filter(draining).count();
-        (1 + usable / MACHINES_PER_DRAIN).saturating_sub(under_way)
+        let is_draining = |m: &&Machine| m.cordoned && !m.assignments.is_empty();
+        let draining_count = self.machines.values().filter(is_draining).count();
+        (1 + usable / MACHINES_PER_DRAIN).saturating_sub(draining_count)
     }
 
+    /// Chooses the machines to drain now.
     fn choose_drains(&self, context: &Context) -> Vec<Drain> {
         let usable: Vec<&Machine> = self.usable_machines(context).collect();
-        let most = self.drains_left(usable.len());
+        let max_drains = self.drains_left(usable.len());
         let mut free_cpus: f64 = usable.iter().map(|m| m.free().cpus).sum();
         let mut targets: Vec<TargetMachine> = usable
             .iter()
@@ -120,17 +123,17 @@
             .collect();
         let mut drains = Vec::new();
         let candidates = drain_candidates(usable).into_iter();
-        for machine in candidates.take(CANDIDATES_PER_DRAIN * most) {
-            if drains.len() >= most || free_cpus < LEAST_FREE_MACHINES * machine.cpus {
+        for machine in candidates.take(CANDIDATES_PER_DRAIN * max_drains) {
+            if drains.len() >= max_drains || free_cpus < MIN_FREE_CPUS_FACTOR * machine.cpus {
                 break;
             }
-            let mut targets_left = targets.clone();
-            targets_left.retain(|target| target.machine.name != machine.name);
-            let moves = self.move_tasks(context, machine, &mut targets_left);
-            // Without a task to move it would be empty as soon by itself.
+            let mut remaining_targets = targets.clone();
+            remaining_targets.retain(|target| target.machine.name != machine.name);
+            let moves = self.plan_task_moves(context, machine, &mut remaining_targets);
+            // A machine with no task to move becomes empty just as soon without being drained.
             if let Some(moves) = moves.filter(|moves| !moves.is_empty()) {
                 free_cpus -= machine.cpus;
-                targets = targets_left;
+                targets = remaining_targets;
                 let machine = machine.name.clone();
                 drains.push(Drain { machine, moves });
             }
@@ -138,9 +141,9 @@
         drains
     }
 
-    /// Takes the resources for the machine's tasks on other machines; `None`: some of them fit nowhere else or
-    /// are not to be moved.
-    fn move_tasks(
+    /// Reserves resources for the machine's tasks on the target machines and returns the tasks to move. Returns
+    /// `None` if one of the tasks fits on no target machine or must not be moved.
+    fn plan_task_moves(
         &self,
         context: &Context,
         machine: &Machine,
@@ -151,7 +154,7 @@
             let Some(job) = self.jobs.get(assignment.job) else {
                 continue;
             };
-            // A move is a gap in what it serves.
+            // Moving a replica would interrupt its service.
             if job.is_daemon() {
                 return None;
             }
@@ -174,14 +177,16 @@
     }
 }
 
+/// Returns whether the task runs long enough to be moved.
 fn is_worth_moving(assignment: &Assignment, context: &Context) -> bool {
-    assignment.remaining(context.now.steady, 0) > LEAST_REMAINING
+    assignment.remaining(context.now.steady, 0) > MIN_REMAINING_US
 }
 
-/// Machines that may be drained, the first to be drained first.
+/// Returns the machines that may be drained, in the order in which they are to be drained.
 fn drain_candidates(usable: Vec<&Machine>) -> Vec<&Machine> {
     let mut candidates = usable;
-    candidates.retain(|m| !m.assignments.is_empty() && m.free().cpus > m.cpus * LEAST_FREE_PART);
+    candidates
+        .retain(|m| !m.assignments.is_empty() && m.free().cpus > m.cpus * MIN_FREE_CPU_FRACTION);
     candidates.sort_by_cached_key(|m| {
         let free_milli_cpus = (m.free().cpus * 1e3) as i64;
         (m.spot, -free_milli_cpus, m.name.as_str())
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's machine list: which machines there are, with a lag.
+//! The cloud's machine list, which shows with a lag which machines exist.
 
 use crate::calls::FleetCall;
 use crate::context::Context;
@@ -11,7 +11,7 @@
 use log::{info, warn};
 use std::collections::BTreeSet;
 
-/// Most machines on one page of the list.
+/// Maximum number of machines on one page of the list.
 const PAGE_SIZE: usize = 500;
 
 /// Status of a listed machine whose agent should be sending heartbeats.
@@ -24,8 +24,8 @@
     /// Reads the next page of the machine list if it is due.
     pub(crate) fn read_machine_list(&mut self, context: &mut Context) {
         let now = context.now.steady;
-        let due = now >= self.fleet.next_list_read && !self.fleet.list_in_flight;
-        if !due || !context.cloud.take(now, 1.0) {
+        let is_due = now >= self.fleet.next_list_read && !self.fleet.list_in_flight;
+        if !is_due || !context.cloud.take(now, 1.0) {
             return;
         }
         self.fleet.list_in_flight = true;
@@ -37,7 +37,7 @@
         self.call_cloud(context, "GET", &path, Vec::new(), FleetCall::List);
     }
 
-    /// Takes in a page of the machine list.
+    /// Handles the response with a page of the machine list.
     pub(crate) fn on_machine_list(&mut self, context: &mut Context, status: u16, body: &[u8]) {
         let now = context.now.steady;
         self.fleet.list_in_flight = false;
@@ -45,65 +45,66 @@
             Ok(page) if status == 200 => page,
             unusable => {
                 if let (200, Err(error)) = (status, unusable) {
-                    warn!(error:% = error; "unreadable machine list");
+                    warn!(error:% = error; "cannot decode the machine list");
                 }
                 self.fleet.next_list_read = now + SECOND + context.jitter(SECOND / 2);
                 return;
             }
         };
-        let last = page.machines.last().map(|machine| machine.id.clone());
+        let last_machine = page.machines.last().map(|machine| machine.id.clone());
         self.fleet.listed_so_far.extend(page.machines);
-        if page.more && last.is_some() {
-            self.fleet.list_continues_after = last;
+        if page.more && last_machine.is_some() {
+            self.fleet.list_continues_after = last_machine;
             self.fleet.next_list_read = now;
         } else {
             self.fleet.list_continues_after = None;
             self.fleet.next_list_read = now + context.tuning.list_interval_us;
-            self.take_full_list(context);
+            self.process_full_list(context);
         }
     }
 
-    /// Takes in a full machine list. It lags, so absence from it says little.
-    fn take_full_list(&mut self, context: &Context) {
+    /// Processes a full machine list. The list lags, so a machine that it does not show may still exist.
+    fn process_full_list(&mut self, context: &Context) {
         let listed = std::mem::take(&mut self.fleet.listed_so_far);
         self.fleet.last_full_list = Some(context.now.steady);
         self.terminate_unlisted(context, &listed);
         for machine in &listed {
-            self.take_listed(context, machine);
+            self.process_listed_machine(context, machine);
         }
     }
 
-    fn take_listed(&mut self, context: &Context, listed: &ListedMachine) {
+    /// Processes one machine of the list.
+    fn process_listed_machine(&mut self, context: &Context, listed: &ListedMachine) {
         let now = context.now.steady;
         let name = &listed.id;
         self.fleet.note_listed(name);
         if let Some(at) = self.fleet.terminated.get(name) {
-            let lag_at_most = 4 * context.settings.list_lag + 30 * SECOND;
-            if now.saturating_sub(*at) > lag_at_most {
-                // Still there long after its termination was answered: terminate it again.
+            let max_listed_time = 4 * context.settings.list_lag + 30 * SECOND;
+            if now.saturating_sub(*at) > max_listed_time {
+                // The machine still exists long after its termination was answered, so it is terminated again.
                 self.fleet.terminated.remove(name);
                 self.fleet.terminate(name, now);
             }
             return;
         }
         if listed.status == FAILED {
-            info!(machine = name; "terminating a machine that failed");
+            info!(machine = name; "terminating a machine that the cloud lists as failed");
             self.fleet.terminate(name, now);
             return;
         }
-        self.note_listed_boot(now, listed);
+        self.record_listed_boot(now, listed);
     }
 
-    /// The list shows a machine that may still be booting.
-    fn note_listed_boot(&mut self, now: Micros, listed: &ListedMachine) {
+    /// Records a listed machine that may still be booting.
+    fn record_listed_boot(&mut self, now: Micros, listed: &ListedMachine) {
         let name = &listed.id;
         let running = listed.status == RUNNING;
         if let Some(boot) = self.fleet.booting_machines.get_mut(name) {
             boot.last_listed = Some(now);
             boot.running = running;
         }
-        let known = self.machines.get(name);
-        if known.is_some_and(|machine| !machine.address.is_empty()) {
+        let known_machine = self.machines.get(name);
+        if known_machine.is_some_and(|machine| !machine.address.is_empty()) {
             return;
         }
         if running {
@@ -112,7 +113,7 @@
         }
         let booting = self.fleet.booting_machines.entry(name.clone());
         booting.or_insert_with(|| {
-            info!(machine = name; "the machine list shows an unknown machine");
+            info!(machine = name; "found an unknown machine in the machine list");
             BootingMachine {
                 offering: MachineOffering::new(&listed.machine_type, &listed.zone, listed.spot),
                 requested_at: now.saturating_sub(micros(listed.age_s)),
@@ -122,24 +123,25 @@
         });
     }
 
-    /// A machine that was listed long ago, is listed no more and sends no heartbeats was reclaimed
-    /// without notice; so was one of an earlier leader's that no list of ours ever showed. Its
-    /// termination, which costs nothing, gives the proof that frees its tasks, earlier than the end of
-    /// its lease would. Of machines that are gone before a leader begins there is no other proof,
-    /// if none is left whose heartbeats show that the fault is not this controller's.
+    /// Terminates machines that were probably reclaimed without notice. These are machines that were listed, are
+    /// no longer listed and send no heartbeats, and machines of an earlier leader that no list of this leader ever
+    /// showed. The termination costs nothing, and its response proves that the tasks on the machine have ended,
+    /// earlier than the expiry of the agent's lease would. For machines that were gone before this leader's term
+    /// began, there is no other proof if no machine is left whose heartbeats show that this controller is not at
+    /// fault.
     fn terminate_unlisted(&mut self, context: &Context, list: &[ListedMachine]) {
         let now = context.now.steady;
         let listed: BTreeSet<&str> = list.iter().map(|machine| machine.id.as_str()).collect();
         let loaded_at = self.loaded_at;
-        let mut gone = Vec::new();
+        let mut probably_gone = Vec::new();
         for machine in self.machines.values_mut() {
             if listed.contains(machine.name.as_str()) {
                 machine.listed.get_or_insert(now);
-            } else if is_gone_unnoticed(context, machine, loaded_at) {
-                gone.push(machine.name.clone());
+            } else if is_probably_gone(context, machine, loaded_at) {
+                probably_gone.push(machine.name.clone());
             }
         }
-        for name in gone {
+        for name in probably_gone {
             if self.fleet.terminate(&name, now) {
                 info!(machine = name; "terminating a machine that is unlisted and unreachable");
             }
@@ -147,11 +149,11 @@
     }
 }
 
-/// Whether a machine that is not listed was listed, or loaded from the store, long ago, and its last contact is
-/// long ago, too.
-fn is_gone_unnoticed(context: &Context, machine: &Machine, loaded_at: Micros) -> bool {
+/// Returns whether an unlisted machine has probably gone: it was listed, or loaded from the store, long ago, and
+/// its last contact was long ago as well.
+fn is_probably_gone(context: &Context, machine: &Machine, loaded_at: Micros) -> bool {
     let now = context.now.steady;
-    // A list may be older than the one before it, by as much as the lag allows.
+    // A list may be older than the list read before it, by as much as the lag permits.
     let listed_timeout = 2 * context.settings.list_lag + 2 * SECOND;
     let contact_timeout = 2 * context.settings.heartbeat_interval + SECOND;
     let from_store = machine.address.is_empty().then_some(loaded_at);
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -1,4 +1,4 @@
-//! Provisioning requests: idempotent by their names, and sent until their outcome is clear.
+//! Provisioning requests. Their names make them idempotent, so each is sent again until its outcome is known.
 
 use crate::calls::FleetCall;
 use crate::context::Context;
@@ -11,24 +11,26 @@
 use log::{info, warn};
 use std::collections::BTreeSet;
 
-/// What the cloud answers, as text, if an offering has no capacity.
+/// Error text of the cloud's response if an offering has no capacity.
 const NO_CAPACITY: &str = "no capacity";
 
-/// How long nothing more is requested of an offering without capacity, the first time, in microseconds.
-const FIRST_CAPACITY_BACKOFF: Micros = 5 * SECOND;
+/// Time for which an offering is not requested after its first refusal for lack of capacity, in microseconds. It
+/// doubles with each further refusal in a row.
+const FIRST_CAPACITY_BACKOFF_US: Micros = 5 * SECOND;
 
-/// The longest such time, in microseconds.
-const MAX_CAPACITY_BACKOFF: Micros = 20 * SECOND;
+/// Upper bound of this time, in microseconds.
+const MAX_CAPACITY_BACKOFF_US: Micros = 20 * SECOND;
 
-/// Refusals in a row beyond which that time grows no more.
+/// Upper bound of the number of refusals in a row that are counted.
 const MAX_REFUSALS: u32 = 3;
 
+/// Returns whether the body of an error response says that the offering has no capacity.
 fn is_no_capacity(body: &[u8]) -> bool {
     wire::from_cbor::<ErrorResponse>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
 }
 
 impl Scheduler {
-    /// Sends provisioning requests that are due.
+    /// Sends the provisioning requests that are due.
     pub(crate) fn send_provisions(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let provisions = self.fleet.provisions.iter();
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Takes in the answer to a provisioning request.
+    /// Handles the response to a provisioning request.
     pub(crate) fn on_provisioned(
         &mut self,
         context: &mut Context,
@@ -74,28 +76,28 @@
         let offering = provision.offering();
         match status {
             200 => match wire::from_cbor::<MachineNames>(body) {
-                Ok(provisioned) => self.note_provisioned(now, name, provisioned.machines),
+                Ok(provisioned) => self.record_provisioned(now, name, provisioned.machines),
                 Err(error) => {
-                    warn!(provision = name, error:% = error; "unreadable answer to a provisioning request");
+                    warn!(provision = name, error:% = error; "cannot decode the response to a provisioning request");
                     provision.retry_at = now + SECOND;
                 }
             },
             503 if is_no_capacity(body) => {
-                self.note_no_capacity(now, offering);
+                self.start_capacity_backoff(now, offering);
                 self.drop_provision(context, name);
             }
             400 => {
-                warn!(provision = name; "the cloud calls the provisioning request malformed");
-                self.note_no_capacity(now, offering);
+                warn!(provision = name; "the cloud rejected a provisioning request as malformed");
+                self.start_capacity_backoff(now, offering);
                 self.drop_provision(context, name);
             }
-            // No clear outcome: the same request again, by the same name.
+            // The outcome is unknown: the same request is sent again under the same name.
             _ => provision.retry_at = now + SECOND + context.jitter(SECOND / 2),
         }
     }
 
-    /// The cloud provisioned these machines, which may be fewer than requested.
-    fn note_provisioned(&mut self, now: Micros, name: &str, machines: Vec<String>) {
+    /// Records the machines that the cloud provisioned, which may be fewer than requested.
+    fn record_provisioned(&mut self, now: Micros, name: &str, machines: Vec<String>) {
         let Some(provision) = self.fleet.provisions.get_mut(name) else {
             return;
         };
@@ -103,9 +105,9 @@
         let requested = provision.record.number;
         let requested_at = provision.requested_at;
         provision.unlisted = Some(machines.iter().cloned().collect());
-        info!(provision = name, number = machines.len(), requested = requested; "machines provisioned");
+        info!(provision = name, number = machines.len(), requested = requested; "the cloud provisioned machines");
         if (machines.len() as u64) < requested {
-            self.note_no_capacity(now, offering.clone());
+            self.start_capacity_backoff(now, offering.clone());
         } else {
             self.fleet.unavailable.remove(&offering);
         }
@@ -124,16 +126,18 @@
         }
     }
 
-    fn note_no_capacity(&mut self, now: Micros, offering: MachineOffering) {
+    /// Starts the next backoff of an offering: no machines of it are requested until the backoff has passed.
+    fn start_capacity_backoff(&mut self, now: Micros, offering: MachineOffering) {
         let backoff = self.fleet.unavailable.entry(offering).or_default();
         backoff.refusals = (backoff.refusals + 1).min(MAX_REFUSALS);
         let doublings = backoff.refusals.saturating_sub(1);
-        backoff.until = now + (FIRST_CAPACITY_BACKOFF << doublings).min(MAX_CAPACITY_BACKOFF);
+        backoff.until = now + (FIRST_CAPACITY_BACKOFF_US << doublings).min(MAX_CAPACITY_BACKOFF_US);
     }
 
+    /// Removes a provisioning request and its record.
     fn drop_provision(&mut self, context: &Context, name: &str) {
         if self.fleet.provisions.remove(name).is_some() {
-            // Written as a deletion.
+            // The record of a request that no longer exists is written as a deletion.
             self.write_buffer.mark_dirty(
                 RecordId::PendingProvision(name.to_string()),
                 context.now.steady,
@@ -141,8 +145,8 @@
         }
     }
 
-    /// Drops provisioning requests whose machines the machine list or their own heartbeats show: from then on
-    /// a new leader finds them there.
+    /// Drops provisioning requests of which every machine was shown by the machine list or by its own heartbeat.
+    /// From then on, a new leader learns of these machines without the request's record.
     pub(crate) fn close_provisions(&mut self, context: &Context) {
         let provisions = self.fleet.provisions.iter();
         let all_listed = |unlisted: &BTreeSet<String>| unlisted.is_empty();
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -1,4 +1,4 @@
-//! Termination of machines.
+//! Termination: asks the cloud to terminate machines and removes the machines that are gone.
 
 use crate::calls::FleetCall;
 use crate::context::Context;
@@ -9,14 +9,15 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::MachineNames;
 
-/// How long the removal of what was on a terminated machine may wait to be written, in microseconds.
-const REMOVAL_DELAY: Micros = 2 * SECOND;
+/// Maximum delay before the removal of a terminated machine's assignments is written to the store, in
+/// microseconds.
+const REMOVAL_WRITE_DELAY_US: Micros = 2 * SECOND;
 
-/// Most terminated machines that are remembered.
-const MAX_REMEMBERED: usize = 20_000;
+/// Maximum number of terminated machines that are remembered.
+const MAX_REMEMBERED_TERMINATIONS: usize = 20_000;
 
 impl Scheduler {
-    /// Sends terminations that are due.
+    /// Sends a termination call if one is due.
     pub(crate) fn send_terminations(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let fleet = &mut self.fleet;
@@ -38,7 +39,7 @@
         self.call_cloud(context, "POST", "/rentals/release", body, call);
     }
 
-    /// Takes in the answer to a termination call.
+    /// Handles the response to a termination call.
     pub(crate) fn on_terminated(
         &mut self,
         context: &mut Context,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// A termination was answered 200: the machine and all that was on it are gone.
+    /// Removes a machine whose termination the cloud has confirmed, with all its assignments.
     pub(crate) fn remove_terminated_machine(&mut self, context: &mut Context, name: &str) {
         if let Some(partition) = self.machines.get(name).and_then(|m| m.partition) {
             self.remote_partitions.note_terminated(partition, name);
@@ -70,7 +71,7 @@
     fn remember_terminated(&mut self, now: Micros, name: &str) {
         self.fleet.terminating.remove(name);
         self.fleet.terminated.insert(name.to_string(), now);
-        while self.fleet.terminated.len() > MAX_REMEMBERED {
+        while self.fleet.terminated.len() > MAX_REMEMBERED_TERMINATIONS {
             self.fleet.terminated.pop_first();
         }
         self.fleet.booting_machines.remove(name);
@@ -84,8 +85,9 @@
         };
         while let Some(page) = first_page(self) {
             self.remove_assignment(context, name, 0);
-            // No heartbeat will tell the next leader: it would wait for this machine's lease to expire.
-            let due = context.now.steady + REMOVAL_DELAY;
+            // The page is written soon, because no heartbeat will tell the next leader that the tasks are gone: it
+            // would wait for the expiry of the agent's lease.
+            let due = context.now.steady + REMOVAL_WRITE_DELAY_US;
             if !self.is_holder() {
                 self.write_buffer.mark_dirty_by(RecordId::Page(page), due);
             }
--- a/crates/core/src/scheduler/leader/fleet/tests.rs
+++ b/crates/core/src/scheduler/leader/fleet/tests.rs
@@ -2,8 +2,8 @@
 use crate::{Effect, Target, MILLI, SECOND};
 use grebewood_wire::records::ProvisionRecord;
 
-/// With one call left under the cloud's limit, a termination that a cancellation may wait for goes before
-/// the provisioning requests that are sent again and again.
+/// With one call left under the cloud's rate limit, a termination is sent before provisioning requests that are
+/// retried: a cancellation may wait for the termination.
 #[test]
 fn terminations_go_before_provisioning_requests() {
     let mut controller = leader_before_loading(20 * SECOND);
