--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -14,8 +14,9 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// Carries out orders and returns a report. Drops stale orders and orders for another claim: a late copy of
-    /// orders would launch a task again that has ended since.
+    /// Carries out orders and returns a report. Drops stale orders, since a late copy of orders would launch a
+    /// task again that has ended since. Also drops orders for another claim, and all orders while it is not
+    /// certain that the claim still holds.
     pub(crate) fn carry_out_orders(
         &mut self,
         context: &mut Context,
@@ -224,7 +225,7 @@
     }
 
     /// Handles the exit of a task on a machine of the partition: reports it to the leader. The agent keeps the
-    /// result until the store has it.
+    /// result until the leader has recorded it in the store.
     pub(crate) fn on_exit_in_partition(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -1,4 +1,5 @@
-//! Demand: the tasks that wait for machines, and the time in which they are to be completed.
+//! Demand: the tasks that wait for machines, and the time in which they are to be completed. "The paper" is the
+//! one that the [autoscaler](super) follows.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -31,9 +32,9 @@
     AllOfferings,
 }
 
-/// Waiting tasks of one job.
+/// Waiting tasks of one job, or the headroom for services, that may have to run in one zone.
 pub(crate) struct Demand<'a> {
-    /// Job submission.
+    /// Submission of the job, or of the service that headroom is measured by.
     pub(crate) spec: &'a Submission,
     /// Zone in which these tasks must run; `None` if any zone will do. A job that is spread over zones needs free
     /// resources in each of them.
@@ -210,7 +211,7 @@
         displaced
     }
 
-    /// Returns the demand of all jobs for a pass of the autoscaler.
+    /// Returns the demand of all jobs and of the headroom, for a pass of the autoscaler.
     pub(crate) fn demand<'a>(&'a self, context: &Context, pass: PlanningPass) -> Vec<Demand<'a>> {
         let now = context.now.steady;
         let zones = catalogue_zones(context);
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -1,4 +1,5 @@
-//! Supply: how many of the waiting tasks the machines that are up, booting or requested can complete in time.
+//! Supply: how many of the waiting tasks the machines that are up, booting or requested can complete in time. "The
+//! paper" is the one that the [autoscaler](super) follows.
 
 use crate::context::Context;
 use crate::scheduler::leader::fleet::autoscaler::demand::{total_run_s, Demand, MICROS_PER_SECOND};
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -8,7 +8,7 @@
 use grebewood_wire::http::Heartbeat;
 use log::info;
 
-/// Number of boots of a machine type given up in a row after which the boot timeout of the type doubles.
+/// The boot timeout of a machine type doubles each time this many boots of the type are given up in a row.
 const FAILED_BOOTS_PER_DOUBLING: u32 = 10;
 
 /// Maximum number of times that the boot timeout of a machine type doubles.
@@ -119,10 +119,10 @@
     }
 
     /// Returns how long a boot may take before it counts as no computing power, in microseconds. The timeout is
-    /// based on the average boot time of the type, or on the published boot time if that is longer. An average
-    /// learned while machines came up within seconds would cause every boot of usual length to be given up,
-    /// forever, since no boot would complete and correct the average. For the same reason, the timeout grows as
-    /// boots of the type are given up in a row.
+    /// based on the average boot time of the type, or on the published boot time if that is longer. If the average
+    /// counted alone and had been learned while machines came up within seconds, every boot of usual length would
+    /// be given up. No boot would complete to correct the average, so this would never end. For the same reason,
+    /// the timeout grows as boots of the type are given up in a row.
     pub(crate) fn boot_timeout(&self, context: &Context, machine_type: &str) -> Micros {
         let published = context
             .machine_type(machine_type)
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -9,7 +9,7 @@
 use crate::{Micros, SECOND};
 use log::info;
 
-/// One machine, and one more for each so many usable machines, may be drained at a time.
+/// One machine may be drained at a time, plus one for each this many usable machines.
 const MACHINES_PER_DRAIN: usize = 20;
 
 /// Number of candidates that one round tries for each machine that may be drained.
--- a/crates/core/src/scheduler/leader/fleet/scale_in.rs
+++ b/crates/core/src/scheduler/leader/fleet/scale_in.rs
@@ -99,7 +99,7 @@
             let Some(machine_type) = context.machine_type(&machine.machine_type) else {
                 continue;
             };
-            // The power of an empty machine, computed as it is for the power of the fleet.
+            // The computing power of an empty machine, as it is included in the power of the fleet.
             let machine_power = computing_power(&demand, total_run_s, None, |d| {
                 d.slots_per_machine(machine_type, &machine.zone, machine.spot)
             });
