--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -208,12 +208,17 @@
     }
 
     /// Reports the end of an attempt to the leader.
-    pub(crate) fn report_attempt_end(&mut self, machine: &str, a: &Assignment, end: TaskEnd) {
+    pub(crate) fn report_attempt_end(
+        &mut self,
+        machine: &str,
+        assignment: &Assignment,
+        end: TaskEnd,
+    ) {
         self.report_outcome(TaskOutcome {
             machine: machine.to_string(),
-            job: a.job_id.clone(),
-            task: a.task,
-            attempt: a.attempt,
+            job: assignment.job_id.clone(),
+            task: assignment.task,
+            attempt: assignment.attempt,
             end,
         });
     }
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -255,9 +255,9 @@
     }
 
     /// Returns whether the assignment is durable: the store is known to have the page that lists it.
-    pub(crate) fn is_assignment_durable(&self, a: &Assignment) -> bool {
-        let page = RecordId::Page(a.page);
-        self.write_buffer.is_durable(&page, a.written)
+    pub(crate) fn is_assignment_durable(&self, assignment: &Assignment) -> bool {
+        let page = RecordId::Page(assignment.page);
+        self.write_buffer.is_durable(&page, assignment.written)
     }
 
     /// Marks placements that have become durable, so that they are reported to the leader from now on.
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -101,14 +101,17 @@
 }
 
 /// Returns the state of a task as last seen in a heartbeat, or `None` if no heartbeat has shown the task.
-fn task_state(a: &Assignment) -> Option<TaskState> {
-    let status = match a.seen {
+fn task_state(assignment: &Assignment) -> Option<TaskState> {
+    let status = match assignment.seen {
         ObservedStatus::Never => return None,
         ObservedStatus::Fetching => TaskStatus::Fetching,
         ObservedStatus::Running => TaskStatus::Running,
         ObservedStatus::Checkpointing => TaskStatus::Checkpointing,
     };
-    Some(TaskState { id: a.id(), status })
+    Some(TaskState {
+        id: assignment.id(),
+        status,
+    })
 }
 
 /// Returns the current state of a machine.
