--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -105,7 +105,7 @@
             ObservedStatus::Never,
         );
         if self.is_holder() {
-            self.note_end(name, &assignment, TaskEnd::Gone);
+            self.report_attempt_end(name, &assignment, TaskEnd::Gone);
         }
         // Each page is written by the controller that placed the assignments on it.
         if assignment.by_holder == self.is_holder() {
