--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -115,7 +115,7 @@
                 Interface::Front => self.on_front_request(id, &method, &path, &body),
                 Interface::Peer => self.on_peer_request(id, &method, &path, &body),
             },
-            Input::Gone { id } => {
+            Input::RequestAbandoned { id } => {
                 self.for_each_scheduler(|_, scheduler| scheduler.forget_heartbeat(id));
             }
             Input::Reply { call, outcome } => self.on_reply(call, outcome),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -120,7 +120,7 @@
         body: Vec<u8>,
     },
     /// The requester closed its connection; the answer is not needed any more.
-    Gone {
+    RequestAbandoned {
         /// Number of the request.
         id: u64,
     },
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -133,7 +133,7 @@
                 self.agent_connections -= usize::from(agent);
                 if let Some(id) = request {
                     self.requests.remove(&id);
-                    self.inputs.push_back(Input::Gone { id });
+                    self.inputs.push_back(Input::RequestAbandoned { id });
                 }
             }
             Role::Client {
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -200,7 +200,7 @@
                 *close = true;
                 if let Some(id) = request.take() {
                     self.requests.remove(&id);
-                    self.inputs.push_back(Input::Gone { id });
+                    self.inputs.push_back(Input::RequestAbandoned { id });
                 }
             }
             connection.input = Vec::new();
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -27,7 +27,7 @@
     pub fn of(input: &Input) -> StepKind {
         match input {
             Input::Request { path, .. } if path == "/checkin" => StepKind::Heartbeat,
-            Input::Request { .. } | Input::Gone { .. } => StepKind::Request,
+            Input::Request { .. } | Input::RequestAbandoned { .. } => StepKind::Request,
             Input::Reply { .. } => StepKind::Reply,
             Input::Tick => StepKind::Tick,
         }
