--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -78,7 +78,7 @@
     /// Requests to the cloud.
     pub cloud: RateLimiter,
     /// When the store last answered, in microseconds of the steady clock.
-    pub last_contact: Option<Micros>,
+    pub last_store_contact: Option<Micros>,
     /// When this process last resumed after a pause. A reply to a call made before may have waited
     /// in this process all that time: it is no contact and does not prove that a lease is valid.
     resumed_at: Micros,
@@ -122,7 +122,7 @@
             effects: Vec::new(),
             last_call: 0,
             calls: BTreeMap::new(),
-            last_contact: None,
+            last_store_contact: None,
             resumed_at: 0,
             catalogue: None,
             token: 0,
@@ -216,8 +216,8 @@
     }
 
     /// How many microseconds ago the store last answered.
-    pub fn contact_age(&self) -> Option<Micros> {
-        self.last_contact
+    pub fn store_contact_age(&self) -> Option<Micros> {
+        self.last_store_contact
             .map(|at| self.now.steady.saturating_sub(at))
     }
 
@@ -227,8 +227,8 @@
     }
 
     /// Whether the store has answered within the last `span` microseconds.
-    pub fn in_contact(&self, span: Micros) -> bool {
-        self.contact_age().is_some_and(|age| age <= span)
+    pub fn has_store_contact(&self, span: Micros) -> bool {
+        self.store_contact_age().is_some_and(|age| age <= span)
     }
 
     /// A random time of up to `most` microseconds.
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -154,7 +154,7 @@
 
     /// Whether this controller can take users' requests.
     pub fn healthy(&self) -> bool {
-        self.context.catalogue.is_some() && self.context.in_contact(CONTACT_SPAN)
+        self.context.catalogue.is_some() && self.context.has_store_contact(CONTACT_SPAN)
     }
 
     /// Routes a request of a user, an agent or a health check.
--- a/crates/core/src/controller/leader.rs
+++ b/crates/core/src/controller/leader.rs
@@ -19,7 +19,8 @@
         };
         // Without the store no other member can lead. To step down would only lose what this controller
         // knows, such as a cancelled task on a machine that hangs.
-        if self.context.in_contact(CONTACT_LOST_AFTER) && leader.isolated_from_agents(&self.context)
+        if self.context.has_store_contact(CONTACT_LOST_AFTER)
+            && leader.isolated_from_agents(&self.context)
         {
             return self.step_down("no agent reaches this controller", StepDown::Resign);
         }
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -217,7 +217,8 @@
         if !self.election.leader_supports_partitions() {
             return Some(LeaveReason::LeaderWithoutPartitions);
         }
-        if self.context.in_contact(CONTACT_LOST_AFTER) && holder.isolated_from_agents(&self.context)
+        if self.context.has_store_contact(CONTACT_LOST_AFTER)
+            && holder.isolated_from_agents(&self.context)
         {
             return Some(LeaveReason::CutOffFromAgents);
         }
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -55,7 +55,7 @@
     /// While the leader has contact itself this only keeps its view of the peers fresh.
     pub(crate) fn ask_peers(&mut self) {
         let now = self.context.now.steady;
-        let interval = if self.context.in_contact(CONTACT_LOST_AFTER / 2) {
+        let interval = if self.context.has_store_contact(CONTACT_LOST_AFTER / 2) {
             QUESTION_INTERVAL
         } else {
             QUESTION_INTERVAL_WITHOUT_CONTACT
@@ -200,7 +200,7 @@
     /// outage of the store, in which leases do not expire and no leader can be elected.
     fn resolve_uncertainty(&mut self) {
         let resumed_at = self.context.resumed_at();
-        let contact_lost_at = self.context.last_contact.unwrap_or(0);
+        let contact_lost_at = self.context.last_store_contact.unwrap_or(0);
         let siblings = 0..self.context.settings.siblings.len();
         let peers: Option<Vec<&PeerView>> = siblings
             .map(|peer| self.election.peers.get(&peer))
@@ -270,7 +270,7 @@
     /// Why this controller may not act under the scheduler's lease any longer, if it is so.
     pub(crate) fn lease_loss(&self, scheduler: &Scheduler) -> Option<LeaseLoss> {
         let now = self.context.now.steady;
-        let last_contact = self.context.last_contact?;
+        let last_contact = self.context.last_store_contact?;
         if now.saturating_sub(last_contact) >= CONTACT_LOST_AFTER {
             let expired_at = last_contact + self.context.tuning.leader_lease_us;
             let mut peers = self.election.peers.values();
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -49,7 +49,7 @@
         }
         let answer = PeerResponse {
             member: self.context.settings.member.clone(),
-            store_contact_age_us: self.context.contact_age(),
+            store_contact_age_us: self.context.store_contact_age(),
             token: self.context.token,
             grant: self.election.highest_token(),
             confirmed,
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -29,7 +29,7 @@
     /// Any answer but a server error shows that the store serves this controller.
     fn note_store_contact(&mut self, outcome: &Outcome) {
         if matches!(outcome, Outcome::Answer { status, .. } if *status < LOWEST_SERVER_ERROR) {
-            self.context.last_contact = Some(self.context.now.steady);
+            self.context.last_store_contact = Some(self.context.now.steady);
         }
     }
 
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -50,7 +50,7 @@
             }
             _ => false,
         };
-        if !self.context.in_contact(CONTACT_SPAN) {
+        if !self.context.has_store_contact(CONTACT_SPAN) {
             return self.refuse_without_contact(id);
         }
         let now = self.context.now.steady;
--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -56,7 +56,7 @@
         let Some(unproven) = self.unproven_machines.take() else {
             return;
         };
-        if self.context.in_contact(CONTACT_LOST_AFTER) {
+        if self.context.has_store_contact(CONTACT_LOST_AFTER) {
             return;
         }
         let member = self.context.settings.member.as_str();
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -42,7 +42,7 @@
             let finished = finished.clone();
             return self.answer_finished(&request, &finished);
         }
-        if !self.context.in_contact(CONTACT_SPAN) {
+        if !self.context.has_store_contact(CONTACT_SPAN) {
             return self.refuse_without_contact(id);
         }
         self.send_user_request(request);
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -130,7 +130,7 @@
     /// Whether a heartbeat may be answered now.
     pub(crate) fn may_be_answered(&self, context: &Context, held: &HeldHeartbeat) -> bool {
         context.now.steady >= held.until
-            || !context.in_contact(STORE_CONTACT)
+            || !context.has_store_contact(STORE_CONTACT)
             || (self.placement.rounds >= held.round
                 && !self.waits_for_flush(&held.machine)
                 && !self.waits_for_leader(&held.machine))
