--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -195,7 +195,7 @@
 
 impl Context {
     /// The most puts and deletes that writing a record takes.
-    pub(crate) fn cost(record: &RecordId) -> usize {
+    pub(crate) fn operations_to_write(record: &RecordId) -> usize {
         match record {
             RecordId::JobEnd(_) => 4,
             _ => 1,
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -139,7 +139,9 @@
             };
             let version = self.write_buffer.version(&record);
             if !draft.try_add((record.clone(), version), write) {
-                if draft.records.is_empty() && max_operations >= Context::cost(&record) {
+                if draft.records.is_empty()
+                    && max_operations >= Context::operations_to_write(&record)
+                {
                     // Larger than a transaction may be: other records must not wait behind it.
                     warn!(record:? = record; "record does not fit a transaction");
                     self.write_buffer.postpone(&record, now + REFUSED_PAUSE);
