--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -48,7 +48,7 @@
         if context.supports_quota_grants() {
             self.leader_quota.limits.in_force().get(team)
         } else {
-            Some(context.settings.teams.get(team)?.limit())
+            Some(context.settings.teams.get(team)?.quota())
         }
     }
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -20,7 +20,7 @@
 
 impl Team {
     /// The quota in exact amounts.
-    pub fn limit(&self) -> TeamQuota {
+    pub fn quota(&self) -> TeamQuota {
         TeamQuota {
             guarantee: Resources::of(self.cpus, self.gpus),
             limit: Resources::of(self.cpus_max, self.gpus_max),
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -36,6 +36,6 @@
     /// The teams' quotas in these settings.
     pub fn limits(&self) -> Limits {
         let teams = self.teams.iter();
-        Limits::new(teams.map(|(name, team)| (name.clone(), team.limit())))
+        Limits::new(teams.map(|(name, team)| (name.clone(), team.quota())))
     }
 }
