--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -76,7 +76,7 @@
     /// Puts of this controller as the holder of partitions.
     pub holder_writes: RateLimiter,
     /// Requests to the cloud.
-    pub cloud: RateLimiter,
+    pub cloud_requests: RateLimiter,
     /// When the store last answered, in microseconds of the steady clock.
     pub last_store_contact: Option<Micros>,
     /// When this process last resumed after a pause. A reply to a call made before may have waited
@@ -114,7 +114,7 @@
                 write_rps.min(LEADER_WRITE_BURST),
             ),
             holder_writes: RateLimiter::with_depth(holder_rate, HOLDER_WRITE_BURST),
-            cloud: RateLimiter::new(settings.cloud_rps * CLOUD_SHARE),
+            cloud_requests: RateLimiter::new(settings.cloud_rps * CLOUD_SHARE),
             settings,
             tuning,
             now: Now::default(),
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -25,7 +25,7 @@
     pub(crate) fn read_machine_list(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let due = now >= self.fleet.next_list_read && !self.fleet.list_in_flight;
-        if !due || !context.cloud.take(now, 1.0) {
+        if !due || !context.cloud_requests.take(now, 1.0) {
             return;
         }
         self.fleet.list_in_flight = true;
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -40,8 +40,8 @@
             let Some(provision) = self.fleet.provisions.get_mut(&name) else {
                 continue;
             };
-            if !context.cloud.take(now, 1.0) {
-                provision.retry_at = context.cloud.ready_at(now, 1.0);
+            if !context.cloud_requests.take(now, 1.0) {
+                provision.retry_at = context.cloud_requests.ready_at(now, 1.0);
                 continue;
             }
             provision.in_flight = true;
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -24,8 +24,8 @@
         if nothing_to_send || now < fleet.next_termination {
             return;
         }
-        if !context.cloud.take(now, 1.0) {
-            fleet.next_termination = context.cloud.ready_at(now, 1.0);
+        if !context.cloud_requests.take(now, 1.0) {
+            fleet.next_termination = context.cloud_requests.ready_at(now, 1.0);
             return;
         }
         fleet.termination_in_flight = true;
