--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -66,7 +66,7 @@
         let now = context.now.steady;
         let duration = long_poll_duration(context);
         // Each long poll holds a connection: with more idle machines than sockets the others would find none.
-        if self.long_polls.len() >= context.settings.sockets / SOCKETS_PER_LONG_POLL {
+        if self.long_polls.len() >= context.settings.max_sockets / SOCKETS_PER_LONG_POLL {
             return false;
         }
         let runs_on = |assignment: &Assignment| {
--- a/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn long_polls_leave_sockets_to_other_requests() {
     let mut controller = leader_before_loading(20 * SECOND);
-    controller.context.settings.sockets = 20;
+    controller.context.settings.max_sockets = 20;
     let now = controller.context.now.steady;
     let leader = controller.leader.as_mut().expect("a leader");
     for number in 0..20 {
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -81,7 +81,7 @@
     /// has not vanished: boots were once given up during an outage of the cloud, and provisioned anew after it.
     fn has_vanished(&self, context: &Context, boot: &BootingMachine) -> bool {
         let last_full_list = self.fleet.last_full_list.unwrap_or(0);
-        let timeout = 3 * context.settings.list_lag + 10 * SECOND;
+        let timeout = 3 * context.settings.machine_list_lag + 10 * SECOND;
         boot.last_listed
             .is_some_and(|at| last_full_list.saturating_sub(at) > timeout)
     }
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -78,7 +78,7 @@
         let name = &listed.id;
         self.fleet.note_listed(name);
         if let Some(at) = self.fleet.terminated.get(name) {
-            let lag_at_most = 4 * context.settings.list_lag + 30 * SECOND;
+            let lag_at_most = 4 * context.settings.machine_list_lag + 30 * SECOND;
             if now.saturating_sub(*at) > lag_at_most {
                 // Still there long after its termination was answered: terminate it again.
                 self.fleet.terminated.remove(name);
@@ -152,7 +152,7 @@
 fn is_gone_unnoticed(context: &Context, machine: &Machine, loaded_at: Micros) -> bool {
     let now = context.now.steady;
     // A list may be older than the one before it, by as much as the lag allows.
-    let listed_timeout = 2 * context.settings.list_lag + 2 * SECOND;
+    let listed_timeout = 2 * context.settings.machine_list_lag + 2 * SECOND;
     let contact_timeout = 2 * context.settings.heartbeat_interval + SECOND;
     let from_store = machine.address.is_empty().then_some(loaded_at);
     let known_since = machine.listed.or(from_store);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -110,9 +110,9 @@
     /// Requests a second that the cloud takes.
     pub cloud_rps: f64,
     /// How old the cloud's machine list may be, in microseconds.
-    pub list_lag: Micros,
+    pub machine_list_lag: Micros,
     /// Most sockets that this process may have.
-    pub sockets: usize,
+    pub max_sockets: usize,
 }
 
 impl Default for Settings {
@@ -134,8 +134,8 @@
                 transaction_operations: 8,
             },
             cloud_rps: 8.0,
-            list_lag: 3 * SECOND,
-            sockets: 1_024,
+            machine_list_lag: 3 * SECOND,
+            max_sockets: 1_024,
         }
     }
 }
--- a/crates/grebewood/src/config/convert.rs
+++ b/crates/grebewood/src/config/convert.rs
@@ -68,8 +68,8 @@
         cancel_timeout: positive_time("cluster.workers.cancel_s", agents.cancel_timeout_s)?,
         store,
         cloud_rps: positive("cluster.cloud.rps", cloud.rps)?,
-        list_lag: positive_time("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
-        sockets: endpoints.socket_limit,
+        machine_list_lag: positive_time("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
+        max_sockets: endpoints.socket_limit,
         member: file.member,
         zone: file.zone,
     };
--- a/crates/grebewood/src/config/format_tests.rs
+++ b/crates/grebewood/src/config/format_tests.rs
@@ -80,8 +80,8 @@
             transaction_operations: 7,
         },
         cloud_rps: 8.5,
-        list_lag: 3_250_000,
-        sockets: 777,
+        machine_list_lag: 3_250_000,
+        max_sockets: 777,
     }
 }
 
