--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -58,7 +58,7 @@
     pub after: Option<Micros>,
     /// Of an `up` objective: the length of the window whose worst one counts, in microseconds; none: the whole
     /// day counts.
-    pub worst: Option<Micros>,
+    pub worst_window: Option<Micros>,
 }
 
 /// The limits of the key-value store.
--- a/crates/grebewood/src/config/convert.rs
+++ b/crates/grebewood/src/config/convert.rs
@@ -161,7 +161,7 @@
     };
     let within = time("within_s", entry.within_s)?;
     // Other kinds may use these fields for something else.
-    let (after, worst) = if entry.kind == AVAILABILITY_OBJECTIVE {
+    let (after, worst_window) = if entry.kind == AVAILABILITY_OBJECTIVE {
         let after_s = entry.after_s.filter(|seconds| *seconds != 0.0);
         (time("after_s", after_s)?, time("worst_s", entry.worst_s)?)
     } else {
@@ -173,7 +173,7 @@
         within,
         share: entry.share,
         after,
-        worst,
+        worst_window,
     })
 }
 
--- a/crates/grebewood/src/config/format_tests.rs
+++ b/crates/grebewood/src/config/format_tests.rs
@@ -17,13 +17,13 @@
 }
 
 fn frozen_objectives() -> Vec<Objective> {
-    let objective = |kind: &str, class: &str, within, share, after, worst| Objective {
+    let objective = |kind: &str, class: &str, within, share, after, worst_window| Objective {
         kind: kind.into(),
         class: class.into(),
         within,
         share,
         after,
-        worst,
+        worst_window,
     };
     vec![
         objective("wait", "interactive", Some(12_500_000), 0.95, None, None),
--- a/crates/grebewood/src/config/tests.rs
+++ b/crates/grebewood/src/config/tests.rs
@@ -78,7 +78,7 @@
     let text = text.replace("\"noon\"", "-1.0");
     let (settings, _) = parse(&text).expect("good settings");
     assert_eq!(settings.objectives[0].after, Some(5_000_000));
-    assert_eq!(settings.objectives[0].worst, Some(30_000_000));
+    assert_eq!(settings.objectives[0].worst_window, Some(30_000_000));
     assert_eq!(settings.objectives[1].after, None);
 }
 
--- a/crates/testkit/src/world/configuration.rs
+++ b/crates/testkit/src/world/configuration.rs
@@ -93,6 +93,6 @@
         within: Some(within),
         share: 0.9,
         after: None,
-        worst: None,
+        worst_window: None,
     }
 }
