--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -54,8 +54,8 @@
             | CallPurpose::PartitionClaim { .. } => true,
             CallPurpose::Scheduler { what, .. } => !matches!(
                 what,
-                SchedulerCall::Fleet(_)
-                    | SchedulerCall::Direct { .. }
+                SchedulerCall::Cloud(_)
+                    | SchedulerCall::DirectCommands { .. }
                     | SchedulerCall::Orders { .. }
             ),
             CallPurpose::Catalogue(CatalogueSource::Cloud)
@@ -103,9 +103,9 @@
         key: String,
     },
     /// A call to the cloud.
-    Fleet(FleetCall),
+    Cloud(CloudCall),
     /// Commands to an agent that does not wait for an answer to a heartbeat.
-    Direct {
+    DirectCommands {
         /// The agent's machine.
         machine: String,
     },
@@ -139,9 +139,9 @@
 
 /// A call to the cloud.
 #[derive(Clone, Debug)]
-pub enum FleetCall {
+pub enum CloudCall {
     /// Reads the machine types with their prices.
-    Types,
+    MachineTypes,
     /// Lists the machines.
     List,
     /// Provisions a machine.
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -197,7 +197,7 @@
         };
         let address = machine.address.clone();
         self.direct.insert(name.to_string(), now);
-        let purpose = self.pending(SchedulerCall::Direct {
+        let purpose = self.pending(SchedulerCall::DirectCommands {
             machine: name.to_string(),
         });
         context.call(
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet: calls to the cloud, and what follows from their answers.
 
-use crate::calls::{FleetCall, SchedulerCall};
+use crate::calls::{CloudCall, SchedulerCall};
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::write_buffer::RecordId;
@@ -57,9 +57,9 @@
         method: &'static str,
         path: &str,
         body: Vec<u8>,
-        call: FleetCall,
+        call: CloudCall,
     ) {
-        let purpose = self.pending(SchedulerCall::Fleet(call));
+        let purpose = self.pending(SchedulerCall::Cloud(call));
         let path = path.to_string();
         context.call(Target::Cloud, method, path, body, CLOUD_TIMEOUT, purpose);
     }
@@ -68,7 +68,7 @@
     pub(crate) fn on_cloud_response(
         &mut self,
         context: &mut Context,
-        call: FleetCall,
+        call: CloudCall,
         outcome: Outcome,
     ) {
         let (status, body) = match outcome {
@@ -79,10 +79,10 @@
             context.cloud_requests.drain(context.now.steady);
         }
         match call {
-            FleetCall::Types => self.on_catalogue(context, status, &body),
-            FleetCall::List => self.on_machine_list(context, status, &body),
-            FleetCall::Provision { name } => self.on_provisioned(context, &name, status, &body),
-            FleetCall::Terminate { machines } => self.on_terminated(context, status, machines),
+            CloudCall::MachineTypes => self.on_catalogue(context, status, &body),
+            CloudCall::List => self.on_machine_list(context, status, &body),
+            CloudCall::Provision { name } => self.on_provisioned(context, &name, status, &body),
+            CloudCall::Terminate { machines } => self.on_terminated(context, status, machines),
         }
     }
 
@@ -95,7 +95,7 @@
         }
         self.fleet.catalogue_in_flight = true;
         self.fleet.next_catalogue_read = now + CATALOGUE_INTERVAL;
-        let call = FleetCall::Types;
+        let call = CloudCall::MachineTypes;
         self.call_cloud(context, "GET", "/machine_types", Vec::new(), call);
     }
 
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -1,6 +1,6 @@
 //! The cloud's machine list: which machines there are, with a lag.
 
-use crate::calls::FleetCall;
+use crate::calls::CloudCall;
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::fleet::{BootingMachine, MachineOffering};
@@ -34,7 +34,7 @@
             None => String::new(),
         };
         let path = format!("/rentals?{since}page={PAGE_SIZE}");
-        self.call_cloud(context, "GET", &path, Vec::new(), FleetCall::List);
+        self.call_cloud(context, "GET", &path, Vec::new(), CloudCall::List);
     }
 
     /// Takes in a page of the machine list.
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -1,6 +1,6 @@
 //! Provisioning requests: idempotent by their names, and sent until their outcome is clear.
 
-use crate::calls::FleetCall;
+use crate::calls::CloudCall;
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::fleet::{BootingMachine, MachineOffering};
@@ -53,7 +53,7 @@
                 number: provision.record.number,
             };
             let body = wire::to_cbor(&request);
-            let call = FleetCall::Provision { name };
+            let call = CloudCall::Provision { name };
             self.call_cloud(context, "POST", "/rentals", body, call);
         }
     }
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -1,6 +1,6 @@
 //! Termination of machines.
 
-use crate::calls::FleetCall;
+use crate::calls::CloudCall;
 use crate::context::Context;
 use crate::scheduler::leader::fleet::MAX_TERMINATIONS;
 use crate::scheduler::Scheduler;
@@ -34,7 +34,7 @@
         let body = wire::to_cbor(&MachineNames {
             machines: machines.clone(),
         });
-        let call = FleetCall::Terminate { machines };
+        let call = CloudCall::Terminate { machines };
         self.call_cloud(context, "POST", "/rentals/release", body, call);
     }
 
--- a/crates/core/src/scheduler/replies.rs
+++ b/crates/core/src/scheduler/replies.rs
@@ -22,8 +22,8 @@
             SchedulerCall::Read { key } => self.on_read(context, key, outcome),
             SchedulerCall::Watch { prefix } => self.on_watch(context, prefix, outcome),
             SchedulerCall::Refresh { key } => self.on_refresh(context, &key, outcome),
-            SchedulerCall::Fleet(call) => self.on_cloud_response(context, call, outcome),
-            SchedulerCall::Direct { machine } => {
+            SchedulerCall::Cloud(call) => self.on_cloud_response(context, call, outcome),
+            SchedulerCall::DirectCommands { machine } => {
                 self.on_direct_response(context, &machine, outcome)
             }
             SchedulerCall::Orders { partition, claim } => {
