--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -14,7 +14,7 @@
         /// The fencing token under which the call was made.
         token: u64,
         /// The call.
-        what: SchedulerCall,
+        call: SchedulerCall,
     },
     /// The store's part in a user's request.
     User(UserRequest),
@@ -52,8 +52,8 @@
             | CallPurpose::Catalogue(CatalogueSource::Store)
             | CallPurpose::PartitionMap(_)
             | CallPurpose::PartitionClaim { .. } => true,
-            CallPurpose::Scheduler { what, .. } => !matches!(
-                what,
+            CallPurpose::Scheduler { call, .. } => !matches!(
+                call,
                 SchedulerCall::Cloud(_)
                     | SchedulerCall::DirectCommands { .. }
                     | SchedulerCall::Orders { .. }
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -36,7 +36,7 @@
     fn dispatch_reply(&mut self, purpose: CallPurpose, made_at: Micros, outcome: Outcome) {
         match purpose {
             CallPurpose::Election(step) => self.on_election(step, outcome),
-            CallPurpose::Scheduler { token, what } => self.on_scheduler_reply(token, what, outcome),
+            CallPurpose::Scheduler { token, call } => self.on_scheduler_reply(token, call, outcome),
             CallPurpose::PartitionClaim { partition, step } => {
                 self.on_claim(partition, step, outcome);
             }
@@ -63,7 +63,7 @@
         | CallPurpose::JobView(_) => Some(Outcome::Unknown),
         // A lease that was renewed may have expired since; one that had ended stays so.
         CallPurpose::Scheduler {
-            what: SchedulerCall::RenewLease,
+            call: SchedulerCall::RenewLease,
             ..
         } if !matches!(outcome, Outcome::Answer { status: 404, .. }) => None,
         _ => Some(outcome),
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -271,10 +271,10 @@
     }
 
     /// The purpose of a call that this scheduler makes.
-    pub(crate) fn pending(&self, what: SchedulerCall) -> CallPurpose {
+    pub(crate) fn pending(&self, call: SchedulerCall) -> CallPurpose {
         CallPurpose::Scheduler {
             token: self.token,
-            what,
+            call,
         }
     }
 
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -59,7 +59,7 @@
         };
         for read in loading.take_due(context.now.steady) {
             let single_key = [STATS, CATALOGUE].into_iter().find(|key| *key == read);
-            let (path, what) = match single_key {
+            let (path, call) = match single_key {
                 Some(key) => (format!("/kv/{key}"), SchedulerCall::Read { key }),
                 None => {
                     let last_key = loading.last_key(&read);
@@ -68,7 +68,7 @@
                     (path, SchedulerCall::List { prefix: read })
                 }
             };
-            let purpose = CallPurpose::Scheduler { token, what };
+            let purpose = CallPurpose::Scheduler { token, call };
             context.get_from_store(path, purpose);
         }
     }
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -39,7 +39,7 @@
             let Some(request) = watch.start_request(context.now.steady) else {
                 continue;
             };
-            let (what, path, timeout) = match request {
+            let (call, path, timeout) = match request {
                 WatchRequest::List { after } => {
                     let after = after.map_or(String::new(), |key| format!("&since={key}"));
                     let prefix = prefix.to_string();
@@ -52,7 +52,7 @@
                     (SchedulerCall::Watch { prefix }, path, WATCH_TIMEOUT)
                 }
             };
-            let purpose = CallPurpose::Scheduler { token, what };
+            let purpose = CallPurpose::Scheduler { token, call };
             context.call(Target::Store, "GET", path, Vec::new(), timeout, purpose);
         }
     }
