--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -232,7 +232,7 @@
     /// How far it has come.
     pub stage: UserRequestStage,
     /// When it came in, in microseconds of the steady clock.
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     /// The live job, once it was found.
     pub live: Option<FoundJob>,
     /// The accepting transaction had no clear outcome.
@@ -243,13 +243,13 @@
 
 impl UserRequest {
     /// A request that has just come in.
-    pub(crate) fn new(request: u64, job: &str, action: UserAction, arrived: Micros) -> Self {
+    pub(crate) fn new(request: u64, job: &str, action: UserAction, arrived_at: Micros) -> Self {
         UserRequest {
             request,
             job: job.to_string(),
             action,
             stage: UserRequestStage::JobView,
-            arrived,
+            arrived_at,
             live: None,
             uncertain: false,
             rounds: 0,
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -66,7 +66,7 @@
             UserAction::Poll => POLL_PATIENCE,
             UserAction::Submit(_) | UserAction::Malformed(_) | UserAction::Cancel => WRITE_PATIENCE,
         };
-        self.arrived + patience
+        self.arrived_at + patience
     }
 }
 
