--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -2,7 +2,9 @@
 
 use crate::controller::Controller;
 use crate::scheduler::Scheduler;
-use crate::test_support::{clocks, first_heartbeat, job_record, leader_before_loading, pass, WALL};
+use crate::test_support::{
+    advance_time, clocks, first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START,
+};
 use crate::{Effect, Input, Interface, Micros, NoStopwatch, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{to_value, Command, Heartbeat, HeartbeatResponse, ReportedTask};
@@ -53,7 +55,7 @@
         .context
         .cancellations
         .note_store_read(20 * SECOND);
-    pass(&mut controller, 20 * SECOND, 21 * SECOND);
+    advance_time(&mut controller, 20 * SECOND, 21 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 21 * SECOND, 2).0, 200);
     // Neither the store nor its peer has answered since.
     let bound = controller.max_cancellation_age();
@@ -62,7 +64,7 @@
             < controller.context.settings.cancel_timeout
     );
     let late = 20 * SECOND + bound + MILLI;
-    pass(&mut controller, 21 * SECOND, late);
+    advance_time(&mut controller, 21 * SECOND, late);
     assert_eq!(send_heartbeat(&mut controller, late, 3).0, 503);
     controller
         .context
@@ -94,8 +96,11 @@
         .cancellations
         .note_store_read(20 * SECOND);
     assert!(send_heartbeat(&mut controller, 20 * SECOND, 1).1.is_empty());
-    pass(&mut controller, 20 * SECOND, 21 * SECOND);
-    controller.context.cancellations.learn("req-1", WALL);
+    advance_time(&mut controller, 20 * SECOND, 21 * SECOND);
+    controller
+        .context
+        .cancellations
+        .learn("req-1", WALL_CLOCK_START);
     let (_, commands) = send_heartbeat(&mut controller, 21 * SECOND, 2);
     assert_eq!(commands.len(), 1);
     let stop = &commands[0];
@@ -148,7 +153,9 @@
     let record = job_record(1);
     let leader = controller.leader.as_mut().expect("a leader");
     leader.add_job(&controller.context, "job/req-1", &to_value(&record), 5);
-    let cancel = CancelRecord { cancelled_us: WALL };
+    let cancel = CancelRecord {
+        cancelled_us: WALL_CLOCK_START,
+    };
     leader.on_cancelled(&mut controller.context, "req-1", Some(&cancel));
     assert_eq!(
         leader.write_buffer.stale,
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -4,7 +4,7 @@
 use crate::state::jobs::Job;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::{Assignment, Machine};
-use crate::test_support::{first_heartbeat, job_record, leader_before_loading, WALL};
+use crate::test_support::{first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START};
 use crate::{Effect, NoStopwatch, Target, SECOND};
 use grebewood_wire::http::{MachineType, Transaction};
 use grebewood_wire::peer::{
@@ -48,7 +48,9 @@
         lease_requested_at: now,
     };
     let mut holder = Scheduler::new(&controller.context, Role::Holder(1), lease);
-    holder.jobs.insert(Job::new(job_record(4), now, WALL));
+    holder
+        .jobs
+        .insert(Job::new(job_record(4), now, WALL_CLOCK_START));
     let machine_type = machine_type();
     let mut machine = Machine::new(&first_heartbeat(), Some(&machine_type), now);
     machine.incarnation = 1;
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -7,7 +7,7 @@
 use grebewood_wire::records::JobRecord;
 
 /// Time of day at time zero of the steady clock, in microseconds since 1970.
-pub const WALL: u64 = 1_700_000_000 * SECOND;
+pub const WALL_CLOCK_START: u64 = 1_700_000_000 * SECOND;
 
 /// The fencing token under which [`leader_before_loading`] leads.
 const TOKEN: u64 = 7;
@@ -15,7 +15,7 @@
 /// The store lease of [`leader_before_loading`].
 const LEASE: u64 = 1;
 
-/// Step by which [`pass`] lets time advance, in microseconds: a long one would count as a process pause.
+/// Step by which [`advance_time`] lets time advance, in microseconds: a long one would count as a process pause.
 const STEP: Micros = 500 * MILLI;
 
 /// A controller that has just become the leader, and has read no records yet.
@@ -60,7 +60,7 @@
     };
     JobRecord {
         spec,
-        accepted_us: WALL,
+        accepted_us: WALL_CLOCK_START,
     }
 }
 
@@ -84,7 +84,7 @@
 pub fn clocks(now: Micros) -> Now {
     Now {
         steady: now,
-        wall: WALL + now,
+        wall: WALL_CLOCK_START + now,
     }
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// Lets time advance in small steps.
-pub fn pass(controller: &mut Controller, from: Micros, to: Micros) {
+pub fn advance_time(controller: &mut Controller, from: Micros, to: Micros) {
     for now in (from..to).step_by(STEP as usize) {
         tick(controller, now);
     }
