--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -104,7 +104,12 @@
     }
 
     /// Takes the reply to a request that was made at `made_at`.
-    pub(crate) fn on_job_view(&mut self, call: JobViewCall, made_at: Micros, outcome: Outcome) {
+    pub(crate) fn on_job_view_reply(
+        &mut self,
+        call: JobViewCall,
+        made_at: Micros,
+        outcome: Outcome,
+    ) {
         self.job_view.request_in_flight = false;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -42,7 +42,7 @@
             }
             CallPurpose::PartitionMap(call) => self.on_partition_map(call, outcome),
             CallPurpose::User(request) => self.on_user_reply(request, outcome),
-            CallPurpose::JobView(call) => self.on_job_view(call, made_at, outcome),
+            CallPurpose::JobView(call) => self.on_job_view_reply(call, made_at, outcome),
             CallPurpose::Catalogue(source) => self.on_catalogue(source, outcome),
             CallPurpose::Contact { peer, question } => {
                 self.on_contact(peer, question, made_at, outcome);
--- a/crates/core/src/scheduler/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -77,7 +77,7 @@
     assert_eq!(requests(&mut controller), ["/kv?prefix=job/&page=1000"]);
 
     let now = controller.context.now.steady;
-    controller.on_job_view(JobViewCall::Watch, now, Outcome::TooLarge);
+    controller.on_job_view_reply(JobViewCall::Watch, now, Outcome::TooLarge);
     controller.context.now.steady += SECOND;
     controller.run_job_view();
     let paths = requests(&mut controller);
