--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -1,59 +1,60 @@
-//! Which confirmed cancellations a controller knows of, and as of which moment it knows all of them.
+//! The confirmed cancellations that a controller knows of, and the moment up to which it knows all of them.
 //!
-//! A job's tasks must be gone within the cancellation timeout after any controller told a user that the job is cancelled. A
-//! leader that renews agents' leases must therefore know of every confirmation up to a recent moment. It learns
-//! of them from the key-value store (the controller's job view) and, where the store is out of reach, from its
-//! peers: each remembers what it has confirmed to users, and lists it in answer to the leader's question. No
-//! safety margin in time is involved: what counts is when the last complete answer was asked for.
+//! A job's tasks must be gone within the cancellation timeout after any controller confirmed the cancellation to a user.
+//! A leader that renews agents' leases must therefore know of every confirmation up to a recent moment. It learns of
+//! them from the key-value store (the controller's job view) and, where the store is out of reach, from its peers: each
+//! controller remembers what it has confirmed to users, and lists it in response to a contact request. There is no
+//! safety margin in time: the knowledge is complete up to the moment at which the last complete answer was requested.
 
 use crate::Micros;
 use grebewood_wire::peer::ConfirmedCancellations;
 use std::collections::BTreeMap;
 
-/// Most cancelled jobs that are remembered.
-const MAX_KNOWN: usize = 10_000;
+/// Most cancellations that are remembered.
+const MAX_KNOWN_CANCELLATIONS: usize = 10_000;
 
 /// Most cancellations in one answer to another controller.
-const MAX_LISTED: usize = 1_000;
+const MAX_LISTED_CANCELLATIONS: usize = 1_000;
 
 /// A cancellation of a job that is not known to be finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownCancellation {
     /// Time of day of the cancellation, in microseconds since 1970.
     pub cancelled_us: u64,
-    /// When this controller first told a user of it, by its steady clock.
+    /// Time at which this controller first confirmed it to a user, by the steady clock.
     confirmed_at: Option<Micros>,
 }
 
-/// A controller's knowledge of cancellations.
+/// The cancellations that a controller knows of.
 #[derive(Debug, Default)]
 pub struct Cancellations {
     known: BTreeMap<String, KnownCancellation>,
-    /// From when on all that this controller confirmed to users is remembered.
+    /// Moment since which this controller remembers all cancellations that it confirmed to users.
     remembers_from: Option<Micros>,
-    /// All cancellations that any controller confirmed before this moment are known, from the store.
+    /// Moment up to which all cancellations that any controller confirmed are known from the store.
     store_read_at: Option<Micros>,
-    /// The same of what one peer confirmed, from its own answers, by its place in the settings.
+    /// For each peer, by its place in the settings, the moment up to which all cancellations that it confirmed are
+    /// known from its own responses.
     peer_lists: BTreeMap<usize, Micros>,
 }
 
 impl Cancellations {
-    /// The process has begun: it has confirmed nothing before.
-    pub fn begin(&mut self, now: Micros) {
+    /// Records the start of the process, which has confirmed nothing before.
+    pub fn note_process_start(&mut self, now: Micros) {
         self.remembers_from.get_or_insert(now);
     }
 
-    /// The job's cancellation, if one is known.
+    /// Returns the job's cancellation, if one is known.
     pub fn get(&self, job: &str) -> Option<&KnownCancellation> {
         self.known.get(job)
     }
 
-    /// All known cancellations, by job.
+    /// Returns all known cancellations, by job.
     pub fn jobs(&self) -> impl Iterator<Item = (&str, &KnownCancellation)> {
         self.known.iter().map(|(job, known)| (job.as_str(), known))
     }
 
-    /// Notes a cancellation; `cancelled_us` is a time of day.
+    /// Records a cancellation; `cancelled_us` is a time of day. Of several times the earliest is kept.
     pub fn learn(&mut self, job: &str, cancelled_us: u64) {
         if let Some(known) = self.known.get_mut(job) {
             known.cancelled_us = known.cancelled_us.min(cancelled_us);
@@ -67,7 +68,7 @@
         self.drop_oldest();
     }
 
-    /// Notes that the cancellation is confirmed to a user now.
+    /// Records that the cancellation is confirmed to a user at `now`; `wall` is the same moment as a time of day.
     pub fn confirm(&mut self, job: &str, now: Micros, wall: u64) {
         self.learn(job, wall);
         if let Some(known) = self.known.get_mut(job) {
@@ -75,14 +76,16 @@
         }
     }
 
-    /// The job is finished: it is proven that nothing of it runs.
+    /// Removes the cancellation of a job that is finished, so that no task of it runs, or that is not cancelled after
+    /// all.
     pub fn forget(&mut self, job: &str) {
         self.known.remove(job);
     }
 
-    /// Drops the oldest of too many. What was confirmed until then is not remembered any more.
+    /// Drops the oldest cancellations if there are too many. The list of confirmed cancellations is then complete
+    /// only for the time after the latest confirmation that was dropped.
     fn drop_oldest(&mut self) {
-        while self.known.len() > MAX_KNOWN {
+        while self.known.len() > MAX_KNOWN_CANCELLATIONS {
             let oldest = self
                 .known
                 .iter()
@@ -96,7 +99,8 @@
         }
     }
 
-    /// The answer to a peer's question for all that was confirmed in the last `span` microseconds, or ever.
+    /// Returns the response to a peer that asks for all cancellations that this controller confirmed in the last
+    /// `span` microseconds; `None`: ever.
     pub fn list_confirmed(
         &self,
         question: u64,
@@ -109,9 +113,9 @@
             Some((job.clone(), now.saturating_sub(at)))
         });
         let mut jobs: Vec<(String, u64)> = confirmed.collect();
-        // An incomplete list must not claim to go back to any moment.
-        let complete = jobs.len() <= MAX_LISTED;
-        jobs.truncate(MAX_LISTED);
+        // A list that is cut off must not claim to be complete since any moment.
+        let complete = jobs.len() <= MAX_LISTED_CANCELLATIONS;
+        jobs.truncate(MAX_LISTED_CANCELLATIONS);
         ConfirmedCancellations {
             question,
             remembers_us: self
@@ -122,24 +126,27 @@
         }
     }
 
-    /// The store was read: all that was confirmed before `at` is known.
+    /// Records that the store was read at `at`: all cancellations that were confirmed before are known.
     pub fn note_store_read(&mut self, at: Micros) {
         self.store_read_at = self.store_read_at.max(Some(at));
     }
 
-    /// Up to which moment all confirmed cancellations are known from the store.
-    pub fn read_up_to(&self) -> Micros {
+    /// Returns the moment up to which all confirmed cancellations are known from the store; 0 if the store was not
+    /// read yet.
+    pub fn known_from_store_until(&self) -> Micros {
         self.store_read_at.unwrap_or(0)
     }
 
-    /// A moment up to which all that this peer confirmed is known.
+    /// Returns the moment up to which all cancellations that this peer confirmed are known, from the store or from
+    /// the peer itself.
     pub fn known_until_of_peer(&self, peer: usize) -> Option<Micros> {
         self.store_read_at.max(self.peer_lists.get(&peer).copied())
     }
 
-    /// A peer that was asked at `asked_at` has listed in answer what it confirmed. Its memory goes back to
-    /// `remembers_from`: if that is later than what is known of it, as after a restart, it may have
-    /// confirmed in between what nobody remembers, and nothing is gained.
+    /// Records that a peer that was asked at `asked_at` has listed all cancellations that it confirmed since
+    /// `remembers_from`. If `remembers_from` is later than the moment up to which its confirmations are known, as after
+    /// a restart of the peer, it may have confirmed cancellations in between that no process remembers. The list then
+    /// does not advance that moment.
     pub fn note_peer_list(&mut self, peer: usize, asked_at: Micros, remembers_from: Micros) {
         let known_until = self.known_until_of_peer(peer);
         if known_until.is_some_and(|known_until| remembers_from <= known_until) {
@@ -148,8 +155,8 @@
         }
     }
 
-    /// The moment up to which every cancellation that any controller confirmed is known; `None`: no such
-    /// moment is known. `peers` is the number of other controllers.
+    /// Returns the moment up to which all cancellations that any controller confirmed are known; `None` if there is
+    /// no such moment. `peers` is the number of other controllers.
     pub fn known_until(&self, peers: usize, now: Micros) -> Option<Micros> {
         (0..peers)
             .map(|peer| self.known_until_of_peer(peer))
--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -1,12 +1,13 @@
-//! What a controller knows of cancellations after reads of the store and answers of its peers.
+//! Tests of what a controller knows of cancellations after reads of the store and responses of its peers.
 
-use crate::cancellations::{Cancellations, MAX_KNOWN, MAX_LISTED};
+use crate::cancellations::{Cancellations, MAX_KNOWN_CANCELLATIONS, MAX_LISTED_CANCELLATIONS};
 use crate::{Micros, SECOND};
 
-/// A controller that has run since `since`, and confirmed the cancellation of `job` to a user at `confirmed_at`.
+/// The cancellations of a controller that has run since `since`, and confirmed that of `job` to a user at
+/// `confirmed_at`.
 fn peer_that_confirmed(since: Micros, job: &str, confirmed_at: Micros) -> Cancellations {
     let mut cancellations = Cancellations::default();
-    cancellations.begin(since);
+    cancellations.note_process_start(since);
     cancellations.confirm(job, confirmed_at, 77);
     cancellations
 }
@@ -21,12 +22,12 @@
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(10 * SECOND));
     cancellations.note_peer_list(1, 19 * SECOND, 9 * SECOND);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(19 * SECOND));
-    // An answer to an earlier question, come late, takes nothing back.
+    // A late response to an earlier contact request does not move the moment back.
     cancellations.note_peer_list(1, 15 * SECOND, 9 * SECOND);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(19 * SECOND));
 }
 
-/// What a peer confirmed right before it was killed is in nobody's memory.
+/// No process remembers what a peer confirmed right before it was killed.
 #[test]
 fn a_peer_that_restarted_since_makes_nothing_certain() {
     let mut cancellations = Cancellations::default();
@@ -34,7 +35,7 @@
     cancellations.note_peer_list(0, 20 * SECOND, 0);
     cancellations.note_peer_list(0, 30 * SECOND, 20 * SECOND + 1);
     assert_eq!(cancellations.known_until(1, 50 * SECOND), Some(20 * SECOND));
-    // Once the store has been read again, its memory goes back far enough.
+    // After the next read of the store, the time that the restarted peer remembers is long enough.
     cancellations.note_store_read(25 * SECOND);
     cancellations.note_peer_list(0, 31 * SECOND, 20 * SECOND + 1);
     assert_eq!(cancellations.known_until(1, 50 * SECOND), Some(31 * SECOND));
@@ -68,7 +69,7 @@
 #[test]
 fn an_incomplete_list_does_not_claim_to_be_complete() {
     let mut peer = peer_that_confirmed(0, "req-0", SECOND);
-    for n in 1..=MAX_LISTED {
+    for n in 1..=MAX_LISTED_CANCELLATIONS {
         peer.confirm(&format!("req-{n}"), SECOND, 5);
     }
     assert_eq!(peer.list_confirmed(1, None, 2 * SECOND).remembers_us, None);
@@ -82,7 +83,7 @@
 #[test]
 fn what_was_dropped_is_not_remembered() {
     let mut peer = peer_that_confirmed(0, "req-first", 3 * SECOND);
-    for n in 0..MAX_KNOWN {
+    for n in 0..MAX_KNOWN_CANCELLATIONS {
         peer.learn(&format!("req-{n:05}"), 100 + n as u64);
     }
     assert!(peer.get("req-first").is_none());
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -35,7 +35,7 @@
 pub(crate) mod user_requests;
 
 /// Without contact with the store for this long, a controller takes no users' requests.
-pub const CONTACT_SPAN: Micros = 2_500 * MILLI;
+pub const USER_REQUEST_CONTACT_TIMEOUT: Micros = 2_500 * MILLI;
 
 /// Most finished jobs that a controller keeps in memory.
 const MAX_FINISHED_JOBS: usize = 20_000;
@@ -98,7 +98,7 @@
         self.context.now = now;
         if !self.started {
             self.started = true;
-            self.context.cancellations.begin(now.steady);
+            self.context.cancellations.note_process_start(now.steady);
             info!(member = self.context.settings.member.as_str(); "controller started");
         } else if since_last_input > self.context.tuning.leader_lease_us / 2 {
             // Timers fire far more often than that: the process was paused while time went on.
@@ -153,8 +153,9 @@
     }
 
     /// Whether this controller can take users' requests.
-    pub fn healthy(&self) -> bool {
-        self.context.catalogue.is_some() && self.context.has_store_contact(CONTACT_SPAN)
+    pub fn is_healthy(&self) -> bool {
+        self.context.catalogue.is_some()
+            && self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT)
     }
 
     /// Routes a request of a user, an agent or a health check.
@@ -174,7 +175,7 @@
     }
 
     fn on_health_check(&mut self, id: u64) {
-        if self.healthy() {
+        if self.is_healthy() {
             return self.context.answer(id, 200, &"ok");
         }
         self.refuse_without_contact(id);
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -1,4 +1,4 @@
-//! The election: candidacy, claiming the leader record, and stepping down.
+//! Leader election: becoming a candidate, claiming the leader record, and stepping down.
 
 use crate::calls::{status_and_body, CallPurpose, ElectionStep};
 use crate::context::Role;
@@ -16,39 +16,39 @@
 use log::{info, warn};
 use std::fmt::Display;
 
-/// Between two reads of the leader record by a controller that does not lead.
+/// Interval between two reads of the leader record by a controller that is not the leader.
 const PROBE_INTERVAL: Micros = 500 * MILLI;
 
-/// Until the next read after a leader record of an earlier process of this member was deleted.
+/// Delay until the next read after deleting a leader record of an earlier process of this member.
 const PROBE_AFTER_DELETE: Micros = 20 * MILLI;
 
-/// Until the next read after stepping down.
+/// Delay until the next read of the leader record after stepping down.
 const PROBE_AFTER_STEP_DOWN: Micros = 50 * MILLI;
 
-/// Until the next read after the lease of a candidacy was ended.
+/// Delay until the next read of the leader record after ending the lease of a candidacy or of leadership.
 const PROBE_AFTER_LEASE_END: Micros = 100 * MILLI;
 
-/// How long a leader that resigned does not stand for election.
+/// Time for which a leader that resigned does not become a candidate.
 const ABSTENTION: Micros = 10 * SECOND;
 
-/// How a leader gives up its role.
+/// What happens to the leader's lease when the leader steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StepDown {
-    /// The lease is lost or in doubt: it is left to expire.
+pub(crate) enum StepDownMode {
+    /// The lease is lost or may be lost. It is left to expire.
     LeaseLost,
-    /// The lease is still valid: it is ended, and this controller abstains from the election for a while.
+    /// The lease is still valid. It is ended, and this controller is no candidate for [`ABSTENTION`].
     Resign,
 }
 
 impl Controller {
-    /// Reads the leader record and asks the peers when that is due.
+    /// Reads the leader record or sends contact requests to the peers, whichever is due.
     pub(crate) fn run_election(&mut self) {
         let now = self.context.now.steady;
         if now < self.election.next_probe {
             return;
         }
         if self.leader.is_some() {
-            return self.ask_peers();
+            return self.send_contact_requests();
         }
         self.election.next_probe = now + PROBE_INTERVAL;
         if !self.election.request_in_flight {
@@ -56,16 +56,17 @@
             self.context
                 .read_key(LEADER, CallPurpose::Election(ElectionStep::Probe));
         }
-        // A holder renews leases as a leader does: it has to know what peers confirmed.
+        // A partition holder renews agents' leases as the leader does, so it has to know which cancellations
+        // its peers confirmed.
         if !self.partitions.holders.is_empty() && now >= self.election.next_question {
-            self.ask_peers();
+            self.send_contact_requests();
             self.election.next_question = self.election.next_probe;
             self.election.next_probe = now + PROBE_INTERVAL;
         }
     }
 
-    /// Takes the reply to a request of the election.
-    pub(crate) fn on_election(&mut self, step: ElectionStep, outcome: Outcome) {
+    /// Handles the reply to a request of the election.
+    pub(crate) fn on_election_reply(&mut self, step: ElectionStep, outcome: Outcome) {
         self.election.request_in_flight = false;
         if self.leader.is_some() {
             return;
@@ -73,7 +74,7 @@
         let (status, body) = status_and_body(outcome);
         match (step, status) {
             (ElectionStep::Probe, 200) => self.on_leader_record(&body),
-            (ElectionStep::Probe, 404) => self.on_leader_absent(),
+            (ElectionStep::Probe, 404) => self.on_leader_record_absent(),
             (ElectionStep::Lease, 200) => self.claim_leadership(&body),
             (ElectionStep::Claim { lease }, 200) => {
                 match wire::from_cbor::<TransactionApplied>(&body) {
@@ -82,7 +83,7 @@
                 }
             }
             (ElectionStep::Claim { lease }, 0) => self.read_leader_claim_back(lease),
-            (ElectionStep::ReadBack { lease }, 200) => self.on_leader_claim_read(lease, &body),
+            (ElectionStep::ReadBack { lease }, 200) => self.on_leader_claim_read_back(lease, &body),
             (ElectionStep::Claim { lease } | ElectionStep::ReadBack { lease }, _) => {
                 self.end_candidacy(lease);
             }
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The store has a leader record.
+    /// Handles a leader record that was read from the store.
     fn on_leader_record(&mut self, body: &[u8]) {
         let entry = match wire::from_cbor::<KeyValue<LeaderRecord>>(body) {
             Ok(entry) => entry,
@@ -108,8 +109,8 @@
         });
     }
 
-    /// Deletes a leader record with this member's name although this process does not lead: an earlier
-    /// process of the member had it, or a claim was applied late. Nobody acts under it.
+    /// Deletes a leader record that names this member although this process is not the leader: an earlier
+    /// process of the member put it, or the store applied a claim late. No process acts under its token.
     fn delete_own_leader_record(&mut self, token: u64) {
         let transaction = Transaction {
             when: vec![at_revision(LEADER, token)],
@@ -123,8 +124,8 @@
         self.election.next_probe = self.context.now.steady + PROBE_AFTER_DELETE;
     }
 
-    /// Nobody leads: this controller asks for a lease, to stand for election under it.
-    fn on_leader_absent(&mut self) {
+    /// Requests a lease for a candidacy, since the store has no leader record.
+    fn on_leader_record_absent(&mut self) {
         let now = self.context.now.steady;
         self.election.leader = None;
         if now < self.election.abstain_until {
@@ -139,7 +140,7 @@
         self.context.post_to_store("/leases", &request, purpose);
     }
 
-    /// Puts the leader record under the lease that was granted, if no other member was faster.
+    /// Puts the leader record under the granted lease, on the condition that there is still no leader record.
     fn claim_leadership(&mut self, body: &[u8]) {
         let Ok(lease) = wire::from_cbor::<Lease>(body) else {
             return;
@@ -158,14 +159,15 @@
             .post_to_store("/txn", &transaction, CallPurpose::Election(step));
     }
 
-    /// The outcome of the claim is not known: the record tells.
+    /// Reads the leader record back after a claim whose outcome is unknown.
     fn read_leader_claim_back(&mut self, lease: u64) {
         self.election.request_in_flight = true;
         let step = ElectionStep::ReadBack { lease };
         self.context.read_key(LEADER, CallPurpose::Election(step));
     }
 
-    fn on_leader_claim_read(&mut self, lease: u64, body: &[u8]) {
+    /// Becomes the leader if the leader record that was read back is this process's own.
+    fn on_leader_claim_read_back(&mut self, lease: u64, body: &[u8]) {
         let entry = wire::from_cbor::<KeyValue<LeaderRecord>>(body).ok();
         let own = entry.filter(|entry| {
             entry.value.member == self.context.settings.member
@@ -177,7 +179,7 @@
         }
     }
 
-    /// The record with which this controller claims leadership.
+    /// Returns the record with which this controller claims leadership.
     fn own_leader_record(&self) -> LeaderRecord {
         LeaderRecord {
             member: self.context.settings.member.clone(),
@@ -187,13 +189,14 @@
         }
     }
 
-    /// Ends the lease of a candidacy or of leadership, and reads soon who leads.
+    /// Ends the lease of a candidacy or of leadership, and schedules an early read of the leader record.
     fn end_candidacy(&mut self, lease: u64) {
         self.context.end_lease(lease);
         self.election.next_probe = self.context.now.steady + PROBE_AFTER_LEASE_END;
     }
 
-    /// The leader record is this controller's: it starts to read the store under its fencing token.
+    /// Takes on leadership after the store applied this controller's leader record, whose mod_revision is the
+    /// fencing token, and starts to load the records.
     pub(crate) fn become_leader(&mut self, token: u64, lease: u64) {
         info!(member = self.context.settings.member.as_str(), token = token; "became leader");
         self.context.token = self.context.token.max(token);
@@ -213,14 +216,14 @@
         self.leader = Some(leader);
     }
 
-    /// Stops acting as the leader.
-    pub(crate) fn step_down(&mut self, reason: impl Display, how: StepDown) {
+    /// Stops acting as the leader, and refuses the heartbeats that wait for an answer.
+    pub(crate) fn step_down(&mut self, reason: impl Display, mode: StepDownMode) {
         let Some(leader) = self.leader.take() else {
             return;
         };
         let member = self.context.settings.member.as_str();
         warn!(member = member, token = leader.token, reason:% = reason; "stepped down as leader");
-        if how == StepDown::LeaseLost {
+        if mode == StepDownMode::LeaseLost {
             self.keep_unproven_machines(&leader);
         }
         for request in leader.waiting_heartbeats() {
@@ -229,14 +232,15 @@
         self.election.leader = None;
         self.election.request_in_flight = false;
         self.election.next_probe = self.context.now.steady + PROBE_AFTER_STEP_DOWN;
-        if how == StepDown::Resign {
+        if mode == StepDownMode::Resign {
             self.end_candidacy(leader.lease);
             self.election.abstain_until = self.context.now.steady + ABSTENTION;
         }
     }
 
-    /// After a process pause, the first thing is to learn whether this controller still holds its leases:
-    /// they may have expired, and others may have acted since. Heartbeats that waited were given up.
+    /// Suspends the schedulers of this controller after a process pause, until their leases are known to be
+    /// valid: the leases may have expired, and other members may have acted since. Refuses the heartbeats that
+    /// wait for an answer.
     pub(crate) fn suspend_uncertain_leases(&mut self) {
         let now = self.context.now.steady;
         if self.leader.is_none() && self.partitions.holders.is_empty() {
@@ -245,7 +249,8 @@
         self.for_each_scheduler(|context, scheduler| {
             scheduler.uncertain = true;
             scheduler.lease_renewal_at = now;
-            // No heartbeat could arrive meanwhile: that is no sign of being cut off from the agents.
+            // No heartbeat could arrive during the pause, so their absence does not show that this controller
+            // is cut off from the agents.
             scheduler.last_heartbeat_at = now;
             for request in scheduler.waiting_heartbeats() {
                 context.refuse(request, 503, "it is not certain who leads");
--- a/crates/core/src/controller/catalogue.rs
+++ b/crates/core/src/controller/catalogue.rs
@@ -43,7 +43,7 @@
     }
 
     /// Takes the reply to a request for the catalogue.
-    pub(crate) fn on_catalogue(&mut self, source: CatalogueSource, outcome: Outcome) {
+    pub(crate) fn on_catalogue_reply(&mut self, source: CatalogueSource, outcome: Outcome) {
         // Not in the store yet: the cloud knows. Not at the cloud either: the store is asked again.
         let other_source = source.other();
         let Outcome::Answer { status: 200, body } = outcome else {
--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -6,7 +6,7 @@
 use grebewood_wire::http::{Heartbeat, Redirect};
 
 impl Controller {
-    /// Takes an agent's heartbeat.
+    /// Handles a heartbeat of an agent.
     pub(crate) fn on_heartbeat(&mut self, id: u64, body: &[u8]) {
         let heartbeat: Heartbeat = match wire::from_cbor(body) {
             Ok(heartbeat) => heartbeat,
@@ -22,23 +22,24 @@
         }
     }
 
-    /// A heartbeat of a machine that is in no partition: the leader answers it, others redirect it.
+    /// Handles a heartbeat of a machine that is in no partition: the leader answers it, other controllers
+    /// redirect it to the leader.
     fn on_leader_heartbeat(&mut self, id: u64, heartbeat: Heartbeat) {
         let may_renew = self.may_renew_agent_leases();
         let Some(leader) = &mut self.leader else {
             return self.redirect_to_leader(id);
         };
-        // The heartbeat may have come in during a process pause, and the lease may have expired.
+        // The heartbeat may have arrived during a process pause, and the leader's lease may have expired since.
         if leader.uncertain() {
             let reason = "it is not certain who leads";
             return self.context.refuse(id, 503, reason);
         }
-        // Its machine may be in a partition: an answer would take it from its holder.
+        // The machine may be in a partition: an answer of the leader would take it from the partition's holder.
         if !leader.knows_partitions(&self.context) {
             let reason = "partitions are not known yet";
             return self.context.refuse(id, 503, reason);
         }
-        // Before the store is read only the controller's own knowledge of cancellations stops tasks.
+        // Until the store is read, only the cancellations that this controller knows stop tasks.
         if !leader.loaded() && !may_renew {
             let reason = "cancellations are not known yet";
             return self.context.refuse(id, 503, reason);
@@ -46,12 +47,12 @@
         if heartbeat.token <= leader.token {
             return leader.on_heartbeat(&mut self.context, id, heartbeat);
         }
-        // Another member acts under a higher token, and it is not known here which one.
+        // Another member acts under a higher fencing token, and this controller does not know which member.
         self.context.answer(id, 421, &Redirect { leader: None });
     }
 
-    /// Sends an agent to the leader, unless none is known or the record names this member although this
-    /// process does not lead.
+    /// Redirects an agent to the leader. The answer names no leader if none is known, or if the leader record
+    /// names this member although this process is not the leader.
     fn redirect_to_leader(&mut self, id: u64) {
         let own_name = self.context.settings.member.as_str();
         let leader = self.election.leader().filter(|name| *name != own_name);
@@ -59,8 +60,9 @@
         self.context.answer(id, 421, &Redirect { leader });
     }
 
-    /// The partition of the heartbeat's machine. The leader goes by what it read under its lease, other
-    /// controllers by their copy of the map: that only decides where an agent is sent.
+    /// Returns the partition of the heartbeat's machine: on the leader by the partitions that it read under its
+    /// lease, on other controllers by their copy of the partition map, which only decides where an agent is
+    /// redirected to.
     fn partition_of(&self, heartbeat: &Heartbeat) -> Option<PartitionId> {
         let (zone, machine) = (&heartbeat.zone, &heartbeat.machine);
         match &self.leader {
@@ -69,7 +71,8 @@
         }
     }
 
-    /// A heartbeat of a machine that is in a partition: its holder answers it, others redirect it.
+    /// Handles a heartbeat of a machine that is in a partition: the partition's holder answers it, other
+    /// controllers redirect it to the holder.
     fn on_partition_heartbeat(&mut self, id: u64, partition: PartitionId, heartbeat: Heartbeat) {
         let may_renew = self.may_renew_agent_leases();
         let Some(holder) = self.partitions.holders.get_mut(&partition) else {
@@ -89,7 +92,7 @@
         self.context.answer(id, 421, &Redirect { leader: None });
     }
 
-    /// Sends an agent to the member that its partition is assigned to.
+    /// Redirects an agent to the member that its partition is assigned to.
     fn redirect_to_holder(&mut self, id: u64, partition: PartitionId) {
         let Some(holder) = self.other_holder_of(partition) else {
             let reason = "its partition is not held yet";
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -34,7 +34,7 @@
 const RETRY_AFTER_FAILURE: Micros = 100 * MILLI;
 
 /// Most entries of one page of the list.
-const PAGE_ENTRIES: usize = 400;
+const MAX_PAGE_ENTRIES: usize = 400;
 
 /// How a user's request is refused that has waited too long.
 const NOT_IN_TIME: &str = "the state service is not in time";
@@ -63,7 +63,7 @@
         }
         view.request_in_flight = true;
         view.next_request =
-            now + MIN_INTERVAL.max(self.context.user_reads.time_for(READS_BETWEEN_REQUESTS));
+            now + MIN_INTERVAL.max(self.context.user_reads.refill_time(READS_BETWEEN_REQUESTS));
         view.refresh_at = now + REFRESH_INTERVAL;
         self.request_job_view();
     }
@@ -89,7 +89,7 @@
             Some(prefix) => {
                 let since = view.last_key.as_ref().map(|key| format!("&since={key}"));
                 let since = since.unwrap_or_default();
-                let path = format!("/kv?prefix={prefix}{since}&page={PAGE_ENTRIES}");
+                let path = format!("/kv?prefix={prefix}{since}&page={MAX_PAGE_ENTRIES}");
                 (path, JobViewCall::List(prefix))
             }
             None => {
@@ -170,7 +170,7 @@
             if now >= request.patient_until() {
                 self.context.refuse(request.request, 503, NOT_IN_TIME);
             } else {
-                self.on_fresh_view(request);
+                self.continue_with_fresh_view(request);
             }
         }
     }
@@ -228,7 +228,7 @@
     }
 
     /// The view is no older than the request.
-    fn on_fresh_view(&mut self, mut request: UserRequest) {
+    fn continue_with_fresh_view(&mut self, mut request: UserRequest) {
         // A cancellation alone, such as an earlier version may have left behind, makes no live job. A job
         // whose record cannot be read (it has no tasks) cannot run, but it stays known: otherwise questions
         // about it would never be answered.
@@ -244,7 +244,7 @@
         if live.cancelled {
             self.confirm_cancellation(&request);
         } else {
-            self.on_found_live(request);
+            self.on_live_job_found(request);
         }
     }
 }
--- a/crates/core/src/controller/leader.rs
+++ b/crates/core/src/controller/leader.rs
@@ -1,9 +1,9 @@
 //! Runs the leader's scheduler and routes store replies to the scheduler that waits for them.
 
 use crate::calls::SchedulerCall;
-use crate::controller::candidacy::StepDown;
-use crate::controller::partition_claims::LeaveReason;
-use crate::controller::peer_contact::CONTACT_LOST_AFTER;
+use crate::controller::candidacy::StepDownMode;
+use crate::controller::partition_claims::ReleaseReason;
+use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT;
 use crate::controller::Controller;
 use crate::{Outcome, Stopwatch};
 
@@ -13,16 +13,16 @@
         if self.leader.is_none() {
             return;
         }
-        self.check_contact();
+        self.step_down_if_lease_lost();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
         // Without the store no other member can lead. To step down would only lose what this controller
         // knows, such as a cancelled task on a machine that hangs.
-        if self.context.has_store_contact(CONTACT_LOST_AFTER)
+        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT)
             && leader.isolated_from_agents(&self.context)
         {
-            return self.step_down("no agent reaches this controller", StepDown::Resign);
+            return self.step_down("no agent reaches this controller", StepDownMode::Resign);
         }
         leader.run(&mut self.context, watch);
     }
@@ -31,7 +31,7 @@
     pub(crate) fn on_scheduler_reply(&mut self, token: u64, call: SchedulerCall, outcome: Outcome) {
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
             if let Err(reason) = leader.on_reply(&mut self.context, call, outcome) {
-                self.step_down(&reason, StepDown::LeaseLost);
+                self.step_down(&reason, StepDownMode::LeaseLost);
             }
             return;
         }
@@ -41,7 +41,7 @@
         };
         let id = *id;
         if let Err(reason) = holder.on_reply(&mut self.context, call, outcome) {
-            self.leave_partition(id, &LeaveReason::Scheduler(reason));
+            self.release_partition(id, &ReleaseReason::Scheduler(reason));
         }
     }
 }
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -1,8 +1,8 @@
-//! Claims of this controller on partitions, and giving partitions up.
+//! Claims partitions for this controller and releases them.
 
 use crate::calls::{status_and_body, CallPurpose, ClaimStep};
 use crate::context::Role;
-use crate::controller::peer_contact::{LeaseLoss, CONTACT_LOST_AFTER};
+use crate::controller::peer_contact::{LeaseLoss, STORE_CONTACT_TIMEOUT};
 use crate::controller::Controller;
 use crate::scheduler::{FencedLease, Scheduler};
 use crate::transactions::{absent, at_revision};
@@ -16,47 +16,47 @@
 use log::{info, warn};
 use thiserror::Error;
 
-/// Between an attempt to claim a partition that failed and the next one.
+/// Delay after a failed attempt to claim a partition until the next attempt.
 const CLAIM_RETRY_INTERVAL: Micros = 50 * MILLI;
 
-/// How long a controller that no agent reaches claims nothing.
-const ABSTENTION: Micros = 10 * SECOND;
+/// Time for which a controller that released a partition because no agent reaches it claims no partition.
+const CLAIM_PAUSE_WHEN_CUT_OFF: Micros = 10 * SECOND;
 
-/// Why this controller gives a partition up.
+/// Why this controller releases a partition.
 #[derive(Debug, PartialEq, Eq, Error)]
-pub(crate) enum LeaveReason {
-    /// The leader does not support partitions.
+pub(crate) enum ReleaseReason {
+    /// The leader runs without partitions.
     #[error("the leader does not support partitions")]
     LeaderWithoutPartitions,
     /// No agent of the partition reaches this controller.
     #[error("no agent reaches this controller")]
     CutOffFromAgents,
-    /// The partition is not in the map any more.
-    #[error("the partition does not exist any more")]
+    /// The partition is no longer in the partition map.
+    #[error("the partition is no longer in the partition map")]
     Removed,
     /// The leader has assigned the partition to another member.
     #[error("the partition is assigned to another member")]
     Reassigned,
-    /// There is a claim with a higher fencing token.
+    /// The partition map has a claim with a higher fencing token.
     #[error("another member has claimed the partition")]
     ClaimedByOther,
-    /// The lease of the claim may have expired.
+    /// This controller may not act under the lease of its claim any longer.
     #[error(transparent)]
     LeaseLost(#[from] LeaseLoss),
-    /// The holder's scheduler found out that it may not go on.
+    /// The holder's scheduler reported that it lost its lease, with this reason.
     #[error("{0}")]
     Scheduler(String),
 }
 
 impl Controller {
-    /// Reads the map, claims what is assigned to this controller, gives up what is not, and lets the
-    /// holders and the leader do their part.
+    /// Reads the partition map, releases and claims partitions accordingly, and runs the schedulers of the
+    /// partitions that this controller holds, then the leader's work for partitions.
     pub(crate) fn run_partitions(&mut self, watch: &mut dyn Stopwatch) {
         if !self.context.supports_partitions() {
             return;
         }
         self.read_partition_map();
-        self.leave_partitions();
+        self.release_partitions();
         self.claim_partitions();
         self.retract_cancellations();
         for holder in self.partitions.holders.values_mut() {
@@ -65,7 +65,7 @@
         self.run_leader_partitions();
     }
 
-    /// Claims the partitions that are assigned to this controller and have no claim.
+    /// Starts to claim the partitions that are assigned to this controller and have no claim.
     pub(crate) fn claim_partitions(&mut self) {
         let now = self.context.now.steady;
         if now < self.partitions.claim_at
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Partitions that are assigned to this controller, are not claimed, and are not being claimed.
+    /// Returns the partitions that are assigned to this controller, have no claim, and are not being claimed.
     fn unclaimed_partitions(&self) -> Vec<PartitionId> {
         let own_name = &self.context.settings.member;
         let unclaimed = self.partitions.map.iter().filter(|(id, partition)| {
@@ -97,8 +97,8 @@
         unclaimed.map(|(id, _)| id).collect()
     }
 
-    /// Takes the reply to a request of a claim.
-    pub(crate) fn on_claim(&mut self, id: PartitionId, step: ClaimStep, outcome: Outcome) {
+    /// Handles the reply to a request of a claim.
+    pub(crate) fn on_claim_reply(&mut self, id: PartitionId, step: ClaimStep, outcome: Outcome) {
         let (status, body) = status_and_body(outcome);
         match (step, status) {
             (ClaimStep::Lease, 200) => match wire::from_cbor::<Lease>(&body) {
@@ -107,12 +107,12 @@
             },
             (ClaimStep::Claim { lease }, 200) => match wire::from_cbor::<TransactionApplied>(&body)
             {
-                Ok(applied) => self.hold_partition(id, lease, applied.revision),
+                Ok(applied) => self.become_holder(id, lease, applied.revision),
                 Err(_) => self.read_claim_back(id, lease),
             },
-            // Carried out or not: the record tells.
+            // The store may have applied the claim or not: the record that is read back shows it.
             (ClaimStep::Claim { lease }, 0) => self.read_claim_back(id, lease),
-            (ClaimStep::ReadBack { lease }, 200) => self.on_claim_read(id, lease, &body),
+            (ClaimStep::ReadBack { lease }, 200) => self.on_claim_read_back(id, lease, &body),
             (ClaimStep::Lease, _) => self.on_claim_failed(id, None),
             (ClaimStep::Claim { lease } | ClaimStep::ReadBack { lease }, _) => {
                 self.on_claim_failed(id, Some(lease));
@@ -120,9 +120,9 @@
         }
     }
 
-    /// Writes the claim, if the partition is still assigned to this controller and the leader is the one
-    /// that is known here: so no claim is made under a leader that does not support partitions, and
-    /// the token of the next leader is higher than that of every claim before it.
+    /// Writes the claim on the conditions that the partition is still assigned to this controller and that the
+    /// leader record is still the known one. So no claim is made under a leader that does not support
+    /// partitions, and the fencing token of the next leader is higher than that of every earlier claim.
     fn write_claim(&mut self, id: PartitionId, lease: u64) {
         let own_name = &self.context.settings.member;
         let partition = self.partitions.map.get(id);
@@ -163,14 +163,14 @@
         self.context.read_key(&claim_key(id), purpose);
     }
 
-    fn on_claim_read(&mut self, id: PartitionId, lease: u64, body: &[u8]) {
+    fn on_claim_read_back(&mut self, id: PartitionId, lease: u64, body: &[u8]) {
         let entry = wire::from_cbor::<KeyValue<PartitionClaim>>(body).ok();
         let own = entry.filter(|entry| {
             entry.value.member == self.context.settings.member
                 && entry.value.incarnation == self.election.incarnation()
         });
         match own {
-            Some(entry) => self.hold_partition(id, lease, entry.mod_revision),
+            Some(entry) => self.become_holder(id, lease, entry.mod_revision),
             None => self.on_claim_failed(id, Some(lease)),
         }
     }
@@ -183,8 +183,9 @@
         }
     }
 
-    /// The claim is this controller's: it holds the partition from now on.
-    fn hold_partition(&mut self, id: PartitionId, lease: u64, token: u64) {
+    /// Starts a scheduler for the partition after the store applied this controller's claim on it, whose
+    /// mod_revision is the fencing token.
+    fn become_holder(&mut self, id: PartitionId, lease: u64, token: u64) {
         let Some(lease_requested_at) = self.partitions.claiming.remove(&id) else {
             return self.context.end_lease(lease);
         };
@@ -202,49 +203,53 @@
         self.partitions.holders.insert(id, holder);
     }
 
-    /// Gives up what this controller may not hold any more.
-    pub(crate) fn leave_partitions(&mut self) {
+    /// Releases the partitions that this controller may not hold any more.
+    pub(crate) fn release_partitions(&mut self) {
         let holders = self.partitions.holders.iter();
-        let leaving: Vec<(PartitionId, LeaveReason)> = holders
-            .filter_map(|(id, holder)| Some((*id, self.reason_to_leave(*id, holder)?)))
+        let to_release: Vec<(PartitionId, ReleaseReason)> = holders
+            .filter_map(|(id, holder)| Some((*id, self.reason_to_release(*id, holder)?)))
             .collect();
-        for (id, reason) in leaving {
-            self.leave_partition(id, &reason);
+        for (id, reason) in to_release {
+            self.release_partition(id, &reason);
         }
     }
 
-    fn reason_to_leave(&self, id: PartitionId, holder: &Scheduler) -> Option<LeaveReason> {
+    fn reason_to_release(&self, id: PartitionId, holder: &Scheduler) -> Option<ReleaseReason> {
         if !self.election.leader_supports_partitions() {
-            return Some(LeaveReason::LeaderWithoutPartitions);
+            return Some(ReleaseReason::LeaderWithoutPartitions);
         }
-        if self.context.has_store_contact(CONTACT_LOST_AFTER)
+        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT)
             && holder.isolated_from_agents(&self.context)
         {
-            return Some(LeaveReason::CutOffFromAgents);
+            return Some(ReleaseReason::CutOffFromAgents);
         }
-        self.reason_in_map(id, holder)
-            .or_else(|| self.lease_loss(holder).map(LeaveReason::from))
+        self.reason_in_partition_map(id, holder)
+            .or_else(|| self.lease_loss(holder).map(ReleaseReason::from))
     }
 
-    /// Why this controller may not hold the partition any more by the map, which says nothing while it is
-    /// being listed again.
-    fn reason_in_map(&self, id: PartitionId, holder: &Scheduler) -> Option<LeaveReason> {
+    /// Returns why the partition map does not allow this controller to hold the partition any more. While the
+    /// map is being listed again it is incomplete, and gives no reason.
+    fn reason_in_partition_map(
+        &self,
+        id: PartitionId,
+        holder: &Scheduler,
+    ) -> Option<ReleaseReason> {
         if !self.partitions.reader.has_read_map() {
             return None;
         }
         let Some(partition) = self.partitions.map.get(id) else {
-            return Some(LeaveReason::Removed);
+            return Some(ReleaseReason::Removed);
         };
         if partition.record.holder != self.context.settings.member {
-            return Some(LeaveReason::Reassigned);
+            return Some(ReleaseReason::Reassigned);
         }
         let claim = partition.claim.as_ref()?;
-        (claim.token > holder.token).then_some(LeaveReason::ClaimedByOther)
+        (claim.token > holder.token).then_some(ReleaseReason::ClaimedByOther)
     }
 
-    /// Gives a partition up. Its machines' tasks go on; the next holder learns of them. Heartbeats that wait
-    /// for an answer are redirected to it.
-    pub(crate) fn leave_partition(&mut self, id: PartitionId, reason: &LeaveReason) {
+    /// Releases a partition. The tasks on its machines keep running, and the next holder learns of them.
+    /// Heartbeats that wait for an answer are redirected to the next holder.
+    pub(crate) fn release_partition(&mut self, id: PartitionId, reason: &ReleaseReason) {
         let Some(holder) = self.partitions.holders.remove(&id) else {
             return;
         };
@@ -253,7 +258,7 @@
             partition = id,
             token = holder.token,
             reason:% = reason;
-            "gave up a partition"
+            "released a partition"
         );
         self.keep_unproven_machines(&holder);
         let next_holder = self.other_holder_of(id);
@@ -262,12 +267,13 @@
             self.context.answer(request, 421, &Redirect { leader });
         }
         self.context.end_lease(holder.lease());
-        if *reason == LeaveReason::CutOffFromAgents {
-            self.partitions.claim_at = self.context.now.steady + ABSTENTION;
+        if *reason == ReleaseReason::CutOffFromAgents {
+            self.partitions.claim_at = self.context.now.steady + CLAIM_PAUSE_WHEN_CUT_OFF;
         }
     }
 
-    /// The other member that the partition is assigned to; `None` if it is this controller, or no member.
+    /// Returns the other member that the partition is assigned to; `None` if the partition is assigned to this
+    /// controller or is not in the partition map.
     pub(crate) fn other_holder_of(&self, id: PartitionId) -> Option<String> {
         let holder = &self.partitions.map.get(id)?.record.holder;
         (*holder != self.context.settings.member).then(|| holder.clone())
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -26,7 +26,7 @@
 const WATCH_INTERVAL: Micros = 20 * MILLI;
 
 /// Most entries of one page of the list.
-const PAGE_ENTRIES: usize = 200;
+const MAX_PAGE_ENTRIES: usize = 200;
 
 impl Controller {
     /// Sends the next read of the map if it is due.
@@ -48,7 +48,7 @@
                 let after = listing.as_ref().map(|page| &page.last_key);
                 let since = after.map(|key| format!("&since={key}"));
                 let since = since.unwrap_or_default();
-                let path = format!("/kv?prefix={PARTITION}{since}&page={PAGE_ENTRIES}");
+                let path = format!("/kv?prefix={PARTITION}{since}&page={MAX_PAGE_ENTRIES}");
                 (MapCall::List, path, STORE_TIMEOUT)
             }
         };
@@ -58,7 +58,7 @@
     }
 
     /// Takes the reply to a read of the map.
-    pub(crate) fn on_partition_map(&mut self, call: MapCall, outcome: Outcome) {
+    pub(crate) fn on_partition_map_reply(&mut self, call: MapCall, outcome: Outcome) {
         let now = self.context.now.steady;
         let reader = &mut self.partitions.reader;
         reader.request_in_flight = false;
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -1,7 +1,7 @@
 //! Messages between the leader and the holders of partitions, as each controller sends and receives them.
 
 use crate::calls::SchedulerCall;
-use crate::controller::candidacy::StepDown;
+use crate::controller::candidacy::StepDownMode;
 use crate::controller::Controller;
 use crate::{Micros, Target, MILLI};
 use grebewood_wire as wire;
@@ -26,14 +26,14 @@
     /// Retracts cancellations that holders learned from a peer, against the store: a job that the store still
     /// shows as live and not cancelled, in an answer that was asked for since, runs on.
     pub(crate) fn retract_cancellations(&mut self) {
-        let read_up_to = self.context.cancellations.read_up_to();
+        let known_from_store_until = self.context.cancellations.known_from_store_until();
         for holder in self.partitions.holders.values_mut() {
             let jobs = &holder.jobs;
             let cancelled = &mut holder.holder_state.cancelled;
             cancelled.retain(|job, _| jobs.find(job).is_some());
             let refuted = cancelled.iter().filter(|(job, learned_at)| {
                 let live = self.job_view.get(job);
-                **learned_at < read_up_to && live.is_some_and(|live| !live.cancelled)
+                **learned_at < known_from_store_until && live.is_some_and(|live| !live.cancelled)
             });
             let refuted: Vec<String> = refuted.map(|(job, _)| job.clone()).collect();
             for job in refuted {
@@ -60,10 +60,10 @@
         }
         leader.follow_claims(&self.partitions.map);
         if let Some(reason) = leader.partitions_removed() {
-            return self.step_down(reason, StepDown::Resign);
+            return self.step_down(reason, StepDownMode::Resign);
         }
         if let Some(reason) = leader.leader_quota.lost {
-            return self.step_down(reason, StepDown::LeaseLost);
+            return self.step_down(reason, StepDownMode::LeaseLost);
         }
         if let Some(members) = members {
             leader.pause_quota_grants(&self.context, members.any_without_quota_grants);
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -1,9 +1,9 @@
-//! Questions to the peers and what their answers allow: whether a scheduler without contact with the store may go on
-//! renewing agents' leases, or has lost its own lease.
+//! Contact requests to the peers. Their responses decide whether a scheduler without contact with the key-value store
+//! may go on renewing agents' leases, or has lost its own lease.
 
 use crate::calls::CallPurpose;
 use crate::context::Role;
-use crate::controller::candidacy::StepDown;
+use crate::controller::candidacy::StepDownMode;
 use crate::controller::Controller;
 use crate::scheduler::Scheduler;
 use crate::state::election::{MemberView, PeerView};
@@ -15,50 +15,51 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Without an answer of the store for this long, a controller counts as having lost contact with it.
-pub(crate) const CONTACT_LOST_AFTER: Micros = 2 * SECOND;
+/// A controller that has had no answer of the store for this long counts as having lost contact with it.
+pub(crate) const STORE_CONTACT_TIMEOUT: Micros = 2 * SECOND;
 
-/// Between two questions to the peers while there is contact with the store.
-const QUESTION_INTERVAL: Micros = SECOND;
+/// Interval between two contact requests to the peers while there is contact with the store.
+const CONTACT_REQUEST_INTERVAL: Micros = SECOND;
 
-/// Between two questions to the peers without contact with the store.
-const QUESTION_INTERVAL_WITHOUT_CONTACT: Micros = 400 * MILLI;
+/// Interval between two contact requests to the peers without contact with the store.
+const CONTACT_REQUEST_INTERVAL_IN_OUTAGE: Micros = 400 * MILLI;
 
-/// How long a peer may take to answer.
-const QUESTION_TIMEOUT: Micros = 900 * MILLI;
+/// Timeout of a contact request.
+const CONTACT_REQUEST_TIMEOUT: Micros = 900 * MILLI;
 
-/// How much more than it has to a question covers, since the clocks of two members drift apart.
-const QUESTION_OVERLAP: Micros = SECOND;
+/// Time by which the period that a contact request asks about is extended into the past, since the clocks of two
+/// members drift apart.
+const CONFIRMATION_OVERLAP: Micros = SECOND;
 
-/// Clocks drift apart by less than one part in this many.
+/// The clocks of two members drift apart by less than the elapsed time divided by this number.
 const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
-/// A peer whose last answer is to a question older than this is not assigned partitions.
-const MEMBER_SPAN: Micros = 3 * SECOND;
+/// A peer is assigned no partitions if the contact request that it last answered is older than this.
+const MAX_PEER_REPLY_AGE: Micros = 3 * SECOND;
 
 /// Why a scheduler may not act under its lease any longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum LeaseLoss {
-    /// A peer has read a leader record with a higher fencing token.
+    /// A peer knows of a leader with a higher fencing token.
     #[error("a peer knows of a higher fencing token")]
     HigherToken,
-    /// A peer had contact with the store for so long that the lease has expired.
-    #[error("the store serves a peer, but not this controller")]
+    /// A peer had contact with the store at a time at which the lease had expired.
+    #[error("the store served a peer after this controller's lease had expired")]
     StoreServesPeer,
-    /// A peer may have confirmed a cancellation that is not known here.
-    #[error("cancellations may be unknown here")]
+    /// A peer may have confirmed a cancellation that this controller does not know.
+    #[error("a peer may have confirmed cancellations that this controller does not know")]
     CancellationsUnknown,
 }
 
 impl Controller {
-    /// Asks the peers whether they have contact with the store, and which cancellations they confirmed.
-    /// While the leader has contact itself this only keeps its view of the peers fresh.
-    pub(crate) fn ask_peers(&mut self) {
+    /// Asks the peers whether they have contact with the store, and which cancellations they confirmed to
+    /// users. While the leader has contact itself, the answers only keep its view of the peers up to date.
+    pub(crate) fn send_contact_requests(&mut self) {
         let now = self.context.now.steady;
-        let interval = if self.context.has_store_contact(CONTACT_LOST_AFTER / 2) {
-            QUESTION_INTERVAL
+        let interval = if self.context.has_store_contact(STORE_CONTACT_TIMEOUT / 2) {
+            CONTACT_REQUEST_INTERVAL
         } else {
-            QUESTION_INTERVAL_WITHOUT_CONTACT
+            CONTACT_REQUEST_INTERVAL_IN_OUTAGE
         };
         self.election.next_probe = now + interval;
         self.election.question += 1;
@@ -68,7 +69,7 @@
             let message = wire::to_peer(&PeerRequest::Contact {
                 from: self.context.settings.member.clone(),
                 question,
-                known_us: known_until.map(|at| now.saturating_sub(at) + QUESTION_OVERLAP),
+                known_us: known_until.map(|at| now.saturating_sub(at) + CONFIRMATION_OVERLAP),
                 limits: self.leader.is_some() && self.context.supports_quota_grants(),
             });
             self.context.call(
@@ -76,14 +77,14 @@
                 "POST",
                 "/peer".into(),
                 message,
-                QUESTION_TIMEOUT,
+                CONTACT_REQUEST_TIMEOUT,
                 CallPurpose::Contact { peer, question },
             );
         }
     }
 
-    /// Takes a peer's answer to the question that was sent at `asked_at`.
-    pub(crate) fn on_contact(
+    /// Handles a peer's response to the contact request that was sent at `asked_at`.
+    pub(crate) fn on_contact_reply(
         &mut self,
         peer: usize,
         question: u64,
@@ -95,15 +96,16 @@
         };
         let answer: PeerResponse = match wire::from_peer(&body) {
             Ok(answer) => answer,
-            Err(e) => return warn!(error:% = e; "unreadable answer of a peer"),
+            Err(e) => return warn!(error:% = e; "unreadable response from a peer"),
         };
         let sibling = self.context.settings.siblings.get(peer);
         if sibling.is_none_or(|sibling| sibling.member != answer.member) {
             let member = answer.member.as_str();
-            return warn!(member = member; "peer answered in place of another member");
+            return warn!(member = member; "response from another member than the peer that was asked");
         }
         if let (Some(leader), Some(teams)) = (&mut self.leader, &answer.limits) {
-            // Only limits that this leader asked for: an earlier process of the member may have had others.
+            // Limits that were asked for before this leader's term are ignored: an earlier process of the
+            // member may have had others.
             if asked_at >= leader.began {
                 leader.on_limits_announced(&mut self.context, &answer.member, teams);
             }
@@ -115,26 +117,26 @@
                 .map(|age| asked_at.saturating_sub(age)),
             without_contact: answer
                 .store_contact_age_us
-                .is_none_or(|age| age >= CONTACT_LOST_AFTER),
+                .is_none_or(|age| age >= STORE_CONTACT_TIMEOUT),
             remembers_from: None,
             highest_token: answer.grant,
             supports_partitions: answer.partitions,
             supports_quota_grants: answer.supports_quota_grants,
         };
-        // Only the answer to this very question lists what the peer has confirmed. An earlier version
-        // lists nothing.
+        // A list that answers another contact request is ignored. A peer of an earlier version sends no list.
         if let Some(confirmed) = answer.confirmed.filter(|list| list.question == question) {
-            view.remembers_from = self.learn_confirmed(peer, asked_at, confirmed);
+            view.remembers_from = self.learn_confirmed_cancellations(peer, asked_at, confirmed);
         }
         let known = self.election.peers.entry(peer).or_default();
         if asked_at >= known.asked_at {
             *known = view;
         }
-        self.resolve_uncertainty();
+        self.confirm_leases_in_store_outage();
     }
 
-    /// Learns the cancellations that a peer has confirmed; returns from when on it remembers them all.
-    fn learn_confirmed(
+    /// Records and applies the cancellations that a peer has confirmed. Returns the moment since which the
+    /// peer remembers all that it confirmed.
+    fn learn_confirmed_cancellations(
         &mut self,
         peer: usize,
         asked_at: Micros,
@@ -147,7 +149,7 @@
             self.apply_cancellation(&job);
         }
         let span = confirmed.remembers_us?;
-        // It began to remember no later than this, by this controller's clock.
+        // The peer began to remember no later than this moment of this controller's clock.
         let remembers_from = now.steady.saturating_sub(span - span / CLOCK_DRIFT_DIVISOR);
         self.context
             .cancellations
@@ -155,13 +157,13 @@
         Some(remembers_from)
     }
 
-    /// Stops what runs of a job that is known to be cancelled, on the leader and in its partitions.
+    /// Applies the known cancellation of a job to every scheduler of this controller.
     pub(crate) fn apply_cancellation(&mut self, job: &str) {
         self.for_each_scheduler(|context, scheduler| scheduler.apply_cancellation(context, job));
     }
 
-    /// The members that answered lately, this one included, that can hold partitions; and whether any
-    /// that answered cannot.
+    /// Returns the members that answered lately and can hold partitions, this one included, and whether any
+    /// member that answered lately lacks support for partitions or quota grants.
     pub(crate) fn partition_members(&self) -> MemberView {
         let now = self.context.now.steady;
         let settings = &self.context.settings;
@@ -177,7 +179,7 @@
         for (peer, sibling) in settings.siblings.iter().enumerate() {
             let answered = self.election.peers.get(&peer);
             let Some(peer) =
-                answered.filter(|peer| now.saturating_sub(peer.asked_at) < MEMBER_SPAN)
+                answered.filter(|peer| now.saturating_sub(peer.asked_at) < MAX_PEER_REPLY_AGE)
             else {
                 view.all_answered = false;
                 continue;
@@ -195,10 +197,11 @@
         view
     }
 
-    /// After a process pause without contact: all peers, asked since, have been without contact too, and
-    /// remember from before this controller lost contact that no other member became leader. So this is an
-    /// outage of the store, in which leases do not expire and no leader can be elected.
-    fn resolve_uncertainty(&mut self) {
+    /// Confirms the leases that were suspended after a process pause, if the peers' answers show that the store
+    /// is unavailable to all: every peer was asked since the pause, has no contact either, and remembers the
+    /// time since before this controller lost contact. In such an outage leases do not expire, and no leader
+    /// can be elected. The leader's lease is confirmed only if no peer knows of a higher fencing token.
+    fn confirm_leases_in_store_outage(&mut self) {
         let resumed_at = self.context.resumed_at();
         let contact_lost_at = self.context.last_store_contact.unwrap_or(0);
         let siblings = 0..self.context.settings.siblings.len();
@@ -221,7 +224,7 @@
                 leader.confirm_lease();
             }
         }
-        // No peer had contact at a moment at which a claim of this controller could have expired.
+        // The claims still hold if no peer had contact at a moment at which one of them could have expired.
         let valid_until = contact_lost_at + self.context.tuning.leader_lease_us / 2;
         let claims_valid = peers
             .iter()
@@ -233,48 +236,53 @@
         }
     }
 
-    /// How long a scheduler may go on since the moment up to which it knows all confirmed cancellations:
-    /// the agent leases that it renews last must expire within the cancellation timeout of that moment.
-    fn max_cancellation_age(&self) -> Micros {
+    /// Returns for how long after the moment up to which it knows all confirmed cancellations a scheduler may
+    /// renew agents' leases: the last ones that it renews must expire within the cancellation timeout after
+    /// that moment.
+    fn max_cancellation_staleness(&self) -> Micros {
         let settings = &self.context.settings;
         let margin = settings.cancel_timeout.saturating_sub(settings.agent_lease);
         let most_of_it = margin * 8 / 10;
         most_of_it.saturating_sub(2 * SECOND).max(SECOND)
     }
 
-    /// Whether this controller may renew agents' leases: it knows of all cancellations that any member
-    /// confirmed until lately. One that has just started, and has read nothing yet, does not: in an outage
-    /// it would keep cancelled tasks running.
+    /// Returns whether this controller may renew agents' leases, since it knows all cancellations that any
+    /// member confirmed up to a recent moment. A controller that has just started and has read nothing may
+    /// not: in an outage of the store it would keep cancelled tasks running.
     pub(crate) fn may_renew_agent_leases(&self) -> bool {
         let now = self.context.now.steady;
         let peers = self.context.settings.siblings.len();
         let known_until = self.context.cancellations.known_until(peers, now);
-        known_until.is_some_and(|at| now.saturating_sub(at) <= self.max_cancellation_age())
+        known_until.is_some_and(|at| now.saturating_sub(at) <= self.max_cancellation_staleness())
     }
 
-    /// A leader without contact with the store finds out which of three things happened.
-    /// A peer had contact for so long that the leader's lease has expired, or knows of a higher token: it
-    /// steps down at once. Peers that answer list which cancellations they confirmed: with these it goes
-    /// on, as it would with the store. Peers that cannot be asked, or have forgotten, may have confirmed
-    /// cancellations that it does not know: it stops so early that the agents' leases expire within the
-    /// cancellation timeout of the last moment without them.
-    pub(crate) fn check_contact(&mut self) {
+    /// Steps down as leader if this controller may not act under the leader's lease any longer.
+    ///
+    /// A leader without contact with the store distinguishes three cases:
+    /// - A peer had contact at a time at which the leader's lease had expired, or knows of a higher fencing
+    ///   token: the leader steps down at once.
+    /// - The peers answer with the cancellations that they confirmed: the leader goes on, as it would with the
+    ///   store.
+    /// - A peer does not answer, or no longer remembers: it may have confirmed cancellations that the leader
+    ///   does not know. The leader steps down so early that the agents' leases expire within the cancellation
+    ///   timeout after the last moment up to which it knows all cancellations.
+    pub(crate) fn step_down_if_lease_lost(&mut self) {
         let Some(leader) = &self.leader else {
             return;
         };
         if let Some(loss) = self.lease_loss(leader) {
-            self.step_down(loss, StepDown::LeaseLost);
+            self.step_down(loss, StepDownMode::LeaseLost);
         }
     }
 
-    /// Why this controller may not act under the scheduler's lease any longer, if it is so.
+    /// Returns why this controller may not act under the scheduler's lease any longer; `None` if it may.
     pub(crate) fn lease_loss(&self, scheduler: &Scheduler) -> Option<LeaseLoss> {
         let now = self.context.now.steady;
         let last_contact = self.context.last_store_contact?;
-        if now.saturating_sub(last_contact) >= CONTACT_LOST_AFTER {
+        if now.saturating_sub(last_contact) >= STORE_CONTACT_TIMEOUT {
             let expired_at = last_contact + self.context.tuning.leader_lease_us;
             let mut peers = self.election.peers.values();
-            // A later leader does not end a claim on a partition.
+            // The claim on a partition stays valid under a later leader.
             if scheduler.role == Role::Leader
                 && peers
                     .clone()
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -1,4 +1,4 @@
-//! What a leader without contact with the store may do, and what it learns from its peers.
+//! Tests of contact requests: what a leader without contact with the store may do, and what it learns from its peers.
 
 use crate::controller::Controller;
 use crate::scheduler::Scheduler;
@@ -13,7 +13,7 @@
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
 
-/// The answer to the heartbeat of an agent with a task of `req-1`.
+/// Sends the heartbeat of an agent that runs a task of `req-1`; returns the status and the commands of the answer.
 fn send_heartbeat(controller: &mut Controller, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
     let heartbeat = Heartbeat {
         sequence,
@@ -46,7 +46,7 @@
     (status, commands.unwrap_or_default())
 }
 
-/// A leader that has just started, and could read nothing since, would keep cancelled tasks alive.
+/// A leader that has just started and could not read the store would keep cancelled tasks running.
 #[test]
 fn a_leader_that_knows_no_cancellations_renews_no_lease() {
     let mut controller = leader_before_loading(20 * SECOND);
@@ -58,7 +58,7 @@
     advance_time(&mut controller, 20 * SECOND, 21 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 21 * SECOND, 2).0, 200);
     // Neither the store nor its peer has answered since.
-    let bound = controller.max_cancellation_age();
+    let bound = controller.max_cancellation_staleness();
     assert!(
         bound + controller.context.settings.agent_lease
             < controller.context.settings.cancel_timeout
@@ -73,7 +73,8 @@
     assert_eq!(send_heartbeat(&mut controller, late, 4).0, 200);
 }
 
-/// A machine may be in a partition, whose holder's token is lower: an answer would take it away.
+/// The machine may be in a partition whose holder has a lower token: an answer of the leader would take the machine
+/// from its holder.
 #[test]
 fn a_leader_that_knows_no_partitions_yet_answers_no_machine() {
     let mut controller = leader_before_loading(20 * SECOND);
@@ -110,7 +111,8 @@
     );
 }
 
-/// An answer counts only from the sibling that was asked, and to this very question.
+/// A response counts only if it comes from the sibling that was asked, and its list of cancellations only if it answers
+/// that very contact request.
 #[test]
 fn a_foreign_or_late_answer_makes_nothing_certain() {
     let answer = |member: &str, question: u64| Outcome::Answer {
@@ -138,17 +140,17 @@
         .note_store_read(10 * SECOND);
     let certain =
         |controller: &Controller| controller.context.cancellations.known_until(1, 20 * SECOND);
-    controller.on_contact(0, 5, 19 * SECOND, answer("perch-9", 5));
-    controller.on_contact(0, 5, 19 * SECOND, answer("perch-1", 4));
+    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-9", 5));
+    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-1", 4));
     assert_eq!(certain(&controller), Some(10 * SECOND));
     assert!(controller.context.cancellations.get("req-1").is_none());
-    controller.on_contact(0, 5, 19 * SECOND, answer("perch-1", 5));
+    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-1", 5));
     assert_eq!(certain(&controller), Some(19 * SECOND));
     assert!(controller.context.cancellations.get("req-1").is_some());
 }
 
-/// A leader that was told by a peer that `req-1` is cancelled, which it is about to end.
-fn told_leader() -> Controller {
+/// A leader that learned without a record in the store that `req-1` is cancelled, and is about to read the record.
+fn leader_with_learned_cancellation() -> Controller {
     let mut controller = leader_before_loading(20 * SECOND);
     let record = job_record(1);
     let leader = controller.leader.as_mut().expect("a leader");
@@ -169,12 +171,12 @@
     Outcome::Answer { status, body }
 }
 
-/// What was said of a cancellation that is not on record was wrong; unless the job is over, whose
-/// end takes the record away. Its tasks would have been started again.
+/// If the store has no record of a cancellation, the leader was told wrongly, unless the job is finished: the
+/// transaction that ends a job deletes the record. Retracting it then would start the job's tasks again.
 #[test]
 fn a_cancellation_without_record_is_taken_back_only_if_the_job_is_not_over() {
     for over in [false, true] {
-        let mut controller = told_leader();
+        let mut controller = leader_with_learned_cancellation();
         let leader = controller.leader.as_mut().expect("a leader");
         leader.on_refresh(
             &mut controller.context,
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -13,13 +13,13 @@
     /// Routes a request on the peer interface.
     pub(crate) fn on_peer_request(&mut self, id: u64, method: &str, path: &str, body: &[u8]) {
         match (method, path) {
-            ("POST", "/peer") => self.on_peer(id, body),
+            ("POST", "/peer") => self.on_peer_message(id, body),
             (_, "/peer") => self.context.refuse(id, 405, "only POST"),
             _ => self.context.refuse(id, 404, "no such path"),
         }
     }
 
-    fn on_peer(&mut self, id: u64, body: &[u8]) {
+    fn on_peer_message(&mut self, id: u64, body: &[u8]) {
         let request: PeerRequest = match wire::from_peer(body) {
             Ok(request) => request,
             Err(e) => {
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -35,17 +35,17 @@
 
     fn dispatch_reply(&mut self, purpose: CallPurpose, made_at: Micros, outcome: Outcome) {
         match purpose {
-            CallPurpose::Election(step) => self.on_election(step, outcome),
+            CallPurpose::Election(step) => self.on_election_reply(step, outcome),
             CallPurpose::Scheduler { token, call } => self.on_scheduler_reply(token, call, outcome),
             CallPurpose::PartitionClaim { partition, step } => {
-                self.on_claim(partition, step, outcome);
+                self.on_claim_reply(partition, step, outcome);
             }
-            CallPurpose::PartitionMap(call) => self.on_partition_map(call, outcome),
+            CallPurpose::PartitionMap(call) => self.on_partition_map_reply(call, outcome),
             CallPurpose::User(request) => self.on_user_reply(request, outcome),
             CallPurpose::JobView(call) => self.on_job_view_reply(call, made_at, outcome),
-            CallPurpose::Catalogue(source) => self.on_catalogue(source, outcome),
+            CallPurpose::Catalogue(source) => self.on_catalogue_reply(source, outcome),
             CallPurpose::Contact { peer, question } => {
-                self.on_contact(peer, question, made_at, outcome);
+                self.on_contact_reply(peer, question, made_at, outcome);
             }
             CallPurpose::Ignore => {}
         }
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -1,7 +1,7 @@
-//! Takes submissions: reads them, and refuses those that cannot be accepted.
+//! Handles submissions: parses them and refuses those that cannot be accepted.
 
 use crate::calls::{UserAction, UserRequest, UserRequestStage};
-use crate::controller::{Controller, CONTACT_SPAN};
+use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT};
 use crate::settings::Settings;
 use crate::state::jobs::{check_fields, check_possible, check_size, Refused};
 use grebewood_wire as wire;
@@ -9,14 +9,14 @@
 use grebewood_wire::validate::valid_id;
 use thiserror::Error;
 
-/// A submission as far as it can be read.
-struct ReadSubmission {
+/// A submission, as far as it could be parsed.
+struct ParsedSubmission {
     job: String,
     /// [`UserAction::Submit`] or [`UserAction::Malformed`].
     action: UserAction,
 }
 
-/// Why it is not even known which job a submission is for. The texts are sent to users.
+/// Why the job of a submission cannot be determined. The texts are sent to users.
 #[derive(Debug, Error)]
 enum UnreadableSubmission {
     #[error(transparent)]
@@ -28,9 +28,9 @@
 }
 
 impl Controller {
-    /// Takes a submission.
+    /// Handles a submission.
     pub(crate) fn on_submission(&mut self, id: u64, body: &[u8]) {
-        let ReadSubmission { job, action } = match read_submission(body) {
+        let ParsedSubmission { job, action } = match parse_submission(body) {
             Ok(submission) => submission,
             Err(e) => return self.context.refuse(id, 400, &e.to_string()),
         };
@@ -38,8 +38,9 @@
             let status = finished.status.clone();
             return self.answer_accepted(id, 200, &job, &status);
         }
-        // A repeated submission of an accepted job must get neither 422 nor 400, whatever it says now
-        // and whatever the limits were when it was accepted: it is looked up before it is refused.
+        // A repeated submission of an accepted job must get neither 422 nor 400, whatever it contains now
+        // and whatever the limits were when the job was accepted. So the job is looked up before the
+        // submission is refused.
         let acceptable = match &action {
             UserAction::Submit(submission) => {
                 let Some(catalogue) = &self.context.catalogue else {
@@ -50,12 +51,12 @@
             }
             _ => false,
         };
-        if !self.context.has_store_contact(CONTACT_SPAN) {
+        if !self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT) {
             return self.refuse_without_contact(id);
         }
         let now = self.context.now.steady;
         let request = UserRequest::new(id, &job, action, now);
-        // One that was accepted costs no write, however often it is repeated.
+        // The submission of an accepted job needs no write, however often it is repeated.
         if !acceptable || self.job_view.knows(&job) {
             return self.send_user_request(request);
         }
@@ -65,13 +66,13 @@
         self.send_user_request(request.at_stage(UserRequestStage::Accept));
     }
 
-    /// Refuses a submission that was looked up and found neither live nor finished.
+    /// Refuses a submission whose job was looked up and is neither live nor finished.
     pub(crate) fn refuse_submission(&mut self, request: &UserRequest, submission: &Submission) {
         let catalogue = self.context.catalogue.as_ref();
         let checked = catalogue
             .map(|catalogue| check_acceptable(submission, &self.context.settings, catalogue));
         let (status, reason) = match checked {
-            // Without a clear outcome of the accepting transaction the job may still be accepted.
+            // The accepting transaction had no clear outcome, so the store may still apply it.
             _ if request.uncertain => (503, "not accepted yet".to_string()),
             Some(Err(Refused::Invalid(reason))) => (400, reason),
             Some(Err(Refused::Impossible(reason))) => (422, reason),
@@ -81,8 +82,8 @@
     }
 }
 
-/// Reads a submission: its job, and the rest of it or what is wrong with the rest.
-fn read_submission(body: &[u8]) -> Result<ReadSubmission, UnreadableSubmission> {
+/// Parses a submission: its job, and the rest of it or what is wrong with the rest.
+fn parse_submission(body: &[u8]) -> Result<ParsedSubmission, UnreadableSubmission> {
     let value: wire::Value = wire::from_cbor(body)?;
     let entries = value.as_map().ok_or(UnreadableSubmission::NotAMap)?;
     let uid = entries.iter().find(|(key, _)| key.as_text() == Some("uid"));
@@ -90,13 +91,13 @@
     if !valid_id(uid) {
         return Err(UnreadableSubmission::InvalidId);
     }
-    Ok(ReadSubmission {
+    Ok(ParsedSubmission {
         job: uid.to_string(),
-        action: read_fields(body),
+        action: parse_fields(body),
     })
 }
 
-fn read_fields(body: &[u8]) -> UserAction {
+fn parse_fields(body: &[u8]) -> UserAction {
     let submission = match wire::from_cbor::<Submission>(body) {
         Ok(submission) => submission,
         Err(e) => return UserAction::Malformed(e.to_string()),
@@ -109,7 +110,7 @@
     }
 }
 
-/// Checks that a job that is not known yet can be accepted: its record can be kept, and it can run.
+/// Checks that a job that is not known yet can be accepted: its record fits the store, and it can run.
 fn check_acceptable(
     submission: &Submission,
     settings: &Settings,
--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -1,7 +1,7 @@
 //! Machines on which this controller could not prove, when it last stepped down, that cancelled tasks have ended.
 
 use crate::calls::CallPurpose;
-use crate::controller::peer_contact::CONTACT_LOST_AFTER;
+use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT;
 use crate::controller::Controller;
 use crate::scheduler::leader::fleet::MAX_TERMINATIONS;
 use crate::scheduler::Scheduler;
@@ -56,7 +56,7 @@
         let Some(unproven) = self.unproven_machines.take() else {
             return;
         };
-        if self.context.has_store_contact(CONTACT_LOST_AFTER) {
+        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT) {
             return;
         }
         let member = self.context.settings.member.as_str();
--- a/crates/core/src/controller/user_answers.rs
+++ b/crates/core/src/controller/user_answers.rs
@@ -34,7 +34,7 @@
     }
 
     /// The job is live and not cancelled: a cancellation goes on, other requests are answered.
-    pub(crate) fn on_found_live(&mut self, request: UserRequest) {
+    pub(crate) fn on_live_job_found(&mut self, request: UserRequest) {
         let is_cancellation = matches!(request.action, UserAction::Cancel);
         if !is_cancellation {
             return self.answer_live(&request);
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -7,7 +7,7 @@
 
 use crate::calls::{CallPurpose, UserAction, UserRequest, UserRequestStage};
 use crate::context::Context;
-use crate::controller::{Controller, CONTACT_SPAN};
+use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT};
 use crate::state::write_buffer::RecordId;
 use crate::transactions::{absent, at_revision, put};
 use crate::Outcome;
@@ -20,7 +20,7 @@
 use log::{debug, warn};
 
 /// A request that was sent to the store, or to wait for the view, more often than this is refused.
-const MAX_ROUNDS: u8 = 8;
+const MAX_REQUEST_ROUNDS: u8 = 8;
 
 impl Controller {
     /// Takes a question for a job's status.
@@ -42,7 +42,7 @@
             let finished = finished.clone();
             return self.answer_finished(&request, &finished);
         }
-        if !self.context.has_store_contact(CONTACT_SPAN) {
+        if !self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT) {
             return self.refuse_without_contact(id);
         }
         self.send_user_request(request);
@@ -51,7 +51,7 @@
     /// Sends what the request's stage asks of the store, or lets it wait for the view of live jobs.
     pub(crate) fn send_user_request(&mut self, mut request: UserRequest) {
         request.rounds += 1;
-        if request.rounds > MAX_ROUNDS {
+        if request.rounds > MAX_REQUEST_ROUNDS {
             return self
                 .context
                 .refuse(request.request, 503, "too many conflicts");
@@ -89,7 +89,7 @@
         };
         let key = job_key(&request.job);
         let transaction = Transaction {
-            when: vec![absent(&key), absent(&finished_key(&request.job))],
+            when: vec![absent(&key), absent(&finished_job_key(&request.job))],
             apply: vec![put(key, &record)],
         };
         self.context
@@ -118,7 +118,7 @@
 
     fn read_finished_job(&mut self, request: UserRequest) {
         self.finished_reads.insert(request.job.clone(), Vec::new());
-        let key = finished_key(&request.job);
+        let key = finished_job_key(&request.job);
         self.context.read_key(&key, CallPurpose::User(request));
     }
 
@@ -163,7 +163,7 @@
                 self.answer_finished(request, &entry.value);
             }
             Err(e) => {
-                let key = finished_key(&request.job);
+                let key = finished_job_key(&request.job);
                 warn!(job = request.job.as_str(), path = key.as_str(), error:% = e; "unreadable record of a finished job");
                 self.context
                     .refuse(request.request, 503, "unreadable record");
@@ -189,7 +189,7 @@
 }
 
 /// The key of a finished job's final record.
-fn finished_key(job: &str) -> String {
+fn finished_job_key(job: &str) -> String {
     format!("{FINISHED}{job}")
 }
 
--- a/crates/core/src/rate_limiter.rs
+++ b/crates/core/src/rate_limiter.rs
@@ -74,11 +74,11 @@
     pub fn ready_at(&mut self, now: Micros, tokens: f64) -> Micros {
         self.refill(now);
         let missing = (tokens.min(self.depth) - self.level).max(0.0);
-        now + self.time_for(missing)
+        now + self.refill_time(missing)
     }
 
     /// How many microseconds `tokens` take to come.
-    pub fn time_for(&self, tokens: f64) -> Micros {
+    pub fn refill_time(&self, tokens: f64) -> Micros {
         (tokens / self.rate.max(LOWEST_RATE) * SECOND as f64).ceil() as Micros
     }
 
