--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,7 +1,7 @@
-//! One controller process as a state machine: takes inputs and dispatches them to its parts.
+//! One controller process as a state machine, which dispatches each input to the code that handles it.
 //!
-//! The submodules hold the parts that need the whole controller; state and rules are in [`crate::state`], the
-//! work of the leader and of partition holders in [`crate::scheduler`].
+//! The submodules hold the code that needs the whole controller. Data and its rules are in [`crate::state`], the work
+//! of the leader and of partition holders is in [`crate::scheduler`].
 
 use crate::context::Context;
 use crate::controller::catalogue_reader::CatalogueReader;
@@ -34,13 +34,13 @@
 pub(crate) mod user_answers;
 pub(crate) mod user_requests;
 
-/// Without contact with the store for this long, a controller takes no users' requests.
+/// A controller that has had no contact with the store for this long refuses users' requests.
 pub const USER_REQUEST_CONTACT_TIMEOUT: Micros = 2_500 * MILLI;
 
-/// Most finished jobs that a controller keeps in memory.
+/// Most finished jobs whose final records a controller keeps in memory.
 const MAX_FINISHED_JOBS: usize = 20_000;
 
-/// How many tasks of a live job are completed and running, for display.
+/// Numbers of completed and running tasks of a live job, for display.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
     /// Completed tasks.
@@ -49,32 +49,32 @@
     pub running: u64,
 }
 
-/// One controller.
+/// A controller.
 pub struct Controller {
-    /// What all its parts share.
+    /// Settings, clocks, rate limiters and calls under way, which all its parts share.
     pub context: Context,
-    /// What it knows of who leads, and of its peers.
+    /// What it knows of the leader and of its peers.
     pub election: Election,
-    /// Its work as the leader, while it leads.
+    /// Its scheduler as the leader, while it is the leader.
     pub leader: Option<Box<Scheduler>>,
-    /// Finished jobs that it has read or seen to end.
+    /// Final records of jobs that it has read or confirmed as cancelled.
     pub finished_jobs: FinishedJobs,
-    /// Reads of finished jobs that are under way.
+    /// Reads of final records that are under way.
     pub finished_reads: FinishedReads,
     /// Its view of the live jobs.
     pub job_view: JobView,
-    /// The task counts of live jobs that the leader last sent.
+    /// Task counts of live jobs, as last sent by the leader.
     pub progress: BTreeMap<String, TaskCounts>,
-    /// Its part in the partitions of the fleet.
+    /// Its copy of the partition map, and the partitions that it holds or claims.
     pub partitions: Partitions,
-    /// Machines that this controller left unproven when it last stepped down.
+    /// Machines on which cancelled tasks were not proven to have ended when this controller last gave up a lease.
     pub(crate) unproven_machines: Option<UnprovenMachines>,
     catalogue_reader: CatalogueReader,
     started: bool,
 }
 
 impl Controller {
-    /// A controller that has just started; `seed` must differ between processes.
+    /// Returns a controller that has just started; `seed` must differ between processes.
     pub fn new(settings: Settings, tuning: Tuning, seed: u64) -> Self {
         let context = Context::new(settings, tuning, seed);
         Controller {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes one input and returns what is to be done.
+    /// Handles one input and returns the calls to send and the requests to answer.
     pub fn step(&mut self, now: Now, input: Input, watch: &mut dyn Stopwatch) -> Vec<Effect> {
         let since_last_input = now.steady.saturating_sub(self.context.now.steady);
         self.context.now = now;
@@ -101,7 +101,7 @@
             self.context.cancellations.note_process_start(now.steady);
             info!(member = self.context.settings.member.as_str(); "controller started");
         } else if since_last_input > self.context.tuning.leader_lease_us / 2 {
-            // Timers fire far more often than that: the process was paused while time went on.
+            // Timers fire far more often than that, so the process was paused.
             self.on_process_pause(since_last_input);
         }
         match input {
@@ -125,7 +125,7 @@
         std::mem::take(&mut self.context.effects)
     }
 
-    /// When the next [`Input::Tick`] is due, in microseconds of the steady clock.
+    /// Returns when the next [`Input::Tick`] is due, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
         let mut at = self.election.next_wake().min(self.job_view.next_wake());
         at = at.min(self.unproven_machines_due());
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Whether this controller can take users' requests.
+    /// Returns whether this controller can serve users' requests.
     pub fn is_healthy(&self) -> bool {
         self.context.catalogue.is_some()
             && self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT)
@@ -181,7 +181,7 @@
         self.refuse_without_contact(id);
     }
 
-    /// Refuses a request for the moment, since the store does not serve this controller.
+    /// Refuses a request for now, since this controller has no contact with the store.
     pub(crate) fn refuse_without_contact(&mut self, id: u64) {
         self.context
             .refuse(id, 503, "no contact with the state service");
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The process was paused, by its clocks for `pause` microseconds.
+    /// Handles a pause of the process of `pause` microseconds, as its steady clock shows it.
     fn on_process_pause(&mut self, pause: Micros) {
         let member = self.context.settings.member.as_str();
         warn!(member = member, pause_ms = pause / MILLI; "process was paused");
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -1,10 +1,10 @@
 //! Keeps the view of the live jobs up to date and answers users from it.
 //!
-//! The store's rate limit is far too small for one read per poll. Requests that need the state of a job wait, a few
-//! milliseconds mostly, for one `GET /changes` that is sent after they came in: it brings the view up to date as
-//! of a moment after their arrival and answers all of them at once. So no controller gives an answer that is older than
-//! another's. A view that has missed too much is read anew. Without requests it is brought up to date every second,
-//! so a controller knows of all cancellations as of a recent moment.
+//! The store's rate limit is far too low for one read per status poll. Requests that need the state of a job wait,
+//! mostly for a few milliseconds, for one `GET /changes` that is sent after they arrived. Its answer brings the view up
+//! to date as of a moment after their arrival, and all of them are answered at once. So no controller gives an answer
+//! that is older than another controller's. A view that has missed too many changes is listed again. Without requests
+//! the view is updated every second, so that the controller knows of all cancellations up to a recent moment.
 
 use crate::calls::{CallPurpose, FoundJob, JobViewCall, UserRequest, UserRequestStage};
 use crate::controller::Controller;
@@ -15,37 +15,38 @@
 use grebewood_wire::Value;
 use log::debug;
 
-/// Shortest time between two requests to the store.
+/// Shortest interval between two requests to the store.
 const MIN_INTERVAL: Micros = 60 * MILLI;
 
-/// The view takes half of the reads at most: the rest is for final records, submissions and cancellations.
+/// Number of reads' worth of the rate limit that must refill between two requests to the store. With two, the view takes
+/// half of the reads at most, and the rest is for final records, submissions and cancellations.
 const READS_BETWEEN_REQUESTS: f64 = 2.0;
 
-/// Without users' requests, the view is brought up to date so often.
+/// Interval between two updates of the view without users' requests.
 const REFRESH_INTERVAL: Micros = SECOND;
 
-/// The same after an attempt that failed.
+/// Interval until the next update of the view without users' requests, after an update that failed.
 const REFRESH_RETRY_INTERVAL: Micros = 500 * MILLI;
 
-/// Until the next request after one that the store refused, or whose page could not be read.
+/// Delay until the next request after the store refused one, or after a page of the list could not be read.
 const RETRY_AFTER_REFUSAL: Micros = 200 * MILLI;
 
-/// Until the next request for changes after one that failed otherwise.
+/// Delay until the next request after a request for changes that failed otherwise.
 const RETRY_AFTER_FAILURE: Micros = 100 * MILLI;
 
-/// Most entries of one page of the list.
+/// Most entries on one page of the list.
 const MAX_PAGE_ENTRIES: usize = 400;
 
-/// How a user's request is refused that has waited too long.
+/// Refusal of a user's request that has waited too long.
 const NOT_IN_TIME: &str = "the state service is not in time";
 
 impl Controller {
-    /// Lets a user's request wait for a view that is no older than the request.
+    /// Lets a user's request wait for an update of the view that is sent after the request arrived.
     pub(crate) fn wait_for_job_view(&mut self, request: UserRequest) {
         self.job_view.waiting.push(request);
     }
 
-    /// Refuses requests that waited too long, and asks the store for changes if that is due.
+    /// Refuses requests that waited too long, and sends the next request for the view if it is due.
     pub(crate) fn run_job_view(&mut self) {
         self.refuse_overdue_requests();
         let now = self.context.now.steady;
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Asks the store for the next page of the list, or for changes once all is listed.
+    /// Requests the next page of the list, or the changes once all pages were read.
     fn request_job_view(&mut self) {
         let view = &mut self.job_view;
         let (path, call) = match view.unlisted_prefixes.first() {
@@ -103,7 +104,7 @@
             .get_from_store(path, CallPurpose::JobView(call));
     }
 
-    /// Takes the reply to a request that was made at `made_at`.
+    /// Handles the reply to a request for the view that was made at `made_at`.
     pub(crate) fn on_job_view_reply(
         &mut self,
         call: JobViewCall,
@@ -113,8 +114,8 @@
         self.job_view.request_in_flight = false;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
-            // The same request would bring the same answer for good: the view is listed anew, page by
-            // page, as when its changes are too old.
+            // The same request would get the same answer every time. So the view is listed again, page by page, as
+            // when the store no longer has the changes (status 410).
             Outcome::TooLarge => (410, Vec::new()),
             Outcome::Unknown | Outcome::NotSent => (0, Vec::new()),
         };
@@ -140,7 +141,8 @@
     }
 
     fn on_job_page(&mut self, list: KeyValueList) {
-        // Later pages may be newer: what changed since the first one is told again.
+        // Later pages may be newer. The watch that follows starts at the revision of the first page, so it
+        // repeats the changes since then.
         self.job_view.revision.get_or_insert(list.revision);
         for entry in &list.entries {
             self.job_view
@@ -158,7 +160,8 @@
         }
     }
 
-    /// The view is up to date as of the moment at which the changes were asked for.
+    /// Applies changes, which bring the view up to date as of `made_at`, when they were requested, and continues
+    /// the users' requests that waited for them.
     fn on_job_changes(&mut self, changes: WatchResponse, made_at: Micros) {
         for event in &changes.events {
             self.on_job_event(event);
@@ -182,7 +185,7 @@
         }
         if let Some(key) = &event.delete {
             self.job_view.delete(key);
-            // Nothing of a finished job runs any more.
+            // No task of a finished job runs any more.
             if let Some(JobKey::Live(id)) = JobKey::parse(key) {
                 self.context.cancellations.forget(id);
             }
@@ -199,7 +202,7 @@
         }
     }
 
-    /// The users' requests wait for the next reply, as long as they have patience.
+    /// Puts the users' requests back to wait for the next reply, until they are overdue.
     fn on_job_changes_failed(&mut self, status: u16) {
         debug!(status = status; "reading changes of the live jobs failed");
         let now = self.context.now.steady;
@@ -210,13 +213,13 @@
         view.next_request = now + RETRY_AFTER_FAILURE;
         view.refresh_at = now + REFRESH_RETRY_INTERVAL;
         if status != 0 && status != 429 {
-            // The changes are too old, or cannot be read: the view is listed anew.
+            // The store no longer has the changes, or they cannot be read: the view is listed again.
             view.restart();
         }
     }
 
-    /// Notes the cancellation that a record may hold, and tells the schedulers of it, whose own watch may be
-    /// slower.
+    /// Records the cancellation if the key is that of one, and applies it to the schedulers of this controller,
+    /// whose own watch may be slower.
     fn note_cancellation(&mut self, key: &str, value: &Value) {
         let Some(JobKey::Cancelled(id)) = JobKey::parse(key) else {
             return;
@@ -227,14 +230,14 @@
         self.apply_cancellation(id);
     }
 
-    /// The view is no older than the request.
+    /// Continues a request after an update of the view that was requested after the request arrived.
     fn continue_with_fresh_view(&mut self, mut request: UserRequest) {
-        // A cancellation alone, such as an earlier version may have left behind, makes no live job. A job
-        // whose record cannot be read (it has no tasks) cannot run, but it stays known: otherwise questions
-        // about it would never be answered.
+        // A cancellation without a job record, which an earlier version may have left behind, is no live job. A
+        // job whose record cannot be read (0 tasks in the view) cannot run, but counts as live: otherwise
+        // requests about it would never be answered.
         let live = self.job_view.get(&request.job);
         let Some(live) = live.filter(|job| job.mod_revision > 0) else {
-            // Neither live nor finished as of now: it was never accepted.
+            // If the job has no final record now either, it was never accepted.
             return self.send_user_request(request.at_stage(UserRequestStage::ReadFinished));
         };
         request.live = Some(FoundJob {
--- a/crates/core/src/controller/user_answers.rs
+++ b/crates/core/src/controller/user_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to users about jobs that were found live, cancelled, finished, or not at all.
+//! Answers to users about jobs that are live, cancelled, finished or unknown.
 
 use crate::calls::{UserAction, UserRequest, UserRequestStage};
 use crate::controller::{Controller, TaskCounts};
@@ -6,20 +6,20 @@
 use grebewood_wire::http::{JobAccepted, JobStatus};
 use grebewood_wire::records::FinishedJobRecord;
 
-/// A live job none of whose tasks runs.
+/// Status of a live job of which no task is running.
 const PENDING: &str = "pending";
 
-/// A live job with running tasks.
+/// Status of a live job with running tasks.
 const RUNNING: &str = "running";
 
-/// A finished job all of whose tasks completed.
-const COMPLETED_TASKS: &str = "done";
+/// Status of a finished job all of whose tasks completed.
+const COMPLETED: &str = "done";
 
-/// A cancelled job.
+/// Status of a cancelled job.
 const ABORTED: &str = "aborted";
 
 impl Controller {
-    /// The transaction that accepts the job was applied.
+    /// Answers a submission after the store applied the transaction that accepts its job.
     pub(crate) fn answer_new_job(&mut self, request: &UserRequest) {
         self.answer_accepted(request.request, 201, &request.job, PENDING);
     }
@@ -33,7 +33,8 @@
         self.context.answer(id, http_status, &accepted);
     }
 
-    /// The job is live and not cancelled: a cancellation goes on, other requests are answered.
+    /// Handles a request whose job is live and not cancelled: a cancellation is sent to the store, other requests
+    /// are answered.
     pub(crate) fn on_live_job_found(&mut self, request: UserRequest) {
         let is_cancellation = matches!(request.action, UserAction::Cancel);
         if !is_cancellation {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The task counts of a live job: the leader's own, or what the leader sent last.
+    /// Returns the task counts of a live job: the leader's own, or those that the leader sent last.
     fn task_counts(&self, job: &str) -> TaskCounts {
         let counts = match &self.leader {
             Some(leader) => leader
@@ -77,7 +78,7 @@
         counts.unwrap_or_default()
     }
 
-    /// The job is found under neither key.
+    /// Answers a request for a job that is neither live nor finished.
     pub(crate) fn answer_unknown(&mut self, request: &UserRequest) {
         match &request.action {
             UserAction::Submit(submission) => self.refuse_submission(request, submission),
@@ -88,8 +89,9 @@
         }
     }
 
-    /// The job's cancellation is durable, and the job can only become aborted now. That a user is told is
-    /// remembered: a leader that has lost contact with the store asks for it.
+    /// Confirms a cancellation to the user. The cancellation is in the store, so the job's final status can only be
+    /// `aborted`. The confirmation is remembered, since a leader that has lost contact with the store asks its
+    /// peers for it.
     pub(crate) fn confirm_cancellation(&mut self, request: &UserRequest) {
         let job = &request.job;
         let finished = FinishedJobRecord {
@@ -103,12 +105,12 @@
         self.answer_finished(request, &finished);
     }
 
-    /// The job is finished.
+    /// Answers a request about a finished job.
     pub(crate) fn answer_finished(&mut self, request: &UserRequest, finished: &FinishedJobRecord) {
         self.progress.remove(&request.job);
         match request.action {
             UserAction::Poll => {
-                let all_completed = finished.status == COMPLETED_TASKS;
+                let all_completed = finished.status == COMPLETED;
                 let answer = JobStatus {
                     id: request.job.clone(),
                     status: finished.status.clone(),
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -1,9 +1,9 @@
-//! Users' requests, which any controller serves: submissions, polls and cancellations.
+//! Users' requests, which any controller serves: submissions, status polls and cancellations.
 //!
-//! Every controller answers from its [`JobView`](crate::state::job_view::JobView), which is brought up to date
-//! after a request came in, so that none gives an answer older than another's. A live job has a `job/<id>` key; when
-//! it is over, one transaction puts `past/<id>` and deletes what is under `job/<id>`. A job that is not live in the
-//! view, and has no final record after that, was never accepted.
+//! Every controller answers from its [`JobView`](crate::state::job_view::JobView), which is updated after a request has
+//! arrived, so that no controller gives an answer older than another controller's. A live job has a `job/<id>` key. When
+//! the job ends, one transaction puts its final record under `past/<id>` and deletes what is under `job/<id>`. So a job
+//! that is not live in the view, and has no final record when that is read afterwards, was never accepted.
 
 use crate::calls::{CallPurpose, UserAction, UserRequest, UserRequestStage};
 use crate::context::Context;
@@ -19,20 +19,21 @@
 use grebewood_wire::validate::valid_id;
 use log::{debug, warn};
 
-/// A request that was sent to the store, or to wait for the view, more often than this is refused.
+/// Most times that a request is sent to the store, or waits for the job view, before it is refused.
 const MAX_REQUEST_ROUNDS: u8 = 8;
 
 impl Controller {
-    /// Takes a question for a job's status.
+    /// Handles a poll of a job's status.
     pub(crate) fn on_poll(&mut self, id: u64, job: &str) {
         self.look_up_job(id, job, UserAction::Poll);
     }
 
-    /// Takes a cancellation.
+    /// Handles a request to cancel a job.
     pub(crate) fn on_cancel(&mut self, id: u64, job: &str) {
         self.look_up_job(id, job, UserAction::Cancel);
     }
 
+    /// Answers a request about a finished job from memory, and sends others to wait for the job view.
     fn look_up_job(&mut self, id: u64, job: &str, action: UserAction) {
         if !valid_id(job) {
             return self.context.refuse(id, 404, "no such job");
@@ -48,7 +49,7 @@
         self.send_user_request(request);
     }
 
-    /// Sends what the request's stage asks of the store, or lets it wait for the view of live jobs.
+    /// Sends the call to the store that the request's stage requires, or lets the request wait for the job view.
     pub(crate) fn send_user_request(&mut self, mut request: UserRequest) {
         request.rounds += 1;
         if request.rounds > MAX_REQUEST_ROUNDS {
@@ -59,7 +60,7 @@
         if request.stage == UserRequestStage::JobView {
             return self.wait_for_job_view(request);
         }
-        // Users ask about the same finished job many times at once: one read answers them all.
+        // Many requests about the same finished job may arrive at once: one read answers them all.
         if request.stage == UserRequestStage::ReadFinished {
             if let Some(joined) = self.finished_reads.get_mut(&request.job) {
                 return joined.push(request);
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Posts the transaction that accepts a job, unless it is live or finished.
+    /// Posts the transaction that accepts a job, on the condition that the job is neither live nor finished.
     fn post_acceptance(&mut self, request: UserRequest) {
         let UserAction::Submit(submission) = &request.action else {
             return;
@@ -96,7 +97,8 @@
             .post_to_store("/txn", &transaction, CallPurpose::User(request));
     }
 
-    /// Posts the transaction that cancels a job, if it is live as it was found and not cancelled yet.
+    /// Posts the transaction that cancels a job, on the conditions that the job's record is unchanged since it was
+    /// found and that the job is not cancelled yet.
     fn post_cancellation(&mut self, request: UserRequest) {
         let Some(live) = request.live else {
             return;
@@ -122,7 +124,7 @@
         self.context.read_key(&key, CallPurpose::User(request));
     }
 
-    /// Takes the store's reply for a user's request.
+    /// Handles the store's reply to a call for a user's request.
     pub(crate) fn on_user_reply(&mut self, mut request: UserRequest, outcome: Outcome) {
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
@@ -135,7 +137,7 @@
         match (request.stage, status) {
             (UserRequestStage::Accept, 200) => self.answer_new_job(&request),
             (UserRequestStage::Accept, 0) => {
-                // The outcome is unknown: the job is looked up before anything is said.
+                // The outcome is unknown: the job is looked up before the user gets an answer.
                 request.uncertain = true;
                 self.send_user_request(request.at_stage(UserRequestStage::JobView));
             }
@@ -149,7 +151,7 @@
                 .context
                 .refuse(request.request, 429, "too many requests"),
             (stage, status) => {
-                debug!(job = request.job.as_str(), stage:? = stage, status = status; "user's request failed at the store");
+                debug!(job = request.job.as_str(), stage:? = stage, status = status; "store call for a user's request failed");
                 self.context
                     .refuse(request.request, 503, "the state service does not answer");
             }
@@ -171,8 +173,8 @@
         }
     }
 
-    /// A read of a final record was answered. A record that is there answers those too who joined the read;
-    /// that there is none does not: the job may have been accepted and have finished since.
+    /// Answers the requests that joined a read of a final record, if the read found one. If it found none, each
+    /// request is sent again, since the job may have been accepted and have finished since the read was sent.
     fn answer_joined_requests(&mut self, job: &str, status: u16, body: &[u8]) {
         let joined = self.finished_reads.remove(job).unwrap_or_default();
         let finished = match status {
@@ -188,13 +190,13 @@
     }
 }
 
-/// The key of a finished job's final record.
+/// Returns the key of a finished job's final record.
 fn finished_job_key(job: &str) -> String {
     format!("{FINISHED}{job}")
 }
 
 impl Context {
-    /// The most puts and deletes that writing a record takes.
+    /// Returns the most puts and deletes that writing a record takes.
     pub(crate) fn operations_to_write(record: &RecordId) -> usize {
         match record {
             RecordId::JobEnd(_) => 4,
