--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -1,10 +1,11 @@
 //! The confirmed cancellations that a controller knows of, and the moment up to which it knows all of them.
 //!
-//! A job's tasks must be gone within the cancellation timeout after any controller confirmed the cancellation to a user.
-//! A leader that renews agents' leases must therefore know of every confirmation up to a recent moment. It learns of
-//! them from the key-value store (the controller's job view) and, where the store is out of reach, from its peers: each
-//! controller remembers what it has confirmed to users, and lists it in response to a contact request. There is no
-//! safety margin in time: the knowledge is complete up to the moment at which the last complete answer was requested.
+//! A job's tasks must be gone within the cancellation timeout after any controller confirmed the cancellation to a
+//! user. A leader that renews agents' leases must therefore know of every confirmation up to a recent moment. It
+//! learns of them from the key-value store (the controller's job view) and, where the store is out of reach, from its
+//! peers: each controller remembers what it has confirmed to users, and lists it in response to a contact request.
+//! There is no safety margin in time: the knowledge is complete up to the moment at which the last complete answer
+//! was requested.
 
 use crate::Micros;
 use grebewood_wire::peer::ConfirmedCancellations;
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Removes the cancellation of a job that is finished, so that no task of it runs, or that is not cancelled after
-    /// all.
+    /// Removes the cancellation of a job that is finished, so that no task of it runs, or that is not cancelled
+    /// after all.
     pub fn forget(&mut self, job: &str) {
         self.known.remove(job);
     }
@@ -144,9 +145,9 @@
     }
 
     /// Records that a peer that was asked at `asked_at` has listed all cancellations that it confirmed since
-    /// `remembers_from`. If `remembers_from` is later than the moment up to which its confirmations are known, as after
-    /// a restart of the peer, it may have confirmed cancellations in between that no process remembers. The list then
-    /// does not advance that moment.
+    /// `remembers_from`. If `remembers_from` is later than the moment up to which its confirmations are known, as
+    /// after a restart of the peer, it may have confirmed cancellations in between that no process remembers. The
+    /// list then does not advance that moment.
     pub fn note_peer_list(&mut self, peer: usize, asked_at: Micros, remembers_from: Micros) {
         let known_until = self.known_until_of_peer(peer);
         if known_until.is_some_and(|known_until| remembers_from <= known_until) {
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -57,7 +57,7 @@
     pub election: Election,
     /// Its scheduler as the leader, while it is the leader.
     pub leader: Option<Box<Scheduler>>,
-    /// Final records of jobs that it has read or confirmed as cancelled.
+    /// Final records that it has read, and those of jobs whose cancellation it has confirmed.
     pub finished_jobs: FinishedJobs,
     /// Reads of final records that are under way.
     pub finished_reads: FinishedReads,
--- a/crates/core/src/controller/catalogue.rs
+++ b/crates/core/src/controller/catalogue.rs
@@ -1,4 +1,4 @@
-//! Reads the catalogue of machine types after the start: from the store, or from the cloud if it is not there yet.
+//! Reads the catalogue of machine types after the start: from the store, or from the cloud if the store has none yet.
 
 use crate::calls::{CallPurpose, CatalogueSource};
 use crate::controller::Controller;
@@ -8,14 +8,14 @@
 use grebewood_wire::records::CATALOGUE;
 use log::warn;
 
-/// Between two attempts to read the catalogue.
+/// Interval between two attempts to read the catalogue.
 const RETRY_INTERVAL: Micros = 500 * MILLI;
 
-/// How long the cloud may take.
+/// Timeout of a request to the cloud for the machine types.
 const CLOUD_TIMEOUT: Micros = 3 * SECOND;
 
 impl Controller {
-    /// Asks for the catalogue if it is not known and an attempt is due.
+    /// Requests the catalogue if it is not known and an attempt is due.
     pub(crate) fn run_catalogue(&mut self) {
         let now = self.context.now.steady;
         if self.context.catalogue.is_some() || now < self.catalogue_reader.next_attempt {
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Takes the reply to a request for the catalogue.
+    /// Handles the reply to a request for the catalogue.
     pub(crate) fn on_catalogue_reply(&mut self, source: CatalogueSource, outcome: Outcome) {
-        // Not in the store yet: the cloud knows. Not at the cloud either: the store is asked again.
+        // The sources are asked in turn until one of them returns a catalogue.
         let other_source = source.other();
         let Outcome::Answer { status: 200, body } = outcome else {
             self.catalogue_reader.source = other_source;
--- a/crates/core/src/controller/catalogue_reader.rs
+++ b/crates/core/src/controller/catalogue_reader.rs
@@ -1,13 +1,13 @@
-//! When the catalogue of machine types is read next, and where.
+//! State of reading the catalogue of machine types.
 
 use crate::calls::CatalogueSource;
 use crate::Micros;
 
-/// How the catalogue is read until it is known.
+/// The time and the source of the next attempt to read the catalogue, until the catalogue is known.
 #[derive(Debug, Default)]
 pub(crate) struct CatalogueReader {
-    /// When the catalogue is asked for next, in microseconds of the steady clock.
+    /// Time of the next attempt, in microseconds of the steady clock.
     pub(crate) next_attempt: Micros,
-    /// Whom it is asked of.
+    /// Source of the next attempt.
     pub(crate) source: CatalogueSource,
 }
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -1,10 +1,11 @@
 //! Keeps the view of the live jobs up to date and answers users from it.
 //!
 //! The store's rate limit is far too low for one read per status poll. Requests that need the state of a job wait,
-//! mostly for a few milliseconds, for one `GET /changes` that is sent after they arrived. Its answer brings the view up
-//! to date as of a moment after their arrival, and all of them are answered at once. So no controller gives an answer
-//! that is older than another controller's. A view that has missed too many changes is listed again. Without requests
-//! the view is updated every second, so that the controller knows of all cancellations up to a recent moment.
+//! mostly for a few milliseconds, for one `GET /changes` that is sent after they arrived. Its answer brings the view
+//! up to date as of a moment after their arrival, and all of them are answered at once. So no controller gives an
+//! answer that is older than another controller's. A view that has missed too many changes is listed again. Without
+//! requests the view is updated every second, so that the controller knows of all cancellations up to a recent
+//! moment.
 
 use crate::calls::{CallPurpose, FoundJob, JobViewCall, UserRequest, UserRequestStage};
 use crate::controller::Controller;
@@ -18,8 +19,8 @@
 /// Shortest interval between two requests to the store.
 const MIN_INTERVAL: Micros = 60 * MILLI;
 
-/// Number of reads' worth of the rate limit that must refill between two requests to the store. With two, the view takes
-/// half of the reads at most, and the rest is for final records, submissions and cancellations.
+/// Reads that the rate limit must allow for between two requests for the view: the view takes half of the reads at
+/// most, and the rest is for final records, submissions and cancellations.
 const READS_BETWEEN_REQUESTS: f64 = 2.0;
 
 /// Interval between two updates of the view without users' requests.
--- a/crates/core/src/controller/leader.rs
+++ b/crates/core/src/controller/leader.rs
@@ -1,4 +1,4 @@
-//! Runs the leader's scheduler and routes store replies to the scheduler that waits for them.
+//! Runs the leader's scheduler, and dispatches replies to the scheduler that made the call.
 
 use crate::calls::SchedulerCall;
 use crate::controller::candidacy::StepDownMode;
@@ -8,7 +8,7 @@
 use crate::{Outcome, Stopwatch};
 
 impl Controller {
-    /// Lets the leader's scheduler act, unless this controller has to step down.
+    /// Runs the leader's scheduler, unless this controller has to step down.
     pub(crate) fn run_leader(&mut self, watch: &mut dyn Stopwatch) {
         if self.leader.is_none() {
             return;
@@ -17,8 +17,8 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        // Without the store no other member can lead. To step down would only lose what this controller
-        // knows, such as a cancelled task on a machine that hangs.
+        // Without the store no other member can become the leader. Stepping down would only lose what this
+        // controller knows, such as a cancelled task on a machine that hangs.
         if self.context.has_store_contact(STORE_CONTACT_TIMEOUT)
             && leader.isolated_from_agents(&self.context)
         {
@@ -27,7 +27,8 @@
         leader.run(&mut self.context, watch);
     }
 
-    /// Takes the reply to a call that was made under this fencing token.
+    /// Handles the reply to a call that was made under this fencing token. It is dropped if no scheduler of this
+    /// controller has that token any more.
     pub(crate) fn on_scheduler_reply(&mut self, token: u64, call: SchedulerCall, outcome: Outcome) {
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) {
             if let Err(reason) = leader.on_reply(&mut self.context, call, outcome) {
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -1,4 +1,4 @@
-//! Keeps the controller's copy of the partition map up to date: a list of its keys first, then a watch of changes.
+//! Keeps the controller's copy of the partition map up to date: lists its keys first, then watches them for changes.
 
 use crate::calls::{CallPurpose, MapCall};
 use crate::context::STORE_TIMEOUT;
@@ -13,19 +13,19 @@
 use grebewood_wire::Value;
 use log::{error, warn};
 
-/// How long a watch of the map stays open.
+/// Time for which a watch of the map stays open without changes.
 const WATCH_DURATION: Micros = 10 * SECOND;
 
-/// How long the answer to a watch may take: longer than the watch stays open.
+/// Timeout of a watch, longer than the watch stays open.
 const WATCH_TIMEOUT: Micros = WATCH_DURATION + 3 * SECOND;
 
-/// Between two attempts to read the map.
+/// Delay after a failed read of the map until the next attempt.
 const RETRY_INTERVAL: Micros = 300 * MILLI;
 
-/// Between the answer to a watch and the next watch.
+/// Delay after the answer to a watch until the next watch.
 const WATCH_INTERVAL: Micros = 20 * MILLI;
 
-/// Most entries of one page of the list.
+/// Most entries on one page of the list.
 const MAX_PAGE_ENTRIES: usize = 200;
 
 impl Controller {
@@ -57,7 +57,7 @@
             .call(Target::Store, "GET", path, Vec::new(), timeout, purpose);
     }
 
-    /// Takes the reply to a read of the map.
+    /// Handles the reply to a read of the map.
     pub(crate) fn on_partition_map_reply(&mut self, call: MapCall, outcome: Outcome) {
         let now = self.context.now.steady;
         let reader = &mut self.partitions.reader;
@@ -66,7 +66,8 @@
         match (call, outcome) {
             (MapCall::List, Outcome::Answer { status: 200, body }) => self.on_map_page(&body),
             (MapCall::Watch, Outcome::Answer { status: 200, body }) => self.on_map_changes(&body),
-            // The changes since then are not known any more, or are too many: the map is listed again.
+            // The store no longer has the changes since that revision, or they are too large for one answer: the
+            // map is listed again.
             (MapCall::Watch, Outcome::Answer { status: 410, .. } | Outcome::TooLarge) => {
                 reader.revision = None;
             }
@@ -121,6 +122,6 @@
 
 fn put_in_map(map: &mut PartitionMap, key: &str, value: &Value, mod_revision: u64) {
     if let Err(e) = map.put(key, value, mod_revision) {
-        error!(path = key, error:% = e; "unreadable record of the partition map; isolated");
+        error!(path = key, error:% = e; "unreadable record of the partition map; ignored");
     }
 }
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -1,4 +1,4 @@
-//! Messages between the leader and the holders of partitions, as each controller sends and receives them.
+//! Orders of the leader to partition holders: sending them, receiving them, and passing the reports on.
 
 use crate::calls::SchedulerCall;
 use crate::controller::candidacy::StepDownMode;
@@ -8,23 +8,24 @@
 use grebewood_wire::peer::{PartitionOrders, PartitionReport, PeerRequest};
 use log::debug;
 
-/// How long a message to a holder may take.
+/// Timeout of a message with orders.
 const ORDERS_TIMEOUT: Micros = 900 * MILLI;
 
 impl Controller {
-    /// Takes orders for a partition, which only the leader that the store names may give.
+    /// Handles orders for a partition and returns the holder's report. Orders of any other member than the leader
+    /// that the leader record names are refused.
     pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
         if !self.election.leader_is(&orders.from, orders.term) {
             let (member, token) = (orders.from.as_str(), orders.term);
-            debug!(member = member, token = token; "refused orders of a member that does not lead");
+            debug!(member = member, token = token; "refused orders of a member that is not the leader");
             return None;
         }
         let holder = self.partitions.holders.get_mut(&orders.partition)?;
         holder.carry_out_orders(&mut self.context, orders)
     }
 
-    /// Retracts cancellations that holders learned from a peer, against the store: a job that the store still
-    /// shows as live and not cancelled, in an answer that was asked for since, runs on.
+    /// Retracts cancellations that holders learned from a peer and that the store refutes: an answer that was
+    /// requested since then still shows the job as live and not cancelled, so its tasks go on.
     pub(crate) fn retract_cancellations(&mut self) {
         let known_from_store_until = self.context.cancellations.known_from_store_until();
         for holder in self.partitions.holders.values_mut() {
@@ -43,14 +44,16 @@
         }
     }
 
-    /// The leader's part: keeps up with claims, plans, and sends orders to the holders that are due.
+    /// Runs the leader's work for partitions: follows their claims, plans assignments, and sends the orders that
+    /// are due. Steps down once all partitions are removed from the store, or when a holder does not tell which
+    /// tasks were placed before its claim.
     pub(crate) fn run_leader_partitions(&mut self) {
         let now = self.context.now.steady;
         let planning_due = self
             .leader
             .as_ref()
             .is_some_and(|leader| now >= leader.remote_partitions.next_planning_at);
-        // Members are looked at only for the planner: this runs with every input.
+        // Only the planner needs the members; this function runs with every input.
         let members = planning_due.then(|| self.partition_members());
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Sends orders to the member that holds the partition, which may be this one.
+    /// Sends orders to the member that holds the partition, which may be this controller itself.
     fn send_orders(&mut self, orders: PartitionOrders) {
         let Some(leader) = self.leader.as_mut() else {
             return;
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -111,8 +111,8 @@
     );
 }
 
-/// A response counts only if it comes from the sibling that was asked, and its list of cancellations only if it answers
-/// that very contact request.
+/// A response counts only if it comes from the sibling that was asked, and its list of cancellations only if it
+/// answers that very contact request.
 #[test]
 fn a_foreign_or_late_answer_makes_nothing_certain() {
     let answer = |member: &str, question: u64| Outcome::Answer {
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of other controllers: questions about contact, task counts from the leader, and partition orders.
+//! Requests of other controllers: contact requests, task counts from the leader, and partition orders.
 
 use crate::controller::{Controller, TaskCounts};
 use crate::Effect;
@@ -6,7 +6,7 @@
 use grebewood_wire::peer::{PeerRequest, PeerResponse};
 use log::{debug, warn};
 
-/// Most jobs whose task counts are kept.
+/// Most live jobs whose task counts are kept.
 const MAX_PROGRESS_JOBS: usize = 4_000;
 
 impl Controller {
@@ -23,7 +23,7 @@
         let request: PeerRequest = match wire::from_peer(body) {
             Ok(request) => request,
             Err(e) => {
-                warn!(error:% = e; "unreadable request of a peer");
+                warn!(error:% = e; "unreadable request from a peer");
                 return self.context.refuse(id, 400, "not a peer message");
             }
         };
@@ -37,7 +37,7 @@
                 known_us,
                 limits: limits_wanted,
             } => {
-                debug!(member = from.as_str(); "peer asks for contact");
+                debug!(member = from.as_str(); "contact request from a peer");
                 let now = self.context.now.steady;
                 let cancellations = &self.context.cancellations;
                 confirmed =
@@ -66,7 +66,8 @@
         });
     }
 
-    /// Takes task counts of live jobs, which only the leader that the store names may send.
+    /// Handles task counts of live jobs. Those of any other member than the leader that the leader record names are
+    /// ignored.
     fn on_progress(&mut self, from: &str, token: u64, jobs: Vec<(String, u64, u64)>) {
         if !self.election.leader_is(from, token) {
             return;
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -1,14 +1,14 @@
-//! Routes replies to the parts that wait for them, and notes contact with the store.
+//! Dispatches replies to calls to their handlers, and records contact with the store.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::controller::Controller;
 use crate::{Micros, Outcome};
 
-/// From this status on, an answer of the store does not show that it serves this controller.
+/// Lowest HTTP status of a server error. An answer with such a status does not count as contact with the store.
 const LOWEST_SERVER_ERROR: u16 = 500;
 
 impl Controller {
-    /// Takes the reply to a call.
+    /// Handles the reply to a call.
     pub(crate) fn on_reply(&mut self, call: u64, outcome: Outcome) {
         let Some((purpose, made_at)) = self.context.take_call(call) else {
             return;
@@ -26,7 +26,7 @@
         self.dispatch_reply(purpose, made_at, outcome);
     }
 
-    /// Any answer but a server error shows that the store serves this controller.
+    /// Records contact with the store if it sent any answer but a server error.
     fn note_store_contact(&mut self, outcome: &Outcome) {
         if matches!(outcome, Outcome::Answer { status, .. } if *status < LOWEST_SERVER_ERROR) {
             self.context.last_store_contact = Some(self.context.now.steady);
@@ -52,16 +52,16 @@
     }
 }
 
-/// What the reply to a call that was made before a process pause still says; `None`: nothing. It may have
-/// waited in this process all that time, and what it says may have changed since.
+/// Returns how the outcome of a call that was made before a process pause is to be handled; `None`: it is ignored.
+/// The reply may have waited in this process during the whole pause, and what it says may have changed since.
 fn outcome_after_pause(purpose: &CallPurpose, outcome: Outcome) -> Option<Outcome> {
     match purpose {
-        // Who leads or holds a partition may have changed; what users are told is asked for anew.
+        // Another member may lead or hold the partition now. What users are told is read from the store again.
         CallPurpose::Election(_)
         | CallPurpose::PartitionClaim { .. }
         | CallPurpose::User(_)
         | CallPurpose::JobView(_) => Some(Outcome::Unknown),
-        // A lease that was renewed may have expired since; one that had ended stays so.
+        // A lease that was renewed may have expired since. One that the store did not know (404) is still lost.
         CallPurpose::Scheduler {
             call: SchedulerCall::RenewLease,
             ..
--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -1,4 +1,4 @@
-//! Machines on which this controller could not prove, when it last stepped down, that cancelled tasks have ended.
+//! Machines on which cancelled tasks were not proven to have ended when this controller last gave up a lease.
 
 use crate::calls::CallPurpose;
 use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT;
@@ -11,18 +11,17 @@
 use grebewood_wire::http::MachineNames;
 use log::info;
 
-/// A leader that stepped down waits so long for contact with the store before it terminates the machines
-/// that it left unproven.
+/// Delay after giving up a lease until unproven machines are terminated, if there is no contact with the store then.
 const TERMINATION_DELAY: Micros = 3 * SECOND;
 
-/// How long the cloud may take to terminate machines.
+/// Timeout of a request to the cloud to terminate machines.
 const TERMINATION_TIMEOUT: Micros = 5 * SECOND;
 
-/// A machine counts as unproven after this many heartbeat intervals without a heartbeat.
+/// Number of heartbeat intervals without contact after which a machine counts as unreachable here.
 const MISSED_HEARTBEATS: Micros = 2;
 
 impl Controller {
-    /// Takes over what a scheduler that gives up its role leaves unproven.
+    /// Keeps the names of the unproven machines of a scheduler that gives up its lease.
     pub(crate) fn keep_unproven_machines(&mut self, scheduler: &Scheduler) {
         let now = self.context.now.steady;
         let silence = MISSED_HEARTBEATS * self.context.settings.heartbeat_interval;
@@ -39,16 +38,18 @@
         unproven.names.extend(names);
     }
 
-    /// When unproven machines are due, in microseconds of the steady clock.
+    /// Returns when the unproven machines are due for termination, in microseconds of the steady clock;
+    /// [`Micros::MAX`] if there are none.
     pub(crate) fn unproven_machines_due(&self) -> Micros {
         let unproven = self.unproven_machines.as_ref();
         unproven.map_or(Micros::MAX, |unproven| unproven.due)
     }
 
-    /// Terminates unproven machines that are due, if the store has been out of reach since: then it may take
-    /// long until there is a next leader, and no other member knows of them. Otherwise the next leader reads
-    /// which tasks are there, and agents may already send it their heartbeats: to a leader that resumes after a
-    /// process pause all machines seem unreachable.
+    /// Terminates the unproven machines that are due, if this controller has no contact with the store. It may
+    /// then take long until there is a next leader, and no other member knows of these machines. With contact they
+    /// are left to the next leader, which reads from the store which tasks are on them. Agents may already send
+    /// that leader their heartbeats: to a leader that resumes after a process pause, all machines seem
+    /// unreachable.
     pub(crate) fn run_unproven_machines(&mut self) {
         if self.context.now.steady < self.unproven_machines_due() {
             return;
@@ -61,7 +62,7 @@
         }
         let member = self.context.settings.member.as_str();
         let names = unproven.names.join(",");
-        info!(member = member, machines = names.as_str(); "terminating machines with cancelled tasks");
+        info!(member = member, machines = names.as_str(); "terminating unreachable machines that may run cancelled tasks");
         for machines in unproven.names.chunks(MAX_TERMINATIONS) {
             let machines = machines.to_vec();
             self.context.call(
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -1,9 +1,10 @@
 //! Users' requests, which any controller serves: submissions, status polls and cancellations.
 //!
-//! Every controller answers from its [`JobView`](crate::state::job_view::JobView), which is updated after a request has
-//! arrived, so that no controller gives an answer older than another controller's. A live job has a `job/<id>` key. When
-//! the job ends, one transaction puts its final record under `past/<id>` and deletes what is under `job/<id>`. So a job
-//! that is not live in the view, and has no final record when that is read afterwards, was never accepted.
+//! Every controller answers from its [`JobView`](crate::state::job_view::JobView), which is updated after a request
+//! has arrived, so that no controller gives an answer older than another controller's. A live job has a `job/<id>`
+//! key. When the job ends, one transaction puts its final record under `past/<id>` and deletes what is under
+//! `job/<id>`. So a job that is not live in the view, and has no final record when that is read afterwards, was never
+//! accepted.
 
 use crate::calls::{CallPurpose, UserAction, UserRequest, UserRequestStage};
 use crate::context::Context;
