--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -1,49 +1,49 @@
-//! What each call to another process is for, so that its reply reaches the part that waits for it.
+//! The purposes of calls to other processes, by which replies are dispatched.
 
 use crate::{Micros, Outcome};
 use grebewood_partition::PartitionId;
 use grebewood_wire::http::Submission;
 
-/// What a reply is for.
+/// The purpose of a call, by which its reply is dispatched.
 #[derive(Debug)]
 pub enum CallPurpose {
-    /// A step of the election.
+    /// A call of the leader election.
     Election(ElectionStep),
-    /// A call that the leader's or a partition holder's scheduler made.
+    /// A call of the leader's or a partition holder's scheduler.
     Scheduler {
         /// The fencing token under which the call was made.
         token: u64,
         /// The call.
         call: SchedulerCall,
     },
-    /// The store's part in a user's request.
+    /// A call to the store for a user's request.
     User(UserRequest),
-    /// An update of the view of live jobs.
+    /// A read that updates the view of live jobs.
     JobView(JobViewCall),
-    /// The catalogue of machine types.
+    /// A read of the catalogue of machine types.
     Catalogue(CatalogueSource),
-    /// A peer's contact with the store and the cancellations it confirmed.
+    /// A contact request, which asks a peer for its contact with the store and the cancellations that it confirmed.
     Contact {
-        /// The peer's place in the settings.
+        /// The peer's place among the siblings in the settings.
         peer: usize,
-        /// The number of the question.
+        /// The number of the contact request.
         question: u64,
     },
-    /// The controller's copy of the partition map.
+    /// A read that updates the controller's copy of the partition map.
     PartitionMap(MapCall),
-    /// A claim on a partition.
+    /// A step of claiming a partition.
     PartitionClaim {
         /// The partition.
         partition: PartitionId,
         /// How far the claim has come.
         step: ClaimStep,
     },
-    /// Nothing depends on the reply.
+    /// A call whose reply is ignored.
     Ignore,
 }
 
 impl CallPurpose {
-    /// Whether an answer shows that the store serves this controller.
+    /// Returns whether an answer to the call shows contact with the store.
     pub(crate) fn shows_store_contact(&self) -> bool {
         match self {
             CallPurpose::Election(_)
@@ -65,7 +65,7 @@
     }
 }
 
-/// Status and body of an answer; without an answer the status is 0 and the body empty.
+/// Returns the status and body of an answer; without an answer the status is 0 and the body empty.
 pub(crate) fn status_and_body(outcome: Outcome) -> (u16, Vec<u8>) {
     match outcome {
         Outcome::Answer { status, body } => (status, body),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Calls that a scheduler waits for; a reply that comes after it lost its lease is dropped.
+/// A call of a scheduler. The reply is dropped if the scheduler has lost its lease since.
 #[derive(Debug)]
 pub enum SchedulerCall {
     /// Renews the lease.
@@ -95,37 +95,37 @@
     },
     /// Writes records in a transaction.
     Flush,
-    /// Reads back what a transaction without a clear outcome wrote.
+    /// Reads a record back after a transaction without a clear outcome.
     FlushReadBack,
-    /// Reads a record again that may have changed.
+    /// Reads a record again, since its known revision may be outdated.
     Refresh {
         /// Its key.
         key: String,
     },
     /// A call to the cloud.
     Cloud(CloudCall),
-    /// Commands to an agent that does not wait for an answer to a heartbeat.
+    /// Sends commands to an agent that has no heartbeat waiting for an answer.
     DirectCommands {
         /// The agent's machine.
         machine: String,
     },
-    /// Orders to the holder of a partition.
+    /// Sends orders to the holder of a partition.
     Orders {
         /// The partition.
         partition: PartitionId,
-        /// The fencing token of the claim that is addressed.
+        /// The fencing token of the claim that the orders are for.
         claim: u64,
     },
 }
 
-/// A call of the election.
+/// A step of the leader election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
-    /// Reads who leads.
+    /// Reads the leader record.
     Probe,
-    /// Asks for a lease.
+    /// Requests a lease.
     Lease,
-    /// Puts the leader record.
+    /// Puts the leader record under the lease.
     Claim {
         /// The lease that the record is put under.
         lease: u64,
@@ -146,7 +146,7 @@
     List,
     /// Provisions a machine.
     Provision {
-        /// The name under which the request can be repeated.
+        /// The name of the provision request, under which it can be repeated.
         name: String,
     },
     /// Terminates machines.
@@ -156,10 +156,10 @@
     },
 }
 
-/// Where the catalogue of machine types is read.
+/// The source of the catalogue of machine types.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CatalogueSource {
-    /// The key-value store, where an earlier leader has put it.
+    /// The key-value store, if an earlier leader has put the catalogue there.
     #[default]
     Store,
     /// The cloud.
@@ -167,7 +167,7 @@
 }
 
 impl CatalogueSource {
-    /// Where to ask next after this source had no catalogue.
+    /// Returns the source to ask next if this one had no catalogue.
     pub(crate) fn other(self) -> Self {
         match self {
             CatalogueSource::Store => CatalogueSource::Cloud,
@@ -176,42 +176,42 @@
     }
 }
 
-/// A request for the partition map.
+/// A read of the partition map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MapCall {
-    /// A page of its keys.
+    /// Reads a page of its keys.
     List,
-    /// Changes since the revision that was read.
+    /// Waits for changes since the revision that was read.
     Watch,
 }
 
-/// How far a claim on a partition has come.
+/// A step of claiming a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Asks for a lease.
+    /// Requests a lease.
     Lease,
-    /// Writes the claim.
+    /// Puts the claim under the lease.
     Claim {
         /// The lease that the claim is put under.
         lease: u64,
     },
-    /// Reads the claim back, since the outcome is not known.
+    /// Reads the claim back after a put without a clear outcome.
     ReadBack {
         /// The lease that the claim was put under.
         lease: u64,
     },
 }
 
-/// A request to the store that brings the view of live jobs up to date.
+/// A read that updates the view of live jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobViewCall {
-    /// A page of the keys with this prefix.
+    /// Reads a page of the keys with this prefix.
     List(&'static str),
-    /// Changes since the revision that was read.
+    /// Reads the changes since the revision that was read.
     Watch,
 }
 
-/// A live job as a user's request found it.
+/// A live job, as it was in the job view when a user's request was looked up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FoundJob {
     /// Number of its tasks.
@@ -220,29 +220,29 @@
     pub mod_revision: u64,
 }
 
-/// A user's request that waits for the store.
+/// A user's request that needs the store.
 #[derive(Clone, Debug)]
 pub struct UserRequest {
-    /// Identifies the request when it is answered.
+    /// Number of the request, by which it is answered.
     pub request: u64,
     /// The job's id.
     pub job: String,
-    /// What the user asked for.
+    /// What the user requests.
     pub action: UserAction,
-    /// How far it has come.
+    /// What the request waits for.
     pub stage: UserRequestStage,
-    /// When it came in, in microseconds of the steady clock.
+    /// Time at which it arrived, in microseconds of the steady clock.
     pub arrived_at: Micros,
-    /// The live job, once it was found.
+    /// The live job, once it was found in the job view.
     pub live: Option<FoundJob>,
-    /// The accepting transaction had no clear outcome.
+    /// Whether the accepting transaction had no clear outcome.
     pub(crate) uncertain: bool,
-    /// How often it was sent to the store, or to wait for the view.
+    /// How often it was sent to the store or set to wait for the job view.
     pub(crate) rounds: u8,
 }
 
 impl UserRequest {
-    /// A request that has just come in.
+    /// Returns a request that has just arrived.
     pub(crate) fn new(request: u64, job: &str, action: UserAction, arrived_at: Micros) -> Self {
         UserRequest {
             request,
@@ -256,34 +256,34 @@
         }
     }
 
-    /// The same request at another stage.
+    /// Returns the request at another stage.
     pub(crate) fn at_stage(self, stage: UserRequestStage) -> Self {
         UserRequest { stage, ..self }
     }
 }
 
-/// What a user asked for.
+/// What a user requests.
 #[derive(Clone, Debug)]
 pub enum UserAction {
-    /// Accept a job.
+    /// Submits a job.
     Submit(Box<Submission>),
-    /// A submission that lacks a field or has an invalid one, and why: refused, unless it repeats
-    /// that of an accepted job.
+    /// Submits a job with a missing or invalid field; the text says what is wrong. Refused unless the job was
+    /// accepted before.
     Malformed(String),
-    /// Tell a job's status.
+    /// Asks for a job's status.
     Poll,
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel,
 }
 
-/// How far a user's request has come.
+/// What a user's request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UserRequestStage {
     /// The transaction that accepts the job.
     Accept,
-    /// Waits for a view of the live jobs that is no older than the request.
+    /// An update of the view of live jobs that is sent after the request arrived.
     JobView,
-    /// Reads the job's final record.
+    /// The read of the job's final record.
     ReadFinished,
     /// The transaction that cancels the job.
     Cancel,
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a controller share: settings, clocks, rate limiters, and the calls under way.
+//! The context that all parts of a controller share: settings, clocks, rate limiters, and the calls under way.
 
 use crate::calls::CallPurpose;
 use crate::cancellations::Cancellations;
@@ -12,92 +12,95 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// How long the store may take to answer, unless a call says otherwise.
+/// Timeout of a call to the store, unless the caller sets another one.
 pub const STORE_TIMEOUT: Micros = 1_500 * MILLI;
 
-/// With fewer puts a second for each member the leader places all tasks.
-const MIN_HOLDER_WRITES: f64 = 2.0;
+/// Lowest write rate of a member, in puts a second, at which holders write assignments. Below it the leader places
+/// all tasks.
+const MIN_HOLDER_WRITE_RATE: f64 = 2.0;
 
-/// The share of the store's write rate that the leader takes.
+/// Share of the store's write rate that the leader uses.
 const LEADER_WRITE_SHARE: f64 = 0.7;
 
-/// The part of that share that all holders of partitions take together if they write assignments.
+/// Share of the store's write rate that all partition holders use together if they write assignments. It is taken from
+/// [`LEADER_WRITE_SHARE`].
 const HOLDER_WRITE_SHARE: f64 = 0.2;
 
-/// The share of the store's read rate that users' requests take.
+/// Share of the store's read rate that users' requests use.
 const USER_READ_SHARE: f64 = 0.7;
 
-/// How much of one second's puts a burst of submissions at one controller may take.
+/// Part of one second's puts that a burst of submissions at one controller may use.
 const USER_WRITE_BURST_SHARE: f64 = 0.4;
 
-/// Puts that the leader may save up: the end of a job takes several changes at once, and under a small rate
-/// these must add up.
+/// Burst of the leader, in puts: the end of a job takes several puts and deletes in one transaction, and a low rate
+/// must be able to accumulate tokens for them.
 const LEADER_WRITE_BURST: f64 = 4.0;
 
-/// Puts that a holder may save up.
+/// Burst of a partition holder, in puts.
 const HOLDER_WRITE_BURST: f64 = 2.0;
 
-/// The share of the cloud's rate that this controller takes.
+/// Share of the cloud's request rate that this controller uses.
 const CLOUD_SHARE: f64 = 0.8;
 
-/// After how many seconds a request may be repeated that was refused for the moment.
+/// `Retry-After` of a temporary refusal, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// What a scheduler is to the machines that it looks after.
+/// The role in which a scheduler acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It decides for the whole fleet, and looks after the machines that are in no partition.
+    /// The leader, which decides for the whole fleet and manages the machines that are in no partition.
     Leader,
-    /// It looks after the machines of this partition, on the leader's orders.
+    /// The holder of this partition, which manages the partition's machines on the leader's orders.
     Holder(PartitionId),
 }
 
-/// What all parts of a controller share.
+/// The context that all parts of a controller share.
 pub struct Context {
-    /// What the platform handed over.
+    /// Settings that the platform hands over.
     pub settings: Settings,
-    /// What operators tuned.
+    /// Settings that operators tune.
     pub tuning: Tuning,
     /// The clocks at the moment of the input.
     pub now: Now,
-    /// The source of all randomness, seeded at the start.
+    /// Source of all randomness, seeded at the start.
     pub rng: SmallRng,
-    /// What is to be done after this step, in order.
+    /// Effects of this step, in order.
     pub effects: Vec<Effect>,
-    last_call: u64,
-    /// Calls under way: what the reply is for, and when the call was made.
+    last_call_id: u64,
+    /// Calls under way by number: the purpose of the reply, and when the call was made.
     calls: BTreeMap<u64, (CallPurpose, Micros)>,
-    /// Requests to the store on behalf of users.
+    /// Rate limit of requests to the store on behalf of users.
     pub user_reads: RateLimiter,
-    /// Puts on behalf of users.
+    /// Rate limit of puts on behalf of users.
     pub user_writes: RateLimiter,
-    /// Puts of the leader.
+    /// Rate limit of the leader's puts and deletes.
     pub leader_writes: RateLimiter,
-    /// Puts of this controller as the holder of partitions.
+    /// Rate limit of the puts and deletes of this controller as a partition holder.
     pub holder_writes: RateLimiter,
-    /// Requests to the cloud.
+    /// Rate limit of requests to the cloud.
     pub cloud_requests: RateLimiter,
-    /// When the store last answered, in microseconds of the steady clock.
+    /// Time of the store's last answer, in microseconds of the steady clock.
     pub last_store_contact: Option<Micros>,
-    /// When this process last resumed after a pause. A reply to a call made before may have waited
-    /// in this process all that time: it is no contact and does not prove that a lease is valid.
+    /// Time at which this process last resumed after a pause. A reply to a call that was made before may have
+    /// waited in this process during the pause, so it does not count as contact with the store and does not prove
+    /// that a lease is valid.
     resumed_at: Micros,
-    /// The machine types, once they are known.
+    /// Machine types, once they are known.
     pub catalogue: Option<Vec<MachineType>>,
-    /// Highest fencing token known.
+    /// Highest fencing token that this controller knows of.
     pub token: u64,
-    /// Which confirmed cancellations this controller knows of.
+    /// Cancellations that this controller knows of.
     pub cancellations: Cancellations,
 }
 
 impl Context {
-    /// The context of a controller that has just started; `seed` must differ between processes.
+    /// Returns the context of a controller that has just started; `seed` must differ between processes.
     pub(crate) fn new(settings: Settings, tuning: Tuning, seed: u64) -> Self {
         let members = settings.siblings.len() as f64 + 1.0;
         let StoreLimits { rps, write_rps, .. } = settings.store;
         let user_write_rate = write_rps * (1.0 - LEADER_WRITE_SHARE);
         let holder_rate = write_rps * HOLDER_WRITE_SHARE / members;
-        let holders_write = tuning.grants_quota() && holder_rate >= MIN_HOLDER_WRITES;
+        let holders_write = tuning.grants_quota() && holder_rate >= MIN_HOLDER_WRITE_RATE;
         let leader_share = if holders_write {
             LEADER_WRITE_SHARE - HOLDER_WRITE_SHARE
         } else {
@@ -120,7 +123,7 @@
             now: Now::default(),
             rng: SmallRng::seed_from_u64(seed),
             effects: Vec::new(),
-            last_call: 0,
+            last_call_id: 0,
             calls: BTreeMap::new(),
             last_store_contact: None,
             resumed_at: 0,
@@ -130,17 +133,18 @@
         }
     }
 
-    /// What the reply to a call is for, and when the call was made. A second reply has no purpose.
+    /// Removes a call that was replied to from those under way, and returns its purpose and when it was made.
+    /// `None`: it had a reply already.
     pub(crate) fn take_call(&mut self, call: u64) -> Option<(CallPurpose, Micros)> {
         self.calls.remove(&call)
     }
 
-    /// The process was paused and runs again.
+    /// Records that the process resumes after a pause.
     pub(crate) fn note_resumed(&mut self) {
         self.resumed_at = self.now.steady;
     }
 
-    /// Sends a call, whose reply is for `purpose`, and returns its number. `timeout` is in microseconds.
+    /// Sends a call and returns its number. The reply is dispatched by `purpose`; `timeout` is in microseconds.
     pub fn call(
         &mut self,
         target: Target,
@@ -150,8 +154,8 @@
         timeout: Micros,
         purpose: CallPurpose,
     ) -> u64 {
-        self.last_call += 1;
-        let id = self.last_call;
+        self.last_call_id += 1;
+        let id = self.last_call_id;
         self.calls.insert(id, (purpose, self.now.steady));
         self.effects.push(Effect::Call(Call {
             id,
@@ -164,7 +168,7 @@
         id
     }
 
-    /// Gets from the store.
+    /// Sends a GET request to the store.
     pub fn get_from_store(&mut self, path: String, purpose: CallPurpose) -> u64 {
         let nothing = Vec::new();
         self.call(Target::Store, "GET", path, nothing, STORE_TIMEOUT, purpose)
@@ -175,7 +179,7 @@
         self.get_from_store(format!("/kv/{key}"), purpose)
     }
 
-    /// Posts to the store.
+    /// Sends a POST request to the store.
     pub fn post_to_store<T: serde::Serialize>(
         &mut self,
         path: &str,
@@ -202,7 +206,7 @@
         });
     }
 
-    /// Refuses a request at once; a temporary refusal says when to come back.
+    /// Answers a request with an error. A temporary refusal carries `Retry-After`.
     pub fn refuse(&mut self, id: u64, status: u16, reason: &str) {
         let temporary = matches!(status, 429 | 503 | 504);
         self.effects.push(Effect::Answer {
@@ -215,44 +219,46 @@
         });
     }
 
-    /// How many microseconds ago the store last answered.
+    /// Returns the time since the store's last answer, in microseconds; `None`: it never answered.
     pub fn store_contact_age(&self) -> Option<Micros> {
         self.last_store_contact
             .map(|at| self.now.steady.saturating_sub(at))
     }
 
-    /// When this process last resumed after a pause, in microseconds of the steady clock; 0 if it was never paused.
+    /// Returns when this process last resumed after a pause, in microseconds of the steady clock; 0 if it was never
+    /// paused.
     pub fn resumed_at(&self) -> Micros {
         self.resumed_at
     }
 
-    /// Whether the store has answered within the last `span` microseconds.
+    /// Returns whether the store has answered within the last `span` microseconds.
     pub fn has_store_contact(&self, span: Micros) -> bool {
         self.store_contact_age().is_some_and(|age| age <= span)
     }
 
-    /// A random time of up to `most` microseconds.
-    pub fn jitter(&mut self, most: Micros) -> Micros {
-        self.rng.gen_range(0..=most)
+    /// Returns a random time of up to `limit` microseconds.
+    pub fn jitter(&mut self, limit: Micros) -> Micros {
+        self.rng.gen_range(0..=limit)
     }
 
-    /// Whether this controller may hold partitions, and lead members that hold some.
+    /// Returns whether this controller may hold partitions and, as the leader, assign partitions.
     pub fn supports_partitions(&self) -> bool {
         self.tuning.partitions_per_zone > 0
     }
 
-    /// Whether this controller grants quota to holders of partitions, and places tasks out of such grants.
+    /// Returns whether this controller, as the leader, grants quota to partition holders and, as a holder, places
+    /// tasks under such grants.
     pub fn supports_quota_grants(&self) -> bool {
         self.tuning.grants_quota()
     }
 
-    /// Whether the store's write rate is enough for several members to write assignments: with a lower one,
-    /// tasks wait longer for their holder's turn than for the leader.
+    /// Returns whether the store's write rate is enough for several members to write assignments. With a lower
+    /// rate, tasks wait longer for their holder's writes than for the leader's.
     pub fn holders_can_write(&self) -> bool {
-        self.holder_writes.rate() >= MIN_HOLDER_WRITES
+        self.holder_writes.rate() >= MIN_HOLDER_WRITE_RATE
     }
 
-    /// The limit of the puts that a scheduler with this role may make.
+    /// Returns the rate limit of the puts and deletes of a scheduler in this role.
     pub(crate) fn write_limiter(&mut self, role: Role) -> &mut RateLimiter {
         match role {
             Role::Leader => &mut self.leader_writes,
@@ -260,7 +266,7 @@
         }
     }
 
-    /// Ends a lease, which deletes what is attached to it.
+    /// Ends a lease of the store, which deletes the keys that were put under it.
     pub(crate) fn end_lease(&mut self, lease: u64) {
         self.call(
             Target::Store,
@@ -272,7 +278,7 @@
         );
     }
 
-    /// The machine type with this name.
+    /// Returns the machine type with this name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.catalogue
             .as_ref()?
