--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -3,8 +3,8 @@
 use crate::cancellations::{Cancellations, MAX_KNOWN_CANCELLATIONS, MAX_LISTED_CANCELLATIONS};
 use crate::{Micros, SECOND};
 
-/// The cancellations of a controller that has run since `since`, and confirmed that of `job` to a user at
-/// `confirmed_at`.
+/// Returns the cancellations that a controller knows which has run since `since`, and confirmed the cancellation of
+/// `job` to a user at `confirmed_at`.
 fn peer_that_confirmed(since: Micros, job: &str, confirmed_at: Micros) -> Cancellations {
     let mut cancellations = Cancellations::default();
     cancellations.note_process_start(since);
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -22,8 +22,8 @@
 /// Share of the store's write rate that the leader uses.
 const LEADER_WRITE_SHARE: f64 = 0.7;
 
-/// Share of the store's write rate that all partition holders use together if they write assignments. It is taken from
-/// [`LEADER_WRITE_SHARE`].
+/// Share of the store's write rate that all partition holders use together if they write assignments. It is taken
+/// from [`LEADER_WRITE_SHARE`].
 const HOLDER_WRITE_SHARE: f64 = 0.2;
 
 /// Share of the store's read rate that users' requests use.
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -149,7 +149,8 @@
     assert!(controller.context.cancellations.get("req-1").is_some());
 }
 
-/// A leader that learned without a record in the store that `req-1` is cancelled, and is about to read the record.
+/// Returns a leader that learned from elsewhere than the store that `req-1` is cancelled, and is about to read the
+/// cancellation's record.
 fn leader_with_learned_cancellation() -> Controller {
     let mut controller = leader_before_loading(20 * SECOND);
     let record = job_record(1);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,13 @@
 //! The cluster scheduler as a state machine.
 //!
-//! [`Controller`] takes [`Input`]s (requests, replies, the passing of time) and returns [`Effect`]s (calls to
-//! send, requests to answer). It does no I/O and reads no clock: the time comes with each input, and randomness from a
-//! seed. The key-value store holds the truth; what a `Controller` keeps in memory is a cache of it.
+//! [`Controller`] takes [`Input`]s (requests, replies, timer ticks) and returns [`Effect`]s (calls to send, requests
+//! to answer). It does no I/O and reads no clock: the time comes with each input, and randomness comes from a seed.
+//! The key-value store is authoritative; a `Controller` keeps a cache of it in memory.
 //!
-//! Modules import downwards only (a test reads their `use` lines): [`controller`] dispatches inputs, [`scheduler`]
-//! does the work of the leader and of partition holders, [`state`] holds data with its rules, and the modules
-//! beside them ([`context`], [`calls`], [`settings`], [`rate_limiter`], [`cancellations`]) serve all.
+//! Modules are layered and import only from their own layer and from lower ones, which a test checks by their `use`
+//! lines: [`controller`] dispatches inputs, [`scheduler`] does the work of the leader and of partition holders,
+//! [`state`] holds data with its rules, and all of them use [`context`], [`calls`], [`settings`], [`rate_limiter`]
+//! and [`cancellations`].
 
 pub use controller::Controller;
 pub use settings::{Objective, Settings, Sibling, Team, Tuning};
@@ -23,7 +24,8 @@
 mod test_support;
 mod transactions;
 
-/// Whole microseconds, of a steady clock unless said otherwise.
+/// A duration or a point in time in whole microseconds. Points in time are those of the steady clock unless stated
+/// otherwise.
 pub type Micros = u64;
 
 /// One second.
@@ -32,30 +34,30 @@
 /// One millisecond.
 pub const MILLI: Micros = 1_000;
 
-/// Turns a wire duration in seconds into microseconds; negative ones count as zero.
+/// Converts a duration in seconds, as in messages, to microseconds. A negative duration counts as zero.
 pub fn micros(seconds: f64) -> Micros {
     (seconds.clamp(0.0, 1e9) * 1e6) as Micros
 }
 
-/// The two clocks at the moment of an input.
+/// The time of an input by both clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// Steady clock of this process.
+    /// Steady (monotonic) clock of this process.
     pub steady: Micros,
     /// Time of day, microseconds since 1970.
     pub wall: Micros,
 }
 
-/// Where a request came in.
+/// The interface at which a request arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interface {
-    /// Users, agents and health checks.
+    /// The interface for users, agents and health checks.
     Front,
-    /// Other controllers.
+    /// The interface for other controllers.
     Peer,
 }
 
-/// Whom a call goes to.
+/// The recipient of a call.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// The key-value store.
@@ -71,9 +73,9 @@
 /// An HTTP request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Number of the call, by which its reply is handed back.
+    /// Number of the call, by which its reply is identified.
     pub id: u64,
-    /// Whom it goes to.
+    /// Recipient of the call.
     pub target: Target,
     /// HTTP method.
     pub method: &'static str,
@@ -81,36 +83,36 @@
     pub path: String,
     /// Encoded body; empty if there is none.
     pub body: Vec<u8>,
-    /// How long to wait for the response, in microseconds.
+    /// Timeout for the response, in microseconds.
     pub timeout: Micros,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// A response came.
+    /// A response arrived.
     Answer {
         /// HTTP status.
         status: u16,
         /// Encoded body.
         body: Vec<u8>,
     },
-    /// No response. The request may have been carried out, or may still be.
+    /// No response arrived. The recipient may have carried out the request, or may still do so.
     Unknown,
     /// The request was never sent.
     NotSent,
-    /// A response came that is larger than this process takes; the same request would bring it again.
+    /// A response arrived that exceeds the size limit of this process; the same request would get it again.
     TooLarge,
 }
 
-/// What a controller is told.
+/// An input of a controller.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A request arrived.
     Request {
         /// Number of the request, by which it is answered.
         id: u64,
-        /// Where it came in.
+        /// Interface at which it arrived.
         interface: Interface,
         /// HTTP method.
         method: String,
@@ -119,7 +121,7 @@
         /// Encoded body.
         body: Vec<u8>,
     },
-    /// The requester closed its connection; the answer is not needed any more.
+    /// The connection of a request was closed, so its answer is not needed any more.
     RequestAbandoned {
         /// Number of the request.
         id: u64,
@@ -128,19 +130,19 @@
     Reply {
         /// Number of the call.
         call: u64,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
     },
-    /// Time has passed.
+    /// A timer is due, or time has passed.
     Tick,
 }
 
-/// What a controller wants done.
+/// An effect that a controller asks for.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// A request is to be sent.
+    /// Sends a request.
     Call(Call),
-    /// A request is to be answered.
+    /// Answers a request.
     Answer {
         /// Number of the request.
         id: u64,
@@ -153,13 +155,13 @@
     },
 }
 
-/// Reads the time within one step, for time budgets; the shell supplies it.
+/// A clock for time budgets within one step, supplied by the caller of [`Controller::step`].
 pub trait Stopwatch {
-    /// Microseconds since the step began.
+    /// Returns the time since the step began, in microseconds.
     fn elapsed(&mut self) -> Micros;
 }
 
-/// A stopwatch that never advances.
+/// A stopwatch at which no time passes, for tests and simulations.
 pub struct NoStopwatch;
 
 impl Stopwatch for NoStopwatch {
--- a/crates/core/src/rate_limiter.rs
+++ b/crates/core/src/rate_limiter.rs
@@ -1,28 +1,29 @@
-//! Token buckets: the controllers share the rate limits of the key-value store and of the cloud.
+//! Token buckets, by which the controllers share the rate limits of the key-value store and of the cloud.
 
 use crate::{Micros, SECOND};
 
-/// Tolerance when the level is compared with the tokens that are asked for, against rounding errors.
+/// Tolerance for rounding errors when the level is compared with the requested tokens.
 const LEVEL_TOLERANCE: f64 = 1e-9;
 
-/// The lowest rate, in tokens a second, that waiting times are computed with.
+/// Lowest rate for which waiting times are computed, in tokens a second.
 const LOWEST_RATE: f64 = 1e-6;
 
-/// A token bucket that holds one second's worth of tokens, unless it is made with more room.
+/// A token bucket. It holds the tokens of one second, but at least one token, unless it is created with a greater
+/// depth.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
-    /// Tokens a second.
+    /// Refill rate, in tokens a second.
     rate: f64,
-    /// Most tokens that it holds.
+    /// Most tokens that the bucket holds.
     depth: f64,
-    /// Tokens that it holds; negative after more than the depth was taken.
+    /// Tokens that the bucket holds; negative after more than the depth was taken.
     level: f64,
-    /// When the level was last brought up to date.
+    /// Time at which the level was last updated.
     refilled_at: Micros,
 }
 
 impl RateLimiter {
-    /// A full bucket that refills `rate` tokens a second.
+    /// Returns a full bucket that refills at `rate` tokens a second.
     pub fn new(rate: f64) -> Self {
         let depth = rate.max(1.0);
         RateLimiter {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// A full bucket with room for at least `depth` tokens.
+    /// Returns a full bucket that holds at least `depth` tokens.
     pub fn with_depth(rate: f64, depth: f64) -> Self {
         let mut bucket = RateLimiter::new(rate);
         bucket.depth = bucket.depth.max(depth);
@@ -41,7 +42,7 @@
         bucket
     }
 
-    /// Tokens that come each second.
+    /// Returns the refill rate, in tokens a second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
@@ -53,8 +54,8 @@
         self.level = refilled.min(self.depth);
     }
 
-    /// Takes `tokens` if they are there, and returns whether they were. More than the depth is taken from a
-    /// full bucket.
+    /// Takes `tokens` if the bucket holds them, and returns whether it did. More tokens than the depth can be taken
+    /// from a full bucket, which leaves its level negative.
     pub fn take(&mut self, now: Micros, tokens: f64) -> bool {
         self.refill(now);
         let available = self.level + LEVEL_TOLERANCE >= tokens.min(self.depth);
@@ -64,25 +65,25 @@
         available
     }
 
-    /// Whole tokens that can be taken now.
+    /// Returns the number of whole tokens that the bucket holds.
     pub fn available(&mut self, now: Micros) -> usize {
         self.refill(now);
         self.level.max(0.0) as usize
     }
 
-    /// When `tokens` will be there, in microseconds of the steady clock.
+    /// Returns when `tokens` can be taken, in microseconds of the steady clock.
     pub fn ready_at(&mut self, now: Micros, tokens: f64) -> Micros {
         self.refill(now);
         let missing = (tokens.min(self.depth) - self.level).max(0.0);
         now + self.refill_time(missing)
     }
 
-    /// How many microseconds `tokens` take to come.
+    /// Returns how long the bucket takes to refill by `tokens`, in microseconds.
     pub fn refill_time(&self, tokens: f64) -> Micros {
         (tokens / self.rate.max(LOWEST_RATE) * SECOND as f64).ceil() as Micros
     }
 
-    /// Empties the bucket, as after an answer 429.
+    /// Empties the bucket, as after a response with status 429.
     pub fn drain(&mut self, now: Micros) {
         self.refill(now);
         self.level = self.level.min(0.0);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the platform hands over ([`Settings`]) and what operators may tune ([`Tuning`]).
+//! The settings that the platform hands over ([`Settings`]) and those that operators may tune ([`Tuning`]).
 
 use crate::{Micros, MILLI, SECOND};
 use grebewood_quota::{Resources, TeamQuota};
@@ -19,7 +19,7 @@
 }
 
 impl Team {
-    /// The quota in exact amounts.
+    /// Returns the quota in exact amounts.
     pub fn quota(&self) -> TeamQuota {
         TeamQuota {
             guarantee: Resources::of(self.cpus, self.gpus),
@@ -37,26 +37,26 @@
     pub zone: String,
 }
 
-/// The kind of objective that measures how soon tasks start.
+/// Kind of the objectives that measure how soon tasks start.
 pub const WAIT: &str = "wait";
 
-/// The kind of objective that measures how soon work within a team's guaranteed share starts.
+/// Kind of the objectives that measure how soon tasks within a team's guaranteed share start.
 pub const GUARANTEE: &str = "guarantee";
 
-/// A service-level objective, as far as the scheduler can use it.
+/// A service-level objective, with the fields that the scheduler uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// What it measures, such as [`WAIT`] or [`GUARANTEE`].
+    /// Kind of measurement, such as [`WAIT`] or [`GUARANTEE`].
     pub kind: String,
-    /// The class of jobs that it holds for.
+    /// Class of the jobs that it applies to.
     pub class: String,
-    /// The time within which it is to be met, in microseconds.
+    /// Time within which it is to be met, in microseconds.
     pub within: Option<Micros>,
-    /// The share of the cases in which it is to be met.
+    /// Share of the cases in which it is to be met.
     pub share: f64,
-    /// Of an `up` objective: the time from which on a service is to be up, in microseconds.
+    /// For an `up` objective: time from which on a service is to be up, in microseconds.
     pub after: Option<Micros>,
-    /// Of an `up` objective: the length of the window whose worst one counts, in microseconds; none: the whole
+    /// For an `up` objective: length of the windows of which the worst one counts, in microseconds. `None`: the whole
     /// day counts.
     pub worst_window: Option<Micros>,
 }
@@ -75,7 +75,7 @@
 }
 
 impl StoreLimits {
-    /// What fits both: limits may be lowered at a moment that nobody announces.
+    /// Returns the smaller of each limit, so that both are kept: the time at which limits change is not announced.
     pub fn smaller_of(self, next: StoreLimits) -> StoreLimits {
         StoreLimits {
             rps: self.rps.min(next.rps),
@@ -101,22 +101,23 @@
     pub objectives: Vec<Objective>,
     /// Between two heartbeats of an agent, in microseconds.
     pub heartbeat_interval: Micros,
-    /// How long an agent goes on without an answer to its heartbeats, in microseconds.
+    /// Agents' lease: how long an agent keeps its tasks running without an answer to its heartbeats, in microseconds.
     pub agent_lease: Micros,
-    /// Within how long after a confirmed cancellation nothing of the job may run, in microseconds.
+    /// Time after a confirmed cancellation by which no task of the job may run any more, in microseconds.
     pub cancel_timeout: Micros,
-    /// The store's limits now and after an announced change, whichever is less.
+    /// The store's limits: the smaller of the present ones and those after an announced change.
     pub store: StoreLimits,
     /// Requests a second that the cloud takes.
     pub cloud_rps: f64,
-    /// How old the cloud's machine list may be, in microseconds.
+    /// Largest age of the cloud's machine list, in microseconds.
     pub machine_list_lag: Micros,
     /// Most sockets that this process may have.
     pub max_sockets: usize,
 }
 
 impl Default for Settings {
-    /// A single controller with the example values of the deploy file, without teams or objectives.
+    /// Returns the settings of a single controller with the example values of the deploy file, without teams or
+    /// objectives.
     fn default() -> Self {
         Settings {
             member: "perch-0".into(),
@@ -140,24 +141,24 @@
     }
 }
 
-/// A machine without contact for so many heartbeat intervals takes no tasks.
+/// Number of heartbeat intervals without contact after which a machine takes no tasks.
 const MISSED_HEARTBEATS: Micros = 3;
 
 impl Settings {
-    /// How long a machine may be without contact and still take tasks, in microseconds.
+    /// Returns how long a machine may be without contact and still take tasks, in microseconds.
     pub fn heartbeat_timeout(&self) -> Micros {
         MISSED_HEARTBEATS * self.heartbeat_interval
     }
 
-    /// Whether an objective measures how soon work within a guaranteed share starts.
+    /// Returns whether an objective measures how soon tasks within a guaranteed share start.
     pub fn has_guarantee_objective(&self) -> bool {
         self.objectives
             .iter()
             .any(|objective| objective.kind == GUARANTEE)
     }
 
-    /// The longest time that an objective allows any class's tasks to start in, if it is longer than
-    /// `boot` (both in microseconds): a shorter one cannot be met by provisioning machines.
+    /// Returns the longest time within which an objective requires tasks to start, among those that are longer than
+    /// `boot` (in microseconds): a shorter one cannot be met by provisioning machines.
     pub fn longest_start_objective(&self, boot: Micros) -> Option<Micros> {
         let starts = self
             .objectives
@@ -169,7 +170,7 @@
             .max()
     }
 
-    /// Whether an objective measures how soon tasks of the class start.
+    /// Returns whether an objective measures how soon tasks of the class start.
     pub fn has_start_objective(&self, class: &str) -> bool {
         self.objectives
             .iter()
@@ -209,7 +210,7 @@
 }
 
 impl Tuning {
-    /// Whether the leader grants quota to holders of partitions, which place tasks out of it.
+    /// Returns whether the leader grants quota to partition holders, which place tasks under it.
     pub fn grants_quota(&self) -> bool {
         self.allotments > 0 && self.partitions_per_zone > 0
     }
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -1,4 +1,4 @@
-//! Fixtures and helpers of the unit tests of several modules.
+//! Fixtures and helpers for the unit tests of several modules.
 
 use crate::controller::Controller;
 use crate::settings::{Settings, Sibling, Tuning};
@@ -15,10 +15,11 @@
 /// The store lease of [`leader_before_loading`].
 const LEASE: u64 = 1;
 
-/// Step by which [`advance_time`] lets time advance, in microseconds: a long one would count as a process pause.
-const STEP: Micros = 500 * MILLI;
+/// Interval between the ticks of [`advance_time`], in microseconds: a tick after more than half of the leader's lease
+/// would count as a process pause.
+const TICK_INTERVAL: Micros = 500 * MILLI;
 
-/// A controller that has just become the leader, and has read no records yet.
+/// Returns a controller that has just become the leader and has read no records yet.
 pub fn leader_before_loading(now: Micros) -> Controller {
     let settings = Settings {
         siblings: vec![Sibling {
@@ -34,7 +35,7 @@
     controller
 }
 
-/// The record of `req-1`, a batch job of so many tasks that was just accepted.
+/// Returns the record of `req-1`, a batch job of `tasks` tasks that was accepted at time zero of the steady clock.
 pub fn job_record(tasks: u64) -> JobRecord {
     let spec = Submission {
         id: "req-1".into(),
@@ -64,7 +65,7 @@
     }
 }
 
-/// The first heartbeat of a machine without tasks, whose agent has seen no fencing token yet.
+/// Returns the first heartbeat of a machine without tasks, whose agent has seen no fencing token yet.
 pub fn first_heartbeat() -> Heartbeat {
     Heartbeat {
         machine: "n-000001".into(),
@@ -80,7 +81,7 @@
     }
 }
 
-/// Both clocks when the steady one is at `now`.
+/// Returns the time by both clocks when the steady clock is at `now`.
 pub fn clocks(now: Micros) -> Now {
     Now {
         steady: now,
@@ -88,14 +89,14 @@
     }
 }
 
-/// Tells the controller that it is `now`.
+/// Steps the controller with a tick at `now`.
 pub fn tick(controller: &mut Controller, now: Micros) {
     controller.step(clocks(now), Input::Tick, &mut NoStopwatch);
 }
 
-/// Lets time advance in small steps.
+/// Ticks the controller at short intervals from `from` until just before `to`.
 pub fn advance_time(controller: &mut Controller, from: Micros, to: Micros) {
-    for now in (from..to).step_by(STEP as usize) {
+    for now in (from..to).step_by(TICK_INTERVAL as usize) {
         tick(controller, now);
     }
 }
--- a/crates/core/src/transactions.rs
+++ b/crates/core/src/transactions.rs
@@ -3,12 +3,12 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{Condition, Operation};
 
-/// The condition that the key does not exist.
+/// Returns the condition that the key does not exist.
 pub(crate) fn absent(key: &str) -> Condition {
     at_revision(key, 0)
 }
 
-/// The condition that the key was last modified at this revision.
+/// Returns the condition that the key was last modified at this revision.
 pub(crate) fn at_revision(key: &str, mod_revision: u64) -> Condition {
     Condition {
         key: key.to_string(),
@@ -16,7 +16,7 @@
     }
 }
 
-/// Puts the record under the key, without a lease.
+/// Returns the operation that puts the record under the key, without a lease.
 pub(crate) fn put<T: serde::Serialize>(key: String, record: &T) -> Operation {
     Operation::Put {
         put: key,
--- a/crates/core/tests/docs.rs
+++ b/crates/core/tests/docs.rs
@@ -1,4 +1,4 @@
-//! Files and names that the documentation mentions exist.
+//! Checks that files and names that the documentation mentions exist.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Files with this extension below a folder, build results aside.
+/// Collects the files with this extension below a folder, except build results.
 fn files_below(folder: &Path, extension: &str, files: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
@@ -19,7 +19,7 @@
     }
 }
 
-/// The pages that describe the present: history and incidents keep the names of their time.
+/// Returns the pages that describe the present state. Pages on history and incidents keep the names of their time.
 fn pages() -> Vec<PathBuf> {
     let mut pages = vec![root().join("README.md")];
     for folder in ["docs/design", "docs/operations"] {
@@ -34,18 +34,18 @@
     pages
 }
 
-/// What stands between single backticks in a text.
+/// Returns the texts between single backticks.
 fn code_spans(text: &str) -> Vec<&str> {
     text.split('`').skip(1).step_by(2).collect()
 }
 
 fn read(path: &Path) -> String {
     let text = std::fs::read_to_string(path).expect("a readable file");
-    // Fenced blocks would be taken for spans.
+    // Without this, the fences of code blocks would be taken for those of code spans.
     text.replace("```", "")
 }
 
-/// All words of the sources, and the names of the scenarios.
+/// Returns all words of the sources, and the names of the scenarios.
 fn known_words() -> BTreeSet<String> {
     let mut sources = Vec::new();
     files_below(&root().join("crates"), "rs", &mut sources);
@@ -93,7 +93,7 @@
     assert!(missing.is_empty(), "\n{}", missing.join("\n"));
 }
 
-/// Messages between quotation marks on the operators' pages are log lines of the sources.
+/// The operators' pages quote log messages between quotation marks: each has to be in the sources.
 #[test]
 fn log_messages_that_pages_quote_exist() {
     let mut sources = Vec::new();
@@ -106,7 +106,7 @@
     for page in ["on-call.md", "partition.md", "quota.md"] {
         let page = read(&root().join("docs/operations").join(page));
         let quoted = page.split('"').skip(1).step_by(2);
-        // Lines of a page may be broken within a message; "..." stands for its rest.
+        // A message may be wrapped over several lines of a page; "..." stands for the rest of it.
         let messages = quoted.map(|message| message.replace('\n', " "));
         for message in messages.map(|m| m.trim_end_matches(" ...").to_string()) {
             if !texts.iter().any(|text| text.contains(&message)) {
@@ -135,7 +135,7 @@
     let text = read(&root().join("docs/fault-matrix.md"));
     let mut missing = Vec::new();
     for row in text.lines().filter(|line| line.starts_with('|')) {
-        // Cells: fault, what could break, what guards it, scenario.
+        // The cells are fault, possible damage, guards, and scenarios.
         let guards_and_scenarios = row.split('|').skip(3);
         for cell in guards_and_scenarios {
             let names = code_spans(cell).into_iter().filter(|span| is_name(span));
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: which submissions fit the store, when a replica is started again, and how a job that starved catches up.
+//! Tests of jobs: which submissions fit the store, when replicas are restarted, and how starved jobs catch up.
 
 use grebewood_core::state::jobs::{check_fields, check_size, Job};
 use grebewood_core::SECOND;
@@ -30,8 +30,8 @@
     }
 }
 
-/// No exit of a replica ends it for good: at first it is started again at once, then after a growing backoff, which a
-/// long run resets. Other replicas of its job do not wait for it.
+/// A replica is always restarted after it exits: the first time at once, then after a growing backoff, which a long
+/// run resets. Other replicas of the job do not wait for it.
 #[test]
 fn a_replica_that_keeps_ending_is_restarted_with_growing_backoff() {
     let record = JobRecord {
@@ -56,7 +56,8 @@
     assert!(job.avoids("n-000001", now) && !job.avoids("n-000002", now));
 }
 
-/// The store refuses values beyond its limit: such a job must not be refused as if a retry could help.
+/// The store refuses values that exceed its limit. A job with such a record is refused as invalid, since a retry
+/// cannot help.
 #[test]
 fn a_job_whose_record_exceeds_the_limit_of_a_value_is_invalid() {
     let mut large = submission("batch", 1);
@@ -69,8 +70,9 @@
     assert_eq!(check_size(&large, 16_384), Ok(()));
 }
 
-/// A small job that starved places all of its tasks ahead of others, a larger one what finds free resources at once;
-/// then it has to starve again. The tasks of a small one are not preempted for normal priority.
+/// A small job that starved places all of its tasks ahead of other jobs. A larger one catches up in a single round,
+/// with the tasks that find free resources then, and has to starve again before it catches up the next time. The
+/// tasks of a small job that starved are not preempted for tasks of normal priority.
 #[test]
 fn a_small_job_that_starved_catches_up_with_all_of_its_tasks() {
     for (tasks, placed_ahead, aged_priority) in [
--- a/crates/core/tests/layers.rs
+++ b/crates/core/tests/layers.rs
@@ -1,12 +1,12 @@
-//! Modules of the core import downwards only: a test on the `use` lines of its sources.
+//! Checks by the `use` lines of the sources that modules import only from their own layer and from lower ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Imports of each module, by path from the crate's root, such as `state::jobs`.
+/// Modules that each module imports. A module is named by its path from the crate's root, such as `state::jobs`.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// The layer of a module: it may import modules of its own layer and of lower ones.
+/// Returns the layer of a module, which may import modules of its own layer and of lower ones.
 fn layer(module: &str) -> usize {
     match module.split("::").next() {
         Some("controller") => 3,
@@ -38,7 +38,7 @@
     parts.join("::").trim_end_matches(".rs").to_string()
 }
 
-/// The module that an import names: the longest beginning of its path that is a module.
+/// Returns the module that an import names: the longest prefix of the path that is a module.
 fn imported_module(path: &str, modules: &BTreeSet<String>) -> Option<String> {
     let path = path.strip_prefix("crate::")?;
     let path = path.split('{').next().unwrap_or_default();
@@ -53,7 +53,7 @@
     None
 }
 
-/// What a source imports, without blanks: `use` lines at the beginning of a line.
+/// Returns the paths of the `use` statements that begin at the start of a line, without whitespace.
 fn use_paths(source: &str) -> Vec<String> {
     let statements = source.split(';').filter_map(|statement| {
         let from = statement
@@ -84,7 +84,8 @@
         let others = imported.filter(|other| *other != module);
         imports.insert(module.clone(), others.collect());
     }
-    // The root re-exports, and is imported only for units of time and messages.
+    // The crate's root re-exports items of all layers, and other modules import it only for units of time, inputs and
+    // effects.
     imports.remove("lib");
     imports
 }
@@ -116,7 +117,7 @@
 fn no_modules_import_each_other_in_a_ring() {
     let mut imports = imports();
     assert!(imports.len() > 50, "only {} modules", imports.len());
-    // Take away what imports nothing that is left, until only rings remain.
+    // Removes modules that import no remaining module, until only cycles remain.
     loop {
         let done: Vec<String> = imports
             .iter()
--- a/crates/core/tests/odd_submissions.rs
+++ b/crates/core/tests/odd_submissions.rs
@@ -1,4 +1,4 @@
-//! What a submission may hold, field by field. Fields are named as on the wire.
+//! Tests of the values that each field of a submission may have. Fields are named as in the message.
 
 use grebewood_core::state::jobs::{check_fields, check_possible, Refused};
 use grebewood_core::{Settings, Team};
@@ -6,10 +6,10 @@
 use grebewood_wire::{from_cbor, to_cbor, Value};
 use std::collections::BTreeMap;
 
-/// A submission as on the wire: values by field.
+/// A submission as a message: values by field name.
 type Fields = BTreeMap<String, Value>;
 
-/// A submission that is accepted.
+/// Returns a submission that is accepted.
 fn valid_submission() -> Fields {
     let text = |s: &str| Value::from(s);
     let fields = [
@@ -37,14 +37,14 @@
     fields.map(|(k, v)| (k.to_string(), v)).into()
 }
 
-/// The valid submission with another value of one field.
+/// Returns the valid submission with another value of one field.
 fn with(field: &str, value: Value) -> Fields {
     let mut fields = valid_submission();
     fields.insert(field.into(), value);
     fields
 }
 
-/// Whether the submission can be read and each of its fields is valid.
+/// Returns whether the submission can be decoded and each of its fields is valid.
 fn is_accepted(fields: &Fields) -> bool {
     from_cbor::<Submission>(&to_cbor(fields))
         .is_ok_and(|submission| check_fields(&submission).is_ok())
@@ -81,7 +81,7 @@
         for other in others {
             let same = match (&value, &other) {
                 (Value::Text(_), Value::Text(_)) => {
-                    // Names are any text.
+                    // These names may be any text.
                     ["workclass", "owner", "bundle"].contains(&field.as_str())
                 }
                 (Value::Null, Value::Text(_)) => true,
@@ -177,7 +177,7 @@
     }
 }
 
-/// Unknown names are no invalid fields, but such a job can never run.
+/// Names that are unknown are valid in their fields, but a job with them can never run.
 #[test]
 fn jobs_with_unknown_names_or_excessive_needs_are_impossible() {
     let team = Team {
--- a/crates/core/tests/rate_limiter.rs
+++ b/crates/core/tests/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! The token bucket behind the controllers' rate limits.
+//! Tests of the token bucket behind the controllers' rate limits.
 
 use grebewood_core::rate_limiter::RateLimiter;
 use grebewood_core::SECOND;
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -1,8 +1,8 @@
-//! The tuning keys that operators may set.
+//! Tests of the tuning keys that operators may set.
 
 use grebewood_core::Tuning;
 
-/// The README's table of keys is this one.
+/// The README's table of keys has a row for each key, with its range, default and description.
 #[test]
 fn the_readme_documents_every_key() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../README.md");
--- a/crates/core/tests/write_buffer.rs
+++ b/crates/core/tests/write_buffer.rs
@@ -1,4 +1,4 @@
-//! Tests of the write buffer: what it writes, in which order, and what it takes to be durable.
+//! Tests of the write buffer: what it writes, in which order, and what it considers durable.
 
 use grebewood_core::state::write_buffer::{Batch, RecordId, WriteBuffer};
 use grebewood_wire::http::Transaction;
@@ -12,7 +12,7 @@
     }
 }
 
-/// If the old record were written first, content that moves to another page would be on no page for a while.
+/// If the old record were written first, content that moves between pages would be on no page for a while.
 #[test]
 fn the_old_record_waits_for_the_new_one() {
     let mut buffer = WriteBuffer::default();
@@ -27,8 +27,8 @@
     assert!(!buffer.must_wait(&old, &[]));
 }
 
-/// While the write rate is short, tidying up must not keep new assignments from being written. A record with both
-/// kinds of changes is written in its turn.
+/// While the write rate is exhausted, cleanup must not delay the writing of new assignments. A record that has both
+/// lazy and other changes is written in its turn.
 #[test]
 fn lazy_changes_are_written_last() {
     let mut buffer = WriteBuffer::default();
