--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -236,7 +236,7 @@
     /// The live job, once it was found in the job view.
     pub live: Option<FoundJob>,
     /// Whether the accepting transaction had no clear outcome.
-    pub(crate) uncertain: bool,
+    pub(crate) is_acceptance_uncertain: bool,
     /// How often it was sent to the store or set to wait for the job view.
     pub(crate) rounds: u8,
 }
@@ -251,7 +251,7 @@
             stage: UserRequestStage::JobView,
             arrived_at,
             live: None,
-            uncertain: false,
+            is_acceptance_uncertain: false,
             rounds: 0,
         }
     }
--- a/crates/core/src/controller/partitions.rs
+++ b/crates/core/src/controller/partitions.rs
@@ -29,7 +29,7 @@
 }
 
 impl Partitions {
-    /// Returns when the partition map is read next, in microseconds of the steady clock; [`Micros::MAX`] while a read
+    /// Returns when the partition map is read next, in microseconds of the steady clock; `Micros::MAX` while a read
     /// is under way.
     pub fn next_wake(&self) -> Micros {
         if self.reader.request_in_flight {
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -162,8 +162,8 @@
         self.for_each_scheduler(|context, scheduler| scheduler.apply_cancellation(context, job));
     }
 
-    /// Returns the members that answered lately and can hold partitions, this one included, and whether any
-    /// member that answered lately lacks support for partitions or quota grants.
+    /// Returns the members that recently answered and can hold partitions, this one included, and whether any
+    /// member that recently answered lacks support for partitions or quota grants.
     pub(crate) fn partition_members(&self) -> MemberView {
         let now = self.context.now.steady;
         let settings = &self.context.settings;
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -73,7 +73,7 @@
             .map(|catalogue| check_acceptable(submission, &self.context.settings, catalogue));
         let (status, reason) = match checked {
             // The accepting transaction had no clear outcome, so the store may still apply it.
-            _ if request.uncertain => (503, "not accepted yet".to_string()),
+            _ if request.is_acceptance_uncertain => (503, "not accepted yet".to_string()),
             Some(Err(Refused::Invalid(reason))) => (400, reason),
             Some(Err(Refused::Impossible(reason))) => (422, reason),
             Some(Ok(())) | None => (503, "not accepted yet".to_string()),
--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns when the unproven machines are due for termination, in microseconds of the steady clock;
-    /// [`Micros::MAX`] if there are none.
+    /// `Micros::MAX` if there are none.
     pub(crate) fn unproven_machines_due(&self) -> Micros {
         let unproven = self.unproven_machines.as_ref();
         unproven.map_or(Micros::MAX, |unproven| unproven.due)
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -139,7 +139,7 @@
             (UserRequestStage::Accept, 200) => self.answer_new_job(&request),
             (UserRequestStage::Accept, 0) => {
                 // The outcome is unknown: the job is looked up before the user gets an answer.
-                request.uncertain = true;
+                request.is_acceptance_uncertain = true;
                 self.send_user_request(request.at_stage(UserRequestStage::JobView));
             }
             (UserRequestStage::Accept, 409) | (UserRequestStage::Cancel, 409 | 0) => {
