--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -1,39 +1,40 @@
-//! Messages between the leader and the holders of partitions, as each controller sends and receives them.
+//! Orders of the leader to partition holders: sending them, receiving them, and passing the reports on.
 
 use crate::calls::SchedulerCall;
-use crate::controller::candidacy::StepDown;
+use crate::controller::candidacy::StepDownMode;
 use crate::controller::Controller;
 use crate::{Micros, Target, MILLI};
 use grebewood_wire as wire;
 use grebewood_wire::peer::{PartitionOrders, PartitionReport, PeerRequest};
 use log::debug;
 
-/// How long a message to a holder may take.
+/// Timeout of a message with orders.
 const ORDERS_TIMEOUT: Micros = 900 * MILLI;
 
 impl Controller {
-    /// Takes orders for a partition, which only the leader that the store names may give.
+    /// Handles orders for a partition and returns the holder's report. Orders of any other member than the leader
+    /// that the leader record names are refused.
     pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
         if !self.election.is_led_by(&orders.from, orders.term) {
             let (member, token) = (orders.from.as_str(), orders.term);
-            debug!(member = member, token = token; "refused orders of a member that does not lead");
+            debug!(member = member, token = token; "refused orders of a member that is not the leader");
             return None;
         }
         let holder = self.partitions.holders.get_mut(&orders.partition)?;
         holder.carry_out_orders(&mut self.context, orders)
     }
 
-    /// Retracts cancellations that holders learned from a peer, against the store: a job that the store still
-    /// shows as live and not cancelled, in an answer that was asked for since, runs on.
+    /// Retracts cancellations that holders learned from a peer and that the store refutes: an answer that was
+    /// requested since then still shows the job as live and not cancelled, so its tasks go on.
     pub(crate) fn retract_cancellations(&mut self) {
-        let read_up_to = self.context.cancellations.read_up_to();
+        let known_from_store_until = self.context.cancellations.known_from_store_until();
         for holder in self.partitions.holders.values_mut() {
             let jobs = &holder.jobs;
             let cancelled = &mut holder.holder_state.cancelled;
             cancelled.retain(|job, _| jobs.find(job).is_some());
             let refuted = cancelled.iter().filter(|(job, learned_at)| {
                 let live = self.job_view.get(job);
-                **learned_at < read_up_to && live.is_some_and(|live| !live.cancelled)
+                **learned_at < known_from_store_until && live.is_some_and(|live| !live.cancelled)
             });
             let refuted: Vec<String> = refuted.map(|(job, _)| job.clone()).collect();
             for job in refuted {
@@ -43,14 +44,16 @@
         }
     }
 
-    /// The leader's part: keeps up with claims, plans, and sends orders to the holders that are due.
+    /// Runs the leader's work for partitions: follows their claims, plans assignments, and sends the orders that
+    /// are due. Steps down once all partitions are removed from the store, or when a holder does not tell which
+    /// tasks were placed before its claim.
     pub(crate) fn run_leader_partitions(&mut self) {
         let now = self.context.now.steady;
         let planning_due = self
             .leader
             .as_ref()
             .is_some_and(|leader| now >= leader.remote_partitions.next_planning_at);
-        // Members are looked at only for the planner: this runs with every input.
+        // Only the planner needs the members; this function runs with every input.
         let members = planning_due.then(|| self.partition_members());
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -60,10 +63,10 @@
         }
         leader.apply_claim_changes(&self.partitions.map);
         if let Some(reason) = leader.finished_removal_reason() {
-            return self.step_down(reason, StepDown::Resign);
+            return self.step_down(reason, StepDownMode::Resign);
         }
         if let Some(reason) = leader.leader_quota.placements_unknown_reason {
-            return self.step_down(reason, StepDown::LeaseLost);
+            return self.step_down(reason, StepDownMode::LeaseLost);
         }
         if let Some(members) = members {
             leader.set_quota_grants_paused(&self.context, members.any_without_quota_grants);
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Sends orders to the member that holds the partition, which may be this one.
+    /// Sends orders to the member that holds the partition, which may be this controller itself.
     fn send_orders(&mut self, orders: PartitionOrders) {
         let Some(leader) = self.leader.as_mut() else {
             return;
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -276,10 +276,10 @@
     }
 
     /// Returns the purpose of a call that this scheduler makes, by which the reply is routed back to it.
-    pub(crate) fn call_purpose(&self, what: SchedulerCall) -> CallPurpose {
+    pub(crate) fn call_purpose(&self, call: SchedulerCall) -> CallPurpose {
         CallPurpose::Scheduler {
             token: self.token,
-            what,
+            call,
         }
     }
 
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -67,7 +67,7 @@
         let duration = long_poll_duration(context);
         // Each long poll holds a connection: with more idle machines than sockets, other connections would find no
         // free socket.
-        if self.long_polls.len() >= context.settings.sockets / SOCKETS_PER_LONG_POLL {
+        if self.long_polls.len() >= context.settings.max_sockets / SOCKETS_PER_LONG_POLL {
             return false;
         }
         let keeps_running = |assignment: &Assignment| {
@@ -132,7 +132,7 @@
     /// Returns whether a held heartbeat may be answered now.
     pub(crate) fn may_be_answered(&self, context: &Context, held: &HeldHeartbeat) -> bool {
         context.now.steady >= held.deadline
-            || !context.in_contact(MAX_STORE_SILENCE_US)
+            || !context.has_store_contact(MAX_STORE_SILENCE_US)
             || (self.placement.rounds >= held.placement_round
                 && !self.waits_for_flush(&held.machine)
                 && !self.waits_for_leader(&held.machine))
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -204,7 +204,7 @@
         };
         let address = machine.address.clone();
         self.direct_commands_in_flight.insert(name.to_string(), now);
-        let purpose = self.call_purpose(SchedulerCall::Direct {
+        let purpose = self.call_purpose(SchedulerCall::DirectCommands {
             machine: name.to_string(),
         });
         context.call(
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -142,7 +142,9 @@
             };
             let version = self.write_buffer.version(&record);
             if !draft.try_add((record.clone(), version), write) {
-                if draft.records.is_empty() && max_operations >= Context::cost(&record) {
+                if draft.records.is_empty()
+                    && max_operations >= Context::operations_to_write(&record)
+                {
                     // The record exceeds the limits of a transaction by itself: other records must not wait behind
                     // it.
                     warn!(record:? = record; "record exceeds the transaction limits");
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -86,7 +86,7 @@
     /// provides no lists, and their machines would be provisioned again after it.
     fn has_vanished(&self, context: &Context, boot: &BootingMachine) -> bool {
         let last_full_list = self.fleet.last_full_list.unwrap_or(0);
-        let timeout = 3 * context.settings.list_lag + 10 * SECOND;
+        let timeout = 3 * context.settings.machine_list_lag + 10 * SECOND;
         boot.last_listed
             .is_some_and(|at| last_full_list.saturating_sub(at) > timeout)
     }
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -1,6 +1,6 @@
 //! The cloud's machine list, which shows with a lag which machines exist.
 
-use crate::calls::FleetCall;
+use crate::calls::CloudCall;
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::fleet::{BootingMachine, MachineOffering};
@@ -25,7 +25,7 @@
     pub(crate) fn read_machine_list(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let is_due = now >= self.fleet.next_list_read && !self.fleet.list_in_flight;
-        if !is_due || !context.cloud.take(now, 1.0) {
+        if !is_due || !context.cloud_requests.take(now, 1.0) {
             return;
         }
         self.fleet.list_in_flight = true;
@@ -34,7 +34,7 @@
             None => String::new(),
         };
         let path = format!("/rentals?{since}page={PAGE_SIZE}");
-        self.call_cloud(context, "GET", &path, Vec::new(), FleetCall::List);
+        self.call_cloud(context, "GET", &path, Vec::new(), CloudCall::List);
     }
 
     /// Handles the response with a page of the machine list.
@@ -79,7 +79,7 @@
         let name = &listed.id;
         self.fleet.note_listed(name);
         if let Some(at) = self.fleet.terminated.get(name) {
-            let max_listed_time = 4 * context.settings.list_lag + 30 * SECOND;
+            let max_listed_time = 4 * context.settings.machine_list_lag + 30 * SECOND;
             if now.saturating_sub(*at) > max_listed_time {
                 // The machine still exists long after its termination was answered, so it is terminated again.
                 self.fleet.terminated.remove(name);
@@ -154,7 +154,7 @@
 fn is_probably_gone(context: &Context, machine: &Machine, loaded_at: Micros) -> bool {
     let now = context.now.steady;
     // A list may be older than the list read before it, by as much as the lag permits.
-    let listed_timeout = 2 * context.settings.list_lag + 2 * SECOND;
+    let listed_timeout = 2 * context.settings.machine_list_lag + 2 * SECOND;
     let contact_timeout = 2 * context.settings.heartbeat_interval + SECOND;
     let from_store = machine.address.is_empty().then_some(loaded_at);
     let known_since = machine.first_listed_at.or(from_store);
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -1,6 +1,6 @@
 //! Provisioning requests. Their names make them idempotent, so each is sent again until its outcome is known.
 
-use crate::calls::FleetCall;
+use crate::calls::CloudCall;
 use crate::context::Context;
 use crate::scheduler::Scheduler;
 use crate::state::fleet::{BootingMachine, MachineOffering};
@@ -42,8 +42,8 @@
             let Some(provision) = self.fleet.provisions.get_mut(&name) else {
                 continue;
             };
-            if !context.cloud.take(now, 1.0) {
-                provision.retry_at = context.cloud.ready_at(now, 1.0);
+            if !context.cloud_requests.take(now, 1.0) {
+                provision.retry_at = context.cloud_requests.ready_at(now, 1.0);
                 continue;
             }
             provision.in_flight = true;
@@ -55,7 +55,7 @@
                 number: provision.record.number,
             };
             let body = wire::to_cbor(&request);
-            let call = FleetCall::Provision { name };
+            let call = CloudCall::Provision { name };
             self.call_cloud(context, "POST", "/rentals", body, call);
         }
     }
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -1,6 +1,6 @@
 //! Termination: asks the cloud to terminate machines and removes the machines that are gone.
 
-use crate::calls::FleetCall;
+use crate::calls::CloudCall;
 use crate::context::Context;
 use crate::scheduler::leader::fleet::MAX_TERMINATIONS_PER_CALL;
 use crate::scheduler::Scheduler;
@@ -25,8 +25,8 @@
         if nothing_to_send || now < fleet.next_termination {
             return;
         }
-        if !context.cloud.take(now, 1.0) {
-            fleet.next_termination = context.cloud.ready_at(now, 1.0);
+        if !context.cloud_requests.take(now, 1.0) {
+            fleet.next_termination = context.cloud_requests.ready_at(now, 1.0);
             return;
         }
         fleet.termination_in_flight = true;
@@ -35,7 +35,7 @@
         let body = wire::to_cbor(&MachineNames {
             machines: machines.clone(),
         });
-        let call = FleetCall::Terminate { machines };
+        let call = CloudCall::Terminate { machines };
         self.call_cloud(context, "POST", "/rentals/release", body, call);
     }
 
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -66,7 +66,7 @@
             UserAction::Poll => POLL_WAIT_US,
             UserAction::Submit(_) | UserAction::Malformed(_) | UserAction::Cancel => WRITE_WAIT_US,
         };
-        self.arrived + wait
+        self.arrived_at + wait
     }
 }
 
--- a/crates/grebewood/src/config/convert.rs
+++ b/crates/grebewood/src/config/convert.rs
@@ -68,8 +68,8 @@
         cancel_timeout: positive_time("cluster.workers.cancel_s", agents.cancel_timeout_s)?,
         store,
         cloud_rps: positive("cluster.cloud.rps", cloud.rps)?,
-        list_lag: positive_time("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
-        sockets: endpoints.socket_limit,
+        machine_list_lag: positive_time("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
+        max_sockets: endpoints.socket_limit,
         member: file.member,
         zone: file.zone,
     };
@@ -161,7 +161,7 @@
     };
     let within = time("within_s", entry.within_s)?;
     // Other kinds may use these fields for something else.
-    let (after, worst) = if entry.kind == AVAILABILITY_OBJECTIVE {
+    let (after, worst_window) = if entry.kind == AVAILABILITY_OBJECTIVE {
         let after_s = entry.after_s.filter(|seconds| *seconds != 0.0);
         (time("after_s", after_s)?, time("worst_s", entry.worst_s)?)
     } else {
@@ -173,7 +173,7 @@
         within,
         share: entry.share,
         after,
-        worst,
+        worst_window,
     })
 }
 
