--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -232,18 +232,18 @@
             return;
         }
         let index = self.jobs.find(job_id);
-        let mut required_records = Vec::new();
+        let mut prerequisites = Vec::new();
         if self.is_holder() {
             self.report_unknown_exit(name, job_id, task, reported);
         } else if let (Some(ExitCause::Done), Some(index)) = (&reported.cause, index) {
-            required_records.extend(self.mark_completed(context, index, task));
+            prerequisites.extend(self.mark_completed(context, index, task));
             self.end_if_over(context, index);
         }
         if let Some(machine) = self.machines.get_mut(name) {
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: reported.task_name.clone(),
                 attempt: reported.attempt,
-                prerequisites: required_records,
+                prerequisites,
                 job: index,
             });
         }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -359,7 +359,7 @@
     let id = a.id();
     let stop = a.stop.as_mut().filter(|_| a.launched.is_some())?;
     if stop
-        .sent
+        .sent_at
         .is_some_and(|at| now < at + STOP_RETRY_INTERVAL_US)
     {
         return None;
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -375,7 +375,7 @@
 
 /// Returns how long a task of the job must have run before it may be preempted, in microseconds. The time is
 /// longer if an objective measures how soon tasks of the job's class start, because such a start counts only if
-/// the task runs for 30 s without interruption. It is also longer for a job older than [`BEGIN_AFTER`] that has no
+/// the task runs for 30 s without interruption. It is also longer for a job older than [`BEGIN_EARLY_AFTER_US`] that has no
 /// more tasks on machines than it starts with, so that a job that started late keeps its first tasks.
 fn min_run_before_preemption(context: &Context, job: &Job) -> Micros {
     let tasks_on_machines: u32 = job.assignments_by_zone.values().sum();
