--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::{Micros, SECOND};
 
 /// Maximum duration of a long poll. It leaves time for the response to travel, since an agent gives up after
-/// [`RESPONSE_TIMEOUT`](crate::state::machine::RESPONSE_TIMEOUT).
+/// [`RESPONSE_TIMEOUT_US`](crate::state::machine::RESPONSE_TIMEOUT_US).
 const MAX_LONG_POLL_US: Micros = 3 * SECOND;
 
 /// Number of sockets for each long poll; the remaining sockets stay available to other requests.
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -12,7 +12,7 @@
 struct HeadroomMachine {
     /// Whether no replica of a service is assigned to the machine.
     lacks_services: bool,
-    /// The machine's free CPUs, in units of [`EPS`].
+    /// The machine's free CPUs, in units of [`RESOURCE_TOLERANCE`].
     free_cpus: i64,
     /// The machine's position among the open machines.
     position: usize,
