--- a/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats/tests.rs
@@ -3,12 +3,12 @@
 use crate::test_support::{first_heartbeat, leader_before_loading};
 use crate::SECOND;
 
-/// Each long poll holds a connection: with more idle machines than sockets, agents that connected later found none,
-/// and their leases expired.
+/// Each long poll holds a connection. Without a limit, a cluster with more idle machines than sockets leaves none
+/// to agents that connect later, and their leases expire.
 #[test]
 fn long_polls_leave_sockets_to_other_requests() {
     let mut controller = leader_before_loading(20 * SECOND);
-    controller.context.settings.sockets = 20;
+    controller.context.settings.max_sockets = 20;
     let now = controller.context.now.steady;
     let leader = controller.leader.as_mut().expect("a leader");
     for number in 0..20 {
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -1,4 +1,4 @@
-//! What follows from the store's answer to a flush.
+//! Handles the store's response to a flush.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -12,18 +12,18 @@
 };
 use log::{info, warn};
 
-/// Most ids of recently ended jobs that are kept.
+/// Maximum number of ids of recently ended jobs that are kept.
 const MAX_RECENTLY_ENDED: usize = 200;
 
-/// Most bytes of an answer that are logged.
-const LOGGED_BYTES: usize = 200;
+/// Maximum number of bytes of a response that are logged.
+const MAX_LOGGED_BYTES: usize = 200;
 
-const TOO_MANY_REQUESTS: u16 = 429;
+const HTTP_TOO_MANY_REQUESTS: u16 = 429;
 
-const UNAVAILABLE: u16 = 503;
+const HTTP_SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Scheduler {
-    /// Takes the store's answer to a flush. The error says why the fenced lease is lost.
+    /// Handles the store's response to a flush. The error says why the fenced lease is lost.
     pub(crate) fn on_flush(
         &mut self,
         context: &mut Context,
@@ -37,7 +37,7 @@
                 match wire::from_cbor::<TransactionApplied>(&body) {
                     Ok(applied) => {
                         self.flush_failures = 0;
-                        self.flushed(context, &batch, applied.revision);
+                        self.on_flush_applied(context, &batch, applied.revision);
                     }
                     Err(_) => self.read_back(context, batch),
                 }
@@ -50,12 +50,12 @@
                 self.on_flush_refused(context, &batch, &beginning_of(&body));
             }
             Outcome::Answer { status, body } => self.on_flush_error(context, status, &body),
-            Outcome::NotSent => self.flush_failed(context),
+            Outcome::NotSent => self.on_flush_failed(context),
         }
         Ok(())
     }
 
-    /// A condition of the transaction did not hold.
+    /// Handles a transaction that the store did not apply because a condition did not hold.
     fn on_flush_conflict(
         &mut self,
         context: &mut Context,
@@ -65,11 +65,12 @@
         let conflict = wire::from_cbor::<TransactionConflict>(body);
         let failed_keys = conflict.map_or_else(|_| Vec::new(), |conflict| conflict.failed);
         self.write_buffer.back_off(context.now.steady, MILLI);
-        self.conditions_failed(&failed_keys)?;
+        self.on_conditions_failed(&failed_keys)?;
         if failed_keys.is_empty() {
-            // The answer does not say which: the mod_revisions of all are read, at a pace that leaves the store room.
+            // The response does not say which conditions failed, so the mod_revisions of all keys are read, with a
+            // pause that limits the load on the store.
             self.write_buffer.stale_keys.extend(batch.keys());
-            self.flush_failed(context);
+            self.on_flush_failed(context);
         }
         for key in failed_keys {
             if self.is_condition(&key) {
@@ -85,20 +86,20 @@
 
     fn on_flush_error(&mut self, context: &mut Context, status: u16, body: &[u8]) {
         let now = context.now.steady;
-        if status != TOO_MANY_REQUESTS && status != UNAVAILABLE {
-            let answer = beginning_of(body);
-            warn!(status = status, error = answer; "flush got an unexpected answer");
+        if status != HTTP_TOO_MANY_REQUESTS && status != HTTP_SERVICE_UNAVAILABLE {
+            let response = beginning_of(body);
+            warn!(status = status, error = response; "unexpected response to a flush");
         }
-        if status == TOO_MANY_REQUESTS {
+        if status == HTTP_TOO_MANY_REQUESTS {
             context.write_limiter(self.role).drain(now);
         }
-        self.flush_failed(context);
+        self.on_flush_failed(context);
     }
 
-    /// The store applied the transaction at this revision.
-    pub(crate) fn flushed(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
+    /// Handles a transaction that the store has applied at this revision.
+    pub(crate) fn on_flush_applied(&mut self, context: &mut Context, batch: &Batch, revision: u64) {
         self.write_buffer.on_batch_applied(batch, revision);
-        self.held_changed = true;
+        self.held_heartbeats_may_be_ready = true;
         for (record, _) in &batch.records {
             self.on_record_written(context, record);
         }
@@ -114,12 +115,12 @@
                 if let Some(job) = self.jobs.get(*index) {
                     log_job_end(job, now);
                 }
-                self.job_ended(*index);
+                self.forget_ended_job(*index);
             }
             RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
             RecordId::QuotaGrant(partition) => {
                 self.leader_quota.grants.written(*partition);
-                self.write_quota_grant(context, *partition, 0);
+                self.schedule_quota_grant_write(context, *partition, 0);
             }
             RecordId::Limits => self.placement.request_round(now),
             _ => {}
@@ -127,7 +128,7 @@
     }
 
     /// Forgets a job whose end is on record.
-    pub(crate) fn job_ended(&mut self, index: JobIndex) {
+    pub(crate) fn forget_ended_job(&mut self, index: JobIndex) {
         let Some(job) = self.jobs.remove(index) else {
             return;
         };
@@ -165,8 +166,8 @@
     );
 }
 
-/// The beginning of an answer, for the log.
+/// Returns the beginning of a response, for the log.
 fn beginning_of(body: &[u8]) -> String {
-    let logged = &body[..body.len().min(LOGGED_BYTES)];
+    let logged = &body[..body.len().min(MAX_LOGGED_BYTES)];
     String::from_utf8_lossy(logged).to_string()
 }
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -1,26 +1,27 @@
-//! What follows when the store calls a transaction invalid: a value or the transaction is larger than it takes now.
+//! Handles transactions that the store refuses as invalid: a value or the transaction is larger than the store
+//! accepts now.
 
 use crate::context::Context;
-use crate::scheduler::flush::REFUSED_PAUSE;
-use crate::scheduler::{page_bytes, Scheduler};
+use crate::scheduler::flush::REFUSED_PAUSE_US;
+use crate::scheduler::{max_page_bytes, Scheduler};
 use crate::state::write_buffer::{Batch, RecordId};
 use crate::{Micros, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::Operation;
 use log::{error, warn};
 
-/// The limit of operations in a transaction is never lowered below this.
+/// Lower bound for the limit of operations in a transaction.
 const MIN_TRANSACTION_OPERATIONS: usize = 3;
 
-/// The limit of bytes in a value is never lowered below this.
+/// Lower bound for the limit of bytes in a value.
 const MIN_VALUE_BYTES: usize = 700;
 
-/// How long the parts of a page that is too large may wait: what is new is written first.
-const SPLIT_DELAY: Micros = 500 * MILLI;
+/// Delay of the writes that split a page which is too large, so that new content is written first.
+const SPLIT_DELAY_US: Micros = 500 * MILLI;
 
 impl Scheduler {
-    /// The same transaction would be refused for good, so each of its records is written alone; and one that is
-    /// refused alone is made smaller.
+    /// Handles a refused transaction. The store would refuse the same transaction again, so each of its records is
+    /// written alone next, and a record that is refused alone is made smaller.
     pub(crate) fn on_flush_refused(&mut self, context: &Context, batch: &Batch, answer: &str) {
         let now = context.now.steady;
         self.write_buffer
@@ -29,15 +30,15 @@
             [(record, _)] => self.on_record_refused(context, batch, record, answer),
             records => {
                 let count = records.len();
-                warn!(records = count, error = answer; "store refused a transaction, its records are written one by one");
+                warn!(records = count, error = answer; "store refused a transaction; writing its records one by one");
                 self.write_buffer.isolate(records);
                 let operations = batch.transaction.apply.len() / 2;
-                self.transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
+                self.max_transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
             }
         }
     }
 
-    /// The transaction of this record alone was called invalid.
+    /// Handles a record whose transaction the store refused although it held no other record.
     fn on_record_refused(
         &mut self,
         context: &Context,
@@ -48,9 +49,10 @@
         let now = context.now.steady;
         let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
         error!(key = keys.join(", "), error = answer; "store refused a record");
-        // It was not the number of operations, then.
+        // A refusal with no more than the minimum number of operations has another cause, so the configured limit
+        // applies again.
         let operations = batch.transaction.apply.len();
-        self.transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
+        self.max_transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
             MIN_TRANSACTION_OPERATIONS
         } else {
             context.settings.store.transaction_operations
@@ -59,26 +61,27 @@
             RecordId::AssignmentPage(_) | RecordId::CompletedTasksPage(_) | RecordId::Stats
                 if has_large_value(batch) =>
             {
-                self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
+                self.max_value_bytes = (self.max_value_bytes / 2).max(MIN_VALUE_BYTES);
                 self.split_pages(context);
                 self.write_buffer.postpone(record, now + SECOND);
             }
             RecordId::Limits | RecordId::QuotaGrant(_) => {
                 self.leader_quota.grant_write_refused = true;
-                self.write_buffer.postpone(record, now + REFUSED_PAUSE);
+                self.write_buffer.postpone(record, now + REFUSED_PAUSE_US);
             }
-            _ => self.write_buffer.postpone(record, now + REFUSED_PAUSE),
+            _ => self.write_buffer.postpone(record, now + REFUSED_PAUSE_US),
         }
     }
 
-    /// Moves content off pages that are larger than a value may be. The pages that it moves to are written first, then
-    /// the old ones: until then the old ones stay as an earlier leader wrote them and list all of it.
+    /// Moves content off pages that exceed the size of a value. The pages that receive the content are written
+    /// first. Until the old pages are written, they stay as an earlier leader wrote them and list all of the
+    /// content.
     pub(crate) fn split_pages(&mut self, context: &Context) {
-        let due = context.now.steady + SPLIT_DELAY;
-        let assignments = self.split_placements(due);
+        let due = context.now.steady + SPLIT_DELAY_US;
+        let assignments = self.split_assignment_pages(due);
         let completed_tasks = self
             .completed_pages
-            .split_oversized_pages(page_bytes(self.value_bytes), &mut self.jobs)
+            .split_oversized_pages(max_page_bytes(self.max_value_bytes), &mut self.jobs)
             .into_iter()
             .map(|(from, to)| {
                 (
@@ -94,7 +97,8 @@
         }
     }
 
-    /// Writes the record to which content was moved, and only then the one from which it was.
+    /// Schedules writes after content was moved: first the record that received the content, then the record that
+    /// lost it.
     pub(crate) fn write_moved_content(
         &mut self,
         from: RecordId,
@@ -108,7 +112,7 @@
     }
 }
 
-/// Whether one of the batch's values is larger than the smallest limit.
+/// Returns whether a value of the batch exceeds the smallest limit of a value.
 fn has_large_value(batch: &Batch) -> bool {
     let mut operations = batch.transaction.apply.iter();
     operations.any(|operation| match operation {
--- a/crates/core/src/scheduler/replies.rs
+++ b/crates/core/src/scheduler/replies.rs
@@ -1,4 +1,4 @@
-//! Takes the replies to a scheduler's calls.
+//! Routes the replies to the calls of a scheduler to their handlers.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -7,7 +7,7 @@
 use crate::Outcome;
 
 impl Scheduler {
-    /// Takes the reply to a call. The error says why the fenced lease is lost.
+    /// Handles the reply to a call. The error says why the fenced lease is lost.
     pub(crate) fn on_reply(
         &mut self,
         context: &mut Context,
@@ -22,8 +22,8 @@
             SchedulerCall::Read { key } => self.on_read(context, key, outcome),
             SchedulerCall::Watch { prefix } => self.on_watch(context, prefix, outcome),
             SchedulerCall::Refresh { key } => self.on_refresh(context, &key, outcome),
-            SchedulerCall::Fleet(call) => self.on_cloud_response(context, call, outcome),
-            SchedulerCall::Direct { machine } => {
+            SchedulerCall::Cloud(call) => self.on_cloud_response(context, call, outcome),
+            SchedulerCall::DirectCommands { machine } => {
                 self.on_direct_response(context, &machine, outcome)
             }
             SchedulerCall::Orders { partition, claim } => {
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -1,23 +1,23 @@
-//! What a scheduler does as time passes.
+//! Runs the periodic work of a scheduler.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
 use crate::scheduler::store_reads::Watch;
-use crate::scheduler::{Scheduler, RENEWALS_PER_LEASE, STATS_INTERVAL};
+use crate::scheduler::{Scheduler, RENEWALS_PER_LEASE, STATS_WRITE_INTERVAL_US};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, Stopwatch, Target, SECOND};
 
-/// Renewals within the lease's time to live after a failed renewal, and while it is not known whether the lease still
-/// holds.
+/// Number of lease renewals that are sent within the time to live of the lease after a failed renewal, and while it
+/// is uncertain whether the lease still holds.
 pub(crate) const URGENT_RENEWALS_PER_LEASE: Micros = 12;
 
-/// How long changed statistics may wait for their write.
-const STATS_DELAY: Micros = SECOND;
+/// Delay of the write of changed statistics.
+const STATS_WRITE_DELAY_US: Micros = SECOND;
 
 impl Scheduler {
-    /// When `run` is next due, in microseconds of the steady clock.
+    /// Returns when `run` is next due, in microseconds of the steady clock.
     pub fn next_wake(&self) -> Micros {
-        if self.uncertain {
+        if self.is_lease_uncertain {
             return self.lease_renewal_at;
         }
         if let Some(loading) = &self.loading {
@@ -26,19 +26,19 @@
         }
         let watches = self.watches.values().filter_map(Watch::next_due);
         let shared = watches.fold(self.lease_renewal_at, Micros::min);
-        let shared = shared.min(self.flush_wake());
+        let shared = shared.min(self.next_flush_at());
         if self.is_holder() {
             shared.min(self.next_holder_wake())
         } else {
-            shared.min(self.leader_wake())
+            shared.min(self.next_leader_wake())
         }
     }
 
-    fn leader_wake(&self) -> Micros {
+    fn next_leader_wake(&self) -> Micros {
         let held = if self.held_heartbeats.is_empty() {
             Micros::MAX
         } else {
-            self.held_until
+            self.next_held_deadline
         };
         self.remote_partitions
             .next_wake()
@@ -55,7 +55,7 @@
         if context.now.steady >= self.lease_renewal_at {
             self.renew_lease(context);
         }
-        if self.uncertain {
+        if self.is_lease_uncertain {
             return;
         }
         if self.loading.is_some() {
@@ -81,16 +81,16 @@
         self.run_progress(context);
     }
 
-    /// Sends a renewal of the lease. Its reply may be lost: the next renewal is sent all the same.
+    /// Sends a renewal of the lease. The reply may be lost, so the next renewal is sent regardless of it.
     fn renew_lease(&mut self, context: &mut Context) {
-        let renewals = if self.uncertain {
+        let renewals = if self.is_lease_uncertain {
             URGENT_RENEWALS_PER_LEASE
         } else {
             RENEWALS_PER_LEASE
         };
         self.lease_renewal_at = context.now.steady + context.tuning.leader_lease_us / renewals;
         let path = format!("/leases/{}/extend", self.lease);
-        let purpose = self.pending(SchedulerCall::RenewLease);
+        let purpose = self.call_purpose(SchedulerCall::RenewLease);
         let timeout = context.tuning.leader_lease_us / RENEWALS_PER_LEASE;
         context.call(Target::Store, "POST", path, Vec::new(), timeout, purpose);
     }
@@ -100,11 +100,11 @@
         if now < self.next_stats_at {
             return;
         }
-        self.next_stats_at = now + STATS_INTERVAL;
+        self.next_stats_at = now + STATS_WRITE_INTERVAL_US;
         if self.stats.changed {
             self.stats.changed = false;
             self.write_buffer
-                .mark_dirty_by(RecordId::Stats, now + STATS_DELAY);
+                .mark_dirty_by(RecordId::Stats, now + STATS_WRITE_DELAY_US);
         }
     }
 }
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of the key-value store: jobs and cancellations as they change.
+//! Watches the key-value store for changes of jobs and cancellations.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, STORE_TIMEOUT};
@@ -11,53 +11,53 @@
 use grebewood_wire::Value;
 use log::warn;
 
-/// Keys in one page of a list that is read again.
-const RELIST_PAGE: usize = 1_000;
+/// Number of keys in a page of a list that is read again.
+const RELIST_PAGE_KEYS: usize = 1_000;
 
-/// Milliseconds after which the store answers a watch even if nothing has changed.
+/// Time in milliseconds after which the store answers a watch request even if nothing has changed.
 const BLOCK_MS: u64 = 10_000;
 
-/// How long a watch may take, with the time until the store answers it at the latest.
-const WATCH_TIMEOUT: Micros = 13 * SECOND;
+/// Timeout of a watch request: the blocking time and a margin for the response.
+const WATCH_TIMEOUT_US: Micros = 13 * SECOND;
 
-/// Pause after an answer, for changes to gather.
-const PAUSE: Micros = 20 * MILLI;
+/// Pause after a response, so that the next one reports several changes at once.
+const BATCHING_PAUSE_US: Micros = 20 * MILLI;
 
-/// Pause after a request that failed.
-const RETRY_PAUSE: Micros = 300 * MILLI;
+/// Pause after a failed request.
+const RETRY_PAUSE_US: Micros = 300 * MILLI;
 
-/// Pause after an answer that cannot be read.
-const UNREADABLE_PAUSE: Micros = SECOND;
+/// Pause after a response that cannot be read.
+const UNREADABLE_PAUSE_US: Micros = SECOND;
 
-const GONE: u16 = 410;
+const HTTP_GONE: u16 = 410;
 
 impl Scheduler {
-    /// Sends the requests of watches that are due.
+    /// Sends the watch requests that are due.
     pub(crate) fn run_watches(&mut self, context: &mut Context) {
         let token = self.token;
         for (prefix, watch) in &mut self.watches {
             let Some(request) = watch.start_request(context.now.steady) else {
                 continue;
             };
-            let (what, path, timeout) = match request {
+            let (call, path, timeout) = match request {
                 WatchRequest::List { after } => {
                     let after = after.map_or(String::new(), |key| format!("&since={key}"));
                     let prefix = prefix.to_string();
-                    let path = format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE}");
+                    let path = format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE_KEYS}");
                     (SchedulerCall::List { prefix }, path, STORE_TIMEOUT)
                 }
                 WatchRequest::Changes { since } => {
                     let path =
                         format!("/changes?prefix={prefix}&since={since}&block_ms={BLOCK_MS}");
-                    (SchedulerCall::Watch { prefix }, path, WATCH_TIMEOUT)
+                    (SchedulerCall::Watch { prefix }, path, WATCH_TIMEOUT_US)
                 }
             };
-            let purpose = CallPurpose::Scheduler { token, what };
+            let purpose = CallPurpose::Scheduler { token, call };
             context.call(Target::Store, "GET", path, Vec::new(), timeout, purpose);
         }
     }
 
-    /// Takes the answer to a watch.
+    /// Handles the response to a watch request.
     pub(crate) fn on_watch(
         &mut self,
         context: &mut Context,
@@ -73,40 +73,44 @@
                 match wire::from_cbor::<WatchResponse>(&body) {
                     Ok(changes) => {
                         watch.advance(&changes);
-                        watch.end_request(now + PAUSE);
+                        watch.end_request(now + BATCHING_PAUSE_US);
                         for event in changes.events {
-                            self.on_event(context, event);
+                            self.on_watch_event(context, event);
                         }
                     }
                     Err(error) => {
-                        warn!(key = prefix, error:% = error; "answer to a watch cannot be read");
-                        watch.end_request(now + UNREADABLE_PAUSE);
+                        warn!(key = prefix, error:% = error; "response to a watch cannot be read");
+                        watch.end_request(now + UNREADABLE_PAUSE_US);
                     }
                 }
             }
-            // Too old, or more than can be taken at once, which would be the same the next time.
-            Outcome::Answer { status: GONE, .. } | Outcome::TooLarge => {
+            // The requested revision is too old, or the response is too large, which would be the same for the next
+            // request.
+            Outcome::Answer {
+                status: HTTP_GONE, ..
+            }
+            | Outcome::TooLarge => {
                 watch.start_relist();
                 watch.end_request(now);
             }
-            _ => watch.end_request(now + RETRY_PAUSE),
+            _ => watch.end_request(now + RETRY_PAUSE_US),
         }
     }
 
-    fn on_event(&mut self, context: &mut Context, event: WatchEvent) {
+    fn on_watch_event(&mut self, context: &mut Context, event: WatchEvent) {
         if let (Some(key), true) = (&event.delete, self.is_holder()) {
-            // The leader ended the job: what is left of it on machines belongs to no job.
+            // The leader has ended the job. Its remaining tasks on machines belong to no job now.
             if let Some(JobKey::Live(job)) = JobKey::parse(key) {
                 let index = self.jobs.find(job);
                 index.and_then(|index| self.jobs.remove(index));
             }
         }
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
-            self.on_put(context, key, value, event.mod_revision);
+            self.on_key_put(context, key, value, event.mod_revision);
         }
     }
 
-    fn on_put(&mut self, context: &mut Context, key: &str, value: &Value, mod_revision: u64) {
+    fn on_key_put(&mut self, context: &mut Context, key: &str, value: &Value, mod_revision: u64) {
         match JobKey::parse(key) {
             Some(JobKey::Live(job)) => {
                 self.add_job(context, key, value, mod_revision);
@@ -121,8 +125,8 @@
         }
     }
 
-    /// Takes a page of a watch's keys, which are listed again since the changes were too old or too many. With a single
-    /// page for all of them a leader of more than a thousand live jobs never learned of the rest.
+    /// Handles a page of the keys of a watch, which are listed again because the changes were too old or too many.
+    /// If only one page were read, a leader with more than a thousand live jobs would never learn of the rest.
     pub(crate) fn on_relist(
         &mut self,
         context: &mut Context,
@@ -134,12 +138,12 @@
             return;
         };
         let Some(page) = page else {
-            return watch.end_request(now + RETRY_PAUSE);
+            return watch.end_request(now + RETRY_PAUSE_US);
         };
         watch.end_request(now);
         watch.add_page(&page);
         for entry in page.entries {
-            self.on_put(context, &entry.key, &entry.value, entry.mod_revision);
+            self.on_key_put(context, &entry.key, &entry.value, entry.mod_revision);
         }
     }
 }
--- a/crates/core/src/scheduler/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// The paths of the requests that the leader sends now.
+/// Returns the paths of the requests that the leader sends now.
 fn requests(controller: &mut Controller) -> Vec<String> {
     let leader = controller.leader.as_mut().expect("a leader");
     leader.run_watches(&mut controller.context);
@@ -61,7 +61,7 @@
         ["/kv?prefix=job/&since=job/req-1&page=1000"]
     );
     take(&mut controller, page(2, 45, false));
-    // What changed since the first page was read is told again.
+    // Changes since the first page was read are reported again.
     assert_eq!(
         requests(&mut controller),
         ["/changes?prefix=job/&since=40&block_ms=10000"]
@@ -77,7 +77,7 @@
     assert_eq!(requests(&mut controller), ["/kv?prefix=job/&page=1000"]);
 
     let now = controller.context.now.steady;
-    controller.on_job_view(JobViewCall::Watch, now, Outcome::TooLarge);
+    controller.on_job_view_reply(JobViewCall::Watch, now, Outcome::TooLarge);
     controller.context.now.steady += SECOND;
     controller.run_job_view();
     let paths = requests(&mut controller);
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -40,6 +40,6 @@
     /// Returns the teams' quotas in these settings.
     pub fn limits(&self) -> Limits {
         let teams = self.teams.iter();
-        Limits::new(teams.map(|(name, team)| (name.clone(), team.limit())))
+        Limits::new(teams.map(|(name, team)| (name.clone(), team.quota())))
     }
 }
