--- a/crates/net/src/blocking.rs
+++ b/crates/net/src/blocking.rs
@@ -1,15 +1,15 @@
-//! A single HTTP request at a time, for commands that are run by hand.
+//! A blocking HTTP client for commands that operators run, with one connection for each request.
 
-use crate::http::{parse_response, write_request, Parsed, CBOR};
+use crate::http::{encode_request, parse_response, Parsed, CBOR};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long connecting, sending and each part of the response may take.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// Size of the buffer that responses are read into, in bytes.
-const READ_BUFFER_SIZE: usize = 16 * 1024;
+/// Timeout of connecting, and of each write and each read.
+const IO_TIMEOUT: Duration = Duration::from_secs(5);
+/// Size of the buffer that responses are read into.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// The status and body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,42 +20,43 @@
     pub body: Vec<u8>,
 }
 
-/// Why there is no response.
+/// Reasons why a request has no valid response.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// There is no connection.
+    /// The connection cannot be established.
     #[error("cannot connect")]
     Connect(#[source] io::Error),
-    /// The connection failed or timed out.
+    /// Sending or receiving failed or timed out.
     #[error("connection failed")]
     Connection(#[from] io::Error),
-    /// The connection ended before the response did.
-    #[error("connection ended before the response was complete")]
+    /// The server closed the connection before the response was complete.
+    #[error("connection closed before the response was complete")]
     Incomplete,
-    /// The response is not HTTP as this client understands it.
-    #[error("invalid response: {0}")]
+    /// The response is not valid HTTP, or uses a feature that this client does not support.
+    #[error("invalid HTTP response: {0}")]
     Invalid(&'static str),
-    /// The response is larger than this client reads.
-    #[error("the response is too large")]
+    /// The response is larger than the limit of this client.
+    #[error("HTTP response too large")]
     TooLarge,
 }
 
-/// Reads a path from a server.
+/// Sends a GET request to a server and waits for the response.
 pub fn get(server: SocketAddr, path: &str) -> Result<Response, RequestError> {
     request(server, "GET", path, &[])
 }
 
-/// Sends a request to a server, on a connection of its own.
+/// Sends a request to a server on a new connection and waits for the response.
 pub fn request(
     server: SocketAddr,
     method: &str,
     path: &str,
     body: &[u8],
 ) -> Result<Response, RequestError> {
-    let mut stream = TcpStream::connect_timeout(&server, TIMEOUT).map_err(RequestError::Connect)?;
-    stream.set_read_timeout(Some(TIMEOUT))?;
-    stream.set_write_timeout(Some(TIMEOUT))?;
-    stream.write_all(&write_request(
+    let mut stream =
+        TcpStream::connect_timeout(&server, IO_TIMEOUT).map_err(RequestError::Connect)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
+    stream.write_all(&encode_request(
         method,
         path,
         &server.to_string(),
@@ -67,21 +68,21 @@
 
 fn read_response(stream: &mut TcpStream) -> Result<Response, RequestError> {
     let mut received = Vec::new();
-    let mut buffer = [0; READ_BUFFER_SIZE];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         let length = stream.read(&mut buffer)?;
-        let ended = length == 0;
+        let at_eof = length == 0;
         received.extend_from_slice(&buffer[..length]);
-        match parse_response(&received, ended) {
-            Parsed::Whole(response, _) => {
+        match parse_response(&received, at_eof) {
+            Parsed::Complete(response, _) => {
                 return Ok(Response {
                     status: response.status,
                     body: response.body,
                 })
             }
-            Parsed::Partial if ended => return Err(RequestError::Incomplete),
+            Parsed::Partial if at_eof => return Err(RequestError::Incomplete),
             Parsed::Partial => {}
-            Parsed::Bad(_, reason) => return Err(RequestError::Invalid(reason)),
+            Parsed::Invalid(_, reason) => return Err(RequestError::Invalid(reason)),
             Parsed::TooLarge => return Err(RequestError::TooLarge),
         }
     }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,47 +1,50 @@
-//! Connections that this process opens: calls out, responses in.
+//! Outbound connections: sends calls and receives responses.
 
 use crate::connection::Role;
 use crate::event_loop::{EventLoop, PendingCall};
-use crate::http::{parse_response, write_request, Parsed, Response, CBOR, MESSAGE_PACK};
+use crate::http::{encode_request, parse_response, Parsed, Response, CBOR, MESSAGE_PACK};
 use grebewood_core::{Call, Input, Micros, Outcome, Target, SECOND};
 use log::{debug, warn};
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// An idle connection is closed after this time.
-const IDLE_TIMEOUT: Micros = 20 * SECOND;
-/// The same for one to an agent: with a thousand machines, commands to each would hold as many sockets.
-const AGENT_IDLE_TIMEOUT: Micros = 2 * SECOND;
-/// A connection lives this much longer than the call that it carries.
-const CONNECTION_GRACE: Micros = SECOND;
+/// Time after which an idle outbound connection is closed, except one to an agent.
+const CLIENT_IDLE_TIMEOUT_US: Micros = 20 * SECOND;
+/// Time after which an idle connection to an agent is closed. With a longer timeout, commands to a thousand
+/// machines would occupy as many sockets.
+const AGENT_CLIENT_IDLE_TIMEOUT_US: Micros = 2 * SECOND;
+/// Time from the deadline of a call to the deadline of the connection that carries the call.
+const CONNECTION_GRACE_US: Micros = SECOND;
 
-/// Most connections to the key-value store, and the share of all sockets that they may take.
+/// Maximum number of connections to the key-value store.
 const MAX_STORE_CONNECTIONS: usize = 48;
-const STORE_SOCKET_SHARE: usize = 8;
-/// Connections to the key-value store that there may always be.
+/// Sockets of the process for each connection that the key-value store may have.
+const SOCKETS_PER_STORE_CONNECTION: usize = 8;
+/// Minimum of the connection limit of the key-value store, for a process with very few sockets.
 const MIN_STORE_CONNECTIONS: usize = 4;
-/// Most connections to the cloud's API.
+/// Maximum number of connections to the cloud's API.
 const MAX_CLOUD_CONNECTIONS: usize = 6;
-/// Most connections to each other address.
-const MAX_OTHER_CONNECTIONS: usize = 3;
-/// Sockets that are kept for listening, logs and the event queue.
+/// Maximum number of connections to each agent or peer.
+const MAX_CONNECTIONS_PER_OTHER_ADDRESS: usize = 3;
+/// File descriptors that are reserved for listeners, logs and the event queue.
 const RESERVED_SOCKETS: usize = 8;
 
 impl EventLoop {
-    /// Most connections to one address.
+    /// Returns the maximum number of connections to one address.
     fn connection_limit(&self, address: SocketAddr) -> usize {
         if address == self.endpoints.store {
             MAX_STORE_CONNECTIONS
-                .min(self.endpoints.socket_limit / STORE_SOCKET_SHARE)
+                .min(self.endpoints.socket_limit / SOCKETS_PER_STORE_CONNECTION)
                 .max(MIN_STORE_CONNECTIONS)
         } else if address == self.endpoints.cloud {
             MAX_CLOUD_CONNECTIONS
         } else {
-            MAX_OTHER_CONNECTIONS
+            MAX_CONNECTIONS_PER_OTHER_ADDRESS
         }
     }
 
-    fn address(&self, target: &Target) -> Option<SocketAddr> {
+    /// Returns the address of a call's target, or `None` if the target has no valid address.
+    fn target_address(&self, target: &Target) -> Option<SocketAddr> {
         match target {
             Target::Store => Some(self.endpoints.store),
             Target::Cloud => Some(self.endpoints.cloud),
@@ -50,9 +53,9 @@
         }
     }
 
-    /// Queues a call, and sends it as soon as there is a connection.
+    /// Queues a call, which is sent as soon as a connection is available.
     pub(crate) fn start_call(&mut self, call: Call) {
-        let Some(address) = self.address(&call.target) else {
+        let Some(address) = self.target_address(&call.target) else {
             self.inputs.push_back(Input::Reply {
                 call: call.id,
                 outcome: Outcome::NotSent,
@@ -67,18 +70,18 @@
             address,
             connection: None,
             deadline,
-            retried: false,
+            is_retry: false,
         };
         self.pending_calls.insert(call_id, pending);
         self.queued_calls
             .entry(address)
             .or_default()
             .push_back(call_id);
-        self.run_queue(address);
+        self.send_queued_calls(address);
     }
 
-    /// Sends queued calls as far as there are connections.
-    pub(crate) fn run_queue(&mut self, address: SocketAddr) {
+    /// Sends the queued calls for an address while connections are available.
+    pub(crate) fn send_queued_calls(&mut self, address: SocketAddr) {
         while let Some(call_id) = self.first_queued_call(address) {
             if !self.pending_calls.contains_key(&call_id) {
                 self.dequeue_call(address);
@@ -91,7 +94,7 @@
             let key = idle.or_else(|| self.connect(address));
             self.dequeue_call(address);
             match key {
-                Some(key) => self.send(key, call_id),
+                Some(key) => self.send_call(key, call_id),
                 None => self.finish_call(call_id, Outcome::NotSent),
             }
         }
@@ -108,12 +111,12 @@
     }
 
     fn is_at_connection_limit(&self, address: SocketAddr) -> bool {
-        let open = self.open_connections.get(&address).copied().unwrap_or(0);
-        open >= self.connection_limit(address)
+        let open_count = self.open_connections.get(&address).copied().unwrap_or(0);
+        open_count >= self.connection_limit(address)
     }
 
-    /// Closes an idle connection that this process opened, to make room for another.
-    fn close_idle_client(&mut self) -> bool {
+    /// Closes an idle outbound connection to make room for another, and returns whether there was one.
+    fn close_idle_client_connection(&mut self) -> bool {
         let mut idle = self.idle_connections.values();
         let key = idle.find_map(|keys| keys.first().copied());
         if let Some(key) = key {
@@ -124,8 +127,8 @@
 
     fn connect(&mut self, address: SocketAddr) -> Option<usize> {
         let limit = self.endpoints.socket_limit.saturating_sub(RESERVED_SOCKETS);
-        if self.connections.len() >= limit && !self.close_idle_client() {
-            debug!(address:% = address; "no socket left for a connection");
+        if self.connections.len() >= limit && !self.close_idle_client_connection() {
+            debug!(address:% = address; "cannot connect: socket limit reached");
             return None;
         }
         let stream = match TcpStream::connect(address) {
@@ -138,16 +141,16 @@
         let role = Role::Client {
             address,
             call: None,
-            connected: false,
-            reused: false,
+            is_connected: false,
+            is_reused: false,
         };
-        let key = self.add_connection(stream, role, self.now.steady + IDLE_TIMEOUT)?;
+        let key = self.add_connection(stream, role, self.now.steady + CLIENT_IDLE_TIMEOUT_US)?;
         *self.open_connections.entry(address).or_insert(0) += 1;
         Some(key)
     }
 
-    /// Removes a connection that is closed from what is known of its address.
-    pub(crate) fn forget_client_connection(&mut self, address: SocketAddr, key: usize) {
+    /// Removes a closed connection from the connection count and the idle connections of its address.
+    pub(crate) fn remove_client_connection(&mut self, address: SocketAddr, key: usize) {
         if let Some(open) = self.open_connections.get_mut(&address) {
             *open = open.saturating_sub(1);
         }
@@ -160,7 +163,7 @@
     }
 
     /// Sends a call on a connection.
-    fn send(&mut self, key: usize, call_id: u64) {
+    fn send_call(&mut self, key: usize, call_id: u64) {
         let Some(pending) = self.pending_calls.get_mut(&call_id) else {
             return;
         };
@@ -169,14 +172,14 @@
             Target::Peer(_) => MESSAGE_PACK,
             _ => CBOR,
         };
-        let request = write_request(
+        let request = encode_request(
             pending.call.method,
             &pending.call.path,
             &pending.address.to_string(),
             content_type,
             &pending.call.body,
         );
-        let deadline = pending.deadline + CONNECTION_GRACE;
+        let deadline = pending.deadline + CONNECTION_GRACE_US;
         if let Some(connection) = self.connections.get_mut(key) {
             connection.output = request;
             connection.written = 0;
@@ -189,8 +192,9 @@
         self.on_writable(key);
     }
 
-    /// Processes what has arrived on a connection; `ended`: nothing more will.
-    pub(crate) fn on_client_data(&mut self, key: usize, ended: bool) {
+    /// Processes the bytes that have arrived on an outbound connection. `at_eof`: the other side will send no more
+    /// bytes.
+    pub(crate) fn on_client_data(&mut self, key: usize, at_eof: bool) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
@@ -198,47 +202,47 @@
             return;
         };
         let Some(call_id) = call else {
-            // Closed by the other side, or bytes that no call has asked for.
-            if ended || !connection.input.is_empty() {
+            // The other side has closed the idle connection, or has sent bytes without a request.
+            if at_eof || !connection.input.is_empty() {
                 self.close(key);
             }
             return;
         };
-        if ended && connection.input.is_empty() {
+        if at_eof && connection.input.is_empty() {
             return self.close(key);
         }
-        match parse_response(&connection.input, ended) {
+        match parse_response(&connection.input, at_eof) {
             Parsed::Partial => {}
-            Parsed::Bad(_, reason) => {
-                warn!(address:% = address, error = reason; "invalid response");
+            Parsed::Invalid(_, reason) => {
+                warn!(address:% = address, error = reason; "invalid HTTP response");
                 self.close(key);
             }
             Parsed::TooLarge => {
-                warn!(address:% = address; "response too large");
+                warn!(address:% = address; "HTTP response too large");
                 self.detach_call(key);
                 self.close(key);
                 self.finish_call(call_id, Outcome::TooLarge);
             }
-            Parsed::Whole(response, used) => {
-                let surplus = used < connection.input.len();
-                let keep_open = !response.close && !surplus && !ended;
-                self.on_response(key, call_id, response, keep_open);
-                self.run_queue(address);
+            Parsed::Complete(response, message_length) => {
+                let has_surplus = message_length < connection.input.len();
+                let is_reusable = !response.closes_connection && !has_surplus && !at_eof;
+                self.on_response(key, call_id, response, is_reusable);
+                self.send_queued_calls(address);
             }
         }
     }
 
-    /// Hands a response to the controller and keeps the connection for further calls, if it may be.
-    fn on_response(&mut self, key: usize, call_id: u64, response: Response, keep_open: bool) {
+    /// Passes a response to the controller. Keeps the connection for further calls if it is reusable.
+    fn on_response(&mut self, key: usize, call_id: u64, response: Response, is_reusable: bool) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.input = Vec::new();
-            if let Role::Client { reused, .. } = &mut connection.role {
-                *reused = true;
+            if let Role::Client { is_reused, .. } = &mut connection.role {
+                *is_reused = true;
             }
         }
         self.detach_call(key);
-        if keep_open {
-            self.keep_idle(key, call_id);
+        if is_reusable {
+            self.add_idle_connection(key, call_id);
         } else {
             self.close(key);
         }
@@ -249,7 +253,8 @@
         self.finish_call(call_id, outcome);
     }
 
-    fn keep_idle(&mut self, key: usize, call_id: u64) {
+    /// Makes a connection available for further calls to its address, until the idle timeout.
+    fn add_idle_connection(&mut self, key: usize, call_id: u64) {
         let Some(connection) = self.connections.get(key) else {
             return;
         };
@@ -259,15 +264,15 @@
         let pending = self.pending_calls.get(&call_id);
         let to_agent = pending.is_some_and(|p| matches!(p.call.target, Target::Agent(_)));
         let timeout = if to_agent {
-            AGENT_IDLE_TIMEOUT
+            AGENT_CLIENT_IDLE_TIMEOUT_US
         } else {
-            IDLE_TIMEOUT
+            CLIENT_IDLE_TIMEOUT_US
         };
         self.idle_connections.entry(address).or_default().push(key);
         self.set_deadline(key, self.now.steady + timeout);
     }
 
-    /// Separates a connection from the call that it carries, whose end is handled elsewhere.
+    /// Separates a connection from its call, so that closing the connection does not affect the call.
     pub(crate) fn detach_call(&mut self, key: usize) {
         if let Some(connection) = self.connections.get_mut(key) {
             if let Role::Client { call, .. } = &mut connection.role {
@@ -276,7 +281,7 @@
         }
     }
 
-    /// Tells the controller how a call ended.
+    /// Removes a pending call and reports its outcome to the controller.
     pub(crate) fn finish_call(&mut self, call_id: u64, outcome: Outcome) {
         if let Some(pending) = self.pending_calls.remove(&call_id) {
             self.call_deadlines.remove(&(pending.deadline, call_id));
@@ -287,18 +292,23 @@
         }
     }
 
-    /// The connection of a call has ended without a response.
-    pub(crate) fn on_call_broken(&mut self, call_id: u64, connected: bool, reused: bool) {
+    /// Retries or ends a call whose connection was closed before a response arrived.
+    pub(crate) fn on_call_connection_closed(
+        &mut self,
+        call_id: u64,
+        is_connected: bool,
+        is_reused: bool,
+    ) {
         let Some(pending) = self.pending_calls.get_mut(&call_id) else {
             return;
         };
-        if !connected {
+        if !is_connected {
             return self.finish_call(call_id, Outcome::NotSent);
         }
-        // The other side may have closed an idle connection just when it was used again. Reads are retried on
-        // a new one; whether to repeat a write is up to the controller.
-        if reused && !pending.retried && pending.call.method == "GET" {
-            pending.retried = true;
+        // The other side may have closed an idle connection at the moment of its reuse. A read is retried on a new
+        // connection; whether to repeat a write is up to the controller.
+        if is_reused && !pending.is_retry && pending.call.method == "GET" {
+            pending.is_retry = true;
             pending.connection = None;
             let address = pending.address;
             let queue = self.queued_calls.entry(address).or_default();
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,21 +1,22 @@
-//! The time that the controller is told.
+//! The clocks that the event loop passes to the controller.
 
 use grebewood_core::{Micros, Now, Stopwatch};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Monotonic time since the start of the process, and wall-clock time.
+/// Measures the monotonic time since its start, and reads the wall-clock time.
 pub(crate) struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Returns a clock whose monotonic time starts now.
     pub(crate) fn start() -> Clock {
         Clock {
             start: Instant::now(),
         }
     }
 
+    /// Returns the current time of both clocks.
     pub(crate) fn now(&self) -> Now {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of either direction: registration, deadlines, reading and writing.
+//! Inbound and outbound connections: registration, deadlines, reading and writing.
 
 use crate::event_loop::{EventLoop, FIRST_CONNECTION_TOKEN};
 use crate::http;
@@ -10,72 +10,76 @@
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 
-/// An idle connection of a user or an agent is closed after this time.
-pub(crate) const IDLE_TIMEOUT: Micros = 75 * SECOND;
-/// The other side must take a response within this time.
-pub(crate) const WRITE_TIMEOUT: Micros = 10 * SECOND;
+/// Time after which an inbound connection is closed if it is idle or its request is still unanswered.
+pub(crate) const SERVER_IDLE_TIMEOUT_US: Micros = 75 * SECOND;
+/// Time after which an inbound connection is closed if the other side does not accept the response.
+pub(crate) const WRITE_TIMEOUT_US: Micros = 10 * SECOND;
 
-/// Who opened a connection, and what it carries now.
+/// Which side opened a connection, and what the connection carries.
 #[derive(Clone, Copy)]
 pub(crate) enum Role {
-    /// Opened by somebody else, who sends requests.
+    /// Inbound: opened by another process, which sends requests.
     Server {
         interface: Interface,
-        /// The request that is being answered.
+        /// Id of the request that the controller has not answered yet.
         request: Option<u64>,
         /// Whether the connection is closed after the response.
-        close: bool,
-        /// Whether it has carried a heartbeat.
-        agent: bool,
+        closes_connection: bool,
+        /// Whether the connection has carried a heartbeat.
+        is_agent: bool,
     },
-    /// Opened by this process, for its calls.
+    /// Outbound: opened by this process for its calls.
     Client {
         address: SocketAddr,
-        /// The call that waits for a response.
+        /// Id of the call that waits for a response.
         call: Option<u64>,
-        connected: bool,
-        /// Whether it has carried a call before.
-        reused: bool,
+        /// Whether the connection is established.
+        is_connected: bool,
+        /// Whether the connection has delivered the response to an earlier call.
+        is_reused: bool,
     },
 }
 
-/// A connection.
+/// A connection, its buffers and its deadline.
 pub(crate) struct Connection {
     stream: TcpStream,
     pub(crate) role: Role,
-    /// Bytes received that are not a whole message yet.
+    /// Received bytes that do not form a complete message yet.
     pub(crate) input: Vec<u8>,
-    /// The message that is being sent, and how much of it was written.
+    /// Message that is being sent.
     pub(crate) output: Vec<u8>,
+    /// Number of bytes of `output` that have been written.
     pub(crate) written: usize,
-    /// When the connection is closed unless something happens.
+    /// Time at which the connection is closed unless the deadline is replaced before.
     pub(crate) deadline: Micros,
-    /// Whether a write waits for the socket.
-    write_blocked: bool,
+    /// Whether writing waits until the socket accepts more bytes.
+    is_write_blocked: bool,
 }
 
 impl Connection {
-    /// Whether a requester has sent a part of a request, and nothing is being answered.
+    /// Returns whether an inbound connection has received a part of a request and has no response to send.
     pub(crate) fn has_partial_request(&self) -> bool {
         let awaits_request = matches!(self.role, Role::Server { request: None, .. });
         awaits_request && !self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Largest message that is read from the connection, in bytes.
-    fn input_limit(&self) -> usize {
+    /// Returns the maximum size of a message that is read from the connection.
+    fn max_message_bytes(&self) -> usize {
         match self.role {
-            Role::Server { interface, .. } => http::HEAD_LIMIT + server::request_limit(interface),
-            Role::Client { .. } => http::HEAD_LIMIT + http::RESPONSE_LIMIT,
+            Role::Server { interface, .. } => {
+                http::HEAD_LIMIT_BYTES + server::request_body_limit(interface)
+            }
+            Role::Client { .. } => http::HEAD_LIMIT_BYTES + http::RESPONSE_LIMIT_BYTES,
         }
     }
 }
 
-/// What a read has left of a connection.
+/// State of a connection after a read.
 enum ReadState {
     Open,
-    /// The other side will send nothing more.
-    Ended,
-    /// The connection is closed.
+    /// The other side will send no more bytes.
+    Eof,
+    /// This process has closed the connection.
     Closed,
 }
 
@@ -88,14 +92,14 @@
         }
     }
 
-    /// Registers a connection and returns its key; `None` if the system refuses.
+    /// Registers a connection for polling and returns its key, or `None` if the registration fails.
     pub(crate) fn add_connection(
         &mut self,
         mut stream: TcpStream,
         role: Role,
         deadline: Micros,
     ) -> Option<usize> {
-        // Without it the connection is slower, no more.
+        // Without `TCP_NODELAY` the connection only has a higher latency, so a failure is ignored.
         let _ = stream.set_nodelay(true);
         let entry = self.connections.vacant_entry();
         let key = entry.key();
@@ -103,7 +107,7 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         let registered = self.poll.registry().register(&mut stream, token, interest);
         if let Err(error) = registered {
-            warn!(error:% = error; "cannot register a connection");
+            warn!(error:% = error; "cannot register a connection for polling");
             return None;
         }
         entry.insert(Connection {
@@ -113,24 +117,27 @@
             output: Vec::new(),
             written: 0,
             deadline,
-            write_blocked: false,
+            is_write_blocked: false,
         });
         self.deadlines.insert((deadline, key));
         Some(key)
     }
 
-    /// Closes a connection. A request that it carried is gone, a call that it carried has failed.
+    /// Closes a connection. Reports its unanswered request to the controller as abandoned, and retries or ends its
+    /// call.
     pub(crate) fn close(&mut self, key: usize) {
         let Some(mut connection) = self.connections.try_remove(key) else {
             return;
         };
         self.deadlines.remove(&(connection.deadline, key));
-        // The socket is closed in any case.
+        // Dropping the stream closes the socket even if this fails.
         let _ = self.poll.registry().deregister(&mut connection.stream);
         match connection.role {
-            Role::Server { request, agent, .. } => {
+            Role::Server {
+                request, is_agent, ..
+            } => {
                 self.server_connections -= 1;
-                self.agent_connections -= usize::from(agent);
+                self.agent_connections -= usize::from(is_agent);
                 if let Some(id) = request {
                     self.requests.remove(&id);
                     self.inputs.push_back(Input::Gone { id });
@@ -139,41 +146,42 @@
             Role::Client {
                 address,
                 call,
-                connected,
-                reused,
+                is_connected,
+                is_reused,
             } => {
-                self.forget_client_connection(address, key);
+                self.remove_client_connection(address, key);
                 if let Some(call_id) = call {
-                    self.on_call_broken(call_id, connected, reused);
+                    self.on_call_connection_closed(call_id, is_connected, is_reused);
                 }
-                self.run_queue(address);
+                self.send_queued_calls(address);
             }
         }
     }
 
-    /// Reads what has arrived and processes it.
+    /// Reads and processes the bytes that have arrived on a connection.
     pub(crate) fn on_readable(&mut self, key: usize) {
-        let ended = match self.read_available(key) {
+        let at_eof = match self.read_available(key) {
             ReadState::Open => false,
-            ReadState::Ended => true,
+            ReadState::Eof => true,
             ReadState::Closed => return,
         };
         match self.connections.get(key).map(|connection| connection.role) {
-            Some(Role::Server { .. }) => self.on_server_data(key, ended),
-            Some(Role::Client { .. }) => self.on_client_data(key, ended),
+            Some(Role::Server { .. }) => self.on_server_data(key, at_eof),
+            Some(Role::Client { .. }) => self.on_client_data(key, at_eof),
             None => {}
         }
     }
 
+    /// Reads until the socket has no more bytes. Closes the connection on an error or if its input is too large.
     fn read_available(&mut self, key: usize) -> ReadState {
         while let Some(connection) = self.connections.get_mut(key) {
             match connection.stream.read(&mut self.read_buffer) {
-                Ok(0) => return ReadState::Ended,
+                Ok(0) => return ReadState::Eof,
                 Ok(length) => {
                     connection
                         .input
                         .extend_from_slice(&self.read_buffer[..length]);
-                    let limit = connection.input_limit() + self.read_buffer.len();
+                    let limit = connection.max_message_bytes() + self.read_buffer.len();
                     if connection.input.len() > limit {
                         break;
                     }
@@ -187,7 +195,7 @@
         ReadState::Closed
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     pub(crate) fn on_writable(&mut self, key: usize) {
         if !self.check_connected(key) {
             return;
@@ -196,8 +204,8 @@
             if connection.written >= connection.output.len() {
                 return self.on_output_written(key);
             }
-            let rest = &connection.output[connection.written..];
-            match connection.stream.write(rest) {
+            let unwritten = &connection.output[connection.written..];
+            match connection.stream.write(unwritten) {
                 Ok(0) => return self.close(key),
                 Ok(length) => connection.written += length,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -209,20 +217,20 @@
         }
     }
 
-    /// Whether the connection is established. One whose attempt has failed is closed.
+    /// Returns whether a connection is established. Closes the connection if the attempt to connect has failed.
     fn check_connected(&mut self, key: usize) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
         };
-        let Role::Client { connected, .. } = &mut connection.role else {
+        let Role::Client { is_connected, .. } = &mut connection.role else {
             return true;
         };
-        if *connected {
+        if *is_connected {
             return true;
         }
-        let failed = match connection.stream.peer_addr() {
+        let has_failed = match connection.stream.peer_addr() {
             Ok(_) => {
-                *connected = true;
+                *is_connected = true;
                 return true;
             }
             Err(error) if error.kind() == io::ErrorKind::NotConnected => {
@@ -230,7 +238,7 @@
             }
             Err(_) => true,
         };
-        if failed {
+        if has_failed {
             self.close(key);
         }
         false
@@ -245,10 +253,13 @@
         }
         connection.output = Vec::new();
         connection.written = 0;
-        connection.write_blocked = false;
+        connection.is_write_blocked = false;
         match connection.role {
-            Role::Server { close: true, .. } => self.close(key),
-            Role::Server { .. } => self.set_deadline(key, self.now.steady + IDLE_TIMEOUT),
+            Role::Server {
+                closes_connection: true,
+                ..
+            } => self.close(key),
+            Role::Server { .. } => self.set_deadline(key, self.now.steady + SERVER_IDLE_TIMEOUT_US),
             Role::Client { .. } => {}
         }
     }
@@ -257,9 +268,9 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let was_blocked = std::mem::replace(&mut connection.write_blocked, true);
+        let was_blocked = std::mem::replace(&mut connection.is_write_blocked, true);
         if !was_blocked && matches!(connection.role, Role::Server { .. }) {
-            self.set_deadline(key, self.now.steady + WRITE_TIMEOUT);
+            self.set_deadline(key, self.now.steady + WRITE_TIMEOUT_US);
         }
     }
 }
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for sockets and deadlines, and steps the controller.
+//! The event loop: waits for sockets and deadlines, and runs the steps of the controller.
 
 use crate::clock::{Clock, StepStopwatch};
 use crate::connection::{Connection, Role};
@@ -16,21 +16,21 @@
 
 const FRONT_TOKEN: Token = Token(0);
 const PEER_TOKEN: Token = Token(1);
-/// The token of the connection with key 0; the others follow.
+/// Poll token of the connection with key 0; the token of any other connection is this plus its key.
 pub(crate) const FIRST_CONNECTION_TOKEN: usize = 2;
-/// Most events that are taken from the system at once.
-const EVENT_CAPACITY: usize = 256;
-/// Size of the buffer that sockets are read into, in bytes.
-const READ_BUFFER_SIZE: usize = 16 * 1024;
+/// Maximum number of events that one poll returns.
+const MAX_EVENTS_PER_POLL: usize = 256;
+/// Size of the buffer that sockets are read into.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why a controller cannot serve, or cannot go on.
+/// Reasons why a controller cannot start serving or cannot continue.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The system's event queue cannot be used.
-    #[error("cannot wait for network events")]
+    /// The event queue of the operating system failed.
+    #[error("cannot poll for network events")]
     Poll(#[source] io::Error),
-    /// An address cannot be listened at.
-    #[error("cannot listen at {address}")]
+    /// The controller cannot listen on an address.
+    #[error("cannot listen on {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -40,19 +40,19 @@
     },
 }
 
-/// A call of the controller that is queued or under way.
+/// A call of the controller that is queued or in flight.
 pub(crate) struct PendingCall {
     pub(crate) call: Call,
     pub(crate) address: SocketAddr,
-    /// Key of the connection that carries it; `None` while it is queued.
+    /// Key of the connection that carries the call; `None` while the call is queued.
     pub(crate) connection: Option<usize>,
     pub(crate) deadline: Micros,
-    /// Whether it was sent a second time, on a new connection.
-    pub(crate) retried: bool,
+    /// Whether this is the second attempt of the call, on a new connection.
+    pub(crate) is_retry: bool,
 }
 
 /// The state of the event loop. Connections are identified by their keys in `connections`, requests and calls
-/// by the ids that the controller knows them by.
+/// by the ids that they have in the controller's inputs and effects.
 pub(crate) struct EventLoop {
     pub(crate) poll: Poll,
     clock: Clock,
@@ -60,30 +60,30 @@
     controller: Controller,
     pub(crate) endpoints: Endpoints,
     pub(crate) connections: Slab<Connection>,
-    /// Connections by their deadlines.
+    /// Deadlines and keys of all connections.
     pub(crate) deadlines: BTreeSet<(Micros, usize)>,
-    /// Number of connections that others opened.
+    /// Number of open inbound connections.
     pub(crate) server_connections: usize,
-    /// Number of those that have carried a heartbeat.
+    /// Number of open inbound connections that have carried a heartbeat.
     pub(crate) agent_connections: usize,
-    /// The connections of the requests that the controller has not answered yet.
+    /// Keys of the connections whose requests the controller has not answered yet, by request id.
     pub(crate) requests: BTreeMap<u64, usize>,
     pub(crate) last_request_id: u64,
     pub(crate) pending_calls: BTreeMap<u64, PendingCall>,
-    /// Pending calls by their deadlines.
+    /// Deadlines and ids of all pending calls.
     pub(crate) call_deadlines: BTreeSet<(Micros, u64)>,
-    /// Idle connections that this process opened, by address.
+    /// Keys of the idle outbound connections, by address.
     pub(crate) idle_connections: BTreeMap<SocketAddr, Vec<usize>>,
-    /// Number of connections that this process opened, by address.
+    /// Number of open outbound connections, by address.
     pub(crate) open_connections: BTreeMap<SocketAddr, usize>,
-    /// Calls that wait for a connection, by address.
+    /// Ids of the calls that wait for a connection, by address.
     pub(crate) queued_calls: BTreeMap<SocketAddr, VecDeque<u64>>,
-    /// What the controller is to be told, in order.
+    /// Inputs that the controller has not processed yet, in order of arrival.
     pub(crate) inputs: VecDeque<Input>,
     pub(crate) read_buffer: Vec<u8>,
 }
 
-/// The sockets that this process listens at.
+/// The listening sockets.
 struct Listeners {
     front: TcpListener,
     peer: TcpListener,
@@ -96,8 +96,8 @@
         front: listen(&poll, endpoints.front, FRONT_TOKEN)?,
         peer: listen(&poll, endpoints.peer_listen, PEER_TOKEN)?,
     };
-    info!(address:% = endpoints.front; "serving users and agents");
-    info!(address:% = endpoints.peer_listen; "serving controllers");
+    info!(address:% = endpoints.front; "listening for users and agents");
+    info!(address:% = endpoints.peer_listen; "listening for other controllers");
     EventLoop::new(poll, controller, endpoints).run(&listeners)
 }
 
@@ -131,16 +131,17 @@
             open_connections: BTreeMap::new(),
             queued_calls: BTreeMap::new(),
             inputs: VecDeque::new(),
-            read_buffer: vec![0; READ_BUFFER_SIZE],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         }
     }
 
     fn run(mut self, listeners: &Listeners) -> Result<(), ServeError> {
-        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         self.inputs.push_back(Input::Tick);
         loop {
             self.process_inputs();
-            self.wait(&mut events).map_err(ServeError::Poll)?;
+            self.wait_for_events(&mut events)
+                .map_err(ServeError::Poll)?;
             self.now = self.clock.now();
             for event in &events {
                 match event.token() {
@@ -156,7 +157,7 @@
                         }
                     }
                 }
-                // Inputs of one batch are processed in order of arrival, without piling up.
+                // Processing the inputs after each event keeps the queue short and in order of arrival.
                 self.process_inputs();
             }
             self.expire_calls();
@@ -167,17 +168,17 @@
         }
     }
 
-    /// Sleeps until a socket is ready or something is due.
-    fn wait(&mut self, events: &mut Events) -> io::Result<()> {
-        let pause = self.next_wake().saturating_sub(self.clock.now().steady);
-        let timeout = Duration::from_micros(pause.max(MILLI));
+    /// Sleeps until a socket is ready or the next deadline passes.
+    fn wait_for_events(&mut self, events: &mut Events) -> io::Result<()> {
+        let time_to_wake = self.next_wake().saturating_sub(self.clock.now().steady);
+        let timeout = Duration::from_micros(time_to_wake.max(MILLI));
         match self.poll.poll(events, Some(timeout)) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => Err(error),
             _ => Ok(()),
         }
     }
 
-    /// When something is due next.
+    /// Returns the earliest deadline of the controller, the connections and the calls.
     fn next_wake(&self) -> Micros {
         let mut wake = self.controller.next_wake();
         if let Some((deadline, _)) = self.deadlines.first() {
@@ -189,7 +190,7 @@
         wake
     }
 
-    /// Hands all inputs to the controller and carries out its effects.
+    /// Passes all queued inputs to the controller and carries out its effects.
     fn process_inputs(&mut self) {
         while let Some(input) = self.inputs.pop_front() {
             self.now = self.clock.now();
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Ends calls whose time is over.
+    /// Ends the calls whose deadlines have passed.
     fn expire_calls(&mut self) {
         while let Some((deadline, call_id)) = self.call_deadlines.first().copied() {
             if deadline > self.now.steady {
@@ -218,10 +219,10 @@
             let pending = self.pending_calls.get(&call_id);
             let key = pending.and_then(|pending| pending.connection);
             let connection = key.and_then(|key| self.connections.get(key));
-            // A connection attempt that is given up never completes later.
+            // An unfinished connection attempt is abandoned below, so its request is never sent later.
             let outcome = match connection.map(|connection| connection.role) {
                 Some(Role::Client {
-                    connected: true, ..
+                    is_connected: true, ..
                 }) => Outcome::Unknown,
                 _ => Outcome::NotSent,
             };
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Closes connections on which nothing has happened in time.
+    /// Closes the connections whose deadlines have passed.
     fn expire_connections(&mut self) {
         let now = self.now.steady;
         while let Some((deadline, key)) = self.deadlines.first().copied() {
@@ -243,7 +244,7 @@
             let connection = self.connections.get(key);
             if connection.is_some_and(Connection::has_partial_request) {
                 self.refuse(key, 408, "request not complete in time");
-                // Whatever becomes of the response, the connection does not stay.
+                // Closes the connection unless `refuse` has set a new deadline for writing the response.
                 let connection = self.connections.get(key);
                 if connection.is_some_and(|connection| connection.deadline <= now) {
                     self.close(key);
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,79 +1,80 @@
-//! HTTP/1.1 messages: parsed with `httparse`, written by hand.
+//! Parsing (with `httparse`) and encoding of HTTP/1.1 messages.
 
 use std::fmt::Write as _;
 
-/// Content type of bodies for users, agents, the cloud and the key-value store.
+/// Content type of bodies that users, agents, the cloud and the key-value store send and receive.
 pub const CBOR: &str = "application/cbor";
-/// Content type of bodies between controllers.
+/// Content type of bodies that controllers send to each other.
 pub const MESSAGE_PACK: &str = "application/msgpack";
-/// Content type of refusals of what could not be read.
+/// Content type of the responses to invalid and incomplete requests.
 pub const TEXT: &str = "text/plain";
 
-/// Longest head of a request or response, in bytes.
-pub const HEAD_LIMIT: usize = 8 * 1024;
-/// Largest request body, in bytes.
-pub const REQUEST_LIMIT: usize = 64 * 1024;
-/// Largest body of a request of another controller, in bytes: the leader sends a partition's next holder all
-/// tasks that may be on its machines at once.
-pub const PEER_REQUEST_LIMIT: usize = 4 * 1024 * 1024;
-/// Largest response body that is read, in bytes: the response to a watch has no limit of its own.
-pub const RESPONSE_LIMIT: usize = 4 * 1024 * 1024;
-/// Most headers of a message.
+/// Maximum size of the head of a request or response.
+pub const HEAD_LIMIT_BYTES: usize = 8 * 1024;
+/// Maximum size of the body of a request from a user or an agent.
+pub const REQUEST_LIMIT_BYTES: usize = 64 * 1024;
+/// Maximum size of the body of a request from another controller. The leader sends the next holder of a partition
+/// all tasks that may be on the partition's machines in one request.
+pub const PEER_REQUEST_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of a response body that is read. A limit is needed because the response to a watch has none of its
+/// own.
+pub const RESPONSE_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 48;
-/// Room for a head that is written, in bytes.
-const HEAD_CAPACITY: usize = 160;
+/// Initial capacity of the buffer for an encoded head.
+const HEAD_CAPACITY_BYTES: usize = 160;
 
-/// What a buffer contains of a message.
+/// Result of parsing the message at the start of a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
     /// More bytes are needed.
     Partial,
-    /// A whole message, and its length in bytes.
-    Whole(T, usize),
-    /// An invalid message: the status to answer with, and why.
-    Bad(u16, &'static str),
-    /// A response whose body is larger than [`RESPONSE_LIMIT`].
+    /// A complete message, and its length in bytes.
+    Complete(T, usize),
+    /// An invalid message: the HTTP status to answer with, and the reason.
+    Invalid(u16, &'static str),
+    /// A response whose body is larger than [`RESPONSE_LIMIT_BYTES`].
     TooLarge,
 }
 
-/// A request.
+/// A parsed request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
     /// The path, without the query.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the connection is to be closed after the response.
-    pub close: bool,
+    /// Whether the connection must be closed after the response.
+    pub closes_connection: bool,
 }
 
-/// A response.
+/// A parsed response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
     /// Whether the connection cannot be used again.
-    pub close: bool,
+    pub closes_connection: bool,
 }
 
-/// The status to answer with, and why.
+/// The HTTP status to answer an invalid message with, and the reason.
 type Rejection = (u16, &'static str);
 
-/// What the headers say of the length of the body and the end of the connection.
+/// The headers that determine where the body ends and whether the connection is closed.
 struct Framing {
     content_length: Option<usize>,
-    close: bool,
+    closes_connection: bool,
 }
 
-/// Reads the headers that matter. In HTTP/1.0 a connection is closed unless the headers say otherwise.
+/// Parses the framing headers. An HTTP/1.0 connection is closed unless the headers say otherwise.
 fn parse_framing(headers: &[httparse::Header], is_http_1_0: bool) -> Result<Framing, Rejection> {
     let mut framing = Framing {
         content_length: None,
-        close: is_http_1_0,
+        closes_connection: is_http_1_0,
     };
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
@@ -87,9 +88,9 @@
         } else if header.name.eq_ignore_ascii_case("connection") {
             let value = String::from_utf8_lossy(header.value).to_ascii_lowercase();
             if value.contains("close") {
-                framing.close = true;
+                framing.closes_connection = true;
             } else if value.contains("keep-alive") {
-                framing.close = false;
+                framing.closes_connection = false;
             }
         }
     }
@@ -104,78 +105,82 @@
     text.parse().map_err(|_| (413, "body too large"))
 }
 
-/// Parses a request at the start of `buffer`, whose body may have up to `body_limit` bytes.
+/// Parses the request at the start of `buffer`. The body may have up to `body_limit` bytes.
 pub fn parse_request(buffer: &[u8], body_limit: usize) -> Parsed<Request> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let head = match request.parse(buffer) {
-        Ok(httparse::Status::Complete(length)) if length <= HEAD_LIMIT => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= HEAD_LIMIT => return Parsed::Partial,
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Parsed::Bad(431, "head too large"),
-        Err(_) => return Parsed::Bad(400, "not HTTP"),
+    let head_length = match request.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) if length <= HEAD_LIMIT_BYTES => length,
+        Ok(httparse::Status::Partial) if buffer.len() <= HEAD_LIMIT_BYTES => {
+            return Parsed::Partial
+        }
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => {
+            return Parsed::Invalid(431, "head too large")
+        }
+        Err(_) => return Parsed::Invalid(400, "not HTTP"),
     };
     let framing = match parse_framing(request.headers, request.version == Some(0)) {
         Ok(framing) => framing,
-        Err((status, reason)) => return Parsed::Bad(status, reason),
+        Err((status, reason)) => return Parsed::Invalid(status, reason),
     };
     let length = framing.content_length.unwrap_or(0);
     if length > body_limit {
-        return Parsed::Bad(413, "body too large");
+        return Parsed::Invalid(413, "body too large");
     }
-    if buffer.len() < head + length {
+    if buffer.len() < head_length + length {
         return Parsed::Partial;
     }
     let path = request.path.unwrap_or("/");
     let request = Request {
         method: request.method.unwrap_or("").to_string(),
         path: path.split('?').next().unwrap_or(path).to_string(),
-        body: buffer[head..head + length].to_vec(),
-        close: framing.close,
+        body: buffer[head_length..head_length + length].to_vec(),
+        closes_connection: framing.closes_connection,
     };
-    Parsed::Whole(request, head + length)
+    Parsed::Complete(request, head_length + length)
 }
 
-/// Parses a response at the start of `buffer`; `ended`: the other side will send nothing more.
-pub fn parse_response(buffer: &[u8], ended: bool) -> Parsed<Response> {
+/// Parses the response at the start of `buffer`. `at_eof`: the other side will send no more bytes.
+pub fn parse_response(buffer: &[u8], at_eof: bool) -> Parsed<Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let head = match response.parse(buffer) {
+    let head_length = match response.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= HEAD_LIMIT && !ended => {
+        Ok(httparse::Status::Partial) if buffer.len() <= HEAD_LIMIT_BYTES && !at_eof => {
             return Parsed::Partial
         }
-        _ => return Parsed::Bad(502, "not an HTTP response"),
+        _ => return Parsed::Invalid(502, "not an HTTP response"),
     };
     let framing = match parse_framing(response.headers, response.version == Some(0)) {
         Ok(framing) => framing,
-        Err((_, reason)) => return Parsed::Bad(502, reason),
+        Err((_, reason)) => return Parsed::Invalid(502, reason),
     };
     let status = response.code.unwrap_or(0);
     let length = match framing.content_length {
         Some(length) => length,
         None if status == 204 || status == 304 => 0,
-        // Without a length, the body lasts until the connection ends.
-        None if ended => buffer.len() - head,
+        // Without a content length, the body ends with the connection.
+        None if at_eof => buffer.len() - head_length,
         None => return Parsed::Partial,
     };
-    if length > RESPONSE_LIMIT {
+    if length > RESPONSE_LIMIT_BYTES {
         return Parsed::TooLarge;
     }
-    if buffer.len() < head + length {
-        if ended {
-            return Parsed::Bad(502, "response cut short");
+    if buffer.len() < head_length + length {
+        if at_eof {
+            return Parsed::Invalid(502, "response cut short");
         }
         return Parsed::Partial;
     }
     let response = Response {
         status,
-        body: buffer[head..head + length].to_vec(),
-        close: framing.close || framing.content_length.is_none() || ended,
+        body: buffer[head_length..head_length + length].to_vec(),
+        closes_connection: framing.closes_connection || framing.content_length.is_none() || at_eof,
     };
-    Parsed::Whole(response, head + length)
+    Parsed::Complete(response, head_length + length)
 }
 
-/// The reason phrase of a status that this process answers with.
+/// Returns the reason phrase of a status that this process answers with.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -196,21 +201,21 @@
     }
 }
 
-/// The head of a response.
+/// The values in the head of a response.
 pub struct ResponseHead {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
     pub content_type: &'static str,
-    /// When the request may be repeated, in seconds.
+    /// Delay after which the client may repeat the request, in seconds.
     pub retry_after_s: Option<u32>,
     /// Whether the connection is closed after the response.
-    pub close: bool,
+    pub closes_connection: bool,
 }
 
-/// Appends a response to `output`.
+/// Appends an encoded response to `output`.
 pub fn write_response(output: &mut Vec<u8>, head: &ResponseHead, body: &[u8]) {
-    let mut text = String::with_capacity(HEAD_CAPACITY);
+    let mut text = String::with_capacity(HEAD_CAPACITY_BYTES);
     let _ = write!(
         text,
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
@@ -222,7 +227,7 @@
     if let Some(seconds) = head.retry_after_s {
         let _ = write!(text, "Retry-After: {seconds}\r\n");
     }
-    if head.close {
+    if head.closes_connection {
         text.push_str("Connection: close\r\n");
     }
     text.push_str("\r\n");
@@ -231,14 +236,14 @@
 }
 
 /// Encodes a request.
-pub fn write_request(
+pub fn encode_request(
     method: &str,
     path: &str,
     host: &str,
     content_type: &str,
     body: &[u8],
 ) -> Vec<u8> {
-    let mut head = String::with_capacity(HEAD_CAPACITY);
+    let mut head = String::with_capacity(HEAD_CAPACITY_BYTES);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
         let _ = write!(
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,9 +1,10 @@
-//! The process's network side: one thread with an event loop on `mio`, an HTTP server on two addresses and an
-//! HTTP client.
+//! Network layer of the controller process: a single-threaded event loop on `mio` with an HTTP server on two
+//! addresses and an HTTP client, and a blocking HTTP client for commands.
 //!
-//! The loop hands requests, responses and the passing of time to a [`Controller`](grebewood_core::Controller)
-//! and carries out its effects. It bounds connections and buffers, gives every wait a deadline, and sleeps
-//! until something happens or is due.
+//! The event loop passes requests, responses and timer ticks to a [`Controller`](grebewood_core::Controller)
+//! and carries out the effects that the controller returns. It limits the number of connections and the size of
+//! messages, sets a deadline for each connection and each call, and sleeps until a socket is ready or a deadline
+//! passes.
 
 #![warn(missing_docs)]
 
@@ -19,19 +20,19 @@
 
 use std::net::SocketAddr;
 
-/// Addresses to listen at and to call.
+/// Addresses that the process listens on and calls, and its socket limit.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
-    /// Address at which users and agents are served.
+    /// Listening address for users and agents.
     pub front: SocketAddr,
-    /// Address at which other controllers are served.
+    /// Listening address for other controllers.
     pub peer_listen: SocketAddr,
     /// Address of the key-value store.
     pub store: SocketAddr,
     /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// Addresses of the other controllers, in the order of the settings.
+    /// Addresses of the other controllers, in the order of the settings file.
     pub peers: Vec<SocketAddr>,
-    /// Most sockets that this process may have.
+    /// Sockets that this process may have; the connection limits are derived from it.
     pub socket_limit: usize,
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,6 +1,6 @@
-//! Connections that others open: requests in, responses out.
+//! Inbound connections: receives requests and sends responses.
 
-use crate::connection::{Connection, Role, IDLE_TIMEOUT, WRITE_TIMEOUT};
+use crate::connection::{Connection, Role, SERVER_IDLE_TIMEOUT_US, WRITE_TIMEOUT_US};
 use crate::event_loop::EventLoop;
 use crate::http::{
     self, parse_request, write_response, Parsed, Request, ResponseHead, CBOR, MESSAGE_PACK, TEXT,
@@ -10,36 +10,37 @@
 use mio::net::{TcpListener, TcpStream};
 use std::io;
 
-/// A requester must complete a request in this time.
-const REQUEST_TIMEOUT: Micros = 10 * SECOND;
-/// Agents are too many to keep their connections when so many tenths of the connections that others may have
-/// are theirs.
-const CROWDED_TENTHS: usize = 7;
-/// Connections that others may have even if the process has very few sockets.
+/// Time within which a request must arrive completely.
+const REQUEST_TIMEOUT_US: Micros = 10 * SECOND;
+/// Share of the inbound connection limit, in tenths, from which on the connections of agents are closed after
+/// each response.
+const AGENT_PRESSURE_TENTHS: usize = 7;
+/// Minimum of the inbound connection limit, for a process with very few sockets.
 const MIN_SERVER_CONNECTIONS: usize = 8;
-/// Connections of peers beyond the limit of all others, so that users cannot shut them out.
+/// Inbound connections that are allowed to peers beyond the limit for users and agents, so that users cannot
+/// block peers.
 const EXTRA_PEER_CONNECTIONS: usize = 16;
-/// Path of the requests by which agents are recognized.
+/// Path of heartbeats; a connection that carries one is counted as an agent's connection.
 const HEARTBEAT_PATH: &str = "/checkin";
 
-/// Who opened a connection at the front interface.
+/// The kind of client that opened a connection to the front interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Requester {
     User,
     Agent,
 }
 
-/// Largest body of a request at this interface, in bytes.
-pub(crate) fn request_limit(interface: Interface) -> usize {
+/// Returns the maximum size of a request body at this interface, in bytes.
+pub(crate) fn request_body_limit(interface: Interface) -> usize {
     match interface {
-        Interface::Front => http::REQUEST_LIMIT,
-        Interface::Peer => http::PEER_REQUEST_LIMIT,
+        Interface::Front => http::REQUEST_LIMIT_BYTES,
+        Interface::Peer => http::PEER_REQUEST_LIMIT_BYTES,
     }
 }
 
 impl EventLoop {
-    /// Most connections that others may have to this process: the rest is kept for calls to the key-value
-    /// store, the cloud, agents and peers.
+    /// Returns the maximum number of inbound connections. The other sockets are reserved for calls to the
+    /// key-value store, the cloud, agents and peers.
     fn server_connection_limit(&self, interface: Interface) -> usize {
         let limit = (self.endpoints.socket_limit * 3 / 4).max(MIN_SERVER_CONNECTIONS);
         match interface {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Accepts all connections that wait.
+    /// Accepts all connections that are waiting on a listener.
     pub(crate) fn accept(&mut self, listener: &TcpListener, interface: Interface) {
         loop {
             match listener.accept() {
@@ -65,54 +66,55 @@
 
     fn accept_connection(&mut self, stream: TcpStream, interface: Interface) {
         let limit = self.server_connection_limit(interface);
-        if self.server_connections >= limit && !self.close_idle_server() {
-            debug!("connection refused: there are too many");
+        if self.server_connections >= limit && !self.close_idle_server_connection() {
+            debug!("connection refused: connection limit reached");
             return;
         }
         let role = Role::Server {
             interface,
             request: None,
-            close: false,
-            agent: false,
+            closes_connection: false,
+            is_agent: false,
         };
-        let deadline = self.now.steady + REQUEST_TIMEOUT;
+        let deadline = self.now.steady + REQUEST_TIMEOUT_US;
         if let Some(key) = self.add_connection(stream, role, deadline) {
             self.server_connections += 1;
             self.on_readable(key);
         }
     }
 
-    /// Whether agents are so many that their connections do not stay open between two heartbeats. With more
-    /// machines than sockets the rest was refused for good, and their leases expired. Idle connections of
-    /// users do not count: there are always as many as there is room for.
-    fn is_crowded(&self) -> bool {
+    /// Returns whether agents hold so many connections that these are closed after each response instead of
+    /// staying open between two heartbeats. Without this, a cluster with more machines than sockets refuses the
+    /// agents beyond the limit permanently, and their leases expire. Idle connections of users are not counted,
+    /// because they may fill the whole limit at any time.
+    fn has_agent_connection_pressure(&self) -> bool {
         let limit = self.server_connection_limit(Interface::Front);
-        self.agent_connections * 10 >= limit * CROWDED_TENTHS
+        self.agent_connections * 10 >= limit * AGENT_PRESSURE_TENTHS
     }
 
-    /// Closes an idle connection to make room: of a user if there is one, else of an agent, which opens
-    /// another one for its next heartbeat.
-    fn close_idle_server(&mut self) -> bool {
+    /// Closes an idle inbound connection to make room for another, and returns whether there was one. A user's
+    /// connection is closed before an agent's; the agent opens a new connection for its next heartbeat.
+    fn close_idle_server_connection(&mut self) -> bool {
         let idle = self
-            .longest_idle_server(Requester::User)
-            .or_else(|| self.longest_idle_server(Requester::Agent));
+            .longest_idle_server_connection(Requester::User)
+            .or_else(|| self.longest_idle_server_connection(Requester::Agent));
         if let Some(key) = idle {
             self.close(key);
         }
         idle.is_some()
     }
 
-    /// The connection of such a requester that has been idle for longest.
-    fn longest_idle_server(&self, requester: Requester) -> Option<usize> {
+    /// Returns the front connection of such a requester that has been idle for longest.
+    fn longest_idle_server_connection(&self, requester: Requester) -> Option<usize> {
         let is_idle = |connection: &Connection| {
             let front = matches!(
                 connection.role,
                 Role::Server {
                     request: None,
                     interface: Interface::Front,
-                    agent,
+                    is_agent,
                     ..
-                } if agent == (requester == Requester::Agent)
+                } if is_agent == (requester == Requester::Agent)
             );
             front && connection.input.is_empty() && connection.output.is_empty()
         };
@@ -120,9 +122,10 @@
         keys.find(|key| self.connections.get(*key).is_some_and(is_idle))
     }
 
-    /// Processes what has arrived on a connection; `ended`: nothing more will.
-    pub(crate) fn on_server_data(&mut self, key: usize, ended: bool) {
-        if ended {
+    /// Processes the bytes that have arrived on an inbound connection. `at_eof`: the other side will send no more
+    /// bytes.
+    pub(crate) fn on_server_data(&mut self, key: usize, at_eof: bool) {
+        if at_eof {
             return self.close(key);
         }
         let Some(connection) = self.connections.get(key) else {
@@ -140,24 +143,24 @@
         if request.is_some() {
             return self.refuse(key, 400, "pipelined request");
         }
-        match parse_request(&connection.input, request_limit(interface)) {
+        match parse_request(&connection.input, request_body_limit(interface)) {
             Parsed::Partial => {
-                // The time for a request runs from its first byte on.
-                let deadline = self.now.steady + REQUEST_TIMEOUT;
+                // The request timeout starts with the first byte of the request.
+                let deadline = self.now.steady + REQUEST_TIMEOUT_US;
                 if connection.deadline > deadline {
                     self.set_deadline(key, deadline);
                 }
             }
-            Parsed::Bad(status, reason) => self.refuse(key, status, reason),
+            Parsed::Invalid(status, reason) => self.refuse(key, status, reason),
             Parsed::TooLarge => self.refuse(key, 413, "request too large"),
-            Parsed::Whole(_, used) if used < connection.input.len() => {
+            Parsed::Complete(_, message_length) if message_length < connection.input.len() => {
                 self.refuse(key, 400, "pipelined request");
             }
-            Parsed::Whole(request, _) => self.on_request(key, request),
+            Parsed::Complete(request, _) => self.on_request(key, request),
         }
     }
 
-    /// Hands a request to the controller.
+    /// Passes a request to the controller.
     fn on_request(&mut self, key: usize, received: Request) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -165,8 +168,8 @@
         let Role::Server {
             interface,
             request,
-            close,
-            agent,
+            closes_connection,
+            is_agent,
         } = &mut connection.role
         else {
             return;
@@ -175,9 +178,9 @@
         let id = self.last_request_id;
         connection.input = Vec::new();
         *request = Some(id);
-        *close = received.close;
-        if received.path == HEARTBEAT_PATH && !*agent {
-            *agent = true;
+        *closes_connection = received.closes_connection;
+        if received.path == HEARTBEAT_PATH && !*is_agent {
+            *is_agent = true;
             self.agent_connections += 1;
         }
         let input = Input::Request {
@@ -189,15 +192,20 @@
         };
         self.requests.insert(id, key);
         self.inputs.push_back(input);
-        self.set_deadline(key, self.now.steady + IDLE_TIMEOUT);
+        self.set_deadline(key, self.now.steady + SERVER_IDLE_TIMEOUT_US);
     }
 
-    /// Answers a request that could not be read and closes the connection.
+    /// Answers an invalid or incomplete request with an error and closes the connection.
     pub(crate) fn refuse(&mut self, key: usize, status: u16, reason: &'static str) {
         debug!(status = status, error = reason; "request refused");
         if let Some(connection) = self.connections.get_mut(key) {
-            if let Role::Server { close, request, .. } = &mut connection.role {
-                *close = true;
+            if let Role::Server {
+                closes_connection,
+                request,
+                ..
+            } = &mut connection.role
+            {
+                *closes_connection = true;
                 if let Some(id) = request.take() {
                     self.requests.remove(&id);
                     self.inputs.push_back(Input::Gone { id });
@@ -208,32 +216,32 @@
                 status,
                 content_type: TEXT,
                 retry_after_s: None,
-                close: true,
+                closes_connection: true,
             };
             write_response(&mut connection.output, &head, reason.as_bytes());
         }
-        self.set_deadline(key, self.now.steady + WRITE_TIMEOUT);
+        self.set_deadline(key, self.now.steady + WRITE_TIMEOUT_US);
         self.on_writable(key);
     }
 
-    /// Answers a request, unless its connection is gone.
+    /// Sends the response to a request, unless the connection of the request has been closed.
     pub(crate) fn answer(&mut self, id: u64, status: u16, body: &[u8], retry_after_s: Option<u32>) {
         let Some(key) = self.requests.remove(&id) else {
             return;
         };
-        let crowded = self.is_crowded();
+        let under_pressure = self.has_agent_connection_pressure();
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         if let Role::Server {
             request,
-            close,
+            closes_connection,
             interface,
-            agent,
+            is_agent,
         } = &mut connection.role
         {
             *request = None;
-            *close |= *agent && crowded;
+            *closes_connection |= *is_agent && under_pressure;
             let head = ResponseHead {
                 status,
                 content_type: match interface {
@@ -241,7 +249,7 @@
                     Interface::Peer => MESSAGE_PACK,
                 },
                 retry_after_s,
-                close: *close,
+                closes_connection: *closes_connection,
             };
             write_response(&mut connection.output, &head, body);
         }
--- a/crates/net/tests/crowded.rs
+++ b/crates/net/tests/crowded.rs
@@ -1,4 +1,4 @@
-//! More agents than sockets: each of them gets its responses all the same.
+//! Checks that a controller with fewer sockets than agents answers the heartbeats of all agents.
 
 use grebewood_core::{Controller, Settings, Tuning};
 use grebewood_net::{run, Endpoints};
@@ -6,16 +6,16 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-const SOCKETS: usize = 32;
+const SOCKET_LIMIT: usize = 32;
 const AGENTS: usize = 100;
 
-/// An address on loopback that is not in use.
+/// Returns a loopback address that is not in use.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("its address")
 }
 
-/// Connects as soon as somebody listens.
+/// Connects to an address, and retries until the controller listens there.
 fn connect(address: SocketAddr) -> TcpStream {
     for _ in 0..200 {
         if let Ok(stream) = TcpStream::connect(address) {
@@ -23,7 +23,7 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    panic!("nobody listens at {address}");
+    panic!("no listener at {address}");
 }
 
 /// Sends a heartbeat and returns the first line of the response.
@@ -44,16 +44,16 @@
         store: free_address(),
         cloud: free_address(),
         peers: Vec::new(),
-        socket_limit: SOCKETS,
+        socket_limit: SOCKET_LIMIT,
     };
     let front = endpoints.front;
     let controller = Controller::new(Settings::default(), Tuning::default(), 1);
     std::thread::spawn(move || run(controller, endpoints));
-    // All connections stay open on the agents' side.
+    // The agents keep all their connections open.
     let mut open = Vec::new();
     for agent in 0..AGENTS {
         let mut stream = connect(front);
-        // An empty body is no heartbeat: what matters is that there is a response.
+        // An empty body is not a valid heartbeat, so the expected response is an error.
         assert_eq!(
             send_heartbeat(&mut stream),
             "HTTP/1.1 400 Bad Request",
