--- a/crates/grebewood/src/config.rs
+++ b/crates/grebewood/src/config.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the settings file (TOML) and the operators' tuning file (INI).
+//! Reads and validates the settings file (TOML) and the operators' tuning file (INI).
 
 mod convert;
 mod error;
@@ -13,26 +13,27 @@
 use grebewood_net::Endpoints;
 use std::path::Path;
 
-/// Reads the settings file.
-pub fn load(path: &Path) -> Result<(Settings, Endpoints), ConfigError> {
-    parse(&read(path)?).map_err(|source| ConfigError::Settings {
+/// Reads and validates the settings file.
+pub fn load_settings(path: &Path) -> Result<(Settings, Endpoints), ConfigError> {
+    parse(&read_file(path)?).map_err(|source| ConfigError::Settings {
         path: path.into(),
         source,
     })
 }
 
-/// Reads the tuning file, every key of which has a default; without a file all of them are in force.
+/// Reads the tuning file. Keys that the file does not set have their defaults; without a file, all keys have
+/// their defaults.
 pub fn load_tuning(path: Option<&Path>) -> Result<Tuning, ConfigError> {
     let Some(path) = path else {
         return Ok(Tuning::default());
     };
-    tuning::parse(&read(path)?).map_err(|source| ConfigError::Tuning {
+    tuning::parse(&read_file(path)?).map_err(|source| ConfigError::Tuning {
         path: path.into(),
         source,
     })
 }
 
-fn read(path: &Path) -> Result<String, ConfigError> {
+fn read_file(path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
         path: path.into(),
         source,
@@ -47,7 +48,7 @@
     convert::convert(file)
 }
 
-/// The number of the line that the byte at this offset is in, from 1 on.
+/// Returns the number, from 1, of the line that contains the byte at this offset.
 fn line_at(text: &str, offset: usize) -> usize {
     let before = &text[..offset.min(text.len())];
     before.matches('\n').count() + 1
--- a/crates/grebewood/src/config/convert.rs
+++ b/crates/grebewood/src/config/convert.rs
@@ -1,4 +1,4 @@
-//! Checks the settings file and converts it to what the controller and its event loop take.
+//! Validates the settings file and converts it to the settings of the controller and of the event loop.
 
 use super::error::{InvalidValue, SettingsError};
 use super::file::{
@@ -10,47 +10,47 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The limit of a team that has none: more than any fleet has.
-const UNLIMITED: f64 = 1e12;
-/// No time, rate or size in the file is as large as this.
+/// CPU limit that stands for no limit: more CPUs than any cluster has.
+const UNLIMITED_CPUS: f64 = 1e12;
+/// Exclusive upper bound of all times, rates and sizes in the file.
 const UPPER_BOUND: f64 = 1e9;
-/// Least operations of a transaction: finishing a job changes three keys at once.
+/// Lower bound of the operation limit of transactions: finishing a job changes three keys in one transaction.
 const MIN_TRANSACTION_OPERATIONS: usize = 3;
-/// Least size of a value, in units of 1024 bytes: a job's record takes some hundred bytes.
+/// Lower bound of the size limit of values, in units of 1024 bytes: the record of a job takes some hundred bytes.
 const MIN_VALUE_KB: f64 = 1.0;
-/// Fewest sockets that the event loop plans with.
+/// Lower bound of the socket limit that is passed to the event loop.
 const MIN_SOCKETS: usize = 32;
-/// The kind of objectives that state how soon a service is restored.
+/// Kind of the availability objectives, which state how soon a service must be restored.
 const AVAILABILITY_OBJECTIVE: &str = "up";
 
-fn invalid(field: impl Into<String>, reason: InvalidValue) -> SettingsError {
+fn invalid_field(field: impl Into<String>, reason: InvalidValue) -> SettingsError {
     SettingsError::Field {
         field: field.into(),
         reason,
     }
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
     text.parse()
-        .map_err(|_| invalid(field, InvalidValue::NotAnAddress(text.into())))
+        .map_err(|_| invalid_field(field, InvalidValue::NotAnAddress(text.into())))
 }
 
-fn positive(field: &str, number: f64) -> Result<f64, SettingsError> {
+fn check_positive(field: &str, number: f64) -> Result<f64, SettingsError> {
     if number.is_finite() && number > 0.0 && number < UPPER_BOUND {
         Ok(number)
     } else {
-        Err(invalid(field, InvalidValue::NotPositive(number)))
+        Err(invalid_field(field, InvalidValue::NotPositive(number)))
     }
 }
 
-fn positive_time(field: &str, seconds: f64) -> Result<Micros, SettingsError> {
-    positive(field, seconds).map(micros)
+fn convert_time(field: &str, seconds: f64) -> Result<Micros, SettingsError> {
+    check_positive(field, seconds).map(micros)
 }
 
-/// Checks and converts the whole file.
+/// Validates and converts the whole file.
 pub(super) fn convert(file: SettingsFile) -> Result<(Settings, Endpoints), SettingsError> {
     if file.member.is_empty() {
-        return Err(invalid("member", InvalidValue::Empty));
+        return Err(invalid_field("member", InvalidValue::Empty));
     }
     let teams = convert_teams(&file.cluster.teams)?;
     let objectives = file.cluster.objectives.iter().map(convert_objective);
@@ -63,12 +63,12 @@
         siblings: file.siblings.iter().map(convert_sibling).collect(),
         teams,
         objectives,
-        heartbeat_interval: positive_time("cluster.workers.report_s", agents.heartbeat_interval_s)?,
-        agent_lease: positive_time("cluster.workers.lease_s", agents.lease_s)?,
-        cancel_timeout: positive_time("cluster.workers.cancel_s", agents.cancel_timeout_s)?,
+        heartbeat_interval: convert_time("cluster.workers.report_s", agents.heartbeat_interval_s)?,
+        agent_lease: convert_time("cluster.workers.lease_s", agents.lease_s)?,
+        cancel_timeout: convert_time("cluster.workers.cancel_s", agents.cancel_timeout_s)?,
         store,
-        cloud_rps: positive("cluster.cloud.rps", cloud.rps)?,
-        list_lag: positive_time("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
+        cloud_rps: check_positive("cluster.cloud.rps", cloud.rps)?,
+        list_lag: convert_time("cluster.cloud.list_lag_s", cloud.list_lag_s)?,
         sockets: endpoints.socket_limit,
         member: file.member,
         zone: file.zone,
@@ -77,13 +77,17 @@
 }
 
 fn convert_endpoints(file: &SettingsFile) -> Result<Endpoints, SettingsError> {
-    let peer = |sibling: &SiblingEntry| address("siblings.addr", &sibling.address);
-    let peers = file.siblings.iter().map(peer).collect::<Result<_, _>>()?;
+    let peer_address = |sibling: &SiblingEntry| parse_address("siblings.addr", &sibling.address);
+    let peers = file
+        .siblings
+        .iter()
+        .map(peer_address)
+        .collect::<Result<_, _>>()?;
     Ok(Endpoints {
-        front: address("front", &file.front)?,
-        peer_listen: address("peer_listen", &file.peer_listen)?,
-        store: address("endpoints.state", &file.endpoints.store)?,
-        cloud: address("endpoints.cloud", &file.endpoints.cloud)?,
+        front: parse_address("front", &file.front)?,
+        peer_listen: parse_address("peer_listen", &file.peer_listen)?,
+        store: parse_address("endpoints.state", &file.endpoints.store)?,
+        cloud: parse_address("endpoints.cloud", &file.endpoints.cloud)?,
         peers,
         socket_limit: file.cluster.process.fd_limit.max(MIN_SOCKETS),
     })
@@ -102,7 +106,7 @@
         let team = convert_team(entry)?;
         if teams.insert(entry.name.clone(), team).is_some() {
             let reason = InvalidValue::Duplicate(entry.name.clone());
-            return Err(invalid("cluster.teams.name", reason));
+            return Err(invalid_field("cluster.teams.name", reason));
         }
     }
     Ok(teams)
@@ -113,9 +117,9 @@
     check_amount(entry, "cpus_max", entry.cpus_max)?;
     check_amount(entry, "gpus", entry.gpus)?;
     check_amount(entry, "gpus_max", entry.gpus_max)?;
-    // A limit of 0 CPUs means no limit, as for a guest: a team that may use no CPU could run nothing.
+    // A CPU limit of 0, as guest teams have it, means no limit: a team that may use no CPU could run nothing.
     let cpus_max = match entry.cpus_max {
-        0.0 => UNLIMITED,
+        0.0 => UNLIMITED_CPUS,
         limit => limit,
     };
     check_limit(entry, "cpus_max", cpus_max, entry.cpus)?;
@@ -134,7 +138,7 @@
     }
     let team = team.name.clone();
     let reason = InvalidValue::InvalidAmount { amount, team };
-    Err(invalid(format!("cluster.teams.{field}"), reason))
+    Err(invalid_field(format!("cluster.teams.{field}"), reason))
 }
 
 fn check_limit(
@@ -151,19 +155,22 @@
         guaranteed,
         team: team.name.clone(),
     };
-    Err(invalid(format!("cluster.teams.{field}"), reason))
+    Err(invalid_field(format!("cluster.teams.{field}"), reason))
 }
 
 fn convert_objective(entry: &ObjectiveEntry) -> Result<Objective, SettingsError> {
-    let time = |field: &str, seconds: Option<f64>| {
+    let convert_optional_time = |field: &str, seconds: Option<f64>| {
         let field = format!("cluster.objectives.{field}");
-        seconds.map(|s| positive_time(&field, s)).transpose()
+        seconds.map(|s| convert_time(&field, s)).transpose()
     };
-    let within = time("within_s", entry.within_s)?;
-    // Other kinds may use these fields for something else.
+    let within = convert_optional_time("within_s", entry.within_s)?;
+    // Objectives of other kinds may use these fields with another meaning.
     let (after, worst) = if entry.kind == AVAILABILITY_OBJECTIVE {
         let after_s = entry.after_s.filter(|seconds| *seconds != 0.0);
-        (time("after_s", after_s)?, time("worst_s", entry.worst_s)?)
+        (
+            convert_optional_time("after_s", after_s)?,
+            convert_optional_time("worst_s", entry.worst_s)?,
+        )
     } else {
         (None, None)
     };
@@ -177,7 +184,7 @@
     })
 }
 
-/// The smaller of the present and the announced limits: nobody says when the change is made.
+/// Returns the smaller of the current and the announced limits, because the time of the change is not known.
 fn convert_store_limits(section: &StoreSection) -> Result<StoreLimits, SettingsError> {
     let current = section.current();
     let limits = check_store_limits("cluster.state", current)?;
@@ -195,15 +202,15 @@
     let field = |name: &str| format!("{section}.{name}");
     if limits.txn_ops < MIN_TRANSACTION_OPERATIONS {
         let reason = InvalidValue::BelowMinimum(MIN_TRANSACTION_OPERATIONS as f64);
-        return Err(invalid(field("txn_ops"), reason));
+        return Err(invalid_field(field("txn_ops"), reason));
     }
-    if positive(&field("value_kb"), limits.value_kb)? < MIN_VALUE_KB {
+    if check_positive(&field("value_kb"), limits.value_kb)? < MIN_VALUE_KB {
         let reason = InvalidValue::BelowMinimum(MIN_VALUE_KB);
-        return Err(invalid(field("value_kb"), reason));
+        return Err(invalid_field(field("value_kb"), reason));
     }
     Ok(StoreLimits {
-        rps: positive(&field("rps"), limits.rps)?,
-        write_rps: positive(&field("write_rps"), limits.write_rps)?,
+        rps: check_positive(&field("rps"), limits.rps)?,
+        write_rps: check_positive(&field("write_rps"), limits.write_rps)?,
         value_bytes: (limits.value_kb * 1024.0) as usize,
         transaction_operations: limits.txn_ops,
     })
--- a/crates/grebewood/src/config/error.rs
+++ b/crates/grebewood/src/config/error.rs
@@ -1,10 +1,11 @@
-//! Errors of reading the settings and tuning files. Each is one line that names the file and the field.
+//! Errors of reading the settings and tuning files. A message is one line; together with its causes, it names the
+//! file and the field or key.
 
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A file could not be read, or its content is invalid.
+/// Reasons why a settings or tuning file cannot be loaded.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -16,8 +17,8 @@
         #[source]
         source: io::Error,
     },
-    /// The settings file has an invalid content.
-    #[error("settings file {}", path.display())]
+    /// The content of the settings file is invalid.
+    #[error("invalid settings file {}", path.display())]
     Settings {
         /// The file.
         path: PathBuf,
@@ -25,8 +26,8 @@
         #[source]
         source: SettingsError,
     },
-    /// The tuning file has an invalid content.
-    #[error("tuning file {}", path.display())]
+    /// The content of the tuning file is invalid.
+    #[error("invalid tuning file {}", path.display())]
     Tuning {
         /// The file.
         path: PathBuf,
@@ -36,15 +37,15 @@
     },
 }
 
-/// What is wrong with the content of the settings file.
+/// Reasons why the content of the settings file is invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// It is no TOML, or a field is missing or of the wrong type.
+    /// The file is not valid TOML, or a field is missing or of the wrong type.
     #[error("line {line}: {reason}")]
     Parse {
-        /// The line, from 1 on; 0 if it is not known.
+        /// Line number, from 1; 0 if the line is not known.
         line: usize,
-        /// What the parser expects there.
+        /// Message of the TOML parser.
         reason: String,
     },
     /// A field has an invalid value.
@@ -57,23 +58,23 @@
     },
 }
 
-/// Why the value of a field is invalid.
+/// Reasons why the value of a field is invalid.
 #[derive(Debug, Error)]
 pub enum InvalidValue {
     /// A name is empty.
-    #[error("empty")]
+    #[error("must not be empty")]
     Empty,
-    /// Not the text of a socket address.
+    /// The text is not a socket address.
     #[error("{0:?} is not an IP address and port")]
     NotAnAddress(String),
-    /// Not a positive number, or one beyond any sensible value.
-    #[error("{0} is not a positive number")]
+    /// The number is not positive, or is not below the upper bound of times, rates and sizes.
+    #[error("{0} is not a positive number or is too large")]
     NotPositive(f64),
-    /// Less than the least value that the controller can work with.
-    #[error("less than {0}")]
+    /// The value is less than this minimum, which the controller needs.
+    #[error("must be at least {0}")]
     BelowMinimum(f64),
     /// A team's amount is negative or not finite.
-    #[error("{amount} of {team} is negative or not finite")]
+    #[error("{amount} of team {team} is negative or not finite")]
     InvalidAmount {
         /// The amount.
         amount: f64,
@@ -81,7 +82,7 @@
         team: String,
     },
     /// A team's limit is less than its guaranteed share.
-    #[error("{limit} of {team} is less than the {guaranteed} guaranteed")]
+    #[error("{limit} of team {team} is less than its guaranteed share of {guaranteed}")]
     LimitBelowGuarantee {
         /// The limit.
         limit: f64,
@@ -95,16 +96,16 @@
     Duplicate(String),
 }
 
-/// What is wrong with the content of the tuning file.
+/// Reasons why the content of the tuning file is invalid.
 #[derive(Debug, Error)]
 pub enum TuningError {
-    /// It is no INI file.
-    #[error("not an INI file")]
+    /// The file is not valid INI.
+    #[error("not a valid INI file")]
     Parse(#[from] ini::ParseError),
-    /// It has a section of another program.
-    #[error("[{0}]: no such section")]
+    /// The file has an unknown section.
+    #[error("unknown section [{0}]")]
     UnknownSection(String),
-    /// A key is unknown, or its value invalid.
+    /// A key is unknown, or its value is invalid.
     #[error("{0}")]
     Key(String),
 }
--- a/crates/grebewood/src/config/file.rs
+++ b/crates/grebewood/src/config/file.rs
@@ -1,9 +1,9 @@
-//! The settings file as it is written: the names of its fields are those of the platform. Unknown fields are
+//! The serialized form of the settings file. The platform defines the names of the fields; unknown fields are
 //! ignored.
 
 use serde::Deserialize;
 
-/// Sockets that the process may have if the file does not say.
+/// File descriptors that the process may have if the file does not state a limit.
 const DEFAULT_FD_LIMIT: usize = 1_024;
 
 /// The whole file.
@@ -11,31 +11,31 @@
 pub(super) struct SettingsFile {
     /// Name of this controller.
     pub member: String,
-    /// The zone that it runs in.
+    /// Zone that the controller runs in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Address at which it serves users and agents.
+    /// Listening address for users and agents.
     pub front: String,
-    /// Address at which it serves other controllers.
+    /// Listening address for other controllers.
     pub peer_listen: String,
     /// The other controllers.
     #[serde(default)]
     pub siblings: Vec<SiblingEntry>,
-    /// Addresses of the services that it calls.
+    /// Addresses of the services that the controller calls.
     pub endpoints: EndpointsSection,
-    /// What all controllers share.
+    /// Settings that all controllers share.
     pub cluster: ClusterSection,
 }
 
 /// `[[siblings]]`: another controller.
 #[derive(Deserialize)]
 pub(super) struct SiblingEntry {
-    /// Its name.
+    /// Name of the controller.
     pub member: String,
-    /// The zone that it runs in.
+    /// Zone that the controller runs in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Address at which it serves other controllers.
+    /// Address at which the controller serves other controllers.
     #[serde(rename = "addr")]
     pub address: String,
 }
@@ -50,7 +50,7 @@
     pub store: String,
 }
 
-/// `[cluster]`: what all controllers share.
+/// `[cluster]`: settings that all controllers share.
 #[derive(Deserialize)]
 pub(super) struct ClusterSection {
     /// Quotas of the teams.
@@ -79,12 +79,12 @@
     pub name: String,
     /// Guaranteed CPUs.
     pub cpus: f64,
-    /// Limit of CPUs; 0: unlimited.
+    /// CPU limit; 0 means no limit.
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of GPUs; 0: the team may use none.
+    /// GPU limit; 0 means that the team may use no GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -95,16 +95,16 @@
     /// What the objective measures, such as `wait` or `up`.
     #[serde(default)]
     pub kind: String,
-    /// The job class that it is for.
+    /// The job class that the objective applies to.
     #[serde(default)]
     pub class: String,
-    /// The time within which the measured event should happen.
+    /// Time within which the measured event should happen.
     pub within_s: Option<f64>,
-    /// Of an `up` objective: the time from which on a service is to be served; 0: not stated.
+    /// Only for `up` objectives: time after which a service must be up; 0 means that no time is stated.
     pub after_s: Option<f64>,
-    /// Of an `up` objective: the length of the spans of which the worst counts.
+    /// Only for `up` objectives: length of the time windows, of which the worst one counts.
     pub worst_s: Option<f64>,
-    /// The share of events that should meet the objective.
+    /// Share of the events that should meet the objective.
     #[serde(default)]
     pub share: f64,
 }
@@ -115,7 +115,7 @@
     /// Time between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Time without a response after which an agent's lease expires.
+    /// Time without a response to a heartbeat after which an agent's lease expires.
     pub lease_s: f64,
     /// Time within which a cancellation must take effect.
     #[serde(rename = "cancel_s")]
@@ -129,16 +129,16 @@
     pub rps: f64,
     /// Writes per second.
     pub write_rps: f64,
-    /// Largest value, in units of 1024 bytes.
+    /// Maximum size of a value, in units of 1024 bytes.
     pub value_kb: f64,
-    /// Most operations of a transaction.
+    /// Maximum number of operations of a transaction.
     pub txn_ops: usize,
     /// The limits after an announced change.
     pub next: Option<NextStoreLimitsEntry>,
 }
 
 impl StoreSection {
-    /// The limits in force now.
+    /// Returns the current limits.
     pub fn current(&self) -> StoreLimitsEntry {
         StoreLimitsEntry {
             rps: self.rps,
@@ -149,35 +149,34 @@
     }
 }
 
-/// Limits of the key-value store: requests and writes per second, size of a value, operations of a
-/// transaction.
+/// Limits of the key-value store at one time, current or announced.
 #[derive(Clone, Copy)]
 pub(super) struct StoreLimitsEntry {
     /// Requests per second.
     pub rps: f64,
     /// Writes per second.
     pub write_rps: f64,
-    /// Largest value, in units of 1024 bytes.
+    /// Maximum size of a value, in units of 1024 bytes.
     pub value_kb: f64,
-    /// Most operations of a transaction.
+    /// Maximum number of operations of a transaction.
     pub txn_ops: usize,
 }
 
-/// `[cluster.state.next]`: the limits after an announced change; a missing one stays as it is.
+/// `[cluster.state.next]`: the limits after an announced change. A limit that is missing does not change.
 #[derive(Deserialize)]
 pub(super) struct NextStoreLimitsEntry {
     /// Requests per second.
     pub rps: Option<f64>,
     /// Writes per second.
     pub write_rps: Option<f64>,
-    /// Largest value, in units of 1024 bytes.
+    /// Maximum size of a value, in units of 1024 bytes.
     pub value_kb: Option<f64>,
-    /// Most operations of a transaction.
+    /// Maximum number of operations of a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl NextStoreLimitsEntry {
-    /// The limits after the change.
+    /// Returns the limits after the change.
     pub fn applied_to(&self, current: StoreLimitsEntry) -> StoreLimitsEntry {
         StoreLimitsEntry {
             rps: self.rps.unwrap_or(current.rps),
@@ -193,7 +192,7 @@
 pub(super) struct CloudSection {
     /// Requests per second.
     pub rps: f64,
-    /// How long the cloud's list of machines may lag behind, in seconds.
+    /// Maximum delay after which the cloud's list of machines shows a change, in seconds.
     pub list_lag_s: f64,
 }
 
--- a/crates/grebewood/src/config/format_tests.rs
+++ b/crates/grebewood/src/config/format_tests.rs
@@ -1,7 +1,7 @@
-//! Frozen files: the settings file with every field, the tuning file with every key, and the files in
-//! `deploy/` are read with the values that they had on 2026-12-02.
+//! Checks the formats of the settings and tuning files: a settings file with every field, a tuning file with every
+//! key, and the tuning files in `deploy/` must be read with the values that they had on 2026-12-02.
 
-use super::{load, load_tuning};
+use super::{load_settings, load_tuning};
 use grebewood_core::settings::StoreLimits;
 use grebewood_core::{Objective, Settings, Sibling, Team, Tuning};
 use std::collections::BTreeMap;
@@ -88,7 +88,7 @@
 #[test]
 fn every_field_of_the_settings_file_is_read() {
     let file = package_file("tests/data/settings.toml");
-    let (settings, endpoints) = load(&file).expect("good settings");
+    let (settings, endpoints) = load_settings(&file).expect("good settings");
     assert_eq!(settings, frozen_settings());
     assert_eq!(endpoints.front, address("10.0.0.1:7001"));
     assert_eq!(endpoints.peer_listen, address("10.0.0.1:7002"));
--- a/crates/grebewood/src/config/tests.rs
+++ b/crates/grebewood/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Checks of the settings file's fields.
+//! Tests of the validation and conversion of the settings file.
 
 use super::parse;
 use grebewood_core::settings::StoreLimits;
@@ -39,7 +39,8 @@
     assert_eq!(endpoints.socket_limit, 1_024);
 }
 
-/// Regression: all jobs of a guest team were refused with 422, since none fitted a limit of 0.
+/// Regression: if a CPU limit of 0 is taken literally, no job of a guest team fits it, and all of them are refused
+/// with 422.
 #[test]
 fn a_limit_of_zero_cpus_means_no_limit() {
     let text = VALID_SETTINGS.replace("cpus = 1.0\ncpus_max = 2.0", "cpus = 0.0\ncpus_max = 0.0");
@@ -47,11 +48,11 @@
     let guest = &settings.teams["t"];
     assert_eq!(guest.cpus, 0.0);
     assert!(guest.cpus_max > 1e9);
-    // A limit of 0 GPUs stays one.
+    // A GPU limit of 0 means that the team may use no GPUs.
     assert_eq!(guest.gpus_max, 0.0);
 }
 
-/// Records fit the announced limits from the start, since nobody says when the change is made.
+/// The time of an announced change is unknown, so records must fit the announced limits from the start.
 #[test]
 fn the_smaller_of_current_and_next_limits_applies() {
     let next = "txn_ops = 8\n[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nrps = 900.0\n";
@@ -97,7 +98,7 @@
         (
             "cpus = 1.0",
             "gpus = 1.0\ncpus = 1.0",
-            "cluster.teams.gpus_max: 0 of t",
+            "cluster.teams.gpus_max: 0 of team t",
         ),
         ("txn_ops = 8", "txn_ops = 2", "cluster.state.txn_ops"),
         (
--- a/crates/grebewood/src/config/tuning.rs
+++ b/crates/grebewood/src/config/tuning.rs
@@ -1,13 +1,13 @@
-//! Reads the operators' tuning file (INI).
+//! Parses the operators' tuning file (INI).
 
 use super::error::TuningError;
 use grebewood_core::Tuning;
 use ini::Ini;
 
-/// The only section that the file may have; keys may also stand before any section.
+/// Name of the only section that the file may have; keys may also precede all sections.
 const SECTION: &str = "grebewood";
 
-/// Parses the file; keys that it does not have keep their defaults.
+/// Parses the text of the file. Keys that the file does not set keep their defaults.
 pub(super) fn parse(text: &str) -> Result<Tuning, TuningError> {
     let mut tuning = Tuning::default();
     for (section, properties) in &Ini::load_from_str(text)? {
--- a/crates/grebewood/src/logging.rs
+++ b/crates/grebewood/src/logging.rs
@@ -1,27 +1,27 @@
-//! The logger: one line on standard error for each record, `LEVEL target: message key=value ...`.
+//! The logger, which writes each record as one line on standard error: `LEVEL target: message key=value ...`.
 
 use env_logger::Target;
 use log::kv::{Error, Key, Value, VisitSource};
 use log::{LevelFilter, Record};
 use std::io::{self, Write};
 
-/// The environment variable that sets the lowest level that is logged.
+/// Environment variable that sets the log level.
 const LEVEL_VARIABLE: &str = "LOG_LEVEL";
-/// What the names of this workspace's packages begin with; it is left out of a line's target.
+/// Prefix of the package names of this workspace, which is omitted from the targets of log lines.
 const PACKAGE_PREFIX: &str = "grebewood_";
 
 /// Installs the logger.
 pub fn init() {
     let variable = std::env::var(LEVEL_VARIABLE).ok();
     env_logger::Builder::new()
-        .filter_level(level(variable.as_deref()))
+        .filter_level(parse_level(variable.as_deref()))
         .format(write_record)
         .target(Target::Stderr)
         .init();
 }
 
-/// The lowest level that is logged, by the value of [`LEVEL_VARIABLE`].
-fn level(variable: Option<&str>) -> LevelFilter {
+/// Returns the log level for a value of [`LEVEL_VARIABLE`].
+fn parse_level(variable: Option<&str>) -> LevelFilter {
     match variable {
         Some("debug") => LevelFilter::Debug,
         Some("info") => LevelFilter::Info,
@@ -42,7 +42,7 @@
     writeln!(out)
 }
 
-/// Writes fields as ` key=value`. Values that would not read as one word are quoted.
+/// Writes fields as ` key=value`, and quotes values that are not one word.
 struct FieldWriter<'a, W: Write> {
     out: &'a mut W,
 }
@@ -60,8 +60,8 @@
 }
 
 fn is_one_word(text: &str) -> bool {
-    let separates = |c: char| c.is_whitespace() || c.is_control() || c == '"';
-    !text.is_empty() && !text.contains(separates)
+    let is_separator = |c: char| c.is_whitespace() || c.is_control() || c == '"';
+    !text.is_empty() && !text.contains(is_separator)
 }
 
 #[cfg(test)]
--- a/crates/grebewood/src/main.rs
+++ b/crates/grebewood/src/main.rs
@@ -1,4 +1,4 @@
-//! `grebewood`: a cluster scheduler. This program is one controller, and the commands for its operators.
+//! `grebewood`: a cluster scheduler. The program runs one controller, and provides commands for operators.
 
 mod config;
 mod logging;
@@ -58,7 +58,7 @@
     },
 }
 
-/// Why a command failed.
+/// Reasons why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -67,20 +67,21 @@
     Serve(#[from] ServeError),
     #[error(transparent)]
     Read(#[from] ReadError),
-    #[error("cannot encode the output")]
+    #[error("cannot encode the output as JSON")]
     Encode(#[from] serde_json::Error),
     #[error("cannot write to standard output")]
     Write(#[from] io::Error),
 }
 
-/// Exit codes: 0 for success, 1 for any [`CommandError`]; `clap` exits with 2 for a wrong command line.
+/// Runs the command that the command line names. The exit code is 0 for success and 1 for any [`CommandError`];
+/// `clap` exits with 2 for an invalid command line.
 fn main() -> ExitCode {
     let cli = Cli::parse();
     logging::init();
     match run(cli.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!("{}", with_causes(&error));
+            error!("{}", format_error_chain(&error));
             ExitCode::FAILURE
         }
     }
@@ -96,14 +97,14 @@
 
 fn serve(config: &Path, tuning: Option<&Path>) -> Result<(), CommandError> {
     let tuning = config::load_tuning(tuning)?;
-    let (settings, endpoints) = config::load(config)?;
-    info!(member:% = settings.member, zone:% = settings.zone; "controller starts");
+    let (settings, endpoints) = config::load_settings(config)?;
+    info!(member:% = settings.member, zone:% = settings.zone; "controller starting");
     let controller = Controller::new(settings, tuning, random_seed());
     grebewood_net::run(controller, endpoints)?;
     Ok(())
 }
 
-/// A seed that differs between processes that start in the same moment.
+/// Returns a seed that differs between processes that start at the same time.
 fn random_seed() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -112,19 +113,23 @@
 }
 
 fn show_partitions(config: &Path, json: bool) -> Result<(), CommandError> {
-    let (_, endpoints) = config::load(config)?;
-    let overview = partitions::read(endpoints.store)?;
-    print(&overview, json, overview.to_text())
+    let (_, endpoints) = config::load_settings(config)?;
+    let overview = partitions::read_overview(endpoints.store)?;
+    print_overview(&overview, json, overview.to_text())
 }
 
 fn show_quota(config: &Path, json: bool) -> Result<(), CommandError> {
-    let (_, endpoints) = config::load(config)?;
-    let overview = quota::read(endpoints.store)?;
-    print(&overview, json, overview.to_text())
+    let (_, endpoints) = config::load_settings(config)?;
+    let overview = quota::read_overview(endpoints.store)?;
+    print_overview(&overview, json, overview.to_text())
 }
 
 /// Prints an overview as text or as JSON.
-fn print<T: Serialize>(overview: &T, json: bool, text: String) -> Result<(), CommandError> {
+fn print_overview<T: Serialize>(
+    overview: &T,
+    json: bool,
+    text: String,
+) -> Result<(), CommandError> {
     let output = if json {
         serde_json::to_string_pretty(overview)? + "\n"
     } else {
@@ -134,8 +139,8 @@
     Ok(())
 }
 
-/// An error and the chain of its causes, on one line.
-fn with_causes(error: &dyn Error) -> String {
+/// Formats an error and the chain of its causes on one line.
+fn format_error_chain(error: &dyn Error) -> String {
     let mut line = error.to_string();
     let mut cause = error.source();
     while let Some(error) = cause {
--- a/crates/grebewood/src/partitions.rs
+++ b/crates/grebewood/src/partitions.rs
@@ -1,4 +1,4 @@
-//! `grebewood partitions`: which controller holds which machines.
+//! The command `grebewood partitions`: shows which controller holds which machines.
 
 use crate::store::{self, ReadError};
 use grebewood_partition::overview::Overview;
@@ -6,9 +6,9 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Reads the overview from the key-value store at this address.
-pub fn read(store: SocketAddr) -> Result<Overview, ReadError> {
-    let map = store::partitions(store)?;
-    let leader = store::leader(store)?;
+pub fn read_overview(store: SocketAddr) -> Result<Overview, ReadError> {
+    let map = store::read_partitions(store)?;
+    let leader = store::read_leader(store)?;
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -1,4 +1,4 @@
-//! `grebewood quota`: what the teams may use, and what they use.
+//! The command `grebewood quota`: shows the quotas of the teams and what the teams use.
 
 use crate::store::{self, ReadError};
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
@@ -11,28 +11,28 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What one task of a job counts towards its team's limit.
+/// The team of a job, and the resources that one task of the job counts towards the team's limit.
 struct TaskUsage {
     team: String,
     amount: Resources,
 }
 
 /// Reads the overview from the key-value store at this address.
-pub fn read(store: SocketAddr) -> Result<Overview, ReadError> {
+pub fn read_overview(store: SocketAddr) -> Result<Overview, ReadError> {
     let mut records = Records {
-        leader: store::leader(store)?,
+        leader: store::read_leader(store)?,
         ..Records::default()
     };
-    let partitions = store::partitions(store)?;
+    let partitions = store::read_partitions(store)?;
     let held = partitions
         .iter()
         .filter(|(_, partition)| partition.claim.is_some());
     records.held = held.map(|(id, _)| id).collect();
-    for entry in store::list(store, QUOTA)? {
+    for entry in store::list_entries(store, QUOTA)? {
         add_quota_record(&mut records, &entry);
     }
-    let pages = store::list(store, PAGE)?;
-    let jobs = task_usage_by_job(&store::list(store, JOB)?);
+    let pages = store::list_entries(store, PAGE)?;
+    let jobs = task_usage_by_job(&store::list_entries(store, JOB)?);
     for page in &pages {
         add_assignments(&mut records, &jobs, page);
     }
@@ -65,7 +65,8 @@
     jobs
 }
 
-/// Adds the tasks of a page of assignments. Those of finished jobs have ended or are about to be stopped.
+/// Adds the tasks of an assignment page to the records. Tasks of finished jobs are left out, because they have
+/// ended or are about to be stopped.
 fn add_assignments(
     records: &mut Records,
     jobs: &BTreeMap<String, TaskUsage>,
--- a/crates/grebewood/src/store.rs
+++ b/crates/grebewood/src/store.rs
@@ -1,4 +1,4 @@
-//! What the commands for operators read from the key-value store, which needs no leader.
+//! Reads from the key-value store for the operators' commands, which work without a leader.
 
 use grebewood_net::blocking;
 use grebewood_partition::PartitionMap;
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Keys that are read with one request.
-const PAGE_SIZE: usize = 200;
+/// Maximum number of keys that one request reads.
+const KEYS_PER_PAGE: usize = 200;
 
-/// The store could not be read.
+/// Reasons why the key-value store cannot be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The store does not answer.
-    #[error("key-value store {address}")]
+    /// No valid HTTP response from the store arrived.
+    #[error("cannot read from the key-value store at {address}")]
     Unreachable {
         /// Address of the store.
         address: SocketAddr,
@@ -23,18 +23,18 @@
         #[source]
         source: blocking::RequestError,
     },
-    /// The store answers with an HTTP status that is not expected.
-    #[error("the key-value store answers {status} to GET {path}")]
-    Refused {
+    /// The store answered with an unexpected HTTP status.
+    #[error("key-value store answered GET {path} with unexpected status {status}")]
+    UnexpectedStatus {
         /// The HTTP status.
         status: u16,
-        /// What was to be read.
+        /// Path of the request.
         path: String,
     },
-    /// The store's response cannot be decoded.
-    #[error("response of the key-value store to GET {path}")]
-    Unreadable {
-        /// What was to be read.
+    /// The body of the store's response cannot be decoded.
+    #[error("cannot decode the response of the key-value store to GET {path}")]
+    InvalidResponse {
+        /// Path of the request.
         path: String,
         /// The cause.
         #[source]
@@ -49,27 +49,27 @@
     })
 }
 
-fn refused(status: u16, path: &str) -> ReadError {
+fn unexpected_status(status: u16, path: &str) -> ReadError {
     let path = path.to_string();
-    ReadError::Refused { status, path }
+    ReadError::UnexpectedStatus { status, path }
 }
 
-fn unreadable(path: &str) -> impl FnOnce(DecodeError) -> ReadError {
+fn invalid_response(path: &str) -> impl FnOnce(DecodeError) -> ReadError {
     let path = path.to_string();
-    move |source| ReadError::Unreadable { path, source }
+    move |source| ReadError::InvalidResponse { path, source }
 }
 
-/// Reads all keys with this prefix, page by page.
-pub fn list(store: SocketAddr, prefix: &str) -> Result<Vec<KeyValue<Value>>, ReadError> {
+/// Reads all entries whose keys have this prefix, page by page.
+pub fn list_entries(store: SocketAddr, prefix: &str) -> Result<Vec<KeyValue<Value>>, ReadError> {
     let mut entries = Vec::new();
     let mut continuation = String::new();
     loop {
-        let path = format!("/kv?prefix={prefix}{continuation}&page={PAGE_SIZE}");
+        let path = format!("/kv?prefix={prefix}{continuation}&page={KEYS_PER_PAGE}");
         let response = get(store, &path)?;
         if response.status != 200 {
-            return Err(refused(response.status, &path));
+            return Err(unexpected_status(response.status, &path));
         }
-        let page: KeyValueList = from_cbor(&response.body).map_err(unreadable(&path))?;
+        let page: KeyValueList = from_cbor(&response.body).map_err(invalid_response(&path))?;
         let last_key = page.entries.last().map(|entry| entry.key.clone());
         entries.extend(page.entries);
         match last_key {
@@ -79,26 +79,26 @@
     }
 }
 
-/// The name of the leader, if there is one.
-pub fn leader(store: SocketAddr) -> Result<Option<String>, ReadError> {
+/// Reads the name of the leader; returns `None` if there is no leader.
+pub fn read_leader(store: SocketAddr) -> Result<Option<String>, ReadError> {
     let path = format!("/kv/{LEADER}");
     let response = get(store, &path)?;
     match response.status {
         404 => Ok(None),
         200 => {
             let entry: KeyValue<LeaderRecord> =
-                from_cbor(&response.body).map_err(unreadable(&path))?;
+                from_cbor(&response.body).map_err(invalid_response(&path))?;
             Ok(Some(entry.value.member))
         }
-        status => Err(refused(status, &path)),
+        status => Err(unexpected_status(status, &path)),
     }
 }
 
-/// The partitions and their holders.
-pub fn partitions(store: SocketAddr) -> Result<PartitionMap, ReadError> {
+/// Reads the partitions and their holders.
+pub fn read_partitions(store: SocketAddr) -> Result<PartitionMap, ReadError> {
     let mut map = PartitionMap::default();
-    for entry in list(store, PARTITION)? {
-        // The map remembers the keys of unreadable records, which the overview shows.
+    for entry in list_entries(store, PARTITION)? {
+        // The result is ignored because the map keeps the keys of unreadable records, which the overview shows.
         let _ = map.put(&entry.key, &entry.value, entry.mod_revision);
     }
     Ok(map)
--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Controllers as processes of their own on loopback, with simulators of everything that they talk to.
+//! Runs controllers as processes on loopback, with simulators of the services and agents around them.
 
-// Each test file uses a part of it.
+// Each test file uses only some of the items.
 #![allow(dead_code)]
 
 use grebewood_net::blocking;
@@ -14,10 +14,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// Most polls for a condition, and the time between two of them.
+/// Maximum number of polls for a condition.
 pub const MAX_POLLS: usize = 200;
+/// Time between two polls for a condition.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Tuning with which no machine is terminated while a test runs.
+/// Tuning that keeps idle machines for longer than a test runs.
 pub const KEEP_IDLE_MACHINES: &str =
     "idle_hold_us = 600000000\nidle_hold_ordinary_us = 600000000\n";
 
@@ -32,7 +33,7 @@
 /// The configuration of a test's controllers.
 #[derive(Clone)]
 pub struct Setup {
-    /// Name of the folder with their files.
+    /// Name of the directory for the controllers' files.
     pub name: &'static str,
     /// Number of controllers.
     pub members: usize,
@@ -41,24 +42,24 @@
     pub teams: Vec<TeamQuota>,
 }
 
-/// An address on loopback that is not in use.
+/// Returns a loopback address that is not in use.
 pub fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("its address")
 }
 
-/// Tasks of one CPU that run for so many microseconds, write no checkpoints and do not fail.
-pub fn job_facts(run: u64) -> JobFacts {
+/// Describes tasks that take one CPU, run for this time, write no checkpoints and do not fail.
+pub fn job_facts(run_time_us: u64) -> JobFacts {
     JobFacts {
         cpus: 1.0,
-        run,
+        run: run_time_us,
         flush: 0,
         saves: false,
         fails: false,
     }
 }
 
-/// A batch job of tasks that take one CPU each.
+/// Returns the submission of a batch job whose tasks take one CPU each.
 pub fn submission(job: &str, team: &str, tasks: u64) -> Submission {
     Submission {
         id: job.into(),
@@ -84,7 +85,7 @@
     }
 }
 
-/// A machine of eight CPUs.
+/// Returns a machine type with eight CPUs.
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "std".into(),
@@ -110,7 +111,7 @@
     format!("m-{number}")
 }
 
-fn siblings_text(setup: &Setup, number: usize, peers: &[SocketAddr]) -> String {
+fn siblings_toml(setup: &Setup, number: usize, peers: &[SocketAddr]) -> String {
     let siblings = (0..setup.members).filter(|sibling| *sibling != number);
     let entry = |sibling: usize| {
         let (member, address) = (member_name(sibling), peers[sibling]);
@@ -119,7 +120,7 @@
     siblings.map(entry).collect()
 }
 
-fn teams_text(teams: &[TeamQuota]) -> String {
+fn teams_toml(teams: &[TeamQuota]) -> String {
     let entry = |team: &TeamQuota| {
         let (name, cpus, cpus_max) = (team.name, team.cpus, team.cpus_max);
         format!("[[cluster.teams]]\nname = \"{name}\"\ncpus = {cpus:?}\ncpus_max = {cpus_max:?}\n")
@@ -127,8 +128,8 @@
     teams.iter().map(entry).collect()
 }
 
-/// The settings file of a controller.
-fn settings_text(
+/// Returns the content of a controller's settings file.
+fn settings_toml(
     setup: &Setup,
     number: usize,
     addresses: &Addresses,
@@ -136,8 +137,8 @@
 ) -> String {
     let member = member_name(number);
     let (front, peer) = (addresses.fronts[number], addresses.peers[number]);
-    let siblings = siblings_text(setup, number, &addresses.peers);
-    let teams = teams_text(&setup.teams);
+    let siblings = siblings_toml(setup, number, &addresses.peers);
+    let teams = teams_toml(&setup.teams);
     let Services { store, cloud } = services;
     format!(
         "member = \"{member}\"\ndomain = \"a\"\nfront = \"{front}\"\npeer_listen = \"{peer}\"\n{siblings}\
@@ -155,7 +156,7 @@
     pub cloud: SocketAddr,
 }
 
-/// Controllers as processes of their own.
+/// Controllers that run as processes. They are killed when this value is dropped.
 pub struct Controllers {
     folder: PathBuf,
     /// Addresses for users and agents, by the controllers' names.
@@ -176,7 +177,7 @@
         controllers
     }
 
-    /// Writes the files of the controllers, without starting any.
+    /// Writes the files of the controllers without starting the controllers.
     pub fn configure(setup: &Setup, services: Services) -> Controllers {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(setup.name);
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -187,7 +188,7 @@
             peers: free_addresses(),
         };
         for number in 0..setup.members {
-            let text = settings_text(setup, number, &addresses, services);
+            let text = settings_toml(setup, number, &addresses, services);
             std::fs::write(folder.join(format!("{number}.toml")), text).expect("to write");
         }
         let names = (0..setup.members).map(member_name);
@@ -198,7 +199,7 @@
         }
     }
 
-    fn config(&self, number: usize) -> PathBuf {
+    fn settings_path(&self, number: usize) -> PathBuf {
         self.folder.join(format!("{number}.toml"))
     }
 
@@ -208,14 +209,14 @@
             .args(["serve", "--tuning"])
             .arg(self.folder.join("tuning.ini"))
             .arg("--config")
-            .arg(self.config(number))
+            .arg(self.settings_path(number))
             .env("LOG_LEVEL", "error")
             .stderr(Stdio::null())
             .spawn();
         self.children[number] = Some(child.expect("a controller"));
     }
 
-    /// Kills the controller with this number, if it runs.
+    /// Kills the controller with this number, if the controller is running.
     pub fn kill(&mut self, number: usize) {
         if let Some(mut child) = self.children[number].take() {
             child.kill().expect("to kill it");
@@ -223,7 +224,8 @@
         }
     }
 
-    /// Sends a request to one controller after the other until one answers with one of these statuses.
+    /// Sends a request to each controller in turn until one of them answers with one of these statuses, and
+    /// returns the body.
     pub fn request(&self, method: &str, path: &str, body: &[u8], statuses: &[u16]) -> Vec<u8> {
         for _ in 0..MAX_POLLS {
             for front in self.fronts.values() {
@@ -234,26 +236,27 @@
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        panic!("{method} {path}: no controller answers");
+        panic!("{method} {path}: no controller answered with an expected status");
     }
 
-    fn job_is_done(&self, job: &str) -> bool {
+    fn is_job_done(&self, job: &str) -> bool {
         let body = self.request("GET", &format!("/submissions/{job}"), &[], &[200]);
         let status: JobStatus = from_cbor(&body).expect("a status");
         status.status == "done"
     }
 
-    /// Waits until all of these jobs are done. The first one that is not in time is the error.
+    /// Waits until all of these jobs are done. The error names the first job that is not done in time.
     pub fn wait_for_jobs(&self, jobs: &[String]) -> Result<(), String> {
-        match jobs.iter().find(|job| !self.job_becomes_done(job)) {
+        match jobs.iter().find(|job| !self.wait_for_job(job)) {
             Some(job) => Err(format!("{job} is not done")),
             None => Ok(()),
         }
     }
 
-    fn job_becomes_done(&self, job: &str) -> bool {
+    /// Waits until a job is done, and returns whether it is done in time.
+    fn wait_for_job(&self, job: &str) -> bool {
         for _ in 0..MAX_POLLS {
-            if self.job_is_done(job) {
+            if self.is_job_done(job) {
                 return true;
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -261,12 +264,12 @@
         false
     }
 
-    /// What a command of `grebewood` prints, and its exit code.
-    pub fn command(&self, command: &str, options: &[&str]) -> (Option<i32>, String) {
+    /// Runs a command of `grebewood`, and returns its exit code and what it prints.
+    pub fn run_command(&self, command: &str, options: &[&str]) -> (Option<i32>, String) {
         let output = Command::new(env!("CARGO_BIN_EXE_grebewood"))
             .arg(command)
             .arg("--config")
-            .arg(self.config(0))
+            .arg(self.settings_path(0))
             .args(options)
             .output()
             .expect("its output");
@@ -278,7 +281,7 @@
     }
 }
 
-/// Without a store to read from, a command fails and names the store's address.
+/// Checks that a command fails and names the store's address if the key-value store is unreachable.
 pub fn assert_command_names_unreachable_store(setup: &Setup, command: &str) {
     let unused = free_address();
     let services = Services {
@@ -286,7 +289,7 @@
         cloud: unused,
     };
     let controllers = Controllers::configure(setup, services);
-    let (code, text) = controllers.command(command, &[]);
+    let (code, text) = controllers.run_command(command, &[]);
     assert_eq!(code, Some(1));
     assert!(text.contains(&unused.to_string()), "{text}");
 }
--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -1,5 +1,5 @@
-//! Three real controllers on loopback, with simulators of all else: partitions are handed off hundreds of times
-//! while jobs run, and holders are killed. Counts are asserted, never times.
+//! Runs three controllers as processes on loopback, with simulators of the services and agents: partitions are
+//! handed off hundreds of times while jobs run, and holders are killed. The assertions check counts, never times.
 
 mod common;
 
@@ -17,15 +17,17 @@
 const MACHINES: usize = 12;
 const JOBS: usize = 30;
 const TASKS: u64 = 4;
-/// Run time of each task, in microseconds.
-const TASK_RUN_TIME: u64 = 4_000_000;
-/// Number of handoffs, and the time between two of them.
+/// Run time of each task.
+const TASK_RUN_TIME_US: u64 = 4_000_000;
+/// Minimum number of handoffs.
 const HANDOFFS: usize = 200;
+/// Time between two handoffs.
 const HANDOFF_INTERVAL: Duration = Duration::from_millis(200);
-/// Handoffs between two kills, and from a kill to the restart of the same controller.
+/// Handoffs between two kills.
 const HANDOFFS_PER_KILL: usize = 60;
+/// Handoffs from a kill to the restart of the same controller.
 const HANDOFFS_TO_RESTART: usize = 8;
-/// Rounds of the test between two submissions.
+/// Rounds of the submission loop between two submissions.
 const ROUNDS_PER_SUBMISSION: usize = 8;
 
 fn setup(name: &'static str) -> Setup {
@@ -41,8 +43,8 @@
     }
 }
 
-/// Assigns a partition to the next controller. False: there is no partition yet.
-fn hand_off_partition(cluster: &Cluster, number: usize) -> bool {
+/// Assigns a partition to the next controller. Returns false if there are no partitions yet.
+fn hand_off_partition(cluster: &Cluster, round: usize) -> bool {
     let mut store = cluster.state();
     let records: Vec<(String, PartitionRecord)> = store
         .under("partition/")
@@ -52,14 +54,15 @@
     if records.is_empty() {
         return false;
     }
-    let (key, mut record) = records[number % records.len()].clone();
+    let (key, mut record) = records[round % records.len()].clone();
     let member = record.holder.trim_start_matches("m-").parse::<usize>();
     record.holder = format!("m-{}", (member.expect("a member") + 1) % MEMBERS);
     store.write(&key, to_value(&record));
     true
 }
 
-/// Kills one controller after the other as handoffs go on, and restarts each after a while.
+/// Kills the controllers in turn, one after every [`HANDOFFS_PER_KILL`] handoffs, and restarts each after
+/// [`HANDOFFS_TO_RESTART`] more.
 fn kill_or_restart(controllers: &mut Controllers, handoffs: usize) {
     let member = handoffs / HANDOFFS_PER_KILL % MEMBERS;
     match handoffs % HANDOFFS_PER_KILL {
@@ -69,7 +72,7 @@
     }
 }
 
-/// Submits the jobs one after the other while partitions are handed off. Returns the number of handoffs.
+/// Submits the jobs one by one while partitions are handed off, and returns the number of handoffs.
 fn submit_during_handoffs(
     cluster: &Cluster,
     controllers: &mut Controllers,
@@ -95,10 +98,10 @@
 }
 
 fn assert_command_shows_partitions(controllers: &Controllers) {
-    let (code, text) = controllers.command("partitions", &[]);
+    let (code, text) = controllers.run_command("partitions", &[]);
     assert_eq!(code, Some(0), "{text}");
     assert_eq!(text.matches("slots ").count(), 3, "{text}");
-    let (code, json) = controllers.command("partitions", &["--json"]);
+    let (code, json) = controllers.run_command("partitions", &["--json"]);
     assert_eq!(code, Some(0), "{json}");
     assert!(json.contains("\"assigned_to\": \"m-"), "{json}");
 }
@@ -108,12 +111,15 @@
     let jobs: Vec<String> = (0..JOBS).map(|n| format!("req-{n:06}")).collect();
     let facts = jobs
         .iter()
-        .map(|job| (job.clone(), job_facts(TASK_RUN_TIME)));
+        .map(|job| (job.clone(), job_facts(TASK_RUN_TIME_US)));
     let cluster = Cluster::new(MACHINES, facts.collect());
     let mut controllers = Controllers::start(&setup("moves"), &cluster);
 
     let handoffs = submit_during_handoffs(&cluster, &mut controllers, &jobs);
-    assert!(handoffs >= HANDOFFS, "only {handoffs} handoffs");
+    assert!(
+        handoffs >= HANDOFFS,
+        "only {handoffs} of {HANDOFFS} handoffs"
+    );
     assert_eq!(controllers.wait_for_jobs(&jobs), Ok(()));
     assert_command_shows_partitions(&controllers);
 
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -1,5 +1,6 @@
-//! Five real controllers on loopback that place tasks at once: jobs of several teams are submitted to all of
-//! them in the same moment while holders and leaders are killed. Counts are asserted, never times.
+//! Runs five controllers as processes on loopback that place tasks concurrently: jobs of several teams are
+//! submitted to all controllers at the same time while controllers are killed, which may be partition holders or
+//! the leader. The assertions check counts, never times.
 
 mod common;
 
@@ -14,17 +15,19 @@
 
 const MEMBERS: usize = 5;
 const MACHINES: usize = 15;
-/// Jobs of each team that each controller is given in the same moment.
+/// Number of waves; in a wave, each controller receives one job of each team at the same time.
 const WAVES: usize = 6;
 const TASKS: u64 = 5;
-/// Run time of each task, in microseconds.
-const TASK_RUN_TIME: u64 = 1_500_000;
-/// Rounds of the test between two waves, between two kills, and from a kill to the restart.
+/// Run time of each task.
+const TASK_RUN_TIME_US: u64 = 1_500_000;
+/// Rounds of the submission loop between two waves.
 const ROUNDS_PER_WAVE: usize = 12;
+/// Rounds between two kills.
 const ROUNDS_PER_KILL: usize = 20;
+/// Rounds from a kill to the restart of the same controller.
 const ROUNDS_TO_RESTART: usize = 4;
 const ROUNDS: usize = WAVES * ROUNDS_PER_WAVE;
-/// Pages of assignments with this number or a higher one are written by partition holders.
+/// Lowest number of the assignment pages that partition holders write.
 const FIRST_HOLDER_PAGE: u64 = 1_000;
 
 /// The teams; their jobs' names begin with `req-1`, `req-2` and `req-3`.
@@ -55,12 +58,12 @@
     }
 }
 
-/// The name of a team's job, one for each wave and controller.
+/// Returns the name of a team's job for a wave and a controller.
 fn job_name(team: usize, wave: usize, member: usize) -> String {
     format!("req-{}{wave:03}{member:02}", team + 1)
 }
 
-/// Submits a wave: each controller gets a job of each team, all in the same moment.
+/// Submits a wave: a job of each team to each controller, all at the same time.
 fn submit_wave(controllers: &Controllers, wave: usize) {
     thread::scope(|scope| {
         for (member, front) in controllers.fronts.values().enumerate() {
@@ -70,14 +73,14 @@
                     limits.name,
                     TASKS,
                 ));
-                // A controller that is down takes none; those jobs are submitted again later.
+                // Submissions to a killed controller fail; the test submits all jobs again later.
                 scope.spawn(move || blocking::request(*front, "POST", "/submissions", &body).ok());
             }
         }
     });
 }
 
-/// Submits all waves while one controller after the other is killed, so that holders and leaders are among them.
+/// Submits all waves while one controller after the other is killed, whether it holds partitions or leads.
 fn submit_waves_and_kill(controllers: &mut Controllers) {
     for round in 0..ROUNDS {
         if round % ROUNDS_PER_WAVE == 0 {
@@ -94,10 +97,10 @@
 }
 
 fn assert_command_shows_teams(controllers: &Controllers) {
-    let (code, text) = controllers.command("quota", &[]);
+    let (code, text) = controllers.run_command("quota", &[]);
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("second"), "{text}");
-    let (code, json) = controllers.command("quota", &["--json"]);
+    let (code, json) = controllers.run_command("quota", &["--json"]);
     assert_eq!(code, Some(0), "{json}");
     assert!(json.contains("\"ceiling\""), "{json}");
 }
@@ -109,10 +112,10 @@
             .map(|(_, number)| number.parse::<u64>());
         number.is_some_and(|number| number.is_ok_and(|n| n >= FIRST_HOLDER_PAGE))
     });
-    assert!(placed_by_holders, "no holder has placed anything");
+    assert!(placed_by_holders, "no partition holder has placed a task");
 }
 
-/// Each team has used some CPUs, and never more than its limit.
+/// Checks that each team has used some CPUs, and never more than its limit.
 fn assert_limits_held(cluster: &Cluster) {
     let executions = cluster.write_buffer();
     for (team, quota) in TEAMS.iter().enumerate() {
@@ -137,7 +140,7 @@
     }
     let facts = jobs
         .iter()
-        .map(|(_, job)| (job.clone(), job_facts(TASK_RUN_TIME)));
+        .map(|(_, job)| (job.clone(), job_facts(TASK_RUN_TIME_US)));
     let cluster = Cluster::new(MACHINES, facts.collect());
     let mut controllers = Controllers::start(&setup("quota"), &cluster);
 
