--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -41,7 +41,7 @@
                     controller: self.controller_named(directive.word(1)?)?,
                     link: directive.word(2)?.into(),
                     until: self.now + directive.duration("for", DEFAULT_FAULT_S)?,
-                    hold: directive.flag("hold", false),
+                    holds_messages: directive.flag("hold", false),
                 };
                 self.network.cuts.push(cut);
             }
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -41,7 +41,7 @@
     pub(super) link: String,
     pub(super) until: Micros,
     /// Messages arrive after the cut; otherwise they are lost.
-    pub(super) hold: bool,
+    pub(super) holds_messages: bool,
 }
 
 impl Cut {
@@ -75,7 +75,7 @@
         let cut = cuts.find(|cut| self.now < cut.until && cut.concerns(controller, link));
         match cut {
             None => Some(self.now + latency),
-            Some(cut) if cut.hold => Some(cut.until + latency),
+            Some(cut) if cut.holds_messages => Some(cut.until + latency),
             Some(_) => None,
         }
     }
