--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -337,7 +337,7 @@
                 requester.clone(),
             ))
         };
-        if let Some(late) = self.faults.late_heartbeat.remove(name) {
+        if let Some(late) = self.faults.heartbeat_copy_delays.remove(name) {
             self.push(now + late, request(body.clone()));
         }
         self.copy_heartbeat(name, &body);
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -28,7 +28,7 @@
             "late" => {
                 let name = directive.word(2)?.to_string();
                 let delay = directive.duration("for", 10.0)?;
-                self.faults.late_heartbeat.insert(name, delay);
+                self.faults.heartbeat_copy_delays.insert(name, delay);
             }
             "slow" => {
                 let name = directive.word(2)?.to_string();
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -75,7 +75,7 @@
     /// Until then peers' answers list this job as cancelled, which nobody cancelled.
     forged_cancellation: Option<(String, Micros)>,
     /// By how much the copy of a machine's next heartbeat is late.
-    pub(super) late_heartbeat: BTreeMap<String, Micros>,
+    pub(super) heartbeat_copy_delays: BTreeMap<String, Micros>,
     /// By how much a machine's next heartbeat is late, which something must overtake.
     pub(super) overtake_heartbeat: BTreeMap<String, Micros>,
     /// By how much the next response to a machine that carries a launch is late.
