--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -344,7 +344,7 @@
         if unplugged {
             return Ok(());
         }
-        let delay = self.faults.overtake_heartbeat.remove(name);
+        let delay = self.faults.heartbeat_delays.remove(name);
         if let Some(delay) = delay {
             let event = Event::OvertakenHeartbeat(name.into(), sequence);
             self.push(now + delay, event);
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -38,7 +38,7 @@
             "overtake" => {
                 let name = directive.word(2)?.to_string();
                 let delay = directive.duration("for", 1.0)?;
-                self.faults.overtake_heartbeat.insert(name, delay);
+                self.faults.heartbeat_delays.insert(name, delay);
             }
             "lose" => {
                 let name = directive.word(2)?.to_string();
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -77,7 +77,7 @@
     /// By how much the copy of a machine's next heartbeat is late.
     pub(super) heartbeat_copy_delays: BTreeMap<String, Micros>,
     /// By how much a machine's next heartbeat is late, which something must overtake.
-    pub(super) overtake_heartbeat: BTreeMap<String, Micros>,
+    pub(super) heartbeat_delays: BTreeMap<String, Micros>,
     /// By how much the next response to a machine that carries a launch is late.
     pub(super) slow_launch: BTreeMap<String, Micros>,
     /// Machines that lose the response to their next heartbeat.
