--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -33,7 +33,7 @@
             "slow" => {
                 let name = directive.word(2)?.to_string();
                 let delay = directive.duration("for", 1.5)?;
-                self.faults.slow_launch.insert(name, delay);
+                self.faults.launch_response_delays.insert(name, delay);
             }
             "overtake" => {
                 let name = directive.word(2)?.to_string();
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -79,7 +79,7 @@
     /// By how much a machine's next heartbeat is late, which something must overtake.
     pub(super) heartbeat_delays: BTreeMap<String, Micros>,
     /// By how much the next response to a machine that carries a launch is late.
-    pub(super) slow_launch: BTreeMap<String, Micros>,
+    pub(super) launch_response_delays: BTreeMap<String, Micros>,
     /// Machines that lose the response to their next heartbeat.
     pub(super) lose_response: BTreeSet<String>,
 }
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -191,13 +191,13 @@
 
     /// By how much this response to a heartbeat is to be late, because it carries a launch.
     fn launch_delay(&mut self, machine: &str, body: &[u8]) -> Option<Micros> {
-        if !self.faults.slow_launch.contains_key(machine) {
+        if !self.faults.launch_response_delays.contains_key(machine) {
             return None;
         }
         let response = from_cbor::<HeartbeatResponse>(body).ok()?;
         let launches = response.commands.iter().any(is_launch);
         launches
-            .then(|| self.faults.slow_launch.remove(machine))
+            .then(|| self.faults.launch_response_delays.remove(machine))
             .flatten()
     }
 
