--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -72,7 +72,7 @@
         if !awaited || machine.gone {
             return None;
         }
-        if self.faults.lose_response.remove(name) || !machine.receives(self.now) {
+        if self.faults.lost_heartbeat_responses.remove(name) || !machine.receives(self.now) {
             return None;
         }
         machine.in_flight = None;
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -42,7 +42,7 @@
             }
             "lose" => {
                 let name = directive.word(2)?.to_string();
-                self.faults.lose_response.insert(name);
+                self.faults.lost_heartbeat_responses.insert(name);
             }
             "restart" => self.restart_agent(directive.word(1)?)?,
             "faulty" => self.machine_mut(directive.word(1)?)?.faulty = true,
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -81,7 +81,7 @@
     /// By how much the next response to a machine that carries a launch is late.
     pub(super) launch_response_delays: BTreeMap<String, Micros>,
     /// Machines that lose the response to their next heartbeat.
-    pub(super) lose_response: BTreeSet<String>,
+    pub(super) lost_heartbeat_responses: BTreeSet<String>,
 }
 
 impl Faults {
