--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -26,7 +26,7 @@
     /// How long machines boot that are provisioned from now on.
     pub(super) boot_time: Micros,
     /// Machines that are provisioned from now on never come up.
-    pub(super) boots_never: bool,
+    pub(super) boots_fail: bool,
     /// Every request is answered 503.
     pub(super) down: bool,
     /// The machines of each request by its name, so that a repeated one provisions nothing.
@@ -41,7 +41,7 @@
             machine_types: Vec::new(),
             capacity: BTreeMap::new(),
             boot_time: DEFAULT_BOOT_TIME,
-            boots_never: false,
+            boots_fail: false,
             down: false,
             provisions: BTreeMap::new(),
             next_machine: 0,
@@ -149,7 +149,7 @@
         let machine = Machine {
             spot,
             requested: self.now,
-            boots_at: (!self.cloud.boots_never).then_some(boots_at),
+            boots_at: (!self.cloud.boots_fail).then_some(boots_at),
             controller: self.cloud.next_machine as usize % FIRST_CONTROLLERS,
             ..Machine::new(&name, kind, zone)
         };
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -20,10 +20,10 @@
             }
             "boots" => match directive.word(1)?.parse() {
                 Ok(seconds) => {
-                    self.cloud.boots_never = false;
+                    self.cloud.boots_fail = false;
                     self.cloud.boot_time = from_seconds(seconds);
                 }
-                Err(_) => self.cloud.boots_never = true,
+                Err(_) => self.cloud.boots_fail = true,
             },
             "late" => {
                 let name = directive.word(2)?.to_string();
