--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -90,7 +90,7 @@
                 (200, to_cbor(&BTreeMap::<String, u64>::new()))
             }
             ("POST", "/rentals") => match from_cbor::<ProvisionRequest>(body) {
-                Ok(request) => self.provision_machines(request),
+                Ok(request) => self.handle_provision_request(request),
                 Err(_) => (400, error_body("malformed")),
             },
             _ => (404, Vec::new()),
@@ -117,7 +117,7 @@
         }
     }
 
-    fn provision_machines(&mut self, request: ProvisionRequest) -> (u16, Vec<u8>) {
+    fn handle_provision_request(&mut self, request: ProvisionRequest) -> (u16, Vec<u8>) {
         if let Some(known) = self.cloud.provisions.get(&request.name) {
             let machines = known.clone();
             return (200, to_cbor(&MachineNames { machines }));
@@ -133,14 +133,19 @@
             return (503, error_body("no capacity"));
         }
         let machines: Vec<String> = (0..number)
-            .map(|_| self.provision(&request.machine_type, &request.zone, request.spot))
+            .map(|_| self.provision_machine(&request.machine_type, &request.zone, request.spot))
             .collect();
         self.cloud.provisions.insert(request.name, machines.clone());
         (200, to_cbor(&MachineNames { machines }))
     }
 
     /// Provisions a machine, which boots from now on. The result is its name.
-    pub(super) fn provision(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
+    pub(super) fn provision_machine(
+        &mut self,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+    ) -> String {
         let name = format!("n-{:06}", self.cloud.next_machine);
         self.cloud.next_machine += 1;
         let unknown = unknown_machine_type(machine_type);
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -146,7 +146,7 @@
         let zone = directive.text("zone", "a");
         let spot = directive.flag("spot", false);
         for _ in 0..directive.count("count", 1)? {
-            let name = self.provision(directive.word(1)?, &zone, spot);
+            let name = self.provision_machine(directive.word(1)?, &zone, spot);
             self.machine_mut(&name)?.boots_at = Some(0);
         }
         Ok(())
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -96,7 +96,7 @@
     }
 
     fn load_machine(&mut self, line: &SnapshotLine) -> Result<(), ScriptError> {
-        let name = self.provision(line.word(2)?, line.word(3)?, line.word(4)? == "yes");
+        let name = self.provision_machine(line.word(2)?, line.word(3)?, line.word(4)? == "yes");
         if name != line.word(1)? {
             return Err(not_found("next machine", line.word(1)?));
         }
