--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -101,12 +101,12 @@
         for index in 0..world.configuration.controllers {
             world.controllers.push(ControllerProcess::default());
             let start = index as Micros * START_INTERVAL;
-            world.push(start, Event::Start(index));
+            world.schedule_event(start, Event::Start(index));
         }
         for (at, directive) in script.events {
-            world.push(at, Event::Directive(directive));
+            world.schedule_event(at, Event::Directive(directive));
         }
-        world.push(TICK_INTERVAL, Event::Tick);
+        world.schedule_event(TICK_INTERVAL, Event::Tick);
         Ok(world)
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Puts an event into the queue.
-    fn push(&mut self, at: Micros, event: Event) {
+    fn schedule_event(&mut self, at: Micros, event: Event) {
         let number = self.next_number();
         self.queue.insert((at, number), event);
     }
@@ -192,7 +192,7 @@
 
     /// Time passes.
     fn tick(&mut self) -> StepResult {
-        self.push(self.now + TICK_INTERVAL, Event::Tick);
+        self.schedule_event(self.now + TICK_INTERVAL, Event::Tick);
         self.answer_watches();
         self.tick_controllers();
         let names: Vec<String> = self.machines.keys().cloned().collect();
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -227,7 +227,7 @@
             // Carried out when the machine resumes.
             let at = machine.hangs_until + MILLISECOND;
             let event = Event::DirectCommand(caller, address.into(), body.to_vec());
-            self.push(at, event);
+            self.schedule_event(at, event);
             return Ok(());
         }
         let Ok(commands) = from_cbor::<DirectCommands>(body) else {
@@ -338,7 +338,7 @@
             ))
         };
         if let Some(late) = self.faults.heartbeat_copy_delays.remove(name) {
-            self.push(now + late, request(body.clone()));
+            self.schedule_event(now + late, request(body.clone()));
         }
         self.copy_heartbeat(name, &body);
         if unplugged {
@@ -347,11 +347,11 @@
         let delay = self.faults.heartbeat_delays.remove(name);
         if let Some(delay) = delay {
             let event = Event::OvertakenHeartbeat(name.into(), sequence);
-            self.push(now + delay, event);
+            self.schedule_event(now + delay, event);
         }
         let latency = REQUEST_LATENCY + delay.unwrap_or(0);
         if let Some(at) = self.arrival(controller, Link::Agents, latency) {
-            self.push(at, request(body));
+            self.schedule_event(at, request(body));
         }
         Ok(())
     }
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -43,7 +43,7 @@
             outcome: Outcome::Unknown,
         };
         let timeout = Event::Input(controller, process, timed_out);
-        self.push(self.now + call.timeout, timeout);
+        self.schedule_event(self.now + call.timeout, timeout);
         self.send_call(caller, call);
     }
 
@@ -54,12 +54,12 @@
             Target::Cloud => {
                 if let Some(at) = self.arrival(caller.controller, Link::Cloud, CLOUD_LATENCY) {
                     let event = Event::CloudCall(caller, call.method, call.path, call.body);
-                    self.push(at, event);
+                    self.schedule_event(at, event);
                 }
             }
             Target::Agent(address) => {
                 if let Some(at) = self.arrival(caller.controller, Link::Agents, CALL_LATENCY) {
-                    self.push(at, Event::DirectCommand(caller, address, call.body));
+                    self.schedule_event(at, Event::DirectCommand(caller, address, call.body));
                 }
             }
             Target::Peer(place) => self.send_to_peer(caller, place, call),
@@ -77,11 +77,11 @@
         }
         let crashes = is_transaction && self.crashes_on_page_write(controller, &call.body);
         let event = Event::StoreCall(caller, call.method, call.path, call.body);
-        self.push(at, event);
+        self.schedule_event(at, event);
         if crashes {
             // The write happens, and its writer dies before it learns of it.
             let crash = Event::Crash(controller, CRASH_ON_WRITE);
-            self.push(at + MILLISECOND, crash);
+            self.schedule_event(at + MILLISECOND, crash);
         }
     }
 
@@ -126,7 +126,7 @@
                 body,
                 requester: Requester::Peer(caller),
             };
-            self.push(leaves.max(reaches), Event::Request(request));
+            self.schedule_event(leaves.max(reaches), Event::Request(request));
         }
     }
 
@@ -164,7 +164,7 @@
                 call: caller.call,
                 outcome: Outcome::Answer { status, body },
             };
-            self.push(at, Event::Input(caller.controller, caller.process, input));
+            self.schedule_event(at, Event::Input(caller.controller, caller.process, input));
         }
     }
 
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -97,12 +97,12 @@
         for key in lost {
             if let Some(requester) = self.calls.requests.remove(&key) {
                 let closed = Event::Response(requester, index, 0, Vec::new());
-                self.push(self.now + MILLISECOND, closed);
+                self.schedule_event(self.now + MILLISECOND, closed);
             }
         }
         let back = self.now + down_for;
         self.controllers[index].down_until = back;
-        self.push(back, Event::Start(index));
+        self.schedule_event(back, Event::Start(index));
     }
 
     /// Pauses a controller's process, whose clocks run on.
@@ -223,7 +223,7 @@
         if let Some(requester) = self.calls.requests.remove(&(index, id)) {
             self.on_confirmation(index, &requester, status, &status_in(&body));
             let response = Event::Response(requester, index, status, body);
-            self.push(self.now + REQUEST_LATENCY, response);
+            self.schedule_event(self.now + REQUEST_LATENCY, response);
         }
     }
 
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -67,7 +67,7 @@
                 let now = self.store.limits;
                 let now = now.unwrap_or(self.configuration.settings.store);
                 let limits = store_limits(directive, "", now)?;
-                self.push(self.now, Event::StoreLimits(limits));
+                self.schedule_event(self.now, Event::StoreLimits(limits));
             }
             "busy" => {
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
@@ -76,7 +76,7 @@
             "state" => {
                 self.store.down = true;
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
-                self.push(until, Event::StoreUp);
+                self.schedule_event(until, Event::StoreUp);
             }
             "corrupt" => {
                 let key = directive.word(1)?;
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -16,7 +16,7 @@
             "cloud" => {
                 self.cloud.down = true;
                 let until = self.now + directive.duration("for", 10.0)?;
-                self.push(until, Event::CloudUp);
+                self.schedule_event(until, Event::CloudUp);
             }
             "boots" => match directive.word(1)?.parse() {
                 Ok(seconds) => {
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -118,7 +118,7 @@
     pub(super) fn handle_event(&mut self, event: Event) -> StepResult {
         match self.resumes_at(&event) {
             Some(at) => {
-                self.push(at, event);
+                self.schedule_event(at, event);
                 Ok(())
             }
             None => self.dispatch(event),
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -81,7 +81,7 @@
                 self.faults.held.insert(name.into(), held);
             } else {
                 let event = Event::HeartbeatCopy { body, to_all };
-                self.push(now + copies.late, event);
+                self.schedule_event(now + copies.late, event);
             }
         }
     }
@@ -116,7 +116,7 @@
                 let path = "/checkin".into();
                 let body = held.body.clone();
                 let request = front_request(controller, "POST", path, body, requester);
-                self.push(self.now, Event::Request(request));
+                self.schedule_event(self.now, Event::Request(request));
             }
         }
     }
@@ -182,7 +182,7 @@
         }
         let nobody = Caller::nobody(caller.controller, caller.call);
         let event = Event::DirectCommand(nobody, format!("worker:{name}"), body.to_vec());
-        self.push(self.now + late, event);
+        self.schedule_event(self.now + late, event);
         true
     }
 }
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -92,7 +92,7 @@
         let nobody = Caller::nobody(controller, call.id);
         let at = if how.at_once { at } else { at + how.late };
         let event = Event::StoreCall(nobody, call.method, call.path.clone(), call.body.clone());
-        self.push(at, event);
+        self.schedule_event(at, event);
         true
     }
 
@@ -131,7 +131,7 @@
             let until = self.now + down_for;
             self.faults.end = self.faults.end.max(until);
             self.store.down = true;
-            self.push(until, Event::StoreUp);
+            self.schedule_event(until, Event::StoreUp);
         }
     }
 
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -35,7 +35,7 @@
         let interval = CANCEL_WINDOW / jobs.len() as Micros;
         for (index, job) in jobs.into_iter().enumerate() {
             let at = self.now + index as Micros * interval;
-            self.push(at, Event::RetryCancel(job));
+            self.schedule_event(at, Event::RetryCancel(job));
         }
         Ok(())
     }
@@ -88,8 +88,8 @@
         job.completed_at.get_or_insert(self.now);
         if let Some(delay) = self.faults.cancel_at_end.at(self.now) {
             let at = self.now + delay;
-            self.push(at, Event::RetryCancel(id.into()));
-            self.push(at, Event::PollEverywhere(id.into()));
+            self.schedule_event(at, Event::RetryCancel(id.into()));
+            self.schedule_event(at, Event::PollEverywhere(id.into()));
         }
     }
 
@@ -147,7 +147,7 @@
             && self.faults.polled.insert((job.to_string(), what));
         if first {
             for delay in POLL_DELAYS {
-                self.push(self.now + delay, Event::PollEverywhere(job.into()));
+                self.schedule_event(self.now + delay, Event::PollEverywhere(job.into()));
             }
         }
     }
@@ -166,7 +166,7 @@
         }
         if let Some(down_for) = self.faults.crash_on_confirmation.take() {
             self.faults.end = self.faults.end.max(self.now + down_for);
-            self.push(self.now, Event::Crash(controller, down_for));
+            self.schedule_event(self.now, Event::Crash(controller, down_for));
         }
     }
 }
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -36,7 +36,7 @@
         match requester {
             Requester::Submit(job, sent) => {
                 if !self.check_submission_response(&job, sent, status, &body)? {
-                    self.push(self.now + RETRY_INTERVAL, Event::RetrySubmit(job));
+                    self.schedule_event(self.now + RETRY_INTERVAL, Event::RetrySubmit(job));
                 }
             }
             Requester::Resubmit(job, sent) => {
@@ -46,7 +46,7 @@
             Requester::Cancel(job, sent) => match status {
                 200 => self.check_status(&job, &status_in(&body))?,
                 404 => self.check_denial(&job, sent, status)?,
-                _ => self.push(self.now + RETRY_INTERVAL, Event::RetryCancel(job)),
+                _ => self.schedule_event(self.now + RETRY_INTERVAL, Event::RetryCancel(job)),
             },
             Requester::Expect(job, wanted, line, sent) => {
                 let got = self.expected_status(&job, sent, status, &body)?;
@@ -170,7 +170,7 @@
                 heartbeat_id,
             };
             let event = Event::Response(requester, controller, status, body);
-            self.push(self.now + delay, event);
+            self.schedule_event(self.now + delay, event);
             return Ok(());
         }
         let Some(at) = self.arrival(controller, Link::Agents, REQUEST_LATENCY) else {
@@ -183,7 +183,7 @@
         if delay > 0 {
             let event =
                 Event::DelayedHeartbeatResponse(machine, heartbeat_id, controller, status, body);
-            self.push(at, event);
+            self.schedule_event(at, event);
             return Ok(());
         }
         self.handle_heartbeat_response(&machine, heartbeat_id, controller, status, &body)
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -63,7 +63,7 @@
         requester: Requester,
     ) {
         let request = front_request(controller, method, path, body, requester);
-        self.push(self.now + REQUEST_LATENCY, Event::Request(request));
+        self.schedule_event(self.now + REQUEST_LATENCY, Event::Request(request));
     }
 
     /// A user submits a job, at some controller unless one is named.
