--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -45,11 +45,11 @@
         status: u16,
         body: &[u8],
     ) -> StepResult {
-        let Some(sent) = self.take_awaited_heartbeat(name, heartbeat_id) else {
+        let Some(sent_at) = self.take_awaited_heartbeat(name, heartbeat_id) else {
             return Ok(());
         };
         match status {
-            200 => self.follow_response(name, sent, body),
+            200 => self.apply_heartbeat_response(name, sent_at, body),
             421 => {
                 let redirect = from_cbor::<Redirect>(body).ok();
                 let leader = redirect.and_then(|redirect| redirect.leader);
@@ -80,7 +80,7 @@
     }
 
     /// An agent carries out what a response says, unless it comes from a leader of an older token.
-    fn follow_response(&mut self, name: &str, sent: Micros, body: &[u8]) -> StepResult {
+    fn apply_heartbeat_response(&mut self, name: &str, sent_at: Micros, body: &[u8]) -> StepResult {
         let response: HeartbeatResponse = from_cbor(body)
             .map_err(|error| ScenarioError::Protocol(format!("a heartbeat's response: {error}")))?;
         let Some(machine) = self.machines.get_mut(name) else {
@@ -90,25 +90,25 @@
             return Ok(());
         }
         machine.token = response.token;
-        machine.lease_start = sent;
+        machine.lease_start = sent_at;
         let started = machine.carry_out(self.now, &response.commands, &self.job_facts);
         self.check_starts(name, &started)
     }
 
     /// An agent sends its next heartbeat to the leader that it was told of, or else to the next controller.
     fn redirect_agent(&mut self, name: &str, controller: usize, leader: Option<String>) {
-        let number = self.controllers.len();
+        let controller_count = self.controllers.len();
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let index = leader.and_then(|leader| leader.strip_prefix("perch-")?.parse().ok());
-        match index.filter(|index| *index != controller && *index < number) {
+        match index.filter(|index| *index != controller && *index < controller_count) {
             Some(leader) => {
                 machine.controller = leader;
                 machine.next_heartbeat = self.now + REDIRECT_DELAY;
             }
             None => {
-                machine.controller = (controller + 1) % number;
+                machine.controller = (controller + 1) % controller_count;
                 machine.next_heartbeat = self.now + RETRY_DELAY;
             }
         }
@@ -152,7 +152,7 @@
         job.starts += 1;
         job.last_start = self.now;
         if let Some(measures) = &mut self.measures {
-            let waited = self.now - job.submitted;
+            let waited = self.now - job.submitted_at;
             measures.task_started(&job.spec.team, task_name, waited, leaderless);
         }
         if job.cancelled_at.is_some() {
@@ -182,8 +182,8 @@
         if spec.one_zone && zones.len() > 1 {
             return wrong(format!("{id} in several zones"));
         }
-        let most = spec.tasks.div_ceil(2);
-        if spec.spread && zones.values().any(|tasks| *tasks > most) {
+        let max_per_zone = spec.tasks.div_ceil(2);
+        if spec.spread && zones.values().any(|tasks| *tasks > max_per_zone) {
             return wrong(format!("{id} is not spread"));
         }
         Ok(())
@@ -267,7 +267,7 @@
 
     /// Whether an agent sends a heartbeat now.
     fn heartbeat_due(&mut self, name: &str, changed: bool) -> bool {
-        let (now, number) = (self.now, self.controllers.len());
+        let (now, controller_count) = (self.now, self.controllers.len());
         let lease = self.configuration.settings.agent_lease;
         let Some(machine) = self.machines.get_mut(name) else {
             return false;
@@ -276,11 +276,11 @@
             return false;
         }
         // A higher token counts as a change once in half a lease.
-        let rested = machine
+        let may_report_token = machine
             .token_reported_at
             .is_none_or(|at| now >= at + lease / 2);
         let new_token = machine.reported_token < machine.token;
-        let report_token = new_token && rested && machine.in_flight.is_none();
+        let report_token = new_token && may_report_token && machine.in_flight.is_none();
         if report_token {
             machine.token_reported_at = Some(now);
             machine.reported_token = machine.token;
@@ -292,7 +292,7 @@
         if let Some(heartbeat) = machine.in_flight {
             if now >= heartbeat.sent_at + RESPONSE_TIMEOUT {
                 machine.in_flight = None;
-                machine.try_next_controller(now + RETRY_DELAY, number);
+                machine.try_next_controller(now + RETRY_DELAY, controller_count);
             }
             return false;
         }
@@ -300,7 +300,7 @@
             return false;
         }
         if now < machine.mute_until {
-            machine.try_next_controller(now + RETRY_DELAY, number);
+            machine.try_next_controller(now + RETRY_DELAY, controller_count);
             return false;
         }
         true
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// For how long a controller is down that crashes as it writes a page of assignments.
-const CRASH_ON_WRITE: Micros = 4_000 * MILLISECOND;
+const CRASH_ON_WRITE_DOWNTIME: Micros = 4_000 * MILLISECOND;
 
 /// Who waits for what.
 #[derive(Default)]
@@ -80,15 +80,15 @@
         self.schedule_event(at, event);
         if crashes {
             // The write happens, and its writer dies before it learns of it.
-            let crash = Event::Crash(controller, CRASH_ON_WRITE);
+            let crash = Event::Crash(controller, CRASH_ON_WRITE_DOWNTIME);
             self.schedule_event(at + MILLISECOND, crash);
         }
     }
 
     /// Whether this is the write of a page of assignments on which the leader is to crash.
     fn crashes_on_page_write(&mut self, controller: usize, body: &[u8]) -> bool {
-        let awaited = self.faults.crash_on_page_write && self.leads(controller);
-        let crashes = awaited && String::from_utf8_lossy(body).contains("page/");
+        let is_armed = self.faults.crash_on_page_write && self.leads(controller);
+        let crashes = is_armed && String::from_utf8_lossy(body).contains("page/");
         if crashes {
             self.faults.crash_on_page_write = false;
         }
@@ -101,17 +101,18 @@
         let Some(to) = others.nth(place) else { return };
         // Orders go to members that hold a partition. One that has come back with the version
         // before meanwhile refuses them, as it does every message that it does not know.
-        let orders = matches!(from_peer(&call.body), Ok(PeerRequest::Partition(_)));
+        let is_orders = matches!(from_peer(&call.body), Ok(PeerRequest::Partition(_)));
         let previous_version = &self.configuration.previous_version;
-        if orders && previous_version.contains(&to) {
+        if is_orders && previous_version.contains(&to) {
             return self.reply(caller, Link::Peers, CALL_LATENCY, 400, Vec::new());
         }
-        let between_versions = previous_version.contains(&from) || previous_version.contains(&to);
-        if !orders {
+        let involves_previous_version =
+            previous_version.contains(&from) || previous_version.contains(&to);
+        if !is_orders {
             self.check_peer_request(&call.body);
         }
         let mut body = call.body;
-        if between_versions {
+        if involves_previous_version {
             // The version before writes and reads what it knows, and nothing else.
             body = production::known_of_peer_request(&body).unwrap_or(body);
         }
@@ -189,8 +190,8 @@
         let ticket = self.next_number();
         let reply = self.store.request(self.now, ticket, method, path, body);
         let done = matches!(reply, Reply::Now(200, _));
-        if done && transaction.as_ref().is_some_and(puts_leader) {
-            self.on_leader_grant();
+        if done && transaction.as_ref().is_some_and(writes_leader_record) {
+            self.on_leader_elected();
         }
         if let Some(measures) = &mut self.measures {
             let operations = transaction.map_or(0, |transaction| transaction.apply.len() as u64);
@@ -198,7 +199,7 @@
         }
         match reply {
             Reply::Now(status, body) => {
-                self.count_late_transaction(caller, path, status);
+                self.count_unanswered_transaction(caller, path, status);
                 self.reply(caller, Link::Store, CALL_LATENCY, status, body);
             }
             Reply::Later => {
@@ -237,7 +238,7 @@
 }
 
 /// Whether a transaction writes the leader's record.
-fn puts_leader(transaction: &Transaction) -> bool {
+fn writes_leader_record(transaction: &Transaction) -> bool {
     let mut operations = transaction.apply.iter();
     operations.any(|operation| matches!(operation, Operation::Put { put, .. } if put == "leader"))
 }
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -1,7 +1,7 @@
 //! Checks of the protocol's rules that look at the whole world.
 
 use super::jobs::job_of;
-use super::team_limits::SLACK;
+use super::team_limits::RESOURCE_TOLERANCE;
 use super::World;
 use crate::error::{Rule, ScenarioError, ScriptError, StepResult};
 use crate::script::Directive;
@@ -21,13 +21,13 @@
     /// For how long a job may wait beside a machine with room for it; `None`: this is not checked.
     max_wait: Option<Micros>,
     /// Since when a job has waited for a task while this machine had room for it, by job and machine.
-    waiting: BTreeMap<(String, String), Micros>,
+    waiting_since: BTreeMap<(String, String), Micros>,
     /// Jobs that were submitted by a raw request of the script.
     raw_submissions: BTreeSet<String>,
     /// Requests beside the script so far: they must not change what comes in which order.
-    pub(super) out_of_band: u64,
+    pub(super) out_of_band_requests: u64,
     /// The job that is over and was last polled.
-    pub(super) last_polled: String,
+    pub(super) last_polled_job: String,
 }
 
 /// What a team uses on machines.
@@ -83,7 +83,7 @@
         self.measure_idle_grants();
         self.check_cancelled_are_gone()?;
         if let (Some(most), true) = (self.checks.max_wait, self.now >= self.faults.end) {
-            self.note_waits();
+            self.update_waits();
             self.check_no_wait(most)?;
         }
         Ok(())
@@ -121,7 +121,7 @@
     }
 
     /// What each team's tasks use, on whatever machine.
-    pub(super) fn used(&self) -> BTreeMap<&str, Usage> {
+    pub(super) fn usage_by_team(&self) -> BTreeMap<&str, Usage> {
         let mut used: BTreeMap<&str, Usage> = BTreeMap::new();
         for task in self.present_machines().flat_map(|machine| machine.live()) {
             if let Some(job) = self.jobs.get(job_of(&task.task_name)) {
@@ -135,14 +135,14 @@
 
     /// No team may use more than its limit.
     pub(super) fn check_quota(&self) -> StepResult {
-        let used = self.used();
+        let used = self.usage_by_team();
         for (team, limit) in &self.configuration.settings.teams {
             let Usage { cpus, gpus } = used.get(team.as_str()).copied().unwrap_or_default();
-            if cpus > limit.cpus_max + SLACK {
+            if cpus > limit.cpus_max + RESOURCE_TOLERANCE {
                 let detail = format!("{team} uses {cpus}");
                 return Err(ScenarioError::rule(Rule::Quota, detail));
             }
-            if gpus > limit.gpus_max + SLACK {
+            if gpus > limit.gpus_max + RESOURCE_TOLERANCE {
                 let detail = format!("{team} uses {gpus} accelerators");
                 return Err(ScenarioError::rule(Rule::Quota, detail));
             }
--- a/crates/testkit/src/world/checks/acceptance.rs
+++ b/crates/testkit/src/world/checks/acceptance.rs
@@ -1,6 +1,6 @@
 //! The check that no submission is accepted which must be refused.
 
-use super::super::team_limits::SLACK;
+use super::super::team_limits::RESOURCE_TOLERANCE;
 use super::super::World;
 use crate::error::{ScenarioError, StepResult};
 use grebewood_wire::http::MachineType;
@@ -18,9 +18,9 @@
 
 /// Why a submission must be refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-enum ErrorResponse {
+enum RejectionReason {
     #[error("it is no map")]
-    NoMap,
+    NotAMap,
     #[error("{0} is missing or invalid")]
     MissingOrInvalid(&'static str),
     #[error("{0} is unknown")]
@@ -39,20 +39,20 @@
 struct Fields(BTreeMap<String, Value>);
 
 impl Fields {
-    fn text(&self, key: &'static str) -> Result<&str, ErrorResponse> {
+    fn text(&self, key: &'static str) -> Result<&str, RejectionReason> {
         match self.0.get(key) {
             Some(Value::Text(text)) if !text.is_empty() => Ok(text),
-            _ => Err(ErrorResponse::MissingOrInvalid(key)),
+            _ => Err(RejectionReason::MissingOrInvalid(key)),
         }
     }
 
-    fn amount(&self, key: &'static str) -> Result<f64, ErrorResponse> {
+    fn amount(&self, key: &'static str) -> Result<f64, RejectionReason> {
         match self.0.get(key) {
             Some(Value::Integer(number)) if i128::from(*number) >= 0 => {
                 Ok(i128::from(*number) as f64)
             }
             Some(Value::Float(number)) if number.is_finite() && *number >= 0.0 => Ok(*number),
-            _ => Err(ErrorResponse::MissingOrInvalid(key)),
+            _ => Err(RejectionReason::MissingOrInvalid(key)),
         }
     }
 
@@ -60,7 +60,7 @@
         matches!(self.0.get(key), None | Some(Value::Null))
     }
 
-    fn optional_text(&self, key: &'static str) -> Result<Option<&str>, ErrorResponse> {
+    fn optional_text(&self, key: &'static str) -> Result<Option<&str>, RejectionReason> {
         match self.is_absent(key) {
             true => Ok(None),
             false => self.text(key).map(Some),
@@ -68,39 +68,39 @@
     }
 
     /// A field that must be one of these words.
-    fn word(&self, key: &'static str, known: &[&str]) -> Result<&str, ErrorResponse> {
+    fn word(&self, key: &'static str, known: &[&str]) -> Result<&str, RejectionReason> {
         let word = self.text(key)?;
         match known.contains(&word) {
             true => Ok(word),
-            false => Err(ErrorResponse::Unknown(key)),
+            false => Err(RejectionReason::Unknown(key)),
         }
     }
 
-    fn tasks(&self) -> Result<f64, ErrorResponse> {
+    fn tasks(&self) -> Result<f64, RejectionReason> {
         match self.0.get("shards") {
             Some(Value::Integer(number)) if (1..=MAX_TASKS).contains(&i128::from(*number)) => {
                 Ok(i128::from(*number) as f64)
             }
-            _ => Err(ErrorResponse::MissingOrInvalid("shards")),
+            _ => Err(RejectionReason::MissingOrInvalid("shards")),
         }
     }
 
-    fn machine_types(&self) -> Result<Option<&Vec<Value>>, ErrorResponse> {
+    fn machine_types(&self) -> Result<Option<&Vec<Value>>, RejectionReason> {
         match self.0.get("builds") {
             None | Some(Value::Null) => Ok(None),
             Some(Value::Array(names)) => Ok(Some(names)),
-            Some(_) => Err(ErrorResponse::InvalidMachineTypes),
+            Some(_) => Err(RejectionReason::InvalidMachineTypes),
         }
     }
 
     /// Checks the fields on which nothing else depends.
-    fn check_plain(&self) -> Result<(), ErrorResponse> {
+    fn check_independent_fields(&self) -> Result<(), RejectionReason> {
         for key in TEXTS {
             self.text(key)?;
         }
         for key in FLAGS {
             if !matches!(self.0.get(key), Some(Value::Bool(_))) {
-                return Err(ErrorResponse::MissingOrInvalid(key));
+                return Err(RejectionReason::MissingOrInvalid(key));
             }
         }
         for key in AMOUNTS {
@@ -123,7 +123,7 @@
 }
 
 impl<'a> TaskNeeds<'a> {
-    fn read(fields: &'a Fields) -> Result<TaskNeeds<'a>, ErrorResponse> {
+    fn read(fields: &'a Fields) -> Result<TaskNeeds<'a>, RejectionReason> {
         Ok(TaskNeeds {
             cpus: fields.amount("vcpus")?,
             gpus: fields.amount("accelerators")?,
@@ -140,9 +140,9 @@
             && self
                 .zone
                 .is_none_or(|wanted| zones.any(|zone| zone == wanted))
-            && self.cpus <= machine_type.cpus + SLACK
-            && self.gpus <= machine_type.gpus + SLACK
-            && self.memory_gb <= machine_type.memory_gb + SLACK
+            && self.cpus <= machine_type.cpus + RESOURCE_TOLERANCE
+            && self.gpus <= machine_type.gpus + RESOURCE_TOLERANCE
+            && self.memory_gb <= machine_type.memory_gb + RESOURCE_TOLERANCE
     }
 }
 
@@ -155,27 +155,27 @@
     }
 
     /// Checks a submission by the protocol's words.
-    fn check_submission(&self, body: &[u8]) -> Result<(), ErrorResponse> {
-        let fields = from_cbor(body).map_err(|_| ErrorResponse::NoMap)?;
+    fn check_submission(&self, body: &[u8]) -> Result<(), RejectionReason> {
+        let fields = from_cbor(body).map_err(|_| RejectionReason::NotAMap)?;
         let fields = Fields(fields);
-        fields.check_plain()?;
+        fields.check_independent_fields()?;
         let shape = fields.word("shape", &SHAPES)?;
         fields.word("precedence", &PRIORITIES)?;
         let tasks = fields.tasks()?;
         let needs = TaskNeeds::read(&fields)?;
         let teams = &self.configuration.settings.teams;
         let team = teams.get(fields.text("owner")?);
-        let team = team.ok_or(ErrorResponse::UnknownTeam)?;
-        let together = if shape == "batch" { 1.0 } else { tasks };
-        let over = needs.cpus * together > team.cpus_max + SLACK
-            || needs.gpus * together > team.gpus_max + SLACK;
-        if over {
-            return Err(ErrorResponse::BeyondLimit);
+        let team = team.ok_or(RejectionReason::UnknownTeam)?;
+        let concurrent_tasks = if shape == "batch" { 1.0 } else { tasks };
+        let exceeds_limit = needs.cpus * concurrent_tasks > team.cpus_max + RESOURCE_TOLERANCE
+            || needs.gpus * concurrent_tasks > team.gpus_max + RESOURCE_TOLERANCE;
+        if exceeds_limit {
+            return Err(RejectionReason::BeyondLimit);
         }
         let mut machine_types = self.cloud.machine_types.iter();
         match machine_types.any(|machine_type| needs.fits(machine_type)) {
             true => Ok(()),
-            false => Err(ErrorResponse::FitsNoMachineType),
+            false => Err(RejectionReason::FitsNoMachineType),
         }
     }
 }
--- a/crates/testkit/src/world/checks/responses.rs
+++ b/crates/testkit/src/world/checks/responses.rs
@@ -46,7 +46,7 @@
             return Err(ScenarioError::rule(Rule::WentBack, detail));
         }
         job.done = true;
-        self.poll_after(id, "done");
+        self.poll_everywhere_after(id, "done");
         Ok(())
     }
 
@@ -64,19 +64,19 @@
             return Err(ScenarioError::rule(Rule::WentBack, detail));
         }
         job.cancelled_at.get_or_insert(self.now);
-        self.poll_after(id, "aborted");
+        self.poll_everywhere_after(id, "aborted");
         Ok(())
     }
 
     /// A submission is answered 200 or 201.
-    pub(in crate::world) fn accepted(&mut self, job: &str) -> StepResult {
+    pub(in crate::world) fn record_acceptance(&mut self, job: &str) -> StepResult {
         if let Some(observed) = self.jobs.get_mut(job) {
             observed.accepted = true;
-            observed.answered = self.now;
+            observed.last_answered_at = self.now;
             let body = to_cbor(&observed.spec);
             self.check_acceptable(&body)?;
         }
-        self.poll_after(job, "accepted");
+        self.poll_everywhere_after(job, "accepted");
         Ok(())
     }
 
--- a/crates/testkit/src/world/checks/service.rs
+++ b/crates/testkit/src/world/checks/service.rs
@@ -47,7 +47,7 @@
     /// The jobs that are judged, by class and by team.
     fn groups(&self) -> Groups<'_> {
         let is_judged = |job: &&ObservedJob| {
-            let old = self.now > job.submitted + START_DEADLINE;
+            let old = self.now > job.submitted_at + START_DEADLINE;
             job.accepted && old && job.cancelled_at.is_none()
         };
         let mut groups = Groups::new();
@@ -76,7 +76,7 @@
 }
 
 fn started_late(job: &ObservedJob) -> bool {
-    let deadline = job.submitted + START_DEADLINE;
+    let deadline = job.submitted_at + START_DEADLINE;
     job.first_start.is_none_or(|at| at > deadline)
 }
 
--- a/crates/testkit/src/world/checks/waiting.rs
+++ b/crates/testkit/src/world/checks/waiting.rs
@@ -2,7 +2,7 @@
 
 use super::super::agents::permits;
 use super::super::jobs::{job_of, ObservedJob};
-use super::super::team_limits::SLACK;
+use super::super::team_limits::RESOURCE_TOLERANCE;
 use super::super::World;
 use super::Usage;
 use crate::error::{Rule, ScenarioError, StepResult};
@@ -12,23 +12,23 @@
 use std::collections::BTreeMap;
 
 /// A machine that can take tasks, and what is free on it.
-struct Room<'a> {
+struct FreeCapacity<'a> {
     machine: &'a Machine,
     cpus: f64,
     memory_gb: f64,
 }
 
-impl Room<'_> {
+impl FreeCapacity<'_> {
     /// How many tasks of this size have room.
     fn tasks(&self, spec: &Submission) -> u64 {
-        times(self.cpus, spec.cpus).min(times(self.memory_gb, spec.memory_gb))
+        fit_count(self.cpus, spec.cpus).min(fit_count(self.memory_gb, spec.memory_gb))
     }
 }
 
 /// How often an amount is in what is free.
-fn times(free: f64, amount: f64) -> u64 {
+fn fit_count(free: f64, amount: f64) -> u64 {
     match amount > 0.0 {
-        true => ((free + SLACK) / amount).max(0.0) as u64,
+        true => ((free + RESOURCE_TOLERANCE) / amount).max(0.0) as u64,
         false => u64::MAX,
     }
 }
@@ -38,60 +38,70 @@
     id: &'a str,
     job: &'a ObservedJob,
     /// How many of its tasks are on machines, in all and by zone.
-    live: u64,
-    zones: BTreeMap<&'a str, u64>,
+    live_tasks: u64,
+    live_by_zone: BTreeMap<&'a str, u64>,
     /// How many tasks must start together.
-    together: u64,
+    start_together: u64,
 }
 
 impl WaitingJob<'_> {
     /// Whether a machine may take the tasks that must start together, and has room for them. For tasks
     /// that start together, room on one machine for all is certain to do.
-    fn fits(&self, room: &Room) -> bool {
+    fn fits(&self, capacity: &FreeCapacity) -> bool {
         let spec = &self.job.spec;
-        let zone = room.machine.zone.as_str();
-        let in_zone = self.zones.get(zone).copied().unwrap_or(0);
-        let permitted = permits(spec, room.machine)
-            && (!spec.one_zone || self.live == in_zone)
-            && (!spec.spread || in_zone + self.together <= spec.tasks.div_ceil(2));
-        permitted && room.tasks(spec) >= self.together
+        let zone = capacity.machine.zone.as_str();
+        let in_zone = self.live_by_zone.get(zone).copied().unwrap_or(0);
+        let permitted = permits(spec, capacity.machine)
+            && (!spec.one_zone || self.live_tasks == in_zone)
+            && (!spec.spread || in_zone + self.start_together <= spec.tasks.div_ceil(2));
+        permitted && capacity.tasks(spec) >= self.start_together
     }
 }
 
 impl World {
     /// Notes which jobs wait for a task while a machine has room for it, and since when.
-    pub(super) fn note_waits(&mut self) {
-        let rooms = self.rooms();
+    pub(super) fn update_waits(&mut self) {
+        let free_capacities = self.free_capacities();
         let mut waits = BTreeMap::new();
         for waiting in self.waiting_jobs() {
-            for room in rooms.iter().filter(|room| waiting.fits(room)) {
-                let key = (waiting.id.to_string(), room.machine.name.clone());
+            for capacity in free_capacities
+                .iter()
+                .filter(|capacity| waiting.fits(capacity))
+            {
+                let key = (waiting.id.to_string(), capacity.machine.name.clone());
                 // A task of it that starts elsewhere ends one wait and begins the next.
-                let since = self.checks.waiting.get(&key).copied().unwrap_or(self.now);
+                let since = self
+                    .checks
+                    .waiting_since
+                    .get(&key)
+                    .copied()
+                    .unwrap_or(self.now);
                 waits.insert(key, since.max(waiting.job.last_start));
             }
         }
-        self.checks.waiting = waits;
+        self.checks.waiting_since = waits;
     }
 
     /// Machines that can take tasks, and what is free on them.
-    fn rooms(&self) -> Vec<Room<'_>> {
-        let takes_tasks = |machine: &&Machine| {
-            let well = !machine.faulty && machine.reclaim_at.is_none();
-            machine.up && well && machine.is_reachable(self.now)
+    fn free_capacities(&self) -> Vec<FreeCapacity<'_>> {
+        let accepts_tasks = |machine: &&Machine| {
+            let is_healthy = !machine.faulty && machine.reclaim_at.is_none();
+            machine.up && is_healthy && machine.is_reachable(self.now)
         };
-        let machines = self.present_machines().filter(takes_tasks);
-        machines.map(|machine| self.room_on(machine)).collect()
+        let machines = self.present_machines().filter(accepts_tasks);
+        machines
+            .map(|machine| self.free_capacity_of(machine))
+            .collect()
     }
 
-    fn room_on<'a>(&self, machine: &'a Machine) -> Room<'a> {
-        let kind = self.cloud.machine_type(&machine.machine_type);
-        let memory_gb = kind.map_or(0.0, |kind| kind.memory_gb);
+    fn free_capacity_of<'a>(&self, machine: &'a Machine) -> FreeCapacity<'a> {
+        let machine_type = self.cloud.machine_type(&machine.machine_type);
+        let memory_gb = machine_type.map_or(0.0, |machine_type| machine_type.memory_gb);
         let tasks = machine.live();
         let jobs = tasks.filter_map(|task| self.jobs.get(job_of(&task.task_name)));
         let used_gb: f64 = jobs.map(|job| job.spec.memory_gb).sum();
         let used_cpus: f64 = machine.live().map(|task| task.cpus).sum();
-        Room {
+        FreeCapacity {
             machine,
             cpus: machine.cpus - used_cpus,
             memory_gb: memory_gb - used_gb,
@@ -100,27 +110,33 @@
 
     /// Jobs that wait for tasks which their team's limit permits.
     fn waiting_jobs(&self) -> Vec<WaitingJob<'_>> {
-        let used = self.used();
+        let used = self.usage_by_team();
         let mut zones_of = self.live_tasks_by_zone();
         let mut waiting = Vec::new();
-        for (id, job) in self.jobs.iter().filter(|(id, job)| self.is_owed(id, job)) {
+        for (id, job) in self
+            .jobs
+            .iter()
+            .filter(|(id, job)| self.should_run(id, job))
+        {
             let spec = &job.spec;
-            let zones = zones_of.remove(id.as_str()).unwrap_or_default();
-            let live: u64 = zones.values().sum();
-            let missing = spec.tasks.saturating_sub(job.completed.len() as u64 + live);
+            let live_by_zone = zones_of.remove(id.as_str()).unwrap_or_default();
+            let live_tasks: u64 = live_by_zone.values().sum();
+            let missing = spec
+                .tasks
+                .saturating_sub(job.completed.len() as u64 + live_tasks);
             // The tasks of a gang start together.
-            let together = match spec.shape.as_str() {
+            let start_together = match spec.shape.as_str() {
                 "gang" => missing,
                 _ => missing.min(1),
             };
             let used = used.get(spec.team.as_str()).copied().unwrap_or_default();
-            if missing > 0 && self.limit_permits(spec, used, together) {
+            if missing > 0 && self.limit_permits(spec, used, start_together) {
                 waiting.push(WaitingJob {
                     id,
                     job,
-                    live,
-                    zones,
-                    together,
+                    live_tasks,
+                    live_by_zone,
+                    start_together,
                 });
             }
         }
@@ -128,7 +144,7 @@
     }
 
     /// Whether a job is accepted, not over nor about to be, and does not fail wherever it runs.
-    fn is_owed(&self, id: &str, job: &ObservedJob) -> bool {
+    fn should_run(&self, id: &str, job: &ObservedJob) -> bool {
         let wanted = job.accepted && !job.done && job.cancel_requested_at.is_none();
         wanted && !self.job_facts.get(id).is_some_and(|facts| facts.fails)
     }
@@ -138,9 +154,9 @@
         let limit = self.configuration.settings.teams.get(&spec.team);
         let cpus_left = limit.map_or(0.0, |limit| limit.cpus_max) - used.cpus;
         let gpus_left = limit.map_or(0.0, |limit| limit.gpus_max) - used.gpus;
-        let over = cpus_left + SLACK < spec.cpus * tasks as f64
-            || gpus_left + SLACK < spec.gpus * tasks as f64;
-        !over
+        let exceeds_limit = cpus_left + RESOURCE_TOLERANCE < spec.cpus * tasks as f64
+            || gpus_left + RESOURCE_TOLERANCE < spec.gpus * tasks as f64;
+        !exceeds_limit
     }
 
     /// The number of tasks on machines by job and zone.
@@ -157,7 +173,7 @@
 
     /// No job may wait so long for a task while a machine that fits has room for it.
     pub(super) fn check_no_wait(&self, most: Micros) -> StepResult {
-        let mut waiting = self.checks.waiting.iter();
+        let mut waiting = self.checks.waiting_since.iter();
         let too_long = waiting.find(|(_, since)| self.now.saturating_sub(**since) >= most);
         let Some(((job, machine), since)) = too_long else {
             return Ok(());
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -24,9 +24,9 @@
     /// Until then the process is paused, and what comes in waits.
     pub(super) paused_until: Micros,
     /// It was paused: until an answer to a lease renewal made since, it must not act as a leader.
-    pub(super) uncertain: bool,
+    pub(super) is_lease_uncertain: bool,
     /// Calls that renew its lease, made since it was paused.
-    pub(super) renewals: BTreeSet<u64>,
+    pub(super) pending_renewals: BTreeSet<u64>,
 }
 
 impl World {
@@ -100,16 +100,16 @@
                 self.schedule_event(self.now + MILLISECOND, closed);
             }
         }
-        let back = self.now + down_for;
-        self.controllers[index].down_until = back;
-        self.schedule_event(back, Event::Start(index));
+        let restart_at = self.now + down_for;
+        self.controllers[index].down_until = restart_at;
+        self.schedule_event(restart_at, Event::Start(index));
     }
 
     /// Pauses a controller's process, whose clocks run on.
     pub(super) fn pause_controller(&mut self, index: usize, pause: Micros) {
         let process = &mut self.controllers[index];
-        process.uncertain = true;
-        process.renewals.clear();
+        process.is_lease_uncertain = true;
+        process.pending_renewals.clear();
         process.paused_until = self.now + pause;
     }
 
@@ -138,7 +138,7 @@
             }
         }
         self.step(controller, process, input);
-        self.clear_uncertainty(controller);
+        self.clear_lease_uncertainty(controller);
     }
 
     /// A request reaches a controller, which may be down.
@@ -154,8 +154,8 @@
         );
         if is_heartbeat {
             let newest = self.note_heartbeat(controller, &request.body, &requester);
-            if let Requester::HeartbeatCopy { first } = &mut requester {
-                *first = newest;
+            if let Requester::HeartbeatCopy { is_newest } = &mut requester {
+                *is_newest = newest;
             }
         }
         self.calls.next_request += 1;
@@ -180,7 +180,7 @@
         };
         self.trace_effects(index, &effects);
         for effect in effects {
-            self.check_certainty(index, &effect);
+            self.check_lease_certainty(index, &effect);
             match effect {
                 Effect::Answer {
                     id, status, body, ..
@@ -203,8 +203,8 @@
         }
         let controller = known.controller.as_mut()?;
         if let Input::Reply { call, .. } = &input {
-            if known.renewals.remove(call) {
-                known.uncertain = false;
+            if known.pending_renewals.remove(call) {
+                known.is_lease_uncertain = false;
             }
         }
         let leads = controller.leader.is_some();
@@ -244,23 +244,23 @@
     }
 
     /// A process that has stepped down may become the leader anew.
-    fn clear_uncertainty(&mut self, index: usize) {
+    fn clear_lease_uncertainty(&mut self, index: usize) {
         if !self.leads(index) {
-            self.controllers[index].uncertain = false;
+            self.controllers[index].is_lease_uncertain = false;
         }
     }
 
     /// A process that was paused must not act as a leader before it has renewed its lease.
-    fn check_certainty(&mut self, index: usize, effect: &Effect) {
-        let acts = self.effect_needing_grant(index, effect);
-        if let (true, Some(acts)) = (self.controllers[index].uncertain, acts) {
+    fn check_lease_certainty(&mut self, index: usize, effect: &Effect) {
+        let action = self.effect_needing_lease(index, effect);
+        if let (true, Some(action)) = (self.controllers[index].is_lease_uncertain, action) {
             let member = member_name(index);
-            self.note_violation(format!("{member}, back from a pause, {acts}"));
+            self.note_violation(format!("{member}, back from a pause, {action}"));
         }
     }
 
     /// What of an effect a leader may do only if it is certain of its grant.
-    fn effect_needing_grant(&mut self, index: usize, effect: &Effect) -> Option<&'static str> {
+    fn effect_needing_lease(&mut self, index: usize, effect: &Effect) -> Option<&'static str> {
         match effect {
             Effect::Answer { id, status, .. } => {
                 let requester = self.calls.requests.get(&(index, *id));
@@ -271,16 +271,16 @@
                 (agent && *status == 200).then_some("answers an agent")
             }
             Effect::Call(call) if call.path.ends_with("/extend") => {
-                self.controllers[index].renewals.insert(call.id);
+                self.controllers[index].pending_renewals.insert(call.id);
                 None
             }
-            Effect::Call(call) => call_needing_grant(call),
+            Effect::Call(call) => call_needing_lease(call),
         }
     }
 }
 
 /// What of a call a leader may do only if it is certain of its grant.
-fn call_needing_grant(call: &Call) -> Option<&'static str> {
+fn call_needing_lease(call: &Call) -> Option<&'static str> {
     match call.target {
         Target::Cloud if call.method == "POST" => Some("provisions or terminates"),
         Target::Agent(_) => Some("commands an agent"),
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -53,9 +53,9 @@
     Heartbeat { machine: String, heartbeat_id: u64 },
     /// A submission that is repeated once, at a given controller.
     Resubmit(String, Micros),
-    /// Nobody: the request was the late copy of a heartbeat. `first`: whom it reached leads, and had no
+    /// Nobody: the request was the late copy of a heartbeat. `is_newest`: whom it reached leads, and had no
     /// heartbeat of that machine under its grant that was as new.
-    HeartbeatCopy { first: bool },
+    HeartbeatCopy { is_newest: bool },
     /// Another controller.
     Peer(Caller),
 }
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -14,7 +14,7 @@
 mod users;
 
 use heartbeats::{HeartbeatCopies, HeartbeatKey, HeldCopy};
-use store::{LateTransaction, LateTransactions};
+use store::{RecurringTransactionFault, TransactionFault};
 
 /// Something takes so much longer, or comes so much later, up to a moment.
 #[derive(Clone, Copy, Debug, Default)]
@@ -36,18 +36,18 @@
     /// When the last fault of the script is over.
     pub(super) end: Micros,
     /// What the next transaction of a controller meets, or (none) that of whoever leads then.
-    late_transaction: BTreeMap<Option<usize>, LateTransaction>,
-    late_transactions: Option<LateTransactions>,
+    next_transaction_faults: BTreeMap<Option<usize>, TransactionFault>,
+    recurring_transaction_fault: Option<RecurringTransactionFault>,
     /// Transactions without an answer that were carried out.
-    late_carried_out: u64,
+    unanswered_applied: u64,
     /// Transactions without an answer that failed on their conditions.
-    late_failed: u64,
+    unanswered_failed: u64,
     /// Polls that were refused for now.
-    refusals: u64,
+    refused_polls: u64,
     /// By machine; none: every machine.
-    copies: BTreeMap<Option<String>, HeartbeatCopies>,
+    heartbeat_copies: BTreeMap<Option<String>, HeartbeatCopies>,
     /// Copies of heartbeats that are kept for the next leader, by machine.
-    held: BTreeMap<String, HeldCopy>,
+    held_copies: BTreeMap<String, HeldCopy>,
     /// The highest token under which a controller has led.
     highest_token: u64,
     /// Copies that arrived at a controller that led with a token newer than that of the copy.
@@ -61,7 +61,7 @@
     /// Until then users poll each job everywhere right after something was said of it.
     polls_until: Micros,
     /// After what each job was polled everywhere: once after each thing.
-    polled: BTreeSet<(String, &'static str)>,
+    polled_after: BTreeSet<(String, &'static str)>,
     /// Answers of the key-value store take that much longer.
     slow_store: Delay,
     /// Messages between controllers and agents take that much longer, each way.
@@ -71,7 +71,7 @@
     /// The next controller that confirms a cancellation crashes for so long.
     crash_on_confirmation: Option<Micros>,
     /// The key-value store is down for so long right after the next grant.
-    store_outage_on_grant: Option<Micros>,
+    store_outage_on_election: Option<Micros>,
     /// Until then peers' answers list this job as cancelled, which nobody cancelled.
     forged_cancellation: Option<(String, Micros)>,
     /// By how much the copy of a machine's next heartbeat is late.
@@ -99,9 +99,9 @@
     pub(super) fn run_fault_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         let object = directive.words.get(1).map_or("", String::as_str);
         match (directive.word(0)?, object) {
-            ("late", "txn") => self.delay_transaction(directive)?,
-            ("late", "txns") => self.delay_transactions(directive)?,
-            ("lost", _) => self.expect_late_transactions(directive)?,
+            ("late", "txn") => self.set_transaction_fault(directive)?,
+            ("late", "txns") => self.set_recurring_transaction_fault(directive)?,
+            ("lost", _) => self.expect_unanswered_transactions(directive)?,
             ("slow", "state") => {
                 self.faults.slow_store = self.delay(directive, 20.0, ("by", 0.8))?
             }
@@ -114,13 +114,13 @@
             }
             ("trap", "grant") => {
                 let down_for = directive.duration("for", 40.0)?;
-                self.faults.store_outage_on_grant = Some(down_for);
+                self.faults.store_outage_on_election = Some(down_for);
             }
             ("forge", job) => {
                 let until = self.now + directive.duration("for", 5.0)?;
                 self.faults.forged_cancellation = Some((job.into(), until));
             }
-            ("copies", machine) => self.make_copies(directive, machine)?,
+            ("copies", machine) => self.start_heartbeat_copies(directive, machine)?,
             ("copied", _) => self.expect_copies(directive)?,
             ("mute" | "deaf" | "unplug" | "hang", _) => self.silence_machines(directive)?,
             ("lose", "direct") => {
@@ -145,7 +145,7 @@
                 self.faults.cancel_at_end = self.delay(directive, 20.0, ("after", 0.0))?;
             }
             "refusals" => {
-                let (got, most) = (self.faults.refusals, directive.count("most", 0)?);
+                let (got, most) = (self.faults.refused_polls, directive.count("most", 0)?);
                 if got > most {
                     let detail = format!("{got} questions were refused");
                     return Err(ScenarioError::unmet(detail));
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeartbeatCopies {
     until: Micros,
-    late: Micros,
+    delay: Micros,
     /// The newest one is kept for the next leader.
-    next: bool,
+    is_for_next_leader: bool,
     /// They go to every controller that is up, not just to the leader.
     to_all: bool,
 }
@@ -36,22 +36,22 @@
 
 impl World {
     /// Copies of machines' heartbeats arrive late for a time.
-    pub(super) fn make_copies(
+    pub(super) fn start_heartbeat_copies(
         &mut self,
         directive: &Directive,
         machine: &str,
     ) -> Result<(), ScriptError> {
         let copies = HeartbeatCopies {
             until: self.now + directive.duration("for", 10.0)?,
-            late: directive.duration("late", 10.0)?,
-            next: directive.flag("next", false),
+            delay: directive.duration("late", 10.0)?,
+            is_for_next_leader: directive.flag("next", false),
             to_all: directive.text("to", "leader") == "all",
         };
         let machine = match machine {
             "all" => None,
             name => Some(self.machine_mut(name)?.name.clone()),
         };
-        self.faults.copies.insert(machine, copies);
+        self.faults.heartbeat_copies.insert(machine, copies);
         Ok(())
     }
 
@@ -69,19 +69,19 @@
     /// A machine sends a heartbeat: a copy of it may arrive late, or be kept for the next leader.
     pub(in crate::world) fn copy_heartbeat(&mut self, name: &str, body: &[u8]) {
         let now = self.now;
-        let of_machine = self.faults.copies.get(&Some(name.to_string()));
-        let of_all = self.faults.copies.get(&None);
+        let of_machine = self.faults.heartbeat_copies.get(&Some(name.to_string()));
+        let of_all = self.faults.heartbeat_copies.get(&None);
         let known = of_machine.into_iter().chain(of_all);
-        let running: Vec<HeartbeatCopies> =
+        let active: Vec<HeartbeatCopies> =
             known.filter(|copies| now < copies.until).copied().collect();
-        for copies in running {
+        for copies in active {
             let (to_all, body) = (copies.to_all, body.to_vec());
-            if copies.next {
+            if copies.is_for_next_leader {
                 let held = HeldCopy { to_all, body };
-                self.faults.held.insert(name.into(), held);
+                self.faults.held_copies.insert(name.into(), held);
             } else {
                 let event = Event::HeartbeatCopy { body, to_all };
-                self.schedule_event(now + copies.late, event);
+                self.schedule_event(now + copies.delay, event);
             }
         }
     }
@@ -93,7 +93,7 @@
             false => self.leading_controllers().collect(),
         };
         for controller in controllers {
-            let requester = Requester::HeartbeatCopy { first: false };
+            let requester = Requester::HeartbeatCopy { is_newest: false };
             let path = "/checkin".into();
             self.send_request(controller, "POST", path, body.to_vec(), requester);
         }
@@ -109,10 +109,10 @@
         }
         self.faults.highest_token = token;
         let up = self.up_controllers();
-        for held in std::mem::take(&mut self.faults.held).into_values() {
+        for held in std::mem::take(&mut self.faults.held_copies).into_values() {
             let controllers = if held.to_all { up.clone() } else { vec![index] };
             for controller in controllers {
-                let requester = Requester::HeartbeatCopy { first: false };
+                let requester = Requester::HeartbeatCopy { is_newest: false };
                 let path = "/checkin".into();
                 let body = held.body.clone();
                 let request = front_request(controller, "POST", path, body, requester);
@@ -159,11 +159,11 @@
         };
         let newest = self.faults.newest_heartbeats.entry(key).or_default();
         let status = (heartbeat.incarnation, heartbeat.sequence);
-        let first = status > *newest;
+        let is_newest = status > *newest;
         if takes_in {
             *newest = status.max(*newest);
         }
-        first
+        is_newest
     }
 
     /// A direct command arrives: if it is to be lost, it is carried out late and answered to nobody.
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -11,65 +11,76 @@
 
 /// What happens to a transaction whose answer is lost.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LateTransaction {
+pub(super) struct TransactionFault {
     /// It is carried out this much later, or at once.
-    late: Micros,
+    delay: Micros,
     at_once: bool,
 }
 
 /// For a time, every so many-th transaction of any controller meets this.
-pub(super) struct LateTransactions {
+pub(super) struct RecurringTransactionFault {
     until: Micros,
     every: u64,
     /// Transactions so far.
     count: u64,
-    how: LateTransaction,
+    fault: TransactionFault,
 }
 
-impl LateTransactions {
+impl RecurringTransactionFault {
     /// Counts a transaction. The result is what happens to it, if anything does.
-    fn next(&mut self, now: Micros) -> Option<LateTransaction> {
+    fn next(&mut self, now: Micros) -> Option<TransactionFault> {
         if now >= self.until {
             return None;
         }
         self.count += 1;
-        self.count.is_multiple_of(self.every).then_some(self.how)
+        self.count.is_multiple_of(self.every).then_some(self.fault)
     }
 }
 
 impl World {
     /// The next transaction of a controller, or of whoever leads then, gets no answer.
-    pub(super) fn delay_transaction(&mut self, directive: &Directive) -> Result<(), ScriptError> {
+    pub(super) fn set_transaction_fault(
+        &mut self,
+        directive: &Directive,
+    ) -> Result<(), ScriptError> {
         let controller = match directive.options.get("node").map(String::as_str) {
             None | Some("leader") => None,
             Some(word) => Some(self.controller_named(word)?),
         };
-        let how = LateTransaction {
-            late: directive.duration("for", 10.0)?,
+        let fault = TransactionFault {
+            delay: directive.duration("for", 10.0)?,
             at_once: directive.flag("at_once", false),
         };
-        self.faults.late_transaction.insert(controller, how);
+        self.faults
+            .next_transaction_faults
+            .insert(controller, fault);
         Ok(())
     }
 
     /// For a time, every so many-th transaction gets no answer.
-    pub(super) fn delay_transactions(&mut self, directive: &Directive) -> Result<(), ScriptError> {
-        let how = LateTransaction {
-            late: directive.duration("late", 8.0)?,
+    pub(super) fn set_recurring_transaction_fault(
+        &mut self,
+        directive: &Directive,
+    ) -> Result<(), ScriptError> {
+        let fault = TransactionFault {
+            delay: directive.duration("late", 8.0)?,
             at_once: directive.flag("at_once", false),
         };
-        self.faults.late_transactions = Some(LateTransactions {
+        self.faults.recurring_transaction_fault = Some(RecurringTransactionFault {
             until: self.now + directive.duration("for", 20.0)?,
             every: directive.count("every", 3)?.max(1),
             count: 0,
-            how,
+            fault,
         });
         Ok(())
     }
 
     /// So many transactions without an answer must have been carried out, and have failed.
-    pub(super) fn expect_late_transactions(&self, directive: &Directive) -> StepResult {
-        let (done, failed) = (self.faults.late_carried_out, self.faults.late_failed);
+    pub(super) fn expect_unanswered_transactions(&self, directive: &Directive) -> StepResult {
+        let (done, failed) = (
+            self.faults.unanswered_applied,
+            self.faults.unanswered_failed,
+        );
         let least_done = directive.count("done", 0)?;
         let least_failed = directive.count("failed", 0)?;
         if done < least_done || failed < least_failed {
@@ -86,48 +97,48 @@
         at: Micros,
         call: &Call,
     ) -> bool {
-        let Some(how) = self.next_transaction_fault(controller) else {
+        let Some(fault) = self.next_transaction_fault(controller) else {
             return false;
         };
         let nobody = Caller::nobody(controller, call.id);
-        let at = if how.at_once { at } else { at + how.late };
+        let at = if fault.at_once { at } else { at + fault.delay };
         let event = Event::StoreCall(nobody, call.method, call.path.clone(), call.body.clone());
         self.schedule_event(at, event);
         true
     }
 
     /// What happens to the transaction that a controller sends now, if anything does.
-    fn next_transaction_fault(&mut self, controller: usize) -> Option<LateTransaction> {
+    fn next_transaction_fault(&mut self, controller: usize) -> Option<TransactionFault> {
         let (now, leads) = (self.now, self.leads(controller));
         let faults = &mut self.faults;
-        let mut how = faults.late_transaction.remove(&Some(controller));
-        if how.is_none() && leads {
-            how = faults.late_transaction.remove(&None);
+        let mut fault = faults.next_transaction_faults.remove(&Some(controller));
+        if fault.is_none() && leads {
+            fault = faults.next_transaction_faults.remove(&None);
         }
-        if how.is_none() {
-            let many = faults.late_transactions.as_mut();
-            how = many.and_then(|many| many.next(now));
+        if fault.is_none() {
+            let recurring = faults.recurring_transaction_fault.as_mut();
+            fault = recurring.and_then(|recurring| recurring.next(now));
         }
-        how
+        fault
     }
 
     /// Counts a transaction that gets no answer.
-    pub(in crate::world) fn count_late_transaction(
+    pub(in crate::world) fn count_unanswered_transaction(
         &mut self,
         caller: Caller,
         path: &str,
         status: u16,
     ) {
         match (caller.process, path, status) {
-            (0, "/txn", 200) => self.faults.late_carried_out += 1,
-            (0, "/txn", 400 | 409) => self.faults.late_failed += 1,
+            (0, "/txn", 200) => self.faults.unanswered_applied += 1,
+            (0, "/txn", 400 | 409) => self.faults.unanswered_failed += 1,
             _ => {}
         }
     }
 
     /// A grant was just won: the key-value store may go down at once.
-    pub(in crate::world) fn on_leader_grant(&mut self) {
-        if let Some(down_for) = self.faults.store_outage_on_grant.take() {
+    pub(in crate::world) fn on_leader_elected(&mut self) {
+        if let Some(down_for) = self.faults.store_outage_on_election.take() {
             let until = self.now + down_for;
             self.faults.end = self.faults.end.max(until);
             self.store.down = true;
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -24,8 +24,8 @@
 
 impl World {
     /// Users cancel jobs that run and have long to go; some of their machines hang from now on.
-    pub(super) fn cancel_now(&mut self, most: usize, hang: Micros) -> StepResult {
-        let jobs = self.jobs_in_the_middle(most);
+    pub(super) fn cancel_now(&mut self, max_jobs: usize, hang: Micros) -> StepResult {
+        let jobs = self.long_running_jobs(max_jobs);
         if jobs.is_empty() {
             return Err(ScenarioError::unmet("no job runs that has long to go"));
         }
@@ -41,16 +41,16 @@
     }
 
     /// Jobs that run and have long to go, so many at most.
-    fn jobs_in_the_middle(&self, most: usize) -> Vec<String> {
+    fn long_running_jobs(&self, max_jobs: usize) -> Vec<String> {
         let live =
             |job: &ObservedJob| job.accepted && !job.done && job.cancel_requested_at.is_none();
         let jobs = self.jobs.iter();
-        let jobs = jobs.filter(|(id, job)| live(job) && self.runs_for_long(id));
-        jobs.take(most).map(|(id, _)| id.clone()).collect()
+        let jobs = jobs.filter(|(id, job)| live(job) && self.has_long_running_task(id));
+        jobs.take(max_jobs).map(|(id, _)| id.clone()).collect()
     }
 
     /// Whether a task of the job runs and has long to go.
-    fn runs_for_long(&self, job: &str) -> bool {
+    fn has_long_running_task(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
         let machines = self.present_machines().filter(|machine| machine.up);
         let mut tasks = machines.flat_map(|machine| machine.live());
@@ -96,13 +96,19 @@
     /// Of the jobs that were cancelled though all of their tasks completed, so many at least were
     /// called done, and so many cancelled; and ends are on record in time.
     pub(super) fn check_ends(&self, directive: &Directive) -> StepResult {
-        self.check_ends_on_record(directive.duration("within", 6.0)?)?;
+        self.check_ends_recorded(directive.duration("within", 6.0)?)?;
         let accepted = self.jobs.values().filter(|job| job.accepted);
-        let both =
+        let cancelled_when_complete =
             |job: &&ObservedJob| job.completed_at.is_some() && job.cancel_requested_at.is_some();
-        let both: Vec<&ObservedJob> = accepted.filter(both).collect();
-        let done = both.iter().filter(|job| job.done).count() as u64;
-        let cancelled = both.iter().filter(|job| job.cancelled_at.is_some());
+        let cancelled_when_complete: Vec<&ObservedJob> =
+            accepted.filter(cancelled_when_complete).collect();
+        let done = cancelled_when_complete
+            .iter()
+            .filter(|job| job.done)
+            .count() as u64;
+        let cancelled = cancelled_when_complete
+            .iter()
+            .filter(|job| job.cancelled_at.is_some());
         let cancelled = cancelled.count() as u64;
         if done < directive.count("done", 0)? || cancelled < directive.count("cancelled", 0)? {
             let detail = format!("{done} are done, {cancelled} cancelled");
@@ -120,7 +126,7 @@
     }
 
     /// The end of each job must be on record so long after it.
-    fn check_ends_on_record(&self, within: Micros) -> StepResult {
+    fn check_ends_recorded(&self, within: Micros) -> StepResult {
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.accepted) {
             let ends = [job.completed_at, job.cancelled_at];
             let Some(over) = ends.into_iter().flatten().min() else {
@@ -137,14 +143,14 @@
     }
 
     /// Counts a poll that is refused for now.
-    pub(in crate::world) fn count_refusal(&mut self, status: u16) {
-        self.faults.refusals += u64::from(matches!(status, 429 | 503));
+    pub(in crate::world) fn count_refused_poll(&mut self, status: u16) {
+        self.faults.refused_polls += u64::from(matches!(status, 429 | 503));
     }
 
     /// Something was said of a job: users poll it everywhere if it was said for the first time.
-    pub(in crate::world) fn poll_after(&mut self, job: &str, what: &'static str) {
+    pub(in crate::world) fn poll_everywhere_after(&mut self, job: &str, event: &'static str) {
         let first = self.now < self.faults.polls_until
-            && self.faults.polled.insert((job.to_string(), what));
+            && self.faults.polled_after.insert((job.to_string(), event));
         if first {
             for delay in POLL_DELAYS {
                 self.schedule_event(self.now + delay, Event::PollEverywhere(job.into()));
@@ -159,9 +165,9 @@
         controller: usize,
         requester: &Requester,
         status: u16,
-        said: &str,
+        job_status: &str,
     ) {
-        if !matches!(requester, Requester::Cancel(..)) || status != 200 || said != "aborted" {
+        if !matches!(requester, Requester::Cancel(..)) || status != 200 || job_status != "aborted" {
             return;
         }
         if let Some(down_for) = self.faults.crash_on_confirmation.take() {
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -32,11 +32,11 @@
     pub(super) starts: u64,
     /// When a task of it last came onto a machine.
     pub(super) last_start: Micros,
-    pub(super) submitted: Micros,
+    pub(super) submitted_at: Micros,
     /// When a task of it first came onto a machine.
     pub(super) first_start: Option<Micros>,
     /// When a question about it was last answered, or it was accepted.
-    pub(super) answered: Micros,
+    pub(super) last_answered_at: Micros,
     /// When its last task completed.
     pub(super) completed_at: Option<Micros>,
 }
@@ -54,9 +54,9 @@
             completed: BTreeSet::new(),
             starts: 0,
             last_start: 0,
-            submitted: now,
+            submitted_at: now,
             first_start: None,
-            answered: now,
+            last_answered_at: now,
             completed_at: None,
         }
     }
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -45,7 +45,7 @@
 }
 
 impl Cut {
-    fn concerns(&self, controller: usize, link: Link) -> bool {
+    fn affects(&self, controller: usize, link: Link) -> bool {
         self.controller == controller && (self.link == link.word() || self.link == "all")
     }
 }
@@ -72,7 +72,7 @@
     pub(super) fn arrival(&self, controller: usize, link: Link, latency: Micros) -> Option<Micros> {
         let latency = latency + self.link_delay(link);
         let mut cuts = self.network.cuts.iter();
-        let cut = cuts.find(|cut| self.now < cut.until && cut.concerns(controller, link));
+        let cut = cuts.find(|cut| self.now < cut.until && cut.affects(controller, link));
         match cut {
             None => Some(self.now + latency),
             Some(cut) if cut.holds_messages => Some(cut.until + latency),
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -50,7 +50,7 @@
             },
             Requester::Expect(job, wanted, line, sent) => {
                 let got = self.expected_status(&job, sent, status, &body)?;
-                check_expected(controller, &job, &got, &wanted)
+                check_expected_status(controller, &job, &got, &wanted)
                     .map_err(|error| error.at_line(line))?;
                 self.expectations.met += 1;
             }
@@ -75,7 +75,9 @@
                 }
                 self.expectations.met += 1;
             }
-            Requester::HeartbeatCopy { first } => check_copy_response(first, status, &body)?,
+            Requester::HeartbeatCopy { is_newest } => {
+                check_copy_response(is_newest, status, &body)?
+            }
             Requester::Heartbeat {
                 machine,
                 heartbeat_id,
@@ -105,7 +107,7 @@
     ) -> StepResult<bool> {
         match status {
             200 | 201 => {
-                self.accepted(job)?;
+                self.record_acceptance(job)?;
                 self.check_status(job, &status_in(body))?;
             }
             400 | 422 => self.check_denial(job, sent, status)?,
@@ -122,14 +124,14 @@
         status: u16,
         body: &[u8],
     ) -> StepResult {
-        self.count_refusal(status);
+        self.count_refused_poll(status);
         if status == 404 {
             self.check_denial(job, sent, status)?;
         }
         if status == 200 {
             self.check_status(job, &status_in(body))?;
             if let Some(observed) = self.jobs.get_mut(job) {
-                observed.answered = self.now;
+                observed.last_answered_at = self.now;
             }
         }
         Ok(())
@@ -235,7 +237,7 @@
 }
 
 /// A job must have the status that the script expects; `live`: pending or running.
-fn check_expected(controller: usize, job: &str, got: &str, wanted: &str) -> StepResult {
+fn check_expected_status(controller: usize, job: &str, got: &str, wanted: &str) -> StepResult {
     let live = wanted == "live" && matches!(got, "pending" | "running");
     if got == wanted || live {
         return Ok(());
@@ -249,10 +251,10 @@
 ///
 /// A new leader cannot know that the first heartbeat it gets is a copy, and what it answers reaches nobody;
 /// but it may not launch before it knows that the machine receives its responses.
-fn check_copy_response(first: bool, status: u16, body: &[u8]) -> StepResult {
+fn check_copy_response(is_newest: bool, status: u16, body: &[u8]) -> StepResult {
     let response = from_cbor::<HeartbeatResponse>(body);
     let commands = response.map_or(Vec::new(), |response| response.commands);
-    let forbidden = |command: &Command| !first || is_launch(command);
+    let forbidden = |command: &Command| !is_newest || is_launch(command);
     if status == 200 && commands.iter().any(forbidden) {
         let detail = "the late copy of a report is answered with commands";
         return Err(ScenarioError::Protocol(detail.into()));
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -13,7 +13,7 @@
 /// A launch that was on record before a limit was lowered may still reach its agent for so long.
 const LAUNCH_TRANSIT: Micros = 2 * SECOND;
 /// Sums of CPUs that differ by less are the same.
-pub(super) const SLACK: f64 = 1e-6;
+pub(super) const RESOURCE_TOLERANCE: f64 = 1e-6;
 /// Quota grants are on record in millionths of a CPU.
 const GRANT_UNITS_PER_CPU: f64 = 1e6;
 /// The bound of a check that sets none.
@@ -24,7 +24,7 @@
 struct RecordedLimit {
     cpus: f64,
     /// When it was last lowered.
-    lowered: Micros,
+    lowered_at: Micros,
     /// What the team used at the last check, in CPUs.
     used: f64,
 }
@@ -33,14 +33,14 @@
 #[derive(Default)]
 pub(super) struct LimitChanges {
     /// What a controller's settings say from its next start on; `None`: the team is not in them.
-    of_controller: BTreeMap<(usize, String), Option<Team>>,
-    on_record: BTreeMap<String, RecordedLimit>,
+    by_controller: BTreeMap<(usize, String), Option<Team>>,
+    recorded: BTreeMap<String, RecordedLimit>,
 }
 
 impl LimitChanges {
     /// Changes the teams in the settings of a controller that starts.
     pub(super) fn apply(&self, controller: usize, teams: &mut BTreeMap<String, Team>) {
-        let changes = self.of_controller.iter();
+        let changes = self.by_controller.iter();
         for ((_, name), team) in changes.filter(|((of, _), _)| *of == controller) {
             match team {
                 Some(team) => teams.insert(name.clone(), *team),
@@ -67,7 +67,7 @@
             "settings" => self.change_settings(directive)?,
             "in_force" => {
                 let wanted = directive.number_at(2)?;
-                let limits = self.limits_on_record();
+                let limits = self.recorded_limits();
                 let got = limits.get(directive.word(1)?).copied();
                 if got != Some(wanted) {
                     let detail = format!("the limit on record is {got:?}");
@@ -75,9 +75,9 @@
                 }
             }
             "uses" => {
-                let used = self.used();
+                let used = self.usage_by_team();
                 let used = used.get(directive.word(1)?).map_or(0.0, |used| used.cpus);
-                check_bounds(directive, SLACK, used, "CPUs are used")?;
+                check_bounds(directive, RESOURCE_TOLERANCE, used, "CPUs are used")?;
             }
             "started" => {
                 let starts = self
@@ -108,12 +108,12 @@
         let team = (!directive.flag("gone", false)).then_some(team);
         let changes = controllers.into_iter();
         let changes = changes.map(|controller| ((controller, name.clone()), team));
-        self.limit_changes.of_controller.extend(changes);
+        self.limit_changes.by_controller.extend(changes);
         Ok(())
     }
 
     /// The limits on record by team, in CPUs.
-    fn limits_on_record(&self) -> BTreeMap<String, f64> {
+    fn recorded_limits(&self) -> BTreeMap<String, f64> {
         let mut records = self.store.under(LIMITS);
         let record = records.find_map(|(_, value, _)| from_value::<LimitsRecord>(value).ok());
         let teams = record.unwrap_or_default().teams.into_iter();
@@ -121,7 +121,7 @@
     }
 
     /// The quota grants on record by team, in CPUs.
-    fn grants_on_record(&self) -> BTreeMap<String, f64> {
+    fn recorded_grants(&self) -> BTreeMap<String, f64> {
         let mut granted: BTreeMap<String, f64> = BTreeMap::new();
         for (_, value, _) in self.store.under(QUOTA) {
             let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
@@ -134,7 +134,7 @@
     }
 
     /// Whether a job of the team waits for tasks.
-    fn waits_for_tasks(&self, team: &str) -> bool {
+    fn has_waiting_job(&self, team: &str) -> bool {
         self.jobs.values().any(|job| {
             let running = job.starts.min(job.spec.tasks);
             let waits = job.accepted && !job.done && running < job.spec.tasks;
@@ -147,11 +147,11 @@
         if self.measures.is_none() {
             return;
         }
-        let granted = self.grants_on_record();
-        let used = self.used();
+        let granted = self.recorded_grants();
+        let used = self.usage_by_team();
         let mut idle = Vec::new();
         for (team, limit) in &self.configuration.settings.teams {
-            if self.waits_for_tasks(team) {
+            if self.has_waiting_job(team) {
                 let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
                 let granted = granted.get(team).copied().unwrap_or(0.0);
                 let share = (granted - used).max(0.0) / limit.cpus_max;
@@ -168,32 +168,32 @@
     /// it was lowered has arrived.
     pub(super) fn check_recorded_limits(&mut self) -> StepResult {
         let now = self.now;
-        let limits = self.limits_on_record();
-        let used = self.used();
+        let limits = self.recorded_limits();
+        let used = self.usage_by_team();
         let mut next = BTreeMap::new();
         for (team, cpus) in limits {
-            let known = self.limit_changes.on_record.get(&team).copied();
-            let lowered = match known {
+            let known = self.limit_changes.recorded.get(&team).copied();
+            let lowered_at = match known {
                 Some(known) if cpus < known.cpus => now,
-                Some(known) => known.lowered,
+                Some(known) => known.lowered_at,
                 None => 0,
             };
             let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
-            let more = known.is_some_and(|known| used > known.used + SLACK);
-            let settled = lowered > 0 && now > lowered + LAUNCH_TRANSIT;
-            if more && settled && used > cpus + SLACK {
+            let has_grown = known.is_some_and(|known| used > known.used + RESOURCE_TOLERANCE);
+            let settled = lowered_at > 0 && now > lowered_at + LAUNCH_TRANSIT;
+            if has_grown && settled && used > cpus + RESOURCE_TOLERANCE {
                 return Err(ScenarioError::Protocol(format!(
                     "{team} uses {used}, more than the {cpus} in force"
                 )));
             }
             let limit = RecordedLimit {
                 cpus,
-                lowered,
+                lowered_at,
                 used,
             };
             next.insert(team, limit);
         }
-        self.limit_changes.on_record = next;
+        self.limit_changes.recorded = next;
         Ok(())
     }
 }
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -14,7 +14,7 @@
         to_cbor(&HeartbeatResponse { token: 9, commands })
     };
     let mut world = running();
-    for (first, verb, fine) in [
+    for (is_newest, verb, fine) in [
         (false, "launch", false),
         (false, "stop", false),
         (false, "reap", false),
@@ -22,9 +22,9 @@
         (true, "stop", true),
         (true, "reap", true),
     ] {
-        let requester = Requester::HeartbeatCopy { first };
+        let requester = Requester::HeartbeatCopy { is_newest };
         let got = world.handle_response(requester, 0, 200, response(verb));
-        assert_eq!(got.is_ok(), fine, "{first} {verb}: {got:?}");
+        assert_eq!(got.is_ok(), fine, "{is_newest} {verb}: {got:?}");
     }
 }
 
@@ -53,7 +53,7 @@
         to_cbor(&heartbeat)
     };
     let (incarnation, sequence, token) = (newest.incarnation, newest.sequence, newest.token);
-    let copied = Requester::HeartbeatCopy { first: false };
+    let copied = Requester::HeartbeatCopy { is_newest: false };
     // The world played on so far: all but the newest one came under this grant.
     for (incarnation, sequence, first) in [
         (incarnation, sequence - 1, false),
--- a/crates/testkit/src/world/tests/responses.rs
+++ b/crates/testkit/src/world/tests/responses.rs
@@ -114,7 +114,7 @@
 #[test]
 fn a_job_about_which_nobody_answers() {
     let mut world = running();
-    world.now = world.jobs["req-1"].answered + UNANSWERED_LIMIT;
+    world.now = world.jobs["req-1"].last_answered_at + UNANSWERED_LIMIT;
     assert_eq!(world.poll_all_jobs(), Ok(()));
     world.now += 1;
     broken(world.poll_all_jobs(), "forgotten");
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -28,7 +28,7 @@
 
 impl World {
     /// Some controller that is up, another one each time.
-    fn any_controller(&mut self) -> usize {
+    fn next_up_controller(&mut self) -> usize {
         let up = self.up_controllers();
         let turn = self.next_number() as usize;
         up.get(turn % up.len().max(1)).copied().unwrap_or(0)
@@ -72,14 +72,14 @@
             return;
         };
         let body = to_cbor(&observed.spec);
-        let controller = controller.unwrap_or_else(|| self.any_controller());
+        let controller = controller.unwrap_or_else(|| self.next_up_controller());
         let requester = Requester::Submit(job.into(), self.now);
         self.send_request(controller, "POST", "/submissions".into(), body, requester);
     }
 
     /// A user cancels a job, at some controller unless one is named.
     pub(super) fn cancel(&mut self, job: &str, controller: Option<usize>) {
-        let controller = controller.unwrap_or_else(|| self.any_controller());
+        let controller = controller.unwrap_or_else(|| self.next_up_controller());
         if let Some(observed) = self.jobs.get_mut(job) {
             observed.cancel_requested_at.get_or_insert(self.now);
         }
@@ -99,15 +99,16 @@
     pub(super) fn poll_all_jobs(&mut self) -> StepResult {
         let live = |job: &ObservedJob| job.accepted && !job.is_over();
         let jobs = self.jobs.iter().filter(|(_, job)| live(job));
-        let jobs: Vec<(String, Micros)> =
-            jobs.map(|(id, job)| (id.clone(), job.answered)).collect();
+        let jobs: Vec<(String, Micros)> = jobs
+            .map(|(id, job)| (id.clone(), job.last_answered_at))
+            .collect();
         for (job, answered) in jobs {
             let since = answered.max(self.faults.end);
             if self.now.saturating_sub(since) > UNANSWERED_LIMIT {
                 let detail = format!("no question about {job} is answered");
                 return Err(ScenarioError::rule(Rule::Forgotten, detail));
             }
-            let controller = self.any_controller();
+            let controller = self.next_up_controller();
             let requester = Requester::Poll(job.clone(), self.now);
             self.poll(controller, &job, requester);
         }
@@ -122,19 +123,19 @@
         if up.is_empty() {
             return;
         }
-        self.checks.out_of_band += 1;
-        let controller = up[self.checks.out_of_band as usize % up.len()];
+        self.checks.out_of_band_requests += 1;
+        let controller = up[self.checks.out_of_band_requests as usize % up.len()];
         let mut jobs = vec![UNKNOWN_JOB.to_string()];
         if let Some(job) = self.next_finished_job() {
-            self.checks.last_polled = job.clone();
+            self.checks.last_polled_job = job.clone();
             jobs.push(job);
         }
         for job in jobs {
             let path = format!("/submissions/{job}");
             let requester = Requester::Poll(job, self.now);
             let request = front_request(controller, "GET", path, Vec::new(), requester);
-            self.checks.out_of_band += 1;
-            let number = OUT_OF_BAND + self.checks.out_of_band;
+            self.checks.out_of_band_requests += 1;
+            let number = OUT_OF_BAND + self.checks.out_of_band_requests;
             let key = (self.now + REQUEST_LATENCY, number);
             self.queue.insert(key, Event::Request(request));
         }
@@ -142,7 +143,7 @@
 
     /// The job that is over and comes after the one that was last polled.
     fn next_finished_job(&self) -> Option<String> {
-        let after = Bound::Excluded(self.checks.last_polled.clone());
+        let after = Bound::Excluded(self.checks.last_polled_job.clone());
         let jobs = self.jobs.range((after, Bound::Unbounded));
         let mut jobs = jobs.chain(self.jobs.iter());
         let (id, _) = jobs.find(|(_, job)| job.is_over())?;
