--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: plays a script and checks the rules.
+//! Simulated cluster: plays the script of a scenario and checks the rules of the protocol.
 
 use crate::error::{ScenarioError, StepResult};
 use crate::machines::{JobFacts, Machine};
@@ -39,33 +39,34 @@
 use network::Network;
 use team_limits::LimitChanges;
 
-/// How often time passes for machines, controllers and the key-value store.
+/// Interval at which controllers, machines and the key-value store's watches are advanced.
 const TICK_INTERVAL: Micros = 20 * MILLISECOND;
-/// How far apart the controllers start.
+/// Time between the starts of two controllers.
 const START_INTERVAL: Micros = 5 * MILLISECOND;
-/// How often users poll each job.
+/// Interval at which users poll each job.
 const POLL_INTERVAL: Micros = 5 * SECOND;
 
-/// What the script expects of responses.
+/// Counts of the responses that the script expects, and of the partition moves that it makes.
 #[derive(Default)]
 struct Expectations {
-    /// Responses that were asked for.
+    /// Number of expected responses so far, received or not.
     requested: u64,
-    /// Responses that came and were as expected.
+    /// Number of expected responses that arrived and were as expected.
     met: u64,
-    /// Partitions that the script has moved.
+    /// Number of partition moves that the script has made.
     partition_moves: u64,
 }
 
 /// A cluster in simulated time.
 pub struct World {
-    /// The simulated time.
+    /// Current simulated time.
     now: Micros,
-    /// When the scenario ends.
+    /// Simulated time at which the scenario ends.
     end: Micros,
-    /// What is to happen, by time and number; events of the same moment come in the order of their numbers.
+    /// Scheduled events by time and number; events of the same time are handled in the order of their numbers.
     queue: BTreeMap<(Micros, u64), Event>,
-    /// The last number that was given to an event, a process, a watch or a heartbeat.
+    /// Last number that was assigned to an event, a watch or a heartbeat. A new process takes the number that
+    /// follows it.
     sequence: u64,
     configuration: Configuration,
     controllers: Vec<ControllerProcess>,
@@ -81,16 +82,16 @@
     checks: Checks,
     limit_changes: LimitChanges,
     expectations: Expectations,
-    /// A rule that was broken within a step.
+    /// First violation of the protocol that was found while the current event was handled.
     violation: Option<ScenarioError>,
-    /// What the leader costs, if that is measured.
+    /// Measurements of the scenario; `None` if nothing is measured.
     pub measures: Option<Measures>,
-    /// What the controllers do, if that is traced.
+    /// Trace of the controllers' effects; `None` if they are not traced.
     pub trace: Option<Trace>,
 }
 
 impl World {
-    /// A world as the script sets it up, at the start.
+    /// Creates the world that the script's setup lines describe, at simulated time 0.
     pub fn new(script: Script) -> Result<World, ScenarioError> {
         let mut world = World::empty(&script);
         for directive in &script.setup {
@@ -110,7 +111,7 @@
         Ok(world)
     }
 
-    /// A world in which there is nothing yet.
+    /// Creates a world without controllers, machines and jobs.
     fn empty(script: &Script) -> World {
         World {
             now: 0,
@@ -137,32 +138,32 @@
         }
     }
 
-    /// Plays to the end.
+    /// Plays the scenario to its end.
     pub fn run(mut self) -> Result<(), ScenarioError> {
         self.play_to_the_end()
     }
 
-    /// Ends the leader's process, so that its memory can be measured.
+    /// Ends the leader's process, so that the memory that it occupied can be measured.
     pub fn end_leader(&mut self) {
         if let Ok(leader) = self.controller_named("leader") {
             self.controllers[leader].controller = None;
         }
     }
 
-    /// Plays to the end; every expected response must have come by then.
+    /// Plays the scenario to its end, and checks that every expected response has arrived by then.
     pub(crate) fn play_to_the_end(&mut self) -> StepResult {
         self.play_until(self.end)?;
         let Expectations { requested, met, .. } = self.expectations;
         if met < requested {
             return Err(ScenarioError::unmet(format!(
-                "{} of {requested} expectations got no answer",
+                "{} of {requested} expected responses did not arrive",
                 requested - met
             )));
         }
         Ok(())
     }
 
-    /// Plays all events up to this time.
+    /// Handles all events up to and including this time.
     fn play_until(&mut self, end: Micros) -> StepResult {
         while let Some(next) = self.queue.first_entry() {
             let at = next.key().0;
@@ -178,19 +179,19 @@
         Ok(())
     }
 
-    /// Puts an event into the queue.
+    /// Schedules an event at this time.
     fn schedule_event(&mut self, at: Micros, event: Event) {
         let number = self.next_number();
         self.queue.insert((at, number), event);
     }
 
-    /// A number that nothing else has.
+    /// Returns the next sequence number.
     fn next_number(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Time passes.
+    /// Advances watches, controllers and machines, polls the jobs if it is time, and checks the invariants.
     fn tick(&mut self) -> StepResult {
         self.schedule_event(self.now + TICK_INTERVAL, Event::Tick);
         self.answer_watches();
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the protocol's rules that look at the whole world.
+//! Checks of the protocol's rules over the whole simulated world.
 
 use super::jobs::job_of;
 use super::team_limits::RESOURCE_TOLERANCE;
@@ -13,24 +13,25 @@
 mod service;
 mod waiting;
 
-/// What is counted and remembered for the checks.
+/// Counters and observations that the checks need.
 #[derive(Default)]
 pub(super) struct Checks {
-    /// Starts of tasks whose job was confirmed as cancelled before.
+    /// Number of task starts after the cancellation of their job was confirmed.
     pub(super) late_starts: u64,
-    /// For how long a job may wait beside a machine with room for it; `None`: this is not checked.
+    /// Longest time that a job may wait while a machine has room for it; `None` if this is not checked.
     max_wait: Option<Micros>,
-    /// Since when a job has waited for a task while this machine had room for it, by job and machine.
+    /// Start of each job's wait for a task while a machine has room for it, by job and machine.
     waiting_since: BTreeMap<(String, String), Micros>,
-    /// Jobs that were submitted by a raw request of the script.
+    /// Ids of jobs that were submitted by raw requests of the script and accepted.
     raw_submissions: BTreeSet<String>,
-    /// Requests beside the script so far: they must not change what comes in which order.
+    /// Number of out-of-band requests so far. They have numbers of their own, so that they do not change the
+    /// order of other events.
     pub(super) out_of_band_requests: u64,
-    /// The job that is over and was last polled.
+    /// Id of the ended job that was polled last.
     pub(super) last_polled_job: String,
 }
 
-/// What a team uses on machines.
+/// Resources that a team's tasks use on machines.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Usage {
     pub(super) cpus: f64,
@@ -38,7 +39,7 @@
 }
 
 impl World {
-    /// Carries out a setup line that turns a check on.
+    /// Applies a setup line that enables a check.
     pub(super) fn set_up_check(&mut self, directive: &Directive) -> Result<(), ScriptError> {
         match directive.word(1)? {
             "waits" => {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Carries out a check of the script, if the directive is one of these.
+    /// Runs the check that a directive names. Returns whether the directive is a check.
     pub(super) fn run_check_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "late_starts" => {
@@ -64,7 +65,7 @@
             }
             "no_wait" => {
                 if self.checks.max_wait.is_none() {
-                    let detail = "nothing is known of it without `check waits`";
+                    let detail = "`no_wait` needs the setup line `check waits`";
                     return Err(ScenarioError::unmet(detail));
                 }
                 self.check_no_wait(from_seconds(directive.number_at(1)?))?;
@@ -74,8 +75,8 @@
         Ok(true)
     }
 
-    /// Checks what must hold at each moment, over all machines that are not terminated: those that hang,
-    /// are deaf or are cut off, too.
+    /// Checks the invariants over all machines that are not gone, including those that hang, receive no
+    /// responses or are cut off.
     pub(super) fn check_invariants(&mut self) -> StepResult {
         self.check_all_run_once()?;
         self.check_quota()?;
@@ -89,14 +90,17 @@
         Ok(())
     }
 
-    /// No task may be on two machines, or twice on one.
+    /// Checks that no task is on two machines, or twice on one.
     fn check_all_run_once(&self) -> StepResult {
         let mut machine_of: BTreeMap<&str, &str> = BTreeMap::new();
         for machine in self.present_machines() {
             for task in machine.live() {
                 let other = machine_of.insert(&task.task_name, &machine.name);
                 if let Some(other) = other {
-                    let detail = format!("{} on {other} and {}", task.task_name, machine.name);
+                    let detail = format!(
+                        "task {} is on machines {other} and {}",
+                        task.task_name, machine.name
+                    );
                     return Err(ScenarioError::rule(Rule::RanTwice, detail));
                 }
             }
@@ -104,7 +108,8 @@
         Ok(())
     }
 
-    /// Tasks of cancelled jobs must be gone in time.
+    /// Checks that the tasks of a cancelled job are gone within the cancellation timeout after its user was told
+    /// that it is cancelled.
     fn check_cancelled_are_gone(&self) -> StepResult {
         let timeout = self.configuration.settings.cancel_timeout;
         for machine in self.present_machines() {
@@ -112,7 +117,10 @@
                 let job = self.jobs.get(job_of(&task.task_name));
                 let cancelled_at = job.and_then(|job| job.cancelled_at);
                 if cancelled_at.is_some_and(|at| self.now > at + timeout) {
-                    let detail = format!("{} is on {}", task.task_name, machine.name);
+                    let detail = format!(
+                        "task {} of a cancelled job is on machine {}",
+                        task.task_name, machine.name
+                    );
                     return Err(ScenarioError::rule(Rule::RanCancelled, detail));
                 }
             }
@@ -120,7 +128,7 @@
         Ok(())
     }
 
-    /// What each team's tasks use, on whatever machine.
+    /// Returns the resources that each team's tasks use on all machines.
     pub(super) fn usage_by_team(&self) -> BTreeMap<&str, Usage> {
         let mut used: BTreeMap<&str, Usage> = BTreeMap::new();
         for task in self.present_machines().flat_map(|machine| machine.live()) {
@@ -133,17 +141,17 @@
         used
     }
 
-    /// No team may use more than its limit.
+    /// Checks that no team uses more than its limit.
     pub(super) fn check_quota(&self) -> StepResult {
         let used = self.usage_by_team();
         for (team, limit) in &self.configuration.settings.teams {
             let Usage { cpus, gpus } = used.get(team.as_str()).copied().unwrap_or_default();
             if cpus > limit.cpus_max + RESOURCE_TOLERANCE {
-                let detail = format!("{team} uses {cpus}");
+                let detail = format!("{team} uses {cpus} CPUs, more than its limit");
                 return Err(ScenarioError::rule(Rule::Quota, detail));
             }
             if gpus > limit.gpus_max + RESOURCE_TOLERANCE {
-                let detail = format!("{team} uses {gpus} accelerators");
+                let detail = format!("{team} uses {gpus} accelerators, more than its limit");
                 return Err(ScenarioError::rule(Rule::Quota, detail));
             }
         }
--- a/crates/testkit/src/world/checks/acceptance.rs
+++ b/crates/testkit/src/world/checks/acceptance.rs
@@ -1,4 +1,4 @@
-//! The check that no submission is accepted which must be refused.
+//! Check that no submission is accepted that must be refused.
 
 use super::super::team_limits::RESOURCE_TOLERANCE;
 use super::super::World;
@@ -7,19 +7,24 @@
 use grebewood_wire::{from_cbor, Value};
 use std::collections::BTreeMap;
 
-/// The most tasks of a job.
+/// Largest number of tasks of a job.
 const MAX_TASKS: i128 = 100_000;
 
+/// Required fields that are texts.
 const TEXTS: [&str; 3] = ["uid", "workclass", "bundle"];
+/// Required fields that are booleans.
 const FLAGS: [&str; 3] = ["one_zone", "spread", "loaner"];
+/// Required fields that are non-negative numbers.
 const AMOUNTS: [&str; 4] = ["pull_gb", "expected_s", "savepoint_s", "flush_s"];
+/// Values of `shape`.
 const SHAPES: [&str; 3] = ["batch", "gang", "daemon"];
+/// Values of `precedence`.
 const PRIORITIES: [&str; 4] = ["prod", "high", "normal", "idle"];
 
-/// Why a submission must be refused.
+/// Reason why a submission must be refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RejectionReason {
-    #[error("it is no map")]
+    #[error("the body is not a map")]
     NotAMap,
     #[error("{0} is missing or invalid")]
     MissingOrInvalid(&'static str),
@@ -35,7 +40,7 @@
     FitsNoMachineType,
 }
 
-/// The fields of a submission as they were sent.
+/// Fields of a submission as they were sent, by name.
 struct Fields(BTreeMap<String, Value>);
 
 impl Fields {
@@ -67,7 +72,7 @@
         }
     }
 
-    /// A field that must be one of these words.
+    /// Returns the text of a field that must be one of these words.
     fn word(&self, key: &'static str, known: &[&str]) -> Result<&str, RejectionReason> {
         let word = self.text(key)?;
         match known.contains(&word) {
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Checks the fields on which nothing else depends.
+    /// Checks the fields that the other checks do not read.
     fn check_independent_fields(&self) -> Result<(), RejectionReason> {
         for key in TEXTS {
             self.text(key)?;
@@ -113,7 +118,7 @@
     }
 }
 
-/// What each task of a submission needs.
+/// Resources and placement that each task of a submission needs.
 struct TaskNeeds<'a> {
     cpus: f64,
     gpus: f64,
@@ -147,14 +152,16 @@
 }
 
 impl World {
-    /// A submission was accepted: it must have every field, and be able to run.
+    /// Checks an accepted submission: it must have all required fields, and be able to run.
     pub(super) fn check_acceptable(&self, body: &[u8]) -> StepResult {
         self.check_submission(body).map_err(|refusal| {
-            ScenarioError::Protocol(format!("accepted though it must be refused: {refusal}"))
+            ScenarioError::Protocol(format!(
+                "a submission was accepted that must be refused: {refusal}"
+            ))
         })
     }
 
-    /// Checks a submission by the protocol's words.
+    /// Checks the fields of a submission under the names that they have in the protocol.
     fn check_submission(&self, body: &[u8]) -> Result<(), RejectionReason> {
         let fields = from_cbor(body).map_err(|_| RejectionReason::NotAMap)?;
         let fields = Fields(fields);
--- a/crates/testkit/src/world/checks/responses.rs
+++ b/crates/testkit/src/world/checks/responses.rs
@@ -1,4 +1,4 @@
-//! Checks of what users are told, and in which order.
+//! Checks of the responses that users receive, and of their order.
 
 use super::super::responses::RawRequest;
 use super::super::users::status_in;
@@ -10,39 +10,41 @@
 use std::collections::BTreeMap;
 
 impl World {
-    /// Checks what a user is told about a job.
+    /// Checks a job status that a user receives.
     pub(in crate::world) fn check_status(&mut self, job: &str, status: &str) -> StepResult {
         self.note_known(job);
         let Some(observed) = self.jobs.get(job) else {
-            let detail = format!("{job} is said to be {status}");
+            let detail = format!("unknown job {job} is reported {status}");
             return Err(ScenarioError::rule(Rule::Invented, detail));
         };
         match status {
             "done" => self.check_done(job),
             "aborted" => self.check_cancelled(job),
             _ if observed.is_over() => {
-                let detail = format!("{job} is {status} after it was over");
+                let detail =
+                    format!("{job} is reported {status} after it was reported done or cancelled");
                 Err(ScenarioError::rule(Rule::WentBack, detail))
             }
             _ => Ok(()),
         }
     }
 
-    /// A job that is said to be done must be done.
+    /// Checks a job that is reported done: all of its tasks must have completed, it may not be a daemon, and
+    /// it may not have been reported cancelled.
     fn check_done(&mut self, id: &str) -> StepResult {
         let Some(job) = self.jobs.get_mut(id) else {
             return Ok(());
         };
         if job.spec.shape == "daemon" {
-            let detail = format!("{id} is a daemon and said to be done");
+            let detail = format!("{id} is a daemon and is reported done");
             return Err(ScenarioError::rule(Rule::NotDone, detail));
         }
         if !job.is_complete() {
-            let detail = format!("{id} is said to be done");
+            let detail = format!("{id} is reported done, but not all of its tasks completed");
             return Err(ScenarioError::rule(Rule::NotDone, detail));
         }
         if job.cancelled_at.is_some() {
-            let detail = format!("{id} is done after it was cancelled");
+            let detail = format!("{id} is reported done after it was reported cancelled");
             return Err(ScenarioError::rule(Rule::WentBack, detail));
         }
         job.done = true;
@@ -50,17 +52,18 @@
         Ok(())
     }
 
-    /// A job that is said to be cancelled must have been, and not be done.
+    /// Checks a job that is reported cancelled: its user must have requested the cancellation, and it may not
+    /// have been reported done.
     fn check_cancelled(&mut self, id: &str) -> StepResult {
         let Some(job) = self.jobs.get_mut(id) else {
             return Ok(());
         };
         if job.cancel_requested_at.is_none() {
-            let detail = format!("{id} is cancelled, and nobody asked for it");
+            let detail = format!("{id} is reported cancelled, but nobody asked for it");
             return Err(ScenarioError::rule(Rule::WentBack, detail));
         }
         if job.done {
-            let detail = format!("{id} is cancelled after it was done");
+            let detail = format!("{id} is reported cancelled after it was reported done");
             return Err(ScenarioError::rule(Rule::WentBack, detail));
         }
         job.cancelled_at.get_or_insert(self.now);
@@ -68,7 +71,7 @@
         Ok(())
     }
 
-    /// A submission is answered 200 or 201.
+    /// Records that a submission was accepted (200 or 201), and checks that it may be.
     pub(in crate::world) fn record_acceptance(&mut self, job: &str) -> StepResult {
         if let Some(observed) = self.jobs.get_mut(job) {
             observed.accepted = true;
@@ -80,15 +83,15 @@
         Ok(())
     }
 
-    /// Something positive was said of a job: from now on no poll may bring 404, and no repeated submission a
-    /// refusal.
+    /// Records that a response gave a status of the job. From now on no poll may be answered 404, and no
+    /// repeated submission may be refused.
     fn note_known(&mut self, job: &str) {
         if let Some(observed) = self.jobs.get_mut(job) {
             observed.known_since.get_or_insert(self.now);
         }
     }
 
-    /// Checks a response that denies a job: 404, 400 or 422. The request was sent at that time.
+    /// Checks a response that denies a job (404, 400 or 422) to a request that was sent at this time.
     pub(in crate::world) fn check_denial(
         &self,
         job: &str,
@@ -99,17 +102,17 @@
             return Ok(());
         };
         if observed.accepted {
-            let detail = format!("{job} gets {status}");
+            let detail = format!("a request about accepted job {job} is answered {status}");
             return Err(ScenarioError::rule(Rule::Forgotten, detail));
         }
         if observed.known_since.is_some_and(|at| sent >= at) {
-            let detail = format!("{job} gets {status} though it is known");
+            let detail = format!("a request about known job {job} is answered {status}");
             return Err(ScenarioError::rule(Rule::WentBack, detail));
         }
         Ok(())
     }
 
-    /// Checks the response to a raw request: it is as good as any user's.
+    /// Checks the response to a raw request of the script by the rules for any user's request.
     pub(in crate::world) fn check_raw_response(
         &mut self,
         request: &RawRequest,
@@ -139,9 +142,9 @@
         }
     }
 
-    /// Checks a raw submission that was accepted.
+    /// Checks a raw submission that was accepted, and its response.
     fn check_raw_submission(&mut self, body: &[u8], response: &[u8]) -> StepResult {
-        // A repeat of an accepted job is answered 200 whatever it says.
+        // A repeated submission of an accepted job is answered 200, whatever its other fields are.
         let map: BTreeMap<String, Value> = from_cbor(body).unwrap_or_default();
         let id = map.get("uid").and_then(|value| value.as_text());
         let id = id.unwrap_or_default();
--- a/crates/testkit/src/world/checks/service.rs
+++ b/crates/testkit/src/world/checks/service.rs
@@ -1,4 +1,4 @@
-//! The check that at least half of each group of jobs is served.
+//! Check that at least half of each group of jobs is served.
 
 use super::super::jobs::ObservedJob;
 use super::super::World;
@@ -7,24 +7,24 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The largest jobs of a class must start within this time; only jobs that are older are judged.
+/// Time within which the largest jobs of a class must start; only jobs that are older are checked.
 const START_DEADLINE: Micros = 240 * SECOND;
-/// One in so many jobs of a class is one of its largest.
+/// One of this many jobs of a class, rounded up, counts as one of its largest.
 const LARGEST_SHARE: usize = 10;
 
-/// Jobs of a class or of a team.
+/// Jobs by the name of their group: a class, a team, or the largest jobs of a class.
 type Groups<'a> = BTreeMap<String, Vec<&'a ObservedJob>>;
 
 impl World {
-    /// At least half of each class, of each team and of each class's largest jobs must be served, and
-    /// the largest must have begun in time. Jobs that came lately or were cancelled do not count.
+    /// Checks that at least half of each class, of each team and of each class's largest jobs is served, and
+    /// that at least half of each class's largest jobs started in time. Recent and cancelled jobs do not count.
     pub(in crate::world) fn check_half_served(&self) -> StepResult {
         let groups = self.groups();
         let largest = largest_jobs(&groups);
         for (name, jobs) in &largest {
             let late = jobs.iter().filter(|job| started_late(job)).count();
             if late * 2 > jobs.len() {
-                let detail = format!("{name} have not begun in time");
+                let detail = format!("most of {name} did not start in time");
                 return Err(ScenarioError::unmet(detail));
             }
         }
@@ -37,21 +37,19 @@
             }
         }
         match groups.is_empty() {
-            true => Err(ScenarioError::unmet(
-                "no job came early enough to be judged",
-            )),
+            true => Err(ScenarioError::unmet("no job is old enough to be checked")),
             false => Ok(()),
         }
     }
 
-    /// The jobs that are judged, by class and by team.
+    /// Returns the jobs that are checked, by class and by team.
     fn groups(&self) -> Groups<'_> {
-        let is_judged = |job: &&ObservedJob| {
+        let is_checked = |job: &&ObservedJob| {
             let old = self.now > job.submitted_at + START_DEADLINE;
             job.accepted && old && job.cancelled_at.is_none()
         };
         let mut groups = Groups::new();
-        for job in self.jobs.values().filter(is_judged) {
+        for job in self.jobs.values().filter(is_checked) {
             let (class, team) = (&job.spec.class, &job.spec.team);
             groups
                 .entry(format!("class {class}"))
@@ -63,7 +61,7 @@
     }
 }
 
-/// The largest jobs of each class.
+/// Returns the largest jobs of each class.
 fn largest_jobs<'a>(groups: &Groups<'a>) -> Groups<'a> {
     let classes = groups.iter().filter(|(name, _)| name.starts_with("class"));
     let largest = classes.map(|(name, jobs)| {
--- a/crates/testkit/src/world/checks/waiting.rs
+++ b/crates/testkit/src/world/checks/waiting.rs
@@ -1,4 +1,4 @@
-//! The check that no job waits for long while a machine has room for it.
+//! Check that no job waits for long while a machine has room for it.
 
 use super::super::agents::permits;
 use super::super::jobs::{job_of, ObservedJob};
@@ -11,7 +11,7 @@
 use grebewood_wire::http::Submission;
 use std::collections::BTreeMap;
 
-/// A machine that can take tasks, and what is free on it.
+/// Free resources on a machine that can take tasks.
 struct FreeCapacity<'a> {
     machine: &'a Machine,
     cpus: f64,
@@ -19,13 +19,13 @@
 }
 
 impl FreeCapacity<'_> {
-    /// How many tasks of this size have room.
+    /// Returns how many tasks of this submission fit.
     fn tasks(&self, spec: &Submission) -> u64 {
         fit_count(self.cpus, spec.cpus).min(fit_count(self.memory_gb, spec.memory_gb))
     }
 }
 
-/// How often an amount is in what is free.
+/// Returns how many times an amount fits into the free amount.
 fn fit_count(free: f64, amount: f64) -> u64 {
     match amount > 0.0 {
         true => ((free + RESOURCE_TOLERANCE) / amount).max(0.0) as u64,
@@ -33,20 +33,21 @@
     }
 }
 
-/// A job that waits for tasks which its team's limit permits.
+/// A job that waits for tasks that its team's limit permits.
 struct WaitingJob<'a> {
     id: &'a str,
     job: &'a ObservedJob,
-    /// How many of its tasks are on machines, in all and by zone.
+    /// Number of its tasks on machines.
     live_tasks: u64,
+    /// Number of its tasks on machines, by zone.
     live_by_zone: BTreeMap<&'a str, u64>,
-    /// How many tasks must start together.
+    /// Number of tasks that must start together.
     start_together: u64,
 }
 
 impl WaitingJob<'_> {
-    /// Whether a machine may take the tasks that must start together, and has room for them. For tasks
-    /// that start together, room on one machine for all is certain to do.
+    /// Returns whether a machine may take the tasks that must start together, and has room for all of them.
+    /// Room on one machine is sufficient for tasks that start together, though not necessary.
     fn fits(&self, capacity: &FreeCapacity) -> bool {
         let spec = &self.job.spec;
         let zone = capacity.machine.zone.as_str();
@@ -59,7 +60,7 @@
 }
 
 impl World {
-    /// Notes which jobs wait for a task while a machine has room for it, and since when.
+    /// Updates since when each job waits for a task while a machine has room for it.
     pub(super) fn update_waits(&mut self) {
         let free_capacities = self.free_capacities();
         let mut waits = BTreeMap::new();
@@ -69,7 +70,7 @@
                 .filter(|capacity| waiting.fits(capacity))
             {
                 let key = (waiting.id.to_string(), capacity.machine.name.clone());
-                // A task of it that starts elsewhere ends one wait and begins the next.
+                // A start of one of the job's tasks on any machine ends its wait, and the next wait begins.
                 let since = self
                     .checks
                     .waiting_since
@@ -82,7 +83,7 @@
         self.checks.waiting_since = waits;
     }
 
-    /// Machines that can take tasks, and what is free on them.
+    /// Returns the free resources on each machine that can take tasks.
     fn free_capacities(&self) -> Vec<FreeCapacity<'_>> {
         let accepts_tasks = |machine: &&Machine| {
             let is_healthy = !machine.faulty && machine.reclaim_at.is_none();
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Jobs that wait for tasks which their team's limit permits.
+    /// Returns the jobs that wait for tasks that their team's limit permits.
     fn waiting_jobs(&self) -> Vec<WaitingJob<'_>> {
         let used = self.usage_by_team();
         let mut zones_of = self.live_tasks_by_zone();
@@ -143,13 +144,14 @@
         waiting
     }
 
-    /// Whether a job is accepted, not over nor about to be, and does not fail wherever it runs.
+    /// Returns whether a job has to run: it is accepted and not done, its user has not asked to cancel it, and
+    /// its tasks do not fail on every machine.
     fn should_run(&self, id: &str, job: &ObservedJob) -> bool {
         let wanted = job.accepted && !job.done && job.cancel_requested_at.is_none();
         wanted && !self.job_facts.get(id).is_some_and(|facts| facts.fails)
     }
 
-    /// Whether a team that uses this much may run so many more tasks of a job.
+    /// Returns whether a team that uses this much may run this many more tasks of a job.
     fn limit_permits(&self, spec: &Submission, used: Usage, tasks: u64) -> bool {
         let limit = self.configuration.settings.teams.get(&spec.team);
         let cpus_left = limit.map_or(0.0, |limit| limit.cpus_max) - used.cpus;
@@ -159,7 +161,7 @@
         !exceeds_limit
     }
 
-    /// The number of tasks on machines by job and zone.
+    /// Returns the number of tasks on machines, by job and zone.
     fn live_tasks_by_zone(&self) -> BTreeMap<&str, BTreeMap<&str, u64>> {
         let mut live: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
         for machine in self.present_machines() {
@@ -171,7 +173,7 @@
         live
     }
 
-    /// No job may wait so long for a task while a machine that fits has room for it.
+    /// Checks that no job has waited this long for a task while a suitable machine had room for it.
     pub(super) fn check_no_wait(&self, most: Micros) -> StepResult {
         let mut waiting = self.checks.waiting_since.iter();
         let too_long = waiting.find(|(_, since)| self.now.saturating_sub(**since) >= most);
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that users submit, and what has been seen of them.
+//! Jobs that users submit, and what the world has observed of them.
 
 use super::World;
 use crate::error::ScriptError;
@@ -8,41 +8,43 @@
 use grebewood_wire::http::{Priority, Submission};
 use std::collections::BTreeSet;
 
-/// How often a job writes a checkpoint if it writes any, in seconds.
+/// Interval at which jobs that write checkpoints do so, in seconds.
 const CHECKPOINT_INTERVAL_S: f64 = 10.0;
-/// The size of the image of every job, in GB.
+/// Size of the image of every job, in GB.
 const IMAGE_GB: f64 = 0.5;
 
-/// A job, and what has been seen of it.
+/// A job, and what has been observed of it.
 pub(super) struct ObservedJob {
     pub(super) spec: Submission,
-    /// Its user was told that it is accepted.
+    /// Whether its user was told that it is accepted.
     pub(super) accepted: bool,
-    /// When its user was told that it is cancelled.
+    /// Time at which its user was first told that it is cancelled.
     pub(super) cancelled_at: Option<Micros>,
-    /// When its user first asked to cancel it.
+    /// Time of its user's first cancellation request.
     pub(super) cancel_requested_at: Option<Micros>,
-    /// When something positive was first said of it: accepted, or any status.
+    /// Time of the first response that gave a status of the job.
     pub(super) known_since: Option<Micros>,
-    /// Its user was told that it is done.
+    /// Whether its user was told that it is done.
     pub(super) done: bool,
-    /// The tasks that completed.
+    /// Names of the tasks that completed.
     pub(super) completed: BTreeSet<String>,
-    /// How often a task of it came onto a machine.
+    /// Number of starts of its tasks on machines.
     pub(super) starts: u64,
-    /// When a task of it last came onto a machine.
+    /// Time of the last start of one of its tasks.
     pub(super) last_start: Micros,
+    /// Time at which it was added to be submitted.
     pub(super) submitted_at: Micros,
-    /// When a task of it first came onto a machine.
+    /// Time of the first start of one of its tasks.
     pub(super) first_start: Option<Micros>,
-    /// When a question about it was last answered, or it was accepted.
+    /// Time at which a poll of it was last answered or a submission of it was last accepted; at first, the
+    /// time at which it was added.
     pub(super) last_answered_at: Micros,
-    /// When its last task completed.
+    /// Time at which its last task completed.
     pub(super) completed_at: Option<Micros>,
 }
 
 impl ObservedJob {
-    /// A job of which nothing has been seen.
+    /// Creates a job of which nothing has been observed.
     pub(super) fn new(spec: Submission, now: Micros) -> ObservedJob {
         ObservedJob {
             spec,
@@ -61,24 +63,24 @@
         }
     }
 
-    /// Whether all of its tasks completed.
+    /// Returns whether all of its tasks completed.
     pub(super) fn is_complete(&self) -> bool {
         self.completed.len() as u64 == self.spec.tasks
     }
 
-    /// Whether its user was told that it is over.
+    /// Returns whether its user was told that it is done or cancelled.
     pub(super) fn is_over(&self) -> bool {
         self.done || self.cancelled_at.is_some()
     }
 }
 
-/// The job of a task; empty if the name is not that of a task.
+/// Returns the job id in the name of a task; empty if the name is not that of a task.
 pub(super) fn job_of(task_name: &str) -> &str {
     task_name.rsplit_once('/').map_or("", |(job, _)| job)
 }
 
 impl World {
-    /// Adds the job of a `submit` directive, which is yet to be submitted.
+    /// Adds the job that a `submit` directive describes, without submitting it.
     pub(super) fn add_job(&mut self, job: &str, directive: &Directive) -> Result<(), ScriptError> {
         let spec = submission(job, directive)?;
         let facts = JobFacts {
@@ -95,10 +97,10 @@
     }
 }
 
-/// How long a task runs if the directive does not say, in seconds.
+/// Run time of a task if the directive gives none, in seconds.
 const DEFAULT_RUN_S: f64 = 5.0;
 
-/// What the user of a `submit` directive sends.
+/// Returns the submission that a `submit` directive describes.
 fn submission(job: &str, directive: &Directive) -> Result<Submission, ScriptError> {
     let saves = directive.flag("saves", false);
     let run_s = directive.number("run", DEFAULT_RUN_S)?;
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -1,4 +1,4 @@
-//! Teams' limits that differ between controllers, and the check that no team starts anything above a
+//! Team limits that differ between the settings of controllers, and the check that no team starts tasks above a
 //! limit that was lowered.
 
 use super::World;
@@ -10,35 +10,37 @@
 use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, LIMITS, QUOTA};
 use std::collections::BTreeMap;
 
-/// A launch that was on record before a limit was lowered may still reach its agent for so long.
+/// Time within which a launch that was recorded before a limit was lowered may still reach its agent.
 const LAUNCH_TRANSIT: Micros = 2 * SECOND;
-/// Sums of CPUs that differ by less are the same.
+/// Amounts of a resource that differ by less count as equal.
 pub(super) const RESOURCE_TOLERANCE: f64 = 1e-6;
-/// Quota grants are on record in millionths of a CPU.
+/// Units of a recorded quota grant that make one CPU.
 const GRANT_UNITS_PER_CPU: f64 = 1e6;
-/// The bound of a check that sets none.
+/// Upper bound of a check whose directive gives none.
 const UNBOUNDED: f64 = 1e9;
 
-/// What is known of a team's limit on record.
+/// Recorded limit of a team, and the team's usage.
 #[derive(Clone, Copy)]
 struct RecordedLimit {
     cpus: f64,
-    /// When it was last lowered.
+    /// Time at which a check last found that it was lowered; 0 if none did.
     lowered_at: Micros,
-    /// What the team used at the last check, in CPUs.
+    /// CPUs that the team used at the last check.
     used: f64,
 }
 
-/// Limits that differ, and what is on record.
+/// Changes of team limits in the settings of controllers, and the recorded limits.
 #[derive(Default)]
 pub(super) struct LimitChanges {
-    /// What a controller's settings say from its next start on; `None`: the team is not in them.
+    /// Teams in a controller's settings from its next start on, by controller and team; `None` if the settings
+    /// do not have the team.
     by_controller: BTreeMap<(usize, String), Option<Team>>,
+    /// Recorded limits at the last check, by team.
     recorded: BTreeMap<String, RecordedLimit>,
 }
 
 impl LimitChanges {
-    /// Changes the teams in the settings of a controller that starts.
+    /// Applies the changes to the teams in the settings of a controller that starts.
     pub(super) fn apply(&self, controller: usize, teams: &mut BTreeMap<String, Team>) {
         let changes = self.by_controller.iter();
         for ((_, name), team) in changes.filter(|((of, _), _)| *of == controller) {
@@ -61,7 +63,7 @@
 }
 
 impl World {
-    /// Carries out a directive about limits, if it is one.
+    /// Runs a directive about team limits. Returns whether the directive is one.
     pub(super) fn run_limits_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "settings" => self.change_settings(directive)?,
@@ -91,7 +93,7 @@
         Ok(true)
     }
 
-    /// Changes what the settings of controllers say of a team from their next start on.
+    /// Changes a team in the settings of controllers from their next start on.
     fn change_settings(&mut self, directive: &Directive) -> Result<(), ScriptError> {
         let controllers = self.controllers_named(directive.word(1)?)?;
         let name = directive.word(2)?.to_string();
@@ -112,7 +114,7 @@
         Ok(())
     }
 
-    /// The limits on record by team, in CPUs.
+    /// Returns the recorded limits by team, in CPUs.
     fn recorded_limits(&self) -> BTreeMap<String, f64> {
         let mut records = self.store.under(LIMITS);
         let record = records.find_map(|(_, value, _)| from_value::<LimitsRecord>(value).ok());
@@ -120,7 +122,7 @@
         teams.map(|team| (team.team, team.cpus_max)).collect()
     }
 
-    /// The quota grants on record by team, in CPUs.
+    /// Returns the sums of the recorded quota grants by team, in CPUs.
     fn recorded_grants(&self) -> BTreeMap<String, f64> {
         let mut granted: BTreeMap<String, f64> = BTreeMap::new();
         for (_, value, _) in self.store.under(QUOTA) {
@@ -133,7 +135,7 @@
         granted
     }
 
-    /// Whether a job of the team waits for tasks.
+    /// Returns whether a job of the team has fewer starts than tasks, and is accepted and not done.
     fn has_waiting_job(&self, team: &str) -> bool {
         self.jobs.values().any(|job| {
             let running = job.starts.min(job.spec.tasks);
@@ -142,7 +144,7 @@
         })
     }
 
-    /// Measures what part of each limit is granted and not used while jobs of the team wait for tasks.
+    /// Measures the share of each team's limit that is granted and unused while jobs of the team wait for tasks.
     pub(super) fn measure_idle_grants(&mut self) {
         if self.measures.is_none() {
             return;
@@ -164,8 +166,8 @@
         }
     }
 
-    /// No task of a team may come onto a machine above its limit on record, once what was under way when
-    /// it was lowered has arrived.
+    /// Checks that no team starts tasks above its recorded limit, once the launches that were in transit when
+    /// the limit was lowered have arrived.
     pub(super) fn check_recorded_limits(&mut self) -> StepResult {
         let now = self.now;
         let limits = self.recorded_limits();
@@ -183,7 +185,7 @@
             let settled = lowered_at > 0 && now > lowered_at + LAUNCH_TRANSIT;
             if has_grown && settled && used > cpus + RESOURCE_TOLERANCE {
                 return Err(ScenarioError::Protocol(format!(
-                    "{team} uses {used}, more than the {cpus} in force"
+                    "{team} uses {used} CPUs, more than its recorded limit of {cpus}"
                 )));
             }
             let limit = RecordedLimit {
--- a/crates/testkit/src/world/tests/acceptance.rs
+++ b/crates/testkit/src/world/tests/acceptance.rs
@@ -66,7 +66,7 @@
     ] {
         broken(accept(&mut world, changed(key, value)), "must be refused");
     }
-    broken(accept(&mut world, vec![0xff]), "no map");
+    broken(accept(&mut world, vec![0xff]), "not a map");
 }
 
 #[test]
