--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -1,4 +1,4 @@
-//! Agents: their heartbeats, direct commands, and the rules of starting a task.
+//! Agents: heartbeats, direct commands, and the checks of the tasks that they start.
 
 use super::events::{Caller, Event, Requester};
 use super::jobs::job_of;
@@ -12,17 +12,17 @@
 use grebewood_wire::{from_cbor, to_cbor};
 use std::collections::BTreeMap;
 
-/// After which time an agent that was redirected sends its next heartbeat.
+/// Delay before the next heartbeat of an agent that was redirected to the leader.
 const REDIRECT_DELAY: Micros = 100 * MILLISECOND;
-/// After which time an agent that found no leader sends its next heartbeat.
+/// Delay before the next heartbeat of an agent that found no leader.
 const RETRY_DELAY: Micros = SECOND;
-/// How long an agent waits for the response to a heartbeat.
+/// Time that an agent waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Micros = 4 * SECOND;
-/// An agent sends heartbeats that something has changed no closer to each other.
+/// Shortest time between a heartbeat and the next one that is sent because something has changed.
 const CHANGE_INTERVAL: Micros = SECOND / 2;
 
 impl World {
-    /// A machine by its name.
+    /// Returns a machine by its name.
     pub(super) fn machine_mut(&mut self, name: &str) -> Result<&mut Machine, ScriptError> {
         let machine = self.machines.get_mut(name);
         machine.ok_or_else(|| ScriptError::NotFound {
@@ -31,12 +31,12 @@
         })
     }
 
-    /// Machines that are not terminated, reachable or not.
+    /// Returns the machines that are not terminated, reclaimed or lost, reachable or not.
     pub(super) fn present_machines(&self) -> impl Iterator<Item = &Machine> {
         self.machines.values().filter(|machine| !machine.gone)
     }
 
-    /// The response to a heartbeat reaches an agent, if it still waits for it and receives anything.
+    /// Handles the response to a heartbeat, if the agent still waits for it and receives it.
     pub(super) fn handle_heartbeat_response(
         &mut self,
         name: &str,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// When the heartbeat was sent for whose response the agent waits, if it is this one and the response
-    /// gets through to an agent that runs.
+    /// Returns when this heartbeat was sent; `None` if the agent does not wait for its response, the response is
+    /// lost, or the machine hangs.
     fn take_awaited_heartbeat(&mut self, name: &str, heartbeat_id: u64) -> Option<Micros> {
         let machine = self.machines.get_mut(name)?;
         let heartbeat = machine.in_flight?;
@@ -79,10 +79,14 @@
         (self.now >= machine.hangs_until).then_some(heartbeat.sent_at)
     }
 
-    /// An agent carries out what a response says, unless it comes from a leader of an older token.
+    /// Renews the agent's lease and carries out the commands of a response, unless the response has an older
+    /// fencing token than the agent has seen.
     fn apply_heartbeat_response(&mut self, name: &str, sent_at: Micros, body: &[u8]) -> StepResult {
-        let response: HeartbeatResponse = from_cbor(body)
-            .map_err(|error| ScenarioError::Protocol(format!("a heartbeat's response: {error}")))?;
+        let response: HeartbeatResponse = from_cbor(body).map_err(|error| {
+            ScenarioError::Protocol(format!(
+                "the response to a heartbeat cannot be decoded: {error}"
+            ))
+        })?;
         let Some(machine) = self.machines.get_mut(name) else {
             return Ok(());
         };
@@ -95,7 +99,8 @@
         self.check_starts(name, &started)
     }
 
-    /// An agent sends its next heartbeat to the leader that it was told of, or else to the next controller.
+    /// Schedules an agent's next heartbeat to the leader that the response named, or else to the next
+    /// controller.
     fn redirect_agent(&mut self, name: &str, controller: usize, leader: Option<String>) {
         let controller_count = self.controllers.len();
         let Some(machine) = self.machines.get_mut(name) else {
@@ -114,9 +119,9 @@
         }
     }
 
-    /// Tasks came onto a machine: checks the rules of starting.
+    /// Checks the rules for tasks that started on a machine.
     pub(super) fn check_starts(&mut self, name: &str, tasks: &[String]) -> StepResult {
-        // Only a start can break what is checked here; what lasts is checked at each moment.
+        // These rules can only be broken by a start; `check_invariants` checks the others at every tick.
         if tasks.is_empty() || !self.machines.contains_key(name) {
             return Ok(());
         }
@@ -130,23 +135,23 @@
         self.check_quota()
     }
 
-    /// A task that starts on a machine must not be on another one.
+    /// Checks that a task that starts on a machine is not on another one.
     fn check_runs_once(&self, name: &str, task_name: &str) -> StepResult {
         let mut others = self.present_machines().filter(|other| other.name != name);
         match others.find(|other| other.live().any(|task| task.task_name == task_name)) {
             None => Ok(()),
             Some(other) => Err(ScenarioError::rule(
                 Rule::RanTwice,
-                format!("{task_name} on {} and {name}", other.name),
+                format!("task {task_name} is on machines {} and {name}", other.name),
             )),
         }
     }
 
-    /// Counts a start, which must not come long after the job was cancelled.
+    /// Counts a task start, and checks that it does not come later than the cancellation timeout permits.
     fn note_start(&mut self, task_name: &str) -> StepResult {
         let leaderless = self.leading_controllers().next().is_none();
         let Some(job) = self.jobs.get_mut(job_of(task_name)) else {
-            let detail = format!("{task_name} of an unknown job");
+            let detail = format!("task {task_name} of an unknown job started");
             return Err(ScenarioError::Protocol(detail));
         };
         job.starts += 1;
@@ -161,13 +166,13 @@
         job.first_start.get_or_insert(self.now);
         let timeout = self.configuration.settings.cancel_timeout;
         if job.cancelled_at.is_some_and(|at| self.now > at + timeout) {
-            let detail = format!("{task_name} starts");
+            let detail = format!("task {task_name} of a cancelled job started");
             return Err(ScenarioError::rule(Rule::RanCancelled, detail));
         }
         Ok(())
     }
 
-    /// A task must be where its job permits, also in view of the job's other tasks.
+    /// Checks that a task is where its job permits, also in relation to the job's other tasks.
     fn check_place(&self, name: &str, task_name: &str) -> StepResult {
         let wrong = |detail: String| Err(ScenarioError::rule(Rule::WrongPlace, detail));
         let id = job_of(task_name);
@@ -176,20 +181,20 @@
         };
         let spec = &job.spec;
         if !permits(spec, machine) {
-            return wrong(format!("{task_name} on {name}"));
+            return wrong(format!("task {task_name} may not run on machine {name}"));
         }
         let zones = self.tasks_by_zone(id);
         if spec.one_zone && zones.len() > 1 {
-            return wrong(format!("{id} in several zones"));
+            return wrong(format!("tasks of {id} are in several zones"));
         }
         let max_per_zone = spec.tasks.div_ceil(2);
         if spec.spread && zones.values().any(|tasks| *tasks > max_per_zone) {
-            return wrong(format!("{id} is not spread"));
+            return wrong(format!("tasks of {id} are not spread over zones"));
         }
         Ok(())
     }
 
-    /// How many tasks of a job are on machines, by zone.
+    /// Returns the number of a job's tasks on machines, by zone.
     fn tasks_by_zone(&self, job: &str) -> BTreeMap<&str, u64> {
         let prefix = format!("{job}/");
         let mut zones = BTreeMap::new();
@@ -204,7 +209,7 @@
         zones
     }
 
-    /// A direct command reaches an agent, unless it is to be lost or the machine receives nothing.
+    /// Handles a direct command at an agent, unless a fault loses it or the machine receives nothing.
     pub(super) fn handle_direct_command(
         &mut self,
         caller: Caller,
@@ -224,7 +229,7 @@
             return Ok(());
         };
         if self.now < machine.hangs_until {
-            // Carried out when the machine resumes.
+            // The agent carries the command out when the machine resumes.
             let at = machine.hangs_until + MILLISECOND;
             let event = Event::DirectCommand(caller, address.into(), body.to_vec());
             self.schedule_event(at, event);
@@ -246,7 +251,7 @@
         self.check_starts(&name, &started)
     }
 
-    /// Time passes for a machine and its agent.
+    /// Advances a machine and its agent to the current time.
     pub(super) fn tick_machine(&mut self, name: &str) -> StepResult {
         let Some(machine) = self.machines.get_mut(name) else {
             return Ok(());
@@ -265,7 +270,7 @@
         Ok(())
     }
 
-    /// Whether an agent sends a heartbeat now.
+    /// Updates when an agent sends its next heartbeat, and returns whether it sends one now.
     fn heartbeat_due(&mut self, name: &str, changed: bool) -> bool {
         let (now, controller_count) = (self.now, self.controllers.len());
         let lease = self.configuration.settings.agent_lease;
@@ -275,7 +280,7 @@
         if now < machine.hangs_until {
             return false;
         }
-        // A higher token counts as a change once in half a lease.
+        // A new higher token counts as a change, but at most once in half a lease.
         let may_report_token = machine
             .token_reported_at
             .is_none_or(|at| now >= at + lease / 2);
@@ -306,7 +311,7 @@
         true
     }
 
-    /// An agent sends a heartbeat, and what is to happen to it and its copies happens.
+    /// Sends an agent's heartbeat, and applies the faults that concern the heartbeat and its copies.
     fn send_heartbeat(&mut self, name: &str) -> StepResult {
         let now = self.now;
         let id = self.next_number();
@@ -357,7 +362,8 @@
     }
 }
 
-/// Whether a job's tasks may be on a machine of this type, zone and kind of capacity.
+/// Returns whether a job's tasks may run on a machine, by its type and zone and by whether it is a spot
+/// machine.
 pub(super) fn permits(spec: &Submission, machine: &Machine) -> bool {
     let machine_types = spec.machine_types.as_ref();
     machine_types.is_none_or(|names| names.contains(&machine.machine_type))
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of controllers: to the key-value store, the cloud, agents and each other.
+//! Calls of controllers to the key-value store, the cloud, agents and each other.
 
 use super::events::{Caller, Event, Request, Requester};
 use super::network::{Link, CALL_LATENCY, CLOUD_LATENCY, PEER_LATENCY};
@@ -13,24 +13,24 @@
 use grebewood_wire::{from_cbor, from_peer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long a controller is down that crashes as it writes a page of assignments.
+/// Downtime of a controller that crashes as it writes a page of assignments.
 const CRASH_ON_WRITE_DOWNTIME: Micros = 4_000 * MILLISECOND;
 
-/// Who waits for what.
+/// Requests and calls that wait for responses.
 #[derive(Default)]
 pub(super) struct PendingCalls {
-    /// Requests that controllers have yet to answer, by controller and number.
+    /// Requesters of the requests that controllers have not answered yet, by controller and number of the request.
     pub(super) requests: BTreeMap<(usize, u64), Requester>,
-    /// The number of the last request.
+    /// Number of the last request.
     pub(super) next_request: u64,
-    /// Calls of controllers that have neither an answer nor timed out.
+    /// Calls of controllers that are neither answered nor timed out.
     pub(super) open: BTreeSet<Caller>,
     /// Watches of the key-value store, by ticket.
     pub(super) watches: BTreeMap<u64, Caller>,
 }
 
 impl World {
-    /// Sends a call on its way, and its timeout.
+    /// Sends a call, and schedules its timeout.
     pub(super) fn make_call(&mut self, controller: usize, process: u64, call: Call) {
         let caller = Caller {
             controller,
@@ -47,7 +47,7 @@
         self.send_call(caller, call);
     }
 
-    /// Sends a call on its way, if there is one.
+    /// Sends a call to its target, unless the link is cut.
     pub(super) fn send_call(&mut self, caller: Caller, call: Call) {
         match call.target.clone() {
             Target::Store => self.send_to_store(caller, call),
@@ -79,13 +79,14 @@
         let event = Event::StoreCall(caller, call.method, call.path, call.body);
         self.schedule_event(at, event);
         if crashes {
-            // The write happens, and its writer dies before it learns of it.
+            // The write is applied, and the controller crashes before it receives the response.
             let crash = Event::Crash(controller, CRASH_ON_WRITE_DOWNTIME);
             self.schedule_event(at + MILLISECOND, crash);
         }
     }
 
-    /// Whether this is the write of a page of assignments on which the leader is to crash.
+    /// Returns whether the leader crashes on this write, because the fault is armed and the write contains a
+    /// page of assignments.
     fn crashes_on_page_write(&mut self, controller: usize, body: &[u8]) -> bool {
         let is_armed = self.faults.crash_on_page_write && self.leads(controller);
         let crashes = is_armed && String::from_utf8_lossy(body).contains("page/");
@@ -99,8 +100,8 @@
         let from = caller.controller;
         let mut others = (0..self.controllers.len()).filter(|other| *other != from);
         let Some(to) = others.nth(place) else { return };
-        // Orders go to members that hold a partition. One that has come back with the version
-        // before meanwhile refuses them, as it does every message that it does not know.
+        // Orders go to members that hold a partition. Such a member may have restarted with the previous
+        // version in the meantime, which refuses them like every message that it does not know.
         let is_orders = matches!(from_peer(&call.body), Ok(PeerRequest::Partition(_)));
         let previous_version = &self.configuration.previous_version;
         if is_orders && previous_version.contains(&to) {
@@ -113,7 +114,7 @@
         }
         let mut body = call.body;
         if involves_previous_version {
-            // The version before writes and reads what it knows, and nothing else.
+            // The previous version writes and reads only the fields that it knows.
             body = production::known_of_peer_request(&body).unwrap_or(body);
         }
         let leaves = self.arrival(from, Link::Peers, PEER_LATENCY);
@@ -131,7 +132,7 @@
         }
     }
 
-    /// A message between controllers must be one that the version in production reads.
+    /// Checks that the version in production can read a message between controllers.
     fn check_peer_request(&mut self, body: &[u8]) {
         if let Err(reason) = production::check_peer_request(body) {
             self.note_violation(format!(
@@ -140,13 +141,13 @@
         }
     }
 
-    /// Keeps a breach of the protocol, which ends the scenario after this event; the first one counts.
+    /// Records a violation of the protocol, which ends the scenario after this event. Only the first one is kept.
     pub(super) fn note_violation(&mut self, detail: String) {
         let violation = ScenarioError::Protocol(detail);
         self.violation.get_or_insert(violation);
     }
 
-    /// Sends the response to a call back over this link.
+    /// Sends the response to a call over this link.
     pub(super) fn reply(
         &mut self,
         caller: Caller,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// A call reaches the key-value store.
+    /// Handles the arrival of a call at the key-value store.
     pub(super) fn handle_store_call(
         &mut self,
         caller: Caller,
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Every record must be one that the version in production reads.
+    /// Checks that the version in production can read every record that a transaction writes.
     fn check_records(&mut self, transaction: &Transaction) {
         for operation in &transaction.apply {
             let Operation::Put { put, value, .. } = operation else {
@@ -222,14 +223,14 @@
         }
     }
 
-    /// Answers the watches of the key-value store that have something to tell, or time out.
+    /// Answers the watches of the key-value store that have events or time out.
     pub(super) fn answer_watches(&mut self) {
         self.store.expire(self.now);
         for (ticket, body) in self.store.ready(self.now) {
             let Some(caller) = self.calls.watches.remove(&ticket) else {
                 continue;
             };
-            // The open watches of a controller that is refused wait, as in an outage.
+            // The open watches of a controller that the store refuses wait, as in an outage.
             let until = self.network.refused_until(caller.controller);
             let wait = until.saturating_sub(self.now);
             self.reply(caller, Link::Store, wait + CALL_LATENCY, 200, body);
@@ -237,7 +238,7 @@
     }
 }
 
-/// Whether a transaction writes the leader's record.
+/// Returns whether a transaction writes the `leader` record.
 fn writes_leader_record(transaction: &Transaction) -> bool {
     let mut operations = transaction.apply.iter();
     operations.any(|operation| matches!(operation, Operation::Put { put, .. } if put == "leader"))
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: provisioning and terminating machines, and the machine list.
+//! The cloud: provisioning and termination of machines, and the machine list.
 
 use super::events::Caller;
 use super::network::{Link, CLOUD_LATENCY};
@@ -11,27 +11,27 @@
 use grebewood_wire::{from_cbor, to_cbor};
 use std::collections::BTreeMap;
 
-/// How long a machine boots if the script does not say.
+/// Boot time of machines if the script gives none.
 const DEFAULT_BOOT_TIME: Micros = 10 * SECOND;
-/// How much later a machine that was provisioned while the scenario runs is listed.
+/// Delay before a machine that was provisioned while the scenario runs is in the machine list.
 const LISTING_LAG: Micros = 3 * SECOND;
-/// How many controllers the agents of new machines first send their heartbeats to, in turn.
+/// Number of controllers to which the agents of new machines, in turn, send their first heartbeats.
 const FIRST_CONTROLLERS: usize = 3;
 
-/// What the cloud offers and has provisioned.
+/// Machine types and capacity of the cloud, and what it has provisioned.
 pub(super) struct Cloud {
     pub(super) machine_types: Vec<MachineType>,
-    /// The most machines by type and whether they are spot machines.
+    /// Largest number of machines, by type and by whether they are spot machines.
     pub(super) capacity: BTreeMap<(String, bool), u64>,
-    /// How long machines boot that are provisioned from now on.
+    /// Boot time of machines that are provisioned from now on.
     pub(super) boot_time: Micros,
-    /// Machines that are provisioned from now on never come up.
+    /// Whether machines that are provisioned from now on never come up.
     pub(super) boots_fail: bool,
-    /// Every request is answered 503.
+    /// Whether every request is answered 503.
     pub(super) down: bool,
-    /// The machines of each request by its name, so that a repeated one provisions nothing.
+    /// Machines of each provision request, by its name, so that a repeated request provisions nothing.
     pub(super) provisions: BTreeMap<String, Vec<String>>,
-    /// The number of the next machine.
+    /// Number of the next machine.
     pub(super) next_machine: u64,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Cloud {
-    /// A machine type by its name.
+    /// Returns a machine type by its name.
     pub(super) fn machine_type(&self, name: &str) -> Option<&MachineType> {
         let mut machine_types = self.machine_types.iter();
         machine_types.find(|machine_type| machine_type.name == name)
@@ -58,7 +58,7 @@
 }
 
 impl World {
-    /// A call reaches the cloud, which answers it.
+    /// Handles the arrival of a call at the cloud, and sends the response.
     pub(super) fn handle_cloud_call(
         &mut self,
         caller: Caller,
@@ -98,7 +98,7 @@
     }
 
     fn machine_list(&self) -> MachineList {
-        // Machines that are there at the start are listed at once.
+        // Machines that are provisioned at the start are listed at once.
         let listed_at = |machine: &Machine| machine.requested + LISTING_LAG.min(machine.requested);
         let machines = self.present_machines();
         let machines = machines.filter(|machine| self.now >= listed_at(machine));
@@ -139,7 +139,7 @@
         (200, to_cbor(&MachineNames { machines }))
     }
 
-    /// Provisions a machine, which boots from now on. The result is its name.
+    /// Provisions a machine, which starts to boot now. Returns its name.
     pub(super) fn provision_machine(
         &mut self,
         machine_type: &str,
@@ -167,7 +167,7 @@
     to_cbor(&BTreeMap::from([("error", text)]))
 }
 
-/// Stands for a type that is not in the catalogue: nothing fits onto its machines.
+/// Returns a machine type without resources, which stands for one that is not in the catalogue.
 fn unknown_machine_type(name: &str) -> MachineType {
     MachineType {
         name: name.into(),
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -1,4 +1,4 @@
-//! The processes of the controllers: they start, crash, pause and make steps.
+//! Processes of the controllers: starts, crashes, pauses and steps.
 
 use super::configuration::{member_index, member_name};
 use super::events::{Event, Request, Requester};
@@ -12,25 +12,26 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// A controller and its present process.
+/// A controller and its current process.
 #[derive(Default)]
 pub(super) struct ControllerProcess {
     /// `None` while it is down.
     pub(super) controller: Option<Controller>,
     /// The number of the process; 0 while it is down.
     pub(super) process: u64,
-    /// It is down until then.
+    /// Time until which it is down.
     pub(super) down_until: Micros,
-    /// Until then the process is paused, and what comes in waits.
+    /// Time until which the process is paused and its inputs wait.
     pub(super) paused_until: Micros,
-    /// It was paused: until an answer to a lease renewal made since, it must not act as a leader.
+    /// Whether it was paused and has had no reply to a lease renewal that it sent since; until then it may not
+    /// act as the leader.
     pub(super) is_lease_uncertain: bool,
-    /// Calls that renew its lease, made since it was paused.
+    /// Ids of the calls that renew its lease and were made since it was paused.
     pub(super) pending_renewals: BTreeSet<u64>,
 }
 
 impl World {
-    /// A controller by its name or number; `leader`: whoever leads.
+    /// Returns the index of a controller by its name or number; `leader` stands for the one that leads.
     pub(super) fn controller_named(&self, word: &str) -> Result<usize, ScriptError> {
         let found = match word {
             "leader" => self.leading_controllers().next(),
@@ -42,7 +43,7 @@
         })
     }
 
-    /// The controllers that a word names: one, or all.
+    /// Returns the controllers that a word names: one, or `all`.
     pub(super) fn controllers_named(&self, word: &str) -> Result<Vec<usize>, ScriptError> {
         match word {
             "all" => Ok((0..self.controllers.len()).collect()),
@@ -50,25 +51,25 @@
         }
     }
 
-    /// The controllers that are up.
+    /// Returns the controllers that are up.
     pub(super) fn up_controllers(&self) -> Vec<usize> {
         let all = 0..self.controllers.len();
         all.filter(|index| self.controllers[*index].controller.is_some())
             .collect()
     }
 
-    /// The controllers that lead.
+    /// Returns the controllers that lead.
     pub(super) fn leading_controllers(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.controllers.len()).filter(|index| self.leads(*index))
     }
 
-    /// Whether a controller leads.
+    /// Returns whether a controller leads.
     pub(super) fn leads(&self, index: usize) -> bool {
         let controller = self.controllers[index].controller.as_ref();
         controller.is_some_and(|controller| controller.leader.is_some())
     }
 
-    /// Starts a controller's process, unless it runs already, or ended again meanwhile and is back later.
+    /// Starts a controller's process, unless it already runs, or has crashed again and restarts later.
     pub(super) fn start_controller(&mut self, index: usize) {
         let known = &self.controllers[index];
         if known.controller.is_some() || self.now < known.down_until {
@@ -87,7 +88,7 @@
         self.step(index, process, Input::Tick);
     }
 
-    /// Ends a controller's process; the next one starts after this time.
+    /// Ends a controller's process, and schedules the start of the next one after this time.
     pub(super) fn crash_controller(&mut self, index: usize, down_for: Micros) {
         self.controllers[index].controller = None;
         self.controllers[index].process = 0;
@@ -105,7 +106,7 @@
         self.schedule_event(restart_at, Event::Start(index));
     }
 
-    /// Pauses a controller's process, whose clocks run on.
+    /// Pauses a controller's process while its clocks continue to run.
     pub(super) fn pause_controller(&mut self, index: usize, pause: Micros) {
         let process = &mut self.controllers[index];
         process.is_lease_uncertain = true;
@@ -113,7 +114,7 @@
         process.paused_until = self.now + pause;
     }
 
-    /// Time passes for the controllers that want to do something now.
+    /// Makes a step of each controller whose next wake-up is due, unless its process is paused.
     pub(super) fn tick_controllers(&mut self) {
         for index in 0..self.controllers.len() {
             let known = &self.controllers[index];
@@ -125,7 +126,7 @@
         }
     }
 
-    /// An input reaches a process: the reply to a call only if the call is still open.
+    /// Delivers an input to a process; drops the reply to a call that is no longer open.
     pub(super) fn handle_input(&mut self, controller: usize, process: u64, input: Input) {
         if let Input::Reply { call, .. } = &input {
             let caller = super::events::Caller {
@@ -141,7 +142,7 @@
         self.clear_lease_uncertainty(controller);
     }
 
-    /// A request reaches a controller, which may be down.
+    /// Handles the arrival of a request at a controller, which may be down.
     pub(super) fn handle_request(&mut self, request: Request) -> StepResult {
         let controller = request.controller;
         let mut requester = request.requester;
@@ -173,7 +174,7 @@
         Ok(())
     }
 
-    /// A process takes an input and makes a step, whose effects are carried out.
+    /// Makes a step of a process with an input, and carries out the effects of the step.
     fn step(&mut self, index: usize, process: u64, input: Input) {
         let Some(effects) = self.effects_of(index, process, input) else {
             return;
@@ -191,7 +192,7 @@
         self.deliver_held_copies(index);
     }
 
-    /// What a process does on an input; `None` if it has ended.
+    /// Makes a step of a process and returns its effects; `None` if the process has ended.
     fn effects_of(&mut self, index: usize, process: u64, input: Input) -> Option<Vec<Effect>> {
         let now = Now {
             steady: self.now,
@@ -243,23 +244,27 @@
         }
     }
 
-    /// A process that has stepped down may become the leader anew.
+    /// Clears the uncertainty of a process that does not lead: if it becomes the leader again, it has a new
+    /// lease.
     fn clear_lease_uncertainty(&mut self, index: usize) {
         if !self.leads(index) {
             self.controllers[index].is_lease_uncertain = false;
         }
     }
 
-    /// A process that was paused must not act as a leader before it has renewed its lease.
+    /// Checks that a process that was paused does not act as the leader while its lease is uncertain.
     fn check_lease_certainty(&mut self, index: usize, effect: &Effect) {
         let action = self.effect_needing_lease(index, effect);
         if let (true, Some(action)) = (self.controllers[index].is_lease_uncertain, action) {
             let member = member_name(index);
-            self.note_violation(format!("{member}, back from a pause, {action}"));
+            self.note_violation(format!(
+                "{member} {action} after a pause, before it renewed its lease"
+            ));
         }
     }
 
-    /// What of an effect a leader may do only if it is certain of its grant.
+    /// Returns what an effect does that only a leader with a certain lease may do; `None` if it does no such
+    /// thing. Records the calls that renew the lease.
     fn effect_needing_lease(&mut self, index: usize, effect: &Effect) -> Option<&'static str> {
         match effect {
             Effect::Answer { id, status, .. } => {
@@ -279,12 +284,14 @@
     }
 }
 
-/// What of a call a leader may do only if it is certain of its grant.
+/// Returns what a call does that only a leader with a certain lease may do; `None` if it does no such
+/// thing.
 fn call_needing_lease(call: &Call) -> Option<&'static str> {
     match call.target {
         Target::Cloud if call.method == "POST" => Some("provisions or terminates"),
         Target::Agent(_) => Some("commands an agent"),
-        // A leader's writes depend on its grant; any controller accepts and cancels.
+        // A leader's writes depend on the `leader` record; those by which any controller accepts and cancels
+        // jobs do not.
         Target::Store if call.path == "/txn" => String::from_utf8_lossy(&call.body)
             .contains("leader")
             .then_some("writes as the leader"),
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -1,4 +1,4 @@
-//! What happens in the world, and who waits for what.
+//! Events of the simulated world, and the requesters that wait for responses of controllers.
 
 use super::World;
 use crate::error::{ScenarioError, StepResult};
@@ -10,16 +10,16 @@
 /// A call of a controller's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Caller {
-    /// The controller's index.
+    /// Index of the controller.
     pub(super) controller: usize,
-    /// The process; 0: nobody waits for the response.
+    /// Number of the process; 0 if nobody waits for the response.
     pub(super) process: u64,
-    /// The number of the call within the process.
+    /// Number of the call within the process.
     pub(super) call: u64,
 }
 
 impl Caller {
-    /// Stands for a call of this controller whose response reaches nobody.
+    /// Returns a caller that stands for a call of this controller whose response reaches nobody.
     pub(super) fn nobody(controller: usize, call: u64) -> Caller {
         Caller {
             controller,
@@ -29,18 +29,18 @@
     }
 }
 
-/// Who waits for a response of a controller; of users, when they sent the request.
+/// Who waits for a response of a controller. The time in the requests of users is when they were sent.
 #[derive(Clone, Debug)]
 pub(super) enum Requester {
-    /// A submission of this job, which is repeated until it is answered.
+    /// A user who submits this job, and repeats the request until it is answered.
     Submit(String, Micros),
-    /// A cancellation of this job, which is repeated until it is answered.
+    /// A user who cancels this job, and repeats the request until it is answered.
     Cancel(String, Micros),
-    /// A user's poll of a job, which may be refused; but not for good.
+    /// A user who polls this job. Polls may be refused, but not for long once all faults are over.
     Poll(String, Micros),
-    /// A poll that must give this status; the line that says so.
+    /// A poll of the script: the job, the expected status, and the number of the script's line.
     Expect(String, String, usize, Micros),
-    /// A request that must give this status; the line that says so.
+    /// A raw request of the script: the expected status, the number of the script's line, and what was sent.
     Raw {
         wanted: u16,
         line: usize,
@@ -49,20 +49,21 @@
         body: Vec<u8>,
         sent: Micros,
     },
-    /// The agent of a machine, by the heartbeat in flight.
+    /// The agent of a machine that waits for the response to this heartbeat.
     Heartbeat { machine: String, heartbeat_id: u64 },
-    /// A submission that is repeated once, at a given controller.
+    /// A user who submits this job again at a given controller, and does not repeat the request.
     Resubmit(String, Micros),
-    /// Nobody: the request was the late copy of a heartbeat. `is_newest`: whom it reached leads, and had no
-    /// heartbeat of that machine under its grant that was as new.
+    /// Nobody: the request was a late copy of a heartbeat. `is_newest`: the controller that it reached leads
+    /// or holds the machine's partition, and had received no heartbeat of the machine that was as new under
+    /// its current fencing token.
     HeartbeatCopy { is_newest: bool },
-    /// Another controller.
+    /// Another controller, by its call.
     Peer(Caller),
 }
 
 /// A request on its way to a controller.
 pub(super) struct Request {
-    /// The controller's index.
+    /// Index of the controller.
     pub(super) controller: usize,
     pub(super) interface: Interface,
     pub(super) method: String,
@@ -71,9 +72,9 @@
     pub(super) requester: Requester,
 }
 
-/// An event in the queue.
+/// A scheduled event.
 pub(super) enum Event {
-    /// An input for a controller's process.
+    /// An input reaches a controller's process: index, process and input.
     Input(usize, u64, Input),
     /// A call reaches the key-value store: method, path and body.
     StoreCall(Caller, &'static str, String, Vec<u8>),
@@ -85,23 +86,24 @@
     Request(Request),
     /// The limits of the key-value store change.
     StoreLimits(StoreLimits),
-    /// The response of a controller to a request: status and body. Status 0: it ended before it answered.
+    /// The response of a controller to a request: status and body. Status 0: its process ended before it answered.
     Response(Requester, usize, u16, Vec<u8>),
     /// The response to a heartbeat, by machine and heartbeat, reaches its agent over a slow link.
     DelayedHeartbeatResponse(String, u64, usize, u16, Vec<u8>),
-    /// A late copy of a heartbeat, for whoever leads then, or for every controller.
+    /// A late copy of a heartbeat is sent to the controllers that lead, or to every controller that is up.
     HeartbeatCopy { body: Vec<u8>, to_all: bool },
     /// Users poll a job at every controller.
     PollEverywhere(String),
-    /// A heartbeat of this sequence arrives: a response to a direct command must have overtaken it.
+    /// A delayed heartbeat with this sequence number arrives. The agent must have sent a newer status since,
+    /// as the response to a direct command.
     OvertakenHeartbeat(String, u64),
-    /// A line of the script is due.
+    /// A directive of the script is due.
     Directive(Directive),
-    /// A controller crashes for so long.
+    /// A controller crashes, and restarts after this time.
     Crash(usize, Micros),
     /// A controller's process starts.
     Start(usize),
-    /// Time passes.
+    /// Simulated time advances by a tick.
     Tick,
     /// The key-value store is up again.
     StoreUp,
@@ -114,7 +116,7 @@
 }
 
 impl World {
-    /// Lets an event happen, later if it is for a process that is paused.
+    /// Handles an event, or postpones it if the process that it is for is paused.
     pub(super) fn handle_event(&mut self, event: Event) -> StepResult {
         match self.resumes_at(&event) {
             Some(at) => {
@@ -125,7 +127,7 @@
         }
     }
 
-    /// When the process that an event is for resumes; `None` if it is not paused.
+    /// Returns when the process that an event is for resumes; `None` if it is not paused.
     fn resumes_at(&self, event: &Event) -> Option<Micros> {
         let (controller, is_request) = match event {
             Event::Input(controller, ..) => (*controller, false),
@@ -133,7 +135,7 @@
             _ => return None,
         };
         let resumes = self.controllers[controller].paused_until;
-        // The order in which a process finds what waited is its own: requests first is worst.
+        // A resumed process may read its waiting inputs in any order; requests first is the worst case.
         let delay = if is_request { 0 } else { MILLISECOND };
         (resumes > self.now).then_some(resumes + delay)
     }
@@ -179,13 +181,14 @@
         Ok(())
     }
 
-    /// A heartbeat that was sent under this sequence arrives: the agent must have sent a newer status.
+    /// Checks, when a heartbeat with this sequence number arrives, that the agent has sent a newer status
+    /// since.
     fn check_overtaken(&mut self, name: &str, sequence: u64) -> StepResult {
         let overtaken = self.machine_mut(name)?.sequence > sequence;
         match overtaken {
             true => Ok(()),
             false => Err(ScenarioError::unmet(format!(
-                "nothing overtook the report of {name}"
+                "no newer status overtook the delayed heartbeat of {name}"
             ))),
         }
     }
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that a scenario can make: late transactions, copies of heartbeats, silent machines, users
-//! who cancel and ask at bad moments.
+//! Faults that a scenario can inject: lost answers to transactions, late copies of heartbeats, machines that
+//! cannot be reached, and users who cancel and poll jobs at critical moments.
 
 use super::network::Link;
 use super::World;
@@ -16,7 +16,7 @@
 use heartbeats::{HeartbeatCopies, HeartbeatKey, HeldCopy};
 use store::{RecurringTransactionFault, TransactionFault};
 
-/// Something takes so much longer, or comes so much later, up to a moment.
+/// A delay that applies until a given time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Delay {
     until: Micros,
@@ -24,68 +24,68 @@
 }
 
 impl Delay {
-    /// The delay at this moment; `None` once it is over.
+    /// Returns the delay at this time; `None` once it is over.
     fn at(self, now: Micros) -> Option<Micros> {
         (now < self.until).then_some(self.by)
     }
 }
 
-/// Faults that are under way or awaited.
+/// Faults that are active or armed, and counts of their effects.
 #[derive(Default)]
 pub(super) struct Faults {
-    /// When the last fault of the script is over.
+    /// Time at which the last fault of the script is over.
     pub(super) end: Micros,
-    /// What the next transaction of a controller meets, or (none) that of whoever leads then.
+    /// Faults of the next transaction, by controller; `None` stands for the controller that leads then.
     next_transaction_faults: BTreeMap<Option<usize>, TransactionFault>,
     recurring_transaction_fault: Option<RecurringTransactionFault>,
-    /// Transactions without an answer that were carried out.
+    /// Number of transactions without an answer that were applied.
     unanswered_applied: u64,
-    /// Transactions without an answer that failed on their conditions.
+    /// Number of transactions without an answer that the key-value store rejected (400 or 409).
     unanswered_failed: u64,
-    /// Polls that were refused for now.
+    /// Number of users' polls that were refused temporarily (429 or 503).
     refused_polls: u64,
-    /// By machine; none: every machine.
+    /// Active copying of heartbeats, by machine; `None` stands for every machine.
     heartbeat_copies: BTreeMap<Option<String>, HeartbeatCopies>,
-    /// Copies of heartbeats that are kept for the next leader, by machine.
+    /// Copies of heartbeats that are held for the next leader, by machine.
     held_copies: BTreeMap<String, HeldCopy>,
-    /// The highest token under which a controller has led.
+    /// Highest fencing token under which a controller has led.
     highest_token: u64,
-    /// Copies that arrived at a controller that led with a token newer than that of the copy.
+    /// Number of copies that arrived at a controller that led with a higher fencing token than that of the copy.
     copies_at_newer_leader: u64,
-    /// The newest heartbeat of a machine that a leader has under its grant.
+    /// Incarnation and sequence number of the newest heartbeat that a controller has accepted.
     newest_heartbeats: BTreeMap<HeartbeatKey, (u64, u64)>,
-    /// Machines whose direct commands are carried out late and answered to nobody.
+    /// Delays of direct commands whose responses are lost, by machine.
     lost_direct_commands: BTreeMap<String, Delay>,
-    /// Jobs are cancelled as they end, or so much later.
+    /// Delay after which users cancel a job whose last task has completed.
     cancel_at_end: Delay,
-    /// Until then users poll each job everywhere right after something was said of it.
+    /// Time until which users poll a job at every controller after each new kind of response about it.
     polls_until: Micros,
-    /// After what each job was polled everywhere: once after each thing.
+    /// Jobs, and the events after which they were polled at every controller; each event counts once.
     polled_after: BTreeSet<(String, &'static str)>,
-    /// Answers of the key-value store take that much longer.
+    /// Additional latency of the key-value store's answers.
     slow_store: Delay,
-    /// Messages between controllers and agents take that much longer, each way.
+    /// Additional one-way latency of messages between controllers and agents.
     slow_agent_links: Delay,
-    /// The leader crashes as its next page of assignments is written.
+    /// Whether the leader crashes when it writes its next page of assignments.
     pub(super) crash_on_page_write: bool,
-    /// The next controller that confirms a cancellation crashes for so long.
+    /// Downtime of the next controller that confirms a cancellation, which crashes then.
     crash_on_confirmation: Option<Micros>,
-    /// The key-value store is down for so long right after the next grant.
+    /// Downtime of the key-value store right after the next write of the `leader` record.
     store_outage_on_election: Option<Micros>,
-    /// Until then peers' answers list this job as cancelled, which nobody cancelled.
+    /// Job that peers' answers list as cancelled although nobody cancelled it, and until when.
     forged_cancellation: Option<(String, Micros)>,
-    /// By how much the copy of a machine's next heartbeat is late.
+    /// Delays of the copy of a machine's next heartbeat, by machine.
     pub(super) heartbeat_copy_delays: BTreeMap<String, Micros>,
-    /// By how much a machine's next heartbeat is late, which something must overtake.
+    /// Delays of a machine's next heartbeat, which a newer status must overtake, by machine.
     pub(super) heartbeat_delays: BTreeMap<String, Micros>,
-    /// By how much the next response to a machine that carries a launch is late.
+    /// Delays of the next response to a machine that carries a launch, by machine.
     pub(super) launch_response_delays: BTreeMap<String, Micros>,
-    /// Machines that lose the response to their next heartbeat.
+    /// Machines that lose the response to a heartbeat, once.
     pub(super) lost_heartbeat_responses: BTreeSet<String>,
 }
 
 impl Faults {
-    /// No faults yet; the last one of the script is over at this time.
+    /// Creates the state without active faults; the last fault of the script is over at this time.
     pub(super) fn until(end: Micros) -> Faults {
         Faults {
             end,
@@ -95,7 +95,7 @@
 }
 
 impl World {
-    /// Makes a fault, or checks what came of one, if the directive says so.
+    /// Injects a fault, or checks the effects of one. Returns whether the directive is about faults.
     pub(super) fn run_fault_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         let object = directive.words.get(1).map_or("", String::as_str);
         match (directive.word(0)?, object) {
@@ -134,7 +134,7 @@
         Ok(true)
     }
 
-    /// Makes a fault of users, or checks what came of one, if the directive says so.
+    /// Injects a fault by users, or checks the effects of one. Returns whether the directive is about such faults.
     fn run_user_fault(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "cancel_now" => {
@@ -147,7 +147,7 @@
             "refusals" => {
                 let (got, most) = (self.faults.refused_polls, directive.count("most", 0)?);
                 if got > most {
-                    let detail = format!("{got} questions were refused");
+                    let detail = format!("{got} polls were refused");
                     return Err(ScenarioError::unmet(detail));
                 }
             }
@@ -161,8 +161,8 @@
         Ok(true)
     }
 
-    /// A delay from now on, for as long as the directive says (or by default, in seconds), by the span of
-    /// this option (or its default, in seconds).
+    /// Returns a delay that applies from now on, for the directive's `for` option, by the span of the given
+    /// option. Both have a default in seconds.
     fn delay(
         &self,
         directive: &Directive,
@@ -175,7 +175,7 @@
         })
     }
 
-    /// How much longer a message over this link takes.
+    /// Returns the additional latency of a message over this link.
     pub(super) fn link_delay(&self, link: Link) -> Micros {
         match link {
             Link::Agents => self.faults.slow_agent_links.at(self.now).unwrap_or(0),
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Machines hear nothing, say nothing, or do nothing for a time.
+    /// Makes machines mute, deaf, unplugged or hang for a time.
     fn silence_machines(&mut self, directive: &Directive) -> StepResult {
         let fault = directive.word(0)?;
         let default_s = if fault == "hang" { 5.0 } else { 30.0 };
@@ -200,7 +200,7 @@
         Ok(())
     }
 
-    /// The machines that a directive names at this place: one, all, or those that hold a task of a job
+    /// Returns the machines that a directive names at this place: one, all, or those that hold a task of a job
     /// (`of=JOB`).
     fn machines_named(&self, directive: &Directive, at: usize) -> StepResult<Vec<String>> {
         let name_of = |machine: &Machine| machine.name.clone();
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Faults of heartbeats and direct commands: late copies, and commands whose answer is lost.
+//! Faults of heartbeats and direct commands: late copies, and commands whose responses are lost.
 
 use super::super::events::{Caller, Event, Requester};
 use super::super::users::front_request;
@@ -9,24 +9,24 @@
 use grebewood_wire::from_cbor;
 use grebewood_wire::http::Heartbeat;
 
-/// Copies of a machine's heartbeats.
+/// How heartbeats of a machine are copied.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeartbeatCopies {
     until: Micros,
     delay: Micros,
-    /// The newest one is kept for the next leader.
+    /// Whether only the newest copy is delivered, to the next leader as soon as it has its lease.
     is_for_next_leader: bool,
-    /// They go to every controller that is up, not just to the leader.
+    /// Whether copies go to every controller that is up, not just to the leader.
     to_all: bool,
 }
 
-/// The copy of a heartbeat that is kept for the next leader.
+/// A copy of a heartbeat that is held for the next leader.
 pub(super) struct HeldCopy {
     to_all: bool,
     body: Vec<u8>,
 }
 
-/// The heartbeats of a machine that a controller takes in under a fencing token.
+/// Machine, controller and fencing token under which heartbeats are accepted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HeartbeatKey {
     machine: String,
@@ -35,7 +35,7 @@
 }
 
 impl World {
-    /// Copies of machines' heartbeats arrive late for a time.
+    /// Copies heartbeats for a time, so that the copies arrive late.
     pub(super) fn start_heartbeat_copies(
         &mut self,
         directive: &Directive,
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    /// So many copies must have met a newer leader.
+    /// Checks that at least the given number of copies met a newer leader.
     pub(super) fn expect_copies(&self, directive: &Directive) -> StepResult {
         let (got, least) = (self.faults.copies_at_newer_leader, directive.number_at(1)?);
         match got >= least {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// A machine sends a heartbeat: a copy of it may arrive late, or be kept for the next leader.
+    /// Copies a heartbeat that a machine sends, if such a fault is active. The copy arrives late, or is held for
+    /// the next leader.
     pub(in crate::world) fn copy_heartbeat(&mut self, name: &str, body: &[u8]) {
         let now = self.now;
         let of_machine = self.faults.heartbeat_copies.get(&Some(name.to_string()));
@@ -86,7 +87,7 @@
         }
     }
 
-    /// A late copy arrives at whoever leads, or at every controller that is up.
+    /// Sends a late copy to the controllers that lead, or to every controller that is up.
     pub(in crate::world) fn deliver_heartbeat_copy(&mut self, body: &[u8], to_all: bool) {
         let controllers = match to_all {
             true => self.up_controllers(),
@@ -99,7 +100,7 @@
         }
     }
 
-    /// A controller has made a step: if it has a new grant, what was kept for it arrives at once.
+    /// Delivers the held copies after a step in which a controller became the leader under a new token.
     pub(in crate::world) fn deliver_held_copies(&mut self, index: usize) {
         let controller = self.controllers[index].controller.as_ref();
         let leader = controller.and_then(|controller| controller.leader.as_ref());
@@ -121,9 +122,9 @@
         }
     }
 
-    /// A heartbeat or a copy of one arrives at a controller. Counts a copy that meets a leader with a token
-    /// newer than that of the copy. The result is whether this leader had no heartbeat of the machine under
-    /// its grant that was as new.
+    /// Records that a heartbeat or a copy of one arrives at a controller, and counts a copy that meets a leader
+    /// with a higher token than that of the copy. Returns whether the controller leads or holds the machine's
+    /// partition, and had accepted no heartbeat of the machine that was as new under its current token.
     pub(in crate::world) fn note_heartbeat(
         &mut self,
         controller: usize,
@@ -133,8 +134,8 @@
         let Ok(heartbeat) = from_cbor::<Heartbeat>(body) else {
             return false;
         };
-        // The grant under which this controller would answer: that of the machine's partition, or the
-        // leader's.
+        // The lease under which this controller answers: its claim of the machine's partition, or that of the
+        // leader.
         let process = self.controllers[controller].controller.as_ref();
         let grant = process.and_then(|process| {
             let partitions = &process.partitions;
@@ -145,9 +146,9 @@
         let Some(leader) = grant else {
             return false;
         };
-        // Before it has read its records, and in doubt of its grant, it takes no heartbeat in.
+        // A controller accepts no heartbeats before it has read its records, or while its lease is uncertain.
         let has_read = leader.loaded() && leader.loaded_at > 0;
-        let (token, takes_in) = (leader.token, has_read && !leader.uncertain());
+        let (token, accepts) = (leader.token, has_read && !leader.uncertain());
         let is_copy = matches!(requester, Requester::HeartbeatCopy { .. });
         if is_copy && heartbeat.token < token {
             self.faults.copies_at_newer_leader += 1;
@@ -160,13 +161,13 @@
         let newest = self.faults.newest_heartbeats.entry(key).or_default();
         let status = (heartbeat.incarnation, heartbeat.sequence);
         let is_newest = status > *newest;
-        if takes_in {
+        if accepts {
             *newest = status.max(*newest);
         }
         is_newest
     }
 
-    /// A direct command arrives: if it is to be lost, it is carried out late and answered to nobody.
+    /// Delays a direct command whose response is to be lost. Returns whether it is such a command.
     pub(in crate::world) fn lose_direct_command(
         &mut self,
         caller: Caller,
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -1,4 +1,4 @@
-//! Faults of the key-value store: transactions whose answer is lost, and outages.
+//! Faults of the key-value store: transactions whose answers are lost, slow answers and outages.
 
 use super::super::events::{Caller, Event};
 use super::super::World;
@@ -9,25 +9,25 @@
 use grebewood_wire::peer::PeerResponse;
 use grebewood_wire::{from_peer, to_peer};
 
-/// What happens to a transaction whose answer is lost.
+/// A fault of a transaction whose answer is lost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TransactionFault {
-    /// It is carried out this much later, or at once.
+    /// Delay after which the key-value store applies it, unless `at_once`.
     delay: Micros,
     at_once: bool,
 }
 
-/// For a time, every so many-th transaction of any controller meets this.
+/// A fault of every n-th transaction of all controllers, for a time.
 pub(super) struct RecurringTransactionFault {
     until: Micros,
     every: u64,
-    /// Transactions so far.
+    /// Number of transactions so far.
     count: u64,
     fault: TransactionFault,
 }
 
 impl RecurringTransactionFault {
-    /// Counts a transaction. The result is what happens to it, if anything does.
+    /// Counts a transaction, and returns its fault, if it has one.
     fn next(&mut self, now: Micros) -> Option<TransactionFault> {
         if now >= self.until {
             return None;
@@ -38,7 +38,7 @@
 }
 
 impl World {
-    /// The next transaction of a controller, or of whoever leads then, gets no answer.
+    /// Makes the answer to the next transaction of a controller, or of the leader at that time, get lost.
     pub(super) fn set_transaction_fault(
         &mut self,
         directive: &Directive,
@@ -57,7 +57,7 @@
         Ok(())
     }
 
-    /// For a time, every so many-th transaction gets no answer.
+    /// Makes the answer to every n-th transaction get lost for a time.
     pub(super) fn set_recurring_transaction_fault(
         &mut self,
         directive: &Directive,
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// So many transactions without an answer must have been carried out, and have failed.
+    /// Checks that at least the given numbers of transactions without an answer were applied, and failed.
     pub(super) fn expect_unanswered_transactions(&self, directive: &Directive) -> StepResult {
         let (done, failed) = (
             self.faults.unanswered_applied,
@@ -84,13 +84,14 @@
         let least_done = directive.count("done", 0)?;
         let least_failed = directive.count("failed", 0)?;
         if done < least_done || failed < least_failed {
-            let detail = format!("{done} were carried out, {failed} failed");
+            let detail =
+                format!("{done} transactions without an answer were applied, {failed} failed");
             return Err(ScenarioError::unmet(detail));
         }
         Ok(())
     }
 
-    /// Sends a transaction whose answer is lost, if this one's is; otherwise it goes its usual way.
+    /// Sends a transaction in such a way that its answer is lost, if it has such a fault. Returns whether it has.
     pub(in crate::world) fn lose_transaction(
         &mut self,
         controller: usize,
@@ -107,7 +108,7 @@
         true
     }
 
-    /// What happens to the transaction that a controller sends now, if anything does.
+    /// Returns the fault of the transaction that a controller sends now, if it has one.
     fn next_transaction_fault(&mut self, controller: usize) -> Option<TransactionFault> {
         let (now, leads) = (self.now, self.leads(controller));
         let faults = &mut self.faults;
@@ -136,7 +137,7 @@
         }
     }
 
-    /// A grant was just won: the key-value store may go down at once.
+    /// Takes the key-value store down if a fault is armed for the next write of the `leader` record.
     pub(in crate::world) fn on_leader_elected(&mut self) {
         if let Some(down_for) = self.faults.store_outage_on_election.take() {
             let until = self.now + down_for;
@@ -146,7 +147,8 @@
         }
     }
 
-    /// A peer's answer, with a job in it that nobody cancelled if that is a fault at present.
+    /// Adds a job that nobody cancelled to the confirmed cancellations in a peer's answer, if such a fault is
+    /// active.
     pub(in crate::world) fn forge_cancellation(&self, body: Vec<u8>) -> Vec<u8> {
         let forged = self.faults.forged_cancellation.as_ref();
         let Some((job, _)) = forged.filter(|(_, until)| self.now < *until) else {
@@ -161,7 +163,7 @@
         to_peer(&answer)
     }
 
-    /// How much longer the key-value store takes to answer.
+    /// Returns the additional latency of the key-value store's answers.
     pub(in crate::world) fn store_lag(&self) -> Micros {
         self.faults.slow_store.at(self.now).unwrap_or(0)
     }
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -1,4 +1,4 @@
-//! Users who cancel and ask at bad moments, and what comes of it.
+//! Users who cancel and poll jobs at critical moments, and the checks of the effects.
 
 use super::super::events::{Event, Requester};
 use super::super::jobs::{job_of, ObservedJob};
@@ -8,13 +8,13 @@
 use crate::script::Directive;
 use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// A job that is cancelled in the middle of its work has at least so long to go.
+/// Shortest remaining run time of a task whose job users cancel while it runs.
 const MIN_REMAINING_RUN: Micros = 20 * SECOND;
-/// Users cancel jobs in the middle of their work within this time.
+/// Time over which users spread the cancellations of running jobs.
 const CANCEL_WINDOW: Micros = 200 * MILLISECOND;
-/// So many machines of cancelled jobs hang at most.
+/// Largest number of machines of cancelled jobs that hang.
 const MAX_HUNG_MACHINES: usize = 8;
-/// When users poll a job everywhere after something was said of it.
+/// Delays after a response about a job at which users poll the job at every controller.
 const POLL_DELAYS: [Micros; 4] = [
     MILLISECOND,
     5 * MILLISECOND,
@@ -23,11 +23,14 @@
 ];
 
 impl World {
-    /// Users cancel jobs that run and have long to go; some of their machines hang from now on.
+    /// Cancels running jobs with enough run time left. If `hang` is not 0, some of their machines hang for this
+    /// time.
     pub(super) fn cancel_now(&mut self, max_jobs: usize, hang: Micros) -> StepResult {
         let jobs = self.long_running_jobs(max_jobs);
         if jobs.is_empty() {
-            return Err(ScenarioError::unmet("no job runs that has long to go"));
+            return Err(ScenarioError::unmet(
+                "no running job has enough run time left",
+            ));
         }
         if hang > 0 {
             self.hang_machines_of(&jobs, self.now + hang);
@@ -40,7 +43,7 @@
         Ok(())
     }
 
-    /// Jobs that run and have long to go, so many at most.
+    /// Returns up to `max_jobs` running jobs with enough run time left that no user has asked to cancel.
     fn long_running_jobs(&self, max_jobs: usize) -> Vec<String> {
         let live =
             |job: &ObservedJob| job.accepted && !job.done && job.cancel_requested_at.is_none();
@@ -49,7 +52,7 @@
         jobs.take(max_jobs).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether a task of the job runs and has long to go.
+    /// Returns whether a task of the job runs and has enough run time left.
     fn has_long_running_task(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
         let machines = self.present_machines().filter(|machine| machine.up);
@@ -61,7 +64,7 @@
         })
     }
 
-    /// Some machines that hold tasks of these jobs hang up to this time.
+    /// Makes some machines that hold tasks of these jobs hang until this time.
     fn hang_machines_of(&mut self, jobs: &[String], until: Micros) {
         let holds = |machine: &&mut Machine| {
             let mut tasks = machine.live();
@@ -74,8 +77,8 @@
         }
     }
 
-    /// A task has completed. At the moment of its job's last one its user may cancel the job, ask about it
-    /// and submit it again at every controller.
+    /// Records that a task has completed. If it was the last one of its job and such a fault is active, users
+    /// cancel the job, poll it and submit it again at every controller.
     pub(in crate::world) fn note_completion(&mut self, task_name: &str) {
         let id = job_of(task_name);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -93,8 +96,9 @@
         }
     }
 
-    /// Of the jobs that were cancelled though all of their tasks completed, so many at least were
-    /// called done, and so many cancelled; and ends are on record in time.
+    /// Checks that ends are recorded in time; that, of the jobs that users asked to cancel and whose tasks all
+    /// completed, at least the given numbers were reported done and cancelled; and that at least the given
+    /// number of jobs with the given prefix were reported cancelled.
     pub(super) fn check_ends(&self, directive: &Directive) -> StepResult {
         self.check_ends_recorded(directive.duration("within", 6.0)?)?;
         let accepted = self.jobs.values().filter(|job| job.accepted);
@@ -111,7 +115,7 @@
             .filter(|job| job.cancelled_at.is_some());
         let cancelled = cancelled.count() as u64;
         if done < directive.count("done", 0)? || cancelled < directive.count("cancelled", 0)? {
-            let detail = format!("{done} are done, {cancelled} cancelled");
+            let detail = format!("{done} jobs are done, {cancelled} are cancelled");
             return Err(ScenarioError::unmet(detail));
         }
         let prefix = directive.text("of", "");
@@ -125,7 +129,7 @@
         Ok(())
     }
 
-    /// The end of each job must be on record so long after it.
+    /// Checks that the end of each job is recorded within this time after it.
     fn check_ends_recorded(&self, within: Micros) -> StepResult {
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.accepted) {
             let ends = [job.completed_at, job.cancelled_at];
@@ -135,19 +139,19 @@
             if self.now > over + within && !self.store.has(&format!("past/{id}")) {
                 let ago = (self.now - over) / SECOND;
                 return Err(ScenarioError::unmet(format!(
-                    "{id} is over for {ago} s and its end not on record"
+                    "{id} ended {ago} s ago, but its end is not recorded"
                 )));
             }
         }
         Ok(())
     }
 
-    /// Counts a poll that is refused for now.
+    /// Counts the response to a poll if it is a temporary refusal.
     pub(in crate::world) fn count_refused_poll(&mut self, status: u16) {
         self.faults.refused_polls += u64::from(matches!(status, 429 | 503));
     }
 
-    /// Something was said of a job: users poll it everywhere if it was said for the first time.
+    /// Schedules polls of a job at every controller after an event, the first time that the event occurs.
     pub(in crate::world) fn poll_everywhere_after(&mut self, job: &str, event: &'static str) {
         let first = self.now < self.faults.polls_until
             && self.faults.polled_after.insert((job.to_string(), event));
@@ -158,8 +162,8 @@
         }
     }
 
-    /// A controller has sent a response to a user: if it confirms a cancellation, the controller may crash
-    /// now.
+    /// Crashes a controller that has sent a response to a user, if the response confirms a cancellation and
+    /// such a fault is armed.
     pub(in crate::world) fn on_confirmation(
         &mut self,
         controller: usize,
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -1,9 +1,9 @@
-//! The links between controllers and everything else.
+//! Links between controllers and the components that they call or that call them.
 
 use super::World;
 use crate::time::{Micros, MILLISECOND};
 
-/// A kind of link, by the word for it in scenarios.
+/// Kind of a controller's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Link {
     Store,
@@ -12,17 +12,17 @@
     Peers,
 }
 
-/// How long a message between controllers takes.
+/// One-way latency of a message between controllers.
 pub(super) const PEER_LATENCY: Micros = MILLISECOND;
-/// How long a call to the key-value store, or a direct command, takes each way.
+/// One-way latency of a call to the key-value store and of a direct command.
 pub(super) const CALL_LATENCY: Micros = 2 * MILLISECOND;
-/// How long a call to the cloud takes each way.
+/// One-way latency of a call to the cloud.
 pub(super) const CLOUD_LATENCY: Micros = 100 * MILLISECOND;
-/// How long a request to a controller takes, and the response.
+/// Latency of a request to a controller, and of its response.
 pub(super) const REQUEST_LATENCY: Micros = MILLISECOND;
 
 impl Link {
-    /// The word for it in scenarios.
+    /// Returns the word for the link in scenarios.
     fn word(self) -> &'static str {
         match self {
             Link::Store => "state",
@@ -35,12 +35,12 @@
 
 /// A link of a controller that is cut.
 pub(super) struct Cut {
-    /// The controller's index.
+    /// Index of the controller.
     pub(super) controller: usize,
-    /// The link's word, or `all`.
+    /// Word for the link in scenarios, or `all`.
     pub(super) link: String,
     pub(super) until: Micros,
-    /// Messages arrive after the cut; otherwise they are lost.
+    /// Whether messages arrive after the cut; otherwise they are lost.
     pub(super) holds_messages: bool,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// What is wrong with links at present.
+/// Faults of links.
 #[derive(Default)]
 pub(super) struct Network {
     pub(super) cuts: Vec<Cut>,
@@ -59,7 +59,7 @@
 }
 
 impl Network {
-    /// Until when the key-value store refuses a controller; 0 if it never did.
+    /// Returns until when the key-value store refuses a controller; 0 if it never did.
     pub(super) fn refused_until(&self, controller: usize) -> Micros {
         let refused = self.refused.iter();
         let refused = refused.filter(|(index, _)| *index == controller);
@@ -68,7 +68,8 @@
 }
 
 impl World {
-    /// When a message over this link arrives: never if the link is cut, late if the cut holds it.
+    /// Returns when a message over this link arrives. If the link is cut, the message arrives after a cut that
+    /// holds messages, and never (`None`) otherwise.
     pub(super) fn arrival(&self, controller: usize, link: Link, latency: Micros) -> Option<Micros> {
         let latency = latency + self.link_delay(link);
         let mut cuts = self.network.cuts.iter();
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -1,4 +1,4 @@
-//! The responses of controllers, and what each means to whoever waits for it.
+//! Responses of controllers, and how their requesters handle them.
 
 use super::configuration::member_name;
 use super::events::{Caller, Event, Requester};
@@ -11,9 +11,9 @@
 use grebewood_wire::from_cbor;
 use grebewood_wire::http::{Command, HeartbeatResponse, JobStatus, Verb};
 
-/// After which time users send again what was not answered.
+/// Delay after which a user repeats a request that was not answered.
 const RETRY_INTERVAL: Micros = SECOND;
-/// Agents drop the response to a heartbeat that is later than that, beyond what the link takes.
+/// Agents drop the response to a heartbeat that takes longer than this, beyond the delay of the link.
 const HEARTBEAT_TIMEOUT: Micros = SECOND;
 
 /// A raw request of the script.
@@ -25,7 +25,7 @@
 }
 
 impl World {
-    /// A response reaches whoever waits for it.
+    /// Handles a response of a controller for its requester.
     pub(super) fn handle_response(
         &mut self,
         requester: Requester,
@@ -97,7 +97,8 @@
         Ok(())
     }
 
-    /// Checks the response to a submission. The result is whether it needs no other one.
+    /// Checks the response to a submission. Returns whether it is final, so that the user need not repeat the
+    /// request.
     fn check_submission_response(
         &mut self,
         job: &str,
@@ -137,7 +138,7 @@
         Ok(())
     }
 
-    /// What a poll of the script says of a job: its status, or that of the response.
+    /// Returns what a poll of the script gives for a job: the job's status, or the HTTP status if it is not 200.
     fn expected_status(
         &mut self,
         job: &str,
@@ -151,8 +152,9 @@
         if status != 200 {
             return Ok(status.to_string());
         }
-        let answer: JobStatus = from_cbor(body)
-            .map_err(|error| ScenarioError::Protocol(format!("a poll's answer: {error}")))?;
+        let answer: JobStatus = from_cbor(body).map_err(|error| {
+            ScenarioError::Protocol(format!("the response to a poll cannot be decoded: {error}"))
+        })?;
         self.check_status(job, &answer.status)?;
         Ok(answer.status)
     }
@@ -191,7 +193,8 @@
         self.handle_heartbeat_response(&machine, heartbeat_id, controller, status, &body)
     }
 
-    /// By how much this response to a heartbeat is to be late, because it carries a launch.
+    /// Returns the delay of this response to a heartbeat, if a fault delays the machine's next response that
+    /// carries a launch and this one does.
     fn launch_delay(&mut self, machine: &str, body: &[u8]) -> Option<Micros> {
         if !self.faults.launch_response_delays.contains_key(machine) {
             return None;
@@ -203,7 +206,7 @@
             .flatten()
     }
 
-    /// Sends the response of a controller to another one.
+    /// Sends the response of a controller to the controller that called it.
     fn send_peer_response(
         &mut self,
         caller: Caller,
@@ -236,27 +239,27 @@
     command.verb == Verb::Launch
 }
 
-/// A job must have the status that the script expects; `live`: pending or running.
+/// Checks that a job has the status that the script expects; `live` stands for pending or running.
 fn check_expected_status(controller: usize, job: &str, got: &str, wanted: &str) -> StepResult {
     let live = wanted == "live" && matches!(got, "pending" | "running");
     if got == wanted || live {
         return Ok(());
     }
     let member = member_name(controller);
-    let detail = format!("{member} says {got} of {job}, not {wanted}");
+    let detail = format!("{member} reports {got} for {job}, not {wanted}");
     Err(ScenarioError::unmet(detail))
 }
 
-/// The late copy of a heartbeat must not be answered with commands.
+/// Checks that a late copy of a heartbeat is not answered with commands.
 ///
-/// A new leader cannot know that the first heartbeat it gets is a copy, and what it answers reaches nobody;
-/// but it may not launch before it knows that the machine receives its responses.
+/// A new leader cannot know that the first heartbeat that it receives is a copy, and its response reaches
+/// nobody. Even so, it may not launch tasks before it knows that the machine receives its responses.
 fn check_copy_response(is_newest: bool, status: u16, body: &[u8]) -> StepResult {
     let response = from_cbor::<HeartbeatResponse>(body);
     let commands = response.map_or(Vec::new(), |response| response.commands);
     let forbidden = |command: &Command| !is_newest || is_launch(command);
     if status == 200 && commands.iter().any(forbidden) {
-        let detail = "the late copy of a report is answered with commands";
+        let detail = "a late copy of a heartbeat is answered with commands";
         return Err(ScenarioError::Protocol(detail.into()));
     }
     Ok(())
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -1,7 +1,8 @@
-//! What an earlier version left in the middle of its work: records, machines, tasks and jobs.
+//! Loading of a snapshot that an earlier version left in the middle of its work: records, machines, tasks and
+//! jobs.
 //!
 //! The file has a line for each. `record KEY REVISION HEX` is a record of the key-value store; `machine`,
-//! `task`, `hire`, `job` and `completed` say what was beside it.
+//! `task`, `hire`, `job` and `completed` describe the state outside the store.
 
 use super::jobs::{job_of, ObservedJob};
 use super::World;
@@ -13,7 +14,7 @@
 use grebewood_wire::http::Submission;
 use std::str::FromStr;
 
-/// A line of the file.
+/// A line of a snapshot file.
 struct SnapshotLine<'a> {
     words: Vec<&'a str>,
 }
@@ -52,7 +53,7 @@
     ScriptError::NotFound { kind, name }
 }
 
-/// Reads CBOR that is written in hexadecimal digits.
+/// Decodes CBOR that is written in hexadecimal digits.
 fn decoded<T: serde::de::DeserializeOwned>(name: &str, hex: &str) -> Result<T, ScriptError> {
     let value = from_cbor(&unhex(hex)?);
     value.map_err(|error| ScriptError::Unreadable {
@@ -62,7 +63,7 @@
 }
 
 impl World {
-    /// Takes in one line of what an earlier version left.
+    /// Loads one line of a snapshot file.
     pub(super) fn load_snapshot_line(&mut self, text: &str) -> Result<(), ScriptError> {
         let words = text.split_whitespace().collect();
         let line = SnapshotLine { words };
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -1,4 +1,4 @@
-//! Each check must notice a breach: it is planted by hand, in a world that goes its way otherwise.
+//! Tests that each check finds a violation, which the test adds by hand to a world that runs without faults.
 
 use super::checks::Checks;
 use super::events::{Caller, Event, Requester};
@@ -27,7 +27,7 @@
 const FLEET: &str = "team t cpus=16 max=32\nteam u cpus=8 max=8\n\
     type std cpus=8 cap=4 zones=a,b\nmachines std count=2\nmachines std zone=b\n";
 
-/// A world that has played a script to this second, without a fault.
+/// Returns a world that has played a script up to this second, without a violation.
 fn world_after(text: &str, seconds: u64) -> World {
     let script = parse(&format!("{FLEET}{text}\nend 1000")).expect("a script");
     let mut world = World::new(script).expect("a world");
@@ -35,7 +35,7 @@
     world
 }
 
-/// A world in which a job of four tasks runs.
+/// Returns a world in which a job of four tasks runs.
 fn running() -> World {
     let world = world_after("at 2 submit req-1 tasks=4 run=500", 4);
     assert_eq!(world.jobs["req-1"].starts, 4);
@@ -47,7 +47,7 @@
     assert!(error.contains(with), "{error}, not {with}");
 }
 
-/// A directive with these words and options.
+/// Returns a directive with these words and options.
 fn directive(words: &str, options: &[(&str, &str)]) -> Directive {
     let option = |(key, value): &(&str, &str)| (key.to_string(), value.to_string());
     Directive {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A machine that holds a task of the job, and one in zone a that does not.
+/// Returns a machine that holds a task of the job, and one that does not.
 fn holder_and_other(world: &World, job: &str) -> (String, String) {
     let there = || world.present_machines();
     let holder = there().find(|machine| machine.holds_task_of(job));
@@ -87,12 +87,12 @@
     machine(world, name).tasks.push(task);
 }
 
-/// The controller that leads.
+/// Returns the controller that leads.
 fn leader_of(world: &World) -> usize {
     world.leading_controllers().next().expect("a leader")
 }
 
-/// A call of controller 0's process that has not been made.
+/// Returns a caller for a call that controller 0's process has not made.
 fn call_of_first(world: &World) -> Caller {
     Caller {
         controller: 0,
@@ -110,7 +110,7 @@
     })
 }
 
-/// Takes a forged response to a request.
+/// Handles a forged response to a request.
 fn respond(world: &mut World, requester: Requester, status: u16, word: &str) -> StepResult {
     world.handle_response(requester, 0, status, status_body(word))
 }
--- a/crates/testkit/src/world/tests/acceptance.rs
+++ b/crates/testkit/src/world/tests/acceptance.rs
@@ -1,8 +1,8 @@
-//! Submissions that are accepted though they must be refused.
+//! Tests with submissions that are accepted though they must be refused.
 
 use super::*;
 
-/// A submission as users send it, changed.
+/// Returns a valid submission in which one field is replaced or, with `None`, removed.
 fn changed(key: &str, value: Option<Value>) -> Vec<u8> {
     let world = running();
     let body = to_cbor(&world.jobs["req-1"].spec);
@@ -15,7 +15,7 @@
     to_cbor(&map)
 }
 
-/// A controller accepts this submission.
+/// Handles a response by which a controller accepts this submission.
 fn accept(world: &mut World, body: Vec<u8>) -> StepResult {
     let raw = Requester::Raw {
         wanted: 201,
@@ -87,7 +87,7 @@
     }
 }
 
-/// A gang needs its team's limit for all its tasks at once.
+/// All tasks of a gang must fit within its team's limit at once.
 #[test]
 fn a_gang_beyond_its_teams_limit_is_accepted() {
     let mut world = running();
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Copies of heartbeats and lost direct commands.
+//! Tests of copies of heartbeats and of lost direct commands.
 
 use super::*;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// How many copies met a leader of a newer token, by the directive that checks it.
+/// Returns how many copies met a leader of a newer token, as the directive `copied` counts them.
 fn copies_at_newer_leader(world: &mut World) -> usize {
     let holds = |least: &usize| {
         let check = directive(&format!("copied {least}"), &[]);
@@ -54,7 +54,7 @@
     };
     let (incarnation, sequence, token) = (newest.incarnation, newest.sequence, newest.token);
     let copied = Requester::HeartbeatCopy { is_newest: false };
-    // The world played on so far: all but the newest one came under this grant.
+    // In the world so far, the leader has received all heartbeats but the newest one under its current token.
     for (incarnation, sequence, first) in [
         (incarnation, sequence - 1, false),
         (incarnation, sequence, true),
@@ -66,11 +66,11 @@
         let noted = world.note_heartbeat(leader, &body, &copied);
         assert_eq!(noted, first, "{incarnation} {sequence}");
     }
-    // Nobody else leads.
+    // No other controller leads.
     let other = (leader + 1) % 3;
     let body = copy(incarnation, sequence, token);
     assert!(!world.note_heartbeat(other, &body, &copied));
-    // Copies of older tokens are counted; heartbeats themselves are not.
+    // Copies with older tokens are counted; heartbeats themselves are not.
     assert_eq!(copies_at_newer_leader(&mut world), 0);
     let older = copy(incarnation, sequence, token - 1);
     world.note_heartbeat(leader, &older, &copied);
@@ -121,7 +121,7 @@
         .handle_direct_command(nobody, &address, &body)
         .expect("no fault");
     assert!(!is_live(&world));
-    // What answers it reaches no process.
+    // The response to the command reaches no process.
     let reaches = |event: &Event| matches!(event, Event::Input(_, process, _) if *process != 0);
     assert!(!world.queue.values().any(reaches));
 }
--- a/crates/testkit/src/world/tests/placement.rs
+++ b/crates/testkit/src/world/tests/placement.rs
@@ -1,10 +1,10 @@
-//! Breaches of where and when tasks may run.
+//! Tests with tasks that run where or when they may not.
 
 use super::*;
 
 #[test]
 fn a_task_on_two_machines() {
-    // Also where nobody sees it: on a machine that hangs, is deaf, unplugged or mute.
+    // The check also covers machines that hang, or are deaf, unplugged or mute.
     let hide: [fn(&mut Machine); 5] = [
         |_| (),
         |machine| machine.hangs_until = 900 * SECOND,
@@ -20,14 +20,14 @@
         hide(machine(&mut world, &other));
         broken(world.play_until(5 * SECOND), "ran_twice");
     }
-    // Two attempts on one machine are two.
+    // Two attempts of a task on one machine also break the rule.
     let mut world = running();
     let (holder, _) = holder_and_other(&world, "req-1");
     let mut again = world.machines[&holder].tasks[0].clone();
     again.attempt += 1;
     plant(&mut world, &holder, again);
     broken(world.play_until(5 * SECOND), "ran_twice");
-    // What is gone or has exited is on no machine.
+    // A task that has exited does not count.
     let mut world = running();
     let mut ended = world.machines[&holder].tasks[0].clone();
     (ended.status, ended.cause) = (TaskStatus::Exited, Some("stopped"));
@@ -51,7 +51,7 @@
     assert_eq!(world.check_invariants(), Ok(()));
 }
 
-/// Starts a task of a job with these options on a machine that is chosen so.
+/// Starts a task of a job with these options on a machine that meets the condition.
 fn start(options: &str, choose: fn(&Machine) -> bool) -> StepResult {
     let text = format!("at 2 submit req-1 tasks=4 run=500\nat 4 submit req-2 run=500 {options}");
     let mut world = world_after(&text, 4);
@@ -88,7 +88,7 @@
     broken(world.check_starts(&holder, &task_name), "wrong_place");
     change_spec(&mut world, |spec| spec.spot = true);
     assert_eq!(world.check_starts(&holder, &task_name), Ok(()));
-    // Alone in a zone it is not spread; with one elsewhere it is not in one zone.
+    // With all tasks in one zone a job is not spread; with a task in another zone it is not in one zone.
     change_spec(&mut world, |spec| spec.spread = true);
     for machine in world.machines.values_mut() {
         machine.zone = "a".into();
@@ -117,13 +117,13 @@
     let task_name = ["req-1/0".to_string()];
     let late_starts = |most: &str| directive("late_starts", &[("most", most)]);
     assert_eq!(world.run_directive(&late_starts("0")), Ok(()));
-    // In time it is counted, and no more than that.
+    // A start within the cancellation timeout is only counted.
     assert_eq!(world.check_starts(&name, &task_name), Ok(()));
     assert_eq!(world.run_directive(&late_starts("1")), Ok(()));
     let counted = world.run_directive(&late_starts("0"));
     broken(counted, "1 tasks of cancelled jobs started");
     assert_eq!(world.check_invariants(), Ok(()));
-    // Later than that it is a breach, and so is that it is there; on a machine that hangs, too.
+    // After the timeout, both a start and the presence of the task are violations, also on a machine that hangs.
     world.now = confirmed + world.configuration.settings.cancel_timeout + 1;
     broken(world.check_starts(&name, &task_name), "ran_cancelled");
     machine(&mut world, &name).hangs_until = 900 * SECOND;
--- a/crates/testkit/src/world/tests/responses.rs
+++ b/crates/testkit/src/world/tests/responses.rs
@@ -1,12 +1,12 @@
-//! Breaches in what users are told.
+//! Tests with responses to users that break the rules.
 
 use super::super::jobs::ObservedJob;
 use super::*;
 
-/// How many kinds of requests there are whose response says something of a job.
+/// Number of kinds of requests whose response may contain a job status.
 const KINDS: usize = 6;
 
-/// Requests about the job req-1 of each kind, which were sent at this time.
+/// Returns a request of each kind about the job req-1, sent at this time.
 fn requests(sent: Micros) -> [Requester; KINDS] {
     let job = "req-1".to_string();
     let expect = Requester::Expect(job.clone(), "done".into(), 1, sent);
@@ -35,7 +35,7 @@
 #[test]
 fn an_end_that_has_not_come() {
     for request in requests(8 * SECOND) {
-        // Not done yet; never cancelled by its user.
+        // The job is not done, and its user has not asked to cancel it.
         let done = respond(&mut running(), request.clone(), 200, "done");
         broken(done, "not_done");
         let cancelled = respond(&mut running(), request, 200, "aborted");
@@ -46,7 +46,7 @@
 #[test]
 fn a_status_that_goes_back() {
     for request in requests(9 * SECOND) {
-        // Cancelled, then anything else.
+        // A job that was reported cancelled may not be reported anything else.
         for word in ["pending", "running", "done"] {
             let mut world = running();
             let job = job_mut(&mut world);
@@ -57,7 +57,7 @@
             }
             broken(respond(&mut world, request.clone(), 200, word), "went_back");
         }
-        // Done, then anything else.
+        // A job that was reported done may not be reported anything else.
         for word in ["pending", "running", "aborted"] {
             let mut world = running();
             let job = job_mut(&mut world);
@@ -67,7 +67,7 @@
     }
 }
 
-/// Known, then denied: by the response to a submission, or to any other request.
+/// Tests that a known job may not be denied in response to a submission or to any other request.
 #[test]
 fn a_denial_that_goes_back() {
     for kind in 0..KINDS {
@@ -89,7 +89,7 @@
             assert_eq!(respond(&mut world, poll, 200, "pending"), Ok(()));
             let told = world.now;
             broken(respond(&mut world, request(told), denial, ""), "went_back");
-            // The request was sent before: it may have been answered before, too.
+            // A request that was sent before the job was known may also have been answered before.
             if !matches!(request(0), Requester::Expect(..) | Requester::Raw { .. }) {
                 let earlier = respond(&mut world, request(told - 1), denial, "");
                 assert_eq!(earlier, Ok(()));
@@ -118,7 +118,7 @@
     assert_eq!(world.poll_all_jobs(), Ok(()));
     world.now += 1;
     broken(world.poll_all_jobs(), "forgotten");
-    // What is over is polled as well.
+    // Jobs that are over are polled as well.
     let mut world = world_after("at 2 submit req-1 run=2\nat 2 submit req-2 run=2", 30);
     assert!(world.jobs["req-1"].done && world.jobs["req-2"].done);
     for turn in 0..2 {
@@ -135,7 +135,7 @@
 fn users_poll_everywhere_once_after_each_thing_said() {
     let mut world = world_after("at 1 looks for=100\nat 2 submit req-1 tasks=4 run=500", 4);
     world.queue.clear();
-    // It was polled when it was accepted; now its user is told that it is cancelled.
+    // The job was already polled after it was accepted. Next its user is told that it is cancelled.
     let again = Requester::Resubmit("req-1".into(), world.now);
     assert_eq!(respond(&mut world, again, 200, "running"), Ok(()));
     assert!(world.queue.is_empty());
@@ -147,7 +147,7 @@
     let polls = world.queue.keys().map(|(at, _)| at - world.now);
     let polls: Vec<Micros> = polls.collect();
     assert_eq!(polls, [1, 5, 20, 60].map(|after| after * MILLISECOND));
-    // Each is a poll and a submission at every controller that is up.
+    // Each time, every controller that is up receives a poll and a submission.
     world.controllers[1].controller = None;
     world.queue.clear();
     world.poll_everywhere("req-1");
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -1,8 +1,8 @@
-//! Faults of the key-value store and of links, and when all faults are over.
+//! Tests of faults of the key-value store and of links, and of the time at which all faults are over.
 
 use super::*;
 
-/// A transaction that a controller sends.
+/// Returns a transaction that a controller sends.
 fn transaction() -> Call {
     Call {
         id: 1,
@@ -34,7 +34,7 @@
     assert!((0..6).all(|_| !lose(&mut world, 0)));
 }
 
-/// The next one of a controller, or of whoever leads.
+/// The fault is for the next transaction of a given controller, or of the one that leads.
 #[test]
 fn the_next_transaction_is_lost() {
     let mut world = running();
@@ -55,7 +55,7 @@
     assert!(!lose(&mut world, leader) && lose(&mut world, other));
 }
 
-/// After what time a reply over this link arrives.
+/// Returns the latency of a reply over this link.
 fn reply_latency(world: &mut World, link: Link) -> Option<Micros> {
     let caller = call_of_first(world);
     world.queue.clear();
--- a/crates/testkit/src/world/tests/versions.rs
+++ b/crates/testkit/src/world/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Controllers that stand for the version before.
+//! Tests of controllers that stand for the previous version.
 
 use super::*;
 use grebewood_wire::{from_peer, to_peer};
@@ -23,7 +23,7 @@
     load: u64,
 }
 
-/// Controller 0 asks controller 1. The result is what arrives of the request's load.
+/// Sends a request from controller 0 to controller 1. Returns the `load` that arrives.
 fn load_of_request(world: &mut World, caller: Caller) -> u64 {
     world.queue.clear();
     let call = Call {
@@ -46,7 +46,7 @@
     load
 }
 
-/// Controller 1 answers. The result is what arrives of the answer's load.
+/// Sends an answer from controller 1. Returns the `load` that arrives.
 fn load_of_answer(world: &mut World, caller: Caller) -> u64 {
     let answer = to_peer(&LaterAnswer {
         member: "perch-1".into(),
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -1,9 +1,10 @@
-//! Jobs that wait for long while a machine has room.
+//! Tests with jobs that wait for long while a machine has room.
 
 use super::*;
 
-/// A world in which a job that no controller knows waits beside room; what it needs is up to the test.
-/// The result says after how many seconds the check breaks, if it does within 200.
+/// Runs the check in a world in which a job that no controller knows waits while machines have room. The
+/// test gives the options of the job and changes the world. Returns after how many seconds the check fails,
+/// if it does within 200.
 fn waits(options: &str, change: fn(&mut World)) -> Option<u64> {
     let mut world = world_after(
         "check waits\nat 2 submit req-1 tasks=4 run=500\nat 2 submit req-2 tasks=1 owner=u run=500",
@@ -39,7 +40,7 @@
     assert_eq!(waits("cpus=1", started), Some(16 + 90));
 }
 
-/// No room, no machine that fits or hears, no leave of its team.
+/// A job does not count as waiting if no machine has room, fits or can be reached, or its team's limit is used up.
 #[test]
 fn a_job_that_no_machine_or_team_has_room_for() {
     let all_deaf = |world: &mut World| {
@@ -57,7 +58,7 @@
     assert_eq!(waits("cpus=6 owner=u", |_| ()), Some(90));
 }
 
-/// Cancelled, done, or it fails wherever it runs.
+/// A job does not count as waiting if its user has asked to cancel it, or it fails on every machine.
 #[test]
 fn a_job_that_need_not_run() {
     let cancel = |world: &mut World| {
@@ -68,7 +69,7 @@
     assert_eq!(waits("cpus=1 fails=yes", |_| ()), None);
 }
 
-/// Its other tasks are elsewhere, or already half of them here.
+/// The zones of a job's other tasks decide on which machines its next task may run.
 #[test]
 fn a_job_with_tasks_on_machines() {
     let beside = |world: &mut World| {
@@ -90,7 +91,7 @@
     assert_eq!(waits("tasks=2 cpus=1 one_zone=yes", one_zone), None);
 }
 
-/// Fills all machines, up to less than the job asks for.
+/// Adds a task with these CPUs and this memory to every machine, so that the job under test does not fit.
 fn fill(world: &mut World, cpus: f64, memory: f64) {
     let teams = &mut world.configuration.settings.teams;
     teams.get_mut("t").expect("a team").cpus_max = 900.0;
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they submit, cancel and ask.
+//! Users, who submit, cancel and poll jobs.
 
 use super::events::{Event, Request, Requester};
 use super::jobs::ObservedJob;
@@ -12,14 +12,15 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Once all faults are over, a job about which no question is answered for so long is forgotten.
+/// Time without an answered poll after which a job that is accepted and not over counts as forgotten, once
+/// all faults are over.
 pub(super) const UNANSWERED_LIMIT: Micros = 75 * SECOND;
-/// A job that nobody submits, about which users ask.
+/// Id of a job that nobody submits and that users poll.
 const UNKNOWN_JOB: &str = "req-999999";
-/// Keys of requests beside the script come after those of all other events of the same moment.
+/// First number of out-of-band requests, which come after all other events of the same time.
 const OUT_OF_BAND: u64 = 1 << 48;
 
-/// The status of a job in a response to its user; empty if there is none.
+/// Returns the job status in the body of a response; empty if there is none.
 pub(super) fn status_in(body: &[u8]) -> String {
     let map: BTreeMap<String, Value> = from_cbor(body).unwrap_or_default();
     let status = map.get("status").and_then(|value| value.as_text());
@@ -27,14 +28,14 @@
 }
 
 impl World {
-    /// Some controller that is up, another one each time.
+    /// Returns a controller that is up, which varies from call to call; controller 0 if none is up.
     fn next_up_controller(&mut self) -> usize {
         let up = self.up_controllers();
         let turn = self.next_number() as usize;
         up.get(turn % up.len().max(1)).copied().unwrap_or(0)
     }
 
-    /// The controller that a directive names; `other`: one that is up and does not lead.
+    /// Returns the controller that a directive names, if any; `other` stands for one that is up and does not lead.
     pub(super) fn requested_controller(
         &self,
         directive: &Directive,
@@ -66,7 +67,7 @@
         self.schedule_event(self.now + REQUEST_LATENCY, Event::Request(request));
     }
 
-    /// A user submits a job, at some controller unless one is named.
+    /// Sends a user's submission of a job, to any controller that is up unless one is given.
     pub(super) fn submit(&mut self, job: &str, controller: Option<usize>) {
         let Some(observed) = self.jobs.get(job) else {
             return;
@@ -77,7 +78,7 @@
         self.send_request(controller, "POST", "/submissions".into(), body, requester);
     }
 
-    /// A user cancels a job, at some controller unless one is named.
+    /// Sends a user's cancellation of a job, to any controller that is up unless one is given.
     pub(super) fn cancel(&mut self, job: &str, controller: Option<usize>) {
         let controller = controller.unwrap_or_else(|| self.next_up_controller());
         if let Some(observed) = self.jobs.get_mut(job) {
@@ -88,14 +89,14 @@
         self.send_request(controller, "POST", path, Vec::new(), requester);
     }
 
-    /// A user polls a job at a controller.
+    /// Sends a poll of a job to a controller.
     pub(super) fn poll(&mut self, controller: usize, job: &str, requester: Requester) {
         let path = format!("/submissions/{job}");
         self.send_request(controller, "GET", path, Vec::new(), requester);
     }
 
-    /// Users poll every job, each at some controller that is up; none may go without an answer for long
-    /// once all faults are over.
+    /// Polls every accepted job that is not over, each at a controller that is up. Checks that, once all faults
+    /// are over, none of them goes without an answered poll for long.
     pub(super) fn poll_all_jobs(&mut self) -> StepResult {
         let live = |job: &ObservedJob| job.accepted && !job.is_over();
         let jobs = self.jobs.iter().filter(|(_, job)| live(job));
@@ -105,7 +106,7 @@
         for (job, answered) in jobs {
             let since = answered.max(self.faults.end);
             if self.now.saturating_sub(since) > UNANSWERED_LIMIT {
-                let detail = format!("no question about {job} is answered");
+                let detail = format!("no poll of {job} is answered");
                 return Err(ScenarioError::rule(Rule::Forgotten, detail));
             }
             let controller = self.next_up_controller();
@@ -116,8 +117,8 @@
         Ok(())
     }
 
-    /// Users ask about what is over, too, and about what nobody submitted: one question each, at a
-    /// controller that is up. These requests do not change the order of any others.
+    /// Polls one job that is over and one that nobody submitted, at a controller that is up. These requests do
+    /// not change the order of any other events.
     pub(super) fn poll_finished_and_unknown(&mut self) {
         let up = self.up_controllers();
         if up.is_empty() {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The job that is over and comes after the one that was last polled.
+    /// Returns the next ended job, in the order of ids, after the one that was polled last.
     fn next_finished_job(&self) -> Option<String> {
         let after = Bound::Excluded(self.checks.last_polled_job.clone());
         let jobs = self.jobs.range((after, Bound::Unbounded));
@@ -150,7 +151,7 @@
         Some(id.clone())
     }
 
-    /// Users poll a job at every controller that is up, and submit it again there.
+    /// Polls a job at every controller that is up, and submits it again there.
     pub(super) fn poll_everywhere(&mut self, job: &str) {
         let Some(observed) = self.jobs.get(job) else {
             return;
@@ -165,7 +166,7 @@
     }
 }
 
-/// A request to a controller's public interface.
+/// Returns a request to a controller's public interface.
 pub(super) fn front_request(
     controller: usize,
     method: &str,
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -50,11 +50,11 @@
     holds(now);
     fails(
         &now.replace("cancel_now 8", "cancel_now 1"),
-        "says running of req-2",
+        "reports running for req-2",
     );
     fails(
         &now.replace("run=60", "run=12"),
-        "no job runs that has long to go",
+        "no running job has enough run time left",
     );
     // At the moment of the end, which the machine cannot report just then.
     let end = "at 2 submit req-1 tasks=1 run=5\nat 5 mute of=req-1 for=5\n\
@@ -62,7 +62,7 @@
     holds(end);
     for not_then in ["for=1", "for=20 after=9"] {
         let text = end.replace("end for=20", &format!("end {not_then}"));
-        fails(&text, "says done of req-1");
+        fails(&text, "reports done for req-1");
     }
 }
 
