--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -17,7 +17,7 @@
 pub(super) struct ControllerProcess {
     /// `None` while it is down.
     pub(super) controller: Option<Controller>,
-    /// The number of the process; 0 while it is down.
+    /// Number of the process; 0 while it is down.
     pub(super) process: u64,
     /// Time until which it is down.
     pub(super) down_until: Micros,
@@ -71,12 +71,12 @@
 
     /// Starts a controller's process, unless it already runs, or has crashed again and restarts later.
     pub(super) fn start_controller(&mut self, index: usize) {
-        let known = &self.controllers[index];
-        if known.controller.is_some() || self.now < known.down_until {
+        let state = &self.controllers[index];
+        if state.controller.is_some() || self.now < state.down_until {
             return;
         }
-        let number = self.controllers.len();
-        let mut settings = self.configuration.settings_of(index, number);
+        let controller_count = self.controllers.len();
+        let mut settings = self.configuration.settings_of(index, controller_count);
         self.limit_changes.apply(index, &mut settings.teams);
         let tuning = self.configuration.tuning_of(index);
         let process = self.sequence + 1;
@@ -93,9 +93,9 @@
         self.controllers[index].controller = None;
         self.controllers[index].process = 0;
         let requests = self.calls.requests.keys();
-        let lost = requests.filter(|(controller, _)| *controller == index);
-        let lost: Vec<(usize, u64)> = lost.copied().collect();
-        for key in lost {
+        let lost_requests = requests.filter(|(controller, _)| *controller == index);
+        let lost_requests: Vec<(usize, u64)> = lost_requests.copied().collect();
+        for key in lost_requests {
             if let Some(requester) = self.calls.requests.remove(&key) {
                 let closed = Event::Response(requester, index, 0, Vec::new());
                 self.schedule_event(self.now + MILLISECOND, closed);
@@ -117,11 +117,11 @@
     /// Makes a step of each controller whose next wake-up is due, unless its process is paused.
     pub(super) fn tick_controllers(&mut self) {
         for index in 0..self.controllers.len() {
-            let known = &self.controllers[index];
-            let controller = known.controller.as_ref();
+            let state = &self.controllers[index];
+            let controller = state.controller.as_ref();
             let due = controller.is_some_and(|controller| controller.next_wake() <= self.now);
-            if due && known.paused_until <= self.now {
-                self.step(index, known.process, Input::Tick);
+            if due && state.paused_until <= self.now {
+                self.step(index, state.process, Input::Tick);
             }
         }
     }
@@ -155,8 +155,8 @@
         );
         if is_heartbeat {
             let newest = self.note_heartbeat(controller, &request.body, &requester);
-            if let Requester::HeartbeatCopy { is_newest } = &mut requester {
-                *is_newest = newest;
+            if let Requester::HeartbeatCopy { is_newer } = &mut requester {
+                *is_newer = newest;
             }
         }
         self.calls.next_request += 1;
@@ -198,14 +198,14 @@
             steady: self.now,
             wall: self.configuration.wall_clock_start + self.now,
         };
-        let known = &mut self.controllers[index];
-        if known.process != process {
+        let state = &mut self.controllers[index];
+        if state.process != process {
             return None;
         }
-        let controller = known.controller.as_mut()?;
+        let controller = state.controller.as_mut()?;
         if let Input::Reply { call, .. } = &input {
-            if known.pending_renewals.remove(call) {
-                known.is_lease_uncertain = false;
+            if state.pending_renewals.remove(call) {
+                state.is_lease_uncertain = false;
             }
         }
         let leads = controller.leader.is_some();
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Who waits for a response of a controller. The time in the requests of users is when they were sent.
+/// Requester that waits for a response of a controller. The time in a user's request is when it was sent.
 #[derive(Clone, Debug)]
 pub(super) enum Requester {
     /// A user who submits this job, and repeats the request until it is answered.
@@ -53,10 +53,10 @@
     Heartbeat { machine: String, heartbeat_id: u64 },
     /// A user who submits this job again at a given controller, and does not repeat the request.
     Resubmit(String, Micros),
-    /// Nobody: the request was a late copy of a heartbeat. `is_newest`: the controller that it reached leads
+    /// Nobody: the request was a late copy of a heartbeat. `is_newer`: the controller that it reached leads
     /// or holds the machine's partition, and had received no heartbeat of the machine that was as new under
     /// its current fencing token.
-    HeartbeatCopy { is_newest: bool },
+    HeartbeatCopy { is_newer: bool },
     /// Another controller, by its call.
     Peer(Caller),
 }
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -72,9 +72,11 @@
         let now = self.now;
         let of_machine = self.faults.heartbeat_copies.get(&Some(name.to_string()));
         let of_all = self.faults.heartbeat_copies.get(&None);
-        let known = of_machine.into_iter().chain(of_all);
-        let active: Vec<HeartbeatCopies> =
-            known.filter(|copies| now < copies.until).copied().collect();
+        let matching = of_machine.into_iter().chain(of_all);
+        let active: Vec<HeartbeatCopies> = matching
+            .filter(|copies| now < copies.until)
+            .copied()
+            .collect();
         for copies in active {
             let (to_all, body) = (copies.to_all, body.to_vec());
             if copies.is_for_next_leader {
@@ -94,7 +96,7 @@
             false => self.leading_controllers().collect(),
         };
         for controller in controllers {
-            let requester = Requester::HeartbeatCopy { is_newest: false };
+            let requester = Requester::HeartbeatCopy { is_newer: false };
             let path = "/checkin".into();
             self.send_request(controller, "POST", path, body.to_vec(), requester);
         }
@@ -113,7 +115,7 @@
         for held in std::mem::take(&mut self.faults.held_copies).into_values() {
             let controllers = if held.to_all { up.clone() } else { vec![index] };
             for controller in controllers {
-                let requester = Requester::HeartbeatCopy { is_newest: false };
+                let requester = Requester::HeartbeatCopy { is_newer: false };
                 let path = "/checkin".into();
                 let body = held.body.clone();
                 let request = front_request(controller, "POST", path, body, requester);
@@ -137,18 +139,18 @@
         // The lease under which this controller answers: its claim of the machine's partition, or that of the
         // leader.
         let process = self.controllers[controller].controller.as_ref();
-        let grant = process.and_then(|process| {
+        let scheduler = process.and_then(|process| {
             let partitions = &process.partitions;
             let partition = partitions.map.find(&heartbeat.zone, &heartbeat.machine);
             let holder = partition.and_then(|id| partitions.holders.get(&id));
             holder.or(process.leader.as_ref())
         });
-        let Some(leader) = grant else {
+        let Some(scheduler) = scheduler else {
             return false;
         };
         // A controller accepts no heartbeats before it has read its records, or while its lease is uncertain.
-        let has_read = leader.loaded() && leader.loaded_at > 0;
-        let (token, accepts) = (leader.token, has_read && !leader.uncertain());
+        let has_read = scheduler.loaded() && scheduler.loaded_at > 0;
+        let (token, accepts) = (scheduler.token, has_read && !scheduler.uncertain());
         let is_copy = matches!(requester, Requester::HeartbeatCopy { .. });
         if is_copy && heartbeat.token < token {
             self.faults.copies_at_newer_leader += 1;
@@ -160,11 +162,11 @@
         };
         let newest = self.faults.newest_heartbeats.entry(key).or_default();
         let status = (heartbeat.incarnation, heartbeat.sequence);
-        let is_newest = status > *newest;
+        let is_newer = status > *newest;
         if accepts {
             *newest = status.max(*newest);
         }
-        is_newest
+        is_newer
     }
 
     /// Delays a direct command whose response is to be lost. Returns whether it is such a command.
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -75,9 +75,7 @@
                 }
                 self.expectations.met += 1;
             }
-            Requester::HeartbeatCopy { is_newest } => {
-                check_copy_response(is_newest, status, &body)?
-            }
+            Requester::HeartbeatCopy { is_newer } => check_copy_response(is_newer, status, &body)?,
             Requester::Heartbeat {
                 machine,
                 heartbeat_id,
@@ -254,10 +252,10 @@
 ///
 /// A new leader cannot know that the first heartbeat that it receives is a copy, and its response reaches
 /// nobody. Even so, it may not launch tasks before it knows that the machine receives its responses.
-fn check_copy_response(is_newest: bool, status: u16, body: &[u8]) -> StepResult {
+fn check_copy_response(is_newer: bool, status: u16, body: &[u8]) -> StepResult {
     let response = from_cbor::<HeartbeatResponse>(body);
     let commands = response.map_or(Vec::new(), |response| response.commands);
-    let forbidden = |command: &Command| !is_newest || is_launch(command);
+    let forbidden = |command: &Command| !is_newer || is_launch(command);
     if status == 200 && commands.iter().any(forbidden) {
         let detail = "a late copy of a heartbeat is answered with commands";
         return Err(ScenarioError::Protocol(detail.into()));
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -36,13 +36,13 @@
 }
 
 /// Returns a world in which a job of four tasks runs.
-fn running() -> World {
+fn world_with_running_job() -> World {
     let world = world_after("at 2 submit req-1 tasks=4 run=500", 4);
     assert_eq!(world.jobs["req-1"].starts, 4);
     world
 }
 
-fn broken<T: std::fmt::Debug>(got: StepResult<T>, with: &str) {
+fn assert_violation<T: std::fmt::Debug>(got: StepResult<T>, with: &str) {
     let error = got.expect_err(with).to_string();
     assert!(error.contains(with), "{error}, not {with}");
 }
@@ -83,7 +83,7 @@
     world.machine_mut(name).expect("a machine")
 }
 
-fn plant(world: &mut World, name: &str, task: Task) {
+fn add_task(world: &mut World, name: &str, task: Task) {
     machine(world, name).tasks.push(task);
 }
 
--- a/crates/testkit/src/world/tests/acceptance.rs
+++ b/crates/testkit/src/world/tests/acceptance.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// Returns a valid submission in which one field is replaced or, with `None`, removed.
-fn changed(key: &str, value: Option<Value>) -> Vec<u8> {
-    let world = running();
+fn changed_submission(key: &str, value: Option<Value>) -> Vec<u8> {
+    let world = world_with_running_job();
     let body = to_cbor(&world.jobs["req-1"].spec);
     let mut map: BTreeMap<String, Value> = from_cbor(&body).expect("a map");
     map.insert("uid".into(), Value::Text("req-5".into()));
@@ -37,13 +37,13 @@
 }
 
 #[test]
-fn missing_or_invalid_fields_are_accepted() {
-    let mut world = running();
-    assert_eq!(accept(&mut world, changed("", None)), Ok(()));
+fn accepting_missing_or_invalid_fields_is_a_violation() {
+    let mut world = world_with_running_job();
+    assert_eq!(accept(&mut world, changed_submission("", None)), Ok(()));
     for key in ["builds", "yard", "due_s"] {
-        let absent = accept(&mut world, changed(key, None));
+        let absent = accept(&mut world, changed_submission(key, None));
         assert_eq!(absent, Ok(()), "{key}");
-        let null = accept(&mut world, changed(key, Some(Value::Null)));
+        let null = accept(&mut world, changed_submission(key, Some(Value::Null)));
         assert_eq!(null, Ok(()), "{key}");
     }
     let fields = "uid workclass owner shape precedence shards vcpus accelerators memory_gb bundle \
@@ -51,8 +51,8 @@
     for key in fields.split_whitespace() {
         let wrong = Some(Value::Array(Vec::new()));
         for value in [None, Some(Value::Null), wrong] {
-            let accepted = accept(&mut world, changed(key, value));
-            broken(accepted, "must be refused");
+            let accepted = accept(&mut world, changed_submission(key, value));
+            assert_violation(accepted, "must be refused");
         }
     }
     for (key, value) in [
@@ -64,14 +64,17 @@
         ("shape", text("round")),
         ("precedence", text("urgent")),
     ] {
-        broken(accept(&mut world, changed(key, value)), "must be refused");
+        assert_violation(
+            accept(&mut world, changed_submission(key, value)),
+            "must be refused",
+        );
     }
-    broken(accept(&mut world, vec![0xff]), "not a map");
+    assert_violation(accept(&mut world, vec![0xff]), "not a map");
 }
 
 #[test]
-fn a_job_that_cannot_run_is_accepted() {
-    let mut world = running();
+fn accepting_a_job_that_cannot_run_is_a_violation() {
+    let mut world = world_with_running_job();
     let other_type = Value::Array(vec![Value::Text("big".into())]);
     let beyond_limit = "needs more than its team's limit";
     for (key, value, reason) in [
@@ -83,19 +86,19 @@
         ("yard", text("c"), "fits no machine type"),
         ("builds", Some(other_type), "fits no machine type"),
     ] {
-        broken(accept(&mut world, changed(key, value)), reason);
+        assert_violation(accept(&mut world, changed_submission(key, value)), reason);
     }
 }
 
 /// All tasks of a gang must fit within its team's limit at once.
 #[test]
-fn a_gang_beyond_its_teams_limit_is_accepted() {
-    let mut world = running();
+fn accepting_a_gang_above_its_team_limit_is_a_violation() {
+    let mut world = world_with_running_job();
     world.jobs.get_mut("req-1").expect("a job").spec.tasks = 17;
     let submit = || Requester::Submit("req-1".into(), 8 * SECOND);
     assert_eq!(respond(&mut world, submit(), 200, "running"), Ok(()));
     world.jobs.get_mut("req-1").expect("a job").spec.shape = "gang".into();
-    broken(
+    assert_violation(
         respond(&mut world, submit(), 200, "running"),
         "team's limit",
     );
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn commands_in_the_response_to_a_copy() {
+fn forbidden_commands_in_the_response_to_a_copy_are_a_violation() {
     let response = |verb: &str| {
         let commands = vec![Command {
             verb: verb.into(),
@@ -13,8 +13,8 @@
         }];
         to_cbor(&HeartbeatResponse { token: 9, commands })
     };
-    let mut world = running();
-    for (is_newest, verb, fine) in [
+    let mut world = world_with_running_job();
+    for (is_newer, verb, fine) in [
         (false, "launch", false),
         (false, "stop", false),
         (false, "reap", false),
@@ -22,9 +22,9 @@
         (true, "stop", true),
         (true, "reap", true),
     ] {
-        let requester = Requester::HeartbeatCopy { is_newest };
+        let requester = Requester::HeartbeatCopy { is_newer };
         let got = world.handle_response(requester, 0, 200, response(verb));
-        assert_eq!(got.is_ok(), fine, "{is_newest} {verb}: {got:?}");
+        assert_eq!(got.is_ok(), fine, "{is_newer} {verb}: {got:?}");
     }
 }
 
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn a_heartbeat_that_a_leader_has_not_had() {
-    let mut world = running();
+fn newest_heartbeat_under_a_token_is_recognised() {
+    let mut world = world_with_running_job();
     let leader = leader_of(&world);
     let (holder, _) = holder_and_other(&world, "req-1");
     let newest = machine(&mut world, &holder).heartbeat(4 * SECOND);
@@ -53,7 +53,7 @@
         to_cbor(&heartbeat)
     };
     let (incarnation, sequence, token) = (newest.incarnation, newest.sequence, newest.token);
-    let copied = Requester::HeartbeatCopy { is_newest: false };
+    let copied = Requester::HeartbeatCopy { is_newer: false };
     // In the world so far, the leader has received all heartbeats but the newest one under its current token.
     for (incarnation, sequence, first) in [
         (incarnation, sequence - 1, false),
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn a_direct_command_is_carried_out_late_and_answered_to_nobody() {
-    let mut world = running();
+fn lost_direct_command_is_carried_out_late_without_a_response() {
+    let mut world = world_with_running_job();
     let (holder, _) = holder_and_other(&world, "req-1");
     let first = world.machines[&holder].tasks[0].clone();
     let commands = vec![Command {
--- a/crates/testkit/src/world/tests/responses.rs
+++ b/crates/testkit/src/world/tests/responses.rs
@@ -33,43 +33,43 @@
 }
 
 #[test]
-fn an_end_that_has_not_come() {
+fn premature_end_is_a_violation() {
     for request in requests(8 * SECOND) {
         // The job is not done, and its user has not asked to cancel it.
-        let done = respond(&mut running(), request.clone(), 200, "done");
-        broken(done, "not_done");
-        let cancelled = respond(&mut running(), request, 200, "aborted");
-        broken(cancelled, "nobody asked");
+        let done = respond(&mut world_with_running_job(), request.clone(), 200, "done");
+        assert_violation(done, "not_done");
+        let cancelled = respond(&mut world_with_running_job(), request, 200, "aborted");
+        assert_violation(cancelled, "nobody asked");
     }
 }
 
 #[test]
-fn a_status_that_goes_back() {
+fn status_change_after_the_end_is_a_violation() {
     for request in requests(9 * SECOND) {
         // A job that was reported cancelled may not be reported anything else.
         for word in ["pending", "running", "done"] {
-            let mut world = running();
+            let mut world = world_with_running_job();
             let job = job_mut(&mut world);
             job.cancel_requested_at = Some(7 * SECOND);
             job.cancelled_at = Some(8 * SECOND);
             if word == "done" {
                 job.completed = (0..4).map(|index| format!("req-1/{index}")).collect();
             }
-            broken(respond(&mut world, request.clone(), 200, word), "went_back");
+            assert_violation(respond(&mut world, request.clone(), 200, word), "went_back");
         }
         // A job that was reported done may not be reported anything else.
         for word in ["pending", "running", "aborted"] {
-            let mut world = running();
+            let mut world = world_with_running_job();
             let job = job_mut(&mut world);
             (job.cancel_requested_at, job.done) = (Some(7 * SECOND), true);
-            broken(respond(&mut world, request.clone(), 200, word), "went_back");
+            assert_violation(respond(&mut world, request.clone(), 200, word), "went_back");
         }
     }
 }
 
 /// Tests that a known job may not be denied in response to a submission or to any other request.
 #[test]
-fn a_denial_that_goes_back() {
+fn denial_of_a_known_job_is_a_violation() {
     for kind in 0..KINDS {
         let request = |sent: Micros| requests(sent)[kind].clone();
         for denial in [404, 400, 422] {
@@ -80,15 +80,20 @@
             if !judged {
                 continue;
             }
-            let accepted = respond(&mut running(), request(9 * SECOND), denial, "");
-            broken(accepted, "forgotten");
-            let mut world = running();
+            let accepted = respond(
+                &mut world_with_running_job(),
+                request(9 * SECOND),
+                denial,
+                "",
+            );
+            assert_violation(accepted, "forgotten");
+            let mut world = world_with_running_job();
             let job = job_mut(&mut world);
             (job.accepted, job.known_since) = (false, None);
             let poll = requests(8 * SECOND)[0].clone();
             assert_eq!(respond(&mut world, poll, 200, "pending"), Ok(()));
             let told = world.now;
-            broken(respond(&mut world, request(told), denial, ""), "went_back");
+            assert_violation(respond(&mut world, request(told), denial, ""), "went_back");
             // A request that was sent before the job was known may also have been answered before.
             if !matches!(request(0), Requester::Expect(..) | Requester::Raw { .. }) {
                 let earlier = respond(&mut world, request(told - 1), denial, "");
@@ -99,12 +104,12 @@
 }
 
 #[test]
-fn a_daemon_that_is_done_and_a_job_that_nobody_submitted() {
+fn done_daemon_and_unknown_job_are_violations() {
     let mut world = world_after("at 2 submit req-1 tasks=1 shape=daemon run=500", 8);
     job_mut(&mut world).completed.insert("req-1/0".into());
     let poll = |job: &str| Requester::Poll(job.into(), 8 * SECOND);
-    broken(respond(&mut world, poll("req-1"), 200, "done"), "not_done");
-    broken(
+    assert_violation(respond(&mut world, poll("req-1"), 200, "done"), "not_done");
+    assert_violation(
         respond(&mut world, poll("req-7"), 200, "pending"),
         "invented",
     );
@@ -112,12 +117,12 @@
 }
 
 #[test]
-fn a_job_about_which_nobody_answers() {
-    let mut world = running();
+fn unanswered_polls_are_a_violation() {
+    let mut world = world_with_running_job();
     world.now = world.jobs["req-1"].last_answered_at + UNANSWERED_LIMIT;
     assert_eq!(world.poll_all_jobs(), Ok(()));
     world.now += 1;
-    broken(world.poll_all_jobs(), "forgotten");
+    assert_violation(world.poll_all_jobs(), "forgotten");
     // Jobs that are over are polled as well.
     let mut world = world_after("at 2 submit req-1 run=2\nat 2 submit req-2 run=2", 30);
     assert!(world.jobs["req-1"].done && world.jobs["req-2"].done);
@@ -132,7 +137,7 @@
 }
 
 #[test]
-fn users_poll_everywhere_once_after_each_thing_said() {
+fn users_poll_everywhere_once_after_each_event() {
     let mut world = world_after("at 1 looks for=100\nat 2 submit req-1 tasks=4 run=500", 4);
     world.queue.clear();
     // The job was already polled after it was accepted. Next its user is told that it is cancelled.
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -14,30 +14,32 @@
     }
 }
 
-fn lose(world: &mut World, controller: usize) -> bool {
+fn loses_transaction(world: &mut World, controller: usize) -> bool {
     world.lose_transaction(controller, world.now, &transaction())
 }
 
 #[test]
 fn every_third_transaction_is_lost() {
-    let mut world = running();
+    let mut world = world_with_running_job();
     let many = [("for", "20"), ("every", "3"), ("late", "8")];
     world
         .run_directive(&directive("late txns", &many))
         .expect("a fault");
     world.queue.clear();
-    let lost: Vec<bool> = (0..7).map(|turn| lose(&mut world, turn % 3)).collect();
+    let lost: Vec<bool> = (0..7)
+        .map(|turn| loses_transaction(&mut world, turn % 3))
+        .collect();
     assert_eq!(lost, [false, false, true, false, false, true, false]);
     let at: Vec<Micros> = world.queue.keys().map(|(at, _)| *at).collect();
     assert_eq!(at, [world.now + 8 * SECOND; 2]);
     world.now += 20 * SECOND;
-    assert!((0..6).all(|_| !lose(&mut world, 0)));
+    assert!((0..6).all(|_| !loses_transaction(&mut world, 0)));
 }
 
 /// The fault is for the next transaction of a given controller, or of the one that leads.
 #[test]
 fn the_next_transaction_is_lost() {
-    let mut world = running();
+    let mut world = world_with_running_job();
     let leader = leader_of(&world);
     let other = (leader + 1) % 3;
     world.queue.clear();
@@ -45,14 +47,14 @@
     world
         .run_directive(&directive("late txn", &at_once))
         .expect("a fault");
-    assert!(!lose(&mut world, other));
-    assert!(lose(&mut world, leader) && !lose(&mut world, leader));
+    assert!(!loses_transaction(&mut world, other));
+    assert!(loses_transaction(&mut world, leader) && !loses_transaction(&mut world, leader));
     assert!(world.queue.keys().all(|(at, _)| *at == world.now));
     let number = other.to_string();
     world
         .run_directive(&directive("late txn", &[("node", &number)]))
         .expect("a fault");
-    assert!(!lose(&mut world, leader) && lose(&mut world, other));
+    assert!(!loses_transaction(&mut world, leader) && loses_transaction(&mut world, other));
 }
 
 /// Returns the latency of a reply over this link.
@@ -67,7 +69,7 @@
 #[test]
 fn a_slow_store_and_slow_agent_links_answer_later() {
     let fast = Some(2 * MILLISECOND);
-    let mut world = running();
+    let mut world = world_with_running_job();
     assert_eq!(reply_latency(&mut world, Link::Store), fast);
     let slow = directive("slow state", &[("by", "0.8"), ("for", "5")]);
     world.run_directive(&slow).expect("a fault");
--- a/crates/testkit/src/world/tests/versions.rs
+++ b/crates/testkit/src/world/tests/versions.rs
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn a_controller_of_the_previous_version_loses_what_it_does_not_know() {
+fn previous_version_drops_unknown_fields() {
     for (previous, load) in [(None, 5), (Some(0), 0), (Some(1), 0), (Some(2), 5)] {
-        let mut world = running();
+        let mut world = world_with_running_job();
         world.configuration.previous_version.extend(previous);
         let caller = call_of_first(&world);
         assert_eq!(load_of_request(&mut world, caller), load, "{previous:?}");
