--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -33,7 +33,7 @@
 /// Faults that are active or armed, and counts of their effects.
 #[derive(Default)]
 pub(super) struct Faults {
-    /// Time at which the last fault of the script is over.
+    /// Time at which the last fault of the script is over; armed faults that occur later move it.
     pub(super) end: Micros,
     /// Faults of the next transaction, by controller; `None` stands for the controller that leads then.
     next_transaction_faults: BTreeMap<Option<usize>, TransactionFault>,
@@ -80,7 +80,7 @@
     pub(super) heartbeat_delays: BTreeMap<String, Micros>,
     /// Delays of the next response to a machine that carries a launch, by machine.
     pub(super) launch_response_delays: BTreeMap<String, Micros>,
-    /// Machines that lose the response to a heartbeat, once.
+    /// Machines that lose the response to their next heartbeat.
     pub(super) lost_heartbeat_responses: BTreeSet<String>,
 }
 
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -26,7 +26,7 @@
     body: Vec<u8>,
 }
 
-/// Machine, controller and fencing token under which heartbeats are accepted.
+/// The machine whose heartbeats a controller accepts under a fencing token, the controller and the token.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HeartbeatKey {
     machine: String,
