--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of controllers: to the key-value store, the cloud, agents and each other.
+//! Calls of controllers to the key-value store, the cloud, agents and each other.
 
 use super::events::{Caller, Event, Request, Requester};
 use super::network::{Link, CALL_LATENCY, CLOUD_LATENCY, PEER_LATENCY};
@@ -13,24 +13,24 @@
 use grebewood_wire::{from_cbor, from_peer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long a controller is down that crashes as it writes a page of assignments.
-const CRASH_ON_WRITE: Micros = 4_000 * MILLISECOND;
+/// Downtime of a controller that crashes as it writes a page of assignments.
+const CRASH_ON_WRITE_DOWNTIME: Micros = 4_000 * MILLISECOND;
 
-/// Who waits for what.
+/// Requests and calls that wait for responses.
 #[derive(Default)]
 pub(super) struct PendingCalls {
-    /// Requests that controllers have yet to answer, by controller and number.
+    /// Requesters of the requests that controllers have not answered yet, by controller and number of the request.
     pub(super) requests: BTreeMap<(usize, u64), Requester>,
-    /// The number of the last request.
+    /// Number of the last request.
     pub(super) next_request: u64,
-    /// Calls of controllers that have neither an answer nor timed out.
+    /// Calls of controllers that are neither answered nor timed out.
     pub(super) open: BTreeSet<Caller>,
     /// Watches of the key-value store, by ticket.
     pub(super) watches: BTreeMap<u64, Caller>,
 }
 
 impl World {
-    /// Sends a call on its way, and its timeout.
+    /// Sends a call, and schedules its timeout.
     pub(super) fn make_call(&mut self, controller: usize, process: u64, call: Call) {
         let caller = Caller {
             controller,
@@ -43,23 +43,23 @@
             outcome: Outcome::Unknown,
         };
         let timeout = Event::Input(controller, process, timed_out);
-        self.push(self.now + call.timeout, timeout);
+        self.schedule_event(self.now + call.timeout, timeout);
         self.send_call(caller, call);
     }
 
-    /// Sends a call on its way, if there is one.
+    /// Sends a call to its target, unless the link is cut.
     pub(super) fn send_call(&mut self, caller: Caller, call: Call) {
         match call.target.clone() {
             Target::Store => self.send_to_store(caller, call),
             Target::Cloud => {
                 if let Some(at) = self.arrival(caller.controller, Link::Cloud, CLOUD_LATENCY) {
                     let event = Event::CloudCall(caller, call.method, call.path, call.body);
-                    self.push(at, event);
+                    self.schedule_event(at, event);
                 }
             }
             Target::Agent(address) => {
                 if let Some(at) = self.arrival(caller.controller, Link::Agents, CALL_LATENCY) {
-                    self.push(at, Event::DirectCommand(caller, address, call.body));
+                    self.schedule_event(at, Event::DirectCommand(caller, address, call.body));
                 }
             }
             Target::Peer(place) => self.send_to_peer(caller, place, call),
@@ -77,18 +77,19 @@
         }
         let crashes = is_transaction && self.crashes_on_page_write(controller, &call.body);
         let event = Event::StoreCall(caller, call.method, call.path, call.body);
-        self.push(at, event);
+        self.schedule_event(at, event);
         if crashes {
-            // The write happens, and its writer dies before it learns of it.
-            let crash = Event::Crash(controller, CRASH_ON_WRITE);
-            self.push(at + MILLISECOND, crash);
+            // The write is applied, and the controller crashes before it receives the response.
+            let crash = Event::Crash(controller, CRASH_ON_WRITE_DOWNTIME);
+            self.schedule_event(at + MILLISECOND, crash);
         }
     }
 
-    /// Whether this is the write of a page of assignments on which the leader is to crash.
+    /// Returns whether the leader crashes on this write, because the fault is armed and the write contains a
+    /// page of assignments.
     fn crashes_on_page_write(&mut self, controller: usize, body: &[u8]) -> bool {
-        let awaited = self.faults.crash_on_page_write && self.leads(controller);
-        let crashes = awaited && String::from_utf8_lossy(body).contains("page/");
+        let is_armed = self.faults.crash_on_page_write && self.leads(controller);
+        let crashes = is_armed && String::from_utf8_lossy(body).contains("page/");
         if crashes {
             self.faults.crash_on_page_write = false;
         }
@@ -99,20 +100,21 @@
         let from = caller.controller;
         let mut others = (0..self.controllers.len()).filter(|other| *other != from);
         let Some(to) = others.nth(place) else { return };
-        // Orders go to members that hold a partition. One that has come back with the version
-        // before meanwhile refuses them, as it does every message that it does not know.
-        let orders = matches!(from_peer(&call.body), Ok(PeerRequest::Partition(_)));
+        // Orders go to members that hold a partition. Such a member may have restarted with the previous
+        // version in the meantime, which refuses them like every message that it does not know.
+        let is_orders = matches!(from_peer(&call.body), Ok(PeerRequest::Partition(_)));
         let previous_version = &self.configuration.previous_version;
-        if orders && previous_version.contains(&to) {
+        if is_orders && previous_version.contains(&to) {
             return self.reply(caller, Link::Peers, CALL_LATENCY, 400, Vec::new());
         }
-        let between_versions = previous_version.contains(&from) || previous_version.contains(&to);
-        if !orders {
+        let involves_previous_version =
+            previous_version.contains(&from) || previous_version.contains(&to);
+        if !is_orders {
             self.check_peer_request(&call.body);
         }
         let mut body = call.body;
-        if between_versions {
-            // The version before writes and reads what it knows, and nothing else.
+        if involves_previous_version {
+            // The previous version writes and reads only the fields that it knows.
             body = production::known_of_peer_request(&body).unwrap_or(body);
         }
         let leaves = self.arrival(from, Link::Peers, PEER_LATENCY);
@@ -126,11 +128,11 @@
                 body,
                 requester: Requester::Peer(caller),
             };
-            self.push(leaves.max(reaches), Event::Request(request));
+            self.schedule_event(leaves.max(reaches), Event::Request(request));
         }
     }
 
-    /// A message between controllers must be one that the version in production reads.
+    /// Checks that the version in production can read a message between controllers.
     fn check_peer_request(&mut self, body: &[u8]) {
         if let Err(reason) = production::check_peer_request(body) {
             self.note_violation(format!(
@@ -139,13 +141,13 @@
         }
     }
 
-    /// Keeps a breach of the protocol, which ends the scenario after this event; the first one counts.
+    /// Records a violation of the protocol, which ends the scenario after this event. Only the first one is kept.
     pub(super) fn note_violation(&mut self, detail: String) {
         let violation = ScenarioError::Protocol(detail);
         self.violation.get_or_insert(violation);
     }
 
-    /// Sends the response to a call back over this link.
+    /// Sends the response to a call over this link.
     pub(super) fn reply(
         &mut self,
         caller: Caller,
@@ -164,11 +166,11 @@
                 call: caller.call,
                 outcome: Outcome::Answer { status, body },
             };
-            self.push(at, Event::Input(caller.controller, caller.process, input));
+            self.schedule_event(at, Event::Input(caller.controller, caller.process, input));
         }
     }
 
-    /// A call reaches the key-value store.
+    /// Handles the arrival of a call at the key-value store.
     pub(super) fn handle_store_call(
         &mut self,
         caller: Caller,
@@ -189,8 +191,8 @@
         let ticket = self.next_number();
         let reply = self.store.request(self.now, ticket, method, path, body);
         let done = matches!(reply, Reply::Now(200, _));
-        if done && transaction.as_ref().is_some_and(puts_leader) {
-            self.on_leader_grant();
+        if done && transaction.as_ref().is_some_and(writes_leader_record) {
+            self.on_leader_elected();
         }
         if let Some(measures) = &mut self.measures {
             let operations = transaction.map_or(0, |transaction| transaction.apply.len() as u64);
@@ -198,7 +200,7 @@
         }
         match reply {
             Reply::Now(status, body) => {
-                self.count_late_transaction(caller, path, status);
+                self.count_unanswered_transaction(caller, path, status);
                 self.reply(caller, Link::Store, CALL_LATENCY, status, body);
             }
             Reply::Later => {
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Every record must be one that the version in production reads.
+    /// Checks that the version in production can read every record that a transaction writes.
     fn check_records(&mut self, transaction: &Transaction) {
         for operation in &transaction.apply {
             let Operation::Put { put, value, .. } = operation else {
@@ -221,14 +223,14 @@
         }
     }
 
-    /// Answers the watches of the key-value store that have something to tell, or time out.
+    /// Answers the watches of the key-value store that have events or time out.
     pub(super) fn answer_watches(&mut self) {
         self.store.expire(self.now);
         for (ticket, body) in self.store.ready(self.now) {
             let Some(caller) = self.calls.watches.remove(&ticket) else {
                 continue;
             };
-            // The open watches of a controller that is refused wait, as in an outage.
+            // The open watches of a controller that the store refuses wait, as in an outage.
             let until = self.network.refused_until(caller.controller);
             let wait = until.saturating_sub(self.now);
             self.reply(caller, Link::Store, wait + CALL_LATENCY, 200, body);
@@ -236,8 +238,8 @@
     }
 }
 
-/// Whether a transaction writes the leader's record.
-fn puts_leader(transaction: &Transaction) -> bool {
+/// Returns whether a transaction writes the `leader` record.
+fn writes_leader_record(transaction: &Transaction) -> bool {
     let mut operations = transaction.apply.iter();
     operations.any(|operation| matches!(operation, Operation::Put { put, .. } if put == "leader"))
 }
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: provisioning and terminating machines, and the machine list.
+//! The cloud: provisioning and termination of machines, and the machine list.
 
 use super::events::Caller;
 use super::network::{Link, CLOUD_LATENCY};
@@ -11,27 +11,27 @@
 use grebewood_wire::{from_cbor, to_cbor};
 use std::collections::BTreeMap;
 
-/// How long a machine boots if the script does not say.
+/// Boot time of machines if the script gives none.
 const DEFAULT_BOOT_TIME: Micros = 10 * SECOND;
-/// How much later a machine that was provisioned while the scenario runs is listed.
+/// Delay before a machine that was provisioned while the scenario runs is in the machine list.
 const LISTING_LAG: Micros = 3 * SECOND;
-/// How many controllers the agents of new machines first send their heartbeats to, in turn.
+/// Number of controllers to which the agents of new machines, in turn, send their first heartbeats.
 const FIRST_CONTROLLERS: usize = 3;
 
-/// What the cloud offers and has provisioned.
+/// Machine types and capacity of the cloud, and what it has provisioned.
 pub(super) struct Cloud {
     pub(super) machine_types: Vec<MachineType>,
-    /// The most machines by type and whether they are spot machines.
+    /// Largest number of machines, by type and by whether they are spot machines.
     pub(super) capacity: BTreeMap<(String, bool), u64>,
-    /// How long machines boot that are provisioned from now on.
+    /// Boot time of machines that are provisioned from now on.
     pub(super) boot_time: Micros,
-    /// Machines that are provisioned from now on never come up.
-    pub(super) boots_never: bool,
-    /// Every request is answered 503.
+    /// Whether machines that are provisioned from now on never come up.
+    pub(super) boots_fail: bool,
+    /// Whether every request is answered 503.
     pub(super) down: bool,
-    /// The machines of each request by its name, so that a repeated one provisions nothing.
+    /// Machines of each provision request, by its name, so that a repeated request provisions nothing.
     pub(super) provisions: BTreeMap<String, Vec<String>>,
-    /// The number of the next machine.
+    /// Number of the next machine.
     pub(super) next_machine: u64,
 }
 
@@ -41,7 +41,7 @@
             machine_types: Vec::new(),
             capacity: BTreeMap::new(),
             boot_time: DEFAULT_BOOT_TIME,
-            boots_never: false,
+            boots_fail: false,
             down: false,
             provisions: BTreeMap::new(),
             next_machine: 0,
@@ -50,7 +50,7 @@
 }
 
 impl Cloud {
-    /// A machine type by its name.
+    /// Returns a machine type by its name.
     pub(super) fn machine_type(&self, name: &str) -> Option<&MachineType> {
         let mut machine_types = self.machine_types.iter();
         machine_types.find(|machine_type| machine_type.name == name)
@@ -58,7 +58,7 @@
 }
 
 impl World {
-    /// A call reaches the cloud, which answers it.
+    /// Handles the arrival of a call at the cloud, and sends the response.
     pub(super) fn handle_cloud_call(
         &mut self,
         caller: Caller,
@@ -90,7 +90,7 @@
                 (200, to_cbor(&BTreeMap::<String, u64>::new()))
             }
             ("POST", "/rentals") => match from_cbor::<ProvisionRequest>(body) {
-                Ok(request) => self.provision_machines(request),
+                Ok(request) => self.handle_provision_request(request),
                 Err(_) => (400, error_body("malformed")),
             },
             _ => (404, Vec::new()),
@@ -98,7 +98,7 @@
     }
 
     fn machine_list(&self) -> MachineList {
-        // Machines that are there at the start are listed at once.
+        // Machines that are provisioned at the start are listed at once.
         let listed_at = |machine: &Machine| machine.requested + LISTING_LAG.min(machine.requested);
         let machines = self.present_machines();
         let machines = machines.filter(|machine| self.now >= listed_at(machine));
@@ -117,7 +117,7 @@
         }
     }
 
-    fn provision_machines(&mut self, request: ProvisionRequest) -> (u16, Vec<u8>) {
+    fn handle_provision_request(&mut self, request: ProvisionRequest) -> (u16, Vec<u8>) {
         if let Some(known) = self.cloud.provisions.get(&request.name) {
             let machines = known.clone();
             return (200, to_cbor(&MachineNames { machines }));
@@ -133,14 +133,19 @@
             return (503, error_body("no capacity"));
         }
         let machines: Vec<String> = (0..number)
-            .map(|_| self.provision(&request.machine_type, &request.zone, request.spot))
+            .map(|_| self.provision_machine(&request.machine_type, &request.zone, request.spot))
             .collect();
         self.cloud.provisions.insert(request.name, machines.clone());
         (200, to_cbor(&MachineNames { machines }))
     }
 
-    /// Provisions a machine, which boots from now on. The result is its name.
-    pub(super) fn provision(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
+    /// Provisions a machine, which starts to boot now. Returns its name.
+    pub(super) fn provision_machine(
+        &mut self,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+    ) -> String {
         let name = format!("n-{:06}", self.cloud.next_machine);
         self.cloud.next_machine += 1;
         let unknown = unknown_machine_type(machine_type);
@@ -149,7 +154,7 @@
         let machine = Machine {
             spot,
             requested: self.now,
-            boots_at: (!self.cloud.boots_never).then_some(boots_at),
+            boots_at: (!self.cloud.boots_fail).then_some(boots_at),
             controller: self.cloud.next_machine as usize % FIRST_CONTROLLERS,
             ..Machine::new(&name, kind, zone)
         };
@@ -162,7 +167,7 @@
     to_cbor(&BTreeMap::from([("error", text)]))
 }
 
-/// Stands for a type that is not in the catalogue: nothing fits onto its machines.
+/// Returns a machine type without resources, which stands for one that is not in the catalogue.
 fn unknown_machine_type(name: &str) -> MachineType {
     MachineType {
         name: name.into(),
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -16,33 +16,33 @@
             "cloud" => {
                 self.cloud.down = true;
                 let until = self.now + directive.duration("for", 10.0)?;
-                self.push(until, Event::CloudUp);
+                self.schedule_event(until, Event::CloudUp);
             }
             "boots" => match directive.word(1)?.parse() {
                 Ok(seconds) => {
-                    self.cloud.boots_never = false;
+                    self.cloud.boots_fail = false;
                     self.cloud.boot_time = from_seconds(seconds);
                 }
-                Err(_) => self.cloud.boots_never = true,
+                Err(_) => self.cloud.boots_fail = true,
             },
             "late" => {
                 let name = directive.word(2)?.to_string();
                 let delay = directive.duration("for", 10.0)?;
-                self.faults.late_heartbeat.insert(name, delay);
+                self.faults.heartbeat_copy_delays.insert(name, delay);
             }
             "slow" => {
                 let name = directive.word(2)?.to_string();
                 let delay = directive.duration("for", 1.5)?;
-                self.faults.slow_launch.insert(name, delay);
+                self.faults.launch_response_delays.insert(name, delay);
             }
             "overtake" => {
                 let name = directive.word(2)?.to_string();
                 let delay = directive.duration("for", 1.0)?;
-                self.faults.overtake_heartbeat.insert(name, delay);
+                self.faults.heartbeat_delays.insert(name, delay);
             }
             "lose" => {
                 let name = directive.word(2)?.to_string();
-                self.faults.lose_response.insert(name);
+                self.faults.lost_heartbeat_responses.insert(name);
             }
             "restart" => self.restart_agent(directive.word(1)?)?,
             "faulty" => self.machine_mut(directive.word(1)?)?.faulty = true,
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -1,4 +1,4 @@
-//! Teams' limits that differ between controllers, and the check that no team starts anything above a
+//! Team limits that differ between the settings of controllers, and the check that no team starts tasks above a
 //! limit that was lowered.
 
 use super::World;
@@ -10,37 +10,39 @@
 use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, LIMITS, QUOTA};
 use std::collections::BTreeMap;
 
-/// A launch that was on record before a limit was lowered may still reach its agent for so long.
+/// Time within which a launch that was recorded before a limit was lowered may still reach its agent.
 const LAUNCH_TRANSIT: Micros = 2 * SECOND;
-/// Sums of CPUs that differ by less are the same.
-pub(super) const SLACK: f64 = 1e-6;
-/// Quota grants are on record in millionths of a CPU.
+/// Amounts of a resource that differ by less count as equal.
+pub(super) const RESOURCE_TOLERANCE: f64 = 1e-6;
+/// Units of a recorded quota grant that make one CPU.
 const GRANT_UNITS_PER_CPU: f64 = 1e6;
-/// The bound of a check that sets none.
+/// Upper bound of a check whose directive gives none.
 const UNBOUNDED: f64 = 1e9;
 
-/// What is known of a team's limit on record.
+/// Recorded limit of a team, and the team's usage.
 #[derive(Clone, Copy)]
 struct RecordedLimit {
     cpus: f64,
-    /// When it was last lowered.
-    lowered: Micros,
-    /// What the team used at the last check, in CPUs.
+    /// Time at which a check last found that it was lowered; 0 if none did.
+    lowered_at: Micros,
+    /// CPUs that the team used at the last check.
     used: f64,
 }
 
-/// Limits that differ, and what is on record.
+/// Changes of team limits in the settings of controllers, and the recorded limits.
 #[derive(Default)]
 pub(super) struct LimitChanges {
-    /// What a controller's settings say from its next start on; `None`: the team is not in them.
-    of_controller: BTreeMap<(usize, String), Option<Team>>,
-    on_record: BTreeMap<String, RecordedLimit>,
+    /// Teams in a controller's settings from its next start on, by controller and team; `None` if the settings
+    /// do not have the team.
+    by_controller: BTreeMap<(usize, String), Option<Team>>,
+    /// Recorded limits at the last check, by team.
+    recorded: BTreeMap<String, RecordedLimit>,
 }
 
 impl LimitChanges {
-    /// Changes the teams in the settings of a controller that starts.
+    /// Applies the changes to the teams in the settings of a controller that starts.
     pub(super) fn apply(&self, controller: usize, teams: &mut BTreeMap<String, Team>) {
-        let changes = self.of_controller.iter();
+        let changes = self.by_controller.iter();
         for ((_, name), team) in changes.filter(|((of, _), _)| *of == controller) {
             match team {
                 Some(team) => teams.insert(name.clone(), *team),
@@ -61,13 +63,13 @@
 }
 
 impl World {
-    /// Carries out a directive about limits, if it is one.
+    /// Runs a directive about team limits. Returns whether the directive is one.
     pub(super) fn run_limits_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "settings" => self.change_settings(directive)?,
             "in_force" => {
                 let wanted = directive.number_at(2)?;
-                let limits = self.limits_on_record();
+                let limits = self.recorded_limits();
                 let got = limits.get(directive.word(1)?).copied();
                 if got != Some(wanted) {
                     let detail = format!("the limit on record is {got:?}");
@@ -75,9 +77,9 @@
                 }
             }
             "uses" => {
-                let used = self.used();
+                let used = self.usage_by_team();
                 let used = used.get(directive.word(1)?).map_or(0.0, |used| used.cpus);
-                check_bounds(directive, SLACK, used, "CPUs are used")?;
+                check_bounds(directive, RESOURCE_TOLERANCE, used, "CPUs are used")?;
             }
             "started" => {
                 let starts = self
@@ -91,7 +93,7 @@
         Ok(true)
     }
 
-    /// Changes what the settings of controllers say of a team from their next start on.
+    /// Changes a team in the settings of controllers from their next start on.
     fn change_settings(&mut self, directive: &Directive) -> Result<(), ScriptError> {
         let controllers = self.controllers_named(directive.word(1)?)?;
         let name = directive.word(2)?.to_string();
@@ -108,20 +110,20 @@
         let team = (!directive.flag("gone", false)).then_some(team);
         let changes = controllers.into_iter();
         let changes = changes.map(|controller| ((controller, name.clone()), team));
-        self.limit_changes.of_controller.extend(changes);
+        self.limit_changes.by_controller.extend(changes);
         Ok(())
     }
 
-    /// The limits on record by team, in CPUs.
-    fn limits_on_record(&self) -> BTreeMap<String, f64> {
+    /// Returns the recorded limits by team, in CPUs.
+    fn recorded_limits(&self) -> BTreeMap<String, f64> {
         let mut records = self.store.under(LIMITS);
         let record = records.find_map(|(_, value, _)| from_value::<LimitsRecord>(value).ok());
         let teams = record.unwrap_or_default().teams.into_iter();
         teams.map(|team| (team.team, team.cpus_max)).collect()
     }
 
-    /// The quota grants on record by team, in CPUs.
-    fn grants_on_record(&self) -> BTreeMap<String, f64> {
+    /// Returns the sums of the recorded quota grants by team, in CPUs.
+    fn recorded_grants(&self) -> BTreeMap<String, f64> {
         let mut granted: BTreeMap<String, f64> = BTreeMap::new();
         for (_, value, _) in self.store.under(QUOTA) {
             let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
@@ -133,8 +135,8 @@
         granted
     }
 
-    /// Whether a job of the team waits for tasks.
-    fn waits_for_tasks(&self, team: &str) -> bool {
+    /// Returns whether a job of the team has fewer starts than tasks, and is accepted and not done.
+    fn has_waiting_job(&self, team: &str) -> bool {
         self.jobs.values().any(|job| {
             let running = job.starts.min(job.spec.tasks);
             let waits = job.accepted && !job.done && running < job.spec.tasks;
@@ -142,16 +144,16 @@
         })
     }
 
-    /// Measures what part of each limit is granted and not used while jobs of the team wait for tasks.
+    /// Measures the share of each team's limit that is granted and unused while jobs of the team wait for tasks.
     pub(super) fn measure_idle_grants(&mut self) {
         if self.measures.is_none() {
             return;
         }
-        let granted = self.grants_on_record();
-        let used = self.used();
+        let granted = self.recorded_grants();
+        let used = self.usage_by_team();
         let mut idle = Vec::new();
         for (team, limit) in &self.configuration.settings.teams {
-            if self.waits_for_tasks(team) {
+            if self.has_waiting_job(team) {
                 let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
                 let granted = granted.get(team).copied().unwrap_or(0.0);
                 let share = (granted - used).max(0.0) / limit.cpus_max;
@@ -164,36 +166,36 @@
         }
     }
 
-    /// No task of a team may come onto a machine above its limit on record, once what was under way when
-    /// it was lowered has arrived.
+    /// Checks that no team starts tasks above its recorded limit, once the launches that were in transit when
+    /// the limit was lowered have arrived.
     pub(super) fn check_recorded_limits(&mut self) -> StepResult {
         let now = self.now;
-        let limits = self.limits_on_record();
-        let used = self.used();
+        let limits = self.recorded_limits();
+        let used = self.usage_by_team();
         let mut next = BTreeMap::new();
         for (team, cpus) in limits {
-            let known = self.limit_changes.on_record.get(&team).copied();
-            let lowered = match known {
+            let known = self.limit_changes.recorded.get(&team).copied();
+            let lowered_at = match known {
                 Some(known) if cpus < known.cpus => now,
-                Some(known) => known.lowered,
+                Some(known) => known.lowered_at,
                 None => 0,
             };
             let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
-            let more = known.is_some_and(|known| used > known.used + SLACK);
-            let settled = lowered > 0 && now > lowered + LAUNCH_TRANSIT;
-            if more && settled && used > cpus + SLACK {
+            let has_grown = known.is_some_and(|known| used > known.used + RESOURCE_TOLERANCE);
+            let settled = lowered_at > 0 && now > lowered_at + LAUNCH_TRANSIT;
+            if has_grown && settled && used > cpus + RESOURCE_TOLERANCE {
                 return Err(ScenarioError::Protocol(format!(
-                    "{team} uses {used}, more than the {cpus} in force"
+                    "{team} uses {used} CPUs, more than its recorded limit of {cpus}"
                 )));
             }
             let limit = RecordedLimit {
                 cpus,
-                lowered,
+                lowered_at,
                 used,
             };
             next.insert(team, limit);
         }
-        self.limit_changes.on_record = next;
+        self.limit_changes.recorded = next;
         Ok(())
     }
 }
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Copies of heartbeats and lost direct commands.
+//! Tests of copies of heartbeats and of lost direct commands.
 
 use super::*;
 
 #[test]
-fn commands_in_the_response_to_a_copy() {
+fn forbidden_commands_in_the_response_to_a_copy_are_a_violation() {
     let response = |verb: &str| {
         let commands = vec![Command {
             verb: verb.into(),
@@ -13,8 +13,8 @@
         }];
         to_cbor(&HeartbeatResponse { token: 9, commands })
     };
-    let mut world = running();
-    for (first, verb, fine) in [
+    let mut world = world_with_running_job();
+    for (is_newer, verb, fine) in [
         (false, "launch", false),
         (false, "stop", false),
         (false, "reap", false),
@@ -22,13 +22,13 @@
         (true, "stop", true),
         (true, "reap", true),
     ] {
-        let requester = Requester::HeartbeatCopy { first };
+        let requester = Requester::HeartbeatCopy { is_newer };
         let got = world.handle_response(requester, 0, 200, response(verb));
-        assert_eq!(got.is_ok(), fine, "{first} {verb}: {got:?}");
+        assert_eq!(got.is_ok(), fine, "{is_newer} {verb}: {got:?}");
     }
 }
 
-/// How many copies met a leader of a newer token, by the directive that checks it.
+/// Returns how many copies met a leader of a newer token, as the directive `copied` counts them.
 fn copies_at_newer_leader(world: &mut World) -> usize {
     let holds = |least: &usize| {
         let check = directive(&format!("copied {least}"), &[]);
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn a_heartbeat_that_a_leader_has_not_had() {
-    let mut world = running();
+fn newest_heartbeat_under_a_token_is_recognised() {
+    let mut world = world_with_running_job();
     let leader = leader_of(&world);
     let (holder, _) = holder_and_other(&world, "req-1");
     let newest = machine(&mut world, &holder).heartbeat(4 * SECOND);
@@ -53,8 +53,8 @@
         to_cbor(&heartbeat)
     };
     let (incarnation, sequence, token) = (newest.incarnation, newest.sequence, newest.token);
-    let copied = Requester::HeartbeatCopy { first: false };
-    // The world played on so far: all but the newest one came under this grant.
+    let copied = Requester::HeartbeatCopy { is_newer: false };
+    // In the world so far, the leader has received all heartbeats but the newest one under its current token.
     for (incarnation, sequence, first) in [
         (incarnation, sequence - 1, false),
         (incarnation, sequence, true),
@@ -66,11 +66,11 @@
         let noted = world.note_heartbeat(leader, &body, &copied);
         assert_eq!(noted, first, "{incarnation} {sequence}");
     }
-    // Nobody else leads.
+    // No other controller leads.
     let other = (leader + 1) % 3;
     let body = copy(incarnation, sequence, token);
     assert!(!world.note_heartbeat(other, &body, &copied));
-    // Copies of older tokens are counted; heartbeats themselves are not.
+    // Copies with older tokens are counted; heartbeats themselves are not.
     assert_eq!(copies_at_newer_leader(&mut world), 0);
     let older = copy(incarnation, sequence, token - 1);
     world.note_heartbeat(leader, &older, &copied);
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn a_direct_command_is_carried_out_late_and_answered_to_nobody() {
-    let mut world = running();
+fn lost_direct_command_is_carried_out_late_without_a_response() {
+    let mut world = world_with_running_job();
     let (holder, _) = holder_and_other(&world, "req-1");
     let first = world.machines[&holder].tasks[0].clone();
     let commands = vec![Command {
@@ -121,7 +121,7 @@
         .handle_direct_command(nobody, &address, &body)
         .expect("no fault");
     assert!(!is_live(&world));
-    // What answers it reaches no process.
+    // The response to the command reaches no process.
     let reaches = |event: &Event| matches!(event, Event::Input(_, process, _) if *process != 0);
     assert!(!world.queue.values().any(reaches));
 }
