--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -299,7 +299,8 @@
     pub token: u64,
     /// The highest fencing token of a partition claim that it read from the store or holds.
     #[serde(default)]
-    pub grant: u64,
+    #[serde(rename = "grant")]
+    pub highest_claim_token: u64,
     /// Cancellations that it has acknowledged to users; `None` from a version that does not remember them.
     #[serde(default)]
     pub confirmed: Option<ConfirmedCancellations>,
