--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -182,7 +182,7 @@
         LeaderRecord {
             member: self.context.settings.member.clone(),
             incarnation: self.election.incarnation,
-            partitions: self.context.supports_partitions(),
+            supports_partitions: self.context.supports_partitions(),
             grants_quota: self.context.supports_quota_grants(),
         }
     }
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -118,7 +118,7 @@
                 .is_none_or(|age| age >= CONTACT_LOST_AFTER),
             remembers_from: None,
             highest_token: answer.highest_claim_token,
-            supports_partitions: answer.partitions,
+            supports_partitions: answer.supports_partitions,
             supports_quota_grants: answer.supports_quota_grants,
         };
         // Only the answer to this very question lists what the peer has confirmed. An earlier version
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -111,7 +111,7 @@
     let answer = |member: &str, question: u64| Outcome::Answer {
         status: 200,
         body: wire::to_peer(&PeerResponse {
-            partitions: false,
+            supports_partitions: false,
             supports_quota_grants: false,
             limits: None,
             report: None,
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -53,7 +53,7 @@
             token: self.context.token,
             highest_claim_token: self.election.highest_token(),
             confirmed,
-            partitions: self.context.supports_partitions(),
+            supports_partitions: self.context.supports_partitions(),
             supports_quota_grants: self.context.supports_quota_grants(),
             limits,
             report,
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -87,13 +87,13 @@
     pub(crate) fn leader_supports_partitions(&self) -> bool {
         self.leader
             .as_ref()
-            .is_none_or(|leader| leader.record.partitions)
+            .is_none_or(|leader| leader.record.supports_partitions)
     }
 
     /// Returns the fencing token of the leader, if a leader is known and supports partitions.
     pub(crate) fn partition_term(&self) -> Option<u64> {
         let leader = self.leader.as_ref()?;
-        leader.record.partitions.then_some(leader.token)
+        leader.record.supports_partitions.then_some(leader.token)
     }
 
     /// Returns the incarnation of this process, which distinguishes it from an earlier process of the same member.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -306,7 +306,8 @@
     pub confirmed: Option<ConfirmedCancellations>,
     /// Whether the controller supports partitions.
     #[serde(default)]
-    pub partitions: bool,
+    #[serde(rename = "partitions")]
+    pub supports_partitions: bool,
     /// Whether the controller places tasks out of quota grants.
     #[serde(default, skip_serializing_if = "crate::is_false")]
     #[serde(rename = "allotments")]
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -155,7 +155,8 @@
     pub incarnation: u64,
     /// Whether the leader supports partitions. Under one that does not, nobody may hold a partition.
     #[serde(default, skip_serializing_if = "crate::is_false")]
-    pub partitions: bool,
+    #[serde(rename = "partitions")]
+    pub supports_partitions: bool,
     /// Whether the leader grants quota. Under one that does not, no partition holder writes assignments.
     #[serde(default, skip_serializing_if = "crate::is_false")]
     #[serde(rename = "allotments")]
--- a/crates/wire/tests/names.rs
+++ b/crates/wire/tests/names.rs
@@ -185,7 +185,7 @@
     let record = |partitions| LeaderRecord {
         member: "perch-0".into(),
         incarnation: 1,
-        partitions,
+        supports_partitions: partitions,
         grants_quota: false,
     };
     assert_eq!(keys(&record(false)), "member incarnation");
