--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -90,7 +90,7 @@
 /// Whether two states say the same. The time left to a spot reclamation is no change: it passes by itself.
 fn is_same_state(a: &MachineState, b: &MachineState) -> bool {
     a.incarnation == b.incarnation
-        && a.counts == b.counts
+        && a.counts_as_capacity == b.counts_as_capacity
         && a.receives_responses == b.receives_responses
         && a.cordoned == b.cordoned
         && a.reclaim_us.is_some() == b.reclaim_us.is_some()
@@ -119,7 +119,7 @@
         zone: machine.zone.clone(),
         spot: machine.spot,
         incarnation: machine.incarnation,
-        counts: machine.counts_as_capacity(now, heartbeat_timeout),
+        counts_as_capacity: machine.counts_as_capacity(now, heartbeat_timeout),
         receives_responses: machine.receives_responses,
         cordoned: machine.cordoned,
         reclaim_us: machine.reclaim_at.map(|at| at.saturating_sub(now)),
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -147,7 +147,7 @@
         machine.receives_responses = state.receives_responses;
         // Whether the agent receives responses is for its holder to tell.
         machine.unreachable_since = None;
-        machine.counted_by_holder = state.counts;
+        machine.counted_by_holder = state.counts_as_capacity;
         machine.cordoned |= state.cordoned;
         machine.reclaim_at = state.reclaim_us.map(|left| now + left);
         if !machine.assignments.is_empty() {
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -264,7 +264,8 @@
     #[serde(rename = "session")]
     pub incarnation: u64,
     /// Whether the machine counts towards the capacity of the fleet.
-    pub counts: bool,
+    #[serde(rename = "counts")]
+    pub counts_as_capacity: bool,
     /// Whether responses reach its agent, so that tasks can be launched there.
     #[serde(rename = "hears")]
     pub receives_responses: bool,
