--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -121,7 +121,7 @@
             }
             quota.last_arrival += 1;
             quota.queue.insert(QueuedTask {
-                awaits_resources: delegated.waits,
+                awaits_resources: delegated.awaits_resources,
                 level: work.level,
                 arrival: quota.last_arrival,
                 job: work.job.clone(),
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -68,7 +68,7 @@
     let task = |task: &u64| DelegatedTask {
         task: *task,
         machine: MACHINE.into(),
-        waits: false,
+        awaits_resources: false,
     };
     let work = DelegatedWork {
         job: "req-1".into(),
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -91,7 +91,7 @@
             of_job.tasks.push(DelegatedTask {
                 task: task.task,
                 machine: delegation.machine.clone(),
-                waits: delegation.awaits_resources,
+                awaits_resources: delegation.awaits_resources,
             });
             sent.push(task);
         }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -114,7 +114,7 @@
     pub machine: String,
     /// Whether the task waits for resources that another task will free on that machine.
     #[serde(rename = "w", default, skip_serializing_if = "crate::is_false")]
-    pub waits: bool,
+    pub awaits_resources: bool,
 }
 
 /// An attempt of a task. The tasks of a gang share the number of an attempt.
