--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -69,7 +69,7 @@
                 from: self.context.settings.member.clone(),
                 question,
                 known_us: known_until.map(|at| now.saturating_sub(at) + QUESTION_OVERLAP),
-                limits: self.leader.is_some() && self.context.supports_quota_grants(),
+                wants_limits: self.leader.is_some() && self.context.supports_quota_grants(),
             });
             self.context.call(
                 Target::Peer(peer),
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -35,7 +35,7 @@
                 from,
                 question,
                 known_us,
-                limits: limits_wanted,
+                wants_limits: limits_wanted,
             } => {
                 debug!(member = from.as_str(); "peer asks for contact");
                 let now = self.context.now.steady;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -19,8 +19,8 @@
         #[serde(default)]
         known_us: Option<u64>,
         /// Whether the sender wants to know the team limits in the other controller's settings.
-        #[serde(default, skip_serializing_if = "crate::is_false")]
-        limits: bool,
+        #[serde(rename = "limits", default, skip_serializing_if = "crate::is_false")]
+        wants_limits: bool,
     },
     /// The leader's view of live jobs, for display: `(job, completed tasks, running tasks)`. The records in
     /// the store take precedence.
