--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -89,7 +89,7 @@
         let quota = &mut self.holder_quota;
         quota.grant.set_granted(&orders.grant);
         quota.term = Some(term);
-        quota.limits_revision = Some(orders.limits);
+        quota.limits_revision = Some(orders.limits_revision);
         quota
             .placed
             .retain(|placement| placement.number > orders.seen);
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -89,7 +89,7 @@
         claim: CLAIM,
         quota: Some(Box::new(QuotaOrders {
             number: sequence,
-            limits: LIMITS_REVISION,
+            limits_revision: LIMITS_REVISION,
             grant: vec![amount],
             work: vec![work],
             ..QuotaOrders::default()
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -44,7 +44,7 @@
         };
         Some(QuotaOrders {
             number: self.leader_quota.grants.number(id),
-            limits,
+            limits_revision: limits,
             grant,
             work,
             revoked: self.leader_quota.delegations.revocations_to_send(id),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -75,7 +75,8 @@
     pub number: u64,
     /// The revision of the team limits under which it was granted: once later ones are in the store, nothing
     /// may be started out of it.
-    pub limits: u64,
+    #[serde(rename = "limits")]
+    pub limits_revision: u64,
     /// What may be used now, at most what is in the store. Teams that are not listed may use nothing.
     #[serde(rename = "allotment")]
     pub grant: Vec<TeamAmount>,
