--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -88,7 +88,7 @@
         partition: 1,
         claim: CLAIM,
         quota: Some(Box::new(QuotaOrders {
-            number: sequence,
+            grant_version: sequence,
             limits_revision: LIMITS_REVISION,
             grant: vec![amount],
             work: vec![work],
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -72,7 +72,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaOrders {
     /// The number of the quota grant that is in the store.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub grant_version: u64,
     /// The revision of the team limits under which it was granted: once later ones are in the store, nothing
     /// may be started out of it.
     #[serde(rename = "limits")]
