--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -31,7 +31,12 @@
         }
         self.holder_state.last_orders = number;
         if !self.jobs_are_read() {
-            return Some(self.partition_report(context, orders.seen, orders.term, Vec::new()));
+            return Some(self.partition_report(
+                context,
+                orders.last_known_version,
+                orders.term,
+                Vec::new(),
+            ));
         }
         if let Some(tasks) = &orders.sync {
             self.reconcile(context, orders.term, tasks);
@@ -57,7 +62,7 @@
             self.stop_assignments(context, &stop.machine, stop.grace_us, is_ordered);
         }
         self.held_changed = true;
-        Some(self.partition_report(context, orders.seen, orders.term, accepted))
+        Some(self.partition_report(context, orders.last_known_version, orders.term, accepted))
     }
 
     /// Reconciles the tasks known here with those that may be on the machines as far as the leader knows. A
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -92,7 +92,7 @@
         quota.limits_revision = Some(orders.limits_revision);
         quota
             .placed
-            .retain(|placement| placement.number > orders.seen);
+            .retain(|placement| placement.number > orders.last_known_version);
         quota
             .queue
             .retain(|queued| !orders.revoked.contains(&queued.job));
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -263,7 +263,7 @@
             claim,
             acknowledged: self.attempts_to_acknowledge(id),
             terminated,
-            seen,
+            last_known_version: seen,
             ..PartitionOrders::default()
         };
         if reconciled {
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -49,7 +49,7 @@
             work,
             revoked: self.leader_quota.delegations.revocations_to_send(id),
             reserved: self.reserved_machines(id),
-            seen: self.remote_partitions.last_known_placement(id),
+            last_known_version: self.remote_partitions.last_known_placement(id),
         })
     }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -62,7 +62,8 @@
     #[serde(rename = "released")]
     pub terminated: Vec<String>,
     /// The version up to which the leader knows the states of the machines.
-    pub seen: u64,
+    #[serde(rename = "seen")]
+    pub last_known_version: u64,
     /// What the holder may place itself. `None` from a leader that grants no quota.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<Box<QuotaOrders>>,
@@ -89,7 +90,8 @@
     /// Machines on which nothing new is to be placed.
     pub reserved: Vec<String>,
     /// The number up to which the leader knows what the holder has placed.
-    pub seen: u64,
+    #[serde(rename = "seen")]
+    pub last_known_version: u64,
 }
 
 /// Tasks of a job that the leader delegates to a partition holder to place.
