--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -41,7 +41,7 @@
                 .into_iter()
                 .map(|reported| reported.state.clone())
                 .collect(),
-            gone: self
+            terminated: self
                 .fleet
                 .terminated_within(context.now.steady, TERMINATED_REPORT_TIME),
             version,
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -82,7 +82,7 @@
         id: PartitionId,
         report: &PartitionReport,
     ) {
-        for machine in &report.gone {
+        for machine in &report.terminated {
             if self.machines.contains_key(machine) {
                 self.terminated(context, machine);
             }
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -167,7 +167,7 @@
         part(!report.accepted.is_empty(), "accepted");
         part(!report.outcomes.is_empty(), "outcomes");
         part(!report.machines.is_empty(), "machines");
-        part(!report.gone.is_empty(), "gone");
+        part(!report.terminated.is_empty(), "gone");
         if let Some(quota) = &report.quota {
             part(true, "quota");
             part(!quota.waiting.is_empty(), "waiting");
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -183,7 +183,8 @@
     /// States of machines that have changed since the version that the leader knows.
     pub machines: Vec<MachineState>,
     /// Machines whose termination was confirmed recently.
-    pub gone: Vec<String>,
+    #[serde(rename = "gone")]
+    pub terminated: Vec<String>,
     /// The version of the last of these states.
     pub version: u64,
     /// Heartbeats answered since the claim.
