--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -114,7 +114,7 @@
         jobs.truncate(MAX_LISTED);
         ConfirmedCancellations {
             question,
-            remembers_us: self
+            complete_for_us: self
                 .remembers_from
                 .filter(|_| complete)
                 .map(|at| now.saturating_sub(at)),
--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -55,7 +55,7 @@
     peer.confirm("req-1", 8 * SECOND, 99);
     let answer = peer.list_confirmed(4, None, 10 * SECOND);
     assert_eq!(answer.question, 4);
-    assert_eq!(answer.remembers_us, Some(8 * SECOND));
+    assert_eq!(answer.complete_for_us, Some(8 * SECOND));
     assert_eq!(answer.jobs, vec![("req-1".to_string(), 5 * SECOND)]);
     assert!(peer
         .list_confirmed(4, Some(4 * SECOND), 10 * SECOND)
@@ -71,10 +71,13 @@
     for n in 1..=MAX_LISTED {
         peer.confirm(&format!("req-{n}"), SECOND, 5);
     }
-    assert_eq!(peer.list_confirmed(1, None, 2 * SECOND).remembers_us, None);
+    assert_eq!(
+        peer.list_confirmed(1, None, 2 * SECOND).complete_for_us,
+        None
+    );
     assert_eq!(
         peer.list_confirmed(1, Some(SECOND / 2), 2 * SECOND)
-            .remembers_us,
+            .complete_for_us,
         Some(2 * SECOND)
     );
 }
@@ -86,6 +89,6 @@
         peer.learn(&format!("req-{n:05}"), 100 + n as u64);
     }
     assert!(peer.get("req-first").is_none());
-    let from = peer.list_confirmed(1, Some(0), 10 * SECOND).remembers_us;
+    let from = peer.list_confirmed(1, Some(0), 10 * SECOND).complete_for_us;
     assert_eq!(from, Some(7 * SECOND - 1));
 }
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -146,7 +146,7 @@
             self.context.cancellations.learn(&job, cancelled_us);
             self.apply_cancellation(&job);
         }
-        let span = confirmed.remembers_us?;
+        let span = confirmed.complete_for_us?;
         // It began to remember no later than this, by this controller's clock.
         let remembers_from = now.steady.saturating_sub(span - span / CLOCK_DRIFT_DIVISOR);
         self.context
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -121,7 +121,7 @@
             highest_claim_token: 7,
             confirmed: Some(grebewood_wire::peer::ConfirmedCancellations {
                 question,
-                remembers_us: Some(15 * SECOND),
+                complete_for_us: Some(15 * SECOND),
                 jobs: vec![("req-1".into(), SECOND)],
             }),
         }),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -333,7 +333,8 @@
     pub question: u64,
     /// For how long the controller has remembered all acknowledgements, in microseconds; `None`: the list is
     /// incomplete.
-    pub remembers_us: Option<u64>,
+    #[serde(rename = "remembers_us")]
+    pub complete_for_us: Option<u64>,
     /// Jobs, and the time since a user was first told, in microseconds.
     pub jobs: Vec<(String, u64)>,
 }
