--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -47,7 +47,7 @@
             return leader.on_heartbeat(&mut self.context, id, heartbeat);
         }
         // Another member acts under a higher token, and it is not known here which one.
-        self.context.answer(id, 421, &Redirect { leader: None });
+        self.context.answer(id, 421, &Redirect { controller: None });
     }
 
     /// Sends an agent to the leader, unless none is known or the record names this member although this
@@ -56,7 +56,8 @@
         let own_name = self.context.settings.member.as_str();
         let leader = self.election.leader().filter(|name| *name != own_name);
         let leader = leader.map(str::to_string);
-        self.context.answer(id, 421, &Redirect { leader });
+        self.context
+            .answer(id, 421, &Redirect { controller: leader });
     }
 
     /// The partition of the heartbeat's machine. The leader goes by what it read under its lease, other
@@ -86,7 +87,7 @@
         if heartbeat.token <= holder.token {
             return holder.on_heartbeat(&mut self.context, id, heartbeat);
         }
-        self.context.answer(id, 421, &Redirect { leader: None });
+        self.context.answer(id, 421, &Redirect { controller: None });
     }
 
     /// Sends an agent to the member that its partition is assigned to.
@@ -96,6 +97,7 @@
             return self.context.refuse(id, 503, reason);
         };
         let leader = Some(holder);
-        self.context.answer(id, 421, &Redirect { leader });
+        self.context
+            .answer(id, 421, &Redirect { controller: leader });
     }
 }
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -258,7 +258,8 @@
         let next_holder = self.other_holder_of(id);
         for request in holder.waiting_heartbeats() {
             let leader = next_holder.clone();
-            self.context.answer(request, 421, &Redirect { leader });
+            self.context
+                .answer(request, 421, &Redirect { controller: leader });
         }
         self.context.end_lease(holder.lease());
         if *reason == LeaveReason::CutOffFromAgents {
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -50,7 +50,7 @@
         }
         if self.fleet.is_terminated(&heartbeat.machine) {
             // The machine was deleted: a late copy of a heartbeat.
-            return context.answer(request, 421, &Redirect { leader: None });
+            return context.answer(request, 421, &Redirect { controller: None });
         }
         let held = HeldHeartbeat {
             request,
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -310,7 +310,7 @@
             Ok(response) if response.status == 200 => self.carry_out(now, &response.body),
             Ok(response) if response.status == 421 => {
                 let redirect = from_cbor::<Redirect>(&response.body).ok();
-                let leader = redirect.and_then(|redirect| redirect.leader);
+                let leader = redirect.and_then(|redirect| redirect.controller);
                 let leader = leader.and_then(|leader| self.fronts.get(&leader).copied());
                 match leader.filter(|leader| *leader != front) {
                     Some(leader) => {
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -52,7 +52,7 @@
             200 => self.follow_response(name, sent, body),
             421 => {
                 let redirect = from_cbor::<Redirect>(body).ok();
-                let leader = redirect.and_then(|redirect| redirect.leader);
+                let leader = redirect.and_then(|redirect| redirect.controller);
                 self.redirect_agent(name, controller, leader);
                 Ok(())
             }
--- a/crates/wire/src/http/agents.rs
+++ b/crates/wire/src/http/agents.rs
@@ -111,5 +111,5 @@
 pub struct Redirect {
     /// Name of the controller that commands the machine, if it is known.
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
-    pub leader: Option<String>,
+    pub controller: Option<String>,
 }
--- a/crates/wire/tests/names.rs
+++ b/crates/wire/tests/names.rs
@@ -137,8 +137,8 @@
     };
     assert_eq!(keys(&answer), "warrant orders");
     let leader = Some("perch-2".to_string());
-    assert_eq!(keys(&Redirect { leader }), "steward");
-    assert_eq!(keys(&Redirect { leader: None }), "");
+    assert_eq!(keys(&Redirect { controller: leader }), "steward");
+    assert_eq!(keys(&Redirect { controller: None }), "");
     let provision = ProvisionRequest {
         name: "h-1-1".into(),
         machine_type: "g8".into(),
