--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -144,7 +144,7 @@
         for entry in &list.entries {
             self.note_cancellation(&entry.key, &entry.value);
         }
-        let last = list.entries.last().filter(|_| list.more);
+        let last = list.entries.last().filter(|_| list.has_more);
         let view = &mut self.job_view;
         view.last_key = last.map(|entry| entry.key.clone());
         if view.last_key.is_none() {
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -90,7 +90,7 @@
         for entry in &list.entries {
             put_in_map(map, &entry.key, &entry.value, entry.mod_revision);
         }
-        match list.entries.last().filter(|_| list.more) {
+        match list.entries.last().filter(|_| list.has_more) {
             Some(last) => {
                 let last_key = last.key.clone();
                 reader.listing = Some(MapListing { revision, last_key });
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -53,7 +53,7 @@
         };
         let last = page.machines.last().map(|machine| machine.id.clone());
         self.fleet.listed_so_far.extend(page.machines);
-        if page.more && last.is_some() {
+        if page.has_more && last.is_some() {
             self.fleet.list_continues_after = last;
             self.fleet.next_list_read = now;
         } else {
--- a/crates/core/src/scheduler/store_reads.rs
+++ b/crates/core/src/scheduler/store_reads.rs
@@ -72,7 +72,7 @@
         let last_key = page.entries.last().map(|entry| entry.key.clone());
         let entries = self.entries.entry(prefix.to_string());
         entries.or_default().extend(page.entries);
-        if page.more && last_key.is_some() {
+        if page.has_more && last_key.is_some() {
             self.unfinished.insert(prefix.to_string(), last_key);
             self.retry(prefix, now);
         } else {
@@ -199,7 +199,7 @@
             WatchState::Relist { revision, .. } => revision.unwrap_or(page.revision),
             WatchState::Changes => page.revision,
         };
-        let last_entry = page.entries.last().filter(|_| page.more);
+        let last_entry = page.entries.last().filter(|_| page.has_more);
         match last_entry {
             Some(entry) => {
                 self.state = WatchState::Relist {
--- a/crates/core/src/scheduler/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -15,7 +15,7 @@
     };
     KeyValueList {
         entries: vec![entry],
-        more,
+        has_more: more,
         revision,
     }
 }
--- a/crates/grebewood/src/store.rs
+++ b/crates/grebewood/src/store.rs
@@ -73,7 +73,7 @@
         let last_key = page.entries.last().map(|entry| entry.key.clone());
         entries.extend(page.entries);
         match last_key {
-            Some(key) if page.more => continuation = format!("&since={key}"),
+            Some(key) if page.has_more => continuation = format!("&since={key}"),
             _ => return Ok(entries),
         }
     }
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -233,7 +233,7 @@
         });
         MachineList {
             machines: listed.collect(),
-            more: false,
+            has_more: false,
         }
     }
 
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -113,7 +113,7 @@
         });
         MachineList {
             machines: machines.collect(),
-            more: false,
+            has_more: false,
         }
     }
 
--- a/crates/wire/src/http/cloud.rs
+++ b/crates/wire/src/http/cloud.rs
@@ -79,8 +79,8 @@
     #[serde(rename = "perches")]
     pub machines: Vec<ListedMachine>,
     /// Whether there are further pages.
-    #[serde(default)]
-    pub more: bool,
+    #[serde(rename = "more", default)]
+    pub has_more: bool,
 }
 
 /// One machine in the cloud's list.
--- a/crates/wire/src/http/store.rs
+++ b/crates/wire/src/http/store.rs
@@ -24,8 +24,8 @@
     /// Keys and values, in ascending order of the keys.
     pub entries: Vec<KeyValue<Value>>,
     /// Whether there are further pages.
-    #[serde(default)]
-    pub more: bool,
+    #[serde(rename = "more", default)]
+    pub has_more: bool,
     /// Revision of the store at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
