--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -7,7 +7,7 @@
 use crate::state::write_buffer::RecordId;
 use crate::Micros;
 use grebewood_partition::PartitionId;
-use grebewood_wire::records::{partition_of_page, MachineAssignments, PageRecord};
+use grebewood_wire::records::{partition_of_page, AssignmentPageRecord, MachineAssignments};
 use std::collections::BTreeMap;
 
 impl Scheduler {
@@ -92,11 +92,11 @@
     }
 
     /// The current content of a page.
-    pub(crate) fn page_record(&self, number: u64) -> PageRecord {
+    pub(crate) fn page_record(&self, number: u64) -> AssignmentPageRecord {
         let page = self.pages.by_number.get(&number);
         let names = page.into_iter().flat_map(|page| page.machines.keys());
         let machines = names.filter_map(|name| self.machines.get(name));
-        PageRecord {
+        AssignmentPageRecord {
             machines: machines
                 .flat_map(|machine| assignments_by_incarnation(machine, number))
                 .collect(),
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -10,7 +10,7 @@
 use grebewood_partition::PartitionId;
 use grebewood_wire::http::{from_value, KeyValue, Submission};
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
-use grebewood_wire::records::{job_key, MachineAssignments, PageRecord};
+use grebewood_wire::records::{job_key, AssignmentPageRecord, MachineAssignments};
 use grebewood_wire::Value;
 use log::error;
 
@@ -50,7 +50,8 @@
 
     fn load_assignment_page(&mut self, context: &mut Context, entry: &KeyValue<Value>) {
         let number = page_number(&entry.key);
-        let (Some(number), Ok(record)) = (number, from_value::<PageRecord>(&entry.value)) else {
+        let (Some(number), Ok(record)) = (number, from_value::<AssignmentPageRecord>(&entry.value))
+        else {
             return self.on_unreadable_page(context, &entry.key, number);
         };
         let written_by = self.written_by_holder(context, number);
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -5,7 +5,8 @@
 use grebewood_quota::{Limits, Resources};
 use grebewood_wire::http::{from_value, KeyValue};
 use grebewood_wire::records::{
-    partition_of_page, JobKey, JobRecord, LimitsRecord, PageRecord, JOB, LIMITS, PAGE, QUOTA,
+    partition_of_page, AssignmentPageRecord, JobKey, JobRecord, LimitsRecord, JOB, LIMITS, PAGE,
+    QUOTA,
 };
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
@@ -71,7 +72,7 @@
     jobs: &BTreeMap<String, TaskUsage>,
     entry: &KeyValue<Value>,
 ) {
-    let Ok(page) = from_value::<PageRecord>(&entry.value) else {
+    let Ok(page) = from_value::<AssignmentPageRecord>(&entry.value) else {
         records.unreadable_pages.push(entry.key.clone());
         return;
     };
--- a/crates/testkit/src/production/tests.rs
+++ b/crates/testkit/src/production/tests.rs
@@ -45,7 +45,7 @@
         "job" => from_value::<JobRecord>(value).map(drop),
         "past" => from_value::<FinishedJobRecord>(value).map(drop),
         "done" => from_value::<CompletedTasksPageRecord>(value).map(drop),
-        "page" => from_value::<PageRecord>(value).map(drop),
+        "page" => from_value::<AssignmentPageRecord>(value).map(drop),
         "hire" => from_value::<ProvisionRecord>(value).map(drop),
         "stats" => from_value::<StatsRecord>(value).map(drop),
         "leader" => from_value::<LeaderRecord>(value).map(drop),
--- a/crates/testkit/tests/stored_formats.rs
+++ b/crates/testkit/tests/stored_formats.rs
@@ -5,9 +5,9 @@
 use grebewood_wire::http::{from_value, to_value, Catalogue};
 use grebewood_wire::peer::{PeerRequest, PeerResponse};
 use grebewood_wire::records::{
-    CancelRecord, CompletedTasksPageRecord, FinishedJobRecord, JobKey, JobRecord, LeaderRecord,
-    LimitsRecord, PageRecord, PartitionClaim, PartitionKey, PartitionRecord, ProvisionRecord,
-    QuotaGrantRecord, StatsRecord,
+    AssignmentPageRecord, CancelRecord, CompletedTasksPageRecord, FinishedJobRecord, JobKey,
+    JobRecord, LeaderRecord, LimitsRecord, PartitionClaim, PartitionKey, PartitionRecord,
+    ProvisionRecord, QuotaGrantRecord, StatsRecord,
 };
 use grebewood_wire::{from_cbor, from_peer, to_cbor, to_peer, Value};
 use serde::de::DeserializeOwned;
@@ -64,7 +64,7 @@
         "catalogue" => rewritten::<Catalogue>(&value),
         "past" => rewritten::<FinishedJobRecord>(&value),
         "done" => rewritten::<CompletedTasksPageRecord>(&value),
-        "page" => rewritten::<PageRecord>(&value),
+        "page" => rewritten::<AssignmentPageRecord>(&value),
         "hire" => rewritten::<ProvisionRecord>(&value),
         "quota" if key == "quota/limits" => rewritten::<LimitsRecord>(&value),
         "quota" => rewritten::<QuotaGrantRecord>(&value),
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -7,7 +7,7 @@
 //! | `job/<id>/cancel` | the controller that accepts the cancellation, once | [`CancelRecord`] |
 //! | `past/<id>` | the leader, once | [`FinishedJobRecord`] of a job that is over; kept forever |
 //! | `done/<n>` | the leader | [`CompletedTasksPageRecord`]: completed tasks of many jobs |
-//! | `page/<block>/<n>` | the block's holder | [`PageRecord`]: assignments |
+//! | `page/<block>/<n>` | the block's holder | [`AssignmentPageRecord`]: assignments |
 //! | `hire/<name>` | the leader | [`ProvisionRecord`]: machines to provision, before they are requested |
 //! | `stats` | the leader | [`StatsRecord`]: averages of run and boot times |
 //! | `catalogue` | the leader | the machine types last seen |
@@ -299,7 +299,7 @@
 
 /// Assignments, grouped by machine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PageRecord {
+pub struct AssignmentPageRecord {
     /// Machines with their assignments.
     pub machines: Vec<MachineAssignments>,
 }
