--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -6,7 +6,7 @@
 use crate::state::jobs::{check_fields, check_possible, check_size, SubmissionRejection};
 use grebewood_wire as wire;
 use grebewood_wire::http::{MachineType, Submission};
-use grebewood_wire::validate::valid_id;
+use grebewood_wire::validate::is_valid_job_id;
 use thiserror::Error;
 
 /// A submission as far as it can be read.
@@ -87,7 +87,7 @@
     let entries = value.as_map().ok_or(UnreadableSubmission::NotAMap)?;
     let uid = entries.iter().find(|(key, _)| key.as_text() == Some("uid"));
     let uid = uid.and_then(|(_, uid)| uid.as_text()).unwrap_or_default();
-    if !valid_id(uid) {
+    if !is_valid_job_id(uid) {
         return Err(UnreadableSubmission::InvalidId);
     }
     Ok(ReadSubmission {
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -16,7 +16,7 @@
 use grebewood_wire::records::{
     cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED,
 };
-use grebewood_wire::validate::valid_id;
+use grebewood_wire::validate::is_valid_job_id;
 use log::{debug, warn};
 
 /// A request that was sent to the store, or to wait for the view, more often than this is refused.
@@ -34,7 +34,7 @@
     }
 
     fn look_up_job(&mut self, id: u64, job: &str, action: UserAction) {
-        if !valid_id(job) {
+        if !is_valid_job_id(job) {
             return self.context.refuse(id, 404, "no such job");
         }
         let request = UserRequest::new(id, job, action, self.context.now.steady);
--- a/crates/wire/src/validate.rs
+++ b/crates/wire/src/validate.rs
@@ -25,7 +25,7 @@
 }
 
 /// Whether `id` has the form of a job id: `req-` and digits.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("req-").is_some_and(|digits| {
         (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
@@ -55,7 +55,11 @@
 impl Submission {
     /// Checks each field by itself; the error is the first invalid one.
     pub fn validate(&self) -> Result<(), InvalidField> {
-        check(valid_id(&self.id), "uid", "not of the form req-000000")?;
+        check(
+            is_valid_job_id(&self.id),
+            "uid",
+            "not of the form req-000000",
+        )?;
         check_name("workclass", &self.class)?;
         check_name("owner", &self.team)?;
         check_name("bundle", &self.image)?;
