--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -21,7 +21,7 @@
 pub use value::{json_size, same_value};
 
 /// Largest request body, and largest response to agents and users, in bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const BODY_LIMIT_BYTES: usize = 64 * 1024;
 
 /// For `#[serde(skip_serializing_if)]` on a flag that earlier versions do not know.
 fn is_false(flag: &bool) -> bool {
