--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -278,7 +278,7 @@
         let placements = quota.placements_in_answer();
         let last = quota.placements_in_answer().last();
         Some(QuotaReport {
-            held: quota.grant.held(),
+            usage_bound: quota.grant.usage_bound(),
             waiting: self.waiting_ranges(),
             placed: placements.map(|placement| placement.task.clone()).collect(),
             version: last.map_or(quota.last_placement, |placement| placement.number),
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -194,7 +194,7 @@
     assert_eq!(holder.assignments().count(), 2);
     // What is revoked is held as long as tasks use it.
     let report = carry_out(&mut controller, &mut holder, orders(3, 0, &[]));
-    let held = &report.quota.as_ref().expect("a report").held;
+    let held = &report.quota.as_ref().expect("a report").usage_bound;
     assert_eq!(held[0].cpus, 2_000_000);
 }
 
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -147,7 +147,9 @@
     /// Applies what a holder will use at most.
     pub(crate) fn on_held(&mut self, context: &Context, id: PartitionId, quota: &QuotaReport) {
         let now = context.now.steady;
-        self.leader_quota.grants.on_held(id, &quota.held, now);
+        self.leader_quota
+            .grants
+            .on_usage_bound(id, &quota.usage_bound, now);
         let delay = if self.leader_quota.teams_short_of_room.is_empty() {
             SHRINK_DELAY
         } else {
--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -179,7 +179,7 @@
 
     /// The partition's holder has answered the last message that told it what it may use: it will use no
     /// more than `held`.
-    pub fn on_held(&mut self, partition: PartitionId, held: &[TeamAmount], now: Micros) {
+    pub fn on_usage_bound(&mut self, partition: PartitionId, held: &[TeamAmount], now: Micros) {
         let held = from_list(held);
         let Some(grant) = self.partitions.get(&partition) else {
             return;
--- a/crates/quota/src/holder_grant.rs
+++ b/crates/quota/src/holder_grant.rs
@@ -44,7 +44,7 @@
     }
 
     /// What is used at most until more is granted: what the leader may count on.
-    pub fn held(&self) -> Vec<TeamAmount> {
+    pub fn usage_bound(&self) -> Vec<TeamAmount> {
         let mut held = self.granted.clone();
         for (team, used) in &self.used {
             let bound = held.entry(team.clone()).or_default();
--- a/crates/quota/tests/holder_grant.rs
+++ b/crates/quota/tests/holder_grant.rs
@@ -20,11 +20,11 @@
     holder.take("t", task);
     holder.take("t", task);
     holder.set_granted(&grant(1));
-    assert_eq!(holder.held(), grant(4));
+    assert_eq!(holder.usage_bound(), grant(4));
     assert!(!holder.may_use("t", task));
     holder.give_back("t", task);
     holder.give_back("t", task);
-    assert_eq!(holder.held(), grant(1));
+    assert_eq!(holder.usage_bound(), grant(1));
 }
 
 #[test]
--- a/crates/quota/tests/model/holder.rs
+++ b/crates/quota/tests/model/holder.rs
@@ -51,7 +51,7 @@
             claim: self.claim,
             term: orders.term,
             sequence: orders.sequence,
-            held: self.grant.held(),
+            held: self.grant.usage_bound(),
             placed: self.placed,
             ended: self.ended,
         })
--- a/crates/quota/tests/model/leader.rs
+++ b/crates/quota/tests/model/leader.rs
@@ -182,7 +182,7 @@
             self.grants.remove_placed(id, TEAM, TASK, now);
         }
         (view.placed, view.ended) = (answer.placed, answer.ended);
-        self.grants.on_held(id, &answer.held, now);
+        self.grants.on_usage_bound(id, &answer.held, now);
     }
 
     /// Writes the limit in force. The leader does it itself, so it starts nothing beyond it meanwhile.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -199,7 +199,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaReport {
     /// What the holder will use at most until it is granted more.
-    pub held: Vec<TeamAmount>,
+    #[serde(rename = "held")]
+    pub usage_bound: Vec<TeamAmount>,
     /// Delegated tasks that are not placed yet. All other tasks delegated to the holder are placed, or the
     /// holder will not place them.
     pub waiting: Vec<TaskRanges>,
