--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -102,7 +102,7 @@
     pub(crate) fn count_assignment(&mut self, assignment: &Assignment) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
-            (true, true) => self.holder_quota.grant.take(team, amount),
+            (true, true) => self.holder_quota.grant.reserve(team, amount),
             // It is charged to the holder's quota grant when the leader learns of it.
             (true, false) => {}
             (false, _) => {
@@ -121,7 +121,7 @@
     ) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
-            (true, true) => self.holder_quota.grant.give_back(team, amount),
+            (true, true) => self.holder_quota.grant.release(team, amount),
             (true, false) => {
                 let machine = self.machines.get(machine);
                 if let Some(partition) = machine.and_then(|machine| machine.partition) {
--- a/crates/quota/src/holder_grant.rs
+++ b/crates/quota/src/holder_grant.rs
@@ -31,13 +31,13 @@
     }
 
     /// A task of the team may be on a machine from now on.
-    pub fn take(&mut self, team: &str, amount: Resources) {
+    pub fn reserve(&mut self, team: &str, amount: Resources) {
         let used = self.used.entry(team.to_string()).or_default();
         *used = used.saturating_add(amount);
     }
 
     /// A task of the team is proven gone, or was never on record.
-    pub fn give_back(&mut self, team: &str, amount: Resources) {
+    pub fn release(&mut self, team: &str, amount: Resources) {
         if let Some(used) = self.used.get_mut(team) {
             *used = used.saturating_sub(amount);
         }
--- a/crates/quota/tests/holder_grant.rs
+++ b/crates/quota/tests/holder_grant.rs
@@ -17,13 +17,13 @@
     let task = Resources::of(2.0, 0.0);
     let mut holder = HolderGrant::default();
     holder.set_granted(&grant(6));
-    holder.take("t", task);
-    holder.take("t", task);
+    holder.reserve("t", task);
+    holder.reserve("t", task);
     holder.set_granted(&grant(1));
     assert_eq!(holder.usage_bound(), grant(4));
     assert!(!holder.may_use("t", task));
-    holder.give_back("t", task);
-    holder.give_back("t", task);
+    holder.release("t", task);
+    holder.release("t", task);
     assert_eq!(holder.usage_bound(), grant(1));
 }
 
--- a/crates/quota/tests/model/holder.rs
+++ b/crates/quota/tests/model/holder.rs
@@ -22,7 +22,7 @@
     pub fn new(claim: u64, tasks_on_pages: u64) -> Holder {
         let mut grant = HolderGrant::default();
         for _ in 0..tasks_on_pages {
-            grant.take(TEAM, TASK);
+            grant.reserve(TEAM, TASK);
         }
         Holder {
             claim,
@@ -62,7 +62,7 @@
         if self.term == 0 || !self.grant.may_use(TEAM, TASK) {
             return None;
         }
-        self.grant.take(TEAM, TASK);
+        self.grant.reserve(TEAM, TASK);
         Some(PageWrite {
             partition,
             claim: self.claim,
@@ -76,7 +76,7 @@
         let running = self.placed > self.ended;
         if running {
             self.ended += 1;
-            self.grant.give_back(TEAM, TASK);
+            self.grant.release(TEAM, TASK);
         }
         running
     }
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -262,7 +262,7 @@
         if !self.store.apply_page(write) {
             // It is not on record, and is dropped.
             if holder.claim == write.claim {
-                holder.grant.give_back(TEAM, TASK);
+                holder.grant.release(TEAM, TASK);
             }
             return Ok(());
         }
