--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -72,7 +72,7 @@
         let delegations = &self.leader_quota.delegations;
         let promised = delegations.awaiting_resources(partition, team);
         let grants = &mut self.leader_quota.grants;
-        let queued = grants.queue(partition, team, amount, promised, room);
+        let queued = grants.add_queued(partition, team, amount, promised, room);
         if queued.is_ok() {
             self.write_quota_grant(context, partition, 0);
         } else {
@@ -202,7 +202,7 @@
             self.leader_quota.holder_slow_until.insert(partition, until);
         }
         let grants = &mut self.leader_quota.grants;
-        grants.unqueue(partition, &delegation.team, delegation.amount, now);
+        grants.remove_queued(partition, &delegation.team, delegation.amount, now);
     }
 
     /// Revokes a job's tasks from all holders, as far as they are not placed.
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -216,9 +216,9 @@
         let (team, amount) = (&assignment.team, assignment.amount());
         let grants = &mut self.leader_quota.grants;
         if delegation.is_some_and(|delegation| !delegation.awaits_resources) {
-            grants.unqueue(id, team, amount, context.now.steady);
+            grants.remove_queued(id, team, amount, context.now.steady);
         }
-        grants.place(id, team, amount);
+        grants.add_placed(id, team, amount);
         self.add_assignment(&placed.machine, assignment);
     }
 
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -166,7 +166,7 @@
             self.page_mut(page.number).add(machine, assignment);
         } else if let Some(partition) = page.written_by {
             let grants = &mut self.leader_quota.grants;
-            grants.place(partition, &assignment.team, assignment.amount());
+            grants.add_placed(partition, &assignment.team, assignment.amount());
         }
     }
 }
--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// The grant would have to grow by more than `room`.
-    pub fn queue(
+    pub fn add_queued(
         &mut self,
         partition: PartitionId,
         team: &str,
@@ -124,7 +124,13 @@
     }
 
     /// A task that was queued is not queued any more: it is placed, or will not be.
-    pub fn unqueue(&mut self, partition: PartitionId, team: &str, amount: Resources, now: Micros) {
+    pub fn remove_queued(
+        &mut self,
+        partition: PartitionId,
+        team: &str,
+        amount: Resources,
+        now: Micros,
+    ) {
         if let Some(grant) = self.partitions.get_mut(&partition) {
             let grant = grant.team_mut(team);
             grant.queued = grant.queued.saturating_sub(amount);
@@ -133,7 +139,7 @@
     }
 
     /// The partition's holder has placed a task of the team.
-    pub fn place(&mut self, partition: PartitionId, team: &str, amount: Resources) {
+    pub fn add_placed(&mut self, partition: PartitionId, team: &str, amount: Resources) {
         self.update(partition, [team], |grant| {
             let grant = grant.team_mut(team);
             grant.placed = grant.placed.saturating_add(amount);
--- a/crates/quota/tests/model/leader.rs
+++ b/crates/quota/tests/model/leader.rs
@@ -41,7 +41,7 @@
         for (partition, view) in partitions.iter_mut().enumerate() {
             grants.load(partition as u64, &store.grants[partition].record);
             for _ in 0..store.pages[partition] {
-                grants.place(partition as u64, TEAM, TASK);
+                grants.add_placed(partition as u64, TEAM, TASK);
             }
             view.claim = store.claims[partition];
             view.placed = store.pages[partition];
@@ -84,7 +84,9 @@
         }
         let room = self.room(store);
         let id = partition as u64;
-        let queued = self.grants.queue(id, TEAM, TASK, Resources::ZERO, room);
+        let queued = self
+            .grants
+            .add_queued(id, TEAM, TASK, Resources::ZERO, room);
         self.short_of_room = queued.is_err();
         if queued.is_ok() {
             self.partitions[partition].queued += 1;
@@ -168,15 +170,15 @@
                 self.grants.remove_placed(id, TEAM, TASK, now);
             }
             for _ in 0..std::mem::take(&mut view.queued) {
-                self.grants.unqueue(id, TEAM, TASK, now);
+                self.grants.remove_queued(id, TEAM, TASK, now);
             }
         }
         for _ in view.placed..answer.placed {
             if view.queued > 0 {
                 view.queued -= 1;
-                self.grants.unqueue(id, TEAM, TASK, now);
+                self.grants.remove_queued(id, TEAM, TASK, now);
             }
-            self.grants.place(id, TEAM, TASK);
+            self.grants.add_placed(id, TEAM, TASK);
         }
         for _ in view.ended..answer.ended {
             self.grants.remove_placed(id, TEAM, TASK, now);
