--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -118,7 +118,7 @@
             }
             RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
             RecordId::QuotaGrant(partition) => {
-                self.leader_quota.grants.written(*partition);
+                self.leader_quota.grants.on_record_written(*partition);
                 self.write_quota_grant(context, *partition, 0);
             }
             RecordId::Limits => self.placement.request_round(now),
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -62,7 +62,7 @@
             return None;
         }
         let claim = self.remote_partitions.claim_token(partition).unwrap_or(0);
-        let content = self.leader_quota.grants.render(partition, claim);
+        let content = self.leader_quota.grants.build_record(partition, claim);
         Some(self.put_unchanged(quota_grant_key(partition), &content))
     }
 
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -146,7 +146,7 @@
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.limit_of(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
-        let used = own.saturating_add(self.leader_quota.grants.total(team));
+        let used = own.saturating_add(self.leader_quota.grants.total_charged(team));
         !used.fits(limit)
     }
 
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -43,7 +43,7 @@
             Vec::new()
         };
         Some(QuotaOrders {
-            grant_version: self.leader_quota.grants.number(id),
+            grant_version: self.leader_quota.grants.record_version(id),
             limits_revision: limits,
             grant,
             work,
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -74,7 +74,7 @@
     /// What of a team's limit is neither used nor granted to holders.
     pub(crate) fn room_under_limit(&self, context: &Context, team: &str) -> Resources {
         let limit = self.limit_of(context, team).unwrap_or_default();
-        let granted = self.leader_quota.grants.total(team);
+        let granted = self.leader_quota.grants.total_charged(team);
         limit
             .limit
             .saturating_sub(self.used_by(team))
--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -70,7 +70,7 @@
     }
 
     /// What is charged against a team's limit, over all partitions.
-    pub fn total(&self, team: &str) -> Resources {
+    pub fn total_charged(&self, team: &str) -> Resources {
         amount_of(&self.totals, team)
     }
 
@@ -206,14 +206,14 @@
     }
 
     /// The record as it is to be written now.
-    pub fn render(&mut self, partition: PartitionId, claim: u64) -> QuotaGrantRecord {
+    pub fn build_record(&mut self, partition: PartitionId, claim: u64) -> QuotaGrantRecord {
         let teams = self.team_names(partition);
         let teams = teams.iter().map(String::as_str);
         self.update(partition, teams, |grant| grant.render(claim))
     }
 
     /// The record that was last rendered is on record, and no earlier one can come on record any more.
-    pub fn written(&mut self, partition: PartitionId) {
+    pub fn on_record_written(&mut self, partition: PartitionId) {
         if !self.partitions.contains_key(&partition) {
             return;
         }
@@ -228,7 +228,7 @@
     }
 
     /// The number of the grant that is on record or about to be.
-    pub fn number(&self, partition: PartitionId) -> u64 {
+    pub fn record_version(&self, partition: PartitionId) -> u64 {
         let grant = self.partitions.get(&partition);
         grant.map_or(0, |grant| grant.number)
     }
--- a/crates/quota/tests/model/leader.rs
+++ b/crates/quota/tests/model/leader.rs
@@ -66,7 +66,7 @@
     /// What is charged against the team's limit.
     fn charged(&self, store: &Store) -> Resources {
         let by_leader = TASK.times(store.leader_tasks);
-        by_leader.saturating_add(self.grants.total(TEAM))
+        by_leader.saturating_add(self.grants.total_charged(TEAM))
     }
 
     pub fn room(&self, store: &Store) -> Resources {
@@ -102,7 +102,7 @@
         self.writing = Some(partition);
         Some(GrantWrite {
             partition,
-            record: self.grants.render(id, store.claims[partition]),
+            record: self.grants.build_record(id, store.claims[partition]),
             leader: self.token,
             mod_revision: store.grants[partition].mod_revision,
             limits_revision: store.limit.mod_revision,
@@ -119,8 +119,8 @@
             return;
         };
         let id = partition as u64;
-        if store.grants[partition].record.number == self.grants.number(id) {
-            self.grants.written(id);
+        if store.grants[partition].record.number == self.grants.record_version(id) {
+            self.grants.on_record_written(id);
         }
     }
 
