--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -28,7 +28,7 @@
     let held = partitions
         .iter()
         .filter(|(_, partition)| partition.claim.is_some());
-    records.held = held.map(|(id, _)| id).collect();
+    records.held_partitions = held.map(|(id, _)| id).collect();
     for entry in store::list(store, QUOTA)? {
         add_quota_record(&mut records, &entry);
     }
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -30,7 +30,7 @@
     /// The quota grants by partition; `None`: the record cannot be read.
     pub grants: BTreeMap<PartitionId, Option<QuotaGrantRecord>>,
     /// Partitions that are held.
-    pub held: BTreeSet<PartitionId>,
+    pub held_partitions: BTreeSet<PartitionId>,
     /// All tasks that may be on machines.
     pub tasks: Vec<RecordedTask>,
     /// Keys of pages of assignments that cannot be read: what is on them is not known.
@@ -116,7 +116,7 @@
         if matches!(self.grants.get(&partition), Some(None)) {
             return Some(format!("{} cannot be read", quota_grant_key(partition)));
         }
-        let held = self.held.contains(&partition);
+        let held = self.held_partitions.contains(&partition);
         (!held).then(|| format!("partition {partition} has no holder"))
     }
 
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -34,7 +34,7 @@
         leader: Some("m-0".into()),
         limits: Some(Limits::new([("t".to_string(), quota)])),
         grants: BTreeMap::from([(1, Some(grant(6))), (2, Some(grant(4)))]),
-        held: BTreeSet::from([1, 2]),
+        held_partitions: BTreeSet::from([1, 2]),
         tasks: vec![task(None), task(Some(1)), task(Some(1)), task(Some(2))],
         ..Records::default()
     }
@@ -50,7 +50,7 @@
 #[test]
 fn grants_of_partitions_without_a_holder_are_in_doubt() {
     let mut records = records();
-    records.held.remove(&2);
+    records.held_partitions.remove(&2);
     let row = &Overview::of(&records).teams[0];
     assert_eq!(row.in_doubt.cpus, 4.0);
     assert_eq!(row.reasons, ["partition 2 has no holder"]);
