--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -379,6 +379,6 @@
         partitions_per_zone: context.tuning.partitions_per_zone as u16,
         move_interval: context.tuning.partition_move_interval_us,
         hysteresis: context.tuning.partition_hysteresis,
-        paused: context.tuning.partition_moves_paused != 0,
+        moves_paused: context.tuning.partition_moves_paused != 0,
     }
 }
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -31,7 +31,7 @@
     /// By which fraction of the mean load a member must lie above it before it gives a partition away.
     pub hysteresis: f64,
     /// No partition is moved for the sake of balance.
-    pub paused: bool,
+    pub moves_paused: bool,
 }
 
 /// A partition's record that is to be written.
@@ -199,7 +199,7 @@
         });
         let mut partitions = input.map.iter();
         let all_held = partitions.all(|(_, partition)| partition.phase() == Phase::Held);
-        !settings.paused && input.stable && interval_passed && all_held
+        !settings.moves_paused && input.stable && interval_passed && all_held
     }
 }
 
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -38,7 +38,7 @@
                 partitions_per_zone: 6,
                 move_interval: 30 * SECOND,
                 hysteresis: 0.25,
-                paused: false,
+                moves_paused: false,
             },
             stable: true,
             may_create: true,
@@ -201,7 +201,10 @@
         (0..100).map(|_| cluster.round().len()).sum::<usize>()
     };
     assert!(moves_when_unbalanced(&|_| {}) > 0);
-    assert_eq!(moves_when_unbalanced(&|c| c.settings.paused = true), 0);
+    assert_eq!(
+        moves_when_unbalanced(&|c| c.settings.moves_paused = true),
+        0
+    );
     assert_eq!(moves_when_unbalanced(&|c| c.stable = false), 0);
     assert_eq!(moves_when_unbalanced(&|c| c.loads.clear()), 0);
 }
