--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -143,7 +143,9 @@
             wall_time: context.now.wall,
         };
         let settings = planner_settings(context);
-        self.remote_partitions.planner.round(&settings, &input)
+        self.remote_partitions
+            .planner
+            .plan_assignments(&settings, &input)
     }
 
     fn partition_loads(&self) -> BTreeMap<PartitionId, Load> {
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -90,7 +90,11 @@
 
 impl Planner {
     /// The records that are to be written now.
-    pub fn round(&mut self, settings: &PlannerSettings, input: &PlannerInput) -> Vec<Assignment> {
+    pub fn plan_assignments(
+        &mut self,
+        settings: &PlannerSettings,
+        input: &PlannerInput,
+    ) -> Vec<Assignment> {
         if input.members.is_empty() {
             return Vec::new();
         }
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -63,7 +63,7 @@
             now: self.now,
             wall_time: self.now,
         };
-        let assignments = self.planner.round(&self.settings, &input);
+        let assignments = self.planner.plan_assignments(&self.settings, &input);
         for Assignment { id, record } in &assignments {
             self.mod_revision += 1;
             let value = to_value(record);
