--- a/crates/partition/src/hash_slots.rs
+++ b/crates/partition/src/hash_slots.rs
@@ -3,7 +3,7 @@
 //! on, and one small record covers any number of machines.
 
 /// Number of hash slots of a zone.
-pub const SLOTS: u16 = 256;
+pub const SLOTS_PER_ZONE: u16 = 256;
 
 const FNV_OFFSET: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
@@ -16,14 +16,15 @@
     });
     // The low bits alone are distributed poorly for names that differ only in their last digit.
     let mixed = hash ^ (hash >> 16);
-    (mixed % u32::from(SLOTS)) as u16
+    (mixed % u32::from(SLOTS_PER_ZONE)) as u16
 }
 
 /// The slot ranges of a zone's partitions, each from its first slot to below its second. Together they
 /// cover all slots, and none twice.
-pub fn ranges(partitions: u16) -> Vec<(u16, u16)> {
-    let partitions = partitions.clamp(1, SLOTS);
-    let bound = |index: u16| (u32::from(SLOTS) * u32::from(index) / u32::from(partitions)) as u16;
+pub fn slot_ranges(partitions: u16) -> Vec<(u16, u16)> {
+    let partitions = partitions.clamp(1, SLOTS_PER_ZONE);
+    let bound =
+        |index: u16| (u32::from(SLOTS_PER_ZONE) * u32::from(index) / u32::from(partitions)) as u16;
     (0..partitions)
         .map(|index| (bound(index), bound(index + 1)))
         .collect()
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -1,6 +1,6 @@
 //! The partition map, from the records in the key-value store.
 
-use crate::hash_slots::{slot_of, SLOTS};
+use crate::hash_slots::{slot_of, SLOTS_PER_ZONE};
 use crate::Micros;
 use grebewood_wire::http::from_value;
 use grebewood_wire::records::{partition_key, PartitionClaim, PartitionKey, PartitionRecord};
@@ -166,7 +166,7 @@
         mod_revision: u64,
     ) -> Result<(), RecordError> {
         let record: PartitionRecord = from_value(value)?;
-        if record.first_slot >= record.end_slot || record.end_slot > SLOTS {
+        if record.first_slot >= record.end_slot || record.end_slot > SLOTS_PER_ZONE {
             return Err(RecordError::InvalidSlots);
         }
         if record.zone.is_empty() || record.holder.is_empty() {
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -2,7 +2,7 @@
 //! rebalancing, which moves one partition at a time from the member with the highest load to the one with
 //! the lowest.
 
-use crate::hash_slots::ranges;
+use crate::hash_slots::slot_ranges;
 use crate::map::{Partition, PartitionId, PartitionMap, Phase};
 use crate::Micros;
 use grebewood_wire::records::PartitionRecord;
@@ -293,7 +293,7 @@
         if partitions.any(|(_, partition)| partition.record.zone == *zone) {
             continue;
         }
-        for (first_slot, end_slot) in ranges(settings.partitions_per_zone) {
+        for (first_slot, end_slot) in slot_ranges(settings.partitions_per_zone) {
             let Some(holder) = member_with_fewest(input.members.iter(), &counts, zone) else {
                 continue;
             };
--- a/crates/partition/tests/map.rs
+++ b/crates/partition/tests/map.rs
@@ -1,6 +1,6 @@
 //! The partition map: which partition a machine is in, and records that arrive late or cannot be read.
 
-use grebewood_partition::hash_slots::{ranges, slot_of, SLOTS};
+use grebewood_partition::hash_slots::{slot_of, slot_ranges, SLOTS_PER_ZONE};
 use grebewood_partition::{PartitionMap, Phase};
 use grebewood_wire::http::to_value;
 use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, PartitionRecord};
@@ -27,7 +27,7 @@
 
 fn two_partitions() -> PartitionMap {
     let mut map = PartitionMap::default();
-    for (id, range) in (1..).zip(ranges(2)) {
+    for (id, range) in (1..).zip(slot_ranges(2)) {
         let written = map.put(&partition_key(id), &record(range, "x"), id);
         assert_eq!(written, Ok(()));
     }
@@ -37,9 +37,12 @@
 #[test]
 fn every_machine_is_in_exactly_one_partition() {
     for partitions in [1, 2, 3, 7, 64, 256] {
-        let ranges = ranges(partitions);
+        let ranges = slot_ranges(partitions);
         assert_eq!(ranges.len(), usize::from(partitions));
-        assert_eq!((ranges[0].0, ranges[ranges.len() - 1].1), (0, SLOTS));
+        assert_eq!(
+            (ranges[0].0, ranges[ranges.len() - 1].1),
+            (0, SLOTS_PER_ZONE)
+        );
         assert!(ranges.windows(2).all(|pair| pair[0].1 == pair[1].0));
     }
     let map = two_partitions();
@@ -102,7 +105,7 @@
         Value::Null,
         Value::from(7),
         record((128, 128), "x"),
-        record((0, SLOTS + 1), "x"),
+        record((0, SLOTS_PER_ZONE + 1), "x"),
         record((0, 128), ""),
     ] {
         assert!(map.put(&key, &bad, 20).is_err(), "{bad:?}");
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -1,6 +1,6 @@
 //! The planner: first assignments, lost holders, and balance.
 
-use grebewood_partition::hash_slots::ranges;
+use grebewood_partition::hash_slots::slot_ranges;
 use grebewood_partition::{
     Assignment, Load, Member, PartitionId, PartitionMap, Planner, PlannerInput, PlannerSettings,
 };
@@ -117,7 +117,7 @@
         .iter()
         .map(|(_, p)| (p.record.first_slot, p.record.end_slot))
         .collect();
-    assert_eq!(slots, ranges(6));
+    assert_eq!(slots, slot_ranges(6));
     for member in ["x", "y", "z"] {
         assert_eq!(cluster.held_by(member), 2, "{member}");
     }
