--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -113,14 +113,14 @@
                 put_in_map(map, key, value, event.mod_revision);
             }
             if let Some(key) = &event.delete {
-                map.delete(key, event.mod_revision);
+                map.apply_delete(key, event.mod_revision);
             }
         }
     }
 }
 
 fn put_in_map(map: &mut PartitionMap, key: &str, value: &Value, mod_revision: u64) {
-    if let Err(e) = map.put(key, value, mod_revision) {
+    if let Err(e) = map.apply_put(key, value, mod_revision) {
         error!(path = key, error:% = e; "unreadable record of the partition map; isolated");
     }
 }
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -107,7 +107,7 @@
         let entries = self.loading.as_mut().map(|loading| loading.take(PARTITION));
         let mut map = PartitionMap::default();
         for entry in entries.unwrap_or_default() {
-            if let Err(error) = map.put(&entry.key, &entry.value, entry.mod_revision) {
+            if let Err(error) = map.apply_put(&entry.key, &entry.value, entry.mod_revision) {
                 error!(key = entry.key, error:% = error; "record cannot be read and is left as it is");
             }
             self.write_buffer
--- a/crates/grebewood/src/store.rs
+++ b/crates/grebewood/src/store.rs
@@ -99,7 +99,7 @@
     let mut map = PartitionMap::default();
     for entry in list(store, PARTITION)? {
         // The map remembers the keys of unreadable records, which the overview shows.
-        let _ = map.put(&entry.key, &entry.value, entry.mod_revision);
+        let _ = map.apply_put(&entry.key, &entry.value, entry.mod_revision);
     }
     Ok(map)
 }
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -146,7 +146,12 @@
     ///
     /// The value cannot be read. What was known of the partition before stays, since its range of hash slots
     /// never changes.
-    pub fn put(&mut self, key: &str, value: &Value, mod_revision: u64) -> Result<(), RecordError> {
+    pub fn apply_put(
+        &mut self,
+        key: &str,
+        value: &Value,
+        mod_revision: u64,
+    ) -> Result<(), RecordError> {
         let outcome = match PartitionKey::parse(key) {
             None => Err(RecordError::NotAPartitionKey),
             Some(PartitionKey::Record(id)) => self.put_record(id, value, mod_revision),
@@ -219,7 +224,7 @@
     }
 
     /// Applies that a key was deleted at this revision.
-    pub fn delete(&mut self, key: &str, mod_revision: u64) {
+    pub fn apply_delete(&mut self, key: &str, mod_revision: u64) {
         self.unreadable.remove(key);
         match PartitionKey::parse(key) {
             Some(PartitionKey::Record(id)) => {
--- a/crates/partition/tests/map.rs
+++ b/crates/partition/tests/map.rs
@@ -28,7 +28,7 @@
 fn two_partitions() -> PartitionMap {
     let mut map = PartitionMap::default();
     for (id, range) in (1..).zip(slot_ranges(2)) {
-        let written = map.put(&partition_key(id), &record(range, "x"), id);
+        let written = map.apply_put(&partition_key(id), &record(range, "x"), id);
         assert_eq!(written, Ok(()));
     }
     map
@@ -69,30 +69,35 @@
     let mut map = two_partitions();
     let phase = |map: &PartitionMap| map.get(1).expect("partition 1").phase();
     assert_eq!(phase(&map), Phase::Unclaimed);
-    map.put(&claim_key(1), &claim("x"), 10).expect("a claim");
+    map.apply_put(&claim_key(1), &claim("x"), 10)
+        .expect("a claim");
     assert_eq!(phase(&map), Phase::Held);
-    map.put(&partition_key(1), &record((0, 128), "y"), 11)
+    map.apply_put(&partition_key(1), &record((0, 128), "y"), 11)
         .expect("a record");
     assert_eq!(phase(&map), Phase::Moving);
-    map.delete(&claim_key(1), 12);
+    map.apply_delete(&claim_key(1), 12);
     assert_eq!(phase(&map), Phase::Unclaimed);
-    map.put(&claim_key(1), &claim("y"), 13).expect("a claim");
+    map.apply_put(&claim_key(1), &claim("y"), 13)
+        .expect("a claim");
     assert_eq!(phase(&map), Phase::Held);
 }
 
 #[test]
 fn what_arrives_late_changes_nothing() {
     let mut map = two_partitions();
-    map.put(&claim_key(1), &claim("y"), 13).expect("a claim");
+    map.apply_put(&claim_key(1), &claim("y"), 13)
+        .expect("a claim");
     // An older claim and its deletion.
-    map.put(&claim_key(1), &claim("x"), 10).expect("a claim");
-    map.delete(&claim_key(1), 12);
+    map.apply_put(&claim_key(1), &claim("x"), 10)
+        .expect("a claim");
+    map.apply_delete(&claim_key(1), 12);
     let held_by = map.get(1).and_then(|p| p.claim.clone());
     assert_eq!(held_by.map(|c| (c.member, c.token)), Some(("y".into(), 13)));
     // A claim may be listed before its partition is.
     let mut map = PartitionMap::default();
-    map.put(&claim_key(5), &claim("y"), 13).expect("a claim");
-    map.put(&partition_key(5), &record((0, 256), "y"), 9)
+    map.apply_put(&claim_key(5), &claim("y"), 13)
+        .expect("a claim");
+    map.apply_put(&partition_key(5), &record((0, 256), "y"), 9)
         .expect("a record");
     assert_eq!(map.get(5).map(|p| p.phase()), Some(Phase::Held));
 }
@@ -108,12 +113,15 @@
         record((0, SLOTS_PER_ZONE + 1), "x"),
         record((0, 128), ""),
     ] {
-        assert!(map.put(&key, &bad, 20).is_err(), "{bad:?}");
+        assert!(map.apply_put(&key, &bad, 20).is_err(), "{bad:?}");
         assert_eq!(map.unreadable().collect::<Vec<_>>(), [key.as_str()]);
         assert_eq!(map.get(1).map(|p| p.record.end_slot), Some(128));
     }
-    assert!(map.put("partition/x", &record((0, 1), "x"), 21).is_err());
-    map.put(&key, &record((0, 128), "z"), 22).expect("a record");
+    assert!(map
+        .apply_put("partition/x", &record((0, 1), "x"), 21)
+        .is_err());
+    map.apply_put(&key, &record((0, 128), "z"), 22)
+        .expect("a record");
     assert_eq!(map.unreadable().collect::<Vec<_>>(), ["partition/x"]);
     assert_eq!(map.keys().len(), 3);
 }
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -67,7 +67,9 @@
         for Assignment { id, record } in &assignments {
             self.mod_revision += 1;
             let value = to_value(record);
-            let written = self.map.put(&partition_key(*id), &value, self.mod_revision);
+            let written = self
+                .map
+                .apply_put(&partition_key(*id), &value, self.mod_revision);
             assert_eq!(written, Ok(()));
             if self.members.iter().any(|m| m.name == record.holder) {
                 self.claim(*id, &record.holder);
@@ -85,7 +87,7 @@
         };
         let written = self
             .map
-            .put(&claim_key(id), &to_value(&claim), self.mod_revision);
+            .apply_put(&claim_key(id), &to_value(&claim), self.mod_revision);
         assert_eq!(written, Ok(()));
     }
 
@@ -95,7 +97,7 @@
         let held: Vec<PartitionId> = held.map(|(id, _)| id).collect();
         self.mod_revision += 1;
         for id in held {
-            self.map.delete(&claim_key(id), self.mod_revision);
+            self.map.apply_delete(&claim_key(id), self.mod_revision);
         }
     }
 
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -94,7 +94,7 @@
         let mut map = PartitionMap::default();
         for (key, value, mod_revision) in self.store.under("partition/") {
             // What cannot be read is told by the map itself.
-            let _ = map.put(key, value, mod_revision);
+            let _ = map.apply_put(key, value, mod_revision);
         }
         let overview = Overview::of(&map, None, 0);
         overview.partitions.iter().map(|row| row.phase).collect()
