--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -66,7 +66,7 @@
         let (zone, machine) = (&heartbeat.zone, &heartbeat.machine);
         match &self.leader {
             Some(leader) => leader.remote_partitions.partition_of(zone, machine),
-            None => self.partitions.map.find(zone, machine),
+            None => self.partitions.map.partition_of_machine(zone, machine),
         }
     }
 
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -42,7 +42,7 @@
             partition.claim = record.claim.as_ref().map(RemoteClaim::from);
             self.remote_partitions.by_id.insert(id, partition);
         }
-        if map.unreadable().next().is_some() {
+        if map.unreadable_keys().next().is_some() {
             self.remove_partitions(context, "a partition's record cannot be read", map.keys());
         }
     }
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -123,13 +123,13 @@
     }
 
     /// The partition of a machine; `None` if it belongs to none, so that the leader manages it.
-    pub fn find(&self, zone: &str, machine: &str) -> Option<PartitionId> {
+    pub fn partition_of_machine(&self, zone: &str, machine: &str) -> Option<PartitionId> {
         let records = self.iter().map(|(id, partition)| (id, &partition.record));
         partition_of(records, zone, machine)
     }
 
     /// Keys of the store whose value cannot be read.
-    pub fn unreadable(&self) -> impl Iterator<Item = &str> {
+    pub fn unreadable_keys(&self) -> impl Iterator<Item = &str> {
         self.unreadable.iter().map(String::as_str)
     }
 
--- a/crates/partition/src/overview.rs
+++ b/crates/partition/src/overview.rs
@@ -95,7 +95,7 @@
             partitions: partitions
                 .map(|(id, partition)| PartitionRow::new(id, partition, now))
                 .collect(),
-            unreadable: map.unreadable().map(str::to_string).collect(),
+            unreadable: map.unreadable_keys().map(str::to_string).collect(),
         }
     }
 
--- a/crates/partition/tests/map.rs
+++ b/crates/partition/tests/map.rs
@@ -47,11 +47,17 @@
     }
     let map = two_partitions();
     let names: Vec<String> = (0..4_000).map(|n| format!("n-{n:06}")).collect();
-    let first = names.iter().filter(|name| map.find("a", name) == Some(1));
+    let first = names
+        .iter()
+        .filter(|name| map.partition_of_machine("a", name) == Some(1));
     let first = first.count();
     assert!((1_800..2_200).contains(&first), "{first} of 4000");
-    assert!(names.iter().all(|name| map.find("a", name).is_some()));
-    assert!(names.iter().all(|name| map.find("b", name).is_none()));
+    assert!(names
+        .iter()
+        .all(|name| map.partition_of_machine("a", name).is_some()));
+    assert!(names
+        .iter()
+        .all(|name| map.partition_of_machine("b", name).is_none()));
 }
 
 /// Controllers of different versions that hold partitions side by side agree on it.
@@ -114,7 +120,7 @@
         record((0, 128), ""),
     ] {
         assert!(map.apply_put(&key, &bad, 20).is_err(), "{bad:?}");
-        assert_eq!(map.unreadable().collect::<Vec<_>>(), [key.as_str()]);
+        assert_eq!(map.unreadable_keys().collect::<Vec<_>>(), [key.as_str()]);
         assert_eq!(map.get(1).map(|p| p.record.end_slot), Some(128));
     }
     assert!(map
@@ -122,6 +128,6 @@
         .is_err());
     map.apply_put(&key, &record((0, 128), "z"), 22)
         .expect("a record");
-    assert_eq!(map.unreadable().collect::<Vec<_>>(), ["partition/x"]);
+    assert_eq!(map.unreadable_keys().collect::<Vec<_>>(), ["partition/x"]);
     assert_eq!(map.keys().len(), 3);
 }
--- a/crates/testkit/src/world/faults/heartbeats.rs
+++ b/crates/testkit/src/world/faults/heartbeats.rs
@@ -138,7 +138,9 @@
         let process = self.controllers[controller].controller.as_ref();
         let grant = process.and_then(|process| {
             let partitions = &process.partitions;
-            let partition = partitions.map.find(&heartbeat.zone, &heartbeat.machine);
+            let partition = partitions
+                .map
+                .partition_of_machine(&heartbeat.zone, &heartbeat.machine);
             let holder = partition.and_then(|id| partitions.holders.get(&id));
             holder.or(process.leader.as_ref())
         });
