--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -117,7 +117,7 @@
                 .store_contact_age_us
                 .is_none_or(|age| age >= CONTACT_LOST_AFTER),
             remembers_from: None,
-            highest_token: answer.highest_claim_token,
+            highest_token: answer.highest_leader_token,
             supports_partitions: answer.supports_partitions,
             supports_quota_grants: answer.supports_quota_grants,
         };
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -118,7 +118,7 @@
             member: member.into(),
             store_contact_age_us: None,
             token: 7,
-            highest_claim_token: 7,
+            highest_leader_token: 7,
             confirmed: Some(grebewood_wire::peer::ConfirmedCancellations {
                 question,
                 complete_for_us: Some(15 * SECOND),
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -51,7 +51,7 @@
             member: self.context.settings.member.clone(),
             store_contact_age_us: self.context.contact_age(),
             token: self.context.token,
-            highest_claim_token: self.election.highest_token(),
+            highest_leader_token: self.election.highest_token(),
             confirmed,
             supports_partitions: self.context.supports_partitions(),
             supports_quota_grants: self.context.supports_quota_grants(),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -307,7 +307,7 @@
     /// The highest fencing token of a partition claim that it read from the store or holds.
     #[serde(default)]
     #[serde(rename = "grant")]
-    pub highest_claim_token: u64,
+    pub highest_leader_token: u64,
     /// Cancellations that it has acknowledged to users; `None` from a version that does not remember them.
     #[serde(default)]
     pub confirmed: Option<ConfirmedCancellations>,
