--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -54,7 +54,7 @@
     /// Loads what an earlier leader wrote.
     pub fn load(&mut self, partition: PartitionId, record: &QuotaGrantRecord) {
         let amounts = from_list(&record.teams);
-        self.load_amounts(partition, record.number, amounts);
+        self.load_amounts(partition, record.version, amounts);
     }
 
     /// The partition's record cannot be read: it may have been all of each team's limit.
--- a/crates/quota/src/partition_grant.rs
+++ b/crates/quota/src/partition_grant.rs
@@ -167,7 +167,7 @@
         }
         self.certain.retain(|_, amount| !amount.is_zero());
         QuotaGrantRecord {
-            number: self.number,
+            version: self.number,
             claim,
             teams: to_list(&self.rendered),
         }
--- a/crates/quota/tests/model/leader.rs
+++ b/crates/quota/tests/model/leader.rs
@@ -119,7 +119,7 @@
             return;
         };
         let id = partition as u64;
-        if store.grants[partition].record.number == self.grants.record_version(id) {
+        if store.grants[partition].record.version == self.grants.record_version(id) {
             self.grants.on_record_written(id);
         }
     }
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -7,7 +7,7 @@
 
 fn grant(cpus: u64) -> QuotaGrantRecord {
     QuotaGrantRecord {
-        number: 3,
+        version: 3,
         claim: 9,
         teams: vec![TeamAmount {
             team: "t".into(),
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -222,7 +222,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrantRecord {
     /// Number of this version of the grant; it increases with each change.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub version: u64,
     /// The fencing token of the claim under which it was granted. The next holder of the partition takes the
     /// grant over, together with the tasks that use it.
     pub claim: u64,
