--- a/crates/partition/src/lib.rs
+++ b/crates/partition/src/lib.rs
@@ -1,13 +1,13 @@
-//! Partitions: several controllers manage the machines of one cluster between them.
+//! Partitions: the division of a cluster's machines among several controllers.
 //!
-//! A partition is a set of machines of one zone ([`hash_slots`]). The leader writes which partitions there
-//! are and which member is to hold each ([`plan`]). That member claims it under a lease, and the
-//! mod_revision of the claim is the fencing token of the partition's machines. Both records together are
-//! the partition map ([`map`]), from which every controller derives which controller an agent sends its
-//! heartbeats to, and how far a partition handoff is. A handoff has no other state, so any leader can
-//! continue it.
+//! A partition is a set of machines of one zone ([`hash_slots`]). The leader writes to the key-value store which
+//! partitions exist and which member is assigned to hold each of them ([`plan`]). The assigned member claims the
+//! partition under a lease. The mod_revision of the claim is the fencing token of the partition's machines. The
+//! assignments and the claims together are the partition map ([`map`]). From it, every controller derives which
+//! controller an agent sends its heartbeats to and how far the handoff of a partition has progressed. A handoff
+//! has no other state, so any leader can continue it.
 //!
-//! Everything here is pure: no I/O, no clock.
+//! This package does no I/O and reads no clock.
 
 #![warn(missing_docs)]
 
@@ -19,5 +19,5 @@
 pub use map::{Claim, Partition, PartitionId, PartitionMap, Phase, RecordError};
 pub use plan::{Assignment, Load, Member, Planner, PlannerInput, PlannerSettings};
 
-/// Microseconds, of a monotonic clock or of the time of day.
+/// Time or duration in microseconds, of a monotonic clock or of the time of day.
 pub type Micros = u64;
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -1,4 +1,4 @@
-//! The partition map, from the records in the key-value store.
+//! Partition map, built from the records in the key-value store.
 
 use crate::hash_slots::{slot_of, SLOTS_PER_ZONE};
 use crate::Micros;
@@ -11,44 +11,44 @@
 /// Number of a partition.
 pub type PartitionId = u64;
 
-/// A claim on record.
+/// Claim on a partition, as recorded in the key-value store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// The member that holds the partition.
+    /// Name of the member that holds the partition.
     pub member: String,
-    /// The incarnation of the controller that holds it.
+    /// Incarnation of the controller process that holds the partition.
     pub incarnation: u64,
-    /// Time of day of the claim, in microseconds.
+    /// Time of the claim, in microseconds since the Unix epoch.
     pub claimed_us: Micros,
-    /// The fencing token: the mod_revision of the claim.
+    /// Fencing token of the partition's machines: the mod_revision of the claim.
     pub token: u64,
 }
 
-/// A partition on record.
+/// Partition, as recorded in the key-value store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Partition {
-    /// What the leader wrote.
+    /// Record that the leader wrote.
     pub record: PartitionRecord,
-    /// The mod_revision of that record.
+    /// Modification revision of that record.
     pub mod_revision: u64,
-    /// The claim of the partition holder; `None`: it is not held.
+    /// Claim of the partition holder; `None`: no member holds the partition.
     pub claim: Option<Claim>,
 }
 
-/// How far the handoff of a partition to its assigned holder is. It follows from both records together, so
-/// a leader that ends in the middle of a handoff leaves no other state behind.
+/// Phase of the handoff of a partition to its assigned holder. It follows from the record and the claim, so a
+/// leader that ends in the middle of a handoff leaves no other state behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Held by the member that it is assigned to.
     Held,
-    /// Held by another member, which is to give its claim up.
+    /// Held by another member, which has to release its claim.
     Moving,
-    /// Held by no member: its machines keep running tasks until their leases expire.
+    /// Held by no member. The machines of the partition keep running their tasks until their leases expire.
     Unclaimed,
 }
 
 impl Partition {
-    /// The phase that the records tell.
+    /// Returns the phase that follows from the record and the claim.
     pub fn phase(&self) -> Phase {
         match &self.claim {
             None => Phase::Unclaimed,
@@ -58,10 +58,10 @@
     }
 }
 
-/// Why the value of a key was not applied to the map.
+/// Reason why the value of a key was not applied to the map.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RecordError {
-    /// The key is neither that of a partition's record nor that of a claim.
+    /// The key is neither the key of a partition's record nor the key of a claim.
     #[error("not the key of a partition")]
     NotAPartitionKey,
     /// The value cannot be decoded.
@@ -81,7 +81,7 @@
     }
 }
 
-/// The one of these partitions that a machine is in.
+/// Returns the partition, among the given ones, that a machine belongs to.
 pub fn partition_of<'a>(
     partitions: impl IntoIterator<Item = (PartitionId, &'a PartitionRecord)>,
     zone: &str,
@@ -94,58 +94,58 @@
     found.next().map(|(id, _)| id)
 }
 
-/// All partitions.
+/// Map of all partitions.
 #[derive(Clone, Debug, Default)]
 pub struct PartitionMap {
     partitions: BTreeMap<PartitionId, Partition>,
     /// Claims on partitions whose record is not known yet.
     claims_without_record: BTreeMap<PartitionId, Claim>,
-    /// Keys whose value cannot be read, until they are written anew or removed.
+    /// Keys whose value cannot be decoded, until they are overwritten or deleted.
     unreadable: BTreeSet<String>,
 }
 
 impl PartitionMap {
-    /// The partitions, ordered by number.
+    /// Returns the partitions, ordered by number.
     pub fn iter(&self) -> impl Iterator<Item = (PartitionId, &Partition)> {
         self.partitions
             .iter()
             .map(|(id, partition)| (*id, partition))
     }
 
-    /// The partition with this number.
+    /// Returns the partition with this number.
     pub fn get(&self, id: PartitionId) -> Option<&Partition> {
         self.partitions.get(&id)
     }
 
-    /// Whether there are no partitions.
+    /// Returns whether there are no partitions.
     pub fn is_empty(&self) -> bool {
         self.partitions.is_empty()
     }
 
-    /// The partition of a machine; `None` if it belongs to none, so that the leader manages it.
+    /// Returns the partition of a machine; `None`: the machine belongs to no partition, and the leader manages it.
     pub fn partition_of_machine(&self, zone: &str, machine: &str) -> Option<PartitionId> {
         let records = self.iter().map(|(id, partition)| (id, &partition.record));
         partition_of(records, zone, machine)
     }
 
-    /// Keys of the store whose value cannot be read.
+    /// Returns the keys in the key-value store whose value cannot be decoded.
     pub fn unreadable_keys(&self) -> impl Iterator<Item = &str> {
         self.unreadable.iter().map(String::as_str)
     }
 
-    /// The keys of all partitions' records, and all unreadable keys.
+    /// Returns the keys of all partitions' records and all keys whose value cannot be decoded.
     pub fn keys(&self) -> Vec<String> {
         let records = self.partitions.keys().map(|id| partition_key(*id));
         let keys: BTreeSet<String> = records.chain(self.unreadable.iter().cloned()).collect();
         keys.into_iter().collect()
     }
 
-    /// Applies a key that was written.
+    /// Applies the write of a key.
     ///
     /// # Errors
     ///
-    /// The value cannot be read. What was known of the partition before stays, since its range of hash slots
-    /// never changes.
+    /// The key or its value cannot be decoded, or the value is invalid. The map keeps the earlier state of the
+    /// partition, which stays usable because the range of hash slots never changes.
     pub fn apply_put(
         &mut self,
         key: &str,
@@ -164,6 +164,7 @@
         outcome
     }
 
+    /// Applies the write of a partition's record, unless the known record is newer.
     fn put_record(
         &mut self,
         id: PartitionId,
@@ -196,6 +197,7 @@
         Ok(())
     }
 
+    /// Applies the write of a claim. The known claim of a recorded partition stays if it is newer.
     fn put_claim(
         &mut self,
         id: PartitionId,
@@ -223,7 +225,7 @@
         Ok(())
     }
 
-    /// Applies that a key was deleted at this revision.
+    /// Applies the deletion of a key at this revision.
     pub fn apply_delete(&mut self, key: &str, mod_revision: u64) {
         self.unreadable.remove(key);
         match PartitionKey::parse(key) {
@@ -236,8 +238,8 @@
             Some(PartitionKey::Claim(id)) => {
                 self.claims_without_record.remove(&id);
                 if let Some(partition) = self.partitions.get_mut(&id) {
-                    let older = |claim: &Claim| claim.token <= mod_revision;
-                    if partition.claim.as_ref().is_some_and(older) {
+                    let is_older = |claim: &Claim| claim.token <= mod_revision;
+                    if partition.claim.as_ref().is_some_and(is_older) {
                         partition.claim = None;
                     }
                 }
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Removes everything, before the keys are listed anew.
+    /// Removes all partitions, before the keys are listed again.
     pub fn clear(&mut self) {
         *self = PartitionMap::default();
     }
--- a/crates/partition/src/overview.rs
+++ b/crates/partition/src/overview.rs
@@ -1,48 +1,49 @@
-//! What `grebewood partitions` shows, as text or JSON. It is built from the key-value store alone, so it
-//! needs no leader.
+//! Output of `grebewood partitions`, as text or JSON. It is built from the records in the key-value store alone,
+//! so it needs no leader.
 
 use crate::map::{Partition, PartitionId, PartitionMap, Phase};
 use crate::Micros;
 use serde::Serialize;
 
-/// A partition in the overview.
+/// Row of the overview: one partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PartitionRow {
-    /// The partition's number.
+    /// Number of the partition.
     pub partition: PartitionId,
-    /// The zone of its machines.
+    /// Zone of its machines.
     pub zone: String,
-    /// The hash slots of its machines: from the first to below the second.
+    /// Hash slots of its machines: the first one, and the one after the last.
     pub slots: (u16, u16),
-    /// The member that is to hold it.
+    /// Name of the member that is assigned to hold it.
     pub assigned_to: String,
-    /// The member that holds it.
+    /// Name of the member that holds it, if any.
     pub held_by: Option<String>,
-    /// The fencing token of its machines.
+    /// Fencing token of its machines.
     pub token: Option<u64>,
-    /// `held`, `moving` or `unclaimed`.
+    /// Phase of its handoff: `held`, `moving` or `unclaimed`.
     pub phase: &'static str,
-    /// How long ago it was assigned, in seconds.
+    /// Time since it was assigned, in seconds.
     pub assigned_s: u64,
-    /// How long ago it was claimed, in seconds.
+    /// Time since it was claimed, in seconds.
     pub claimed_s: Option<u64>,
-    /// Why it was assigned to this member.
+    /// Reason for its assignment to this member.
     pub reason: String,
 }
 
-/// The overview of all partitions.
+/// Overview of all partitions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Overview {
-    /// The member that leads, if any.
+    /// Name of the leader, if any.
     pub leader: Option<String>,
-    /// The partitions, ordered by number. If there are none, the leader manages all machines.
+    /// Partitions, ordered by number. If there are none, the leader manages all machines.
     pub partitions: Vec<PartitionRow>,
-    /// Keys of the store whose value cannot be read.
+    /// Keys in the key-value store whose value cannot be decoded.
     pub unreadable: Vec<String>,
 }
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
+/// Returns the name of a phase in the output.
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Held => "held",
@@ -52,7 +53,7 @@
 }
 
 impl PartitionRow {
-    /// The row of a partition at this time of day.
+    /// Returns the row of a partition at this time of day, in microseconds since the Unix epoch.
     fn new(id: PartitionId, partition: &Partition, now: Micros) -> PartitionRow {
         let (record, claim) = (&partition.record, partition.claim.as_ref());
         let seconds_since = |at: Micros| now.saturating_sub(at) / MICROS_PER_SECOND;
@@ -70,6 +71,7 @@
         }
     }
 
+    /// Returns the row as a line of text.
     fn to_text(&self) -> String {
         format!(
             "{:>4}  {}  slots {}-{}  {}  held by {}, assigned to {} {} s ago: {}\n",
@@ -87,7 +89,7 @@
 }
 
 impl Overview {
-    /// The overview of a map at this time of day, in microseconds.
+    /// Returns the overview of a map at this time of day, in microseconds since the Unix epoch.
     pub fn of(map: &PartitionMap, leader: Option<String>, now: Micros) -> Overview {
         let partitions = map.iter();
         Overview {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The overview as text.
+    /// Returns the overview as text.
     pub fn to_text(&self) -> String {
         let leader = self.leader.as_deref().unwrap_or("nobody");
         let mut text = format!("leader: {leader}\n");
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -1,6 +1,6 @@
-//! Which member is to hold which partition: the first assignment, the one after a holder is lost, and
-//! rebalancing, which moves one partition at a time from the member with the highest load to the one with
-//! the lowest.
+//! Assignment of partitions to members: the first assignment, reassignment after a holder is lost, and
+//! rebalancing, which moves one partition at a time from the member with the highest load to the one with the
+//! lowest.
 
 use crate::hash_slots::slot_ranges;
 use crate::map::{Partition, PartitionId, PartitionMap, Phase};
@@ -8,88 +8,90 @@
 use grebewood_wire::records::PartitionRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member that can hold partitions now.
+/// Member of the cluster that can hold partitions now.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
 }
 
-/// The load of a partition, in heartbeats per second. These are most of its holder's work, and every
-/// machine sends some, so they stand for machines, connections and processor time alike.
+/// Load of a partition, in heartbeats per second. Heartbeats are most of a holder's work and every machine sends
+/// them, so their rate represents the number of machines, of connections and the processor time alike.
 pub type Load = f64;
 
-/// The settings of the planner.
+/// Settings of the planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannerSettings {
-    /// Partitions of each zone; 0: none are created.
+    /// Number of partitions of each zone; 0: no partitions are created.
     pub partitions_per_zone: u16,
-    /// Least time between two moves for the sake of balance, in microseconds.
+    /// Minimum time between two moves that balance the load, in microseconds.
     pub move_interval: Micros,
-    /// By which fraction of the mean load a member must lie above it before it gives a partition away.
+    /// Fraction of the mean load by which a member's load must exceed the mean before one of its partitions is
+    /// moved away.
     pub hysteresis: f64,
-    /// No partition is moved for the sake of balance.
+    /// Whether moves that balance the load are paused.
     pub moves_paused: bool,
 }
 
-/// A partition's record that is to be written.
+/// Assignment of a partition to a member, to be written to the key-value store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
-    /// The partition's number.
+    /// Number of the partition.
     pub id: PartitionId,
-    /// Its record.
+    /// Record of the partition.
     pub record: PartitionRecord,
 }
 
-/// What the planner decides on.
+/// Input of one planning round.
 #[derive(Clone, Debug)]
 pub struct PlannerInput<'a> {
-    /// The present partition map.
+    /// Current partition map.
     pub map: &'a PartitionMap,
-    /// The zones in which there may be machines.
+    /// Zones in which there may be machines.
     pub zones: &'a BTreeSet<String>,
     /// Members that can hold partitions now.
     pub members: &'a BTreeSet<Member>,
-    /// Loads of the partitions, as far as known.
+    /// Loads of the partitions, as far as they are known.
     pub loads: &'a BTreeMap<PartitionId, Load>,
-    /// Partitions whose holders were given tasks to place and cannot be reached: they go to other members.
+    /// Partitions whose holders were delegated tasks and cannot be reached. They are assigned to other members.
     pub holder_unreachable: &'a BTreeSet<PartitionId>,
-    /// The number of the next new partition.
+    /// Number of the next new partition.
     pub next_id: PartitionId,
-    /// Whether partitions may be created: all members that could lead understand them.
+    /// Whether partitions may be created, which requires that all members that could lead support them.
     pub may_create: bool,
-    /// Whether the cluster is stable: no recent change of leader, and the store answers in time.
+    /// Whether the cluster is stable: the leader has not changed recently and the key-value store answers in time.
     pub stable: bool,
-    /// Now, in microseconds of a monotonic clock.
+    /// Current time, in microseconds of a monotonic clock.
     pub now: Micros,
-    /// The time of day, in microseconds.
+    /// Current time of day, in microseconds since the Unix epoch.
     pub wall_time: Micros,
 }
 
-/// How long a new partition may be without a claim before it is assigned to another member, in microseconds.
-const CLAIM_TIMEOUT: Micros = 3_000_000;
-/// The same for a partition whose holder gave its claim up or whose claim has ended.
-const RECLAIM_TIMEOUT: Micros = 600_000;
-/// A move for the sake of balance leaves at most this fraction of the gap between two members.
-const MAX_REMAINING_GAP: f64 = 0.5;
-/// The smallest gap between two members that is worth a move.
+/// Time without a claim after which a newly assigned partition is assigned to another member, in microseconds.
+const CLAIM_TIMEOUT_US: Micros = 3_000_000;
+/// Time without a claim after which a partition that had one since its assignment is assigned to another member,
+/// in microseconds. Its holder has released the claim, or the claim's lease has expired.
+const RECLAIM_TIMEOUT_US: Micros = 600_000;
+/// Largest part of the gap between two members that a balancing move may leave, as a fraction of the gap.
+const MAX_REMAINING_GAP_FRACTION: f64 = 0.5;
+/// Smallest gap between two members that justifies a move.
 const MIN_LOAD_GAP: Load = 1.0;
 
-/// The planner's memory between rounds. A new leader begins without it, which only delays moves.
+/// State of the planner between rounds. A new leader starts without it, which only delays moves.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    /// Since when a partition has had no claim.
+    /// Time since which each unclaimed partition has had no claim.
     unclaimed_since: BTreeMap<PartitionId, Micros>,
-    /// Partitions that had a claim since they were last assigned.
+    /// Partitions that have had a claim since their last assignment.
     claimed: BTreeSet<PartitionId>,
-    /// When a partition was last moved for the sake of balance.
+    /// Time of the last move that balanced the load.
     last_move_at: Option<Micros>,
 }
 
 impl Planner {
-    /// The records that are to be written now.
+    /// Returns the assignments to write now.
     pub fn plan_assignments(
         &mut self,
         settings: &PlannerSettings,
@@ -107,6 +109,7 @@
         assignments
     }
 
+    /// Updates `unclaimed_since` and `claimed` from the partition map.
     fn observe_claims(&mut self, input: &PlannerInput) {
         let is_unclaimed = |id: &PartitionId| {
             let partition = input.map.get(*id);
@@ -121,7 +124,7 @@
                 Phase::Held => {
                     self.claimed.insert(id);
                 }
-                // Its next holder has yet to claim it.
+                // The newly assigned holder has not claimed the partition yet.
                 Phase::Moving => {
                     self.claimed.remove(&id);
                 }
@@ -129,17 +132,19 @@
         }
     }
 
-    /// Assigns partitions whose holder is gone, or does not claim them, to other members.
+    /// Reassigns partitions whose holder is lost or does not claim them to other members.
     fn reassign_lost_partitions(&mut self, input: &PlannerInput) -> Vec<Assignment> {
         let mut counts = partition_counts(input);
         let mut assignments = Vec::new();
         for (id, partition) in input.map.iter() {
             let record = &partition.record;
             let holder_is_healthy = input.members.iter().any(|m| m.name == record.holder);
-            // A holder that cannot be reached but has a claim keeps its partition: the claim ends by itself.
-            // The exception is a holder that was given tasks, of which nobody can tell whether it has placed them.
-            let unreachable = input.holder_unreachable.contains(&id) && !holder_is_healthy;
-            if !self.is_claim_overdue(id, input.now) && !unreachable {
+            // An unreachable holder keeps its partition while it has a claim, because the claim's lease expires on
+            // its own. The exception is a holder that was delegated tasks: no other member knows whether it has
+            // placed them.
+            let holder_is_unreachable =
+                input.holder_unreachable.contains(&id) && !holder_is_healthy;
+            if !self.is_claim_overdue(id, input.now) && !holder_is_unreachable {
                 continue;
             }
             let others = input.members.iter().filter(|m| m.name != record.holder);
@@ -160,19 +165,19 @@
         assignments
     }
 
-    /// Whether the partition's assigned holder had enough time to claim it.
+    /// Returns whether the assigned holder has had enough time to claim the partition.
     fn is_claim_overdue(&self, id: PartitionId, now: Micros) -> bool {
         let timeout = if self.claimed.contains(&id) {
-            RECLAIM_TIMEOUT
+            RECLAIM_TIMEOUT_US
         } else {
-            CLAIM_TIMEOUT
+            CLAIM_TIMEOUT_US
         };
         let since = self.unclaimed_since.get(&id);
         since.is_some_and(|since| now.saturating_sub(*since) >= timeout)
     }
 
-    /// Moves one partition from the member with the highest load to the one with the lowest, if the highest
-    /// lies far enough above the mean and the move narrows the gap between the two.
+    /// Moves one partition from the member with the highest load to the one with the lowest, if the highest load
+    /// exceeds the mean by more than the hysteresis and the move narrows the gap between the two members.
     fn rebalance(
         &mut self,
         settings: &PlannerSettings,
@@ -183,19 +188,26 @@
         }
         let loads = member_loads(input);
         let mean = loads.values().sum::<Load>() / loads.len() as Load;
-        let (busiest, highest) = loads.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
-        let (idlest, lowest) = loads.iter().min_by(|a, b| a.1.total_cmp(b.1))?;
+        let (most_loaded, highest) = loads.iter().max_by(|a, b| a.1.total_cmp(b.1))?;
+        let (least_loaded, lowest) = loads.iter().min_by(|a, b| a.1.total_cmp(b.1))?;
         let gap = highest - lowest;
         if *highest <= mean * (1.0 + settings.hysteresis) || gap < MIN_LOAD_GAP {
             return None;
         }
-        let (id, partition) = partition_to_move(input, busiest, gap)?;
+        let (id, partition) = partition_to_move(input, most_loaded, gap)?;
         self.last_move_at = Some(input.now);
         let reason = format!("balance: {highest:.0} against {lowest:.0} check-ins a second");
         let record = &partition.record;
-        Some(reassignment(id, record, idlest, &reason, input.wall_time))
+        Some(reassignment(
+            id,
+            record,
+            least_loaded,
+            &reason,
+            input.wall_time,
+        ))
     }
 
+    /// Returns whether a partition may be moved now to balance the load.
     fn may_rebalance(&self, settings: &PlannerSettings, input: &PlannerInput) -> bool {
         let interval_passed = self.last_move_at.is_none_or(|at| {
             let elapsed = input.now.saturating_sub(at);
@@ -207,18 +219,18 @@
     }
 }
 
-/// The load of a partition; one that is not known counts as none.
+/// Returns the load of a partition, or 0 if it is not known.
 fn partition_load(input: &PlannerInput, id: PartitionId) -> Load {
     input.loads.get(&id).copied().unwrap_or(0.0)
 }
 
-/// The load of each member that can hold partitions.
+/// Returns the load of each member that can hold partitions.
 fn member_loads<'a>(input: &PlannerInput<'a>) -> BTreeMap<&'a str, Load> {
     let members = input.members.iter();
     let mut loads: BTreeMap<&str, Load> =
         members.map(|member| (member.name.as_str(), 0.0)).collect();
     for (id, partition) in input.map.iter() {
-        // A holder that cannot be reached takes no part: its partitions stay.
+        // The partitions of an unreachable holder are left out, because they are not moved for balance.
         if let Some(load) = loads.get_mut(partition.record.holder.as_str()) {
             *load += partition_load(input, id);
         }
@@ -226,8 +238,8 @@
     loads
 }
 
-/// The partition of this holder whose move narrows the gap best. One whose load is about as large as the gap
-/// would only reverse it, and return with the next move.
+/// Returns the partition of this holder whose move narrows the gap most. A partition whose load is about as large
+/// as the gap is excluded: its move would only reverse the gap, and the next move would bring it back.
 fn partition_to_move<'a>(
     input: &PlannerInput<'a>,
     holder: &str,
@@ -237,10 +249,11 @@
     let partitions = input.map.iter();
     partitions
         .filter(|(_, partition)| partition.record.holder == holder)
-        .filter(|(id, _)| remaining_gap(*id) <= gap * MAX_REMAINING_GAP)
+        .filter(|(id, _)| remaining_gap(*id) <= gap * MAX_REMAINING_GAP_FRACTION)
         .min_by(|a, b| remaining_gap(a.0).total_cmp(&remaining_gap(b.0)))
 }
 
+/// Returns an assignment of the partition to another holder.
 fn reassignment(
     id: PartitionId,
     record: &PartitionRecord,
@@ -257,9 +270,10 @@
     Assignment { id, record }
 }
 
-/// How many partitions each member is to hold.
+/// Number of partitions assigned to each member.
 type PartitionCounts<'a> = BTreeMap<&'a str, usize>;
 
+/// Returns the number of partitions assigned to each member.
 fn partition_counts<'a>(input: &PlannerInput<'a>) -> PartitionCounts<'a> {
     let mut counts = PartitionCounts::new();
     for (_, partition) in input.map.iter() {
@@ -268,7 +282,7 @@
     counts
 }
 
-/// The member with the fewest partitions; of several, one of this zone.
+/// Returns the member with the fewest partitions. Among members with equally many, one in this zone is preferred.
 fn member_with_fewest<'a>(
     members: impl Iterator<Item = &'a Member>,
     counts: &PartitionCounts,
@@ -280,7 +294,7 @@
         .map(|member| member.name.as_str())
 }
 
-/// The first assignments of the partitions of zones that have none.
+/// Returns the first assignments of the partitions of zones that have none.
 fn missing_partitions(settings: &PlannerSettings, input: &PlannerInput) -> Vec<Assignment> {
     if !input.may_create || settings.partitions_per_zone == 0 {
         return Vec::new();
--- a/crates/partition/tests/map.rs
+++ b/crates/partition/tests/map.rs
@@ -1,4 +1,4 @@
-//! The partition map: which partition a machine is in, and records that arrive late or cannot be read.
+//! Tests of the partition map: the partition of each machine, and records that arrive late or cannot be decoded.
 
 use grebewood_partition::hash_slots::{slot_of, slot_ranges, SLOTS_PER_ZONE};
 use grebewood_partition::{PartitionMap, Phase};
@@ -60,7 +60,7 @@
         .all(|name| map.partition_of_machine("b", name).is_none()));
 }
 
-/// Controllers of different versions that hold partitions side by side agree on it.
+/// Controllers of different versions that hold partitions at the same time have to agree on the slot of a machine.
 #[test]
 fn the_slot_of_a_machine_never_changes() {
     let slots: Vec<u16> = ["n-000000", "n-000001", "n-000231"]
@@ -93,13 +93,13 @@
     let mut map = two_partitions();
     map.apply_put(&claim_key(1), &claim("y"), 13)
         .expect("a claim");
-    // An older claim and its deletion.
+    // An older claim and its deletion arrive late.
     map.apply_put(&claim_key(1), &claim("x"), 10)
         .expect("a claim");
     map.apply_delete(&claim_key(1), 12);
     let held_by = map.get(1).and_then(|p| p.claim.clone());
     assert_eq!(held_by.map(|c| (c.member, c.token)), Some(("y".into(), 13)));
-    // A claim may be listed before its partition is.
+    // A claim may be listed before the record of its partition.
     let mut map = PartitionMap::default();
     map.apply_put(&claim_key(5), &claim("y"), 13)
         .expect("a claim");
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The planner: first assignments, lost holders, and balance.
+//! Tests of the planner: first assignments, reassignment after the loss of a member, and rebalancing.
 
 use grebewood_partition::hash_slots::slot_ranges;
 use grebewood_partition::{
@@ -10,7 +10,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A cluster that writes what the planner decides.
+/// Cluster that writes and claims the assignments of the planner.
 struct Cluster {
     map: PartitionMap,
     members: BTreeSet<Member>,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// One round of the planner; its assignments are written, and claimed by the members that are up.
+    /// Runs one round of the planner, writes its assignments, and claims each of them for its holder if that
+    /// member is up.
     fn round(&mut self) -> Vec<Assignment> {
         self.now += SECOND;
         let zones = BTreeSet::from(["a".to_string()]);
@@ -78,6 +79,7 @@
         assignments
     }
 
+    /// Writes a claim of this member on the partition.
     fn claim(&mut self, id: PartitionId, member: &str) {
         self.mod_revision += 1;
         let claim = PartitionClaim {
@@ -91,6 +93,7 @@
         assert_eq!(written, Ok(()));
     }
 
+    /// Removes a member and deletes its claims.
     fn remove_member(&mut self, member: &str) {
         self.members.retain(|m| m.name != member);
         let held = self.map.iter().filter(|(_, p)| p.record.holder == member);
@@ -101,6 +104,7 @@
         }
     }
 
+    /// Returns the number of partitions that are assigned to this member.
     fn held_by(&self, member: &str) -> usize {
         let held = self.map.iter().filter(|(_, p)| p.record.holder == member);
         held.count()
@@ -136,7 +140,10 @@
     while cluster.held_by("y") > 0 {
         cluster.round();
         rounds += 1;
-        assert!(rounds <= 4, "still with a member that is gone");
+        assert!(
+            rounds <= 4,
+            "partitions are still assigned to a removed member"
+        );
     }
     assert_eq!((cluster.held_by("x"), cluster.held_by("z")), (3, 3));
 }
@@ -170,7 +177,7 @@
             moves.push(cluster.now);
         }
     }
-    // 120 against 0, then 80 against 40: a further move would only reverse that.
+    // The loads are 120 and 0 before the first move, 80 and 40 after it. A second move would only reverse the gap.
     assert_eq!(moves.len(), 1, "{moves:?}");
     cluster.loads.insert(held_by_x[0], 10.0);
     cluster.loads.insert(held_by_x[1], 10.0);
@@ -186,7 +193,7 @@
 }
 
 #[test]
-fn no_partition_moves_while_none_may() {
+fn no_partition_moves_while_moves_are_prevented() {
     let moves_when_unbalanced = |change: &dyn Fn(&mut Cluster)| {
         let mut cluster = Cluster::new(&["x", "y"]);
         cluster.round();
