--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -1,13 +1,13 @@
-//! What the leader has granted of each team's limit to which partition.
+//! The leader's bookkeeping of the parts of each team's limit that it has granted to each partition.
 //!
-//! A grant grows when the leader gives the partition's holder a task that does not fit into it, and may be
-//! used once it is on record. It shrinks in three steps: the leader tells the holder a lower amount, the
-//! holder answers what it will use at most, and the record is written anew. Until then all of it is charged
-//! against the team's limit.
+//! A grant grows when the leader delegates a task to the partition's holder that does not fit into the grant. The
+//! additional amount may be used once it is recorded in the key-value store. A grant shrinks in three steps: the
+//! leader sends the holder a lower amount, the holder answers with an upper bound of its future use, and the
+//! leader rewrites the record. Until then the whole earlier amount is charged against the team's limit.
 //!
-//! A holder may reuse what one task leaves for the next without asking. So what the leader knows to be
-//! placed and what it has queued there may together be more than the grant for a moment: the grant does not
-//! grow for it, and what does not fit waits.
+//! A holder may reuse the resources of a task that has ended for the next task without asking. So the tasks that
+//! the leader knows to be placed and those that it has queued at the holder may together need more than the grant
+//! for a moment. The grant does not grow for this, and the tasks that do not fit wait.
 
 use crate::partition_grant::{GrantReduction, PartitionGrant};
 use crate::resources::{amount_of, from_list};
@@ -16,21 +16,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The requested grant exceeds what the team may still use.
+/// Error: the requested grant exceeds the amount that the team may still use.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the team's limit leaves no room for the requested grant")]
 pub struct OverLimit;
 
-/// The quota grants of all partitions.
+/// Quota grants of all partitions.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaGrants {
     partitions: BTreeMap<PartitionId, PartitionGrant>,
-    /// What is charged against each team's limit, over all partitions.
+    /// Amounts charged against each team's limit, over all partitions.
     totals: TeamAmounts,
 }
 
 impl QuotaGrants {
-    /// Changes what a partition is granted of these teams' limits, and keeps the totals right.
+    /// Changes the grant of a partition and updates the totals of these teams.
     fn update<'a, T>(
         &mut self,
         partition: PartitionId,
@@ -51,30 +51,31 @@
         outcome
     }
 
-    /// Loads what an earlier leader wrote.
+    /// Loads a grant from the record that an earlier leader wrote.
     pub fn load(&mut self, partition: PartitionId, record: &QuotaGrantRecord) {
         let amounts = from_list(&record.teams);
         self.load_amounts(partition, record.version, amounts);
     }
 
-    /// The partition's record cannot be read: it may have been all of each team's limit.
+    /// Loads a grant whose record cannot be decoded. It may have covered the whole of each team's limit, so that
+    /// much is charged.
     pub fn load_unreadable(&mut self, partition: PartitionId, limits: TeamAmounts) {
         self.load_amounts(partition, 0, limits);
     }
 
-    fn load_amounts(&mut self, partition: PartitionId, number: u64, amounts: TeamAmounts) {
+    fn load_amounts(&mut self, partition: PartitionId, record_version: u64, amounts: TeamAmounts) {
         let teams: Vec<String> = amounts.keys().cloned().collect();
         self.update(partition, teams.iter().map(String::as_str), |grant| {
-            grant.load(number, amounts);
+            grant.load(record_version, amounts);
         });
     }
 
-    /// What is charged against a team's limit, over all partitions.
+    /// Returns the amount that is charged against a team's limit, over all partitions.
     pub fn total_charged(&self, team: &str) -> Resources {
         amount_of(&self.totals, team)
     }
 
-    /// What a team's tasks need that are placed by holders or are to be.
+    /// Returns the amount that a team's tasks need that partition holders have placed or are to place.
     pub fn needed(&self, team: &str) -> Resources {
         let partitions = self.partitions.values();
         partitions.fold(Resources::ZERO, |sum, grant| {
@@ -82,7 +83,7 @@
         })
     }
 
-    /// What no task needs of what a partition is granted of a team's limit.
+    /// Returns the part of a partition's grant of a team's limit that no task needs.
     pub fn slack(&self, partition: PartitionId, team: &str) -> Resources {
         let grant = self.partitions.get(&partition);
         let team = grant.and_then(|grant| grant.team(team));
@@ -91,9 +92,9 @@
         })
     }
 
-    /// The partition's holder is to place a task of the team; the grant grows if it has to. `room` is what
-    /// is left of the team's limit, and `promised` is what of the grant is kept for tasks that wait at the
-    /// holder.
+    /// Charges a task of the team that the partition's holder is to place. The grant grows if it has to. `room` is
+    /// the amount that is left of the team's limit, and `promised` is the part of the grant that is kept for tasks
+    /// that wait at the holder.
     ///
     /// # Errors
     ///
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    /// A task that was queued is not queued any more: it is placed, or will not be.
+    /// Removes a task from the queued ones, because the holder has placed it or will not place it.
     pub fn remove_queued(
         &mut self,
         partition: PartitionId,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The partition's holder has placed a task of the team.
+    /// Counts a task of the team that the partition's holder has placed.
     pub fn add_placed(&mut self, partition: PartitionId, team: &str, amount: Resources) {
         self.update(partition, [team], |grant| {
             let grant = grant.team_mut(team);
@@ -146,7 +147,7 @@
         });
     }
 
-    /// A task that the partition's holder had placed is proven gone.
+    /// Removes a task from the placed ones, because it is proven absent from its machine.
     pub fn remove_placed(
         &mut self,
         partition: PartitionId,
@@ -161,8 +162,8 @@
         });
     }
 
-    /// The team's limit was lowered: growth of its grants that is not on record for certain is not written
-    /// any more.
+    /// Cancels growth of the team's grants that is not certainly recorded, so that it is no longer written. Called
+    /// after the team's limit is lowered.
     pub fn cancel_unrecorded_growth(&mut self, team: &str) {
         for partition in self.partitions() {
             self.update(partition, [team], |grant| {
@@ -171,8 +172,8 @@
         }
     }
 
-    /// What the partition's holder is told that it may use: no more than is on record, and without what is
-    /// revoked.
+    /// Returns the amounts that the partition's holder is told that it may use: at most the recorded ones, less
+    /// what this reduction revokes.
     pub fn usable(
         &mut self,
         partition: PartitionId,
@@ -183,57 +184,58 @@
         grant.map_or_else(Vec::new, |grant| grant.usable(now, reduction))
     }
 
-    /// The partition's holder has answered the last message that told it what it may use: it will use no
-    /// more than `held`.
-    pub fn on_usage_bound(&mut self, partition: PartitionId, held: &[TeamAmount], now: Micros) {
-        let held = from_list(held);
+    /// Applies the holder's answer to the last message with usable amounts. The holder will use at most `bounds`.
+    pub fn on_usage_bound(&mut self, partition: PartitionId, bounds: &[TeamAmount], now: Micros) {
+        let bounds = from_list(bounds);
         let Some(grant) = self.partitions.get(&partition) else {
             return;
         };
         let mut teams = grant.team_names();
-        teams.extend(held.keys().cloned());
+        teams.extend(bounds.keys().cloned());
         self.update(partition, teams.iter().map(String::as_str), |grant| {
             for team in &teams {
-                grant.on_usage_bound(team, amount_of(&held, team), now);
+                grant.on_usage_bound(team, amount_of(&bounds, team), now);
             }
         });
     }
 
-    /// Whether the record says something else than what is granted.
+    /// Returns whether the record has to be written to match the granted amounts.
     pub fn differs_from_record(&self, partition: PartitionId) -> bool {
         let grant = self.partitions.get(&partition);
         grant.is_some_and(PartitionGrant::differs_from_record)
     }
 
-    /// The record as it is to be written now.
+    /// Returns the record to write now. `claim` is the fencing token of the partition's claim.
     pub fn build_record(&mut self, partition: PartitionId, claim: u64) -> QuotaGrantRecord {
         let teams = self.team_names(partition);
         let teams = teams.iter().map(String::as_str);
-        self.update(partition, teams, |grant| grant.render(claim))
+        self.update(partition, teams, |grant| grant.build_record(claim))
     }
 
-    /// The record that was last rendered is on record, and no earlier one can come on record any more.
+    /// Notes that the record built last is in the store and that no earlier write can take effect any more.
     pub fn on_record_written(&mut self, partition: PartitionId) {
         if !self.partitions.contains_key(&partition) {
             return;
         }
         let teams = self.team_names(partition);
         let teams = teams.iter().map(String::as_str);
-        self.update(partition, teams, PartitionGrant::written);
+        self.update(partition, teams, PartitionGrant::on_record_written);
     }
 
+    /// Returns the teams that have, or had, a part of the partition's grant.
     fn team_names(&self, partition: PartitionId) -> BTreeSet<String> {
         let grant = self.partitions.get(&partition);
         grant.map_or_else(BTreeSet::new, PartitionGrant::team_names)
     }
 
-    /// The number of the grant that is on record or about to be.
+    /// Returns the version of the record that was last loaded or built for the partition; 0: there is none, or it
+    /// cannot be decoded.
     pub fn record_version(&self, partition: PartitionId) -> u64 {
         let grant = self.partitions.get(&partition);
-        grant.map_or(0, |grant| grant.number)
+        grant.map_or(0, |grant| grant.record_version)
     }
 
-    /// Partitions that have a grant, or had one.
+    /// Returns the partitions that have, or had, a grant.
     pub fn partitions(&self) -> Vec<PartitionId> {
         self.partitions.keys().copied().collect()
     }
--- a/crates/quota/src/holder_grant.rs
+++ b/crates/quota/src/holder_grant.rs
@@ -1,55 +1,56 @@
-//! What a partition holder may use of each team's limit, and what its tasks use.
+//! The amounts of each team's limit that a partition holder may use, and the amounts that its tasks use.
 
 use crate::resources::{amount_of, from_list, to_list};
 use crate::{Resources, TeamAmounts};
 use grebewood_wire::records::TeamAmount;
 
-/// The quota grant of a partition, as its holder has it.
+/// Quota grant of a partition, as its holder knows it.
 #[derive(Clone, Debug, Default)]
 pub struct HolderGrant {
-    /// What may be used.
+    /// Amounts that may be used.
     granted: TeamAmounts,
-    /// What tasks use, from the moment at which they are chosen to the proof that they are gone.
+    /// Amounts that tasks use, from their placement decision until they are proven absent.
     used: TeamAmounts,
 }
 
 impl HolderGrant {
-    /// Replaces what may be used. Messages must be applied in the order in which they were sent.
+    /// Replaces the amounts that may be used. Messages must be applied in the order in which they were sent.
     pub fn set_granted(&mut self, amounts: &[TeamAmount]) {
         self.granted = from_list(amounts);
     }
 
-    /// Nothing more may be used until something is granted anew.
+    /// Suspends the grant: nothing more may be used until a new amount is granted.
     pub fn suspend(&mut self) {
         self.granted.clear();
     }
 
-    /// Whether a task of the team that needs this amount may be started.
+    /// Returns whether a task of the team that needs this amount may be started.
     pub fn may_use(&self, team: &str, amount: Resources) -> bool {
         let used = amount_of(&self.used, team).saturating_add(amount);
         used.fits(amount_of(&self.granted, team))
     }
 
-    /// A task of the team may be on a machine from now on.
+    /// Reserves resources for a task of the team that may be on a machine from now on.
     pub fn reserve(&mut self, team: &str, amount: Resources) {
         let used = self.used.entry(team.to_string()).or_default();
         *used = used.saturating_add(amount);
     }
 
-    /// A task of the team is proven gone, or was never on record.
+    /// Releases the resources of a task of the team that is proven absent from its machine, or that was never
+    /// recorded.
     pub fn release(&mut self, team: &str, amount: Resources) {
         if let Some(used) = self.used.get_mut(team) {
             *used = used.saturating_sub(amount);
         }
     }
 
-    /// What is used at most until more is granted: what the leader may count on.
+    /// Returns the largest amounts that will be used until more is granted. The leader may rely on this bound.
     pub fn usage_bound(&self) -> Vec<TeamAmount> {
-        let mut held = self.granted.clone();
+        let mut bounds = self.granted.clone();
         for (team, used) in &self.used {
-            let bound = held.entry(team.clone()).or_default();
+            let bound = bounds.entry(team.clone()).or_default();
             *bound = bound.max(*used);
         }
-        to_list(&held)
+        to_list(&bounds)
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,28 +1,27 @@
 //! Team quotas that hold for the whole cluster while several controllers place tasks.
 //!
-//! A team may use no more than its limit across the whole cluster. The leader grants the holder of each
-//! partition a part of a team's limit (a quota grant) and writes it to the store before it is used; the
-//! holder starts tasks out of its grant without asking. What is granted counts as used until the holder,
-//! or whoever holds the partition next, has answered that it will not use it.
+//! A team's tasks may use at most its limit across the whole cluster. The leader grants the holder of each
+//! partition a part of a team's limit (a quota grant) and records it in the key-value store before it is used.
+//! The holder starts tasks within its grant without asking. A granted amount counts as used until the holder,
+//! or the next holder of the partition, has answered that it will not use it.
 //!
-//! Like the scheduler's core this package is pure: inputs in, decisions out. It does no I/O and reads no
-//! clock.
+//! Like the scheduler's core, this package maps inputs to decisions. It does no I/O and reads no clock.
 //!
-//! - [`limits`]: which guaranteed shares and limits are in force while settings change;
-//! - [`grants`]: what the leader has granted to each partition;
-//! - [`holder_grant`]: what a holder may use, and what its tasks use;
-//! - [`overview`]: what an operator is shown, from the records alone.
+//! - [`limits`]: the guaranteed shares and limits that are in force while settings change;
+//! - [`grants`]: the amounts that the leader has granted to each partition;
+//! - [`holder_grant`]: the amounts that a holder may use and those that its tasks use;
+//! - [`overview`]: the overview for operators, from the records alone.
 //!
-//! For each team these hold at any moment, also by the records alone, so that the next leader can rely on
-//! them:
+//! For each team these invariants hold at any moment. They also hold for the records alone, so that the next
+//! leader can rely on them:
 //!
 //! ```text
-//! used by tasks of the leader + sum over partitions of max(granted, may be on record) <= limit in force
-//! used by tasks of a partition's holder <= granted to the partition, on record
+//! used by tasks of the leader + sum over partitions of max(granted, possibly recorded) <= limit in force
+//! used by tasks of a partition's holder <= granted to the partition, as recorded
 //! ```
 //!
-//! The exception is a limit that was lowered below what is used: then nothing new starts until the first
-//! line holds again.
+//! The exception is a limit that was lowered below the amount in use: then nothing new starts until the first
+//! invariant holds again.
 
 #![warn(missing_docs)]
 
@@ -39,7 +38,7 @@
 pub use partition_grant::GrantReduction;
 pub use resources::{Resources, TeamAmounts};
 
-/// Microseconds of a monotonic clock.
+/// Time or duration in microseconds, of a monotonic clock.
 pub type Micros = u64;
 
 /// Number of a partition.
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -1,26 +1,26 @@
-//! Which guaranteed shares and limits are in force while the members' settings change.
+//! The guaranteed shares and limits that are in force while the members' settings change.
 //!
-//! Each member reads the teams' quotas from its own settings when it starts, so for a while some members
-//! have the new amounts and some the old ones. The amount in force is on record. It is lowered as soon as
-//! one member announces a lower one, and raised only when all members, asked by the present leader, have
-//! announced a higher one. So a member with old settings that becomes the leader acts on no higher amount
-//! than the one on record, and neither does a member that cannot be reached.
+//! Each member reads the teams' quotas from its own settings when it starts, so for some time members can have
+//! different amounts. The amount in force is recorded in the key-value store. It is lowered as soon as one member
+//! announces a lower amount. It is raised only after all members, asked by the present leader, have announced a
+//! higher one. So a member with old settings that becomes the leader does not act on an amount above the recorded
+//! one, and neither does a member that cannot be reached.
 
 use crate::Resources;
 use grebewood_wire::records::{LimitsRecord, TeamQuotaRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A team's guaranteed share and limit.
+/// Guaranteed share and limit of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamQuota {
-    /// What the team gets without waiting for tasks of other teams to end.
+    /// Amount that the team gets without waiting for tasks of other teams to end.
     pub guarantee: Resources,
-    /// What the team's tasks may use at most.
+    /// Largest amount that the team's tasks may use.
     pub limit: Resources,
 }
 
 impl TeamQuota {
-    /// The lower amount of each; the guaranteed share never exceeds the limit.
+    /// Returns the lower amount of each. The guaranteed share of the result does not exceed its limit.
     fn lower_of(self, other: TeamQuota) -> TeamQuota {
         let limit = self.limit.min(other.limit);
         TeamQuota {
@@ -30,27 +30,27 @@
     }
 }
 
-/// The quotas of all teams.
+/// Quotas of all teams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Limits(BTreeMap<String, TeamQuota>);
 
 impl Limits {
-    /// The quotas of these teams.
+    /// Creates the quotas of these teams.
     pub fn new(teams: impl IntoIterator<Item = (String, TeamQuota)>) -> Limits {
         Limits(teams.into_iter().collect())
     }
 
-    /// A team's quota; `None` if there is no such team.
+    /// Returns a team's quota; `None`: there is no such team.
     pub fn get(&self, team: &str) -> Option<TeamQuota> {
         self.0.get(team).copied()
     }
 
-    /// All teams with their quotas.
+    /// Returns all teams with their quotas.
     pub fn iter(&self) -> impl Iterator<Item = (&str, TeamQuota)> {
         self.0.iter().map(|(team, quota)| (team.as_str(), *quota))
     }
 
-    /// The quotas from a record or message.
+    /// Converts the quotas in a record or message.
     pub fn from_teams(teams: &[TeamQuotaRecord]) -> Limits {
         let quota = |record: &TeamQuotaRecord| TeamQuota {
             guarantee: Resources::of(record.cpus, record.gpus),
@@ -60,7 +60,7 @@
         Limits::new(teams.map(|record| (record.team.clone(), quota(record))))
     }
 
-    /// The quotas for a message.
+    /// Converts the quotas to the form in records and messages.
     pub fn to_teams(&self) -> Vec<TeamQuotaRecord> {
         let record = |(team, quota): (&str, TeamQuota)| TeamQuotaRecord {
             team: team.to_string(),
@@ -72,37 +72,37 @@
         self.iter().map(record).collect()
     }
 
-    /// The quotas as the record in the store.
+    /// Returns the record of the quotas for the key-value store.
     pub fn to_record(&self) -> LimitsRecord {
         LimitsRecord {
             teams: self.to_teams(),
         }
     }
 
-    /// Teams whose limit is lower here than in `before`.
+    /// Returns the teams whose limit is lower here than in `before`.
     pub fn lowered_since(&self, before: &Limits) -> Vec<String> {
-        let lower = |(team, quota): &(&str, TeamQuota)| {
+        let is_lowered = |(team, quota): &(&str, TeamQuota)| {
             let now = self.get(team).unwrap_or_default();
             !quota.limit.fits(now.limit)
         };
-        let lowered = before.iter().filter(lower);
+        let lowered = before.iter().filter(is_lowered);
         lowered.map(|(team, _)| team.to_string()).collect()
     }
 }
 
-/// The quotas in force, as the leader determines them.
+/// Quotas in force, as the leader determines them.
 #[derive(Clone, Debug, Default)]
 pub struct LimitsInForce {
     in_force: Limits,
-    /// All members of the cluster.
+    /// Names of all members of the cluster.
     members: BTreeSet<String>,
-    /// What the members' settings say, of those that have announced them to this leader.
+    /// Quotas in the settings of each member that has announced them to this leader.
     announced: BTreeMap<String, Limits>,
 }
 
 impl LimitsInForce {
-    /// The quotas in force under a new leader: those on record (its own settings if there is no record), but
-    /// no more than its own settings say.
+    /// Creates the quotas in force under a new leader: the recorded ones (its own settings if there is no record),
+    /// but at most the amounts in its own settings.
     pub fn new(
         recorded: Option<Limits>,
         member: &str,
@@ -120,45 +120,47 @@
         limits
     }
 
-    /// The quotas that are in force.
+    /// Returns the quotas in force.
     pub fn in_force(&self) -> &Limits {
         &self.in_force
     }
 
-    /// Whether all members have announced their settings.
+    /// Returns whether all members have announced their settings.
     pub fn all_announced(&self) -> bool {
         self.announced.len() == self.members.len()
     }
 
-    /// Applies what a member's settings say, and returns whether that changes what is in force.
+    /// Applies the quotas in a member's settings and returns whether the quotas in force have changed.
+    /// Announcements of unknown members are ignored.
     pub fn announce(&mut self, member: &str, limits: Limits) -> bool {
         if !self.members.contains(member) {
             return false;
         }
         self.announced.insert(member.to_string(), limits);
-        let updated = self.determine();
+        let updated = self.compute_limits();
         let changed = updated != self.in_force;
         self.in_force = updated;
         changed
     }
 
-    fn determine(&self) -> Limits {
+    /// Returns the quotas in force according to the announcements so far.
+    fn compute_limits(&self) -> Limits {
         let announced = self.announced.values().flat_map(|limits| limits.0.keys());
         let teams: BTreeSet<&String> = self.in_force.0.keys().chain(announced).collect();
         let quotas = teams.into_iter().filter_map(|team| {
-            let quota = self.determine_team(team)?;
+            let quota = self.compute_quota(team)?;
             Some((team.clone(), quota))
         });
         Limits::new(quotas)
     }
 
-    /// A team's quota; `None` if no member knows the team any more.
-    fn determine_team(&self, team: &str) -> Option<TeamQuota> {
+    /// Returns a team's quota in force; `None`: all members have announced their settings and none knows the team.
+    fn compute_quota(&self, team: &str) -> Option<TeamQuota> {
         let mut quotas = self.announced.values().map(|limits| limits.get(team));
         if self.all_announced() && quotas.clone().all(|quota| quota.is_none()) {
             return None;
         }
-        // A member that does not know the team allows it nothing.
+        // A member whose settings lack the team counts as announcing a quota of zero.
         let first = quotas.next()?.unwrap_or_default();
         let lowest = quotas.fold(first, |lowest, quota| {
             lowest.lower_of(quota.unwrap_or_default())
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -1,4 +1,4 @@
-//! What `grebewood quota` shows of the teams' quotas, from the records in the key-value store alone.
+//! Output of `grebewood quota`: the teams' quotas, from the records in the key-value store alone.
 
 use crate::resources::{amount_of, from_list};
 use crate::{Limits, PartitionId, Resources, TeamQuota};
@@ -7,58 +7,58 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// A task on a page of assignments.
+/// Task on a page of assignments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedTask {
-    /// The partition whose holder placed it; `None`: the leader did.
+    /// Partition whose holder placed the task; `None`: the leader placed it.
     pub partition: Option<PartitionId>,
-    /// The task's team.
+    /// Team of the task.
     pub team: String,
-    /// What the task needs.
+    /// Resources that the task needs.
     pub amount: Resources,
 }
 
-/// What is read from the store.
+/// Records that are read from the key-value store.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// The member that leads, if any.
+    /// Name of the leader, if any.
     pub leader: Option<String>,
-    /// The quotas in force; `None`: none are on record.
+    /// Quotas in force; `None`: there is no readable record of them.
     pub limits: Option<Limits>,
-    /// Whether the record of the quotas in force cannot be read.
+    /// Whether the record of the quotas in force cannot be decoded.
     pub limits_unreadable: bool,
-    /// The quota grants by partition; `None`: the record cannot be read.
+    /// Quota grants by partition; `None`: the record cannot be decoded.
     pub grants: BTreeMap<PartitionId, Option<QuotaGrantRecord>>,
-    /// Partitions that are held.
+    /// Partitions that have a holder.
     pub held_partitions: BTreeSet<PartitionId>,
     /// All tasks that may be on machines.
     pub tasks: Vec<RecordedTask>,
-    /// Keys of pages of assignments that cannot be read: what is on them is not known.
+    /// Keys of pages of assignments that cannot be decoded, so that their tasks are not known.
     pub unreadable_pages: Vec<String>,
 }
 
-/// A team's quota and what of it is used.
+/// Row of the overview: quota and usage of one team.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TeamRow {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// The guaranteed share.
+    /// Guaranteed share.
     pub guarantee: Amount,
-    /// The limit. Operators' scripts read it by its old name.
+    /// Limit. Operators' scripts read it by its earlier name.
     #[serde(rename = "ceiling")]
     pub limit: Amount,
-    /// What of the limit is granted to partition holders. Operators' scripts read it by its old name.
+    /// Part of the limit that is granted to partition holders. Operators' scripts read it by its earlier name.
     #[serde(rename = "allotted")]
     pub granted: Amount,
-    /// What the team's tasks use that are on record.
+    /// Amount that the team's recorded tasks use.
     pub used: Amount,
-    /// What of all this may or may not be in use now.
+    /// Part of the granted and used amounts of which it is not known whether it is in use now.
     pub in_doubt: Amount,
-    /// Why it is in doubt, one reason for each partition concerned.
+    /// Reasons why an amount is in doubt, one for each partition concerned.
     pub reasons: Vec<String>,
 }
 
-/// CPUs and accelerators, as an operator reads them.
+/// Amount of CPUs and accelerators, in whole units and fractions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Amount {
     /// CPUs.
@@ -76,42 +76,43 @@
     }
 }
 
-/// The overview of all teams' quotas.
+/// Overview of all teams' quotas.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Overview {
-    /// The member that leads, if any.
+    /// Name of the leader, if any.
     pub leader: Option<String>,
-    /// The teams, by name.
+    /// Teams, ordered by name.
     pub teams: Vec<TeamRow>,
-    /// Keys of the store whose value cannot be read.
+    /// Keys in the key-value store whose value cannot be decoded.
     pub unreadable: Vec<String>,
 }
 
 impl Records {
-    /// What the team's tasks use that the partition's holder has placed, or the leader itself (`None`).
+    /// Returns the amount that the team's tasks use that the partition's holder has placed, or the leader
+    /// (`None`).
     fn used(&self, team: &str, partition: Option<PartitionId>) -> Resources {
         let tasks = self.tasks.iter();
         let matching = tasks.filter(|task| task.team == team && task.partition == partition);
         matching.fold(Resources::ZERO, |sum, task| sum.saturating_add(task.amount))
     }
 
-    /// What the partition is granted of the team's limit.
+    /// Returns the part of the team's limit that the partition is granted.
     fn granted(&self, team: &str, partition: PartitionId, limit: Resources) -> Resources {
         match self.grants.get(&partition) {
             None => Resources::ZERO,
-            // It may have been all of it.
+            // The unreadable grant may cover the whole limit.
             Some(None) => limit,
             Some(Some(record)) => amount_of(&from_list(&record.teams), team),
         }
     }
 
-    /// Partitions that have a quota grant or tasks.
+    /// Returns the partitions that have a quota grant or tasks.
     fn partitions(&self) -> BTreeSet<PartitionId> {
         let with_tasks = self.tasks.iter().filter_map(|task| task.partition);
         self.grants.keys().copied().chain(with_tasks).collect()
     }
 
-    /// Why it is in doubt whether the partition's grant is used; `None` if it is not in doubt.
+    /// Returns why it is in doubt whether the partition's grant is used; `None`: it is not in doubt.
     fn reason_for_doubt(&self, partition: PartitionId) -> Option<String> {
         if matches!(self.grants.get(&partition), Some(None)) {
             return Some(format!("{} cannot be read", quota_grant_key(partition)));
@@ -120,6 +121,7 @@
         (!held).then(|| format!("partition {partition} has no holder"))
     }
 
+    /// Returns the row of a team.
     fn team_row(&self, team: &str, quota: TeamQuota) -> TeamRow {
         let mut used = self.used(team, None);
         let mut granted = Resources::ZERO;
@@ -150,6 +152,7 @@
         }
     }
 
+    /// Returns the rows of all teams that have a quota or tasks.
     fn team_rows(&self) -> Vec<TeamRow> {
         let none = Limits::default();
         let limits = self.limits.as_ref().unwrap_or(&none);
@@ -162,6 +165,7 @@
             .collect()
     }
 
+    /// Returns the keys of all records that cannot be decoded.
     fn unreadable_keys(&self) -> Vec<String> {
         let mut keys = Vec::new();
         keys.extend(self.limits_unreadable.then(|| LIMITS.to_string()));
@@ -174,7 +178,7 @@
 }
 
 impl Overview {
-    /// The overview of these records.
+    /// Returns the overview of these records.
     pub fn of(records: &Records) -> Overview {
         Overview {
             leader: records.leader.clone(),
@@ -183,7 +187,7 @@
         }
     }
 
-    /// The overview as a table.
+    /// Returns the overview as a table.
     pub fn to_text(&self) -> String {
         let leader = self.leader.as_deref().unwrap_or("nobody");
         let mut text = format!("leader: {leader}\n");
@@ -198,6 +202,7 @@
         text
     }
 
+    /// Returns the heading of the table, or a note that there is nothing to list.
     fn heading(&self) -> String {
         if self.teams.is_empty() {
             return "no limits on record: holders of partitions place nothing\n".to_string();
@@ -231,12 +236,12 @@
     }
 }
 
-/// An amount beyond this one stands for no limit.
-const NO_LIMIT: f64 = 1e11;
+/// Number of CPUs or accelerators from which on an amount is shown as "no limit".
+const NO_LIMIT_FROM: f64 = 1e11;
 
-/// A number with two decimals at most, as operators read it.
+/// Returns the number with at most two decimals.
 fn number_to_text(number: f64) -> String {
-    if number < NO_LIMIT {
+    if number < NO_LIMIT_FROM {
         format!("{}", (number * 100.0).round() / 100.0)
     } else {
         "no limit".to_string()
--- a/crates/quota/src/partition_grant.rs
+++ b/crates/quota/src/partition_grant.rs
@@ -1,42 +1,44 @@
-//! The quota grant of one partition, as the leader keeps it.
+//! The leader's state of the quota grant of one partition.
 
 use crate::resources::{amount_of, to_list};
 use crate::{Micros, Resources, TeamAmounts};
 use grebewood_wire::records::{QuotaGrantRecord, TeamAmount};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long more may be granted than is needed before the rest is revoked, in microseconds.
-const SLACK_TIMEOUT: Micros = 2_000_000;
+/// Time after which granted resources that no task needs are revoked, in microseconds.
+const SLACK_TIMEOUT_US: Micros = 2_000_000;
 
-/// How much of a team's quota grants is revoked from the holders.
+/// Part of a team's quota grants that the leader revokes from partition holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantReduction {
-    /// What no task has needed for a while.
+    /// The amount that no task has needed for some time.
     IdleSlack,
-    /// What no task needs: others of the team need it.
+    /// The amount that no task needs now, because other tasks of the team need it.
     Slack,
-    /// All of it: the team is above its limit, and nothing more may start, not even where a task ends.
+    /// The whole amount, because the team is above its limit. Nothing more may start, even after a task has ended.
     All,
 }
 
-/// What of one team's limit a partition has.
+/// Part of one team's limit that a partition is granted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TeamGrant {
-    /// What the holder may use, as far as this leader has decided.
+    /// Amount that the holder may use, as far as this leader has decided.
     pub(crate) granted: Resources,
-    /// What the tasks take that are known to be placed.
+    /// Amount that the tasks use that are known to be placed.
     pub(crate) placed: Resources,
-    /// What the tasks take that are to be placed, and for which there is room.
+    /// Amount that the tasks need that are charged and yet to be placed.
     pub(crate) queued: Resources,
-    /// Since when more is granted than is needed.
+    /// Time since which more is granted than needed.
     pub(crate) slack_since: Option<Micros>,
 }
 
 impl TeamGrant {
+    /// Returns the amount that placed and queued tasks need.
     pub(crate) fn needed(&self) -> Resources {
         self.placed.saturating_add(self.queued)
     }
 
+    /// Updates the time since which more is granted than needed.
     pub(crate) fn update_slack(&mut self, now: Micros) {
         if self.granted.fits(self.needed()) {
             self.slack_since = None;
@@ -45,65 +47,70 @@
         }
     }
 
-    /// What the holder may keep after this reduction.
-    fn reduced(&self, reduction: GrantReduction, now: Micros) -> Resources {
-        let slack_timed_out = self
+    /// Returns the amount that the holder may keep after this reduction.
+    fn kept_after(&self, reduction: GrantReduction, now: Micros) -> Resources {
+        let is_slack_idle = self
             .slack_since
-            .is_some_and(|since| now.saturating_sub(since) >= SLACK_TIMEOUT);
+            .is_some_and(|since| now.saturating_sub(since) >= SLACK_TIMEOUT_US);
         let kept = match reduction {
             GrantReduction::All => Resources::ZERO,
             GrantReduction::Slack => self.needed(),
-            GrantReduction::IdleSlack if slack_timed_out => self.needed(),
+            GrantReduction::IdleSlack if is_slack_idle => self.needed(),
             GrantReduction::IdleSlack => self.granted,
         };
         kept.min(self.granted)
     }
 }
 
-/// What a partition has of all teams' limits.
+/// Parts of all teams' limits that a partition is granted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PartitionGrant {
-    /// Number of the record that was last rendered.
-    pub(crate) number: u64,
+    /// Version of the record that was last loaded or built.
+    pub(crate) record_version: u64,
     teams: BTreeMap<String, TeamGrant>,
-    /// What is on record whatever becomes of the writes in flight: a holder may be told of no more.
-    certain: TeamAmounts,
-    /// What may be on record, or may come on record late.
-    possible: TeamAmounts,
-    /// What was last rendered for a write.
-    rendered: TeamAmounts,
+    /// Amounts that the record holds at least, whatever becomes of the writes in flight. The holder may not be
+    /// told more.
+    recorded_at_least: TeamAmounts,
+    /// Amounts that the record holds at most, now or after a late write.
+    recorded_at_most: TeamAmounts,
+    /// Amounts in the record that was built last.
+    last_built: TeamAmounts,
 }
 
 impl PartitionGrant {
-    /// The grant that an earlier leader wrote.
-    pub(crate) fn load(&mut self, number: u64, amounts: TeamAmounts) {
-        self.number = number;
+    /// Loads the grant that an earlier leader wrote.
+    pub(crate) fn load(&mut self, record_version: u64, amounts: TeamAmounts) {
+        self.record_version = record_version;
         for (team, amount) in &amounts {
             self.team_mut(team).granted = *amount;
         }
-        self.certain = amounts.clone();
-        self.possible = amounts;
+        self.recorded_at_least = amounts.clone();
+        self.recorded_at_most = amounts;
     }
 
+    /// Returns the part of a team's limit that the partition is granted, if it is known.
     pub(crate) fn team(&self, team: &str) -> Option<&TeamGrant> {
         self.teams.get(team)
     }
 
+    /// Returns the part of a team's limit that the partition is granted, creating it if necessary.
     pub(crate) fn team_mut(&mut self, team: &str) -> &mut TeamGrant {
         self.teams.entry(team.to_string()).or_default()
     }
 
-    /// What is charged against the team's limit.
+    /// Returns the amount that is charged against the team's limit.
     pub(crate) fn charged(&self, team: &str) -> Resources {
         let known = self.team(team).map(|grant| grant.granted.max(grant.placed));
-        let possible = amount_of(&self.possible, team);
-        known.unwrap_or_default().max(possible)
+        let recorded_at_most = amount_of(&self.recorded_at_most, team);
+        known.unwrap_or_default().max(recorded_at_most)
     }
 
+    /// Returns the amount that placed and queued tasks of the team need.
     pub(crate) fn needed(&self, team: &str) -> Resources {
         self.team(team).map_or(Resources::ZERO, TeamGrant::needed)
     }
 
+    /// Returns the granted amounts that are not zero.
     fn granted(&self) -> TeamAmounts {
         let teams = self.teams.iter();
         let non_empty = teams.filter(|(_, grant)| !grant.granted.is_zero());
@@ -112,20 +119,20 @@
             .collect()
     }
 
-    /// The teams that have or had something granted, each once.
+    /// Returns the teams that have, or had, a part of the grant.
     pub(crate) fn team_names(&self) -> BTreeSet<String> {
-        let names = self.teams.keys().chain(self.possible.keys());
+        let names = self.teams.keys().chain(self.recorded_at_most.keys());
         names.cloned().collect()
     }
 
-    /// Takes back the growth of the team's grant that is not on record for certain.
+    /// Cancels growth of the team's grant that is not certainly recorded.
     pub(crate) fn cancel_unrecorded_growth(&mut self, team: &str) {
-        let certain = amount_of(&self.certain, team);
+        let recorded_at_least = amount_of(&self.recorded_at_least, team);
         let grant = self.team_mut(team);
-        grant.granted = grant.granted.min(certain);
+        grant.granted = grant.granted.min(recorded_at_least);
     }
 
-    /// What the holder is told that it may use after these reductions, by team.
+    /// Returns the amounts that the holder is told that it may use after these reductions.
     pub(crate) fn usable(
         &mut self,
         now: Micros,
@@ -134,14 +141,14 @@
         let mut usable = TeamAmounts::new();
         for (team, grant) in &mut self.teams {
             grant.update_slack(now);
-            let kept = grant.reduced(reduction(team), now);
-            let certain = amount_of(&self.certain, team);
-            usable.insert(team.clone(), kept.min(certain));
+            let kept = grant.kept_after(reduction(team), now);
+            let recorded_at_least = amount_of(&self.recorded_at_least, team);
+            usable.insert(team.clone(), kept.min(recorded_at_least));
         }
         to_list(&usable)
     }
 
-    /// The holder will use no more of the team's limit than this.
+    /// Applies the holder's answer that it will use at most `bound` of the team's limit.
     pub(crate) fn on_usage_bound(&mut self, team: &str, bound: Resources, now: Micros) {
         let grant = self.team_mut(team);
         let needed = grant.needed().min(grant.granted);
@@ -149,38 +156,39 @@
         grant.update_slack(now);
     }
 
+    /// Returns whether the record has to be written to match the granted amounts.
     pub(crate) fn differs_from_record(&self) -> bool {
         let granted = self.granted();
-        granted != self.certain || granted != self.possible
+        granted != self.recorded_at_least || granted != self.recorded_at_most
     }
 
-    /// The record as it is to be written now.
-    pub(crate) fn render(&mut self, claim: u64) -> QuotaGrantRecord {
-        self.number += 1;
-        self.rendered = self.granted();
-        for (team, amount) in &self.rendered {
-            let possible = self.possible.entry(team.clone()).or_default();
-            *possible = possible.max(*amount);
+    /// Returns the record to write now. `claim` is the fencing token of the partition's claim.
+    pub(crate) fn build_record(&mut self, claim: u64) -> QuotaGrantRecord {
+        self.record_version += 1;
+        self.last_built = self.granted();
+        for (team, amount) in &self.last_built {
+            let recorded_at_most = self.recorded_at_most.entry(team.clone()).or_default();
+            *recorded_at_most = recorded_at_most.max(*amount);
         }
-        for (team, certain) in &mut self.certain {
-            *certain = certain.min(amount_of(&self.rendered, team));
+        for (team, recorded_at_least) in &mut self.recorded_at_least {
+            *recorded_at_least = recorded_at_least.min(amount_of(&self.last_built, team));
         }
-        self.certain.retain(|_, amount| !amount.is_zero());
+        self.recorded_at_least.retain(|_, amount| !amount.is_zero());
         QuotaGrantRecord {
-            version: self.number,
+            version: self.record_version,
             claim,
-            teams: to_list(&self.rendered),
+            teams: to_list(&self.last_built),
         }
     }
 
-    /// The record that was last rendered is on record, and no earlier one can come on record any more.
-    pub(crate) fn written(&mut self) {
-        self.certain = self.rendered.clone();
-        self.possible = self.rendered.clone();
-        let on_record = &self.certain;
+    /// Notes that the record built last is in the store and that no earlier write can take effect any more.
+    pub(crate) fn on_record_written(&mut self) {
+        self.recorded_at_least = self.last_built.clone();
+        self.recorded_at_most = self.last_built.clone();
+        let recorded = &self.recorded_at_least;
         self.teams.retain(|team, grant| {
             let in_use = !grant.granted.is_zero() || !grant.needed().is_zero();
-            in_use || on_record.contains_key(team)
+            in_use || recorded.contains_key(team)
         });
     }
 }
--- a/crates/quota/src/resources.rs
+++ b/crates/quota/src/resources.rs
@@ -1,51 +1,55 @@
-//! Amounts of CPUs and accelerators in whole millionths, so that sums stay exact however many tasks are
-//! added and removed.
+//! Amounts of CPUs and accelerators in whole millionths, so that sums stay exact however many tasks are added and
+//! removed.
 
 use grebewood_wire::records::TeamAmount;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// CPUs and accelerators.
+/// Amount of CPUs and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Resources {
-    /// Millionths of a CPU.
+    /// CPUs, in millionths.
     pub cpus: u64,
-    /// Millionths of an accelerator.
+    /// Accelerators, in millionths.
     pub gpus: u64,
 }
 
-/// Amounts by team. Teams that are not listed have none.
+/// Amounts by team. The amount of a team that is not listed is zero.
 pub type TeamAmounts = BTreeMap<String, Resources>;
 
-const MILLION: f64 = 1e6;
-/// By how much the floating-point product of a decimal number may be too large, in millionths.
-const ROUNDING_ERROR: f64 = 1e-3;
+/// Number of millionths in one CPU or accelerator.
+const MILLIONTHS_PER_UNIT: f64 = 1e6;
+/// Largest amount by which the floating-point product of a decimal number and the number of millionths in a unit
+/// may be too large, in millionths.
+const ROUNDING_ERROR_MILLIONTHS: f64 = 1e-3;
 
 impl Resources {
-    /// None of either.
+    /// No CPUs and no accelerators.
     pub const ZERO: Resources = Resources { cpus: 0, gpus: 0 };
 
-    /// An amount in CPUs and accelerators, rounded up to whole millionths. Negative amounts count as none.
+    /// Returns an amount of CPUs and accelerators, rounded up to whole millionths. Negative amounts count as zero.
     pub fn of(cpus: f64, gpus: f64) -> Resources {
-        // The conversion saturates: a team without a limit has more than any fleet.
-        let millionths = |amount: f64| (amount.max(0.0) * MILLION - ROUNDING_ERROR).ceil() as u64;
+        // The conversion saturates, so a team without a limit gets an amount larger than any fleet.
+        let millionths = |amount: f64| {
+            (amount.max(0.0) * MILLIONTHS_PER_UNIT - ROUNDING_ERROR_MILLIONTHS).ceil() as u64
+        };
         Resources {
             cpus: millionths(cpus),
             gpus: millionths(gpus),
         }
     }
 
-    /// The CPUs, in whole ones and fractions.
+    /// Returns the number of CPUs, with fractions.
     pub fn cpus(self) -> f64 {
-        self.cpus as f64 / MILLION
+        self.cpus as f64 / MILLIONTHS_PER_UNIT
     }
 
-    /// The accelerators, in whole ones and fractions.
+    /// Returns the number of accelerators, with fractions.
     pub fn gpus(self) -> f64 {
-        self.gpus as f64 / MILLION
+        self.gpus as f64 / MILLIONTHS_PER_UNIT
     }
 
-    /// The sum of both, saturating.
+    /// Returns the sum of the two amounts, saturating.
     pub fn saturating_add(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_add(other.cpus),
@@ -53,7 +57,7 @@
         }
     }
 
-    /// What is left when `other` is subtracted, zero at least for each resource.
+    /// Returns this amount minus `other`, at least zero for each resource.
     pub fn saturating_sub(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(other.cpus),
@@ -61,7 +65,7 @@
         }
     }
 
-    /// This amount `factor` times, saturating.
+    /// Returns this amount multiplied by `factor`, saturating.
     pub fn times(self, factor: u64) -> Resources {
         Resources {
             cpus: self.cpus.saturating_mul(factor),
@@ -69,7 +73,7 @@
         }
     }
 
-    /// The larger amount of each resource.
+    /// Returns the larger amount of each resource.
     pub fn max(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.max(other.cpus),
@@ -77,7 +81,7 @@
         }
     }
 
-    /// The smaller amount of each resource.
+    /// Returns the smaller amount of each resource.
     pub fn min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -85,18 +89,18 @@
         }
     }
 
-    /// Whether it is no more than `other` in either resource.
+    /// Returns whether this amount is at most `other` in both resources.
     pub fn fits(self, other: Resources) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus
     }
 
-    /// Whether it is none of either.
+    /// Returns whether this amount is zero in both resources.
     pub fn is_zero(self) -> bool {
         self == Resources::ZERO
     }
 }
 
-/// Amounts by team as they are written and sent.
+/// Converts amounts by team to the form in records and messages, without amounts that are zero.
 pub fn to_list(amounts: &TeamAmounts) -> Vec<TeamAmount> {
     let non_zero = amounts.iter().filter(|(_, amount)| !amount.is_zero());
     non_zero
@@ -108,7 +112,7 @@
         .collect()
 }
 
-/// Amounts by team, from a record or a message.
+/// Converts the amounts in a record or message to amounts by team.
 pub fn from_list(list: &[TeamAmount]) -> TeamAmounts {
     let mut amounts = TeamAmounts::new();
     for TeamAmount { team, cpus, gpus } in list {
@@ -121,7 +125,7 @@
     amounts
 }
 
-/// The amount of a team.
+/// Returns the amount of a team, zero if it is not listed.
 pub fn amount_of(amounts: &TeamAmounts, team: &str) -> Resources {
     amounts.get(team).copied().unwrap_or_default()
 }
