--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -9,8 +9,7 @@
 use crate::state::write_buffer::{RecordId, WriteBuffer};
 use crate::{Micros, MILLI, SECOND};
 use grebewood_partition::{
-    Assignment as PartitionAssignment, Load, PartitionId, PartitionMap, PlannerInput,
-    PlannerSettings,
+    Load, PartitionAssignment, PartitionId, PartitionMap, PlannerInput, PlannerSettings,
 };
 use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskStop};
 use grebewood_wire::records::{
--- a/crates/partition/src/lib.rs
+++ b/crates/partition/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod plan;
 
 pub use map::{Claim, Partition, PartitionId, PartitionMap, Phase, RecordError};
-pub use plan::{Assignment, Load, Member, Planner, PlannerInput, PlannerSettings};
+pub use plan::{Load, Member, PartitionAssignment, Planner, PlannerInput, PlannerSettings};
 
 /// Time or duration in microseconds, of a monotonic clock or of the time of day.
 pub type Micros = u64;
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -37,7 +37,7 @@
 
 /// Assignment of a partition to a member, to be written to the key-value store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Assignment {
+pub struct PartitionAssignment {
     /// Number of the partition.
     pub id: PartitionId,
     /// Record of the partition.
@@ -96,7 +96,7 @@
         &mut self,
         settings: &PlannerSettings,
         input: &PlannerInput,
-    ) -> Vec<Assignment> {
+    ) -> Vec<PartitionAssignment> {
         if input.members.is_empty() {
             return Vec::new();
         }
@@ -133,7 +133,7 @@
     }
 
     /// Reassigns partitions whose holder is lost or does not claim them to other members.
-    fn reassign_lost_partitions(&mut self, input: &PlannerInput) -> Vec<Assignment> {
+    fn reassign_lost_partitions(&mut self, input: &PlannerInput) -> Vec<PartitionAssignment> {
         let mut counts = partition_counts(input);
         let mut assignments = Vec::new();
         for (id, partition) in input.map.iter() {
@@ -182,7 +182,7 @@
         &mut self,
         settings: &PlannerSettings,
         input: &PlannerInput,
-    ) -> Option<Assignment> {
+    ) -> Option<PartitionAssignment> {
         if !self.may_rebalance(settings, input) {
             return None;
         }
@@ -260,14 +260,14 @@
     holder: &str,
     reason: &str,
     wall_time: Micros,
-) -> Assignment {
+) -> PartitionAssignment {
     let record = PartitionRecord {
         holder: holder.to_string(),
         reason: reason.to_string(),
         assigned_us: wall_time,
         ..record.clone()
     };
-    Assignment { id, record }
+    PartitionAssignment { id, record }
 }
 
 /// Number of partitions assigned to each member.
@@ -295,7 +295,10 @@
 }
 
 /// Returns the first assignments of the partitions of zones that have none.
-fn missing_partitions(settings: &PlannerSettings, input: &PlannerInput) -> Vec<Assignment> {
+fn missing_partitions(
+    settings: &PlannerSettings,
+    input: &PlannerInput,
+) -> Vec<PartitionAssignment> {
     if !input.may_create || settings.partitions_per_zone == 0 {
         return Vec::new();
     }
@@ -320,7 +323,7 @@
                 reason: "first assignment".into(),
             };
             *counts.entry(holder).or_insert(0) += 1;
-            assignments.push(Assignment {
+            assignments.push(PartitionAssignment {
                 id: next_id,
                 record,
             });
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -2,7 +2,8 @@
 
 use grebewood_partition::hash_slots::slot_ranges;
 use grebewood_partition::{
-    Assignment, Load, Member, PartitionId, PartitionMap, Planner, PlannerInput, PlannerSettings,
+    Load, Member, PartitionAssignment, PartitionId, PartitionMap, Planner, PlannerInput,
+    PlannerSettings,
 };
 use grebewood_wire::http::to_value;
 use grebewood_wire::records::{claim_key, partition_key, PartitionClaim};
@@ -49,7 +50,7 @@
 
     /// Runs one round of the planner, writes its assignments, and claims each of them for its holder if that
     /// member is up.
-    fn round(&mut self) -> Vec<Assignment> {
+    fn round(&mut self) -> Vec<PartitionAssignment> {
         self.now += SECOND;
         let zones = BTreeSet::from(["a".to_string()]);
         let input = PlannerInput {
@@ -65,7 +66,7 @@
             wall_time: self.now,
         };
         let assignments = self.planner.plan_assignments(&self.settings, &input);
-        for Assignment { id, record } in &assignments {
+        for PartitionAssignment { id, record } in &assignments {
             self.mod_revision += 1;
             let value = to_value(record);
             let written = self
