--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -134,10 +134,10 @@
             zones: &zones_with_machines(context),
             members: &members.members,
             loads: &self.partition_loads(),
-            holder_unreachable: &self.partitions_of_unreachable_holders(context),
+            partitions_of_unreachable_holders: &self.partitions_of_unreachable_holders(context),
             next_id: self.next_partition_id(),
             may_create: all_known && members.all_answered && !members.any_without_partitions,
-            stable: self.is_stable(context),
+            is_cluster_stable: self.is_stable(context),
             now: context.now.steady,
             wall_time: context.now.wall,
         };
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -56,13 +56,13 @@
     /// Loads of the partitions, as far as they are known.
     pub loads: &'a BTreeMap<PartitionId, Load>,
     /// Partitions whose holders were delegated tasks and cannot be reached. They are assigned to other members.
-    pub holder_unreachable: &'a BTreeSet<PartitionId>,
+    pub partitions_of_unreachable_holders: &'a BTreeSet<PartitionId>,
     /// Number of the next new partition.
     pub next_id: PartitionId,
     /// Whether partitions may be created, which requires that all members that could lead support them.
     pub may_create: bool,
     /// Whether the cluster is stable: the leader has not changed recently and the key-value store answers in time.
-    pub stable: bool,
+    pub is_cluster_stable: bool,
     /// Current time, in microseconds of a monotonic clock.
     pub now: Micros,
     /// Current time of day, in microseconds since the Unix epoch.
@@ -143,7 +143,7 @@
             // its own. The exception is a holder that was delegated tasks: no other member knows whether it has
             // placed them.
             let holder_is_unreachable =
-                input.holder_unreachable.contains(&id) && !holder_is_healthy;
+                input.partitions_of_unreachable_holders.contains(&id) && !holder_is_healthy;
             if !self.is_claim_overdue(id, input.now) && !holder_is_unreachable {
                 continue;
             }
@@ -215,7 +215,7 @@
         });
         let mut partitions = input.map.iter();
         let all_held = partitions.all(|(_, partition)| partition.phase() == Phase::Held);
-        !settings.moves_paused && input.stable && interval_passed && all_held
+        !settings.moves_paused && input.is_cluster_stable && interval_passed && all_held
     }
 }
 
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -58,10 +58,10 @@
             zones: &zones,
             members: &self.members,
             loads: &self.loads,
-            holder_unreachable: &BTreeSet::new(),
+            partitions_of_unreachable_holders: &BTreeSet::new(),
             next_id: self.map.iter().map(|(id, _)| id).max().unwrap_or(0) + 1,
             may_create: self.may_create,
-            stable: self.stable,
+            is_cluster_stable: self.stable,
             now: self.now,
             wall_time: self.now,
         };
