--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -107,7 +107,11 @@
         }
         let before = self.leader_quota.limits.in_force().clone();
         let announced = Limits::from_teams(teams);
-        if !self.leader_quota.limits.announce(member, announced) {
+        if !self
+            .leader_quota
+            .limits
+            .apply_announcement(member, announced)
+        {
             return;
         }
         let lowered = self.leader_quota.limits.in_force().lowered_since(&before);
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -116,7 +116,7 @@
             members,
             announced: BTreeMap::new(),
         };
-        limits.announce(member, own);
+        limits.apply_announcement(member, own);
         limits
     }
 
@@ -132,7 +132,7 @@
 
     /// Applies the quotas in a member's settings and returns whether the quotas in force have changed.
     /// Announcements of unknown members are ignored.
-    pub fn announce(&mut self, member: &str, limits: Limits) -> bool {
+    pub fn apply_announcement(&mut self, member: &str, limits: Limits) -> bool {
         if !self.members.contains(member) {
             return false;
         }
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -24,12 +24,12 @@
 fn one_member_lowers_and_all_raise() {
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(high.clone()), "m-0", high.clone(), others());
-    assert!(in_force.announce("m-1", low.clone()));
+    assert!(in_force.apply_announcement("m-1", low.clone()));
     assert_eq!(limit(&in_force, "t"), Some(12.0));
     // Nothing is known of the third member; then it announces the old limit.
-    assert!(!in_force.announce("m-2", high.clone()));
+    assert!(!in_force.apply_announcement("m-2", high.clone()));
     assert_eq!(limit(&in_force, "t"), Some(12.0));
-    assert!(in_force.announce("m-1", high));
+    assert!(in_force.apply_announcement("m-1", high));
     assert_eq!(limit(&in_force, "t"), Some(32.0));
 }
 
@@ -40,7 +40,7 @@
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(low.clone()), "m-0", high.clone(), others());
     assert_eq!(limit(&in_force, "t"), Some(12.0));
-    in_force.announce("m-1", high.clone());
+    in_force.apply_announcement("m-1", high.clone());
     assert_eq!(limit(&in_force, "t"), Some(12.0));
     // Nor on a higher one than its own.
     let in_force = LimitsInForce::new(Some(high), "m-0", low, others());
@@ -61,17 +61,17 @@
         limits(&[("u", 0.0, 8.0)]),
     );
     let mut in_force = LimitsInForce::new(Some(with.clone()), "m-0", with.clone(), others());
-    in_force.announce("m-1", without.clone());
+    in_force.apply_announcement("m-1", without.clone());
     assert_eq!(limit(&in_force, "t"), Some(0.0));
     assert_eq!(limit(&in_force, "u"), Some(8.0));
-    in_force.announce("m-2", without.clone());
-    in_force.announce("m-0", without);
+    in_force.apply_announcement("m-2", without.clone());
+    in_force.apply_announcement("m-0", without);
     assert_eq!(limit(&in_force, "t"), None);
     for member in ["m-0", "m-1"] {
-        in_force.announce(member, with.clone());
+        in_force.apply_announcement(member, with.clone());
         assert_eq!(limit(&in_force, "t"), Some(0.0));
     }
-    in_force.announce("m-2", with);
+    in_force.apply_announcement("m-2", with);
     assert_eq!(limit(&in_force, "t"), Some(32.0));
 }
 
@@ -79,7 +79,7 @@
 fn what_an_unknown_member_announces_is_ignored() {
     let own = limits(&[("t", 4.0, 32.0)]);
     let mut in_force = LimitsInForce::new(None, "m-0", own.clone(), others());
-    assert!(!in_force.announce("m-9", limits(&[])));
+    assert!(!in_force.apply_announcement("m-9", limits(&[])));
     assert_eq!(in_force.in_force(), &own);
 }
 
@@ -88,7 +88,7 @@
 fn a_lowered_limit_lowers_the_guaranteed_share_too() {
     let (high, low) = (limits(&[("t", 20.0, 32.0)]), limits(&[("t", 10.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(high.clone()), "m-0", high, others());
-    in_force.announce("m-1", low);
+    in_force.apply_announcement("m-1", low);
     let quota = in_force.in_force().get("t").expect("the team");
     assert_eq!(quota.guarantee.cpus(), 10.0);
 }
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -223,7 +223,11 @@
     fn change_settings(&mut self, member: usize, limit: u64) {
         self.settings[member] = limit;
         let limits = limits_of(limit);
-        if self.leader.limits.announce(MEMBERS[member], limits) {
+        if self
+            .leader
+            .limits
+            .apply_announcement(MEMBERS[member], limits)
+        {
             self.leader.write_limit(&mut self.store);
         }
     }
