--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -12,7 +12,7 @@
 use grebewood_wire::http::{
     KeyValue, Lease, LeaseRequest, Operation, Transaction, TransactionApplied,
 };
-use grebewood_wire::records::{LeaderRecord, LEADER};
+use grebewood_wire::records::{LeaderRecord, LEADER_KEY};
 use log::{info, warn};
 use std::fmt::Display;
 
@@ -54,7 +54,7 @@
         if !self.election.request_in_flight {
             self.election.request_in_flight = true;
             self.context
-                .read_key(LEADER, CallPurpose::Election(ElectionStep::Probe));
+                .read_key(LEADER_KEY, CallPurpose::Election(ElectionStep::Probe));
         }
         // A holder renews leases as a leader does: it has to know what peers confirmed.
         if !self.partitions.holders.is_empty() && now >= self.election.next_question {
@@ -94,7 +94,7 @@
     fn on_leader_record(&mut self, body: &[u8]) {
         let entry = match wire::from_cbor::<KeyValue<LeaderRecord>>(body) {
             Ok(entry) => entry,
-            Err(e) => return warn!(path = LEADER, error:% = e; "unreadable leader record"),
+            Err(e) => return warn!(path = LEADER_KEY, error:% = e; "unreadable leader record"),
         };
         let token = entry.mod_revision;
         self.context.token = self.context.token.max(token);
@@ -112,9 +112,9 @@
     /// process of the member had it, or a claim was applied late. Nobody acts under it.
     fn delete_own_leader_record(&mut self, token: u64) {
         let transaction = Transaction {
-            when: vec![at_revision(LEADER, token)],
+            when: vec![at_revision(LEADER_KEY, token)],
             apply: vec![Operation::Delete {
-                delete: LEADER.into(),
+                delete: LEADER_KEY.into(),
             }],
         };
         self.context
@@ -146,9 +146,9 @@
         };
         self.election.request_in_flight = true;
         let transaction = Transaction {
-            when: vec![absent(LEADER)],
+            when: vec![absent(LEADER_KEY)],
             apply: vec![Operation::Put {
-                put: LEADER.into(),
+                put: LEADER_KEY.into(),
                 value: wire::http::to_value(&self.own_leader_record()),
                 lease: Some(lease.id),
             }],
@@ -162,7 +162,8 @@
     fn read_leader_claim_back(&mut self, lease: u64) {
         self.election.request_in_flight = true;
         let step = ElectionStep::ReadBack { lease };
-        self.context.read_key(LEADER, CallPurpose::Election(step));
+        self.context
+            .read_key(LEADER_KEY, CallPurpose::Election(step));
     }
 
     fn on_leader_claim_read(&mut self, lease: u64, body: &[u8]) {
--- a/crates/core/src/controller/catalogue.rs
+++ b/crates/core/src/controller/catalogue.rs
@@ -5,7 +5,7 @@
 use crate::{Micros, Outcome, Target, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{Catalogue, KeyValue};
-use grebewood_wire::records::CATALOGUE;
+use grebewood_wire::records::CATALOGUE_KEY;
 use log::warn;
 
 /// Between two attempts to read the catalogue.
@@ -25,7 +25,7 @@
         match self.catalogue_reader.source {
             CatalogueSource::Store => {
                 let purpose = CallPurpose::Catalogue(CatalogueSource::Store);
-                self.context.read_key(CATALOGUE, purpose);
+                self.context.read_key(CATALOGUE_KEY, purpose);
             }
             CatalogueSource::Cloud => {
                 if self.context.cloud.take(now, 1.0) {
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -11,7 +11,7 @@
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValueList, WatchEvent, WatchResponse};
-use grebewood_wire::records::{CancelRecord, JobKey, JOB};
+use grebewood_wire::records::{CancelRecord, JobKey, JOB_PREFIX};
 use grebewood_wire::Value;
 use log::debug;
 
@@ -95,7 +95,7 @@
             None => {
                 view.awaiting_reply.append(&mut view.waiting);
                 let since = view.revision.unwrap_or(0);
-                let path = format!("/changes?prefix={JOB}&since={since}&block_ms=0");
+                let path = format!("/changes?prefix={JOB_PREFIX}&since={since}&block_ms=0");
                 (path, JobViewCall::Watch)
             }
         };
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -12,7 +12,7 @@
 use grebewood_wire::http::{
     to_value, KeyValue, Lease, LeaseRequest, Operation, Redirect, Transaction, TransactionApplied,
 };
-use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER};
+use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER_KEY};
 use log::{info, warn};
 use thiserror::Error;
 
@@ -140,7 +140,7 @@
             when: vec![
                 absent(&key),
                 at_revision(&partition_key(id), partition.mod_revision),
-                at_revision(LEADER, term),
+                at_revision(LEADER_KEY, term),
             ],
             apply: vec![Operation::Put {
                 put: key,
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -9,7 +9,7 @@
 use grebewood_partition::PartitionMap;
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValueList, WatchResponse};
-use grebewood_wire::records::PARTITION;
+use grebewood_wire::records::PARTITION_PREFIX;
 use grebewood_wire::Value;
 use log::{error, warn};
 
@@ -40,15 +40,16 @@
         let (call, path, timeout) = match (reader.revision, &reader.listing) {
             (Some(revision), _) => {
                 let block_ms = WATCH_DURATION / MILLI;
-                let path =
-                    format!("/changes?prefix={PARTITION}&since={revision}&block_ms={block_ms}");
+                let path = format!(
+                    "/changes?prefix={PARTITION_PREFIX}&since={revision}&block_ms={block_ms}"
+                );
                 (MapCall::Watch, path, WATCH_TIMEOUT)
             }
             (None, listing) => {
                 let after = listing.as_ref().map(|page| &page.last_key);
                 let since = after.map(|key| format!("&since={key}"));
                 let since = since.unwrap_or_default();
-                let path = format!("/kv?prefix={PARTITION}{since}&page={PAGE_ENTRIES}");
+                let path = format!("/kv?prefix={PARTITION_PREFIX}{since}&page={PAGE_ENTRIES}");
                 (MapCall::List, path, STORE_TIMEOUT)
             }
         };
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -14,7 +14,7 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValue, Transaction};
 use grebewood_wire::records::{
-    cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED,
+    cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED_PREFIX,
 };
 use grebewood_wire::validate::is_valid_job_id;
 use log::{debug, warn};
@@ -190,7 +190,7 @@
 
 /// The key of a finished job's final record.
 fn finished_key(job: &str) -> String {
-    format!("{FINISHED}{job}")
+    format!("{FINISHED_PREFIX}{job}")
 }
 
 impl Context {
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -24,7 +24,7 @@
 use crate::state::write_buffer::WriteBuffer;
 use crate::{Micros, SECOND};
 use grebewood_quota::TeamAmounts;
-use grebewood_wire::records::PARTITION;
+use grebewood_wire::records::PARTITION_PREFIX;
 use log::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -249,7 +249,8 @@
     /// Whether it is known which machines are in partitions.
     pub(crate) fn knows_partitions(&self, context: &Context) -> bool {
         let loading = self.loading.as_ref();
-        !context.supports_partitions() || loading.is_none_or(|loading| loading.has_read(PARTITION))
+        !context.supports_partitions()
+            || loading.is_none_or(|loading| loading.has_read(PARTITION_PREFIX))
     }
 
     /// The number of the lease.
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -5,7 +5,7 @@
 use crate::state::jobs::{FinalStatus, JobIndex};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
-use grebewood_wire::records::{cancel_key, CancelRecord, LEGACY_CANCEL};
+use grebewood_wire::records::{cancel_key, CancelRecord, LEGACY_CANCEL_PREFIX};
 use log::error;
 
 /// The end of a job is written ahead of changes that have been due for less than this: it is what the user waits for,
@@ -75,7 +75,7 @@
 
     /// The key under which the job's cancellation is on record, or would be.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
-        let legacy = format!("{LEGACY_CANCEL}{id}");
+        let legacy = format!("{LEGACY_CANCEL_PREFIX}{id}");
         if self.write_buffer.is_on_record(&legacy) {
             legacy
         } else {
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -8,7 +8,7 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{TransactionApplied, TransactionConflict};
 use grebewood_wire::records::{
-    cancel_key, job_key, JobKey, COMPLETED_TASKS, FINISHED, LEGACY_CANCEL,
+    cancel_key, job_key, JobKey, COMPLETED_TASKS_PREFIX, FINISHED_PREFIX, LEGACY_CANCEL_PREFIX,
 };
 use log::{info, warn};
 
@@ -134,9 +134,9 @@
         let keys = [
             job_key(&job.id),
             cancel_key(&job.id),
-            format!("{LEGACY_CANCEL}{}", job.id),
-            format!("{FINISHED}{}", job.id),
-            format!("{COMPLETED_TASKS}{}/0", job.id),
+            format!("{LEGACY_CANCEL_PREFIX}{}", job.id),
+            format!("{FINISHED_PREFIX}{}", job.id),
+            format!("{COMPLETED_TASKS_PREFIX}{}/0", job.id),
         ];
         for key in &keys {
             self.write_buffer.mod_revisions.remove(key);
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -12,7 +12,7 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
 use grebewood_wire::http::KeyValueList;
-use grebewood_wire::records::PROVISION;
+use grebewood_wire::records::PROVISION_PREFIX;
 use log::warn;
 
 /// How often the requests on record are listed.
@@ -36,16 +36,16 @@
         }
         self.provision_sweep_at = now + SWEEP_INTERVAL;
         let purpose = self.pending(SchedulerCall::List {
-            prefix: PROVISION.into(),
+            prefix: PROVISION_PREFIX.into(),
         });
-        let path = format!("/kv?prefix={PROVISION}&page={LIST_PAGE}");
+        let path = format!("/kv?prefix={PROVISION_PREFIX}&page={LIST_PAGE}");
         context.get_from_store(path, purpose);
     }
 
     /// Deletes provision requests on record that are not ours.
     pub(crate) fn on_provision_sweep(&mut self, context: &Context, list: Option<KeyValueList>) {
         for entry in list.map(|list| list.entries).unwrap_or_default() {
-            let machine = entry.key.strip_prefix(PROVISION).unwrap_or_default();
+            let machine = entry.key.strip_prefix(PROVISION_PREFIX).unwrap_or_default();
             if self.fleet.provision_record(machine).is_some()
                 || self.write_buffer.is_on_record(&entry.key)
             {
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -7,7 +7,7 @@
 use crate::Outcome;
 use grebewood_wire as wire;
 use grebewood_wire::http::{from_value, KeyValue};
-use grebewood_wire::records::{FinishedJobRecord, JobKey, FINISHED};
+use grebewood_wire::records::{FinishedJobRecord, JobKey, FINISHED_PREFIX};
 use grebewood_wire::Value;
 
 impl Scheduler {
@@ -29,7 +29,7 @@
 
     fn on_key_present(&mut self, key: &str, entry: &KeyValue<Value>) {
         self.write_buffer.note_revision(key, entry.mod_revision);
-        let Some(job) = key.strip_prefix(FINISHED) else {
+        let Some(job) = key.strip_prefix(FINISHED_PREFIX) else {
             return;
         };
         // The end of this job was written by an earlier flush.
@@ -49,9 +49,9 @@
                 self.unconfirmed_cancellations.insert(job.to_string());
                 self.write_buffer
                     .stale_keys
-                    .push(format!("{FINISHED}{job}"));
+                    .push(format!("{FINISHED_PREFIX}{job}"));
             }
-        } else if let Some(job) = key.strip_prefix(FINISHED) {
+        } else if let Some(job) = key.strip_prefix(FINISHED_PREFIX) {
             if self.unconfirmed_cancellations.remove(job) && self.is_taken_as_cancelled(job) {
                 self.retract_cancellation(context, job);
             }
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -9,8 +9,9 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{to_value, Operation};
 use grebewood_wire::records::{
-    job_key, partition_key, quota_grant_key, FinishedJobRecord, CATALOGUE, COMPLETED_TASKS,
-    FINISHED, LIMITS, PAGE, PROVISION, STATS,
+    job_key, partition_key, quota_grant_key, FinishedJobRecord, ASSIGNMENT_PAGE_PREFIX,
+    CATALOGUE_KEY, COMPLETED_TASKS_PREFIX, FINISHED_PREFIX, PROVISION_PREFIX, QUOTA_LIMITS_KEY,
+    STATS_KEY,
 };
 use log::warn;
 use serde::Serialize;
@@ -23,12 +24,12 @@
             RecordId::AssignmentPage(number) => self.render_assignments(context, *number),
             RecordId::CompletedTasksPage(number) => {
                 let content = self.completed_pages.record(*number, &self.jobs);
-                Some(self.put_unchanged(format!("{COMPLETED_TASKS}{number}"), &content))
+                Some(self.put_unchanged(format!("{COMPLETED_TASKS_PREFIX}{number}"), &content))
             }
             RecordId::PendingProvision(machine) => self.render_provision(machine),
             RecordId::Stats => {
                 let content = self.stats.record_within(self.value_bytes);
-                Some(self.put_unchanged(STATS.into(), &content))
+                Some(self.put_unchanged(STATS_KEY.into(), &content))
             }
             RecordId::Catalogue => self.render_catalogue(context),
             RecordId::Limits => self.render_limits(),
@@ -70,12 +71,12 @@
         if !self.is_holder() && self.written_by_holder(context, page).is_some() {
             return None;
         }
-        let key = format!("{PAGE}0/{page}");
+        let key = format!("{ASSIGNMENT_PAGE_PREFIX}0/{page}");
         Some(self.put_unchanged(key, &self.page_record(page)))
     }
 
     fn render_provision(&self, machine: &str) -> Option<RecordWrite> {
-        let key = format!("{PROVISION}{machine}");
+        let key = format!("{PROVISION_PREFIX}{machine}");
         match self.fleet.provision_record(machine) {
             Some(content) => Some(self.put_unchanged(key, &content)),
             None => self.delete_unchanged(&key),
@@ -88,26 +89,26 @@
         if wire::json_size(&to_value(&content)) > self.value_bytes {
             // With a part of the catalogue on record, jobs that can run would be refused. Without a record each
             // controller asks the cloud.
-            warn!(key = CATALOGUE; "record is too large for the store and is not written");
+            warn!(key = CATALOGUE_KEY; "record is too large for the store and is not written");
             return None;
         }
-        Some(self.put_unchanged(CATALOGUE.into(), &content))
+        Some(self.put_unchanged(CATALOGUE_KEY.into(), &content))
     }
 
     fn render_limits(&self) -> Option<RecordWrite> {
         let content = self.limits_record();
         if wire::json_size(&to_value(&content)) > self.value_bytes {
-            warn!(key = LIMITS; "record is too large for the store, no quota is granted to holders");
+            warn!(key = QUOTA_LIMITS_KEY; "record is too large for the store, no quota is granted to holders");
             return None;
         }
-        Some(self.put_unchanged(LIMITS.into(), &content))
+        Some(self.put_unchanged(QUOTA_LIMITS_KEY.into(), &content))
     }
 
     /// The end of a job: its final status is written, and its live records are deleted.
     fn render_job_end(&self, index: JobIndex) -> Option<RecordWrite> {
         let job = self.jobs.get(index)?;
         let ending = job.ending?;
-        let (live, finished) = (job_key(&job.id), format!("{FINISHED}{}", job.id));
+        let (live, finished) = (job_key(&job.id), format!("{FINISHED_PREFIX}{}", job.id));
         let cancellation = self.cancellation_key(&job.id);
         let content = FinishedJobRecord {
             status: ending.as_str().into(),
@@ -127,7 +128,7 @@
         }
         // A record of an earlier version. If there are more of them, those are left behind, which costs space but is
         // harmless.
-        let legacy = format!("{COMPLETED_TASKS}{}/0", job.id);
+        let legacy = format!("{COMPLETED_TASKS_PREFIX}{}/0", job.id);
         if self.write_buffer.is_on_record(&legacy)
             && write.operations.len() < self.transaction_operations
         {
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -10,7 +10,9 @@
 use grebewood_wire::peer::{
     DelegatedTask, DelegatedWork, PartitionOrders, PartitionReport, PlacedTask, QuotaOrders,
 };
-use grebewood_wire::records::{claim_key, quota_grant_key, TeamAmount, LEADER, LIMITS};
+use grebewood_wire::records::{
+    claim_key, quota_grant_key, TeamAmount, LEADER_KEY, QUOTA_LIMITS_KEY,
+};
 
 const MACHINE: &str = "n-000001";
 
@@ -163,8 +165,8 @@
         condition.map(|when| when.mod_revision)
     };
     assert_eq!(mod_revision(&claim_key(1)), Some(CLAIM));
-    assert_eq!(mod_revision(LEADER), Some(TERM));
-    assert_eq!(mod_revision(LIMITS), Some(LIMITS_REVISION));
+    assert_eq!(mod_revision(LEADER_KEY), Some(TERM));
+    assert_eq!(mod_revision(QUOTA_LIMITS_KEY), Some(LIMITS_REVISION));
     assert_eq!(mod_revision("page/0/1000"), Some(0));
     assert_eq!(mod_revision(&quota_grant_key(1)), None);
 }
@@ -237,11 +239,14 @@
 #[test]
 fn nothing_is_written_once_another_leader_is_on_record() {
     let (mut controller, mut holder) = holder();
-    assert_eq!(holder.conditions_failed(&[LEADER.to_string()]), Ok(()));
+    assert_eq!(holder.conditions_failed(&[LEADER_KEY.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
     // When the limits have changed, nothing is written until the leader has sent them, either.
     carry_out(&mut controller, &mut holder, orders(5, 4, &[]));
-    assert_eq!(holder.conditions_failed(&[LIMITS.to_string()]), Ok(()));
+    assert_eq!(
+        holder.conditions_failed(&[QUOTA_LIMITS_KEY.to_string()]),
+        Ok(())
+    );
     assert_nothing_is_written(&mut controller, &mut holder);
     let ended = holder.conditions_failed(&[claim_key(1)]);
     assert_eq!(ended, Err("its claim has ended".to_string()));
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -111,7 +111,7 @@
                 return;
             }
         };
-        let key = wire::records::CATALOGUE;
+        let key = wire::records::CATALOGUE_KEY;
         let recorded = self.write_buffer.mod_revisions.contains_key(key);
         if !recorded || context.catalogue.as_ref() != Some(&types) {
             self.write_buffer.mark_dirty(RecordId::Catalogue, now);
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -10,7 +10,9 @@
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
 use grebewood_wire::http::{from_value, KeyValue, Shape};
 use grebewood_wire::peer::TaskAttempt;
-use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, TeamQuotaRecord, LIMITS, QUOTA};
+use grebewood_wire::records::{
+    LimitsRecord, QuotaGrantRecord, TeamQuotaRecord, QUOTA_LIMITS_KEY, QUOTA_PREFIX,
+};
 use grebewood_wire::Value;
 use log::{error, info};
 use std::cmp::Reverse;
@@ -32,11 +34,14 @@
         for entry in entries {
             let mod_revisions = &mut self.write_buffer.mod_revisions;
             mod_revisions.insert(entry.key.clone(), entry.mod_revision);
-            if entry.key == LIMITS {
+            if entry.key == QUOTA_LIMITS_KEY {
                 recorded = recorded_limits(&entry.value);
                 continue;
             }
-            let id = entry.key.strip_prefix(QUOTA).and_then(|n| n.parse().ok());
+            let id = entry
+                .key
+                .strip_prefix(QUOTA_PREFIX)
+                .and_then(|n| n.parse().ok());
             match id.filter(|id| self.remote_partitions.record(*id).is_some()) {
                 Some(id) => grants.push((id, entry)),
                 None => {
@@ -81,7 +86,9 @@
 
     /// Whether the quotas in force are on record, so that holders' writes can be conditional on them.
     pub(crate) fn limits_are_on_record(&self) -> bool {
-        self.write_buffer.mod_revisions.contains_key(LIMITS)
+        self.write_buffer
+            .mod_revisions
+            .contains_key(QUOTA_LIMITS_KEY)
             && !self.write_buffer.is_dirty(&RecordId::Limits)
     }
 
@@ -239,7 +246,7 @@
         Ok(record) => Some(Limits::from_teams(&record.teams)),
         Err(error) => {
             error!(
-                key = LIMITS, error:% = error;
+                key = QUOTA_LIMITS_KEY, error:% = error;
                 "cannot read the quotas in force, this member's settings are used"
             );
             None
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -12,7 +12,7 @@
 use grebewood_wire::peer::{
     DelegatedTask, DelegatedWork, PlacedTask, QuotaOrders, QuotaReport, TaskRanges,
 };
-use grebewood_wire::records::{TeamAmount, LIMITS};
+use grebewood_wire::records::{TeamAmount, QUOTA_LIMITS_KEY};
 use grebewood_wire::validate::MAX_TASKS;
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,11 @@
         if !context.supports_quota_grants() {
             return None;
         }
-        let limits = self.write_buffer.mod_revisions.get(LIMITS).copied()?;
+        let limits = self
+            .write_buffer
+            .mod_revisions
+            .get(QUOTA_LIMITS_KEY)
+            .copied()?;
         let grant = self.usable_grant(context, id);
         let work = if reconciled {
             self.work_to_send(id)
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -9,7 +9,8 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValue, KeyValueList};
 use grebewood_wire::records::{
-    CATALOGUE, COMPLETED_TASKS, JOB, LEGACY_CANCEL, PAGE, PARTITION, PROVISION, QUOTA, STATS,
+    ASSIGNMENT_PAGE_PREFIX, CATALOGUE_KEY, COMPLETED_TASKS_PREFIX, JOB_PREFIX,
+    LEGACY_CANCEL_PREFIX, PARTITION_PREFIX, PROVISION_PREFIX, QUOTA_PREFIX, STATS_KEY,
 };
 use grebewood_wire::Value;
 use log::{error, warn};
@@ -32,14 +33,20 @@
 
     /// The prefixes and keys that are read.
     fn records_to_load(&self, context: &Context) -> Vec<String> {
-        let mut reads = vec![JOB.to_string(), LEGACY_CANCEL.to_string()];
+        let mut reads = vec![JOB_PREFIX.to_string(), LEGACY_CANCEL_PREFIX.to_string()];
         match self.partition() {
             None => {
                 // Members claim partitions only under a leader that supports them. To one that does not, claims mean
                 // nothing: its token is higher than that of every claim.
-                let partitions = context.supports_partitions().then_some(PARTITION);
-                let quota = context.supports_quota_grants().then_some(QUOTA);
-                let of_leader = [COMPLETED_TASKS, PAGE, PROVISION, STATS, CATALOGUE];
+                let partitions = context.supports_partitions().then_some(PARTITION_PREFIX);
+                let quota = context.supports_quota_grants().then_some(QUOTA_PREFIX);
+                let of_leader = [
+                    COMPLETED_TASKS_PREFIX,
+                    ASSIGNMENT_PAGE_PREFIX,
+                    PROVISION_PREFIX,
+                    STATS_KEY,
+                    CATALOGUE_KEY,
+                ];
                 let of_leader = of_leader.into_iter().chain(partitions).chain(quota);
                 reads.extend(of_leader.map(str::to_string));
             }
@@ -58,7 +65,9 @@
             return;
         };
         for read in loading.take_due(context.now.steady) {
-            let single_key = [STATS, CATALOGUE].into_iter().find(|key| *key == read);
+            let single_key = [STATS_KEY, CATALOGUE_KEY]
+                .into_iter()
+                .find(|key| *key == read);
             let (path, what) = match single_key {
                 Some(key) => (format!("/kv/{key}"), SchedulerCall::Read { key }),
                 None => {
@@ -82,14 +91,14 @@
         };
         let Some(loading) = &mut self.loading else {
             return match prefix {
-                PROVISION => self.on_provision_sweep(context, page.ok()),
+                PROVISION_PREFIX => self.on_provision_sweep(context, page.ok()),
                 _ => self.on_relist(context, prefix, page.ok()),
             };
         };
         match page {
             Ok(page) => {
                 loading.add_page(prefix, page, now);
-                if prefix == PARTITION && loading.has_read(PARTITION) {
+                if prefix == PARTITION_PREFIX && loading.has_read(PARTITION_PREFIX) {
                     self.on_partitions_read(context);
                 }
             }
@@ -104,7 +113,10 @@
 
     /// Takes the partitions as soon as all of them have been read: heartbeats are answered by them.
     fn on_partitions_read(&mut self, context: &Context) {
-        let entries = self.loading.as_mut().map(|loading| loading.take(PARTITION));
+        let entries = self
+            .loading
+            .as_mut()
+            .map(|loading| loading.take(PARTITION_PREFIX));
         let mut map = PartitionMap::default();
         for entry in entries.unwrap_or_default() {
             if let Err(error) = map.apply_put(&entry.key, &entry.value, entry.mod_revision) {
@@ -138,7 +150,7 @@
 
 /// What the keys of the assignment pages of a partition's holder begin with, and those of some other pages.
 fn holder_pages_prefix(partition: PartitionId) -> String {
-    format!("{PAGE}0/{partition}")
+    format!("{ASSIGNMENT_PAGE_PREFIX}0/{partition}")
 }
 
 /// The number of an assignment page, from its key.
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -6,7 +6,7 @@
 use crate::SECOND;
 use grebewood_wire::http::{from_value, KeyValue};
 use grebewood_wire::records::{
-    CompletedTasksPageRecord, LegacyCompletedTasksRecord, COMPLETED_TASKS,
+    CompletedTasksPageRecord, LegacyCompletedTasksRecord, COMPLETED_TASKS_PREFIX,
 };
 use grebewood_wire::Value;
 use log::error;
@@ -21,7 +21,10 @@
         for entry in entries {
             self.write_buffer
                 .note_revision(&entry.key, entry.mod_revision);
-            let name = entry.key.strip_prefix(COMPLETED_TASKS).unwrap_or_default();
+            let name = entry
+                .key
+                .strip_prefix(COMPLETED_TASKS_PREFIX)
+                .unwrap_or_default();
             match name.rsplit_once('/') {
                 Some((job, span)) => self.load_legacy_span(&entry, job, span),
                 None => self.load_completed_tasks_page(context, &entry, name),
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::Scheduler;
 use crate::state::jobs::{Job, JobIndex};
 use grebewood_wire::http::{from_value, KeyValue};
-use grebewood_wire::records::{CancelRecord, JobKey, JobRecord, JOB};
+use grebewood_wire::records::{CancelRecord, JobKey, JobRecord, JOB_PREFIX};
 use grebewood_wire::Value;
 use log::error;
 
@@ -37,7 +37,7 @@
         value: &Value,
         mod_revision: u64,
     ) {
-        let Some(id) = key.strip_prefix(JOB) else {
+        let Some(id) = key.strip_prefix(JOB_PREFIX) else {
             return;
         };
         if self.jobs.find(id).is_some() || self.recently_ended.iter().any(|ended| ended == id) {
--- a/crates/core/src/scheduler/loading/records.rs
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -7,8 +7,9 @@
 use crate::state::stats::Stats;
 use grebewood_wire::http::{from_value, KeyValue};
 use grebewood_wire::records::{
-    partition_of_page, ProvisionRecord, CATALOGUE, COMPLETED_TASKS, JOB, LEGACY_CANCEL, PAGE,
-    PROVISION, QUOTA, STATS,
+    partition_of_page, ProvisionRecord, ASSIGNMENT_PAGE_PREFIX, CATALOGUE_KEY,
+    COMPLETED_TASKS_PREFIX, JOB_PREFIX, LEGACY_CANCEL_PREFIX, PROVISION_PREFIX, QUOTA_PREFIX,
+    STATS_KEY,
 };
 use grebewood_wire::Value;
 use log::{error, info};
@@ -22,19 +23,23 @@
         let Some(mut loading) = self.loading.take() else {
             return;
         };
-        let cancellations = self.load_jobs(context, loading.take(JOB), loading.take(LEGACY_CANCEL));
-        self.load_completed_tasks(context, loading.take(COMPLETED_TASKS));
+        let cancellations = self.load_jobs(
+            context,
+            loading.take(JOB_PREFIX),
+            loading.take(LEGACY_CANCEL_PREFIX),
+        );
+        self.load_completed_tasks(context, loading.take(COMPLETED_TASKS_PREFIX));
         if self.role == Role::Leader {
-            self.load_quota(context, loading.take(QUOTA));
+            self.load_quota(context, loading.take(QUOTA_PREFIX));
         }
         let pages = self.own_pages(&mut loading);
         self.load_assignment_pages(context, pages);
-        self.load_provisions(context, loading.take(PROVISION));
-        self.load_stats(loading.take(STATS));
-        self.load_catalogue(context, loading.take(CATALOGUE));
+        self.load_provisions(context, loading.take(PROVISION_PREFIX));
+        self.load_stats(loading.take(STATS_KEY));
+        self.load_catalogue(context, loading.take(CATALOGUE_KEY));
         self.start_timers(context);
-        let watch = Watch::since(loading.revision(JOB));
-        self.watches.insert(JOB, watch);
+        let watch = Watch::since(loading.revision(JOB_PREFIX));
+        self.watches.insert(JOB_PREFIX, watch);
         self.load_cancellations(context, &cancellations);
         self.note_durable_placements();
         // An earlier leader may have written pages under larger limits of the store.
@@ -56,7 +61,7 @@
     /// The assignment pages that are read under this fenced lease.
     fn own_pages(&self, loading: &mut Loading) -> Vec<KeyValue<Value>> {
         let Some(partition) = self.partition() else {
-            return loading.take(PAGE);
+            return loading.take(ASSIGNMENT_PAGE_PREFIX);
         };
         // The prefix is that of pages of some other partitions, too.
         let mut pages = loading.take(&holder_pages_prefix(partition));
@@ -70,7 +75,7 @@
                 .note_revision(&entry.key, entry.mod_revision);
             match from_value::<ProvisionRecord>(&entry.value) {
                 Ok(provision) => {
-                    let machine = entry.key.trim_start_matches(PROVISION).to_string();
+                    let machine = entry.key.trim_start_matches(PROVISION_PREFIX).to_string();
                     self.fleet.recover_provision(context, machine, provision);
                 }
                 Err(error) => error!(key = entry.key, error:% = error; "record cannot be read"),
@@ -84,7 +89,7 @@
                 .note_revision(&entry.key, entry.mod_revision);
             match from_value(&entry.value) {
                 Ok(record) => self.stats = Stats::from_record(&record),
-                Err(error) => error!(key = STATS, error:% = error; "record cannot be read"),
+                Err(error) => error!(key = STATS_KEY, error:% = error; "record cannot be read"),
             }
         }
     }
--- a/crates/core/src/scheduler/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -4,7 +4,7 @@
 use crate::test_support::leader_before_loading;
 use crate::{Effect, Outcome, SECOND};
 use grebewood_wire::http::{KeyValue, KeyValueList};
-use grebewood_wire::records::{job_key, JOB};
+use grebewood_wire::records::{job_key, JOB_PREFIX};
 use grebewood_wire::Value;
 
 fn page(first: u64, revision: u64, more: bool) -> KeyValueList {
@@ -35,7 +35,7 @@
 fn watching_leader() -> Controller {
     let mut controller = leader_before_loading(20 * SECOND);
     let leader = controller.leader.as_mut().expect("a leader");
-    leader.watches.insert(JOB, Watch::default());
+    leader.watches.insert(JOB_PREFIX, Watch::default());
     controller.context.effects.clear();
     controller
 }
@@ -50,10 +50,10 @@
     };
     let take = |controller: &mut Controller, list| {
         let leader = controller.leader.as_mut().expect("a leader");
-        leader.on_relist(&mut controller.context, JOB, Some(list));
+        leader.on_relist(&mut controller.context, JOB_PREFIX, Some(list));
     };
     let leader = controller.leader.as_mut().expect("a leader");
-    leader.on_watch(&mut controller.context, JOB, too_old);
+    leader.on_watch(&mut controller.context, JOB_PREFIX, too_old);
     assert_eq!(requests(&mut controller), ["/kv?prefix=job/&page=1000"]);
     take(&mut controller, page(1, 40, true));
     assert_eq!(
@@ -73,7 +73,7 @@
     let mut controller = watching_leader();
     requests(&mut controller);
     let leader = controller.leader.as_mut().expect("a leader");
-    leader.on_watch(&mut controller.context, JOB, Outcome::TooLarge);
+    leader.on_watch(&mut controller.context, JOB_PREFIX, Outcome::TooLarge);
     assert_eq!(requests(&mut controller), ["/kv?prefix=job/&page=1000"]);
 
     let now = controller.context.now.steady;
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -12,19 +12,19 @@
 use crate::scheduler::Scheduler;
 use crate::state::machine::Assignment;
 use grebewood_wire::http::Condition;
-use grebewood_wire::records::{claim_key, LEADER, LIMITS};
+use grebewood_wire::records::{claim_key, LEADER_KEY, QUOTA_LIMITS_KEY};
 use log::info;
 
 impl Scheduler {
     /// The conditions of all writes under this fenced lease; `None`: nothing may be written now.
     pub(crate) fn write_conditions(&self) -> Option<Vec<Condition>> {
         let Some(partition) = self.partition() else {
-            return Some(vec![condition(LEADER, self.token)]);
+            return Some(vec![condition(LEADER_KEY, self.token)]);
         };
         Some(vec![
             condition(&claim_key(partition), self.token),
-            condition(LEADER, self.holder_quota.term?),
-            condition(LIMITS, self.holder_quota.limits_revision?),
+            condition(LEADER_KEY, self.holder_quota.term?),
+            condition(QUOTA_LIMITS_KEY, self.holder_quota.limits_revision?),
         ])
     }
 
@@ -32,7 +32,7 @@
     pub(crate) fn conditions_failed(&mut self, failed_keys: &[String]) -> Result<(), String> {
         let has_failed = |key: &str| failed_keys.iter().any(|failed| failed == key);
         let Some(partition) = self.partition() else {
-            return if has_failed(LEADER) {
+            return if has_failed(LEADER_KEY) {
                 Err("another leader was elected".into())
             } else {
                 Ok(())
@@ -41,11 +41,11 @@
         if has_failed(&claim_key(partition)) {
             return Err("its claim has ended".into());
         }
-        if has_failed(LEADER) {
+        if has_failed(LEADER_KEY) {
             info!(partition = partition; "nothing is placed until the next leader gives orders");
             self.holder_quota.term = None;
         }
-        if has_failed(LIMITS) {
+        if has_failed(QUOTA_LIMITS_KEY) {
             // The leader tells which limits are in force now.
             self.holder_quota.limits_revision = None;
         }
@@ -55,7 +55,9 @@
     /// Whether the key is that of one of the conditions, which no flush writes.
     pub(crate) fn is_condition(&self, key: &str) -> bool {
         let claim = self.partition().map(claim_key);
-        key == LEADER || (self.is_holder() && key == LIMITS) || claim.as_deref() == Some(key)
+        key == LEADER_KEY
+            || (self.is_holder() && key == QUOTA_LIMITS_KEY)
+            || claim.as_deref() == Some(key)
     }
 
     /// Removes the assignments that this holder has placed and not launched, except for those that may be kept.
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -3,7 +3,7 @@
 use crate::calls::{UserAction, UserRequest};
 use crate::{Micros, MILLI};
 use grebewood_wire as wire;
-use grebewood_wire::records::{JobKey, JobRecord, JOB, LEGACY_CANCEL};
+use grebewood_wire::records::{JobKey, JobRecord, JOB_PREFIX, LEGACY_CANCEL_PREFIX};
 use grebewood_wire::Value;
 use log::error;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,7 +20,7 @@
 }
 
 /// Key prefixes that are listed to build the view, in this order.
-const PREFIXES: [&str; 2] = [JOB, LEGACY_CANCEL];
+const PREFIXES: [&str; 2] = [JOB_PREFIX, LEGACY_CANCEL_PREFIX];
 
 /// Time that a poll waits for the view, in microseconds. Users wait 2 s for the answer.
 const POLL_WAIT_US: Micros = 1_400 * MILLI;
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -5,8 +5,8 @@
 use grebewood_quota::{Limits, Resources};
 use grebewood_wire::http::{from_value, KeyValue};
 use grebewood_wire::records::{
-    partition_of_page, AssignmentPageRecord, JobKey, JobRecord, LimitsRecord, JOB, LIMITS, PAGE,
-    QUOTA,
+    partition_of_page, AssignmentPageRecord, JobKey, JobRecord, LimitsRecord,
+    ASSIGNMENT_PAGE_PREFIX, JOB_PREFIX, QUOTA_LIMITS_KEY, QUOTA_PREFIX,
 };
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
@@ -29,11 +29,11 @@
         .iter()
         .filter(|(_, partition)| partition.claim.is_some());
     records.held_partitions = held.map(|(id, _)| id).collect();
-    for entry in store::list(store, QUOTA)? {
+    for entry in store::list(store, QUOTA_PREFIX)? {
         add_quota_record(&mut records, &entry);
     }
-    let pages = store::list(store, PAGE)?;
-    let jobs = task_usage_by_job(&store::list(store, JOB)?);
+    let pages = store::list(store, ASSIGNMENT_PAGE_PREFIX)?;
+    let jobs = task_usage_by_job(&store::list(store, JOB_PREFIX)?);
     for page in &pages {
         add_assignments(&mut records, &jobs, page);
     }
@@ -41,12 +41,12 @@
 }
 
 fn add_quota_record(records: &mut Records, entry: &KeyValue<Value>) {
-    if entry.key == LIMITS {
+    if entry.key == QUOTA_LIMITS_KEY {
         match from_value::<LimitsRecord>(&entry.value) {
             Ok(record) => records.limits = Some(Limits::from_teams(&record.teams)),
             Err(_) => records.limits_unreadable = true,
         }
-    } else if let Some(Ok(id)) = entry.key.strip_prefix(QUOTA).map(str::parse) {
+    } else if let Some(Ok(id)) = entry.key.strip_prefix(QUOTA_PREFIX).map(str::parse) {
         records.grants.insert(id, from_value(&entry.value).ok());
     }
 }
--- a/crates/grebewood/src/store.rs
+++ b/crates/grebewood/src/store.rs
@@ -3,7 +3,7 @@
 use grebewood_net::blocking;
 use grebewood_partition::PartitionMap;
 use grebewood_wire::http::{KeyValue, KeyValueList};
-use grebewood_wire::records::{LeaderRecord, LEADER, PARTITION};
+use grebewood_wire::records::{LeaderRecord, LEADER_KEY, PARTITION_PREFIX};
 use grebewood_wire::{from_cbor, DecodeError, Value};
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -81,7 +81,7 @@
 
 /// The name of the leader, if there is one.
 pub fn leader(store: SocketAddr) -> Result<Option<String>, ReadError> {
-    let path = format!("/kv/{LEADER}");
+    let path = format!("/kv/{LEADER_KEY}");
     let response = get(store, &path)?;
     match response.status {
         404 => Ok(None),
@@ -97,7 +97,7 @@
 /// The partitions and their holders.
 pub fn partitions(store: SocketAddr) -> Result<PartitionMap, ReadError> {
     let mut map = PartitionMap::default();
-    for entry in list(store, PARTITION)? {
+    for entry in list(store, PARTITION_PREFIX)? {
         // The map remembers the keys of unreadable records, which the overview shows.
         let _ = map.apply_put(&entry.key, &entry.value, entry.mod_revision);
     }
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -2,7 +2,7 @@
 
 use crate::resources::{amount_of, from_list};
 use crate::{Limits, PartitionId, Resources, TeamQuota};
-use grebewood_wire::records::{quota_grant_key, QuotaGrantRecord, LIMITS};
+use grebewood_wire::records::{quota_grant_key, QuotaGrantRecord, QUOTA_LIMITS_KEY};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -168,7 +168,7 @@
     /// Returns the keys of all records that cannot be decoded.
     fn unreadable_keys(&self) -> Vec<String> {
         let mut keys = Vec::new();
-        keys.extend(self.limits_unreadable.then(|| LIMITS.to_string()));
+        keys.extend(self.limits_unreadable.then(|| QUOTA_LIMITS_KEY.to_string()));
         let grants = self.grants.iter();
         let unreadable = grants.filter(|(_, record)| record.is_none());
         keys.extend(unreadable.map(|(partition, _)| quota_grant_key(*partition)));
--- a/crates/testkit/src/production/tests.rs
+++ b/crates/testkit/src/production/tests.rs
@@ -41,7 +41,7 @@
     use grebewood_wire::http::Catalogue;
     use records::*;
     match key.split('/').next().unwrap_or_default() {
-        "job" if key.ends_with(CANCEL) => from_value::<CancelRecord>(value).map(drop),
+        "job" if key.ends_with(CANCEL_SUFFIX) => from_value::<CancelRecord>(value).map(drop),
         "job" => from_value::<JobRecord>(value).map(drop),
         "past" => from_value::<FinishedJobRecord>(value).map(drop),
         "done" => from_value::<CompletedTasksPageRecord>(value).map(drop),
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -7,7 +7,7 @@
 use crate::time::{Micros, SECOND};
 use grebewood_core::Team;
 use grebewood_wire::http::from_value;
-use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, LIMITS, QUOTA};
+use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, QUOTA_LIMITS_KEY, QUOTA_PREFIX};
 use std::collections::BTreeMap;
 
 /// A launch that was on record before a limit was lowered may still reach its agent for so long.
@@ -114,7 +114,7 @@
 
     /// The limits on record by team, in CPUs.
     fn limits_on_record(&self) -> BTreeMap<String, f64> {
-        let mut records = self.store.under(LIMITS);
+        let mut records = self.store.under(QUOTA_LIMITS_KEY);
         let record = records.find_map(|(_, value, _)| from_value::<LimitsRecord>(value).ok());
         let teams = record.unwrap_or_default().teams.into_iter();
         teams.map(|team| (team.team, team.cpus_max)).collect()
@@ -123,7 +123,7 @@
     /// The quota grants on record by team, in CPUs.
     fn grants_on_record(&self) -> BTreeMap<String, f64> {
         let mut granted: BTreeMap<String, f64> = BTreeMap::new();
-        for (_, value, _) in self.store.under(QUOTA) {
+        for (_, value, _) in self.store.under(QUOTA_PREFIX) {
             let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
             for team in record.teams {
                 let cpus = team.cpus as f64 / GRANT_UNITS_PER_CPU;
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -23,39 +23,39 @@
 use serde::{Deserialize, Serialize};
 
 /// Key of the [`LeaderRecord`].
-pub const LEADER: &str = "leader";
+pub const LEADER_KEY: &str = "leader";
 /// Prefix of jobs that are not finished.
-pub const JOB: &str = "job/";
+pub const JOB_PREFIX: &str = "job/";
 /// Suffix that makes a job's key the key of its cancellation.
-pub const CANCEL: &str = "/cancel";
+pub const CANCEL_SUFFIX: &str = "/cancel";
 /// Prefix of cancellations in the format of an earlier version.
-pub const LEGACY_CANCEL: &str = "cancel/";
+pub const LEGACY_CANCEL_PREFIX: &str = "cancel/";
 /// Prefix of finished jobs.
-pub const FINISHED: &str = "past/";
+pub const FINISHED_PREFIX: &str = "past/";
 /// Prefix of completed tasks.
-pub const COMPLETED_TASKS: &str = "done/";
+pub const COMPLETED_TASKS_PREFIX: &str = "done/";
 /// Prefix of pages of assignments.
-pub const PAGE: &str = "page/";
+pub const ASSIGNMENT_PAGE_PREFIX: &str = "page/";
 /// Prefix of requests to provision machines.
-pub const PROVISION: &str = "hire/";
+pub const PROVISION_PREFIX: &str = "hire/";
 /// Key of the [`StatsRecord`].
-pub const STATS: &str = "stats";
+pub const STATS_KEY: &str = "stats";
 /// Key of the machine types.
-pub const CATALOGUE: &str = "catalogue";
+pub const CATALOGUE_KEY: &str = "catalogue";
 
 /// Prefix of partitions and their claims.
-pub const PARTITION: &str = "partition/";
+pub const PARTITION_PREFIX: &str = "partition/";
 /// Suffix that makes a partition's key the key of its claim.
-pub const CLAIM: &str = "/claim";
+pub const CLAIM_SUFFIX: &str = "/claim";
 
 /// Prefix of the teams' limits and of quota grants.
-pub const QUOTA: &str = "quota/";
+pub const QUOTA_PREFIX: &str = "quota/";
 /// Key of the [`LimitsRecord`].
-pub const LIMITS: &str = "quota/limits";
+pub const QUOTA_LIMITS_KEY: &str = "quota/limits";
 
 /// The key of a partition's quota grant.
 pub fn quota_grant_key(partition: u64) -> String {
-    format!("{QUOTA}{partition}")
+    format!("{QUOTA_PREFIX}{partition}")
 }
 
 /// Pages of assignments with a number below this one are the leader's.
@@ -82,15 +82,15 @@
 
 /// The key of a partition.
 pub fn partition_key(id: u64) -> String {
-    format!("{PARTITION}{id}")
+    format!("{PARTITION_PREFIX}{id}")
 }
 
 /// The key of a partition's claim.
 pub fn claim_key(id: u64) -> String {
-    format!("{PARTITION}{id}{CLAIM}")
+    format!("{PARTITION_PREFIX}{id}{CLAIM_SUFFIX}")
 }
 
-/// A key under [`PARTITION`].
+/// A key under [`PARTITION_PREFIX`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionKey {
     /// The record of the partition with this number.
@@ -102,8 +102,8 @@
 impl PartitionKey {
     /// Parses a key; `None` if it is of neither kind.
     pub fn parse(key: &str) -> Option<PartitionKey> {
-        let rest = key.strip_prefix(PARTITION)?;
-        match rest.strip_suffix(CLAIM) {
+        let rest = key.strip_prefix(PARTITION_PREFIX)?;
+        match rest.strip_suffix(CLAIM_SUFFIX) {
             Some(id) => Some(PartitionKey::Claim(id.parse().ok()?)),
             None => Some(PartitionKey::Record(rest.parse().ok()?)),
         }
@@ -112,12 +112,12 @@
 
 /// The key of a job that is not finished.
 pub fn job_key(id: &str) -> String {
-    format!("{JOB}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 
 /// The key of a job's cancellation.
 pub fn cancel_key(id: &str) -> String {
-    format!("{JOB}{id}{CANCEL}")
+    format!("{JOB_PREFIX}{id}{CANCEL_SUFFIX}")
 }
 
 /// A key that belongs to a job that is not finished.
@@ -132,11 +132,11 @@
 impl<'a> JobKey<'a> {
     /// Parses a key; `None` if it belongs to no such job.
     pub fn parse(key: &'a str) -> Option<JobKey<'a>> {
-        if let Some(id) = key.strip_prefix(LEGACY_CANCEL) {
+        if let Some(id) = key.strip_prefix(LEGACY_CANCEL_PREFIX) {
             return Some(JobKey::Cancelled(id));
         }
-        let rest = key.strip_prefix(JOB)?;
-        match rest.strip_suffix(CANCEL) {
+        let rest = key.strip_prefix(JOB_PREFIX)?;
+        match rest.strip_suffix(CANCEL_SUFFIX) {
             Some(id) => Some(JobKey::Cancelled(id)),
             None => Some(JobKey::Live(rest)),
         }
