--- a/crates/quota/tests/holder_grant.rs
+++ b/crates/quota/tests/holder_grant.rs
@@ -1,4 +1,4 @@
-//! What a partition holder may use of its quota grant.
+//! Tests of the amounts that a partition holder may use of its quota grant.
 
 use grebewood_quota::{HolderGrant, Resources};
 use grebewood_wire::records::TeamAmount;
@@ -11,9 +11,9 @@
     }]
 }
 
-/// What was revoked but is used by a task, or by one whose write is in flight, is still held.
+/// The usage bound includes revoked amounts that tasks still use, also tasks whose write is in flight.
 #[test]
-fn what_tasks_use_is_held_whatever_is_granted() {
+fn usage_of_tasks_stays_in_the_bound_after_revocation() {
     let task = Resources::of(2.0, 0.0);
     let mut holder = HolderGrant::default();
     holder.set_granted(&grant(6));
--- a/crates/quota/tests/interleavings.rs
+++ b/crates/quota/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! No team is ever above its limit, whatever is lost, late, repeated or reordered, and whichever process
-//! ends.
+//! Test that no team ever exceeds its limit, even if messages and writes are lost, delayed, repeated or reordered,
+//! or any of the processes ends.
 
 mod model;
 
@@ -7,13 +7,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 
-/// Interleavings in one run of the test; more with `INTERLEAVINGS=100000`.
+/// Number of interleavings in one run of the test. The environment variable `INTERLEAVINGS` overrides it.
 const CASES: u32 = 4_000;
-/// Most steps in one interleaving.
+/// Upper bound of the number of steps in one interleaving, exclusive.
 const MAX_STEPS: usize = 300;
-/// The highest limit of the team, in tasks.
+/// Highest limit of the team, in tasks.
 const MAX_LIMIT: u64 = 12;
 
+/// Generates one step of an interleaving.
 fn step() -> impl Strategy<Value = Step> {
     let partition = 0..PARTITIONS;
     let which = 0..64usize;
@@ -42,9 +43,10 @@
     ]
 }
 
+/// Returns the number of interleavings to run.
 fn cases() -> u32 {
-    let asked = std::env::var("INTERLEAVINGS").ok();
-    asked.and_then(|n| n.parse().ok()).unwrap_or(CASES)
+    let requested = std::env::var("INTERLEAVINGS").ok();
+    requested.and_then(|n| n.parse().ok()).unwrap_or(CASES)
 }
 
 #[test]
@@ -54,7 +56,7 @@
         failure_persistence: None,
         ..Config::default()
     };
-    // Always the same cases: a run of the tests gives the same verdict every time.
+    // The generator has a fixed seed, so every run of the test has the same cases and the same result.
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let started = std::cell::Cell::new(0u64);
@@ -70,9 +72,9 @@
     if let Err(e) = outcome {
         panic!("{e}");
     }
-    let least = u64::from(cases()) * 3;
+    let min_started = u64::from(cases()) * 3;
     assert!(
-        started.get() > least,
+        started.get() > min_started,
         "only {} tasks started",
         started.get()
     );
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Which quotas are in force while the members' settings change one after the other.
+//! Tests of the quotas in force while the members' settings change one after the other.
 
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamQuota};
 
@@ -19,22 +19,23 @@
     Some(in_force.in_force().get(team)?.limit.cpus())
 }
 
-/// The leader still has old settings when one member has the lower limit already.
+/// The limit is lowered as soon as one member announces a lower one, although the leader still has the old
+/// settings. It is raised only after all members have announced a higher one.
 #[test]
 fn one_member_lowers_and_all_raise() {
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
     let mut in_force = LimitsInForce::new(Some(high.clone()), "m-0", high.clone(), others());
     assert!(in_force.apply_announcement("m-1", low.clone()));
     assert_eq!(limit(&in_force, "t"), Some(12.0));
-    // Nothing is known of the third member; then it announces the old limit.
+    // The third member has not announced a limit yet. Then it announces the old one.
     assert!(!in_force.apply_announcement("m-2", high.clone()));
     assert_eq!(limit(&in_force, "t"), Some(12.0));
     assert!(in_force.apply_announcement("m-1", high));
     assert_eq!(limit(&in_force, "t"), Some(32.0));
 }
 
-/// A member with the old limit becomes the leader, and then a member that could not be reached for long is the
-/// first to announce a higher one.
+/// A member with the old limit becomes the leader. Then a member that could not be reached for a long time is the
+/// first to announce a higher limit.
 #[test]
 fn a_new_leader_acts_on_no_higher_limit_than_the_one_on_record() {
     let (high, low) = (limits(&[("t", 4.0, 32.0)]), limits(&[("t", 4.0, 12.0)]));
@@ -42,7 +43,7 @@
     assert_eq!(limit(&in_force, "t"), Some(12.0));
     in_force.apply_announcement("m-1", high.clone());
     assert_eq!(limit(&in_force, "t"), Some(12.0));
-    // Nor on a higher one than its own.
+    // The leader does not act on a limit higher than its own either.
     let in_force = LimitsInForce::new(Some(high), "m-0", low, others());
     assert_eq!(limit(&in_force, "t"), Some(12.0));
 }
@@ -83,7 +84,7 @@
     assert_eq!(in_force.in_force(), &own);
 }
 
-/// A guaranteed share is never more than the limit in force.
+/// The guaranteed share never exceeds the limit in force.
 #[test]
 fn a_lowered_limit_lowers_the_guaranteed_share_too() {
     let (high, low) = (limits(&[("t", 20.0, 32.0)]), limits(&[("t", 10.0, 12.0)]));
@@ -93,7 +94,7 @@
     assert_eq!(quota.guarantee.cpus(), 10.0);
 }
 
-/// Amounts of tasks are rounded up, so that sums of them are never less than what the tasks use.
+/// Amounts of tasks are rounded up, so that their sums are never less than the tasks use.
 #[test]
 fn amounts_are_rounded_up_to_millionths() {
     assert_eq!(Resources::of(0.29, 0.1).cpus, 290_000);
--- a/crates/quota/tests/model/holder.rs
+++ b/crates/quota/tests/model/holder.rs
@@ -1,24 +1,29 @@
-//! The holder of a partition.
+//! Model of a partition holder.
 
 use crate::model::messages::{Answer, Orders, PageWrite};
 use crate::model::{TASK, TEAM};
 use grebewood_quota::HolderGrant;
 
+/// Holder of one partition.
 pub struct Holder {
+    /// Revision of the holder's claim.
     pub claim: u64,
-    /// The leader whose orders it has; 0: none yet.
+    /// Fencing token of the leader whose orders the holder has applied; 0: it has applied none.
     pub term: u64,
     /// Term and sequence number of the last orders.
     last_orders: (u64, u64),
+    /// Revision of the limits under which the quota was granted.
     limits_revision: u64,
+    /// Quota grant of the partition.
     pub grant: HolderGrant,
-    /// Tasks placed and ended since the claim.
+    /// Number of tasks placed since the claim, including those found on the pages.
     pub placed: u64,
+    /// Number of tasks ended since the claim.
     pub ended: u64,
 }
 
 impl Holder {
-    /// The holder under a new claim, with this number of tasks on its pages.
+    /// Creates the holder under a new claim, with this number of tasks on its pages.
     pub fn new(claim: u64, tasks_on_pages: u64) -> Holder {
         let mut grant = HolderGrant::default();
         for _ in 0..tasks_on_pages {
@@ -35,11 +40,11 @@
         }
     }
 
-    /// Carries out orders, unless they are stale or not from the leader on record.
-    pub fn on_orders(&mut self, orders: &Orders, leader_on_record: u64) -> Option<Answer> {
+    /// Applies orders and returns the answer, unless the orders are stale or not from the leader in the store.
+    pub fn on_orders(&mut self, orders: &Orders, recorded_leader: u64) -> Option<Answer> {
         let number = (orders.term, orders.sequence);
-        let stale = orders.claim != self.claim || number <= self.last_orders;
-        if stale || orders.term != leader_on_record {
+        let is_stale = orders.claim != self.claim || number <= self.last_orders;
+        if is_stale || orders.term != recorded_leader {
             return None;
         }
         self.last_orders = number;
@@ -51,13 +56,13 @@
             claim: self.claim,
             term: orders.term,
             sequence: orders.sequence,
-            held: self.grant.usage_bound(),
+            usage_bound: self.grant.usage_bound(),
             placed: self.placed,
             ended: self.ended,
         })
     }
 
-    /// Places a task if the grant covers it.
+    /// Places a task if the grant covers it, and returns the write of its assignment.
     pub fn place(&mut self, partition: usize) -> Option<PageWrite> {
         if self.term == 0 || !self.grant.may_use(TEAM, TASK) {
             return None;
@@ -71,13 +76,13 @@
         })
     }
 
-    /// A task ends, if any is left. Whether one did.
+    /// Ends a task, if any is left, and returns whether one ended.
     pub fn end_task(&mut self) -> bool {
-        let running = self.placed > self.ended;
-        if running {
+        let has_running_tasks = self.placed > self.ended;
+        if has_running_tasks {
             self.ended += 1;
             self.grant.release(TEAM, TASK);
         }
-        running
+        has_running_tasks
     }
 }
--- a/crates/quota/tests/model/leader.rs
+++ b/crates/quota/tests/model/leader.rs
@@ -1,38 +1,46 @@
-//! The leader: limits in force, quota grants, and what it knows of each partition.
+//! Model of the leader: the limits in force, the quota grants, and its knowledge of each partition.
 
 use crate::model::messages::{Answer, GrantWrite, Orders};
-use crate::model::store::{LimitOnRecord, Store};
+use crate::model::store::{RecordedLimit, Store};
 use crate::model::{limits_of, MEMBERS, PARTITIONS, TASK, TEAM};
 use grebewood_quota::{GrantReduction, LimitsInForce, QuotaGrants, Resources};
 
-/// What the leader knows of a partition.
+/// Knowledge of the leader about one partition.
 #[derive(Clone, Copy, Default)]
 pub struct PartitionView {
+    /// Revision of the claim that the leader knows.
     claim: u64,
+    /// Number of tasks that are queued at the holder.
     queued: u64,
+    /// Number of tasks that the holder has placed under this claim.
     placed: u64,
+    /// Number of tasks that have ended under this claim.
     ended: u64,
-    /// The sequence number of the message that has to be answered.
+    /// Sequence number of the message that is not answered yet.
     pub awaits: Option<u64>,
-    /// Tasks of the claim before, until the next holder has told what is on its pages.
+    /// Number of tasks placed under the previous claim, until the next holder has reported the tasks on its pages.
     of_previous_claim: u64,
-    /// The holder has answered under this claim.
+    /// Whether the holder has answered under this claim.
     answered: bool,
 }
 
+/// Leader of the cluster.
 pub struct Leader {
+    /// Fencing token of the leader.
     token: u64,
     pub limits: LimitsInForce,
     grants: QuotaGrants,
     pub partitions: [PartitionView; PARTITIONS],
-    /// The partition whose grant is being written.
+    /// Partition whose grant is being written.
     writing: Option<usize>,
-    /// A task lacked room under the limit lately.
+    /// Whether the last task to queue did not fit under the limit.
     short_of_room: bool,
+    /// Sequence number of the last orders.
     sequence: u64,
 }
 
 impl Leader {
+    /// Creates a leader from the records in the store and the limits in the members' settings.
     pub fn load(store: &Store, settings: [u64; 2]) -> Leader {
         let recorded = Some(limits_of(store.limit.tasks));
         let others = MEMBERS.iter().skip(1).map(|member| member.to_string());
@@ -58,26 +66,29 @@
         }
     }
 
+    /// Returns the team's limit in force.
     fn limit(&self) -> Resources {
         let quota = self.limits.in_force().get(TEAM);
         quota.unwrap_or_default().limit
     }
 
-    /// What is charged against the team's limit.
+    /// Returns the amount that is charged against the team's limit.
     fn charged(&self, store: &Store) -> Resources {
         let by_leader = TASK.times(store.leader_tasks);
         by_leader.saturating_add(self.grants.total_charged(TEAM))
     }
 
+    /// Returns the amount that is left of the team's limit.
     pub fn room(&self, store: &Store) -> Resources {
         self.limit().saturating_sub(self.charged(store))
     }
 
+    /// Returns whether more is charged than the team's limit.
     fn is_over_limit(&self, store: &Store) -> bool {
         !self.charged(store).fits(self.limit())
     }
 
-    /// Gives the partition's holder a task, if there is room for it.
+    /// Queues a task at the partition's holder, if there is room for it.
     pub fn queue(&mut self, store: &Store, partition: usize) {
         if self.is_over_limit(store) {
             return;
@@ -93,7 +104,7 @@
         }
     }
 
-    /// Writes the partition's grant, if it is not what is on record.
+    /// Returns the write of the partition's grant, if it differs from the record and no other write is in flight.
     pub fn write_grant(&mut self, store: &Store, partition: usize) -> Option<GrantWrite> {
         let id = partition as u64;
         if self.writing.is_some() || !self.grants.differs_from_record(id) {
@@ -109,11 +120,12 @@
         })
     }
 
+    /// Returns whether the partition's grant is being written.
     pub fn is_writing(&self, partition: usize) -> bool {
         self.writing == Some(partition)
     }
 
-    /// Reads what became of the write in flight.
+    /// Reads the outcome of the write in flight from the store.
     pub fn read_back(&mut self, store: &Store) {
         let Some(partition) = self.writing.take() else {
             return;
@@ -124,7 +136,7 @@
         }
     }
 
-    /// The next orders for the partition's holder, unless the last ones have to be answered first.
+    /// Returns the next orders for the partition's holder, unless the last ones are not answered yet.
     pub fn orders(&mut self, store: &Store, partition: usize, now: u64) -> Option<Orders> {
         let reduction = match (self.is_over_limit(store), self.short_of_room) {
             (true, _) => GrantReduction::All,
@@ -155,17 +167,18 @@
         })
     }
 
+    /// Applies a holder's answer, unless it is not the awaited one.
     pub fn on_answer(&mut self, answer: &Answer, now: u64) {
         let id = answer.partition as u64;
         let view = &mut self.partitions[answer.partition];
-        let awaited = answer.term == self.token && view.awaits == Some(answer.sequence);
-        if !awaited || view.claim != answer.claim {
+        let is_awaited = answer.term == self.token && view.awaits == Some(answer.sequence);
+        if !is_awaited || view.claim != answer.claim {
             return;
         }
         view.awaits = None;
         if !view.answered {
             view.answered = true;
-            // What the holder before was given and did not place, nobody will place now.
+            // Tasks that the previous holder had in its queue and did not place will not be placed any more.
             for _ in 0..std::mem::take(&mut view.of_previous_claim) {
                 self.grants.remove_placed(id, TEAM, TASK, now);
             }
@@ -184,17 +197,18 @@
             self.grants.remove_placed(id, TEAM, TASK, now);
         }
         (view.placed, view.ended) = (answer.placed, answer.ended);
-        self.grants.on_usage_bound(id, &answer.held, now);
+        self.grants.on_usage_bound(id, &answer.usage_bound, now);
     }
 
-    /// Writes the limit in force. The leader does it itself, so it starts nothing beyond it meanwhile.
+    /// Writes the limit in force. In this model the write takes effect at once, so the leader starts no task
+    /// beyond the limit in the meantime.
     pub fn write_limit(&mut self, store: &mut Store) {
         let tasks = self.limit().cpus / TASK.cpus;
         if tasks < store.limit.tasks {
             self.grants.cancel_unrecorded_growth(TEAM);
         }
         if tasks != store.limit.tasks {
-            store.limit = LimitOnRecord {
+            store.limit = RecordedLimit {
                 mod_revision: store.next_revision(),
                 tasks,
             };
--- a/crates/quota/tests/model/messages.rs
+++ b/crates/quota/tests/model/messages.rs
@@ -1,8 +1,8 @@
-//! Messages between the leader and holders, and writes to the store that are in flight.
+//! Messages between the leader and partition holders, and writes to the store that are in flight.
 
 use grebewood_wire::records::{QuotaGrantRecord, TeamAmount};
 
-/// What the leader tells the holder of a partition.
+/// Orders of the leader to the holder of a partition.
 #[derive(Clone, Debug)]
 pub struct Orders {
     pub partition: usize,
@@ -13,32 +13,34 @@
     pub usable: Vec<TeamAmount>,
 }
 
-/// A holder's answer to orders.
+/// Answer of a holder to orders.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub partition: usize,
     pub claim: u64,
-    /// Which message it answers: a call has one answer, and no other call gets it.
+    /// Term and sequence number of the answered orders. A call has one answer, and no other call receives it.
     pub term: u64,
     pub sequence: u64,
-    pub held: Vec<TeamAmount>,
-    /// Tasks placed and ended since the claim.
+    /// Largest amounts that the holder will use until it is granted more.
+    pub usage_bound: Vec<TeamAmount>,
+    /// Number of tasks placed since the claim.
     pub placed: u64,
+    /// Number of tasks ended since the claim.
     pub ended: u64,
 }
 
-/// The leader writes a partition's quota grant.
+/// Write of a partition's quota grant by the leader.
 #[derive(Clone, Debug)]
 pub struct GrantWrite {
     pub partition: usize,
     pub record: QuotaGrantRecord,
     pub leader: u64,
     pub mod_revision: u64,
-    /// The revision of the limits when the record was rendered, which the check needs.
+    /// Revision of the limits at the time when the record was built, for the check of the invariants.
     pub limits_revision: u64,
 }
 
-/// A holder writes the assignment of a task to its page.
+/// Write of a task's assignment to a page of the holder.
 #[derive(Clone, Copy, Debug)]
 pub struct PageWrite {
     pub partition: usize,
@@ -47,7 +49,7 @@
     pub limits_revision: u64,
 }
 
-/// A write in flight.
+/// Write in flight.
 #[derive(Clone, Debug)]
 pub enum Write {
     Grant(GrantWrite),
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! A cluster of one leader and some holders around a key-value store, with messages and writes that are
-//! lost, late, repeated and reordered. It drives the package, and checks the outcome by the store's records
-//! alone.
+//! Model of a cluster with one leader and a holder for each partition around a key-value store. Messages and
+//! writes can be lost, delayed, repeated and reordered. The model exercises the quota package and checks the
+//! outcome by the records in the store alone.
 
 mod holder;
 mod leader;
@@ -11,73 +11,78 @@
 use holder::Holder;
 use leader::Leader;
 use messages::{Answer, GrantWrite, Orders, PageWrite, Write};
-use store::{GrantOutcome, LimitOnRecord, Store};
+use store::{GrantOutcome, RecordedLimit, Store};
 
+/// Number of partitions.
 pub const PARTITIONS: usize = 3;
+/// Names of the members.
 const MEMBERS: [&str; 2] = ["m-0", "m-1"];
+/// Name of the only team.
 const TEAM: &str = "t";
-/// What every task takes.
+/// Resources that every task needs.
 const TASK: Resources = Resources {
     cpus: 1_000_000,
     gpus: 0,
 };
 
-/// What happens next; numbers choose among what is there.
+/// Step of an interleaving. `which` is reduced modulo the number of messages or writes in flight.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// The leader gives a task to a holder.
+    /// The leader queues a task at a holder.
     Queue(usize),
     /// The leader starts a task itself.
     StartOnLeader,
-    /// A task that the leader has started ends.
+    /// A task that the leader has started itself ends.
     EndOnLeader,
     /// The leader writes a partition's grant.
     WriteGrant(usize),
-    /// The store applies a write in flight, and its writer learns of it or not.
+    /// The store applies a write in flight. `answered` says whether the writer receives the response.
     ApplyWrite { which: usize, answered: bool },
-    /// The leader gives a write up, and reads what became of it.
+    /// The leader stops waiting for a write and reads its outcome.
     ReadBack,
     /// The leader sends orders to a holder.
     SendOrders(usize),
-    /// Orders arrive; they may arrive again.
+    /// Orders arrive. If `again` is set, the same orders may arrive again later.
     DeliverOrders { which: usize, again: bool },
     /// An answer to orders arrives.
     DeliverAnswer(usize),
-    /// The leader no longer waits for a holder's answer.
+    /// The leader stops waiting for a holder's answer.
     TimeOut(usize),
     /// A holder places a task.
     Place(usize),
     /// A task of a holder ends.
     EndTask(usize),
-    /// A partition has another holder.
+    /// Another holder claims a partition.
     ReplaceHolder(usize),
-    /// Another member leads.
+    /// Another leader is elected.
     ReplaceLeader,
-    /// A member is restarted with another limit in its settings, and announces it to the leader.
+    /// A member restarts with another limit in its settings and announces it to the leader.
     ChangeSettings { member: usize, limit: u64 },
-    /// Time passes.
+    /// The clock advances.
     AdvanceClock,
-    /// A partition's grant is written and sent, and its holder answers, without any fault.
+    /// A partition's grant is written, orders are sent, and the holder answers, without any fault.
     Exchange(usize),
-    /// A holder places a task, without any fault.
+    /// A holder places a task and writes its assignment, without any fault.
     PlaceAndWrite(usize),
 }
 
+/// Cluster with its messages and writes in flight.
 pub struct Cluster {
     store: Store,
     leader: Leader,
     holders: Vec<Holder>,
-    /// The limit in each member's settings, in tasks.
+    /// Limit in each member's settings, in tasks.
     settings: [u64; 2],
     writes: Vec<Write>,
     orders: Vec<Orders>,
     answers: Vec<Answer>,
-    /// Microseconds.
+    /// Current time, in microseconds.
     now: u64,
-    /// Tasks that holders started, to show that the model does something.
+    /// Number of tasks that holders have started. It shows that the interleavings exercise the model.
     pub started: u64,
 }
 
+/// Returns the quotas with this limit for the team, in tasks.
 fn limits_of(tasks: u64) -> Limits {
     let quota = TeamQuota {
         guarantee: Resources::ZERO,
@@ -87,11 +92,12 @@
 }
 
 impl Cluster {
+    /// Creates a cluster in which all members have this limit, in tasks.
     pub fn new(limit: u64) -> Cluster {
         let mut store = Store {
             revision: 10,
             leader: 1,
-            limit: LimitOnRecord {
+            limit: RecordedLimit {
                 mod_revision: 2,
                 tasks: limit,
             },
@@ -116,7 +122,7 @@
         }
     }
 
-    /// Takes a step. The error says which invariant does not hold.
+    /// Performs a step. The error names the invariant that is violated.
     pub fn step(&mut self, step: Step) -> Result<(), String> {
         match step {
             Step::Queue(partition) => self.leader.queue(&self.store, partition),
@@ -210,7 +216,7 @@
     fn replace_holder(&mut self, partition: usize) {
         let claim = self.store.next_revision();
         self.store.claims[partition] = claim;
-        // What the last holder wrote is read by the next one; what is still in flight fails on the claim.
+        // The next holder reads the tasks on the pages. Writes of the last holder still in flight fail on the claim.
         self.holders[partition] = Holder::new(claim, self.store.pages[partition]);
     }
 
@@ -253,7 +259,7 @@
         if written && answered && self.leader.is_writing(partition) {
             self.leader.read_back(&self.store);
         }
-        // Where the limit was lowered meanwhile, nothing is started out of the grant.
+        // If the limit was changed meanwhile, no task is started under this grant.
         let limits_unchanged = limits_revision == self.store.limit.mod_revision;
         match outcome == GrantOutcome::Grown && limits_unchanged {
             true => self.store.check_grants(),
@@ -264,7 +270,7 @@
     fn apply_page(&mut self, write: &PageWrite) -> Result<(), String> {
         let holder = &mut self.holders[write.partition];
         if !self.store.apply_page(write) {
-            // It is not on record, and is dropped.
+            // The assignment is not in the store, so the holder releases its resources.
             if holder.claim == write.claim {
                 holder.grant.release(TEAM, TASK);
             }
--- a/crates/quota/tests/model/store.rs
+++ b/crates/quota/tests/model/store.rs
@@ -1,59 +1,60 @@
-//! The key-value store, and the check of the invariants, which uses its records alone.
+//! Model of the key-value store, and the checks of the invariants, which use the records alone.
 
 use crate::model::messages::{GrantWrite, PageWrite};
 use crate::model::{PARTITIONS, TASK};
 use grebewood_wire::records::{QuotaGrantRecord, TeamAmount};
 
-/// The team's limit on record, in tasks.
+/// Limit of the team in the store, in tasks.
 #[derive(Clone, Copy, Default)]
-pub struct LimitOnRecord {
+pub struct RecordedLimit {
     pub mod_revision: u64,
     pub tasks: u64,
 }
 
-/// A partition's quota grant on record.
+/// Quota grant of a partition in the store.
 #[derive(Clone, Default)]
-pub struct GrantOnRecord {
+pub struct RecordedGrant {
     pub record: QuotaGrantRecord,
     pub mod_revision: u64,
 }
 
-/// What the store holds.
+/// Content of the store.
 #[derive(Default)]
 pub struct Store {
     pub revision: u64,
-    /// The revision of the leader's record.
+    /// Revision of the leader's record.
     pub leader: u64,
-    /// The revisions of the partitions' claims.
+    /// Revisions of the partitions' claims.
     pub claims: [u64; PARTITIONS],
-    pub limit: LimitOnRecord,
-    pub grants: [GrantOnRecord; PARTITIONS],
-    /// Tasks on the pages of each holder.
+    pub limit: RecordedLimit,
+    pub grants: [RecordedGrant; PARTITIONS],
+    /// Number of tasks on the pages of each holder.
     pub pages: [u64; PARTITIONS],
-    /// Tasks on the leader's pages.
+    /// Number of tasks on the leader's pages.
     pub leader_tasks: u64,
 }
 
-/// An amount as a number of tasks.
+/// Converts amounts to a number of tasks.
 fn tasks_in(amounts: &[TeamAmount]) -> u64 {
     let cpus = amounts.iter().map(|amount| amount.cpus);
     cpus.sum::<u64>() / TASK.cpus
 }
 
 impl Store {
+    /// Increments the revision of the store and returns it.
     pub fn next_revision(&mut self) -> u64 {
         self.revision += 1;
         self.revision
     }
 
-    /// Applies the write if its conditions hold.
+    /// Applies the write of a grant if its conditions hold.
     pub fn apply_grant(&mut self, write: GrantWrite) -> GrantOutcome {
         let known = &self.grants[write.partition];
         if (write.leader, write.mod_revision) != (self.leader, known.mod_revision) {
             return GrantOutcome::Refused;
         }
         let grown = tasks_in(&write.record.teams) > tasks_in(&known.record.teams);
-        self.grants[write.partition] = GrantOnRecord {
+        self.grants[write.partition] = RecordedGrant {
             record: write.record,
             mod_revision: self.next_revision(),
         };
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Applies the write if its conditions hold, and returns whether it did.
+    /// Applies the write of an assignment if its conditions hold, and returns whether they did.
     pub fn apply_page(&mut self, write: &PageWrite) -> bool {
         let holds = write.claim == self.claims[write.partition]
             && write.leader == self.leader
@@ -74,7 +75,7 @@
         holds
     }
 
-    /// A task was started: no more may be on record than the limit on record.
+    /// Checks after the start of a task that the recorded tasks do not exceed the recorded limit.
     pub fn check_start(&self) -> Result<(), String> {
         let tasks = self.leader_tasks + self.pages.iter().sum::<u64>();
         let limit = self.limit.tasks;
@@ -84,7 +85,7 @@
         }
     }
 
-    /// A grant has grown: what the next leader reads must fit the limit.
+    /// Checks after the growth of a grant that the grants and tasks that the next leader would read fit the limit.
     pub fn check_grants(&self) -> Result<(), String> {
         let grants = self.grants.iter();
         let granted: u64 = grants.map(|grant| tasks_in(&grant.record.teams)).sum();
@@ -92,19 +93,19 @@
         match granted + by_leader <= limit {
             true => Ok(()),
             false => Err(format!(
-                "{granted} granted and {by_leader} of the leader, of {limit}"
+                "{granted} tasks granted and {by_leader} tasks of the leader under a limit of {limit}"
             )),
         }
     }
 }
 
-/// What became of the write of a grant.
+/// Outcome of the write of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// A condition did not hold.
+    /// A condition of the write did not hold.
     Refused,
-    /// It is on record, with no more granted than before.
+    /// The grant is written and is no larger than before.
     Written,
-    /// It is on record, with more granted than before.
+    /// The grant is written and is larger than before.
     Grown,
 }
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -1,4 +1,4 @@
-//! What `grebewood quota` shows, from the records alone.
+//! Tests of the output of `grebewood quota`, which is built from the records alone.
 
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
 use grebewood_quota::{Limits, Resources, TeamQuota};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_team_is_shown_with_what_it_uses_wherever_that_is() {
+fn a_team_is_shown_with_its_usage_in_all_partitions() {
     let row = &Overview::of(&records()).teams[0];
     assert_eq!((row.granted.cpus, row.used.cpus), (10.0, 8.0));
     assert_eq!((row.in_doubt.cpus, row.reasons.len()), (0.0, 0));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn no_limit_is_shown_as_such_and_nothing_on_record_is_said() {
+fn unlimited_teams_and_missing_limits_are_shown() {
     let mut none = Records::default();
     let text = Overview::of(&none).to_text();
     assert!(text.contains("leader: nobody"), "{text}");
