--- a/crates/wire/src/amount.rs
+++ b/crates/wire/src/amount.rs
@@ -1,8 +1,10 @@
-//! Reading of amounts that may arrive as CBOR floats or integers; non-finite ones are refused.
+//! Deserialization of amounts that may arrive as CBOR floats or integers. Numbers that are not finite are
+//! rejected.
 
 use serde::{de, Deserializer};
 use std::fmt;
 
+/// Visitor that accepts a finite number.
 struct AmountVisitor;
 
 impl de::Visitor<'_> for AmountVisitor {
@@ -29,6 +31,7 @@
     }
 }
 
+/// Visitor that accepts a finite number or null.
 struct OptionalAmountVisitor;
 
 impl<'de> de::Visitor<'de> for OptionalAmountVisitor {
@@ -51,12 +54,12 @@
     }
 }
 
-/// For `#[serde(deserialize_with)]` on a required amount.
+/// Deserializes a required amount. For `#[serde(deserialize_with)]`.
 pub fn required<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     deserializer.deserialize_any(AmountVisitor)
 }
 
-/// For `#[serde(default, deserialize_with)]` on an amount that may be null or omitted.
+/// Deserializes an amount that may be null or omitted. For `#[serde(default, deserialize_with)]`.
 pub fn optional<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
     deserializer.deserialize_option(OptionalAmountVisitor)
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,30 +1,30 @@
-//! Encoding and decoding: CBOR for HTTP bodies and records, MessagePack between controllers.
+//! Encoding and decoding: CBOR for HTTP bodies and records, MessagePack for messages between controllers.
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::io;
 use thiserror::Error;
 
-/// Deepest nesting of a CBOR value that is read.
+/// Maximum nesting depth of a CBOR value that is decoded.
 const CBOR_RECURSION_LIMIT: usize = 24;
 
-/// Bytes could not be decoded. The text names the cause, too, since it is sent in error responses.
+/// Error: bytes could not be decoded. The text includes the cause, since it is sent in error responses.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct DecodeError(pub DecodeFailure);
 
-/// Why bytes could not be decoded.
+/// Reason why bytes could not be decoded.
 #[derive(Debug, Error)]
 pub enum DecodeFailure {
-    /// The bytes are no CBOR value of the expected type.
+    /// The bytes are not a CBOR value of the expected type.
     #[error("not the expected CBOR: {0}")]
     Cbor(ciborium::de::Error<io::Error>),
-    /// There are further bytes after a whole CBOR value.
+    /// Further bytes follow a complete CBOR value.
     #[error("bytes after the CBOR value")]
     TrailingBytes,
-    /// The bytes are no message of a controller.
+    /// The bytes are not a message of a controller.
     #[error("not a peer message: {0}")]
     Peer(rmp_serde::decode::Error),
-    /// Any other reason that a caller found.
+    /// Any other reason, stated by a caller.
     #[error("{0}")]
     Other(String),
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Decodes one CBOR value that fills `bytes` entirely.
+/// Decodes one CBOR value that takes up the whole of `bytes`.
 pub fn from_cbor<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let mut rest = bytes;
     let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, CBOR_RECURSION_LIMIT)
@@ -50,14 +50,14 @@
 /// Encodes a value as CBOR.
 pub fn to_cbor<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to memory fails only for types without a CBOR form, and this package has none.
+    // Writing to memory fails only for types that CBOR cannot represent, and this package has no such types.
     if ciborium::into_writer(value, &mut bytes).is_err() {
         bytes.clear();
     }
     bytes
 }
 
-/// Decodes a message of another controller.
+/// Decodes a message from another controller.
 pub fn from_peer<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     rmp_serde::from_slice(bytes).map_err(|error| DecodeError(DecodeFailure::Peer(error)))
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP bodies, by who exchanges them with a controller. Fields have the standard terms of the field; the
-//! protocol's own words are their serde names.
+//! HTTP bodies, by the client or server that exchanges them with a controller. The Rust names are the usual terms
+//! in cluster scheduling; the serde names are the protocol's.
 
 mod agents;
 mod cloud;
--- a/crates/wire/src/http/agents.rs
+++ b/crates/wire/src/http/agents.rs
@@ -4,47 +4,47 @@
 use crate::protocol_names::{ExitCause, TaskStatus, Verb};
 use serde::{Deserialize, Serialize};
 
-/// An agent's heartbeat with the status of its tasks: body of `POST /checkin`, and of the responses to
-/// `/do` and `/inspect`.
+/// Heartbeat of an agent with the status of its tasks. Body of `POST /checkin` and of the responses to `/do` and
+/// `/inspect`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// Name of the machine.
     #[serde(rename = "perch")]
     pub machine: String,
     /// Network address at which the agent accepts commands.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// The machine's type.
+    /// Type of the machine.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Incarnation of the agent; it increases whenever the agent's lease expires.
+    /// Incarnation of the agent, which increases whenever the agent's lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Sequence number of the heartbeat. Of two heartbeats the one with the larger incarnation, then the
-    /// larger sequence number, is the newer one.
+    /// Sequence number of the heartbeat. Of two heartbeats, the one with the higher incarnation is newer; within
+    /// an incarnation, the one with the higher sequence number.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest fencing token that the agent has seen.
+    /// Highest fencing token that the agent has received.
     #[serde(rename = "warrant")]
     pub token: u64,
-    /// Time until the cloud reclaims the spot machine, in seconds, if that is announced.
+    /// Time until the cloud reclaims the spot machine, in seconds, if a spot reclamation is announced.
     #[serde(rename = "recall_s", default, deserialize_with = "amount::optional")]
     pub reclaim_s: Option<f64>,
-    /// All tasks on the machine; exited ones are listed until their exit is acknowledged.
+    /// All tasks on the machine. Exited attempts are listed until their exit is acknowledged.
     #[serde(rename = "shards", default)]
     pub tasks: Vec<ReportedTask>,
 }
 
-/// The status of one task in a heartbeat.
+/// Status of one task in a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// The task's name: `<job>/<number>`.
+    /// Name of the task: `<job>/<number>`.
     #[serde(rename = "shard")]
     pub task_name: String,
     /// Number of the attempt.
@@ -52,7 +52,7 @@
     pub attempt: u64,
     /// State of the attempt.
     pub status: TaskStatus,
-    /// Why the attempt exited, if it did.
+    /// Cause of the exit, if the attempt has exited.
     #[serde(default)]
     pub cause: Option<ExitCause>,
     /// Whether the attempt wrote a checkpoint when it was stopped.
@@ -60,12 +60,12 @@
     pub checkpointed: Option<bool>,
 }
 
-/// A command to an agent.
+/// Command to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// What the agent is to do.
+    /// Action that the agent is to perform.
     pub verb: Verb,
-    /// The task's name: `<job>/<number>`.
+    /// Name of the task: `<job>/<number>`.
     #[serde(rename = "shard")]
     pub task_name: String,
     /// Number of the attempt.
@@ -87,21 +87,21 @@
     /// Fencing token of the controller that commands the machine.
     #[serde(rename = "warrant")]
     pub token: u64,
-    /// Commands, to be carried out in order.
+    /// Commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Body of `POST /do`: commands that are sent to the agent without waiting for its heartbeat.
+/// Body of `POST /do`: commands that a controller sends to the agent without waiting for a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
     /// Fencing token of the controller that commands the machine.
     #[serde(rename = "warrant")]
     pub token: u64,
-    /// The agent incarnation that the commands are for.
+    /// Incarnation of the agent that the commands are for.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Commands, to be carried out in order.
+    /// Commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/wire/src/http/cloud.rs
+++ b/crates/wire/src/http/cloud.rs
@@ -6,15 +6,15 @@
 /// Response to `GET /machine_types`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// All machine types that the cloud offers.
+    /// Machine types that the cloud offers.
     #[serde(rename = "builds")]
     pub machine_types: Vec<MachineType>,
 }
 
-/// One machine type of the cloud.
+/// Machine type of the cloud.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     pub name: String,
     /// CPUs of a machine of this type.
     #[serde(rename = "vcpus", deserialize_with = "amount::required")]
@@ -34,10 +34,10 @@
     /// Price per hour of an on-demand machine.
     #[serde(deserialize_with = "amount::required")]
     pub price: f64,
-    /// Price per hour of a spot machine; `None`: there are none of this type.
+    /// Price per hour of a spot machine; `None`: the type has no spot machines.
     #[serde(default, deserialize_with = "amount::optional")]
     pub spot_price: Option<f64>,
-    /// Published boot time, in seconds.
+    /// Boot time that the cloud states, in seconds.
     #[serde(rename = "startup_s", deserialize_with = "amount::required")]
     pub boot_s: f64,
     /// Zones in which the type can be provisioned.
@@ -48,26 +48,26 @@
 /// Body of `POST /rentals`, an idempotent request to provision machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Name of the request: repeating it provisions nothing twice.
+    /// Name of the request, which makes it idempotent.
     #[serde(rename = "hire")]
     pub name: String,
-    /// The wanted machine type.
+    /// Requested machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// The wanted zone.
+    /// Requested zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are wanted.
+    /// Whether spot machines are requested.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// How many machines are wanted.
+    /// Number of requested machines.
     pub number: u64,
 }
 
 /// Response to a [`ProvisionRequest`], and body of a request to terminate machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Names of machines.
+    /// Names of the machines.
     #[serde(rename = "perches")]
     pub machines: Vec<String>,
 }
@@ -75,7 +75,7 @@
 /// Response to `GET /rentals`: one page of the provisioned machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Machines in order of their names.
+    /// Machines, ordered by name.
     #[serde(rename = "perches")]
     pub machines: Vec<ListedMachine>,
     /// Whether there are further pages.
@@ -83,25 +83,25 @@
     pub has_more: bool,
 }
 
-/// One machine in the cloud's list.
+/// Machine in the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "uid")]
     pub id: String,
-    /// Network address at which its agent accepts commands, once that is known.
+    /// Network address at which the machine's agent accepts commands, once it is known.
     #[serde(rename = "endpoint", default)]
     pub address: Option<String>,
-    /// Its type.
+    /// Type of the machine.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// `starting`, `running` or `failed`.
+    /// Status of the machine: `starting`, `running` or `failed`.
     pub status: String,
     /// Time since the machine was requested, in seconds.
     #[serde(rename = "held_s", deserialize_with = "amount::required")]
--- a/crates/wire/src/http/store.rs
+++ b/crates/wire/src/http/store.rs
@@ -5,13 +5,13 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// A key of the key-value store with its value.
+/// Key of the key-value store with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyValue<T> {
-    /// The key.
+    /// Key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     pub value: T,
     /// Revision of the key's last modification.
     #[serde(rename = "stamp")]
@@ -31,40 +31,40 @@
     pub revision: u64,
 }
 
-/// A comparison of a compare-and-swap transaction: the key's modification revision must be the given one.
+/// Condition of a compare-and-swap transaction: the modification revision of the key must be the given one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The key.
+    /// Key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The expected revision of the key's last modification; 0: the key must not exist.
+    /// Expected revision of the key's last modification; 0: the key must not exist.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// One operation of a transaction.
+/// Operation of a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Operation {
     /// Writes a key.
     Put {
-        /// The key.
+        /// Key.
         put: String,
-        /// Its new value.
+        /// New value of the key.
         value: Value,
-        /// The lease that the key is attached to: the key is deleted when the lease expires.
+        /// Lease that the key is attached to. The key is deleted when the lease expires.
         #[serde(rename = "tether", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key.
         delete: String,
     },
 }
 
 impl Operation {
-    /// The key that the operation changes.
+    /// Returns the key that the operation changes.
     pub fn key(&self) -> &str {
         match self {
             Operation::Put { put, .. } => put,
@@ -76,7 +76,7 @@
 /// Body of `POST /txn`, a compare-and-swap transaction.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions, all of which must hold for the operations to be applied.
+    /// Conditions. The operations are applied only if all conditions hold.
     pub when: Vec<Condition>,
     /// Operations, applied atomically.
     pub apply: Vec<Operation>,
@@ -101,7 +101,7 @@
 /// Body of `POST /leases`, which grants a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time to live without a renewal, in milliseconds.
+    /// Time to live of the lease without a renewal, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -109,7 +109,7 @@
 /// Response to `POST /leases`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Lease {
-    /// The lease's id.
+    /// Id of the lease.
     #[serde(rename = "tether")]
     pub id: u64,
 }
@@ -117,24 +117,24 @@
 /// Response to `GET /changes`, a long poll for changes.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which the changes are complete.
+    /// Revision up to which the list of changes is complete.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The changes, in the order of their revisions.
+    /// Changes, in the order of their revisions.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// One change that a watch delivers.
+/// Change that a watch delivers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The key, if the change is a write.
+    /// Key, if the change is a write.
     #[serde(default)]
     pub put: Option<String>,
-    /// The key, if the change is a deletion.
+    /// Key, if the change is a deletion.
     #[serde(default)]
     pub delete: Option<String>,
-    /// The value, if the change is a write.
+    /// New value, if the change is a write.
     #[serde(default)]
     pub value: Option<Value>,
     /// Revision of the change.
@@ -142,12 +142,16 @@
     pub mod_revision: u64,
 }
 
-/// Encodes a record as a value of the store.
+/// Converts a record to a value of the store.
 pub fn to_value<T: Serialize>(value: &T) -> Value {
     Value::serialized(value).unwrap_or(Value::Null)
 }
 
-/// Decodes a record from a value of the store.
+/// Converts a value of the store to a record.
+///
+/// # Errors
+///
+/// The value does not have the form of the record.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, DecodeError> {
     from_cbor(&to_cbor(value))
 }
--- a/crates/wire/src/protocol_names.rs
+++ b/crates/wire/src/protocol_names.rs
@@ -1,7 +1,7 @@
-//! Enums whose values are single words on the wire, with the protocol's word for each.
+//! Enums whose values are single words in the protocol, with the word for each value.
 
-/// Defines an enum that is written as one word and reads any word: one that this version does not know
-/// becomes `Unknown`, so that it never makes a whole message unreadable.
+/// Defines an enum that is serialized as one word. Deserialization accepts any word: a word that this version does
+/// not know becomes `Unknown`, so that it does not make the whole message undecodable.
 macro_rules! word_enum {
     (
         $(#[$meta:meta])*
@@ -11,12 +11,12 @@
         #[derive(Clone, Debug, PartialEq, Eq)]
         pub enum $name {
             $( $(#[$variant_meta])* $variant, )+
-            /// A word that this version does not know.
+            /// Word that this version does not know.
             Unknown(String),
         }
 
         impl $name {
-            /// The word on the wire.
+            /// Returns the word in the protocol.
             pub fn as_str(&self) -> &str {
                 match self {
                     $( $name::$variant => $word, )+
@@ -55,45 +55,45 @@
 }
 
 word_enum! {
-    /// State of a task's attempt on a machine.
+    /// State of an attempt of a task on a machine.
     TaskStatus {
-        /// Its image is being fetched.
+        /// The image is being fetched.
         Fetching = "fetching",
-        /// It is running.
+        /// The attempt is running.
         Running = "running",
-        /// It was told to stop and is writing a checkpoint.
+        /// The attempt has been told to stop and is writing a checkpoint.
         Checkpointing = "saving",
-        /// It has ended; [`ExitCause`] says how.
+        /// The attempt has ended; [`ExitCause`] gives the cause.
         Exited = "exited",
     }
 }
 
 word_enum! {
-    /// Why a task ended on a machine, or was not started there.
+    /// Cause of the end of an attempt on a machine, or of its rejection.
     ExitCause {
-        /// It completed.
+        /// The task completed.
         Done = "done",
-        /// It was stopped by a command.
+        /// The attempt was stopped by a command.
         Stopped = "stopped",
-        /// It failed.
+        /// The attempt failed.
         Error = "error",
-        /// Refused: the machine has too few free resources.
+        /// Rejected: the machine has too few free resources.
         NoRoom = "no_room",
-        /// Refused: another attempt of the task is on this machine.
+        /// Rejected: another attempt of the task is on this machine.
         Busy = "busy",
-        /// Refused: the agent could not read the job's specification.
+        /// Rejected: the agent could not read the job's specification.
         UnknownJob = "unknown",
     }
 }
 
 word_enum! {
-    /// What a command tells an agent to do.
+    /// Action that a command tells an agent to perform.
     Verb {
-        /// Start an attempt of a task.
+        /// Starts an attempt of a task.
         Launch = "launch",
-        /// Stop the attempt, after a checkpoint if there is time for one.
+        /// Stops the attempt, after a checkpoint if there is time for one.
         Stop = "stop",
-        /// Acknowledge the exit of an attempt, which the agent then forgets.
+        /// Acknowledges the exit of an attempt, after which the agent no longer reports the attempt.
         Acknowledge = "reap",
     }
 }
--- a/crates/wire/src/value.rs
+++ b/crates/wire/src/value.rs
@@ -1,21 +1,21 @@
-//! Size and equality of CBOR values, as the key-value store counts and keeps them.
+//! Size and equality of CBOR values, as the key-value store defines them.
 
 use ciborium::Value;
 
-/// Size of a literal such as `null`, rounded up, in bytes.
-const LITERAL_SIZE: usize = 5;
-/// Size of a value of a kind that JSON has no form for, in bytes.
-const OTHER_SIZE: usize = 8;
-/// Size of one character that JSON escapes as `\uXXXX`, in bytes.
-const ESCAPED_CHARACTER_SIZE: usize = 6;
+/// Size of a literal such as `null`, rounded up.
+const LITERAL_SIZE_BYTES: usize = 5;
+/// Size of a value of a kind that JSON cannot represent.
+const OTHER_SIZE_BYTES: usize = 8;
+/// Size of one character that JSON escapes as `\uXXXX`.
+const ESCAPED_CHARACTER_SIZE_BYTES: usize = 6;
 
-/// The size of a value in the form that the store's limit is counted in, in bytes: JSON, with a blank after
-/// each separator. Text that JSON escapes counts as if every byte of it were escaped.
+/// Returns the size of a value in the form that the store's size limit refers to, in bytes: JSON with a space
+/// after each separator. Text that JSON escapes counts as if every byte of it were escaped.
 pub fn json_size(value: &Value) -> usize {
     match value {
         Value::Integer(i) => i128::from(*i).to_string().len(),
         Value::Float(x) => format!("{x:?}").len(),
-        Value::Bool(_) | Value::Null => LITERAL_SIZE,
+        Value::Bool(_) | Value::Null => LITERAL_SIZE_BYTES,
         Value::Text(text) => json_text_size(text),
         Value::Bytes(bytes) => 2 + 2 * bytes.len(),
         Value::Array(items) => 2 + items.iter().map(|item| json_size(item) + 2).sum::<usize>(),
@@ -24,22 +24,23 @@
             2 + entries.iter().map(size).sum::<usize>()
         }
         Value::Tag(_, tagged) => json_size(tagged),
-        _ => OTHER_SIZE,
+        _ => OTHER_SIZE_BYTES,
     }
 }
 
+/// Returns the size of a text with its quotes as JSON, in bytes.
 fn json_text_size(text: &str) -> usize {
     let is_plain = |byte: u8| matches!(byte, b' '..=b'~') && byte != b'"' && byte != b'\\';
     let size_per_byte = if text.bytes().all(is_plain) {
         1
     } else {
-        ESCAPED_CHARACTER_SIZE
+        ESCAPED_CHARACTER_SIZE_BYTES
     };
     2 + text.len() * size_per_byte
 }
 
-/// Whether two values have the same content: the order of a map's entries and whether a number is written
-/// as an integer or a float do not count.
+/// Returns whether two values have the same content. The order of a map's entries does not matter, and neither
+/// does whether a number is written as an integer or a float.
 pub fn same_value(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Map(a), Value::Map(b)) => {
@@ -55,6 +56,7 @@
     }
 }
 
+/// Returns whether a map has an entry with the same key and value.
 fn contains_entry(entries: &[(Value, Value)], (key, value): &(Value, Value)) -> bool {
     entries
         .iter()
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use grebewood_wire::Value;
 
-/// A CBOR map.
+/// Returns a CBOR map with these entries.
 pub fn map(entries: &[(&str, Value)]) -> Value {
     let entries = entries.iter();
     Value::Map(entries.map(|(k, v)| ((*k).into(), v.clone())).collect())
--- a/crates/wire/tests/names.rs
+++ b/crates/wire/tests/names.rs
@@ -1,5 +1,5 @@
-//! The names on the wire and in the key-value store are those of the protocol, whatever the fields are called in
-//! Rust; and a message with an unknown word can still be read.
+//! Tests that the names in messages and in the key-value store are those of the protocol, whatever the fields are
+//! called in Rust, and that a message with an unknown word can still be decoded.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use grebewood_wire::records::{FinishedJobRecord, LeaderRecord, MachineAssignments};
 use grebewood_wire::{from_cbor, to_cbor, Value};
 
-/// The keys of a map, in the order in which they are written.
+/// Returns the keys of a message, in the order in which they are written.
 fn keys<T: serde::Serialize>(message: &T) -> String {
     let value: Value = from_cbor(&to_cbor(message)).expect("CBOR");
     let items = value.as_map().expect("a map");
@@ -16,7 +16,7 @@
     keys.join(" ")
 }
 
-/// An agent's heartbeat in the protocol's own words.
+/// Returns an agent's heartbeat with the names of the protocol.
 fn heartbeat(task: &[(&str, Value)]) -> Value {
     map(&[
         ("perch", "n-000231".into()),
@@ -58,8 +58,8 @@
     assert_eq!(keys(task), "shard try status cause saved");
 }
 
-/// An agent may be newer than this version: its heartbeat is read all the same. Fields of the wrong type and
-/// missing ones are refused.
+/// An agent may be newer than this version; its heartbeat must still be decoded. Fields of the wrong type and
+/// missing fields are rejected.
 #[test]
 fn unknown_words_are_kept_and_wrong_types_are_refused() {
     let task = |status: Value| {
@@ -131,13 +131,13 @@
         commands: vec![command],
     };
     assert_eq!(keys(&direct), "warrant tenure orders");
-    let answer = HeartbeatResponse {
+    let response = HeartbeatResponse {
         token: 41,
         commands: Vec::new(),
     };
-    assert_eq!(keys(&answer), "warrant orders");
-    let leader = Some("perch-2".to_string());
-    assert_eq!(keys(&Redirect { controller: leader }), "steward");
+    assert_eq!(keys(&response), "warrant orders");
+    let controller = Some("perch-2".to_string());
+    assert_eq!(keys(&Redirect { controller }), "steward");
     assert_eq!(keys(&Redirect { controller: None }), "");
     let provision = ProvisionRequest {
         name: "h-1-1".into(),
@@ -179,13 +179,13 @@
     assert_eq!(keys(&assignments), "m tenure zone t");
 }
 
-/// The version before reads the leader's record, too; without partitions it has no new field.
+/// The previous version reads the leader's record, too. Without partitions, the record has no new field.
 #[test]
 fn a_leader_without_partitions_writes_the_record_of_the_version_before() {
-    let record = |partitions| LeaderRecord {
+    let record = |supports_partitions| LeaderRecord {
         member: "perch-0".into(),
         incarnation: 1,
-        supports_partitions: partitions,
+        supports_partitions,
         grants_quota: false,
     };
     assert_eq!(keys(&record(false)), "member incarnation");
--- a/crates/wire/tests/records.rs
+++ b/crates/wire/tests/records.rs
@@ -1,8 +1,8 @@
-//! Parsing of the keys of records.
+//! Tests of the parsing of record keys.
 
 use grebewood_wire::records::{cancel_key, JobKey};
 
-/// Keys of this version and of the one before are parsed; other keys are not keys of jobs.
+/// The keys of this version and of the previous one are parsed. Other keys are not keys of jobs.
 #[test]
 fn keys_of_both_versions_are_read() {
     assert_eq!(JobKey::parse("job/req-1"), Some(JobKey::Live("req-1")));
--- a/crates/wire/tests/values.rs
+++ b/crates/wire/tests/values.rs
@@ -1,13 +1,13 @@
-//! Equality of values as the key-value store returns them.
+//! Tests of the equality of values as the key-value store returns them.
 
 mod common;
 
 use common::map;
 use grebewood_wire::{same_value, Value};
 
-/// A store may keep maps in an order of its own and write 4.0 as 4; that is the same record.
+/// A store may keep the entries of maps in an order of its own and write 4.0 as 4. The record is the same.
 #[test]
-fn order_of_entries_and_form_of_numbers_do_not_count() {
+fn order_of_entries_and_form_of_numbers_do_not_matter() {
     let one = map(&[("a", Value::from(4.0)), ("b", Value::from("x"))]);
     let other = map(&[("b", Value::from("x")), ("a", Value::from(4))]);
     assert!(same_value(&one, &other) && same_value(&other, &one));
