--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -14,7 +14,7 @@
 //! | `partition/<n>` | the leader | [`PartitionRecord`]: its machines and its assigned holder |
 //! | `partition/<n>/claim` | its holder, under a lease | [`PartitionClaim`]; its `mod_revision` is the fencing token |
 //! | `quota/limits` | the leader | [`LimitsRecord`]: the teams' guaranteed shares and limits in force |
-//! | `quota/<n>` | the leader | [`QuotaGrantRecord`]: the parts of the limits that the holder of partition `n` may use |
+//! | `quota/<n>` | the leader | [`QuotaGrantRecord`]: the parts of the limits granted to partition `n` |
 //!
 //! An earlier version wrote `cancel/<id>` for a cancellation and `done/<id>/<n>` ([`LegacyCompletedTasksRecord`])
 //! for completed tasks. Both are still read, and they are removed with their job.
