--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -12,7 +12,7 @@
 use grebewood_wire::http::{
     KeyValue, Lease, LeaseRequest, Operation, Transaction, TransactionApplied,
 };
-use grebewood_wire::records::{LeaderRecord, LEADER};
+use grebewood_wire::records::{LeaderRecord, LEADER_KEY};
 use log::{info, warn};
 use std::fmt::Display;
 
@@ -54,7 +54,7 @@
         if !self.election.request_in_flight {
             self.election.request_in_flight = true;
             self.context
-                .read_key(LEADER, CallPurpose::Election(ElectionStep::Probe));
+                .read_key(LEADER_KEY, CallPurpose::Election(ElectionStep::Probe));
         }
         // A partition holder renews agents' leases as the leader does, so it has to know which cancellations
         // its peers confirmed.
@@ -95,7 +95,7 @@
     fn on_leader_record(&mut self, body: &[u8]) {
         let entry = match wire::from_cbor::<KeyValue<LeaderRecord>>(body) {
             Ok(entry) => entry,
-            Err(e) => return warn!(path = LEADER, error:% = e; "unreadable leader record"),
+            Err(e) => return warn!(path = LEADER_KEY, error:% = e; "unreadable leader record"),
         };
         let token = entry.mod_revision;
         self.context.token = self.context.token.max(token);
@@ -113,9 +113,9 @@
     /// process of the member put it, or the store applied a claim late. No process acts under its token.
     fn delete_own_leader_record(&mut self, token: u64) {
         let transaction = Transaction {
-            when: vec![at_revision(LEADER, token)],
+            when: vec![at_revision(LEADER_KEY, token)],
             apply: vec![Operation::Delete {
-                delete: LEADER.into(),
+                delete: LEADER_KEY.into(),
             }],
         };
         self.context
@@ -147,9 +147,9 @@
         };
         self.election.request_in_flight = true;
         let transaction = Transaction {
-            when: vec![absent(LEADER)],
+            when: vec![absent(LEADER_KEY)],
             apply: vec![Operation::Put {
-                put: LEADER.into(),
+                put: LEADER_KEY.into(),
                 value: wire::http::to_value(&self.own_leader_record()),
                 lease: Some(lease.id),
             }],
@@ -163,7 +163,8 @@
     fn read_leader_claim_back(&mut self, lease: u64) {
         self.election.request_in_flight = true;
         let step = ElectionStep::ReadBack { lease };
-        self.context.read_key(LEADER, CallPurpose::Election(step));
+        self.context
+            .read_key(LEADER_KEY, CallPurpose::Election(step));
     }
 
     /// Becomes the leader if the leader record that was read back is this process's own.
@@ -184,7 +185,7 @@
         LeaderRecord {
             member: self.context.settings.member.clone(),
             incarnation: self.election.incarnation,
-            partitions: self.context.supports_partitions(),
+            supports_partitions: self.context.supports_partitions(),
             grants_quota: self.context.supports_quota_grants(),
         }
     }
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -12,7 +12,7 @@
 use crate::{Micros, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValueList, WatchEvent, WatchResponse};
-use grebewood_wire::records::{CancelRecord, JobKey, JOB};
+use grebewood_wire::records::{CancelRecord, JobKey, JOB_PREFIX};
 use grebewood_wire::Value;
 use log::debug;
 
@@ -97,7 +97,7 @@
             None => {
                 view.awaiting_reply.append(&mut view.waiting);
                 let since = view.revision.unwrap_or(0);
-                let path = format!("/changes?prefix={JOB}&since={since}&block_ms=0");
+                let path = format!("/changes?prefix={JOB_PREFIX}&since={since}&block_ms=0");
                 (path, JobViewCall::Watch)
             }
         };
@@ -152,7 +152,7 @@
         for entry in &list.entries {
             self.note_cancellation(&entry.key, &entry.value);
         }
-        let last = list.entries.last().filter(|_| list.more);
+        let last = list.entries.last().filter(|_| list.has_more);
         let view = &mut self.job_view;
         view.last_key = last.map(|entry| entry.key.clone());
         if view.last_key.is_none() {
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -9,7 +9,7 @@
 use grebewood_partition::PartitionMap;
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValueList, WatchResponse};
-use grebewood_wire::records::PARTITION;
+use grebewood_wire::records::PARTITION_PREFIX;
 use grebewood_wire::Value;
 use log::{error, warn};
 
@@ -40,8 +40,9 @@
         let (call, path, timeout) = match (reader.revision, &reader.listing) {
             (Some(revision), _) => {
                 let block_ms = WATCH_DURATION / MILLI;
-                let path =
-                    format!("/changes?prefix={PARTITION}&since={revision}&block_ms={block_ms}");
+                let path = format!(
+                    "/changes?prefix={PARTITION_PREFIX}&since={revision}&block_ms={block_ms}"
+                );
                 (MapCall::Watch, path, WATCH_TIMEOUT)
             }
             (None, listing) => {
@@ -91,7 +92,7 @@
         for entry in &list.entries {
             put_in_map(map, &entry.key, &entry.value, entry.mod_revision);
         }
-        match list.entries.last().filter(|_| list.more) {
+        match list.entries.last().filter(|_| list.has_more) {
             Some(last) => {
                 let last_key = last.key.clone();
                 reader.listing = Some(MapListing { revision, last_key });
@@ -114,14 +115,14 @@
                 put_in_map(map, key, value, event.mod_revision);
             }
             if let Some(key) = &event.delete {
-                map.delete(key, event.mod_revision);
+                map.apply_delete(key, event.mod_revision);
             }
         }
     }
 }
 
 fn put_in_map(map: &mut PartitionMap, key: &str, value: &Value, mod_revision: u64) {
-    if let Err(e) = map.put(key, value, mod_revision) {
+    if let Err(e) = map.apply_put(key, value, mod_revision) {
         error!(path = key, error:% = e; "unreadable record of the partition map; ignored");
     }
 }
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -35,7 +35,7 @@
                 from,
                 question,
                 known_us,
-                limits: limits_wanted,
+                wants_limits: limits_wanted,
             } => {
                 debug!(member = from.as_str(); "contact request from a peer");
                 let now = self.context.now.steady;
@@ -51,9 +51,9 @@
             member: self.context.settings.member.clone(),
             store_contact_age_us: self.context.store_contact_age(),
             token: self.context.token,
-            grant: self.election.highest_token(),
+            highest_leader_token: self.election.highest_token(),
             confirmed,
-            partitions: self.context.supports_partitions(),
+            supports_partitions: self.context.supports_partitions(),
             supports_quota_grants: self.context.supports_quota_grants(),
             limits,
             report,
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -15,9 +15,9 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{KeyValue, Transaction};
 use grebewood_wire::records::{
-    cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED,
+    cancel_key, job_key, CancelRecord, FinishedJobRecord, JobRecord, FINISHED_PREFIX,
 };
-use grebewood_wire::validate::valid_id;
+use grebewood_wire::validate::is_valid_job_id;
 use log::{debug, warn};
 
 /// Most times that a request is sent to the store, or waits for the job view, before it is refused.
@@ -36,7 +36,7 @@
 
     /// Answers a request about a finished job from memory, and sends others to wait for the job view.
     fn look_up_job(&mut self, id: u64, job: &str, action: UserAction) {
-        if !valid_id(job) {
+        if !is_valid_job_id(job) {
             return self.context.refuse(id, 404, "no such job");
         }
         let request = UserRequest::new(id, job, action, self.context.now.steady);
@@ -193,7 +193,7 @@
 
 /// Returns the key of a finished job's final record.
 fn finished_job_key(job: &str) -> String {
-    format!("{FINISHED}{job}")
+    format!("{FINISHED_PREFIX}{job}")
 }
 
 impl Context {
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -5,7 +5,7 @@
 use crate::state::jobs::{FinalStatus, JobIndex};
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, SECOND};
-use grebewood_wire::records::{cancel_key, CancelRecord, LEGACY_CANCEL};
+use grebewood_wire::records::{cancel_key, CancelRecord, LEGACY_CANCEL_PREFIX};
 use log::error;
 
 /// Priority of the write of a job end: it precedes changes that have been due for less than this time, because the
@@ -77,7 +77,7 @@
 
     /// Returns the key under which the cancellation of the job is, or would be, on record.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
-        let legacy = format!("{LEGACY_CANCEL}{id}");
+        let legacy = format!("{LEGACY_CANCEL_PREFIX}{id}");
         if self.write_buffer.is_on_record(&legacy) {
             legacy
         } else {
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -9,8 +9,7 @@
 use crate::state::write_buffer::{RecordId, WriteBuffer};
 use crate::{Micros, MILLI, SECOND};
 use grebewood_partition::{
-    Assignment as PartitionAssignment, Load, PartitionId, PartitionMap, PlannerInput,
-    PlannerSettings,
+    Load, PartitionAssignment, PartitionId, PartitionMap, PlannerInput, PlannerSettings,
 };
 use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskStop};
 use grebewood_wire::records::{
@@ -43,7 +42,7 @@
             partition.claim = record.claim.as_ref().map(RemoteClaim::from);
             self.remote_partitions.by_id.insert(id, partition);
         }
-        if map.unreadable().next().is_some() {
+        if map.unreadable_keys().next().is_some() {
             self.remove_partitions(context, "a partition record cannot be read", map.keys());
         }
     }
@@ -139,15 +138,17 @@
             zones: &zones_with_machines(context),
             members: &members.members,
             loads: &self.partition_loads(),
-            holder_unreachable: &self.partitions_of_unreachable_holders(context),
+            partitions_of_unreachable_holders: &self.partitions_of_unreachable_holders(context),
             next_id: self.next_partition_id(),
             may_create: all_known && members.all_answered && !members.any_without_partitions,
-            stable: self.is_stable(context),
+            is_cluster_stable: self.is_stable(context),
             now: context.now.steady,
             wall_time: context.now.wall,
         };
         let settings = planner_settings(context);
-        self.remote_partitions.planner.round(&settings, &input)
+        self.remote_partitions
+            .planner
+            .plan_assignments(&settings, &input)
     }
 
     fn partition_loads(&self) -> BTreeMap<PartitionId, Load> {
@@ -269,7 +270,7 @@
             claim,
             acknowledged: self.attempts_to_acknowledge(id),
             terminated,
-            seen,
+            last_known_version: seen,
             ..PartitionOrders::default()
         };
         if reconciled {
@@ -385,6 +386,6 @@
         partitions_per_zone: context.tuning.partitions_per_zone as u16,
         move_interval: context.tuning.partition_move_interval_us,
         hysteresis: context.tuning.partition_hysteresis,
-        paused: context.tuning.partition_moves_paused != 0,
+        moves_paused: context.tuning.partition_moves_paused != 0,
     }
 }
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -79,7 +79,7 @@
     /// Returns the part of a team's limit that is neither used nor granted to holders.
     pub(crate) fn room_under_limit(&self, context: &Context, team: &str) -> Resources {
         let limit = self.team_quota(context, team).unwrap_or_default();
-        let granted = self.leader_quota.grants.total(team);
+        let granted = self.leader_quota.grants.total_charged(team);
         limit
             .limit
             .saturating_sub(self.used_by(team))
@@ -107,7 +107,7 @@
     pub(crate) fn charge_quota(&mut self, assignment: &Assignment) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
-            (true, true) => self.holder_quota.grant.take(team, amount),
+            (true, true) => self.holder_quota.grant.reserve(team, amount),
             // The leader charges it to the holder's quota grant when it learns of the assignment.
             (true, false) => {}
             (false, _) => {
@@ -127,7 +127,7 @@
     ) {
         let (team, amount) = (&assignment.team, assignment.amount());
         match (assignment.by_holder, self.is_holder()) {
-            (true, true) => self.holder_quota.grant.give_back(team, amount),
+            (true, true) => self.holder_quota.grant.release(team, amount),
             (true, false) => {
                 let machine = self.machines.get(machine);
                 if let Some(partition) = machine.and_then(|machine| machine.partition) {
--- a/crates/grebewood/src/quota.rs
+++ b/crates/grebewood/src/quota.rs
@@ -5,7 +5,8 @@
 use grebewood_quota::{Limits, Resources};
 use grebewood_wire::http::{from_value, KeyValue};
 use grebewood_wire::records::{
-    partition_of_page, JobKey, JobRecord, LimitsRecord, PageRecord, JOB, LIMITS, PAGE, QUOTA,
+    partition_of_page, AssignmentPageRecord, JobKey, JobRecord, LimitsRecord,
+    ASSIGNMENT_PAGE_PREFIX, JOB_PREFIX, QUOTA_LIMITS_KEY, QUOTA_PREFIX,
 };
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
@@ -27,12 +28,12 @@
     let held = partitions
         .iter()
         .filter(|(_, partition)| partition.claim.is_some());
-    records.held = held.map(|(id, _)| id).collect();
-    for entry in store::list_entries(store, QUOTA)? {
+    records.held_partitions = held.map(|(id, _)| id).collect();
+    for entry in store::list_entries(store, QUOTA_PREFIX)? {
         add_quota_record(&mut records, &entry);
     }
-    let pages = store::list_entries(store, PAGE)?;
-    let jobs = task_usage_by_job(&store::list_entries(store, JOB)?);
+    let pages = store::list_entries(store, ASSIGNMENT_PAGE_PREFIX)?;
+    let jobs = task_usage_by_job(&store::list_entries(store, JOB_PREFIX)?);
     for page in &pages {
         add_assignments(&mut records, &jobs, page);
     }
@@ -40,12 +41,12 @@
 }
 
 fn add_quota_record(records: &mut Records, entry: &KeyValue<Value>) {
-    if entry.key == LIMITS {
+    if entry.key == QUOTA_LIMITS_KEY {
         match from_value::<LimitsRecord>(&entry.value) {
             Ok(record) => records.limits = Some(Limits::from_teams(&record.teams)),
             Err(_) => records.limits_unreadable = true,
         }
-    } else if let Some(Ok(id)) = entry.key.strip_prefix(QUOTA).map(str::parse) {
+    } else if let Some(Ok(id)) = entry.key.strip_prefix(QUOTA_PREFIX).map(str::parse) {
         records.grants.insert(id, from_value(&entry.value).ok());
     }
 }
@@ -72,7 +73,7 @@
     jobs: &BTreeMap<String, TaskUsage>,
     entry: &KeyValue<Value>,
 ) {
-    let Ok(page) = from_value::<PageRecord>(&entry.value) else {
+    let Ok(page) = from_value::<AssignmentPageRecord>(&entry.value) else {
         records.unreadable_pages.push(entry.key.clone());
         return;
     };
--- a/crates/grebewood/src/store.rs
+++ b/crates/grebewood/src/store.rs
@@ -3,7 +3,7 @@
 use grebewood_net::blocking;
 use grebewood_partition::PartitionMap;
 use grebewood_wire::http::{KeyValue, KeyValueList};
-use grebewood_wire::records::{LeaderRecord, LEADER, PARTITION};
+use grebewood_wire::records::{LeaderRecord, LEADER_KEY, PARTITION_PREFIX};
 use grebewood_wire::{from_cbor, DecodeError, Value};
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -73,7 +73,7 @@
         let last_key = page.entries.last().map(|entry| entry.key.clone());
         entries.extend(page.entries);
         match last_key {
-            Some(key) if page.more => continuation = format!("&since={key}"),
+            Some(key) if page.has_more => continuation = format!("&since={key}"),
             _ => return Ok(entries),
         }
     }
@@ -81,7 +81,7 @@
 
 /// Reads the name of the leader; returns `None` if there is no leader.
 pub fn read_leader(store: SocketAddr) -> Result<Option<String>, ReadError> {
-    let path = format!("/kv/{LEADER}");
+    let path = format!("/kv/{LEADER_KEY}");
     let response = get(store, &path)?;
     match response.status {
         404 => Ok(None),
@@ -97,9 +97,9 @@
 /// Reads the partitions and their holders.
 pub fn read_partitions(store: SocketAddr) -> Result<PartitionMap, ReadError> {
     let mut map = PartitionMap::default();
-    for entry in list_entries(store, PARTITION)? {
+    for entry in list_entries(store, PARTITION_PREFIX)? {
         // The result is ignored because the map keeps the keys of unreadable records, which the overview shows.
-        let _ = map.put(&entry.key, &entry.value, entry.mod_revision);
+        let _ = map.apply_put(&entry.key, &entry.value, entry.mod_revision);
     }
     Ok(map)
 }
--- a/crates/partition/tests/plan.rs
+++ b/crates/partition/tests/plan.rs
@@ -1,8 +1,9 @@
-//! The planner: first assignments, lost holders, and balance.
+//! Tests of the planner: first assignments, reassignment after the loss of a member, and rebalancing.
 
-use grebewood_partition::hash_slots::ranges;
+use grebewood_partition::hash_slots::slot_ranges;
 use grebewood_partition::{
-    Assignment, Load, Member, PartitionId, PartitionMap, Planner, PlannerInput, PlannerSettings,
+    Load, Member, PartitionAssignment, PartitionId, PartitionMap, Planner, PlannerInput,
+    PlannerSettings,
 };
 use grebewood_wire::http::to_value;
 use grebewood_wire::records::{claim_key, partition_key, PartitionClaim};
@@ -10,7 +11,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A cluster that writes what the planner decides.
+/// Cluster that writes and claims the assignments of the planner.
 struct Cluster {
     map: PartitionMap,
     members: BTreeSet<Member>,
@@ -38,7 +39,7 @@
                 partitions_per_zone: 6,
                 move_interval: 30 * SECOND,
                 hysteresis: 0.25,
-                paused: false,
+                moves_paused: false,
             },
             stable: true,
             may_create: true,
@@ -47,8 +48,9 @@
         }
     }
 
-    /// One round of the planner; its assignments are written, and claimed by the members that are up.
-    fn round(&mut self) -> Vec<Assignment> {
+    /// Runs one round of the planner, writes its assignments, and claims each of them for its holder if that
+    /// member is up.
+    fn round(&mut self) -> Vec<PartitionAssignment> {
         self.now += SECOND;
         let zones = BTreeSet::from(["a".to_string()]);
         let input = PlannerInput {
@@ -56,18 +58,20 @@
             zones: &zones,
             members: &self.members,
             loads: &self.loads,
-            holder_unreachable: &BTreeSet::new(),
+            partitions_of_unreachable_holders: &BTreeSet::new(),
             next_id: self.map.iter().map(|(id, _)| id).max().unwrap_or(0) + 1,
             may_create: self.may_create,
-            stable: self.stable,
+            is_cluster_stable: self.stable,
             now: self.now,
             wall_time: self.now,
         };
-        let assignments = self.planner.round(&self.settings, &input);
-        for Assignment { id, record } in &assignments {
+        let assignments = self.planner.plan_assignments(&self.settings, &input);
+        for PartitionAssignment { id, record } in &assignments {
             self.mod_revision += 1;
             let value = to_value(record);
-            let written = self.map.put(&partition_key(*id), &value, self.mod_revision);
+            let written = self
+                .map
+                .apply_put(&partition_key(*id), &value, self.mod_revision);
             assert_eq!(written, Ok(()));
             if self.members.iter().any(|m| m.name == record.holder) {
                 self.claim(*id, &record.holder);
@@ -76,6 +80,7 @@
         assignments
     }
 
+    /// Writes a claim of this member on the partition.
     fn claim(&mut self, id: PartitionId, member: &str) {
         self.mod_revision += 1;
         let claim = PartitionClaim {
@@ -85,20 +90,22 @@
         };
         let written = self
             .map
-            .put(&claim_key(id), &to_value(&claim), self.mod_revision);
+            .apply_put(&claim_key(id), &to_value(&claim), self.mod_revision);
         assert_eq!(written, Ok(()));
     }
 
+    /// Removes a member and deletes its claims.
     fn remove_member(&mut self, member: &str) {
         self.members.retain(|m| m.name != member);
         let held = self.map.iter().filter(|(_, p)| p.record.holder == member);
         let held: Vec<PartitionId> = held.map(|(id, _)| id).collect();
         self.mod_revision += 1;
         for id in held {
-            self.map.delete(&claim_key(id), self.mod_revision);
+            self.map.apply_delete(&claim_key(id), self.mod_revision);
         }
     }
 
+    /// Returns the number of partitions that are assigned to this member.
     fn held_by(&self, member: &str) -> usize {
         let held = self.map.iter().filter(|(_, p)| p.record.holder == member);
         held.count()
@@ -117,7 +124,7 @@
         .iter()
         .map(|(_, p)| (p.record.first_slot, p.record.end_slot))
         .collect();
-    assert_eq!(slots, ranges(6));
+    assert_eq!(slots, slot_ranges(6));
     for member in ["x", "y", "z"] {
         assert_eq!(cluster.held_by(member), 2, "{member}");
     }
@@ -134,7 +141,10 @@
     while cluster.held_by("y") > 0 {
         cluster.round();
         rounds += 1;
-        assert!(rounds <= 4, "still with a member that is gone");
+        assert!(
+            rounds <= 4,
+            "partitions are still assigned to a removed member"
+        );
     }
     assert_eq!((cluster.held_by("x"), cluster.held_by("z")), (3, 3));
 }
@@ -168,7 +178,7 @@
             moves.push(cluster.now);
         }
     }
-    // 120 against 0, then 80 against 40: a further move would only reverse that.
+    // The loads are 120 and 0 before the first move, 80 and 40 after it. A second move would only reverse the gap.
     assert_eq!(moves.len(), 1, "{moves:?}");
     cluster.loads.insert(held_by_x[0], 10.0);
     cluster.loads.insert(held_by_x[1], 10.0);
@@ -184,7 +194,7 @@
 }
 
 #[test]
-fn no_partition_moves_while_none_may() {
+fn no_partition_moves_while_moves_are_prevented() {
     let moves_when_unbalanced = |change: &dyn Fn(&mut Cluster)| {
         let mut cluster = Cluster::new(&["x", "y"]);
         cluster.round();
@@ -201,7 +211,10 @@
         (0..100).map(|_| cluster.round().len()).sum::<usize>()
     };
     assert!(moves_when_unbalanced(&|_| {}) > 0);
-    assert_eq!(moves_when_unbalanced(&|c| c.settings.paused = true), 0);
+    assert_eq!(
+        moves_when_unbalanced(&|c| c.settings.moves_paused = true),
+        0
+    );
     assert_eq!(moves_when_unbalanced(&|c| c.stable = false), 0);
     assert_eq!(moves_when_unbalanced(&|c| c.loads.clear()), 0);
 }
--- a/crates/quota/tests/holder_grant.rs
+++ b/crates/quota/tests/holder_grant.rs
@@ -1,4 +1,4 @@
-//! What a partition holder may use of its quota grant.
+//! Tests of the amounts that a partition holder may use of its quota grant.
 
 use grebewood_quota::{HolderGrant, Resources};
 use grebewood_wire::records::TeamAmount;
@@ -11,20 +11,20 @@
     }]
 }
 
-/// What was revoked but is used by a task, or by one whose write is in flight, is still held.
+/// The usage bound includes revoked amounts that tasks still use, also tasks whose write is in flight.
 #[test]
-fn what_tasks_use_is_held_whatever_is_granted() {
+fn usage_of_tasks_stays_in_the_bound_after_revocation() {
     let task = Resources::of(2.0, 0.0);
     let mut holder = HolderGrant::default();
     holder.set_granted(&grant(6));
-    holder.take("t", task);
-    holder.take("t", task);
+    holder.reserve("t", task);
+    holder.reserve("t", task);
     holder.set_granted(&grant(1));
-    assert_eq!(holder.held(), grant(4));
+    assert_eq!(holder.usage_bound(), grant(4));
     assert!(!holder.may_use("t", task));
-    holder.give_back("t", task);
-    holder.give_back("t", task);
-    assert_eq!(holder.held(), grant(1));
+    holder.release("t", task);
+    holder.release("t", task);
+    assert_eq!(holder.usage_bound(), grant(1));
 }
 
 #[test]
--- a/crates/quota/tests/overview.rs
+++ b/crates/quota/tests/overview.rs
@@ -1,4 +1,4 @@
-//! What `grebewood quota` shows, from the records alone.
+//! Tests of the output of `grebewood quota`, which is built from the records alone.
 
 use grebewood_quota::overview::{Overview, RecordedTask, Records};
 use grebewood_quota::{Limits, Resources, TeamQuota};
@@ -7,7 +7,7 @@
 
 fn grant(cpus: u64) -> QuotaGrantRecord {
     QuotaGrantRecord {
-        number: 3,
+        version: 3,
         claim: 9,
         teams: vec![TeamAmount {
             team: "t".into(),
@@ -34,14 +34,14 @@
         leader: Some("m-0".into()),
         limits: Some(Limits::new([("t".to_string(), quota)])),
         grants: BTreeMap::from([(1, Some(grant(6))), (2, Some(grant(4)))]),
-        held: BTreeSet::from([1, 2]),
+        held_partitions: BTreeSet::from([1, 2]),
         tasks: vec![task(None), task(Some(1)), task(Some(1)), task(Some(2))],
         ..Records::default()
     }
 }
 
 #[test]
-fn a_team_is_shown_with_what_it_uses_wherever_that_is() {
+fn a_team_is_shown_with_its_usage_in_all_partitions() {
     let row = &Overview::of(&records()).teams[0];
     assert_eq!((row.granted.cpus, row.used.cpus), (10.0, 8.0));
     assert_eq!((row.in_doubt.cpus, row.reasons.len()), (0.0, 0));
@@ -50,7 +50,7 @@
 #[test]
 fn grants_of_partitions_without_a_holder_are_in_doubt() {
     let mut records = records();
-    records.held.remove(&2);
+    records.held_partitions.remove(&2);
     let row = &Overview::of(&records).teams[0];
     assert_eq!(row.in_doubt.cpus, 4.0);
     assert_eq!(row.reasons, ["partition 2 has no holder"]);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn no_limit_is_shown_as_such_and_nothing_on_record_is_said() {
+fn unlimited_teams_and_missing_limits_are_shown() {
     let mut none = Records::default();
     let text = Overview::of(&none).to_text();
     assert!(text.contains("leader: nobody"), "{text}");
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -7,7 +7,7 @@
 use crate::time::{Micros, SECOND};
 use grebewood_core::Team;
 use grebewood_wire::http::from_value;
-use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, LIMITS, QUOTA};
+use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, QUOTA_LIMITS_KEY, QUOTA_PREFIX};
 use std::collections::BTreeMap;
 
 /// Time within which a launch that was recorded before a limit was lowered may still reach its agent.
@@ -116,7 +116,7 @@
 
     /// Returns the recorded limits by team, in CPUs.
     fn recorded_limits(&self) -> BTreeMap<String, f64> {
-        let mut records = self.store.under(LIMITS);
+        let mut records = self.store.under(QUOTA_LIMITS_KEY);
         let record = records.find_map(|(_, value, _)| from_value::<LimitsRecord>(value).ok());
         let teams = record.unwrap_or_default().teams.into_iter();
         teams.map(|team| (team.team, team.cpus_max)).collect()
@@ -125,7 +125,7 @@
     /// Returns the sums of the recorded quota grants by team, in CPUs.
     fn recorded_grants(&self) -> BTreeMap<String, f64> {
         let mut granted: BTreeMap<String, f64> = BTreeMap::new();
-        for (_, value, _) in self.store.under(QUOTA) {
+        for (_, value, _) in self.store.under(QUOTA_PREFIX) {
             let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
             for team in record.teams {
                 let cpus = team.cpus as f64 / GRANT_UNITS_PER_CPU;
