--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -49,7 +49,7 @@
                 let after = listing.as_ref().map(|page| &page.last_key);
                 let since = after.map(|key| format!("&since={key}"));
                 let since = since.unwrap_or_default();
-                let path = format!("/kv?prefix={PARTITION}{since}&page={MAX_PAGE_ENTRIES}");
+                let path = format!("/kv?prefix={PARTITION_PREFIX}{since}&page={MAX_PAGE_ENTRIES}");
                 (MapCall::List, path, STORE_TIMEOUT)
             }
         };
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -40,7 +40,7 @@
         let purpose = self.call_purpose(SchedulerCall::List {
             prefix: PROVISION_PREFIX.into(),
         });
-        let path = format!("/kv?prefix={PROVISION}&page={LIST_PAGE_KEYS}");
+        let path = format!("/kv?prefix={PROVISION_PREFIX}&page={LIST_PAGE_KEYS}");
         context.get_from_store(path, purpose);
     }
 
