--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -48,7 +48,7 @@
             return leader.on_heartbeat(&mut self.context, id, heartbeat);
         }
         // Another member acts under a higher fencing token, and this controller does not know which member.
-        self.context.answer(id, 421, &Redirect { leader: None });
+        self.context.answer(id, 421, &Redirect { controller: None });
     }
 
     /// Redirects an agent to the leader. The answer names no leader if none is known, or if the leader record
@@ -57,7 +57,8 @@
         let own_name = self.context.settings.member.as_str();
         let leader = self.election.leader().filter(|name| *name != own_name);
         let leader = leader.map(str::to_string);
-        self.context.answer(id, 421, &Redirect { leader });
+        self.context
+            .answer(id, 421, &Redirect { controller: leader });
     }
 
     /// Returns the partition of the heartbeat's machine: on the leader by the partitions that it read under its
@@ -67,7 +68,7 @@
         let (zone, machine) = (&heartbeat.zone, &heartbeat.machine);
         match &self.leader {
             Some(leader) => leader.remote_partitions.partition_of(zone, machine),
-            None => self.partitions.map.find(zone, machine),
+            None => self.partitions.map.partition_of_machine(zone, machine),
         }
     }
 
@@ -89,7 +90,7 @@
         if heartbeat.token <= holder.token {
             return holder.on_heartbeat(&mut self.context, id, heartbeat);
         }
-        self.context.answer(id, 421, &Redirect { leader: None });
+        self.context.answer(id, 421, &Redirect { controller: None });
     }
 
     /// Redirects an agent to the member that its partition is assigned to.
@@ -99,6 +100,7 @@
             return self.context.refuse(id, 503, reason);
         };
         let leader = Some(holder);
-        self.context.answer(id, 421, &Redirect { leader });
+        self.context
+            .answer(id, 421, &Redirect { controller: leader });
     }
 }
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -12,7 +12,7 @@
 use grebewood_wire::http::{
     to_value, KeyValue, Lease, LeaseRequest, Operation, Redirect, Transaction, TransactionApplied,
 };
-use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER};
+use grebewood_wire::records::{claim_key, partition_key, PartitionClaim, LEADER_KEY};
 use log::{info, warn};
 use thiserror::Error;
 
@@ -140,7 +140,7 @@
             when: vec![
                 absent(&key),
                 at_revision(&partition_key(id), partition.mod_revision),
-                at_revision(LEADER, term),
+                at_revision(LEADER_KEY, term),
             ],
             apply: vec![Operation::Put {
                 put: key,
@@ -264,7 +264,8 @@
         let next_holder = self.other_holder_of(id);
         for request in holder.waiting_heartbeats() {
             let leader = next_holder.clone();
-            self.context.answer(request, 421, &Redirect { leader });
+            self.context
+                .answer(request, 421, &Redirect { controller: leader });
         }
         self.context.end_lease(holder.lease());
         if *reason == ReleaseReason::CutOffFromAgents {
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -70,7 +70,7 @@
                 from: self.context.settings.member.clone(),
                 question,
                 known_us: known_until.map(|at| now.saturating_sub(at) + CONFIRMATION_OVERLAP),
-                limits: self.leader.is_some() && self.context.supports_quota_grants(),
+                wants_limits: self.leader.is_some() && self.context.supports_quota_grants(),
             });
             self.context.call(
                 Target::Peer(peer),
@@ -119,8 +119,8 @@
                 .store_contact_age_us
                 .is_none_or(|age| age >= STORE_CONTACT_TIMEOUT),
             remembers_from: None,
-            highest_token: answer.grant,
-            supports_partitions: answer.partitions,
+            highest_token: answer.highest_leader_token,
+            supports_partitions: answer.supports_partitions,
             supports_quota_grants: answer.supports_quota_grants,
         };
         // A list that answers another contact request is ignored. A peer of an earlier version sends no list.
@@ -148,7 +148,7 @@
             self.context.cancellations.learn(&job, cancelled_us);
             self.apply_cancellation(&job);
         }
-        let span = confirmed.remembers_us?;
+        let span = confirmed.complete_for_us?;
         // The peer began to remember no later than this moment of this controller's clock.
         let remembers_from = now.steady.saturating_sub(span - span / CLOCK_DRIFT_DIVISOR);
         self.context
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -118,17 +118,17 @@
     let answer = |member: &str, question: u64| Outcome::Answer {
         status: 200,
         body: wire::to_peer(&PeerResponse {
-            partitions: false,
+            supports_partitions: false,
             supports_quota_grants: false,
             limits: None,
             report: None,
             member: member.into(),
             store_contact_age_us: None,
             token: 7,
-            grant: 7,
+            highest_leader_token: 7,
             confirmed: Some(grebewood_wire::peer::ConfirmedCancellations {
                 question,
-                remembers_us: Some(15 * SECOND),
+                complete_for_us: Some(15 * SECOND),
                 jobs: vec![("req-1".into(), SECOND)],
             }),
         }),
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -24,7 +24,7 @@
 use crate::state::write_buffer::WriteBuffer;
 use crate::{Micros, SECOND};
 use grebewood_quota::TeamAmounts;
-use grebewood_wire::records::PARTITION;
+use grebewood_wire::records::PARTITION_PREFIX;
 use log::info;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -254,7 +254,8 @@
     /// Returns whether it is known which partition each machine belongs to, if any.
     pub(crate) fn knows_partitions(&self, context: &Context) -> bool {
         let loading = self.loading.as_ref();
-        !context.supports_partitions() || loading.is_none_or(|loading| loading.has_read(PARTITION))
+        !context.supports_partitions()
+            || loading.is_none_or(|loading| loading.has_read(PARTITION_PREFIX))
     }
 
     /// Returns the id of the lease.
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -8,7 +8,7 @@
 use grebewood_wire as wire;
 use grebewood_wire::http::{TransactionApplied, TransactionConflict};
 use grebewood_wire::records::{
-    cancel_key, job_key, JobKey, COMPLETED_TASKS, FINISHED, LEGACY_CANCEL,
+    cancel_key, job_key, JobKey, COMPLETED_TASKS_PREFIX, FINISHED_PREFIX, LEGACY_CANCEL_PREFIX,
 };
 use log::{info, warn};
 
@@ -119,7 +119,7 @@
             }
             RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
             RecordId::QuotaGrant(partition) => {
-                self.leader_quota.grants.written(*partition);
+                self.leader_quota.grants.on_record_written(*partition);
                 self.schedule_quota_grant_write(context, *partition, 0);
             }
             RecordId::Limits => self.placement.request_round(now),
@@ -135,9 +135,9 @@
         let keys = [
             job_key(&job.id),
             cancel_key(&job.id),
-            format!("{LEGACY_CANCEL}{}", job.id),
-            format!("{FINISHED}{}", job.id),
-            format!("{COMPLETED_TASKS}{}/0", job.id),
+            format!("{LEGACY_CANCEL_PREFIX}{}", job.id),
+            format!("{FINISHED_PREFIX}{}", job.id),
+            format!("{COMPLETED_TASKS_PREFIX}{}/0", job.id),
         ];
         for key in &keys {
             self.write_buffer.mod_revisions.remove(key);
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -91,10 +91,10 @@
         let quota = &mut self.holder_quota;
         quota.grant.set_granted(&orders.grant);
         quota.term = Some(term);
-        quota.limits_revision = Some(orders.limits);
+        quota.limits_revision = Some(orders.limits_revision);
         quota
             .placed
-            .retain(|placement| placement.number > orders.seen);
+            .retain(|placement| placement.number > orders.last_known_version);
         quota
             .queue
             .retain(|queued| !orders.revoked.contains(&queued.job));
@@ -124,7 +124,7 @@
             }
             quota.last_arrival += 1;
             quota.queue.insert(QueuedTask {
-                awaits_resources: delegated.waits,
+                awaits_resources: delegated.awaits_resources,
                 level: work.level,
                 arrival: quota.last_arrival,
                 job: work.job.clone(),
@@ -284,7 +284,7 @@
         let placements = quota.placements_in_answer();
         let last = quota.placements_in_answer().last();
         Some(QuotaReport {
-            held: quota.grant.held(),
+            usage_bound: quota.grant.usage_bound(),
             waiting: self.waiting_ranges(),
             placed: placements.map(|placement| placement.task.clone()).collect(),
             version: last.map_or(quota.last_placement, |placement| placement.number),
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -10,7 +10,9 @@
 use grebewood_wire::peer::{
     DelegatedTask, DelegatedWork, PartitionOrders, PartitionReport, PlacedTask, QuotaOrders,
 };
-use grebewood_wire::records::{claim_key, quota_grant_key, TeamAmount, LEADER, LIMITS};
+use grebewood_wire::records::{
+    claim_key, quota_grant_key, TeamAmount, LEADER_KEY, QUOTA_LIMITS_KEY,
+};
 
 const MACHINE: &str = "n-000001";
 
@@ -70,7 +72,7 @@
     let task = |task: &u64| DelegatedTask {
         task: *task,
         machine: MACHINE.into(),
-        waits: false,
+        awaits_resources: false,
     };
     let work = DelegatedWork {
         job: "req-1".into(),
@@ -90,8 +92,8 @@
         partition: 1,
         claim: CLAIM,
         quota: Some(Box::new(QuotaOrders {
-            number: sequence,
-            limits: LIMITS_REVISION,
+            grant_version: sequence,
+            limits_revision: LIMITS_REVISION,
             grant: vec![amount],
             work: vec![work],
             ..QuotaOrders::default()
@@ -167,8 +169,8 @@
         condition.map(|when| when.mod_revision)
     };
     assert_eq!(mod_revision(&claim_key(1)), Some(CLAIM));
-    assert_eq!(mod_revision(LEADER), Some(TERM));
-    assert_eq!(mod_revision(LIMITS), Some(LIMITS_REVISION));
+    assert_eq!(mod_revision(LEADER_KEY), Some(TERM));
+    assert_eq!(mod_revision(QUOTA_LIMITS_KEY), Some(LIMITS_REVISION));
     assert_eq!(mod_revision("page/0/1000"), Some(0));
     assert_eq!(mod_revision(&quota_grant_key(1)), None);
 }
@@ -198,7 +200,7 @@
     assert_eq!(holder.assignments().count(), 2);
     // Revoked quota is held as long as tasks use it.
     let report = carry_out(&mut controller, &mut holder, orders(3, 0, &[]));
-    let held = &report.quota.as_ref().expect("a report").held;
+    let held = &report.quota.as_ref().expect("a report").usage_bound;
     assert_eq!(held[0].cpus, 2_000_000);
 }
 
@@ -241,11 +243,17 @@
 #[test]
 fn nothing_is_written_once_another_leader_is_on_record() {
     let (mut controller, mut holder) = holder();
-    assert_eq!(holder.on_conditions_failed(&[LEADER.to_string()]), Ok(()));
+    assert_eq!(
+        holder.on_conditions_failed(&[LEADER_KEY.to_string()]),
+        Ok(())
+    );
     assert_nothing_is_written(&mut controller, &mut holder);
     // After the limits have changed, the holder writes nothing until the leader has sent them.
     carry_out(&mut controller, &mut holder, orders(5, 4, &[]));
-    assert_eq!(holder.on_conditions_failed(&[LIMITS.to_string()]), Ok(()));
+    assert_eq!(
+        holder.on_conditions_failed(&[QUOTA_LIMITS_KEY.to_string()]),
+        Ok(())
+    );
     assert_nothing_is_written(&mut controller, &mut holder);
     let ended = holder.on_conditions_failed(&[claim_key(1)]);
     assert_eq!(ended, Err("its claim has ended".to_string()));
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -85,7 +85,7 @@
         id: PartitionId,
         report: &PartitionReport,
     ) {
-        for machine in &report.gone {
+        for machine in &report.terminated {
             if self.machines.contains_key(machine) {
                 self.remove_terminated_machine(context, machine);
             }
@@ -150,7 +150,7 @@
         machine.receives_responses = state.receives_responses;
         // Only the holder knows whether the agent receives responses.
         machine.unreachable_since = None;
-        machine.counted_by_holder = state.counts;
+        machine.counted_by_holder = state.counts_as_capacity;
         machine.cordoned |= state.cordoned;
         machine.reclaim_at = state.reclaim_us.map(|left| now + left);
         if !machine.assignments.is_empty() {
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -10,7 +10,9 @@
 use grebewood_quota::{Limits, LimitsInForce, Resources, TeamAmounts};
 use grebewood_wire::http::{from_value, KeyValue, Shape};
 use grebewood_wire::peer::TaskAttempt;
-use grebewood_wire::records::{LimitsRecord, QuotaGrantRecord, TeamQuotaRecord, LIMITS, QUOTA};
+use grebewood_wire::records::{
+    LimitsRecord, QuotaGrantRecord, TeamQuotaRecord, QUOTA_LIMITS_KEY, QUOTA_PREFIX,
+};
 use grebewood_wire::Value;
 use log::{error, info};
 use std::cmp::Reverse;
@@ -33,11 +35,14 @@
         for entry in entries {
             let mod_revisions = &mut self.write_buffer.mod_revisions;
             mod_revisions.insert(entry.key.clone(), entry.mod_revision);
-            if entry.key == LIMITS {
+            if entry.key == QUOTA_LIMITS_KEY {
                 recorded = recorded_limits(&entry.value);
                 continue;
             }
-            let id = entry.key.strip_prefix(QUOTA).and_then(|n| n.parse().ok());
+            let id = entry
+                .key
+                .strip_prefix(QUOTA_PREFIX)
+                .and_then(|n| n.parse().ok());
             match id.filter(|id| self.remote_partitions.record(*id).is_some()) {
                 Some(id) => grants.push((id, entry)),
                 None => {
@@ -83,7 +88,9 @@
     /// Returns whether the quotas in force are on record, so that the writes of holders can be conditional on
     /// them.
     pub(crate) fn limits_are_on_record(&self) -> bool {
-        self.write_buffer.mod_revisions.contains_key(LIMITS)
+        self.write_buffer
+            .mod_revisions
+            .contains_key(QUOTA_LIMITS_KEY)
             && !self.write_buffer.is_dirty(&RecordId::Limits)
     }
 
@@ -109,7 +116,11 @@
         }
         let before = self.leader_quota.limits.in_force().clone();
         let announced = Limits::from_teams(teams);
-        if !self.leader_quota.limits.announce(member, announced) {
+        if !self
+            .leader_quota
+            .limits
+            .apply_announcement(member, announced)
+        {
             return;
         }
         let lowered = self.leader_quota.limits.in_force().lowered_since(&before);
@@ -148,7 +159,7 @@
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.team_quota(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
-        let used = own.saturating_add(self.leader_quota.grants.total(team));
+        let used = own.saturating_add(self.leader_quota.grants.total_charged(team));
         !used.fits(limit)
     }
 
@@ -237,7 +248,7 @@
         Ok(record) => Some(Limits::from_teams(&record.teams)),
         Err(error) => {
             error!(
-                key = LIMITS, error:% = error;
+                key = QUOTA_LIMITS_KEY, error:% = error;
                 "cannot read the record of team quotas; using this member's settings"
             );
             None
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -12,7 +12,7 @@
 use grebewood_wire::peer::{
     DelegatedTask, DelegatedWork, PlacedTask, QuotaOrders, QuotaReport, TaskRanges,
 };
-use grebewood_wire::records::{TeamAmount, LIMITS};
+use grebewood_wire::records::{TeamAmount, QUOTA_LIMITS_KEY};
 use grebewood_wire::validate::MAX_TASKS;
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,11 @@
         if !context.supports_quota_grants() {
             return None;
         }
-        let limits = self.write_buffer.mod_revisions.get(LIMITS).copied()?;
+        let limits = self
+            .write_buffer
+            .mod_revisions
+            .get(QUOTA_LIMITS_KEY)
+            .copied()?;
         let grant = self.usable_grant(context, id);
         let work = if reconciled {
             self.work_to_send(id)
@@ -43,13 +47,13 @@
             Vec::new()
         };
         Some(QuotaOrders {
-            number: self.leader_quota.grants.number(id),
-            limits,
+            grant_version: self.leader_quota.grants.record_version(id),
+            limits_revision: limits,
             grant,
             work,
             revoked: self.leader_quota.delegations.revocations_to_send(id),
             reserved: self.reserved_machines(id),
-            seen: self.remote_partitions.last_known_placement(id),
+            last_known_version: self.remote_partitions.last_known_placement(id),
         })
     }
 
@@ -91,7 +95,7 @@
             of_job.tasks.push(DelegatedTask {
                 task: task.task,
                 machine: delegation.machine.clone(),
-                waits: delegation.awaits_resources,
+                awaits_resources: delegation.awaits_resources,
             });
             sent.push(task);
         }
@@ -153,7 +157,9 @@
         quota: &QuotaReport,
     ) {
         let now = context.now.steady;
-        self.leader_quota.grants.on_held(id, &quota.held, now);
+        self.leader_quota
+            .grants
+            .on_usage_bound(id, &quota.usage_bound, now);
         let delay = if self.leader_quota.teams_short_of_room.is_empty() {
             GRANT_REDUCTION_DELAY_US
         } else {
@@ -224,9 +230,9 @@
         let (team, amount) = (&assignment.team, assignment.amount());
         let grants = &mut self.leader_quota.grants;
         if delegation.is_some_and(|delegation| !delegation.awaits_resources) {
-            grants.unqueue(id, team, amount, context.now.steady);
+            grants.remove_queued(id, team, amount, context.now.steady);
         }
-        grants.place(id, team, amount);
+        grants.add_placed(id, team, amount);
         self.add_assignment(&placed.machine, assignment);
     }
 
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -10,7 +10,7 @@
 use grebewood_partition::PartitionId;
 use grebewood_wire::http::{from_value, KeyValue, Submission};
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
-use grebewood_wire::records::{job_key, MachineAssignments, PageRecord};
+use grebewood_wire::records::{job_key, AssignmentPageRecord, MachineAssignments};
 use grebewood_wire::Value;
 use log::error;
 
@@ -52,7 +52,8 @@
 
     fn load_assignment_page(&mut self, context: &mut Context, entry: &KeyValue<Value>) {
         let number = page_number(&entry.key);
-        let (Some(number), Ok(record)) = (number, from_value::<PageRecord>(&entry.value)) else {
+        let (Some(number), Ok(record)) = (number, from_value::<AssignmentPageRecord>(&entry.value))
+        else {
             return self.on_unreadable_page(context, &entry.key, number);
         };
         let written_by = self.partition_writing_page(context, number);
@@ -168,7 +169,7 @@
             self.page_mut(page.number).add(machine, assignment);
         } else if let Some(partition) = page.written_by {
             let grants = &mut self.leader_quota.grants;
-            grants.place(partition, &assignment.team, assignment.amount());
+            grants.add_placed(partition, &assignment.team, assignment.amount());
         }
     }
 }
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -1,4 +1,4 @@
-//! The processes of the controllers: they start, crash, pause and make steps.
+//! Processes of the controllers: starts, crashes, pauses and steps.
 
 use super::configuration::{member_index, member_name};
 use super::events::{Event, Request, Requester};
@@ -12,25 +12,26 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// A controller and its present process.
+/// A controller and its current process.
 #[derive(Default)]
 pub(super) struct ControllerProcess {
     /// `None` while it is down.
     pub(super) controller: Option<Controller>,
-    /// The number of the process; 0 while it is down.
+    /// Number of the process; 0 while it is down.
     pub(super) process: u64,
-    /// It is down until then.
+    /// Time until which it is down.
     pub(super) down_until: Micros,
-    /// Until then the process is paused, and what comes in waits.
+    /// Time until which the process is paused and its inputs wait.
     pub(super) paused_until: Micros,
-    /// It was paused: until an answer to a lease renewal made since, it must not act as a leader.
-    pub(super) uncertain: bool,
-    /// Calls that renew its lease, made since it was paused.
-    pub(super) renewals: BTreeSet<u64>,
+    /// Whether it was paused and has had no reply to a lease renewal that it sent since; until then it may not
+    /// act as the leader.
+    pub(super) is_lease_uncertain: bool,
+    /// Ids of the calls that renew its lease and were made since it was paused.
+    pub(super) pending_renewals: BTreeSet<u64>,
 }
 
 impl World {
-    /// A controller by its name or number; `leader`: whoever leads.
+    /// Returns the index of a controller by its name or number; `leader` stands for the one that leads.
     pub(super) fn controller_named(&self, word: &str) -> Result<usize, ScriptError> {
         let found = match word {
             "leader" => self.leading_controllers().next(),
@@ -42,7 +43,7 @@
         })
     }
 
-    /// The controllers that a word names: one, or all.
+    /// Returns the controllers that a word names: one, or `all`.
     pub(super) fn controllers_named(&self, word: &str) -> Result<Vec<usize>, ScriptError> {
         match word {
             "all" => Ok((0..self.controllers.len()).collect()),
@@ -50,32 +51,32 @@
         }
     }
 
-    /// The controllers that are up.
+    /// Returns the controllers that are up.
     pub(super) fn up_controllers(&self) -> Vec<usize> {
         let all = 0..self.controllers.len();
         all.filter(|index| self.controllers[*index].controller.is_some())
             .collect()
     }
 
-    /// The controllers that lead.
+    /// Returns the controllers that lead.
     pub(super) fn leading_controllers(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.controllers.len()).filter(|index| self.leads(*index))
     }
 
-    /// Whether a controller leads.
+    /// Returns whether a controller leads.
     pub(super) fn leads(&self, index: usize) -> bool {
         let controller = self.controllers[index].controller.as_ref();
         controller.is_some_and(|controller| controller.leader.is_some())
     }
 
-    /// Starts a controller's process, unless it runs already, or ended again meanwhile and is back later.
+    /// Starts a controller's process, unless it already runs, or has crashed again and restarts later.
     pub(super) fn start_controller(&mut self, index: usize) {
-        let known = &self.controllers[index];
-        if known.controller.is_some() || self.now < known.down_until {
+        let state = &self.controllers[index];
+        if state.controller.is_some() || self.now < state.down_until {
             return;
         }
-        let number = self.controllers.len();
-        let mut settings = self.configuration.settings_of(index, number);
+        let controller_count = self.controllers.len();
+        let mut settings = self.configuration.settings_of(index, controller_count);
         self.limit_changes.apply(index, &mut settings.teams);
         let tuning = self.configuration.tuning_of(index);
         let process = self.sequence + 1;
@@ -87,45 +88,45 @@
         self.step(index, process, Input::Tick);
     }
 
-    /// Ends a controller's process; the next one starts after this time.
+    /// Ends a controller's process, and schedules the start of the next one after this time.
     pub(super) fn crash_controller(&mut self, index: usize, down_for: Micros) {
         self.controllers[index].controller = None;
         self.controllers[index].process = 0;
         let requests = self.calls.requests.keys();
-        let lost = requests.filter(|(controller, _)| *controller == index);
-        let lost: Vec<(usize, u64)> = lost.copied().collect();
-        for key in lost {
+        let lost_requests = requests.filter(|(controller, _)| *controller == index);
+        let lost_requests: Vec<(usize, u64)> = lost_requests.copied().collect();
+        for key in lost_requests {
             if let Some(requester) = self.calls.requests.remove(&key) {
                 let closed = Event::Response(requester, index, 0, Vec::new());
-                self.push(self.now + MILLISECOND, closed);
+                self.schedule_event(self.now + MILLISECOND, closed);
             }
         }
-        let back = self.now + down_for;
-        self.controllers[index].down_until = back;
-        self.push(back, Event::Start(index));
+        let restart_at = self.now + down_for;
+        self.controllers[index].down_until = restart_at;
+        self.schedule_event(restart_at, Event::Start(index));
     }
 
-    /// Pauses a controller's process, whose clocks run on.
+    /// Pauses a controller's process while its clocks continue to run.
     pub(super) fn pause_controller(&mut self, index: usize, pause: Micros) {
         let process = &mut self.controllers[index];
-        process.uncertain = true;
-        process.renewals.clear();
+        process.is_lease_uncertain = true;
+        process.pending_renewals.clear();
         process.paused_until = self.now + pause;
     }
 
-    /// Time passes for the controllers that want to do something now.
+    /// Makes a step of each controller whose next wake-up is due, unless its process is paused.
     pub(super) fn tick_controllers(&mut self) {
         for index in 0..self.controllers.len() {
-            let known = &self.controllers[index];
-            let controller = known.controller.as_ref();
+            let state = &self.controllers[index];
+            let controller = state.controller.as_ref();
             let due = controller.is_some_and(|controller| controller.next_wake() <= self.now);
-            if due && known.paused_until <= self.now {
-                self.step(index, known.process, Input::Tick);
+            if due && state.paused_until <= self.now {
+                self.step(index, state.process, Input::Tick);
             }
         }
     }
 
-    /// An input reaches a process: the reply to a call only if the call is still open.
+    /// Delivers an input to a process; drops the reply to a call that is no longer open.
     pub(super) fn handle_input(&mut self, controller: usize, process: u64, input: Input) {
         if let Input::Reply { call, .. } = &input {
             let caller = super::events::Caller {
@@ -138,10 +139,10 @@
             }
         }
         self.step(controller, process, input);
-        self.clear_uncertainty(controller);
+        self.clear_lease_uncertainty(controller);
     }
 
-    /// A request reaches a controller, which may be down.
+    /// Handles the arrival of a request at a controller, which may be down.
     pub(super) fn handle_request(&mut self, request: Request) -> StepResult {
         let controller = request.controller;
         let mut requester = request.requester;
@@ -154,8 +155,8 @@
         );
         if is_heartbeat {
             let newest = self.note_heartbeat(controller, &request.body, &requester);
-            if let Requester::HeartbeatCopy { first } = &mut requester {
-                *first = newest;
+            if let Requester::HeartbeatCopy { is_newer } = &mut requester {
+                *is_newer = newest;
             }
         }
         self.calls.next_request += 1;
@@ -173,14 +174,14 @@
         Ok(())
     }
 
-    /// A process takes an input and makes a step, whose effects are carried out.
+    /// Makes a step of a process with an input, and carries out the effects of the step.
     fn step(&mut self, index: usize, process: u64, input: Input) {
         let Some(effects) = self.effects_of(index, process, input) else {
             return;
         };
         self.trace_effects(index, &effects);
         for effect in effects {
-            self.check_certainty(index, &effect);
+            self.check_lease_certainty(index, &effect);
             match effect {
                 Effect::Answer {
                     id, status, body, ..
@@ -191,20 +192,20 @@
         self.deliver_held_copies(index);
     }
 
-    /// What a process does on an input; `None` if it has ended.
+    /// Makes a step of a process and returns its effects; `None` if the process has ended.
     fn effects_of(&mut self, index: usize, process: u64, input: Input) -> Option<Vec<Effect>> {
         let now = Now {
             steady: self.now,
             wall: self.configuration.wall_clock_start + self.now,
         };
-        let known = &mut self.controllers[index];
-        if known.process != process {
+        let state = &mut self.controllers[index];
+        if state.process != process {
             return None;
         }
-        let controller = known.controller.as_mut()?;
+        let controller = state.controller.as_mut()?;
         if let Input::Reply { call, .. } = &input {
-            if known.renewals.remove(call) {
-                known.uncertain = false;
+            if state.pending_renewals.remove(call) {
+                state.is_lease_uncertain = false;
             }
         }
         let leads = controller.leader.is_some();
@@ -223,7 +224,7 @@
         if let Some(requester) = self.calls.requests.remove(&(index, id)) {
             self.on_confirmation(index, &requester, status, &status_in(&body));
             let response = Event::Response(requester, index, status, body);
-            self.push(self.now + REQUEST_LATENCY, response);
+            self.schedule_event(self.now + REQUEST_LATENCY, response);
         }
     }
 
@@ -243,24 +244,28 @@
         }
     }
 
-    /// A process that has stepped down may become the leader anew.
-    fn clear_uncertainty(&mut self, index: usize) {
+    /// Clears the uncertainty of a process that does not lead: if it becomes the leader again, it has a new
+    /// lease.
+    fn clear_lease_uncertainty(&mut self, index: usize) {
         if !self.leads(index) {
-            self.controllers[index].uncertain = false;
+            self.controllers[index].is_lease_uncertain = false;
         }
     }
 
-    /// A process that was paused must not act as a leader before it has renewed its lease.
-    fn check_certainty(&mut self, index: usize, effect: &Effect) {
-        let acts = self.effect_needing_grant(index, effect);
-        if let (true, Some(acts)) = (self.controllers[index].uncertain, acts) {
+    /// Checks that a process that was paused does not act as the leader while its lease is uncertain.
+    fn check_lease_certainty(&mut self, index: usize, effect: &Effect) {
+        let action = self.effect_needing_lease(index, effect);
+        if let (true, Some(action)) = (self.controllers[index].is_lease_uncertain, action) {
             let member = member_name(index);
-            self.note_violation(format!("{member}, back from a pause, {acts}"));
+            self.note_violation(format!(
+                "{member} {action} after a pause, before it renewed its lease"
+            ));
         }
     }
 
-    /// What of an effect a leader may do only if it is certain of its grant.
-    fn effect_needing_grant(&mut self, index: usize, effect: &Effect) -> Option<&'static str> {
+    /// Returns what an effect does that only a leader with a certain lease may do; `None` if it does no such
+    /// thing. Records the calls that renew the lease.
+    fn effect_needing_lease(&mut self, index: usize, effect: &Effect) -> Option<&'static str> {
         match effect {
             Effect::Answer { id, status, .. } => {
                 let requester = self.calls.requests.get(&(index, *id));
@@ -271,20 +276,22 @@
                 (agent && *status == 200).then_some("answers an agent")
             }
             Effect::Call(call) if call.path.ends_with("/extend") => {
-                self.controllers[index].renewals.insert(call.id);
+                self.controllers[index].pending_renewals.insert(call.id);
                 None
             }
-            Effect::Call(call) => call_needing_grant(call),
+            Effect::Call(call) => call_needing_lease(call),
         }
     }
 }
 
-/// What of a call a leader may do only if it is certain of its grant.
-fn call_needing_grant(call: &Call) -> Option<&'static str> {
+/// Returns what a call does that only a leader with a certain lease may do; `None` if it does no such
+/// thing.
+fn call_needing_lease(call: &Call) -> Option<&'static str> {
     match call.target {
         Target::Cloud if call.method == "POST" => Some("provisions or terminates"),
         Target::Agent(_) => Some("commands an agent"),
-        // A leader's writes depend on its grant; any controller accepts and cancels.
+        // A leader's writes depend on the `leader` record; those by which any controller accepts and cancels
+        // jobs do not.
         Target::Store if call.path == "/txn" => String::from_utf8_lossy(&call.body)
             .contains("leader")
             .then_some("writes as the leader"),
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -1,4 +1,4 @@
-//! Faults of the key-value store: transactions whose answer is lost, and outages.
+//! Faults of the key-value store: transactions whose answers are lost, slow answers and outages.
 
 use super::super::events::{Caller, Event};
 use super::super::World;
@@ -9,133 +9,146 @@
 use grebewood_wire::peer::PeerResponse;
 use grebewood_wire::{from_peer, to_peer};
 
-/// What happens to a transaction whose answer is lost.
+/// A fault of a transaction whose answer is lost.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LateTransaction {
-    /// It is carried out this much later, or at once.
-    late: Micros,
+pub(super) struct TransactionFault {
+    /// Delay after which the key-value store applies it, unless `at_once`.
+    delay: Micros,
     at_once: bool,
 }
 
-/// For a time, every so many-th transaction of any controller meets this.
-pub(super) struct LateTransactions {
+/// A fault of every n-th transaction of all controllers, for a time.
+pub(super) struct RecurringTransactionFault {
     until: Micros,
     every: u64,
-    /// Transactions so far.
+    /// Number of transactions so far.
     count: u64,
-    how: LateTransaction,
+    fault: TransactionFault,
 }
 
-impl LateTransactions {
-    /// Counts a transaction. The result is what happens to it, if anything does.
-    fn next(&mut self, now: Micros) -> Option<LateTransaction> {
+impl RecurringTransactionFault {
+    /// Counts a transaction, and returns its fault, if it has one.
+    fn next(&mut self, now: Micros) -> Option<TransactionFault> {
         if now >= self.until {
             return None;
         }
         self.count += 1;
-        self.count.is_multiple_of(self.every).then_some(self.how)
+        self.count.is_multiple_of(self.every).then_some(self.fault)
     }
 }
 
 impl World {
-    /// The next transaction of a controller, or of whoever leads then, gets no answer.
-    pub(super) fn delay_transaction(&mut self, directive: &Directive) -> Result<(), ScriptError> {
+    /// Makes the answer to the next transaction of a controller, or of the leader at that time, get lost.
+    pub(super) fn set_transaction_fault(
+        &mut self,
+        directive: &Directive,
+    ) -> Result<(), ScriptError> {
         let controller = match directive.options.get("node").map(String::as_str) {
             None | Some("leader") => None,
             Some(word) => Some(self.controller_named(word)?),
         };
-        let how = LateTransaction {
-            late: directive.duration("for", 10.0)?,
+        let fault = TransactionFault {
+            delay: directive.duration("for", 10.0)?,
             at_once: directive.flag("at_once", false),
         };
-        self.faults.late_transaction.insert(controller, how);
+        self.faults
+            .next_transaction_faults
+            .insert(controller, fault);
         Ok(())
     }
 
-    /// For a time, every so many-th transaction gets no answer.
-    pub(super) fn delay_transactions(&mut self, directive: &Directive) -> Result<(), ScriptError> {
-        let how = LateTransaction {
-            late: directive.duration("late", 8.0)?,
+    /// Makes the answer to every n-th transaction get lost for a time.
+    pub(super) fn set_recurring_transaction_fault(
+        &mut self,
+        directive: &Directive,
+    ) -> Result<(), ScriptError> {
+        let fault = TransactionFault {
+            delay: directive.duration("late", 8.0)?,
             at_once: directive.flag("at_once", false),
         };
-        self.faults.late_transactions = Some(LateTransactions {
+        self.faults.recurring_transaction_fault = Some(RecurringTransactionFault {
             until: self.now + directive.duration("for", 20.0)?,
             every: directive.count("every", 3)?.max(1),
             count: 0,
-            how,
+            fault,
         });
         Ok(())
     }
 
-    /// So many transactions without an answer must have been carried out, and have failed.
-    pub(super) fn expect_late_transactions(&self, directive: &Directive) -> StepResult {
-        let (done, failed) = (self.faults.late_carried_out, self.faults.late_failed);
+    /// Checks that at least the given numbers of transactions without an answer were applied, and failed.
+    pub(super) fn expect_unanswered_transactions(&self, directive: &Directive) -> StepResult {
+        let (done, failed) = (
+            self.faults.unanswered_applied,
+            self.faults.unanswered_failed,
+        );
         let least_done = directive.count("done", 0)?;
         let least_failed = directive.count("failed", 0)?;
         if done < least_done || failed < least_failed {
-            let detail = format!("{done} were carried out, {failed} failed");
+            let detail =
+                format!("{done} transactions without an answer were applied, {failed} failed");
             return Err(ScenarioError::unmet(detail));
         }
         Ok(())
     }
 
-    /// Sends a transaction whose answer is lost, if this one's is; otherwise it goes its usual way.
+    /// Sends a transaction in such a way that its answer is lost, if it has such a fault. Returns whether it has.
     pub(in crate::world) fn lose_transaction(
         &mut self,
         controller: usize,
         at: Micros,
         call: &Call,
     ) -> bool {
-        let Some(how) = self.next_transaction_fault(controller) else {
+        let Some(fault) = self.next_transaction_fault(controller) else {
             return false;
         };
         let nobody = Caller::nobody(controller, call.id);
-        let at = if how.at_once { at } else { at + how.late };
+        let at = if fault.at_once { at } else { at + fault.delay };
         let event = Event::StoreCall(nobody, call.method, call.path.clone(), call.body.clone());
-        self.push(at, event);
+        self.schedule_event(at, event);
         true
     }
 
-    /// What happens to the transaction that a controller sends now, if anything does.
-    fn next_transaction_fault(&mut self, controller: usize) -> Option<LateTransaction> {
+    /// Returns the fault of the transaction that a controller sends now, if it has one.
+    fn next_transaction_fault(&mut self, controller: usize) -> Option<TransactionFault> {
         let (now, leads) = (self.now, self.leads(controller));
         let faults = &mut self.faults;
-        let mut how = faults.late_transaction.remove(&Some(controller));
-        if how.is_none() && leads {
-            how = faults.late_transaction.remove(&None);
+        let mut fault = faults.next_transaction_faults.remove(&Some(controller));
+        if fault.is_none() && leads {
+            fault = faults.next_transaction_faults.remove(&None);
         }
-        if how.is_none() {
-            let many = faults.late_transactions.as_mut();
-            how = many.and_then(|many| many.next(now));
+        if fault.is_none() {
+            let recurring = faults.recurring_transaction_fault.as_mut();
+            fault = recurring.and_then(|recurring| recurring.next(now));
         }
-        how
+        fault
     }
 
     /// Counts a transaction that gets no answer.
-    pub(in crate::world) fn count_late_transaction(
+    pub(in crate::world) fn count_unanswered_transaction(
         &mut self,
         caller: Caller,
         path: &str,
         status: u16,
     ) {
         match (caller.process, path, status) {
-            (0, "/txn", 200) => self.faults.late_carried_out += 1,
-            (0, "/txn", 400 | 409) => self.faults.late_failed += 1,
+            (0, "/txn", 200) => self.faults.unanswered_applied += 1,
+            (0, "/txn", 400 | 409) => self.faults.unanswered_failed += 1,
             _ => {}
         }
     }
 
-    /// A grant was just won: the key-value store may go down at once.
-    pub(in crate::world) fn on_leader_grant(&mut self) {
-        if let Some(down_for) = self.faults.store_outage_on_grant.take() {
+    /// Takes the key-value store down if a fault is armed for the next write of the `leader` record.
+    pub(in crate::world) fn on_leader_elected(&mut self) {
+        if let Some(down_for) = self.faults.store_outage_on_election.take() {
             let until = self.now + down_for;
             self.faults.end = self.faults.end.max(until);
             self.store.down = true;
-            self.push(until, Event::StoreUp);
+            self.schedule_event(until, Event::StoreUp);
         }
     }
 
-    /// A peer's answer, with a job in it that nobody cancelled if that is a fault at present.
+    /// Adds a job that nobody cancelled to the confirmed cancellations in a peer's answer, if such a fault is
+    /// active.
     pub(in crate::world) fn forge_cancellation(&self, body: Vec<u8>) -> Vec<u8> {
         let forged = self.faults.forged_cancellation.as_ref();
         let Some((job, _)) = forged.filter(|(_, until)| self.now < *until) else {
@@ -150,7 +163,7 @@
         to_peer(&answer)
     }
 
-    /// How much longer the key-value store takes to answer.
+    /// Returns the additional latency of the key-value store's answers.
     pub(in crate::world) fn store_lag(&self) -> Micros {
         self.faults.slow_store.at(self.now).unwrap_or(0)
     }
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -1,4 +1,4 @@
-//! Users who cancel and ask at bad moments, and what comes of it.
+//! Users who cancel and poll jobs at critical moments, and the checks of the effects.
 
 use super::super::events::{Event, Requester};
 use super::super::jobs::{job_of, ObservedJob};
@@ -8,13 +8,13 @@
 use crate::script::Directive;
 use crate::time::{Micros, MILLISECOND, SECOND};
 
-/// A job that is cancelled in the middle of its work has at least so long to go.
+/// Shortest remaining run time of a task whose job users cancel while it runs.
 const MIN_REMAINING_RUN: Micros = 20 * SECOND;
-/// Users cancel jobs in the middle of their work within this time.
+/// Time over which users spread the cancellations of running jobs.
 const CANCEL_WINDOW: Micros = 200 * MILLISECOND;
-/// So many machines of cancelled jobs hang at most.
+/// Largest number of machines of cancelled jobs that hang.
 const MAX_HUNG_MACHINES: usize = 8;
-/// When users poll a job everywhere after something was said of it.
+/// Delays after a response about a job at which users poll the job at every controller.
 const POLL_DELAYS: [Micros; 4] = [
     MILLISECOND,
     5 * MILLISECOND,
@@ -23,11 +23,14 @@
 ];
 
 impl World {
-    /// Users cancel jobs that run and have long to go; some of their machines hang from now on.
-    pub(super) fn cancel_now(&mut self, most: usize, hang: Micros) -> StepResult {
-        let jobs = self.jobs_in_the_middle(most);
+    /// Cancels running jobs with enough run time left. If `hang` is not 0, some of their machines hang for this
+    /// time.
+    pub(super) fn cancel_now(&mut self, max_jobs: usize, hang: Micros) -> StepResult {
+        let jobs = self.long_running_jobs(max_jobs);
         if jobs.is_empty() {
-            return Err(ScenarioError::unmet("no job runs that has long to go"));
+            return Err(ScenarioError::unmet(
+                "no running job has enough run time left",
+            ));
         }
         if hang > 0 {
             self.hang_machines_of(&jobs, self.now + hang);
@@ -35,22 +38,22 @@
         let interval = CANCEL_WINDOW / jobs.len() as Micros;
         for (index, job) in jobs.into_iter().enumerate() {
             let at = self.now + index as Micros * interval;
-            self.push(at, Event::RetryCancel(job));
+            self.schedule_event(at, Event::RetryCancel(job));
         }
         Ok(())
     }
 
-    /// Jobs that run and have long to go, so many at most.
-    fn jobs_in_the_middle(&self, most: usize) -> Vec<String> {
+    /// Returns up to `max_jobs` running jobs with enough run time left that no user has asked to cancel.
+    fn long_running_jobs(&self, max_jobs: usize) -> Vec<String> {
         let live =
             |job: &ObservedJob| job.accepted && !job.done && job.cancel_requested_at.is_none();
         let jobs = self.jobs.iter();
-        let jobs = jobs.filter(|(id, job)| live(job) && self.runs_for_long(id));
-        jobs.take(most).map(|(id, _)| id.clone()).collect()
+        let jobs = jobs.filter(|(id, job)| live(job) && self.has_long_running_task(id));
+        jobs.take(max_jobs).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether a task of the job runs and has long to go.
-    fn runs_for_long(&self, job: &str) -> bool {
+    /// Returns whether a task of the job runs and has enough run time left.
+    fn has_long_running_task(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
         let machines = self.present_machines().filter(|machine| machine.up);
         let mut tasks = machines.flat_map(|machine| machine.live());
@@ -61,7 +64,7 @@
         })
     }
 
-    /// Some machines that hold tasks of these jobs hang up to this time.
+    /// Makes some machines that hold tasks of these jobs hang until this time.
     fn hang_machines_of(&mut self, jobs: &[String], until: Micros) {
         let holds = |machine: &&mut Machine| {
             let mut tasks = machine.live();
@@ -74,8 +77,8 @@
         }
     }
 
-    /// A task has completed. At the moment of its job's last one its user may cancel the job, ask about it
-    /// and submit it again at every controller.
+    /// Records that a task has completed. If it was the last one of its job and such a fault is active, users
+    /// cancel the job, poll it and submit it again at every controller.
     pub(in crate::world) fn note_completion(&mut self, task_name: &str) {
         let id = job_of(task_name);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -88,24 +91,31 @@
         job.completed_at.get_or_insert(self.now);
         if let Some(delay) = self.faults.cancel_at_end.at(self.now) {
             let at = self.now + delay;
-            self.push(at, Event::RetryCancel(id.into()));
-            self.push(at, Event::PollEverywhere(id.into()));
+            self.schedule_event(at, Event::RetryCancel(id.into()));
+            self.schedule_event(at, Event::PollEverywhere(id.into()));
         }
     }
 
-    /// Of the jobs that were cancelled though all of their tasks completed, so many at least were
-    /// called done, and so many cancelled; and ends are on record in time.
+    /// Checks that ends are recorded in time; that, of the jobs that users asked to cancel and whose tasks all
+    /// completed, at least the given numbers were reported done and cancelled; and that at least the given
+    /// number of jobs with the given prefix were reported cancelled.
     pub(super) fn check_ends(&self, directive: &Directive) -> StepResult {
-        self.check_ends_on_record(directive.duration("within", 6.0)?)?;
+        self.check_ends_recorded(directive.duration("within", 6.0)?)?;
         let accepted = self.jobs.values().filter(|job| job.accepted);
-        let both =
+        let cancelled_when_complete =
             |job: &&ObservedJob| job.completed_at.is_some() && job.cancel_requested_at.is_some();
-        let both: Vec<&ObservedJob> = accepted.filter(both).collect();
-        let done = both.iter().filter(|job| job.done).count() as u64;
-        let cancelled = both.iter().filter(|job| job.cancelled_at.is_some());
+        let cancelled_when_complete: Vec<&ObservedJob> =
+            accepted.filter(cancelled_when_complete).collect();
+        let done = cancelled_when_complete
+            .iter()
+            .filter(|job| job.done)
+            .count() as u64;
+        let cancelled = cancelled_when_complete
+            .iter()
+            .filter(|job| job.cancelled_at.is_some());
         let cancelled = cancelled.count() as u64;
         if done < directive.count("done", 0)? || cancelled < directive.count("cancelled", 0)? {
-            let detail = format!("{done} are done, {cancelled} cancelled");
+            let detail = format!("{done} jobs are done, {cancelled} are cancelled");
             return Err(ScenarioError::unmet(detail));
         }
         let prefix = directive.text("of", "");
@@ -119,8 +129,8 @@
         Ok(())
     }
 
-    /// The end of each job must be on record so long after it.
-    fn check_ends_on_record(&self, within: Micros) -> StepResult {
+    /// Checks that the end of each job is recorded within this time after it.
+    fn check_ends_recorded(&self, within: Micros) -> StepResult {
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.accepted) {
             let ends = [job.completed_at, job.cancelled_at];
             let Some(over) = ends.into_iter().flatten().min() else {
@@ -129,44 +139,44 @@
             if self.now > over + within && !self.store.has(&format!("past/{id}")) {
                 let ago = (self.now - over) / SECOND;
                 return Err(ScenarioError::unmet(format!(
-                    "{id} is over for {ago} s and its end not on record"
+                    "{id} ended {ago} s ago, but its end is not recorded"
                 )));
             }
         }
         Ok(())
     }
 
-    /// Counts a poll that is refused for now.
-    pub(in crate::world) fn count_refusal(&mut self, status: u16) {
-        self.faults.refusals += u64::from(matches!(status, 429 | 503));
+    /// Counts the response to a poll if it is a temporary refusal.
+    pub(in crate::world) fn count_refused_poll(&mut self, status: u16) {
+        self.faults.refused_polls += u64::from(matches!(status, 429 | 503));
     }
 
-    /// Something was said of a job: users poll it everywhere if it was said for the first time.
-    pub(in crate::world) fn poll_after(&mut self, job: &str, what: &'static str) {
+    /// Schedules polls of a job at every controller after an event, the first time that the event occurs.
+    pub(in crate::world) fn poll_everywhere_after(&mut self, job: &str, event: &'static str) {
         let first = self.now < self.faults.polls_until
-            && self.faults.polled.insert((job.to_string(), what));
+            && self.faults.polled_after.insert((job.to_string(), event));
         if first {
             for delay in POLL_DELAYS {
-                self.push(self.now + delay, Event::PollEverywhere(job.into()));
+                self.schedule_event(self.now + delay, Event::PollEverywhere(job.into()));
             }
         }
     }
 
-    /// A controller has sent a response to a user: if it confirms a cancellation, the controller may crash
-    /// now.
+    /// Crashes a controller that has sent a response to a user, if the response confirms a cancellation and
+    /// such a fault is armed.
     pub(in crate::world) fn on_confirmation(
         &mut self,
         controller: usize,
         requester: &Requester,
         status: u16,
-        said: &str,
+        job_status: &str,
     ) {
-        if !matches!(requester, Requester::Cancel(..)) || status != 200 || said != "aborted" {
+        if !matches!(requester, Requester::Cancel(..)) || status != 200 || job_status != "aborted" {
             return;
         }
         if let Some(down_for) = self.faults.crash_on_confirmation.take() {
             self.faults.end = self.faults.end.max(self.now + down_for);
-            self.push(self.now, Event::Crash(controller, down_for));
+            self.schedule_event(self.now, Event::Crash(controller, down_for));
         }
     }
 }
