--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -14,7 +14,7 @@
 //!                                           message than the version in production: the one before
 //! check waits [for=90]                      once all troubles are over, no job waits so long for a task
 //!                                           while a machine that fits has room and its team may run it
-//! store NAME age=30                         data/NAME.txt: what the version before left in the middle
+//! snapshot NAME age=30                         data/NAME.txt: what the version before left in the middle
 //!                                           of its work, 30 s after its start
 //! type NAME cpus=8 mem=32 price=1 spot=0.3 boot=10 cap=4 spotcap=2 zones=a,b [gpus=0]
 //! machines TYPE zone=a count=2 [spot=yes]   up at the start: n-000000, n-000001, ...
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -44,7 +44,7 @@
                     self.configuration.previous_version.insert(controller);
                 }
             }
-            "store" => self.set_up_snapshot(directive)?,
+            "snapshot" => self.set_up_snapshot(directive)?,
             "aim" => {
                 let within = directive.duration("within", 60.0)?;
                 let objective = finished_within(directive.word(1)?, directive.word(2)?, within);
