--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -13,7 +13,7 @@
     format!(
         "nodes 3\nworkers report=5 lease=26.5 cancel=46.5\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
-         state rps=350 writes=50 ops=8 value=8\n\
+         store rps=350 writes=50 ops=8 value=8\n\
          team t cpus={cpus} max={cpus}\n\
          type std cpus=8 mem=32 price=1 spot=0.3 boot=5 cap={machines} zones=a\n\
          machines std count={machines}\n\
--- a/crates/testkit/examples/trace_digest.rs
+++ b/crates/testkit/examples/trace_digest.rs
@@ -16,11 +16,11 @@
     ("as-it-stands", ""),
     (
         "partitions",
-        "state writes=60 rps=400\ntuning partitions_per_zone=3\n",
+        "store writes=60 rps=400\ntuning partitions_per_zone=3\n",
     ),
     (
         "allotments",
-        "state writes=60 rps=400\ntuning partitions_per_zone=3 allotments=1\n",
+        "store writes=60 rps=400\ntuning partitions_per_zone=3 allotments=1\n",
     ),
 ];
 
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -7,7 +7,7 @@
 //! workers report=1.5 lease=10 cancel=30
 //! aim wait CLASS within=60                 beside: the class work finishes within 60 s
 //! team NAME cpus=16 max=32 [gpus=0 gmax=0]
-//! state value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]   what the state service takes
+//! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]   what the state service takes
 //!                                           (KiB, changes, a second), and what it announces for later
 //! tuning KEY=VALUE ...                      operators' settings
 //! old NODE ...                              these do not know what is announced, nor more of a peer
@@ -59,7 +59,7 @@
 //! at 5  cut NODE|leader state|workers|peers|all for=10 [hold=yes]
 //! at 5  freeze NODE|leader for=30           it stands still while its clocks run on
 //! at 5  refuse NODE|leader for=10           the state service answers it 503
-//! at 5  state down for=10
+//! at 5  store down for=10
 //! at 5  cloud down for=10
 //! at 5  trap page-write                     the leader crashes when its next page is written
 //! at 5  trap confirm [for=0.3]              the next node that confirms a cancellation to a user
@@ -77,7 +77,7 @@
 //!                                           the cancellation was confirmed; so many jobs at least that
 //!                                           were cancelled as they ended are done, and cancelled;
 //!                                           of=JOB confirmed=3: of so many the cancellation is confirmed
-//! at 5  slow state for=20 by=0.8            its answers take that much longer; what is asked is carried
+//! at 5  slow store for=20 by=0.8            its answers take that much longer; what is asked is carried
 //!                                           out as ever
 //! at 5  slow workers for=20 by=0.5          messages between controllers and workers take that much
 //!                                           longer, each way
@@ -227,7 +227,7 @@
     ("cut", 10 * SECOND),
     ("freeze", 30 * SECOND),
     ("refuse", 10 * SECOND),
-    ("state", 10 * SECOND),
+    ("store", 10 * SECOND),
     ("cloud", 10 * SECOND),
     ("busy", 10 * SECOND),
     ("late", 10 * SECOND),
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -73,7 +73,7 @@
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
                 self.store.busy_until = until;
             }
-            "state" => {
+            "store" => {
                 self.store.down = true;
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
                 self.push(until, Event::StoreUp);
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -102,7 +102,7 @@
             ("late", "txn") => self.delay_transaction(directive)?,
             ("late", "txns") => self.delay_transactions(directive)?,
             ("lost", _) => self.expect_late_transactions(directive)?,
-            ("slow", "state") => {
+            ("slow", "store") => {
                 self.faults.slow_store = self.delay(directive, 20.0, ("by", 0.8))?
             }
             ("slow", "workers") => {
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -25,7 +25,7 @@
     /// The word for it in scenarios.
     fn word(self) -> &'static str {
         match self {
-            Link::Store => "state",
+            Link::Store => "store",
             Link::Cloud => "cloud",
             Link::Agents => "workers",
             Link::Peers => "peers",
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -36,7 +36,7 @@
         match directive.word(0)? {
             "nodes" => self.configuration.controllers = directive.number_at(1)?,
             "workers" => self.set_up_agents(directive)?,
-            "state" => self.set_up_store(directive)?,
+            "store" => self.set_up_store(directive)?,
             "tuning" => self.set_up_tuning(directive)?,
             "old" => {
                 for at in 1..directive.words.len() {
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -69,7 +69,7 @@
     let fast = Some(2 * MILLISECOND);
     let mut world = running();
     assert_eq!(reply_latency(&mut world, Link::Store), fast);
-    let slow = directive("slow state", &[("by", "0.8"), ("for", "5")]);
+    let slow = directive("slow store", &[("by", "0.8"), ("for", "5")]);
     world.run_directive(&slow).expect("a fault");
     assert_eq!(
         reply_latency(&mut world, Link::Store),
@@ -99,7 +99,7 @@
         ("late txn for=5", 15),
         ("late txns for=20 late=8", 38),
         ("mute all", 40),
-        ("slow state for=5", 15),
+        ("slow store for=5", 15),
         ("lose direct n-000000", 26),
         ("lose direct n-000000 for=1 late=2", 13),
         ("lose answer n-000000", 0),
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -101,7 +101,7 @@
 #[test]
 fn a_slow_store_and_lost_answers_are_survived() {
     holds(
-        "at 1 slow state for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 looks for=30\n\
+        "at 1 slow store for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 looks for=30\n\
          at 30 expect req-1 done\nend 31\n",
     );
     for how in ["late=8", "late=3 at_once=yes"] {
--- a/crates/testkit/tests/scenarios.rs
+++ b/crates/testkit/tests/scenarios.rs
@@ -66,7 +66,7 @@
 /// What is put before each scenario: holders of partitions place tasks, where the scenario's key-value store
 /// takes enough changes.
 const WITH_QUOTA_GRANTS: &str =
-    "state writes=60 rps=400\ntuning partitions_per_zone=3 allotments=1\n";
+    "store writes=60 rps=400\ntuning partitions_per_zone=3 allotments=1\n";
 
 /// Every scenario with quota grants forced on, but for those that a list names with the reason. These must fail:
 /// the list does not hide what holds again.
