--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -4,7 +4,7 @@
 //!
 //! ```text
 //! nodes 3                                   controllers
-//! workers report=1.5 lease=10 cancel=30
+//! agents report=1.5 lease=10 cancel=30
 //! aim wait CLASS within=60                 beside: the class work finishes within 60 s
 //! team NAME cpus=16 max=32 [gpus=0 gmax=0]
 //! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]   what the state service takes
@@ -79,7 +79,7 @@
 //!                                           of=JOB confirmed=3: of so many the cancellation is confirmed
 //! at 5  slow store for=20 by=0.8            its answers take that much longer; what is asked is carried
 //!                                           out as ever
-//! at 5  slow workers for=20 by=0.5          messages between controllers and workers take that much
+//! at 5  slow agents for=20 by=0.5          messages between controllers and workers take that much
 //!                                           longer, each way
 //! at 5  late report MACHINE for=10          a copy of its next report arrives late
 //! at 5  overtake report MACHINE for=1.5     its next report is so long on its way, and the answer to a
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -105,7 +105,7 @@
             ("slow", "store") => {
                 self.faults.slow_store = self.delay(directive, 20.0, ("by", 0.8))?
             }
-            ("slow", "workers") => {
+            ("slow", "agents") => {
                 self.faults.slow_agent_links = self.delay(directive, 20.0, ("by", 0.5))?;
             }
             ("trap", "confirm") => {
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -27,7 +27,7 @@
         match self {
             Link::Store => "store",
             Link::Cloud => "cloud",
-            Link::Agents => "workers",
+            Link::Agents => "agents",
             Link::Peers => "peers",
         }
     }
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -35,7 +35,7 @@
     pub(super) fn apply_setup(&mut self, directive: &Directive) -> StepResult {
         match directive.word(0)? {
             "nodes" => self.configuration.controllers = directive.number_at(1)?,
-            "workers" => self.set_up_agents(directive)?,
+            "agents" => self.set_up_agents(directive)?,
             "store" => self.set_up_store(directive)?,
             "tuning" => self.set_up_tuning(directive)?,
             "old" => {
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -78,7 +78,7 @@
     assert_eq!(reply_latency(&mut world, Link::Agents), fast);
     world.now += 5 * SECOND;
     assert_eq!(reply_latency(&mut world, Link::Store), fast);
-    let slow = directive("slow workers", &[("by", "0.7"), ("for", "5")]);
+    let slow = directive("slow agents", &[("by", "0.7"), ("for", "5")]);
     world.run_directive(&slow).expect("a fault");
     assert_eq!(reply_latency(&mut world, Link::Store), fast);
     assert_eq!(
