--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -32,7 +32,7 @@
         .collect();
     let cpus = machines * 4;
     format!(
-        "nodes 3\nagents report=2 lease=20 cancel=40\nstore writes=60 rps=400 ops=8 value=8\n\
+        "nodes 3\nagents heartbeat=2 lease=20 cancel=40\nstore writes=60 rps=400 ops=8 value=8\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
          team t cpus={cpus} max={cpus}\nteam u cpus={half} max={cpus}\n\
          type std cpus=8 mem=64 price=1 spot=0.3 boot=4 cap={machines} zones=a\n\
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -4,7 +4,7 @@
 //!
 //! ```text
 //! nodes 3                                   controllers
-//! agents report=1.5 lease=10 cancel=30
+//! agents heartbeat=1.5 lease=10 cancel=30
 //! aim wait CLASS within=60                 beside: the class work finishes within 60 s
 //! team NAME cpus=16 max=32 [gpus=0 gmax=0]
 //! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]   what the state service takes
@@ -81,8 +81,8 @@
 //!                                           out as ever
 //! at 5  slow agents for=20 by=0.5          messages between controllers and workers take that much
 //!                                           longer, each way
-//! at 5  late report MACHINE for=10          a copy of its next report arrives late
-//! at 5  overtake report MACHINE for=1.5     its next report is so long on its way, and the answer to a
+//! at 5  late heartbeat MACHINE for=10          a copy of its next report arrives late
+//! at 5  overtake heartbeat MACHINE for=1.5     its next report is so long on its way, and the answer to a
 //!                                           direct command must overtake it
 //! at 5  slow launch MACHINE for=1.5        the next answer to it that carries a launch takes so long
 //! at 5  lose answer MACHINE                 the answer to its next report is lost
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -61,7 +61,7 @@
 
     fn set_up_agents(&mut self, directive: &Directive) -> Result<(), ScriptError> {
         let settings = &mut self.configuration.settings;
-        settings.heartbeat_interval = directive.duration("report", 1.5)?;
+        settings.heartbeat_interval = directive.duration("heartbeat", 1.5)?;
         settings.agent_lease = directive.duration("lease", 10.0)?;
         settings.cancel_timeout = directive.duration("cancel", 30.0)?;
         Ok(())
