--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -11,7 +11,7 @@
 /// The scenario of a fleet of so many machines, all with work, that loses its leader once.
 fn scenario(machines: u64) -> String {
     format!(
-        "nodes 3\nagents heartbeat=5 lease=26.5 cancel=46.5\n\
+        "controllers 3\nagents heartbeat=5 lease=26.5 cancel=46.5\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
          store rps=350 writes=50 ops=8 value=8\n\
          team t cpus={cpus} max={cpus}\n\
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -32,7 +32,7 @@
         .collect();
     let cpus = machines * 4;
     format!(
-        "nodes 3\nagents heartbeat=2 lease=20 cancel=40\nstore writes=60 rps=400 ops=8 value=8\n\
+        "controllers 3\nagents heartbeat=2 lease=20 cancel=40\nstore writes=60 rps=400 ops=8 value=8\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
          team t cpus={cpus} max={cpus}\nteam u cpus={half} max={cpus}\n\
          type std cpus=8 mem=64 price=1 spot=0.3 boot=4 cap={machines} zones=a\n\
@@ -48,7 +48,7 @@
 /// A team below its guaranteed share while another runs all the machines hold, `flush` to save.
 fn guaranteed_share(flush: f64, start: f64) -> String {
     format!(
-        "nodes 3\nstore writes=60 rps=400\n\
+        "controllers 3\nstore writes=60 rps=400\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
          team t cpus=24 max=48\nteam u cpus=8 max=48\n\
          type std cpus=8 mem=32 price=1 spot=0.3 boot=30 cap=6 spotcap=0 zones=a\n\
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -3,7 +3,7 @@
 //! One thing a line, `#` starts a comment. First what there is:
 //!
 //! ```text
-//! nodes 3                                   controllers
+//! controllers 3                                   controllers
 //! agents heartbeat=1.5 lease=10 cancel=30
 //! aim wait CLASS within=60                 beside: the class work finishes within 60 s
 //! team NAME cpus=16 max=32 [gpus=0 gmax=0]
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -34,7 +34,7 @@
     /// Carries out a setup line.
     pub(super) fn apply_setup(&mut self, directive: &Directive) -> StepResult {
         match directive.word(0)? {
-            "nodes" => self.configuration.controllers = directive.number_at(1)?,
+            "controllers" => self.configuration.controllers = directive.number_at(1)?,
             "agents" => self.set_up_agents(directive)?,
             "store" => self.set_up_store(directive)?,
             "tuning" => self.set_up_tuning(directive)?,
