--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -26,7 +26,7 @@
 //! at 5  submit JOB tasks=4 cpus=2 [owner= prec= run= due= saves=yes flush= fails=yes zone= type=
 //!       spot=no one_zone=yes spread=yes shape= class= gpus=]
 //! every 6 from 1 to 90 submit JOB ...       such a job every 6 s: JOB001, JOB002, ...
-//!                                           node=N|leader|other: there the first time, later anywhere
+//!                                           controller=N|leader|other: there the first time, later anywhere
 //! at 5  begun JOB                           a task of it came onto a machine
 //! at 5  cancel JOB [node=N|leader|other]
 //! at 5  expect JOB STATUS                   a poll at every node that is up gives this status;
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -40,7 +40,7 @@
 impl World {
     /// The next transaction of a controller, or of whoever leads then, gets no answer.
     pub(super) fn delay_transaction(&mut self, directive: &Directive) -> Result<(), ScriptError> {
-        let controller = match directive.options.get("node").map(String::as_str) {
+        let controller = match directive.options.get("controller").map(String::as_str) {
             None | Some("leader") => None,
             Some(word) => Some(self.controller_named(word)?),
         };
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -41,7 +41,7 @@
     let leader = leader_of(&world);
     let other = (leader + 1) % 3;
     world.queue.clear();
-    let at_once = [("node", "leader"), ("at_once", "yes")];
+    let at_once = [("controller", "leader"), ("at_once", "yes")];
     world
         .run_directive(&directive("late txn", &at_once))
         .expect("a fault");
@@ -50,7 +50,7 @@
     assert!(world.queue.keys().all(|(at, _)| *at == world.now));
     let number = other.to_string();
     world
-        .run_directive(&directive("late txn", &[("node", &number)]))
+        .run_directive(&directive("late txn", &[("controller", &number)]))
         .expect("a fault");
     assert!(!lose(&mut world, leader) && lose(&mut world, other));
 }
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -39,7 +39,7 @@
         &self,
         directive: &Directive,
     ) -> Result<Option<usize>, ScriptError> {
-        match directive.options.get("node").map(String::as_str) {
+        match directive.options.get("controller").map(String::as_str) {
             None => Ok(None),
             Some("other") => {
                 let mut up = self.up_controllers().into_iter();
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -68,10 +68,10 @@
 
 #[test]
 fn who_confirms_a_cancellation_crashes() {
-    let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 trap confirm for=9\nat 7 cancel req-1 node=leader\n\
+    let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 trap confirm for=9\nat 7 cancel req-1 controller=leader\n\
                 at 8 leaders 0\nat 20 leaders 1\nend 21\n";
     holds(trap);
-    fails(&trap.replace("node=leader", "node=other"), "1 nodes lead");
+    fails(&trap.replace("controller=leader", "controller=other"), "1 nodes lead");
 }
 
 #[test]
@@ -112,7 +112,7 @@
     }
     for node in ["leader", "0", "1", "2"] {
         holds(&format!(
-            "at 4 late txn for=10 node={node} at_once=yes\nat 2 submit req-1 node={node} run=5\n\
+            "at 4 late txn for=10 controller={node} at_once=yes\nat 2 submit req-1 controller={node} run=5\n\
              at 30 expect req-1 done\nend 31\n"
         ));
     }
