--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -5,7 +5,7 @@
 //! ```text
 //! controllers 3                                   controllers
 //! agents heartbeat=1.5 lease=10 cancel=30
-//! aim wait CLASS within=60                 beside: the class work finishes within 60 s
+//! objective wait CLASS within=60                 beside: the class work finishes within 60 s
 //! team NAME cpus=16 max=32 [gpus=0 gmax=0]
 //! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]   what the state service takes
 //!                                           (KiB, changes, a second), and what it announces for later
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -45,7 +45,7 @@
                 }
             }
             "snapshot" => self.set_up_snapshot(directive)?,
-            "aim" => {
+            "objective" => {
                 let within = directive.duration("within", 60.0)?;
                 let objective = finished_within(directive.word(1)?, directive.word(2)?, within);
                 self.configuration.settings.objectives.push(objective);
