--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -10,7 +10,7 @@
 //! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]   what the state service takes
 //!                                           (KiB, changes, a second), and what it announces for later
 //! tuning KEY=VALUE ...                      operators' settings
-//! old NODE ...                              these do not know what is announced, nor more of a peer
+//! previous_version NODE ...                              these do not know what is announced, nor more of a peer
 //!                                           message than the version in production: the one before
 //! check waits [for=90]                      once all troubles are over, no job waits so long for a task
 //!                                           while a machine that fits has room and its team may run it
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -38,7 +38,7 @@
             "agents" => self.set_up_agents(directive)?,
             "store" => self.set_up_store(directive)?,
             "tuning" => self.set_up_tuning(directive)?,
-            "old" => {
+            "previous_version" => {
                 for at in 1..directive.words.len() {
                     let controller = directive.number_at(at)?;
                     self.configuration.previous_version.insert(controller);
