--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -57,7 +57,7 @@
 //!                                           largest jobs is served, and the largest began within 240 s
 //! at 5  serving JOB N [zone=a]              so many of its tasks run
 //! at 5  cut NODE|leader state|workers|peers|all for=10 [hold=yes]
-//! at 5  freeze NODE|leader for=30           it stands still while its clocks run on
+//! at 5  pause NODE|leader for=30           it stands still while its clocks run on
 //! at 5  refuse NODE|leader for=10           the state service answers it 503
 //! at 5  store down for=10
 //! at 5  cloud down for=10
@@ -225,7 +225,7 @@
     ("crash", 4 * SECOND),
     ("upgrade", 4 * SECOND),
     ("cut", 10 * SECOND),
-    ("freeze", 30 * SECOND),
+    ("pause", 30 * SECOND),
     ("refuse", 10 * SECOND),
     ("store", 10 * SECOND),
     ("cloud", 10 * SECOND),
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -45,7 +45,7 @@
                 };
                 self.network.cuts.push(cut);
             }
-            "freeze" => {
+            "pause" => {
                 let controller = self.controller_named(directive.word(1)?)?;
                 self.pause_controller(controller, directive.duration("for", 30.0)?);
             }
