--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -61,10 +61,10 @@
 //! at 5  refuse NODE|leader for=10           the state service answers it 503
 //! at 5  store down for=10
 //! at 5  cloud down for=10
-//! at 5  trap page-write                     the leader crashes when its next page is written
-//! at 5  trap confirm [for=0.3]              the next node that confirms a cancellation to a user
+//! at 5  fault_on page-write                     the leader crashes when its next page is written
+//! at 5  fault_on confirm [for=0.3]              the next node that confirms a cancellation to a user
 //!                                           crashes right after that answer has gone out
-//! at 5  trap grant for=40                    the state service goes down right after the next grant
+//! at 5  fault_on grant for=40                    the state service goes down right after the next grant
 //! at 5  forge JOB for=5                     peers' answers list this job as cancelled, which it is not
 //! at 5  late txn for=10 [node=N|leader] [at_once=yes]   the next transaction of that node, or of whoever
 //!                                           leads, gets no answer and is carried out 10 s later, after
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -54,7 +54,7 @@
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
                 self.network.refused.push((controller, until));
             }
-            "trap" => self.faults.crash_on_page_write = true,
+            "fault_on" => self.faults.crash_on_page_write = true,
             _ => return self.run_store_directive(directive),
         }
         Ok(true)
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -108,11 +108,11 @@
             ("slow", "agents") => {
                 self.faults.slow_agent_links = self.delay(directive, 20.0, ("by", 0.5))?;
             }
-            ("trap", "confirm") => {
+            ("fault_on", "confirm") => {
                 let down_for = directive.duration("for", 0.3)?;
                 self.faults.crash_on_confirmation = Some(down_for);
             }
-            ("trap", "grant") => {
+            ("fault_on", "grant") => {
                 let down_for = directive.duration("for", 40.0)?;
                 self.faults.store_outage_on_grant = Some(down_for);
             }
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -68,7 +68,7 @@
 
 #[test]
 fn who_confirms_a_cancellation_crashes() {
-    let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 trap confirm for=9\nat 7 cancel req-1 controller=leader\n\
+    let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 fault_on confirm for=9\nat 7 cancel req-1 controller=leader\n\
                 at 8 leaders 0\nat 20 leaders 1\nend 21\n";
     holds(trap);
     fails(&trap.replace("controller=leader", "controller=other"), "1 nodes lead");
