--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -104,7 +104,7 @@
 //!                                           0.2 s; up to eight of their machines hang that long
 //! at 5  cancel_at_end for=20 [after=0.1]    every job whose last task completes is cancelled, asked about
 //!                                           and submitted again at every node, then or so much later
-//! at 5  looks for=20                        right after a job was first accepted, called done or cancelled,
+//! at 5  polls for=20                        right after a job was first accepted, called done or cancelled,
 //!                                           users ask at every node within 1, 5, 20 and 60 ms, and submit
 //!                                           it again there
 //! at 5  hang MACHINE|all for=5 | faulty MACHINE | kill MACHINE | recall MACHINE in=10
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -152,7 +152,7 @@
                 }
             }
             "ends" => self.check_ends(directive)?,
-            "looks" => {
+            "polls" => {
                 let until = self.now + directive.duration("for", 20.0)?;
                 self.faults.polls_until = until;
             }
--- a/crates/testkit/src/world/tests/responses.rs
+++ b/crates/testkit/src/world/tests/responses.rs
@@ -133,7 +133,7 @@
 
 #[test]
 fn users_poll_everywhere_once_after_each_thing_said() {
-    let mut world = world_after("at 1 looks for=100\nat 2 submit req-1 tasks=4 run=500", 4);
+    let mut world = world_after("at 1 polls for=100\nat 2 submit req-1 tasks=4 run=500", 4);
     world.queue.clear();
     // It was polled when it was accepted; now its user is told that it is cancelled.
     let again = Requester::Resubmit("req-1".into(), world.now);
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -105,7 +105,7 @@
         ("lose answer n-000000", 0),
         ("cancel_now 3", 10),
         ("cancel_now 3 hang=30", 40),
-        ("looks for=50", 0),
+        ("polls for=50", 0),
     ] {
         assert_eq!(end(line), seconds, "{line}");
     }
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -101,13 +101,13 @@
 #[test]
 fn a_slow_store_and_lost_answers_are_survived() {
     holds(
-        "at 1 slow store for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 looks for=30\n\
+        "at 1 slow store for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 polls for=30\n\
          at 30 expect req-1 done\nend 31\n",
     );
     for how in ["late=8", "late=3 at_once=yes"] {
         holds(&format!(
             "at 4 late txns for=20 every=3 {how}\nat 2 submit req-1 tasks=4 run=5\n\
-             at 1 looks for=60\nat 60 expect req-1 done\nend 61\n"
+             at 1 polls for=60\nat 60 expect req-1 done\nend 61\n"
         ));
     }
     for node in ["leader", "0", "1", "2"] {
