--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -53,7 +53,7 @@
 //!                                           cancelled before; later than `cancel` it is ran_cancelled
 //! at 5  largest most=2                      no value is larger than that (KiB)
 //! at 5  refused most=0                      at most so many transactions were malformed so far
-//! at 5  halves                              at least half of each class, of each team and of each class's
+//! at 5  half_served                              at least half of each class, of each team and of each class's
 //!                                           largest jobs is served, and the largest began within 240 s
 //! at 5  serving JOB N [zone=a]              so many of its tasks run
 //! at 5  cut NODE|leader state|workers|peers|all for=10 [hold=yes]
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -54,7 +54,7 @@
                 let most = directive.count("most", 0)?;
                 ensure(got <= most, || format!("{got} requests were malformed"))?;
             }
-            "halves" => self.check_half_served()?,
+            "half_served" => self.check_half_served()?,
             "serving" => self.expect_serving(directive)?,
             "rented" => {
                 let machine = self.machines.get(directive.word(1)?);
