--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -88,7 +88,7 @@
 //! at 5  lose answer MACHINE                 the answer to its next report is lost
 //! at 5  unplug MACHINE|all for=30           nothing reaches it or comes from it; its tasks go on
 //! at 5  drop_inbound MACHINE|all for=30             its reports arrive, no answer or command reaches it
-//! at 5  mute MACHINE|all for=30             it reaches no controller; direct commands reach it
+//! at 5  drop_heartbeats MACHINE|all for=30             it reaches no controller; direct commands reach it
 //! at 5  hang of=JOB for=5                   all machines that hold a task of it now; so for unplug,
 //!                                           deaf, mute and lose direct
 //! at 5  lose direct MACHINE|all for=10 [late=6]   commands sent straight to it are carried out late, and
@@ -235,7 +235,7 @@
     ("unplug", 30 * SECOND),
     ("copies", 10 * SECOND),
     ("hang", 5 * SECOND),
-    ("mute", 30 * SECOND),
+    ("drop_heartbeats", 30 * SECOND),
     ("slow", 20 * SECOND),
     ("lose", 10 * SECOND),
     ("cancel_now", 0),
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -122,7 +122,7 @@
             }
             ("copies", machine) => self.make_copies(directive, machine)?,
             ("copied", _) => self.expect_copies(directive)?,
-            ("mute" | "drop_inbound" | "unplug" | "hang", _) => self.silence_machines(directive)?,
+            ("drop_heartbeats" | "drop_inbound" | "unplug" | "hang", _) => self.silence_machines(directive)?,
             ("lose", "direct") => {
                 let delay = self.delay(directive, 10.0, ("late", 6.0))?;
                 for name in self.machines_named(directive, 2)? {
@@ -191,7 +191,7 @@
         for name in self.machines_named(directive, 1)? {
             let machine = self.machine_mut(&name)?;
             match fault {
-                "mute" => machine.mute_until = until,
+                "drop_heartbeats" => machine.mute_until = until,
                 "drop_inbound" => machine.deaf_until = until,
                 "unplug" => machine.unplugged_until = until,
                 _ => machine.hangs_until = until,
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -98,7 +98,7 @@
     for (line, seconds) in [
         ("late txn for=5", 15),
         ("late txns for=20 late=8", 38),
-        ("mute all", 40),
+        ("drop_heartbeats all", 40),
         ("slow store for=5", 15),
         ("lose direct n-000000", 26),
         ("lose direct n-000000 for=1 late=2", 13),
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_mute_machine_loses_its_tasks_with_its_lease() {
     let never_reported =
-        "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 mute of=req-1 for=15\n\
+        "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 drop_heartbeats of=req-1 for=15\n\
                 at 45 starts req-1 2\nend 46\n";
     holds(never_reported);
     fails(
@@ -57,7 +57,7 @@
         "no job runs that has long to go",
     );
     // At the moment of the end, which the machine cannot report just then.
-    let end = "at 2 submit req-1 tasks=1 run=5\nat 5 mute of=req-1 for=5\n\
+    let end = "at 2 submit req-1 tasks=1 run=5\nat 5 drop_heartbeats of=req-1 for=5\n\
                at 6 cancel_at_end for=20\nat 30 expect req-1 aborted\nend 31\n";
     holds(end);
     for not_then in ["for=1", "for=20 after=9"] {
