--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -86,7 +86,7 @@
 //!                                           direct command must overtake it
 //! at 5  slow launch MACHINE for=1.5        the next answer to it that carries a launch takes so long
 //! at 5  lose answer MACHINE                 the answer to its next report is lost
-//! at 5  unplug MACHINE|all for=30           nothing reaches it or comes from it; its tasks go on
+//! at 5  disconnect MACHINE|all for=30           nothing reaches it or comes from it; its tasks go on
 //! at 5  drop_inbound MACHINE|all for=30             its reports arrive, no answer or command reaches it
 //! at 5  drop_heartbeats MACHINE|all for=30             it reaches no controller; direct commands reach it
 //! at 5  hang of=JOB for=5                   all machines that hold a task of it now; so for unplug,
@@ -232,7 +232,7 @@
     ("busy", 10 * SECOND),
     ("late", 10 * SECOND),
     ("drop_inbound", 30 * SECOND),
-    ("unplug", 30 * SECOND),
+    ("disconnect", 30 * SECOND),
     ("copies", 10 * SECOND),
     ("hang", 5 * SECOND),
     ("drop_heartbeats", 30 * SECOND),
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -122,7 +122,7 @@
             }
             ("copies", machine) => self.make_copies(directive, machine)?,
             ("copied", _) => self.expect_copies(directive)?,
-            ("drop_heartbeats" | "drop_inbound" | "unplug" | "hang", _) => self.silence_machines(directive)?,
+            ("drop_heartbeats" | "drop_inbound" | "disconnect" | "hang", _) => self.silence_machines(directive)?,
             ("lose", "direct") => {
                 let delay = self.delay(directive, 10.0, ("late", 6.0))?;
                 for name in self.machines_named(directive, 2)? {
@@ -193,7 +193,7 @@
             match fault {
                 "drop_heartbeats" => machine.mute_until = until,
                 "drop_inbound" => machine.deaf_until = until,
-                "unplug" => machine.unplugged_until = until,
+                "disconnect" => machine.unplugged_until = until,
                 _ => machine.hangs_until = until,
             }
         }
