--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -47,7 +47,7 @@
             "restart" => self.restart_agent(directive.word(1)?)?,
             "faulty" => self.machine_mut(directive.word(1)?)?.faulty = true,
             "kill" => self.machine_mut(directive.word(1)?)?.gone = true,
-            "recall" => {
+            "reclaim" => {
                 let at = self.now + directive.duration("in", 10.0)?;
                 self.machine_mut(directive.word(1)?)?.reclaim_at = Some(at);
             }
