--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -99,7 +99,7 @@
 //!                                           controller that is up
 //! at 5  copied N                            so many copies at least met a leader of a newer token
 //! at 5  restart MACHINE                     its worker is back at once, in a new session
-//! at 5  rented MACHINE yes|no
+//! at 5  provisioned MACHINE yes|no
 //! at 5  cancel_now N [hang=30]              users cancel up to N jobs that run and have 20 s to go, within
 //!                                           0.2 s; up to eight of their machines hang that long
 //! at 5  cancel_at_end for=20 [after=0.1]    every job whose last task completes is cancelled, asked about
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -56,7 +56,7 @@
             }
             "half_served" => self.check_half_served()?,
             "serving" => self.expect_serving(directive)?,
-            "rented" => {
+            "provisioned" => {
                 let machine = self.machines.get(directive.word(1)?);
                 let there = machine.is_some_and(|machine| !machine.gone);
                 let wanted = directive.word(2)? == "yes";
