--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -39,7 +39,7 @@
 //! at 5  downgrade NODE [for=4]              it ends and comes back with the version before
 //! at 5  partitions N held|moving|unclaimed  so many partitions are on record, all of them so
 //! at 5  settings NODE|all TEAM [cpus=4] [max=8] [gone=yes]   from its next start on its settings say this
-//! at 5  in_force TEAM 8                     the team's ceiling on record, in CPUs
+//! at 5  team_limit TEAM 8                     the team's ceiling on record, in CPUs
 //! at 5  uses TEAM [least=4] [most=8]        what its tasks use on machines, in CPUs
 //! at 5  started JOB [least=4] [most=8]       its tasks came onto machines so often so far
 //! at 5  machines N                          so many machines are rented
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -65,7 +65,7 @@
     pub(super) fn run_limits_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "settings" => self.change_settings(directive)?,
-            "in_force" => {
+            "team_limit" => {
                 let wanted = directive.number_at(2)?;
                 let limits = self.limits_on_record();
                 let got = limits.get(directive.word(1)?).copied();
