--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -105,7 +105,7 @@
             cpus_max: directive.number("max", known.cpus_max)?,
             ..known
         };
-        let team = (!directive.flag("gone", false)).then_some(team);
+        let team = (!directive.flag("removed", false)).then_some(team);
         let changes = controllers.into_iter();
         let changes = changes.map(|controller| ((controller, name.clone()), team));
         self.limit_changes.of_controller.extend(changes);
