--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -52,7 +52,7 @@
 //! at 5  late_starts most=0                  at most so many tasks started whose job was confirmed as
 //!                                           cancelled before; later than `cancel` it is ran_cancelled
 //! at 5  largest most=2                      no value is larger than that (KiB)
-//! at 5  refused most=0                      at most so many transactions were malformed so far
+//! at 5  malformed most=0                      at most so many transactions were malformed so far
 //! at 5  half_served                              at least half of each class, of each team and of each class's
 //!                                           largest jobs is served, and the largest began within 240 s
 //! at 5  serving JOB N [zone=a]              so many of its tasks run
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -49,7 +49,7 @@
                 let most = (directive.number("most", 2.0)? * KIB) as usize;
                 ensure(size <= most, || format!("{key} has {size} bytes"))?;
             }
-            "refused" => {
+            "malformed" => {
                 let got = self.store.refused;
                 let most = directive.count("most", 0)?;
                 ensure(got <= most, || format!("{got} requests were malformed"))?;
