--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -72,7 +72,7 @@
 //! at 5  late txns for=20 every=3 late=8 [at_once=yes]   every third one of any node meets this
 //! at 5  lost done=3 failed=2               so many transactions without an answer at least were carried
 //!                                           out, and failed on their conditions
-//! at 5  refusals most=0                      at most so many questions were refused for now
+//! at 5  refused_polls most=0                      at most so many questions were refused for now
 //! at 5  ends [within=6] [done=3 cancelled=3]   each end is on record 6 s after the last task completed or
 //!                                           the cancellation was confirmed; so many jobs at least that
 //!                                           were cancelled as they ended are done, and cancelled;
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -144,7 +144,7 @@
             "cancel_at_end" => {
                 self.faults.cancel_at_end = self.delay(directive, 20.0, ("after", 0.0))?;
             }
-            "refusals" => {
+            "refused_polls" => {
                 let (got, most) = (self.faults.refusals, directive.count("most", 0)?);
                 if got > most {
                     let detail = format!("{got} questions were refused");
