--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -70,7 +70,7 @@
 //!                                           leads, gets no answer and is carried out 10 s later, after
 //!                                           newer ones; at_once: at once, only its answer is lost
 //! at 5  late txns for=20 every=3 late=8 [at_once=yes]   every third one of any node meets this
-//! at 5  lost done=3 failed=2               so many transactions without an answer at least were carried
+//! at 5  unanswered done=3 failed=2               so many transactions without an answer at least were carried
 //!                                           out, and failed on their conditions
 //! at 5  refused_polls most=0                      at most so many questions were refused for now
 //! at 5  ends [within=6] [done=3 cancelled=3]   each end is on record 6 s after the last task completed or
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -101,7 +101,7 @@
         match (directive.word(0)?, object) {
             ("late", "txn") => self.delay_transaction(directive)?,
             ("late", "txns") => self.delay_transactions(directive)?,
-            ("lost", _) => self.expect_late_transactions(directive)?,
+            ("unanswered", _) => self.expect_late_transactions(directive)?,
             ("slow", "store") => {
                 self.faults.slow_store = self.delay(directive, 20.0, ("by", 0.8))?
             }
