--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -38,7 +38,7 @@
          type std cpus=8 mem=64 price=1 spot=0.3 boot=4 cap={machines} zones=a\n\
          machines std count={machines}\n\
          every 1 from 8 to 112 submit req-1 tasks={tasks} cpus=1 run=5\n\
-         every 1 from 8 to 112 submit req-2 tasks={tasks} cpus=1 run=5 owner=u\n\
+         every 1 from 8 to 112 submit req-2 tasks={tasks} cpus=1 run=5 team=u\n\
          {crashes}end {LENGTH_S}\n",
         half = cpus / 2,
         tasks = cpus / 6,
@@ -53,7 +53,7 @@
          team t cpus=24 max=48\nteam u cpus=8 max=48\n\
          type std cpus=8 mem=32 price=1 spot=0.3 boot=30 cap=6 spotcap=0 zones=a\n\
          machines std count=6\n\
-         at 7 submit req-1 tasks=48 cpus=1 run=300 owner=u saves=yes flush={flush} prec=high\n\
+         at 7 submit req-1 tasks=48 cpus=1 run=300 team=u saves=yes flush={flush} prec=high\n\
          at {start} submit req-2 tasks=12 cpus=2 run=20 prec=idle\nend 70\n"
     )
 }
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -105,7 +105,7 @@
     Ok(Submission {
         id: job.into(),
         class: directive.text("class", "work"),
-        team: directive.text("owner", "t"),
+        team: directive.text("team", "t"),
         shape: directive.text("shape", "batch"),
         priority: priority(&directive.text("prec", "normal")),
         tasks: directive.count("tasks", 1)?,
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -6,7 +6,7 @@
 /// The result says after how many seconds the check breaks, if it does within 200.
 fn waits(options: &str, change: fn(&mut World)) -> Option<u64> {
     let mut world = world_after(
-        "check waits\nat 2 submit req-1 tasks=4 run=500\nat 2 submit req-2 tasks=1 owner=u run=500",
+        "check waits\nat 2 submit req-1 tasks=4 run=500\nat 2 submit req-2 tasks=1 team=u run=500",
         4,
     );
     let text = format!("at 4 submit req-3 {options}\nend 9");
@@ -53,8 +53,8 @@
     assert_eq!(waits("cpus=1 zone=c", |_| ()), None);
     assert_eq!(waits("cpus=1 type=big", |_| ()), None);
     assert_eq!(waits("cpus=1", all_deaf), None);
-    assert_eq!(waits("cpus=7 owner=u", |_| ()), None);
-    assert_eq!(waits("cpus=6 owner=u", |_| ()), Some(90));
+    assert_eq!(waits("cpus=7 team=u", |_| ()), None);
+    assert_eq!(waits("cpus=6 team=u", |_| ()), Some(90));
 }
 
 /// Cancelled, done, or it fails wherever it runs.
