--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -53,8 +53,8 @@
          team t cpus=24 max=48\nteam u cpus=8 max=48\n\
          type std cpus=8 mem=32 price=1 spot=0.3 boot=30 cap=6 spotcap=0 zones=a\n\
          machines std count=6\n\
-         at 7 submit req-1 tasks=48 cpus=1 run=300 team=u saves=yes flush={flush} prec=high\n\
-         at {start} submit req-2 tasks=12 cpus=2 run=20 prec=idle\nend 70\n"
+         at 7 submit req-1 tasks=48 cpus=1 run=300 team=u saves=yes flush={flush} priority=high\n\
+         at {start} submit req-2 tasks=12 cpus=2 run=20 priority=idle\nend 70\n"
     )
 }
 
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -23,7 +23,7 @@
 //! then what happens, each with its time in seconds:
 //!
 //! ```text
-//! at 5  submit JOB tasks=4 cpus=2 [owner= prec= run= due= saves=yes flush= fails=yes zone= type=
+//! at 5  submit JOB tasks=4 cpus=2 [owner= priority= run= due= saves=yes flush= fails=yes zone= type=
 //!       spot=no one_zone=yes spread=yes shape= class= gpus=]
 //! every 6 from 1 to 90 submit JOB ...       such a job every 6 s: JOB001, JOB002, ...
 //!                                           controller=N|leader|other: there the first time, later anywhere
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -107,7 +107,7 @@
         class: directive.text("class", "work"),
         team: directive.text("team", "t"),
         shape: directive.text("shape", "batch"),
-        priority: priority(&directive.text("prec", "normal")),
+        priority: priority(&directive.text("priority", "normal")),
         tasks: directive.count("tasks", 1)?,
         cpus: directive.number("cpus", 2.0)?,
         gpus: directive.number("gpus", 0.0)?,
