--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -51,10 +51,10 @@
 //! at 5  no_wait 60                          no job has waited so long that way (needs `check waits`)
 //! at 5  late_starts most=0                  at most so many tasks started whose job was confirmed as
 //!                                           cancelled before; later than `cancel` it is ran_cancelled
-//! at 5  largest most=2                      no value is larger than that (KiB)
+//! at 5  largest_value most=2                      no value is larger than that (KiB)
 //! at 5  malformed most=0                      at most so many transactions were malformed so far
 //! at 5  half_served                              at least half of each class, of each team and of each class's
-//!                                           largest jobs is served, and the largest began within 240 s
+//!                                           largest_value jobs is served, and the largest began within 240 s
 //! at 5  serving JOB N [zone=a]              so many of its tasks run
 //! at 5  cut NODE|leader state|workers|peers|all for=10 [hold=yes]
 //! at 5  pause NODE|leader for=30           it stands still while its clocks run on
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -44,7 +44,7 @@
                 let detail = || format!("{got} machines are provisioned");
                 ensure(got.to_string() == wanted, detail)?;
             }
-            "largest" => {
+            "largest_value" => {
                 let (size, key) = self.store.largest();
                 let most = (directive.number("most", 2.0)? * KIB) as usize;
                 ensure(size <= most, || format!("{key} has {size} bytes"))?;
