--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -122,7 +122,9 @@
             }
             ("copies", machine) => self.make_copies(directive, machine)?,
             ("copied", _) => self.expect_copies(directive)?,
-            ("drop_heartbeats" | "drop_inbound" | "disconnect" | "hang", _) => self.silence_machines(directive)?,
+            ("drop_heartbeats" | "drop_inbound" | "disconnect" | "hang", _) => {
+                self.silence_machines(directive)?
+            }
             ("lose", "direct") => {
                 let delay = self.delay(directive, 10.0, ("late", 6.0))?;
                 for name in self.machines_named(directive, 2)? {
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -71,7 +71,10 @@
     let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 fault_on confirm for=9\nat 7 cancel req-1 controller=leader\n\
                 at 8 leaders 0\nat 20 leaders 1\nend 21\n";
     holds(trap);
-    fails(&trap.replace("controller=leader", "controller=other"), "1 nodes lead");
+    fails(
+        &trap.replace("controller=leader", "controller=other"),
+        "1 nodes lead",
+    );
 }
 
 #[test]
