--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Directive {
     /// The line's number in the file, from 1.
-    pub number: usize,
+    pub line_number: usize,
     /// The words, without the time of the directive.
     pub words: Vec<String>,
     /// The options, written `key=value`.
@@ -135,9 +135,9 @@
 
 impl Directive {
     /// Splits a line into words and options; a comment is left out.
-    fn read(number: usize, text: &str) -> Directive {
+    fn read(line_number: usize, text: &str) -> Directive {
         let mut directive = Directive {
-            number,
+            line_number,
             ..Directive::default()
         };
         let text = text.split('#').next().unwrap_or_default();
@@ -276,9 +276,9 @@
     let mut script = Script::default();
     for (index, line) in text.lines().enumerate() {
         let directive = Directive::read(index + 1, line);
-        let number = directive.number;
+        let line_number = directive.line_number;
         let added = add(&mut script, directive);
-        added.map_err(|error| ScenarioError::from(error).at_line(number))?;
+        added.map_err(|error| ScenarioError::from(error).at_line(line_number))?;
     }
     if script.end == 0 {
         return Err(ScriptError::NoEnd.into());
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -95,7 +95,7 @@
         let mut world = World::empty(&script);
         for directive in &script.setup {
             let done = world.apply_setup(directive);
-            done.map_err(|error| error.at_line(directive.number))?;
+            done.map_err(|error| error.at_line(directive.line_number))?;
         }
         world.store.limits = Some(world.configuration.settings.store);
         for index in 0..world.configuration.controllers {
--- a/crates/testkit/src/world/directives.rs
+++ b/crates/testkit/src/world/directives.rs
@@ -54,7 +54,7 @@
         for controller in self.up_controllers() {
             self.expectations.requested += 1;
             let requester =
-                Requester::Expect(job.into(), status.into(), directive.number, self.now);
+                Requester::Expect(job.into(), status.into(), directive.line_number, self.now);
             self.poll(controller, job, requester);
         }
         Ok(())
@@ -72,7 +72,7 @@
             self.expectations.requested += 1;
             let requester = Requester::Raw {
                 wanted,
-                line: directive.number,
+                line: directive.line_number,
                 method: method.into(),
                 path: path.into(),
                 body: body.clone(),
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -157,7 +157,7 @@
             }
             Event::Directive(directive) => {
                 let done = self.run_directive(&directive);
-                return done.map_err(|error| error.at_line(directive.number));
+                return done.map_err(|error| error.at_line(directive.line_number));
             }
             Event::Start(index) => self.start_controller(index),
             Event::Crash(index, down_for) => self.crash_controller(index, down_for),
