--- a/crates/testkit/src/world/configuration.rs
+++ b/crates/testkit/src/world/configuration.rs
@@ -1,4 +1,4 @@
-//! What the controllers are started with.
+//! The settings and the tuning with which the controllers start.
 
 use crate::time::{Micros, SECOND};
 use grebewood_core::settings::StoreLimits;
@@ -7,20 +7,20 @@
 
 /// Time of day at the start, in microseconds since 1970.
 pub(super) const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
-/// How many controllers there are if the script does not say.
+/// The default number of controllers.
 const DEFAULT_CONTROLLERS: usize = 3;
 /// The zone in which all controllers run.
 const CONTROLLER_ZONE: &str = "a";
 
-/// Settings of all controllers.
+/// The settings of all controllers.
 pub(super) struct Configuration {
-    /// How many controllers there are.
+    /// The number of controllers.
     pub(super) controllers: usize,
     pub(super) settings: Settings,
     pub(super) tuning: Tuning,
-    /// The limits that the key-value store announces for later.
+    /// The limits of the key-value store that are announced for later.
     pub(super) next_limits: Option<StoreLimits>,
-    /// Controllers that do not know what is announced: they stand for the version before, whose formats
+    /// The controllers that run the previous version. They do not know the announced limits; their formats
     /// are the same.
     pub(super) previous_version: BTreeSet<usize>,
     /// Time of day at the start, in microseconds since 1970.
@@ -32,7 +32,7 @@
         Configuration {
             controllers: DEFAULT_CONTROLLERS,
             settings: Settings {
-                objectives: vec![finished_within("finished", "work", 60 * SECOND)],
+                objectives: vec![objective_within("finished", "work", 60 * SECOND)],
                 ..Settings::default()
             },
             tuning: Tuning::default(),
@@ -44,7 +44,7 @@
 }
 
 impl Configuration {
-    /// The settings with which this controller starts now, but for changes of teams' limits.
+    /// Returns the settings with which a controller starts now, without changes of teams' limits.
     pub(super) fn settings_of(&self, index: usize, controllers: usize) -> Settings {
         let mut settings = self.settings.clone();
         if let (Some(next), false) = (self.next_limits, self.previous_version.contains(&index)) {
@@ -56,11 +56,11 @@
         settings
     }
 
-    /// The tuning with which this controller starts now.
+    /// Returns the tuning with which a controller starts now.
     pub(super) fn tuning_of(&self, index: usize) -> Tuning {
         let mut tuning = self.tuning.clone();
         if self.previous_version.contains(&index) {
-            // The version before knows no partitions.
+            // The previous version does not know partitions.
             tuning.partitions_per_zone = 0;
             tuning.allotments = 0;
         }
@@ -68,12 +68,12 @@
     }
 }
 
-/// The name of a controller.
+/// Returns the name of a controller.
 pub(super) fn member_name(index: usize) -> String {
     format!("perch-{index}")
 }
 
-/// The index of a controller by its name, or by its number.
+/// Returns the index of a controller that is given by its name or by its number.
 pub(super) fn member_index(name: &str) -> Option<usize> {
     name.trim_start_matches("perch-").parse().ok()
 }
@@ -85,8 +85,8 @@
     }
 }
 
-/// An objective that nine tenths of a class's jobs meet within this time.
-pub(super) fn finished_within(kind: &str, class: &str, within: Micros) -> Objective {
+/// Returns an objective that nine tenths of a class's jobs must meet within this time.
+pub(super) fn objective_within(kind: &str, class: &str, within: Micros) -> Objective {
     Objective {
         kind: kind.into(),
         class: class.into(),
--- a/crates/testkit/src/world/directives.rs
+++ b/crates/testkit/src/world/directives.rs
@@ -1,4 +1,4 @@
-//! The directives of a script that are due: what happens, and what is checked.
+//! The directives of a script that are due: events and checks.
 
 use super::events::Requester;
 use super::World;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Carries out what users do, if the directive is about them.
+    /// Carries out a directive about users. Returns whether the directive is one.
     fn run_user_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "submit" => {
@@ -48,7 +48,7 @@
         Ok(true)
     }
 
-    /// Polls a job at every controller that is up; each must give this status.
+    /// Polls a job at every controller that is up; each response must have the expected status.
     fn expect_status(&mut self, directive: &Directive) -> StepResult {
         let (job, status) = (directive.word(1)?, directive.word(2)?);
         for controller in self.up_controllers() {
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Sends a request to every controller that is up; each must give this status.
+    /// Sends a raw request to every controller that is up; each response must have the expected status code.
     fn send_raw_request(&mut self, directive: &Directive) -> StepResult {
         let (method, path) = (directive.word(1)?, directive.word(2)?);
         let wanted = directive.number_at(3)?;
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -1,4 +1,4 @@
-//! What a script does to controllers, their links and the key-value store.
+//! Directives about controllers, their links and the key-value store.
 
 use super::super::configuration::member_name;
 use super::super::events::Event;
@@ -10,13 +10,13 @@
 use grebewood_wire::http::{from_value, to_value};
 use grebewood_wire::records::PartitionRecord;
 
-/// For how long a controller is down that crashes, if the directive does not say, in seconds.
+/// The default time for which a crashed controller is down, in seconds.
 const DEFAULT_CRASH_S: f64 = 4.0;
-/// For how long most faults last if the directive does not say, in seconds.
+/// The default duration of most faults, in seconds.
 const DEFAULT_FAULT_S: f64 = 10.0;
 
 impl World {
-    /// Carries out what is done to controllers and the key-value store, if the directive is about them.
+    /// Carries out a directive about controllers or the key-value store. Returns whether the directive is one.
     pub(super) fn run_controller_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "move" => self.move_partition(directive.word(1)?)?,
@@ -60,13 +60,13 @@
         Ok(true)
     }
 
-    /// Carries out what is done to the key-value store, if the directive is about it.
+    /// Carries out a directive about the key-value store. Returns whether the directive is one.
     fn run_store_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "limits" => {
-                let now = self.store.limits;
-                let now = now.unwrap_or(self.configuration.settings.store);
-                let limits = store_limits(directive, "", now)?;
+                let current = self.store.limits;
+                let current = current.unwrap_or(self.configuration.settings.store);
+                let limits = store_limits(directive, "", current)?;
                 self.push(self.now, Event::StoreLimits(limits));
             }
             "busy" => {
@@ -91,8 +91,8 @@
         Ok(true)
     }
 
-    /// Assigns a partition to the next member that is up, as an operator would: one after the other, by
-    /// the number at the end of the word.
+    /// Assigns a partition to the next controller that is up, as an operator would. The number at the end of the
+    /// word chooses the partition.
     fn move_partition(&mut self, word: &str) -> Result<(), ScriptError> {
         let number: usize = word
             .trim_start_matches(char::is_alphabetic)
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -1,4 +1,4 @@
-//! What a script says must be so at a moment.
+//! Directives that check the state of the world at a moment.
 
 use super::super::setup::KIB;
 use super::super::World;
@@ -9,15 +9,15 @@
 use grebewood_partition::PartitionMap;
 
 /// Fails with this text unless the condition holds.
-fn ensure(holds: bool, detail: impl FnOnce() -> String) -> StepResult {
-    match holds {
+fn ensure(is_met: bool, detail: impl FnOnce() -> String) -> StepResult {
+    match is_met {
         true => Ok(()),
         false => Err(ScenarioError::unmet(detail())),
     }
 }
 
 impl World {
-    /// Checks what a directive expects, if it expects anything.
+    /// Carries out a directive that checks something. Returns whether the directive is one.
     pub(super) fn run_expectation(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "starts" => {
@@ -25,17 +25,19 @@
                 ensure(got == wanted, || format!("{got} starts, not {wanted}"))?;
             }
             "begun" => {
-                let begun = self.starts_of(directive)? > 0;
-                ensure(begun, || "it has not begun".into())?;
+                let has_started = self.starts_of(directive)? > 0;
+                ensure(has_started, || "no task of the job has started".into())?;
             }
             "leaders" => {
                 let got = self.leading_controllers().count();
                 let wanted = directive.word(1)?;
-                ensure(got.to_string() == wanted, || format!("{got} nodes lead"))?;
+                ensure(got.to_string() == wanted, || {
+                    format!("{got} controllers lead")
+                })?;
             }
             "moves" => {
                 let (got, least) = (self.expectations.partition_moves, directive.number_at(1)?);
-                ensure(got >= least, || format!("only {got} moves"))?;
+                ensure(got >= least, || format!("only {got} partitions were moved"))?;
             }
             "partitions" => self.expect_partitions(directive)?,
             "machines" => {
@@ -52,29 +54,29 @@
             "malformed" => {
                 let got = self.store.refused;
                 let most = directive.count("most", 0)?;
-                ensure(got <= most, || format!("{got} requests were malformed"))?;
+                ensure(got <= most, || format!("{got} transactions were malformed"))?;
             }
             "half_served" => self.check_half_served()?,
             "serving" => self.expect_serving(directive)?,
             "provisioned" => {
                 let machine = self.machines.get(directive.word(1)?);
-                let there = machine.is_some_and(|machine| !machine.gone);
+                let is_provisioned = machine.is_some_and(|machine| !machine.gone);
                 let wanted = directive.word(2)? == "yes";
-                let detail = || format!("that it is provisioned is {there}");
-                ensure(there == wanted, detail)?;
+                let detail = || format!("whether the machine is provisioned: {is_provisioned}");
+                ensure(is_provisioned == wanted, detail)?;
             }
             "record" => {
-                let there = self.store.has(directive.word(1)?);
+                let is_present = self.store.has(directive.word(1)?);
                 let wanted = directive.word(2)? == "yes";
-                let detail = || format!("the record's presence is {there}");
-                ensure(there == wanted, detail)?;
+                let detail = || format!("whether the record exists: {is_present}");
+                ensure(is_present == wanted, detail)?;
             }
             _ => return Ok(false),
         }
         Ok(true)
     }
 
-    /// How often tasks of the job that a directive names came onto machines.
+    /// Returns how often tasks of the job that a directive names have started on machines.
     fn starts_of(&self, directive: &Directive) -> Result<u64, ScriptError> {
         let job = self.jobs.get(directive.word(1)?);
         Ok(job.map_or(0, |job| job.starts))
@@ -86,14 +88,16 @@
         let got = self.partition_phases();
         let matching = got.iter().filter(|known| **known == phase).count();
         let all = got.len() == wanted && matching == wanted;
-        ensure(all, || format!("partitions are {}", got.join(", ")))
+        ensure(all, || {
+            format!("the phases of the partitions are {}", got.join(", "))
+        })
     }
 
-    /// The phases of all partitions on record.
+    /// Returns the phases of all partitions on record.
     fn partition_phases(&self) -> Vec<&'static str> {
         let mut map = PartitionMap::default();
         for (key, value, mod_revision) in self.store.under("partition/") {
-            // What cannot be read is told by the map itself.
+            // The map itself reports a record that cannot be read.
             let _ = map.put(key, value, mod_revision);
         }
         let overview = Overview::of(&map, None, 0);
@@ -112,7 +116,7 @@
             })
             .count();
         let wanted = directive.word(2)?;
-        let detail = || format!("{serving} replicas are served");
+        let detail = || format!("{serving} tasks of the job run");
         ensure(serving.to_string() == wanted, detail)
     }
 }
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -1,4 +1,4 @@
-//! What a script does to machines, their agents and the cloud.
+//! Directives about machines, their agents and the cloud.
 
 use super::super::events::Event;
 use super::super::World;
@@ -6,11 +6,11 @@
 use crate::script::Directive;
 use crate::time::{from_seconds, SECOND};
 
-/// An agent that is back in a new incarnation sends a heartbeat within this time.
-const RESTART_HEARTBEAT: u64 = SECOND / 2;
+/// An agent that is back in a new incarnation sends a heartbeat within this time, in microseconds.
+const RESTART_HEARTBEAT_US: u64 = SECOND / 2;
 
 impl World {
-    /// Carries out what is done to machines and the cloud, if the directive is about them.
+    /// Carries out a directive about machines or the cloud. Returns whether the directive is one.
     pub(super) fn run_machine_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "cloud" => {
@@ -56,12 +56,12 @@
         Ok(true)
     }
 
-    /// An agent is back at once in a new incarnation: a change, of which it sends a heartbeat soon.
+    /// Restarts an agent, which is back at once in a new incarnation and sends a heartbeat soon.
     fn restart_agent(&mut self, name: &str) -> Result<(), ScriptError> {
         let now = self.now;
         let machine = self.machine_mut(name)?;
         machine.restart_agent(now);
-        machine.next_heartbeat = machine.next_heartbeat.min(now + RESTART_HEARTBEAT);
+        machine.next_heartbeat = machine.next_heartbeat.min(now + RESTART_HEARTBEAT_US);
         Ok(())
     }
 }
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -1,6 +1,6 @@
-//! The setup lines of a script.
+//! The setup lines of a scenario.
 
-use super::configuration::{finished_within, WALL_CLOCK_START};
+use super::configuration::{objective_within, WALL_CLOCK_START};
 use super::World;
 use crate::error::{ScenarioError, ScriptError, StepResult};
 use crate::script::Directive;
@@ -10,23 +10,24 @@
 
 /// Bytes in a KiB, the unit of sizes in scenarios.
 pub(super) const KIB: f64 = 1024.0;
-/// The local disk of every machine, in GB.
+/// The size of each machine's local disk, in GB.
 const LOCAL_DISK_GB: f64 = 50.0;
-/// How fast every machine fetches images, in GB a second.
+/// The rate at which each machine fetches images, in GB a second.
 const FETCH_GB_PER_S: f64 = 1.0;
 
-/// Limits of the key-value store among a directive's options; what is missing stays as it is.
+/// Reads limits of the key-value store from a directive's options. A limit without an option keeps its current
+/// value.
 pub(super) fn store_limits(
     directive: &Directive,
     prefix: &str,
-    now: StoreLimits,
+    current: StoreLimits,
 ) -> Result<StoreLimits, ScriptError> {
     let number = |key: &str, default| directive.number(&format!("{prefix}{key}"), default);
     Ok(StoreLimits {
-        rps: number("rps", now.rps)?,
-        write_rps: number("writes", now.write_rps)?,
-        value_bytes: (number("value", now.value_bytes as f64 / KIB)? * KIB) as usize,
-        transaction_operations: number("ops", now.transaction_operations as f64)? as usize,
+        rps: number("rps", current.rps)?,
+        write_rps: number("writes", current.write_rps)?,
+        value_bytes: (number("value", current.value_bytes as f64 / KIB)? * KIB) as usize,
+        transaction_operations: number("ops", current.transaction_operations as f64)? as usize,
     })
 }
 
@@ -39,15 +40,15 @@
             "store" => self.set_up_store(directive)?,
             "tuning" => self.set_up_tuning(directive)?,
             "previous_version" => {
-                for at in 1..directive.words.len() {
-                    let controller = directive.number_at(at)?;
+                for index in 1..directive.words.len() {
+                    let controller = directive.number_at(index)?;
                     self.configuration.previous_version.insert(controller);
                 }
             }
             "snapshot" => self.set_up_snapshot(directive)?,
             "objective" => {
                 let within = directive.duration("within", 60.0)?;
-                let objective = finished_within(directive.word(1)?, directive.word(2)?, within);
+                let objective = objective_within(directive.word(1)?, directive.word(2)?, within);
                 self.configuration.settings.objectives.push(objective);
             }
             "team" => self.set_up_team(directive)?,
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    /// Loads what an earlier version left in the middle of its work.
+    /// Loads the records, machines, tasks and jobs that an earlier version left in the middle of its work.
     fn set_up_snapshot(&mut self, directive: &Directive) -> StepResult {
         let name = directive.word(1)?;
         let path = format!("{}/data/{name}.txt", env!("CARGO_MANIFEST_DIR"));
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -73,7 +73,7 @@
     holds(trap);
     fails(
         &trap.replace("controller=leader", "controller=other"),
-        "1 nodes lead",
+        "1 controllers lead",
     );
 }
 
@@ -84,12 +84,12 @@
     holds("at 5 crash all for=0.2\nat 7 leaders 1\nend 8\n");
     fails(
         "at 5 crash all for=4\nat 7 leaders 1\nend 8\n",
-        "0 nodes lead",
+        "0 controllers lead",
     );
     // The later of two crashes counts.
     fails(
         "at 5 crash all for=2\nat 6 crash all for=6\nat 11 leaders 1\nend 12\n",
-        "0 nodes lead",
+        "0 controllers lead",
     );
 }
 
