--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -35,7 +35,7 @@
 //! every 6 from 1 to 90 submit JOB ...       such a job every 6 s: JOB000, JOB001, ...
 //!                                           controller=N|leader|other: the request goes there the first
 //!                                           time, and to any controller when it is retried
-//! at 5  begun JOB                           a task of the job has started
+//! at 5  has_started JOB                           a task of the job has started
 //! at 5  cancel JOB [controller=N|leader|other]
 //! at 5  expect JOB STATUS                   a poll at every controller that is up returns this status;
 //!                                           live: pending or running
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -24,7 +24,7 @@
                 let (got, wanted) = (self.starts_of(directive)?, directive.number_at(2)?);
                 ensure(got == wanted, || format!("{got} starts, not {wanted}"))?;
             }
-            "begun" => {
+            "has_started" => {
                 let has_started = self.starts_of(directive)? > 0;
                 ensure(has_started, || "no task of the job has started".into())?;
             }
