--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -114,7 +114,7 @@
 //!                                           disconnect, drop_inbound, drop_heartbeats and lose direct
 //! at 5  lose direct MACHINE|all for=10 [late=6]   direct commands to the machine are carried out late, and
 //!                                           the sender gets no answer
-//! at 5  copies MACHINE|all for=10 late=20 [next=yes] [to=all]   copies of the machine's heartbeats reach
+//! at 5  heartbeat_copies MACHINE|all for=10 late=20 [next=yes] [to=all]   copies of the machine's heartbeats reach
 //!                                           the leader late; next: the newest copy is kept and reaches the
 //!                                           next leader as soon as it leads; to=all: copies reach every
 //!                                           controller that is up
@@ -257,7 +257,7 @@
     ("late", 10 * SECOND),
     ("drop_inbound", 30 * SECOND),
     ("disconnect", 30 * SECOND),
-    ("copies", 10 * SECOND),
+    ("heartbeat_copies", 10 * SECOND),
     ("hang", 5 * SECOND),
     ("drop_heartbeats", 30 * SECOND),
     ("slow", 20 * SECOND),
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -120,7 +120,7 @@
                 let until = self.now + directive.duration("for", 5.0)?;
                 self.faults.forged_cancellation = Some((job.into(), until));
             }
-            ("copies", machine) => self.make_copies(directive, machine)?,
+            ("heartbeat_copies", machine) => self.make_copies(directive, machine)?,
             ("copied", _) => self.expect_copies(directive)?,
             ("drop_heartbeats" | "drop_inbound" | "disconnect" | "hang", _) => {
                 self.silence_machines(directive)?
