--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -118,7 +118,7 @@
 //!                                           the leader late; next: the newest copy is kept and reaches the
 //!                                           next leader as soon as it leads; to=all: copies reach every
 //!                                           controller that is up
-//! at 5  copied N                            at least so many copies reached a leader of a newer token
+//! at 5  copies_at_newer_leader N                            at least so many copies reached a leader of a newer token
 //! at 5  restart MACHINE                     the machine's agent is back at once, in a new incarnation
 //! at 5  provisioned MACHINE yes|no
 //! at 5  cancel_now N [hang=30]              users cancel up to N jobs that run for at least 20 s more,
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -121,7 +121,7 @@
                 self.faults.forged_cancellation = Some((job.into(), until));
             }
             ("heartbeat_copies", machine) => self.make_copies(directive, machine)?,
-            ("copied", _) => self.expect_copies(directive)?,
+            ("copies_at_newer_leader", _) => self.expect_copies(directive)?,
             ("drop_heartbeats" | "drop_inbound" | "disconnect" | "hang", _) => {
                 self.silence_machines(directive)?
             }
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -31,7 +31,7 @@
 /// How many copies met a leader of a newer token, by the directive that checks it.
 fn copies_at_newer_leader(world: &mut World) -> usize {
     let holds = |least: &usize| {
-        let check = directive(&format!("copied {least}"), &[]);
+        let check = directive(&format!("copies_at_newer_leader {least}"), &[]);
         world.run_directive(&check).is_ok()
     };
     (0..).take_while(holds).count() - 1
