--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -14,7 +14,7 @@
         "controllers 3\nagents heartbeat=5 lease=26.5 cancel=46.5\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
          store rps=350 writes=50 ops=8 value=8\n\
-         team t cpus={cpus} max={cpus}\n\
+         team t cpus={cpus} cpus_max={cpus}\n\
          type std cpus=8 mem=32 price=1 spot=0.3 boot=5 cap={machines} zones=a\n\
          machines std count={machines}\n\
          every 1 from 4 to 55 submit req-1 tasks={tasks} cpus=2 run=20\n\
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -34,7 +34,7 @@
     format!(
         "controllers 3\nagents heartbeat=2 lease=20 cancel=40\nstore writes=60 rps=400 ops=8 value=8\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
-         team t cpus={cpus} max={cpus}\nteam u cpus={half} max={cpus}\n\
+         team t cpus={cpus} cpus_max={cpus}\nteam u cpus={half} cpus_max={cpus}\n\
          type std cpus=8 mem=64 price=1 spot=0.3 boot=4 cap={machines} zones=a\n\
          machines std count={machines}\n\
          every 1 from 8 to 112 submit req-1 tasks={tasks} cpus=1 run=5\n\
@@ -50,7 +50,7 @@
     format!(
         "controllers 3\nstore writes=60 rps=400\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
-         team t cpus=24 max=48\nteam u cpus=8 max=48\n\
+         team t cpus=24 cpus_max=48\nteam u cpus=8 cpus_max=48\n\
          type std cpus=8 mem=32 price=1 spot=0.3 boot=30 cap=6 spotcap=0 zones=a\n\
          machines std count=6\n\
          at 7 submit req-1 tasks=48 cpus=1 run=300 team=u saves=yes flush={flush} priority=high\n\
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -8,7 +8,7 @@
 //!                                           a cancelled task is stopped, in seconds
 //! objective wait CLASS within=60            an objective beside the default one, by which jobs of the
 //!                                           class `work` finish within 60 s
-//! team NAME cpus=16 max=32 [gpus=0 gmax=0]  a team's guaranteed share and limit
+//! team NAME cpus=16 cpus_max=32 [gpus=0 gmax=0]  a team's guaranteed share and limit
 //! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]
 //!                                           limits of the key-value store (KiB of a value, operations of
 //!                                           a transaction, changes and requests a second), and the limits
@@ -46,7 +46,7 @@
 //! at 5  moves 100                           at least so many partitions were moved so far
 //! at 5  downgrade CONTROLLER [for=4]        the controller crashes and restarts with the previous version
 //! at 5  partitions N held|moving|unclaimed  so many partitions are on record, all in this phase
-//! at 5  settings CONTROLLER|all TEAM [cpus=4] [max=8] [removed=yes]
+//! at 5  settings CONTROLLER|all TEAM [cpus=4] [cpus_max=8] [removed=yes]
 //!                                           from its next start on a controller has these settings
 //! at 5  team_limit TEAM 8                   the team's limit on record, in CPUs
 //! at 5  uses TEAM [least=4] [most=8]        what the team's tasks use on machines, in CPUs
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -112,7 +112,7 @@
     fn set_up_team(&mut self, directive: &Directive) -> Result<(), ScriptError> {
         let team = Team {
             cpus: directive.number("cpus", 0.0)?,
-            cpus_max: directive.number("max", 0.0)?,
+            cpus_max: directive.number("cpus_max", 0.0)?,
             gpus: directive.number("gpus", 0.0)?,
             gpus_max: directive.number("gmax", 0.0)?,
         };
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -102,7 +102,7 @@
         })?;
         let team = Team {
             cpus: directive.number("cpus", known.cpus)?,
-            cpus_max: directive.number("max", known.cpus_max)?,
+            cpus_max: directive.number("cpus_max", known.cpus_max)?,
             ..known
         };
         let team = (!directive.flag("removed", false)).then_some(team);
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -24,7 +24,7 @@
 mod versions;
 mod waiting;
 
-const FLEET: &str = "team t cpus=16 max=32\nteam u cpus=8 max=8\n\
+const FLEET: &str = "team t cpus=16 cpus_max=32\nteam u cpus=8 cpus_max=8\n\
     type std cpus=8 cap=4 zones=a,b\nmachines std count=2\nmachines std zone=b\n";
 
 /// A world that has played a script to this second, without a fault.
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -2,7 +2,7 @@
 
 use grebewood_testkit::play;
 
-const FLEET: &str = "team t cpus=16 max=32\ntype std cpus=8 cap=4\nmachines std count=2\n";
+const FLEET: &str = "team t cpus=16 cpus_max=32\ntype std cpus=8 cap=4\nmachines std count=2\n";
 
 /// The scenario holds.
 fn holds(text: &str) {
--- a/crates/testkit/tests/scenarios.rs
+++ b/crates/testkit/tests/scenarios.rs
@@ -103,7 +103,7 @@
 /// The runner itself must report an expectation that is not met.
 #[test]
 fn the_runner_fails_a_scenario_with_an_unmet_expectation() {
-    let text = "team t cpus=8 max=8\ntype std cpus=8\nmachines std\n\
+    let text = "team t cpus=8 cpus_max=8\ntype std cpus=8\nmachines std\n\
                 at 3 submit req-1 tasks=1 run=20\nat 10 expect req-1 done\nend 12\n";
     let error = play(text).expect_err("an unmet expectation").to_string();
     assert!(error.contains("says running of req-1, not done"), "{error}");
--- a/crates/testkit/tests/trace.rs
+++ b/crates/testkit/tests/trace.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_play_gives_the_same_digest_twice_and_another_one_with_other_settings() {
-    let text = "team t cpus=8 max=8\ntype std cpus=8\nmachines std\n\
+    let text = "team t cpus=8 cpus_max=8\ntype std cpus=8\nmachines std\n\
                 at 3 submit req-1 tasks=1 run=20\nend 12\n";
     let play = |text: &str| grebewood_testkit::play_traced(text).expect("a scenario");
     assert_eq!(play(text).digest(), play(text).digest());
