--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -8,7 +8,7 @@
 //!                                           a cancelled task is stopped, in seconds
 //! objective wait CLASS within=60            an objective beside the default one, by which jobs of the
 //!                                           class `work` finish within 60 s
-//! team NAME cpus=16 cpus_max=32 [gpus=0 gmax=0]  a team's guaranteed share and limit
+//! team NAME cpus=16 cpus_max=32 [gpus=0 gpus_max=0]  a team's guaranteed share and limit
 //! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]
 //!                                           limits of the key-value store (KiB of a value, operations of
 //!                                           a transaction, changes and requests a second), and the limits
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -114,7 +114,7 @@
             cpus: directive.number("cpus", 0.0)?,
             cpus_max: directive.number("cpus_max", 0.0)?,
             gpus: directive.number("gpus", 0.0)?,
-            gpus_max: directive.number("gmax", 0.0)?,
+            gpus_max: directive.number("gpus_max", 0.0)?,
         };
         let name = directive.word(1)?.to_string();
         self.configuration.settings.teams.insert(name, team);
