--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -8,7 +8,7 @@
 //!                                           a cancelled task is stopped, in seconds
 //! objective wait CLASS within=60            an objective beside the default one, by which jobs of the
 //!                                           class `work` finish within 60 s
-//! team NAME cpus=16 cpus_max=32 [gpus=0 gpus_max=0]  a team's guaranteed share and limit
+//! team NAME cpus=16 cpus_max=32 [gpus=0 gpus_max=0]   a team's guaranteed share and limit
 //! store value=4 ops=8 writes=20 rps=100 [next_value=2 next_ops=4 ...]
 //!                                           limits of the key-value store (KiB of a value, operations of
 //!                                           a transaction, changes and requests a second), and the limits
@@ -35,7 +35,7 @@
 //! every 6 from 1 to 90 submit JOB ...       such a job every 6 s: JOB000, JOB001, ...
 //!                                           controller=N|leader|other: the request goes there the first
 //!                                           time, and to any controller when it is retried
-//! at 5  has_started JOB                           a task of the job has started
+//! at 5  has_started JOB                     a task of the job has started
 //! at 5  cancel JOB [controller=N|leader|other]
 //! at 5  expect JOB STATUS                   a poll at every controller that is up returns this status;
 //!                                           live: pending or running
@@ -114,11 +114,11 @@
 //!                                           disconnect, drop_inbound, drop_heartbeats and lose direct
 //! at 5  lose direct MACHINE|all for=10 [late=6]   direct commands to the machine are carried out late, and
 //!                                           the sender gets no answer
-//! at 5  heartbeat_copies MACHINE|all for=10 late=20 [next=yes] [to=all]   copies of the machine's heartbeats reach
-//!                                           the leader late; next: the newest copy is kept and reaches the
-//!                                           next leader as soon as it leads; to=all: copies reach every
-//!                                           controller that is up
-//! at 5  copies_at_newer_leader N                            at least so many copies reached a leader of a newer token
+//! at 5  heartbeat_copies MACHINE|all for=10 late=20 [next=yes] [to=all]
+//!                                           copies of the machine's heartbeats reach the leader late; next:
+//!                                           the newest copy is kept and reaches the next leader as soon as
+//!                                           it leads; to=all: copies reach every controller that is up
+//! at 5  copies_at_newer_leader N            at least so many copies reached a leader of a newer token
 //! at 5  restart MACHINE                     the machine's agent is back at once, in a new incarnation
 //! at 5  provisioned MACHINE yes|no
 //! at 5  cancel_now N [hang=30]              users cancel up to N jobs that run for at least 20 s more,
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -18,10 +18,14 @@
 #[test]
 fn heartbeat_copies_reach_the_next_leader_or_every_controller() {
     // Kept for the next leader, they meet it; late ones before it ended meet the one of their token.
-    let next = "at 2 submit req-1 tasks=8 run=20\nat 6 heartbeat_copies all for=4 next=yes to=all\n\
+    let next =
+        "at 2 submit req-1 tasks=8 run=20\nat 6 heartbeat_copies all for=4 next=yes to=all\n\
                 at 9 crash leader\nat 20 copies_at_newer_leader 2\nend 30\n";
     holds(next);
-    fails(&next.replace("copies_at_newer_leader 2", "copies_at_newer_leader 100"), "copies met");
+    fails(
+        &next.replace("copies_at_newer_leader 2", "copies_at_newer_leader 100"),
+        "copies met",
+    );
     fails(&next.replace("next=yes to=all", "late=1"), "0 copies met");
     holds(&next.replace("next=yes to=all", "late=8 to=all"));
 }
