--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -32,13 +32,13 @@
         .collect();
     let cpus = machines * 4;
     format!(
-        "nodes 3\nworkers report=2 lease=20 cancel=40\nstate writes=60 rps=400 ops=8 value=8\n\
+        "controllers 3\nagents heartbeat=2 lease=20 cancel=40\nstore writes=60 rps=400 ops=8 value=8\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
-         team t cpus={cpus} max={cpus}\nteam u cpus={half} max={cpus}\n\
+         team t cpus={cpus} cpus_max={cpus}\nteam u cpus={half} cpus_max={cpus}\n\
          type std cpus=8 mem=64 price=1 spot=0.3 boot=4 cap={machines} zones=a\n\
          machines std count={machines}\n\
          every 1 from 8 to 112 submit req-1 tasks={tasks} cpus=1 run=5\n\
-         every 1 from 8 to 112 submit req-2 tasks={tasks} cpus=1 run=5 owner=u\n\
+         every 1 from 8 to 112 submit req-2 tasks={tasks} cpus=1 run=5 team=u\n\
          {crashes}end {LENGTH_S}\n",
         half = cpus / 2,
         tasks = cpus / 6,
@@ -48,13 +48,13 @@
 /// A team below its guaranteed share while another runs all the machines hold, `flush` to save.
 fn guaranteed_share(flush: f64, start: f64) -> String {
     format!(
-        "nodes 3\nstate writes=60 rps=400\n\
+        "controllers 3\nstore writes=60 rps=400\n\
          tuning idle_hold_us=600000000 idle_hold_ordinary_us=600000000\n\
-         team t cpus=24 max=48\nteam u cpus=8 max=48\n\
+         team t cpus=24 cpus_max=48\nteam u cpus=8 cpus_max=48\n\
          type std cpus=8 mem=32 price=1 spot=0.3 boot=30 cap=6 spotcap=0 zones=a\n\
          machines std count=6\n\
-         at 7 submit req-1 tasks=48 cpus=1 run=300 owner=u saves=yes flush={flush} prec=high\n\
-         at {start} submit req-2 tasks=12 cpus=2 run=20 prec=idle\nend 70\n"
+         at 7 submit req-1 tasks=48 cpus=1 run=300 team=u saves=yes flush={flush} priority=high\n\
+         at {start} submit req-2 tasks=12 cpus=2 run=20 priority=idle\nend 70\n"
     )
 }
 
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -43,7 +43,7 @@
         &mut self,
         directive: &Directive,
     ) -> Result<(), ScriptError> {
-        let controller = match directive.options.get("node").map(String::as_str) {
+        let controller = match directive.options.get("controller").map(String::as_str) {
             None | Some("leader") => None,
             Some(word) => Some(self.controller_named(word)?),
         };
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -25,9 +25,9 @@
     /// Returns the word for the link in scenarios.
     fn word(self) -> &'static str {
         match self {
-            Link::Store => "state",
+            Link::Store => "store",
             Link::Cloud => "cloud",
-            Link::Agents => "workers",
+            Link::Agents => "agents",
             Link::Peers => "peers",
         }
     }
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -67,7 +67,7 @@
     pub(super) fn run_limits_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "settings" => self.change_settings(directive)?,
-            "in_force" => {
+            "team_limit" => {
                 let wanted = directive.number_at(2)?;
                 let limits = self.recorded_limits();
                 let got = limits.get(directive.word(1)?).copied();
@@ -104,10 +104,10 @@
         })?;
         let team = Team {
             cpus: directive.number("cpus", known.cpus)?,
-            cpus_max: directive.number("max", known.cpus_max)?,
+            cpus_max: directive.number("cpus_max", known.cpus_max)?,
             ..known
         };
-        let team = (!directive.flag("gone", false)).then_some(team);
+        let team = (!directive.flag("removed", false)).then_some(team);
         let changes = controllers.into_iter();
         let changes = changes.map(|controller| ((controller, name.clone()), team));
         self.limit_changes.by_controller.extend(changes);
--- a/crates/testkit/src/world/tests/responses.rs
+++ b/crates/testkit/src/world/tests/responses.rs
@@ -138,7 +138,7 @@
 
 #[test]
 fn users_poll_everywhere_once_after_each_event() {
-    let mut world = world_after("at 1 looks for=100\nat 2 submit req-1 tasks=4 run=500", 4);
+    let mut world = world_after("at 1 polls for=100\nat 2 submit req-1 tasks=4 run=500", 4);
     world.queue.clear();
     // The job was already polled after it was accepted. Next its user is told that it is cancelled.
     let again = Requester::Resubmit("req-1".into(), world.now);
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -43,7 +43,7 @@
     let leader = leader_of(&world);
     let other = (leader + 1) % 3;
     world.queue.clear();
-    let at_once = [("node", "leader"), ("at_once", "yes")];
+    let at_once = [("controller", "leader"), ("at_once", "yes")];
     world
         .run_directive(&directive("late txn", &at_once))
         .expect("a fault");
@@ -52,7 +52,7 @@
     assert!(world.queue.keys().all(|(at, _)| *at == world.now));
     let number = other.to_string();
     world
-        .run_directive(&directive("late txn", &[("node", &number)]))
+        .run_directive(&directive("late txn", &[("controller", &number)]))
         .expect("a fault");
     assert!(!loses_transaction(&mut world, leader) && loses_transaction(&mut world, other));
 }
@@ -71,7 +71,7 @@
     let fast = Some(2 * MILLISECOND);
     let mut world = world_with_running_job();
     assert_eq!(reply_latency(&mut world, Link::Store), fast);
-    let slow = directive("slow state", &[("by", "0.8"), ("for", "5")]);
+    let slow = directive("slow store", &[("by", "0.8"), ("for", "5")]);
     world.run_directive(&slow).expect("a fault");
     assert_eq!(
         reply_latency(&mut world, Link::Store),
@@ -80,7 +80,7 @@
     assert_eq!(reply_latency(&mut world, Link::Agents), fast);
     world.now += 5 * SECOND;
     assert_eq!(reply_latency(&mut world, Link::Store), fast);
-    let slow = directive("slow workers", &[("by", "0.7"), ("for", "5")]);
+    let slow = directive("slow agents", &[("by", "0.7"), ("for", "5")]);
     world.run_directive(&slow).expect("a fault");
     assert_eq!(reply_latency(&mut world, Link::Store), fast);
     assert_eq!(
@@ -100,14 +100,14 @@
     for (line, seconds) in [
         ("late txn for=5", 15),
         ("late txns for=20 late=8", 38),
-        ("mute all", 40),
-        ("slow state for=5", 15),
+        ("drop_heartbeats all", 40),
+        ("slow store for=5", 15),
         ("lose direct n-000000", 26),
         ("lose direct n-000000 for=1 late=2", 13),
         ("lose answer n-000000", 0),
         ("cancel_now 3", 10),
         ("cancel_now 3 hang=30", 40),
-        ("looks for=50", 0),
+        ("polls for=50", 0),
     ] {
         assert_eq!(end(line), seconds, "{line}");
     }
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -7,7 +7,7 @@
 /// if it does within 200.
 fn seconds_until_violation(options: &str, change: fn(&mut World)) -> Option<u64> {
     let mut world = world_after(
-        "check waits\nat 2 submit req-1 tasks=4 run=500\nat 2 submit req-2 tasks=1 owner=u run=500",
+        "check waits\nat 2 submit req-1 tasks=4 run=500\nat 2 submit req-2 tasks=1 team=u run=500",
         4,
     );
     let text = format!("at 4 submit req-3 {options}\nend 9");
@@ -63,8 +63,8 @@
     assert_eq!(seconds_until_violation("cpus=1 zone=c", |_| ()), None);
     assert_eq!(seconds_until_violation("cpus=1 type=big", |_| ()), None);
     assert_eq!(seconds_until_violation("cpus=1", all_deaf), None);
-    assert_eq!(seconds_until_violation("cpus=7 owner=u", |_| ()), None);
-    assert_eq!(seconds_until_violation("cpus=6 owner=u", |_| ()), Some(90));
+    assert_eq!(seconds_until_violation("cpus=7 team=u", |_| ()), None);
+    assert_eq!(seconds_until_violation("cpus=6 team=u", |_| ()), Some(90));
 }
 
 /// A job does not count as waiting if its user has asked to cancel it, or it fails on every machine.
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -2,7 +2,7 @@
 
 use grebewood_testkit::play;
 
-const FLEET: &str = "team t cpus=16 max=32\ntype std cpus=8 cap=4\nmachines std count=2\n";
+const FLEET: &str = "team t cpus=16 cpus_max=32\ntype std cpus=8 cap=4\nmachines std count=2\n";
 
 /// The scenario holds.
 fn holds(text: &str) {
@@ -18,10 +18,14 @@
 #[test]
 fn heartbeat_copies_reach_the_next_leader_or_every_controller() {
     // Kept for the next leader, they meet it; late ones before it ended meet the one of their token.
-    let next = "at 2 submit req-1 tasks=8 run=20\nat 6 copies all for=4 next=yes to=all\n\
-                at 9 crash leader\nat 20 copied 2\nend 30\n";
+    let next =
+        "at 2 submit req-1 tasks=8 run=20\nat 6 heartbeat_copies all for=4 next=yes to=all\n\
+                at 9 crash leader\nat 20 copies_at_newer_leader 2\nend 30\n";
     holds(next);
-    fails(&next.replace("copied 2", "copied 100"), "copies met");
+    fails(
+        &next.replace("copies_at_newer_leader 2", "copies_at_newer_leader 100"),
+        "copies met",
+    );
     fails(&next.replace("next=yes to=all", "late=1"), "0 copies met");
     holds(&next.replace("next=yes to=all", "late=8 to=all"));
 }
@@ -29,7 +33,7 @@
 #[test]
 fn a_mute_machine_loses_its_tasks_with_its_lease() {
     let never_reported =
-        "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 mute of=req-1 for=15\n\
+        "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 drop_heartbeats of=req-1 for=15\n\
                 at 45 starts req-1 2\nend 46\n";
     holds(never_reported);
     fails(
@@ -57,7 +61,7 @@
         "no running job has enough run time left",
     );
     // At the moment of the end, which the machine cannot report just then.
-    let end = "at 2 submit req-1 tasks=1 run=5\nat 5 mute of=req-1 for=5\n\
+    let end = "at 2 submit req-1 tasks=1 run=5\nat 5 drop_heartbeats of=req-1 for=5\n\
                at 6 cancel_at_end for=20\nat 30 expect req-1 aborted\nend 31\n";
     holds(end);
     for not_then in ["for=1", "for=20 after=9"] {
@@ -68,10 +72,13 @@
 
 #[test]
 fn who_confirms_a_cancellation_crashes() {
-    let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 trap confirm for=9\nat 7 cancel req-1 node=leader\n\
+    let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 fault_on confirm for=9\nat 7 cancel req-1 controller=leader\n\
                 at 8 leaders 0\nat 20 leaders 1\nend 21\n";
     holds(trap);
-    fails(&trap.replace("node=leader", "node=other"), "1 nodes lead");
+    fails(
+        &trap.replace("controller=leader", "controller=other"),
+        "1 controllers lead",
+    );
 }
 
 #[test]
@@ -81,12 +88,12 @@
     holds("at 5 crash all for=0.2\nat 7 leaders 1\nend 8\n");
     fails(
         "at 5 crash all for=4\nat 7 leaders 1\nend 8\n",
-        "0 nodes lead",
+        "0 controllers lead",
     );
     // The later of two crashes counts.
     fails(
         "at 5 crash all for=2\nat 6 crash all for=6\nat 11 leaders 1\nend 12\n",
-        "0 nodes lead",
+        "0 controllers lead",
     );
 }
 
@@ -101,18 +108,18 @@
 #[test]
 fn a_slow_store_and_lost_answers_are_survived() {
     holds(
-        "at 1 slow state for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 looks for=30\n\
+        "at 1 slow store for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 polls for=30\n\
          at 30 expect req-1 done\nend 31\n",
     );
     for how in ["late=8", "late=3 at_once=yes"] {
         holds(&format!(
             "at 4 late txns for=20 every=3 {how}\nat 2 submit req-1 tasks=4 run=5\n\
-             at 1 looks for=60\nat 60 expect req-1 done\nend 61\n"
+             at 1 polls for=60\nat 60 expect req-1 done\nend 61\n"
         ));
     }
     for node in ["leader", "0", "1", "2"] {
         holds(&format!(
-            "at 4 late txn for=10 node={node} at_once=yes\nat 2 submit req-1 node={node} run=5\n\
+            "at 4 late txn for=10 controller={node} at_once=yes\nat 2 submit req-1 controller={node} run=5\n\
              at 30 expect req-1 done\nend 31\n"
         ));
     }
