--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -114,7 +114,7 @@
 
 /// Each team has used some CPUs, and never more than its limit.
 fn assert_limits_held(cluster: &Cluster) {
-    let executions = cluster.write_buffer();
+    let executions = cluster.execution_log();
     for (team, quota) in TEAMS.iter().enumerate() {
         let most = executions.most.get(&format!("req-{}", team + 1)).copied();
         let most = most.unwrap_or(0);
@@ -153,7 +153,7 @@
 
     cluster.end();
     {
-        let executions = cluster.write_buffer();
+        let executions = cluster.execution_log();
         assert_eq!(executions.twice, Vec::<String>::new());
         assert_eq!(executions.completed.len(), jobs.len() * TASKS as usize);
     }
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -158,7 +158,7 @@
     }
 
     /// What happened to the tasks.
-    pub fn write_buffer(&self) -> MutexGuard<'_, ExecutionLog> {
+    pub fn execution_log(&self) -> MutexGuard<'_, ExecutionLog> {
         lock(&self.0.execution_log)
     }
 
@@ -290,12 +290,12 @@
     /// None of its tasks are on its machine any longer.
     fn forget_all(&self) {
         let here = &self.machine.name;
-        let mut log = self.cluster.write_buffer();
+        let mut log = self.cluster.execution_log();
         log.live.retain(|_, machine| machine != here);
     }
 
     fn note_completed(&self, tasks: Vec<String>) {
-        let mut log = self.cluster.write_buffer();
+        let mut log = self.cluster.execution_log();
         for task in tasks {
             log.live.remove(&task);
             *log.completed.entry(task).or_insert(0) += 1;
@@ -351,7 +351,7 @@
     /// Notes the tasks that came onto its machine, and those that are no longer there.
     fn note_started(&self, tasks: Vec<String>) {
         let here = &self.machine.name;
-        let mut log = self.cluster.write_buffer();
+        let mut log = self.cluster.execution_log();
         for task in tasks {
             *log.starts.entry(task.clone()).or_insert(0) += 1;
             let other = log.live.insert(task.clone(), here.clone());
