--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -43,7 +43,7 @@
 
 /// Assigns a partition to the next controller. False: there is no partition yet.
 fn hand_off_partition(cluster: &Cluster, number: usize) -> bool {
-    let mut store = cluster.state();
+    let mut store = cluster.store();
     let records: Vec<(String, PartitionRecord)> = store
         .under("partition/")
         .filter(|(key, _, _)| matches!(PartitionKey::parse(key), Some(PartitionKey::Record(_))))
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -103,7 +103,7 @@
 }
 
 fn assert_holders_placed_tasks(cluster: &Cluster) {
-    let placed_by_holders = cluster.state().under("page/0/").any(|(key, _, _)| {
+    let placed_by_holders = cluster.store().under("page/0/").any(|(key, _, _)| {
         let number = key
             .rsplit_once('/')
             .map(|(_, number)| number.parse::<u64>());
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -153,7 +153,7 @@
     }
 
     /// The key-value store.
-    pub fn state(&self) -> MutexGuard<'_, KeyValueStore> {
+    pub fn store(&self) -> MutexGuard<'_, KeyValueStore> {
         lock(&self.0.store)
     }
 
@@ -178,7 +178,7 @@
         let at_once = path.replace("block_ms=10000", "block_ms=0");
         let is_watch = at_once != path;
         let response = {
-            let mut store = self.state();
+            let mut store = self.store();
             let now = self.now();
             store.expire(now);
             match store.request(now, 0, method, &at_once, body) {
