--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -167,7 +167,7 @@
     /// Starts the controllers together with the services and agents of a cluster.
     pub fn start(setup: &Setup, cluster: &Cluster) -> Controllers {
         let services = Services {
-            store: cluster.serve_state().expect("a key-value store"),
+            store: cluster.serve_store().expect("a key-value store"),
             cloud: cluster.serve_cloud(machine_type()).expect("a cloud"),
         };
         let mut controllers = Controllers::configure(setup, services);
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -168,7 +168,7 @@
     }
 
     /// Serves the key-value store.
-    pub fn serve_state(&self) -> std::io::Result<SocketAddr> {
+    pub fn serve_store(&self) -> std::io::Result<SocketAddr> {
         let cluster = self.clone();
         serve(move |method, path, body| cluster.store_response(method, path, body))
     }
