--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -117,7 +117,7 @@
     assert_eq!(controllers.wait_for_jobs(&jobs), Ok(()));
     assert_command_shows_partitions(&controllers);
 
-    cluster.end();
+    cluster.stop_agents();
     let executions = cluster.execution_log();
     assert_eq!(executions.twice, Vec::<String>::new());
     assert_eq!(executions.completed.len() as u64, JOBS as u64 * TASKS);
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -151,7 +151,7 @@
     assert_command_shows_teams(&controllers);
     assert_holders_placed_tasks(&cluster);
 
-    cluster.end();
+    cluster.stop_agents();
     {
         let executions = cluster.execution_log();
         assert_eq!(executions.twice, Vec::<String>::new());
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -163,7 +163,7 @@
     }
 
     /// Ends the agents.
-    pub fn end(&self) {
+    pub fn stop_agents(&self) {
         self.0.over.store(true, Ordering::Relaxed);
     }
 
