--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -172,7 +172,7 @@
         };
         let mut controllers = Controllers::configure(setup, services);
         (0..setup.members).for_each(|number| controllers.spawn(number));
-        cluster.start_workers(&machine_type(), &controllers.fronts);
+        cluster.start_agents(&machine_type(), &controllers.fronts);
         controllers
     }
 
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -238,7 +238,7 @@
     }
 
     /// Starts the agents, which heartbeat to these controllers in real time.
-    pub fn start_workers(&self, machine_type: &MachineType, fronts: &BTreeMap<String, SocketAddr>) {
+    pub fn start_agents(&self, machine_type: &MachineType, fronts: &BTreeMap<String, SocketAddr>) {
         for (index, name) in self.0.machines.iter().enumerate() {
             let mut machine = Machine::new(name, machine_type, "a");
             machine.up = true;
