--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -119,7 +119,7 @@
 
     cluster.stop_agents();
     let executions = cluster.execution_log();
-    assert_eq!(executions.twice, Vec::<String>::new());
+    assert_eq!(executions.duplicate_executions, Vec::<String>::new());
     assert_eq!(executions.completed.len() as u64, JOBS as u64 * TASKS);
     let repeated: Vec<_> = executions
         .completed
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -154,7 +154,7 @@
     cluster.stop_agents();
     {
         let executions = cluster.execution_log();
-        assert_eq!(executions.twice, Vec::<String>::new());
+        assert_eq!(executions.duplicate_executions, Vec::<String>::new());
         assert_eq!(executions.completed.len(), jobs.len() * TASKS as usize);
     }
     assert_limits_held(&cluster);
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -33,7 +33,7 @@
     /// Tasks that completed, and how often.
     pub completed: BTreeMap<String, u64>,
     /// Tasks that came onto a machine while they were on another.
-    pub twice: Vec<String>,
+    pub duplicate_executions: Vec<String>,
     /// Most tasks that were on machines at once, by the first characters of their jobs' names.
     pub most: BTreeMap<String, u64>,
 }
@@ -356,7 +356,7 @@
             *log.starts.entry(task.clone()).or_insert(0) += 1;
             let other = log.live.insert(task.clone(), here.clone());
             if other.is_some_and(|other| other != *here) {
-                log.twice.push(task);
+                log.duplicate_executions.push(task);
             }
         }
         // What was stopped is gone; what goes on is live.
