--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -116,7 +116,10 @@
 fn assert_limits_held(cluster: &Cluster) {
     let executions = cluster.execution_log();
     for (team, quota) in TEAMS.iter().enumerate() {
-        let most = executions.most.get(&format!("req-{}", team + 1)).copied();
+        let most = executions
+            .peak_tasks_by_team
+            .get(&format!("req-{}", team + 1))
+            .copied();
         let most = most.unwrap_or(0);
         let limit = quota.cpus_max as u64;
         assert!(
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -35,7 +35,7 @@
     /// Tasks that came onto a machine while they were on another.
     pub duplicate_executions: Vec<String>,
     /// Most tasks that were on machines at once, by the first characters of their jobs' names.
-    pub most: BTreeMap<String, u64>,
+    pub peak_tasks_by_team: BTreeMap<String, u64>,
 }
 
 /// So many characters of a job's name stand for its team.
@@ -50,7 +50,7 @@
             *now.entry(team).or_insert(0) += 1;
         }
         for (team, tasks) in now {
-            let most = self.most.entry(team).or_insert(0);
+            let most = self.peak_tasks_by_team.entry(team).or_insert(0);
             *most = tasks.max(*most);
         }
     }
