--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -45,7 +45,7 @@
 fn hand_off_partition(cluster: &Cluster, number: usize) -> bool {
     let mut store = cluster.store();
     let records: Vec<(String, PartitionRecord)> = store
-        .under("partition/")
+        .entries_with_prefix("partition/")
         .filter(|(key, _, _)| matches!(PartitionKey::parse(key), Some(PartitionKey::Record(_))))
         .filter_map(|(key, value, _)| Some((key.to_string(), from_value(value).ok()?)))
         .collect();
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -103,12 +103,15 @@
 }
 
 fn assert_holders_placed_tasks(cluster: &Cluster) {
-    let placed_by_holders = cluster.store().under("page/0/").any(|(key, _, _)| {
-        let number = key
-            .rsplit_once('/')
-            .map(|(_, number)| number.parse::<u64>());
-        number.is_some_and(|number| number.is_ok_and(|n| n >= FIRST_HOLDER_PAGE))
-    });
+    let placed_by_holders = cluster
+        .store()
+        .entries_with_prefix("page/0/")
+        .any(|(key, _, _)| {
+            let number = key
+                .rsplit_once('/')
+                .map(|(_, number)| number.parse::<u64>());
+            number.is_some_and(|number| number.is_ok_and(|n| n >= FIRST_HOLDER_PAGE))
+        });
     assert!(placed_by_holders, "no holder has placed anything");
 }
 
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -94,7 +94,7 @@
 
 impl KeyValueStore {
     /// Keys with this prefix, their values and mod_revisions.
-    pub fn under<'a>(
+    pub fn entries_with_prefix<'a>(
         &'a self,
         prefix: &'a str,
     ) -> impl Iterator<Item = (&'a str, &'a Value, u64)> + 'a {
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -98,7 +98,7 @@
             .trim_start_matches(char::is_alphabetic)
             .parse()
             .map_err(|_| ScriptError::NotANumber(word.to_string()))?;
-        let records = self.store.under("partition/");
+        let records = self.store.entries_with_prefix("partition/");
         let records = records.filter_map(|(key, value, _)| {
             let record = from_value::<PartitionRecord>(value).ok()?;
             Some((key.to_string(), record))
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -92,7 +92,7 @@
     /// The phases of all partitions on record.
     fn partition_phases(&self) -> Vec<&'static str> {
         let mut map = PartitionMap::default();
-        for (key, value, mod_revision) in self.store.under("partition/") {
+        for (key, value, mod_revision) in self.store.entries_with_prefix("partition/") {
             // What cannot be read is told by the map itself.
             let _ = map.put(key, value, mod_revision);
         }
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -114,7 +114,7 @@
 
     /// The limits on record by team, in CPUs.
     fn limits_on_record(&self) -> BTreeMap<String, f64> {
-        let mut records = self.store.under(LIMITS);
+        let mut records = self.store.entries_with_prefix(LIMITS);
         let record = records.find_map(|(_, value, _)| from_value::<LimitsRecord>(value).ok());
         let teams = record.unwrap_or_default().teams.into_iter();
         teams.map(|team| (team.team, team.cpus_max)).collect()
@@ -123,7 +123,7 @@
     /// The quota grants on record by team, in CPUs.
     fn grants_on_record(&self) -> BTreeMap<String, f64> {
         let mut granted: BTreeMap<String, f64> = BTreeMap::new();
-        for (_, value, _) in self.store.under(QUOTA) {
+        for (_, value, _) in self.store.entries_with_prefix(QUOTA) {
             let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
             for team in record.teams {
                 let cpus = team.cpus as f64 / GRANT_UNITS_PER_CPU;
