--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -244,7 +244,7 @@
     }
 
     /// Whether a key is there.
-    pub fn has(&self, key: &str) -> bool {
+    pub fn contains_key(&self, key: &str) -> bool {
         self.entries.contains_key(key)
     }
 
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -64,7 +64,7 @@
                 ensure(there == wanted, detail)?;
             }
             "record" => {
-                let there = self.store.has(directive.word(1)?);
+                let there = self.store.contains_key(directive.word(1)?);
                 let wanted = directive.word(2)? == "yes";
                 let detail = || format!("the record's presence is {there}");
                 ensure(there == wanted, detail)?;
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -126,7 +126,7 @@
             let Some(over) = ends.into_iter().flatten().min() else {
                 continue;
             };
-            if self.now > over + within && !self.store.has(&format!("past/{id}")) {
+            if self.now > over + within && !self.store.contains_key(&format!("past/{id}")) {
                 let ago = (self.now - over) / SECOND;
                 return Err(ScenarioError::unmet(format!(
                     "{id} is over for {ago} s and its end not on record"
