--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -184,7 +184,7 @@
             match store.request(now, 0, method, &at_once, body) {
                 Reply::Now(status, body) => (status, body),
                 Reply::Later => {
-                    let ready = store.ready(now).into_iter().next();
+                    let ready = store.take_ready_watches(now).into_iter().next();
                     (200, ready.map(|(_, body)| body).unwrap_or_default())
                 }
             }
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -424,7 +424,7 @@
     }
 
     /// Answers the watches that have something to tell or time out: their tickets and bodies.
-    pub fn ready(&mut self, now: Micros) -> Vec<(u64, Vec<u8>)> {
+    pub fn take_ready_watches(&mut self, now: Micros) -> Vec<(u64, Vec<u8>)> {
         if self.down {
             return Vec::new();
         }
