--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -181,7 +181,7 @@
             let mut store = self.store();
             let now = self.now();
             store.expire(now);
-            match store.request(now, 0, method, &at_once, body) {
+            match store.handle_request(now, 0, method, &at_once, body) {
                 Reply::Now(status, body) => (status, body),
                 Reply::Later => {
                     let ready = store.take_ready_watches(now).into_iter().next();
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -249,7 +249,7 @@
     }
 
     /// Takes one request. `ticket` names it in case the answer comes later.
-    pub fn request(
+    pub fn handle_request(
         &mut self,
         now: Micros,
         ticket: u64,
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -187,7 +187,9 @@
             self.check_records(transaction);
         }
         let ticket = self.next_number();
-        let reply = self.store.request(self.now, ticket, method, path, body);
+        let reply = self
+            .store
+            .handle_request(self.now, ticket, method, path, body);
         let done = matches!(reply, Reply::Now(200, _));
         if done && transaction.as_ref().is_some_and(puts_leader) {
             self.on_leader_grant();
