--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -180,7 +180,7 @@
         let response = {
             let mut store = self.store();
             let now = self.now();
-            store.expire(now);
+            store.expire_leases(now);
             match store.handle_request(now, 0, method, &at_once, body) {
                 Reply::Now(status, body) => (status, body),
                 Reply::Later => {
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -127,7 +127,7 @@
     }
 
     /// Ends leases whose time is over.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn expire_leases(&mut self, now: Micros) {
         if self.down {
             return;
         }
@@ -257,7 +257,7 @@
         path: &str,
         body: &[u8],
     ) -> Reply {
-        self.expire(now);
+        self.expire_leases(now);
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let query: Query = query
             .split('&')
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -225,7 +225,7 @@
 
     /// Answers the watches of the key-value store that have something to tell, or time out.
     pub(super) fn answer_watches(&mut self) {
-        self.store.expire(self.now);
+        self.store.expire_leases(self.now);
         for (ticket, body) in self.store.take_ready_watches(self.now) {
             let Some(caller) = self.calls.watches.remove(&ticket) else {
                 continue;
