--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -151,7 +151,7 @@
     }
 
     /// An outage ends: every lease has its full time again.
-    pub fn recover(&mut self, now: Micros) {
+    pub fn end_outage(&mut self, now: Micros) {
         self.down = false;
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.duration;
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -171,7 +171,7 @@
             Event::StoreLimits(limits) => self.store.limits = Some(limits),
             Event::HeartbeatCopy { body, to_all } => self.deliver_heartbeat_copy(&body, to_all),
             Event::PollEverywhere(job) => self.poll_everywhere(&job),
-            Event::StoreUp => self.store.recover(self.now),
+            Event::StoreUp => self.store.end_outage(self.now),
             Event::CloudUp => self.cloud.down = false,
             Event::RetrySubmit(job) => self.submit(&job, None),
             Event::RetryCancel(job) => self.cancel(&job, None),
