--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -82,7 +82,7 @@
     log: VecDeque<LoggedChange>,
     watches: Vec<Watch>,
     /// There is an outage: everything but watches is answered 503.
-    pub down: bool,
+    pub is_down: bool,
     /// What it takes: more than a second's worth is answered 429, larger ones 400.
     pub limits: Option<StoreLimits>,
     tokens: TokenBucket,
@@ -128,7 +128,7 @@
 
     /// Ends leases whose time is over.
     pub fn expire_leases(&mut self, now: Micros) {
-        if self.down {
+        if self.is_down {
             return;
         }
         let leases = self.leases.iter();
@@ -152,7 +152,7 @@
 
     /// An outage ends: every lease has its full time again.
     pub fn end_outage(&mut self, now: Micros) {
-        self.down = false;
+        self.is_down = false;
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.duration;
         }
@@ -263,7 +263,7 @@
             .split('&')
             .filter_map(|parameter| parameter.split_once('='))
             .collect();
-        if self.down && path != "/changes" {
+        if self.is_down && path != "/changes" {
             return Reply::Now(503, Vec::new());
         }
         if !self.take_tokens(now, 1.0, 0.0) {
@@ -425,7 +425,7 @@
 
     /// Answers the watches that have something to tell or time out: their tickets and bodies.
     pub fn take_ready_watches(&mut self, now: Micros) -> Vec<(u64, Vec<u8>)> {
-        if self.down {
+        if self.is_down {
             return Vec::new();
         }
         let mut ready = Vec::new();
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -74,7 +74,7 @@
                 self.store.busy_until = until;
             }
             "state" => {
-                self.store.down = true;
+                self.store.is_down = true;
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
                 self.push(until, Event::StoreUp);
             }
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -130,7 +130,7 @@
         if let Some(down_for) = self.faults.store_outage_on_grant.take() {
             let until = self.now + down_for;
             self.faults.end = self.faults.end.max(until);
-            self.store.down = true;
+            self.store.is_down = true;
             self.push(until, Event::StoreUp);
         }
     }
