--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -87,7 +87,7 @@
     pub limits: Option<StoreLimits>,
     tokens: TokenBucket,
     /// Until then every change is answered 429.
-    pub busy_until: Micros,
+    pub writes_throttled_until: Micros,
     /// Transactions that were answered 400 because they were malformed.
     pub refused: u64,
 }
@@ -207,7 +207,7 @@
             changes: refill(self.tokens.changes, limits.write_rps),
             filled_at: now,
         };
-        let busy = changes != 0.0 && now < self.busy_until;
+        let busy = changes != 0.0 && now < self.writes_throttled_until;
         let enough = tokens.requests >= requests && tokens.changes >= changes && !busy;
         if enough {
             tokens.requests -= requests;
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -71,7 +71,7 @@
             }
             "busy" => {
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
-                self.store.busy_until = until;
+                self.store.writes_throttled_until = until;
             }
             "state" => {
                 self.store.is_down = true;
