--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -89,7 +89,7 @@
     /// Until then every change is answered 429.
     pub writes_throttled_until: Micros,
     /// Transactions that were answered 400 because they were malformed.
-    pub refused: u64,
+    pub malformed_transactions: u64,
 }
 
 impl KeyValueStore {
@@ -365,7 +365,7 @@
             return Reply::Now(400, Vec::new());
         };
         if let Some(reason) = self.malformed(&transaction) {
-            self.refused += 1;
+            self.malformed_transactions += 1;
             return Reply::Now(400, error_body(&reason));
         }
         if !self.take_tokens(now, 0.0, transaction.apply.len() as f64) {
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -50,7 +50,7 @@
                 ensure(size <= most, || format!("{key} has {size} bytes"))?;
             }
             "refused" => {
-                let got = self.store.refused;
+                let got = self.store.malformed_transactions;
                 let most = directive.count("most", 0)?;
                 ensure(got <= most, || format!("{got} requests were malformed"))?;
             }
