--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -237,7 +237,7 @@
     }
 
     /// The size of the largest value there, in bytes, and its key.
-    pub fn largest(&self) -> (usize, &str) {
+    pub fn largest_value(&self) -> (usize, &str) {
         let entries = self.entries.iter();
         let sizes = entries.map(|(key, entry)| (json_len(&entry.value), key.as_str()));
         sizes.max().unwrap_or((0, ""))
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -45,7 +45,7 @@
                 ensure(got.to_string() == wanted, detail)?;
             }
             "largest" => {
-                let (size, key) = self.store.largest();
+                let (size, key) = self.store.largest_value();
                 let most = (directive.number("most", 2.0)? * KIB) as usize;
                 ensure(size <= most, || format!("{key} has {size} bytes"))?;
             }
