--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -32,7 +32,7 @@
     ];
 
     /// The word for it in heartbeats.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             TaskStatus::Fetching => "fetching",
             TaskStatus::Running => "running",
@@ -379,7 +379,7 @@
     ReportedTask {
         task_name: task.task_name.clone(),
         attempt: task.attempt,
-        status: task.status.word().into(),
+        status: task.status.as_str().into(),
         cause: task.cause.map(ExitCause::from),
         checkpointed: task.cause.is_some().then_some(task.checkpointed),
     }
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -115,7 +115,7 @@
     fn load_task(&mut self, line: &SnapshotLine) -> Result<(), ScriptError> {
         let word = line.word(4)?;
         let mut statuses = TaskStatus::ALL.into_iter();
-        let status = statuses.find(|status| status.word() == word);
+        let status = statuses.find(|status| status.as_str() == word);
         let task = Task {
             task_name: line.word(2)?.to_string(),
             attempt: line.number(3)?,
