--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -17,7 +17,7 @@
     /// It runs.
     Running,
     /// It writes a checkpoint before it stops.
-    Saving,
+    Checkpointing,
     /// It has ended, and its exit is yet to be acknowledged.
     Exited,
 }
@@ -27,7 +27,7 @@
     pub const ALL: [TaskStatus; 4] = [
         TaskStatus::Fetching,
         TaskStatus::Running,
-        TaskStatus::Saving,
+        TaskStatus::Checkpointing,
         TaskStatus::Exited,
     ];
 
@@ -36,7 +36,7 @@
         match self {
             TaskStatus::Fetching => "fetching",
             TaskStatus::Running => "running",
-            TaskStatus::Saving => "saving",
+            TaskStatus::Checkpointing => "saving",
             TaskStatus::Exited => "exited",
         }
     }
@@ -308,10 +308,10 @@
             match (task.status, checkpoint) {
                 (TaskStatus::Exited, _) => {}
                 (TaskStatus::Running, Some(job)) => {
-                    task.status = TaskStatus::Saving;
+                    task.status = TaskStatus::Checkpointing;
                     task.ends = now + job.flush;
                 }
-                (TaskStatus::Saving, _) if grace > 0 => {}
+                (TaskStatus::Checkpointing, _) if grace > 0 => {}
                 _ => task.exit("stopped"),
             }
         }
@@ -359,7 +359,7 @@
                     task.status = TaskStatus::Running;
                     task.ends = now + job.map_or(0, |job| job.run);
                 }
-                TaskStatus::Saving => {
+                TaskStatus::Checkpointing => {
                     task.exit("stopped");
                     task.checkpointed = true;
                 }
