--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -56,7 +56,7 @@
     /// It has written a checkpoint before it ended.
     pub checkpointed: bool,
     /// When its present state ends.
-    pub ends: Micros,
+    pub state_ends_at: Micros,
     /// The CPUs that it takes.
     pub cpus: f64,
 }
@@ -277,7 +277,7 @@
             status: TaskStatus::Fetching,
             cause: None,
             checkpointed: false,
-            ends: now + FETCH_TIME,
+            state_ends_at: now + FETCH_TIME,
             cpus: job.map_or(0.0, |job| job.cpus),
         };
         if let Some(cause) = refused {
@@ -309,7 +309,7 @@
                 (TaskStatus::Exited, _) => {}
                 (TaskStatus::Running, Some(job)) => {
                     task.status = TaskStatus::Checkpointing;
-                    task.ends = now + job.flush;
+                    task.state_ends_at = now + job.flush;
                 }
                 (TaskStatus::Checkpointing, _) if grace > 0 => {}
                 _ => task.exit("stopped"),
@@ -351,13 +351,15 @@
         }
         let faulty = self.faulty;
         let tasks = self.tasks.iter_mut();
-        for task in tasks.filter(|task| task.status != TaskStatus::Exited && now >= task.ends) {
+        for task in
+            tasks.filter(|task| task.status != TaskStatus::Exited && now >= task.state_ends_at)
+        {
             changed = true;
             let job = job_facts(jobs, &task.task_name);
             match task.status {
                 TaskStatus::Fetching => {
                     task.status = TaskStatus::Running;
-                    task.ends = now + job.map_or(0, |job| job.run);
+                    task.state_ends_at = now + job.map_or(0, |job| job.run);
                 }
                 TaskStatus::Checkpointing => {
                     task.exit("stopped");
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -57,7 +57,7 @@
         tasks.any(|task| {
             task.status == TaskStatus::Running
                 && task.task_name.starts_with(&prefix)
-                && task.ends >= self.now + MIN_REMAINING_RUN
+                && task.state_ends_at >= self.now + MIN_REMAINING_RUN
         })
     }
 
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -122,7 +122,7 @@
             status: status.ok_or_else(|| not_found("status", word))?,
             cause: (line.word(5)? == "done").then_some("done"),
             checkpointed: false,
-            ends: line.number(6)?,
+            state_ends_at: line.number(6)?,
             cpus: 0.0,
         };
         self.machine_mut(line.word(1)?)?.tasks.push(task);
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -74,7 +74,7 @@
         status: TaskStatus::Running,
         cause: None,
         checkpointed: false,
-        ends: 2_000 * SECOND,
+        state_ends_at: 2_000 * SECOND,
         cpus,
     }
 }
