--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -53,7 +53,7 @@
         cpus: 1.0,
         run,
         flush: 0,
-        saves: false,
+        writes_checkpoints: false,
         fails: false,
     }
 }
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -83,7 +83,7 @@
     /// How long a task takes to write a checkpoint, in microseconds.
     pub flush: Micros,
     /// Its tasks write checkpoints.
-    pub saves: bool,
+    pub writes_checkpoints: bool,
     /// Its tasks fail on every machine.
     pub fails: bool,
 }
@@ -302,7 +302,7 @@
     /// Stops a task: with a checkpoint if its job writes any and the grace period is long enough.
     fn stop(&mut self, now: Micros, command: &Command, job: Option<&JobFacts>) {
         let grace = from_seconds(command.grace_s.unwrap_or(0.0));
-        let checkpoint = job.filter(|job| job.saves && grace >= job.flush);
+        let checkpoint = job.filter(|job| job.writes_checkpoints && grace >= job.flush);
         let tasks = self.tasks.iter_mut();
         for task in tasks.filter(|task| task.is_target_of(command)) {
             match (task.status, checkpoint) {
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -85,7 +85,7 @@
             cpus: spec.cpus,
             run: directive.duration("run", DEFAULT_RUN_S)?,
             flush: from_seconds(spec.checkpoint_duration_s),
-            saves: directive.flag("saves", false),
+            writes_checkpoints: directive.flag("saves", false),
             fails: directive.flag("fails", false),
         };
         self.job_facts.insert(job.into(), facts);
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -136,7 +136,7 @@
             cpus: spec.cpus,
             run: line.time("run")?,
             flush: line.time("flush")?,
-            saves: line.flag("saves")?,
+            writes_checkpoints: line.flag("saves")?,
             fails: false,
         };
         let tasks = self.machines.values_mut();
