--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -54,7 +54,7 @@
         run,
         flush: 0,
         writes_checkpoints: false,
-        fails: false,
+        always_fails: false,
     }
 }
 
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -85,7 +85,7 @@
     /// Its tasks write checkpoints.
     pub writes_checkpoints: bool,
     /// Its tasks fail on every machine.
-    pub fails: bool,
+    pub always_fails: bool,
 }
 
 /// A heartbeat whose response an agent waits for.
@@ -365,7 +365,7 @@
                     task.exit("stopped");
                     task.checkpointed = true;
                 }
-                _ if faulty || job.is_some_and(|job| job.fails) => task.exit("error"),
+                _ if faulty || job.is_some_and(|job| job.always_fails) => task.exit("error"),
                 _ => {
                     task.exit("done");
                     completed.push(task.task_name.clone());
--- a/crates/testkit/src/world/checks/waiting.rs
+++ b/crates/testkit/src/world/checks/waiting.rs
@@ -130,7 +130,11 @@
     /// Whether a job is accepted, not over nor about to be, and does not fail wherever it runs.
     fn is_owed(&self, id: &str, job: &ObservedJob) -> bool {
         let wanted = job.accepted && !job.done && job.cancel_requested_at.is_none();
-        wanted && !self.job_facts.get(id).is_some_and(|facts| facts.fails)
+        wanted
+            && !self
+                .job_facts
+                .get(id)
+                .is_some_and(|facts| facts.always_fails)
     }
 
     /// Whether a team that uses this much may run so many more tasks of a job.
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -86,7 +86,7 @@
             run: directive.duration("run", DEFAULT_RUN_S)?,
             flush: from_seconds(spec.checkpoint_duration_s),
             writes_checkpoints: directive.flag("saves", false),
-            fails: directive.flag("fails", false),
+            always_fails: directive.flag("fails", false),
         };
         self.job_facts.insert(job.into(), facts);
         let observed = ObservedJob::new(spec, self.now);
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -137,7 +137,7 @@
             run: line.time("run")?,
             flush: line.time("flush")?,
             writes_checkpoints: line.flag("saves")?,
-            fails: false,
+            always_fails: false,
         };
         let tasks = self.machines.values_mut();
         let tasks = tasks.flat_map(|machine| &mut machine.tasks);
