--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -51,7 +51,7 @@
 pub fn job_facts(run: u64) -> JobFacts {
     JobFacts {
         cpus: 1.0,
-        run,
+        run_time: run,
         flush: 0,
         writes_checkpoints: false,
         always_fails: false,
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -79,7 +79,7 @@
     /// The CPUs that each task takes.
     pub cpus: f64,
     /// How long a task runs, in microseconds.
-    pub run: Micros,
+    pub run_time: Micros,
     /// How long a task takes to write a checkpoint, in microseconds.
     pub flush: Micros,
     /// Its tasks write checkpoints.
@@ -359,7 +359,7 @@
             match task.status {
                 TaskStatus::Fetching => {
                     task.status = TaskStatus::Running;
-                    task.state_ends_at = now + job.map_or(0, |job| job.run);
+                    task.state_ends_at = now + job.map_or(0, |job| job.run_time);
                 }
                 TaskStatus::Checkpointing => {
                     task.exit("stopped");
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -83,7 +83,7 @@
         let spec = submission(job, directive)?;
         let facts = JobFacts {
             cpus: spec.cpus,
-            run: directive.duration("run", DEFAULT_RUN_S)?,
+            run_time: directive.duration("run", DEFAULT_RUN_S)?,
             flush: from_seconds(spec.checkpoint_duration_s),
             writes_checkpoints: directive.flag("saves", false),
             always_fails: directive.flag("fails", false),
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -134,7 +134,7 @@
         let spec: Submission = decoded(id, line.option("spec")?)?;
         let facts = JobFacts {
             cpus: spec.cpus,
-            run: line.time("run")?,
+            run_time: line.time("run")?,
             flush: line.time("flush")?,
             writes_checkpoints: line.flag("saves")?,
             always_fails: false,
