--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -52,7 +52,7 @@
     JobFacts {
         cpus: 1.0,
         run_time: run,
-        flush: 0,
+        checkpoint_time: 0,
         writes_checkpoints: false,
         always_fails: false,
     }
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -81,7 +81,7 @@
     /// How long a task runs, in microseconds.
     pub run_time: Micros,
     /// How long a task takes to write a checkpoint, in microseconds.
-    pub flush: Micros,
+    pub checkpoint_time: Micros,
     /// Its tasks write checkpoints.
     pub writes_checkpoints: bool,
     /// Its tasks fail on every machine.
@@ -302,14 +302,14 @@
     /// Stops a task: with a checkpoint if its job writes any and the grace period is long enough.
     fn stop(&mut self, now: Micros, command: &Command, job: Option<&JobFacts>) {
         let grace = from_seconds(command.grace_s.unwrap_or(0.0));
-        let checkpoint = job.filter(|job| job.writes_checkpoints && grace >= job.flush);
+        let checkpoint = job.filter(|job| job.writes_checkpoints && grace >= job.checkpoint_time);
         let tasks = self.tasks.iter_mut();
         for task in tasks.filter(|task| task.is_target_of(command)) {
             match (task.status, checkpoint) {
                 (TaskStatus::Exited, _) => {}
                 (TaskStatus::Running, Some(job)) => {
                     task.status = TaskStatus::Checkpointing;
-                    task.state_ends_at = now + job.flush;
+                    task.state_ends_at = now + job.checkpoint_time;
                 }
                 (TaskStatus::Checkpointing, _) if grace > 0 => {}
                 _ => task.exit("stopped"),
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -84,7 +84,7 @@
         let facts = JobFacts {
             cpus: spec.cpus,
             run_time: directive.duration("run", DEFAULT_RUN_S)?,
-            flush: from_seconds(spec.checkpoint_duration_s),
+            checkpoint_time: from_seconds(spec.checkpoint_duration_s),
             writes_checkpoints: directive.flag("saves", false),
             always_fails: directive.flag("fails", false),
         };
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -135,7 +135,7 @@
         let facts = JobFacts {
             cpus: spec.cpus,
             run_time: line.time("run")?,
-            flush: line.time("flush")?,
+            checkpoint_time: line.time("flush")?,
             writes_checkpoints: line.flag("saves")?,
             always_fails: false,
         };
