--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -113,7 +113,7 @@
     /// Its CPUs.
     pub cpus: f64,
     /// When it was provisioned.
-    pub requested: Micros,
+    pub provisioned_at: Micros,
     /// When it is up; never for a boot that fails.
     pub boots_at: Option<Micros>,
     /// It has come up.
@@ -165,7 +165,7 @@
             zone: zone.into(),
             spot: false,
             cpus: machine_type.cpus,
-            requested: 0,
+            provisioned_at: 0,
             boots_at: None,
             up: false,
             gone: false,
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -99,7 +99,8 @@
 
     fn machine_list(&self) -> MachineList {
         // Machines that are there at the start are listed at once.
-        let listed_at = |machine: &Machine| machine.requested + LISTING_LAG.min(machine.requested);
+        let listed_at =
+            |machine: &Machine| machine.provisioned_at + LISTING_LAG.min(machine.provisioned_at);
         let machines = self.present_machines();
         let machines = machines.filter(|machine| self.now >= listed_at(machine));
         let machines = machines.map(|machine| ListedMachine {
@@ -109,7 +110,7 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             status: if machine.up { "running" } else { "starting" }.into(),
-            age_s: as_seconds(self.now - machine.requested),
+            age_s: as_seconds(self.now - machine.provisioned_at),
         });
         MachineList {
             machines: machines.collect(),
@@ -148,7 +149,7 @@
         let boots_at = self.now + self.cloud.boot_time;
         let machine = Machine {
             spot,
-            requested: self.now,
+            provisioned_at: self.now,
             boots_at: (!self.cloud.boots_never).then_some(boots_at),
             controller: self.cloud.next_machine as usize % FIRST_CONTROLLERS,
             ..Machine::new(&name, kind, zone)
