--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -241,7 +241,7 @@
     pub fn start_agents(&self, machine_type: &MachineType, fronts: &BTreeMap<String, SocketAddr>) {
         for (index, name) in self.0.machines.iter().enumerate() {
             let mut machine = Machine::new(name, machine_type, "a");
-            machine.up = true;
+            machine.is_up = true;
             machine.lease_start = self.now();
             let agent = Agent {
                 cluster: self.clone(),
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -213,7 +213,7 @@
     ) -> StepResult {
         let name = address.trim_start_matches("worker:").to_string();
         let receives =
-            |machine: &Machine| !machine.gone && machine.up && machine.receives(self.now);
+            |machine: &Machine| !machine.gone && machine.is_up && machine.receives(self.now);
         if !self.machines.get(&name).is_some_and(receives) {
             return Ok(());
         }
--- a/crates/testkit/src/world/checks/waiting.rs
+++ b/crates/testkit/src/world/checks/waiting.rs
@@ -78,7 +78,7 @@
     fn rooms(&self) -> Vec<Room<'_>> {
         let takes_tasks = |machine: &&Machine| {
             let well = !machine.faulty && machine.reclaim_at.is_none();
-            machine.up && well && machine.is_reachable(self.now)
+            machine.is_up && well && machine.is_reachable(self.now)
         };
         let machines = self.present_machines().filter(takes_tasks);
         machines.map(|machine| self.room_on(machine)).collect()
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -109,7 +109,7 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            status: if machine.up { "running" } else { "starting" }.into(),
+            status: if machine.is_up { "running" } else { "starting" }.into(),
             age_s: as_seconds(self.now - machine.provisioned_at),
         });
         MachineList {
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -103,7 +103,7 @@
     fn expect_serving(&self, directive: &Directive) -> StepResult {
         let prefix = format!("{}/", directive.word(1)?);
         let zone = directive.options.get("zone");
-        let machines = self.present_machines().filter(|machine| machine.up);
+        let machines = self.present_machines().filter(|machine| machine.is_up);
         let machines = machines.filter(|machine| zone.is_none_or(|zone| *zone == machine.zone));
         let tasks = machines.flat_map(|machine| machine.live());
         let serving = tasks
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -52,7 +52,7 @@
     /// Whether a task of the job runs and has long to go.
     fn runs_for_long(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
-        let machines = self.present_machines().filter(|machine| machine.up);
+        let machines = self.present_machines().filter(|machine| machine.is_up);
         let mut tasks = machines.flat_map(|machine| machine.live());
         tasks.any(|task| {
             task.status == TaskStatus::Running
@@ -68,7 +68,7 @@
             tasks.any(|task| jobs.iter().any(|job| job == job_of(&task.task_name)))
         };
         let machines = self.machines.values_mut();
-        let machines = machines.filter(|machine| machine.up && !machine.gone);
+        let machines = machines.filter(|machine| machine.is_up && !machine.gone);
         for machine in machines.filter(holds).take(MAX_HUNG_MACHINES) {
             machine.hangs_until = until;
         }
--- a/crates/testkit/src/world/tests/placement.rs
+++ b/crates/testkit/src/world/tests/placement.rs
@@ -59,7 +59,7 @@
         .play_until(4 * SECOND + MILLISECOND)
         .expect("no fault yet");
     let mut machines = world.present_machines();
-    let chosen = machines.find(|machine| machine.up && choose(machine));
+    let chosen = machines.find(|machine| machine.is_up && choose(machine));
     let chosen = chosen.expect("a machine").name.clone();
     drop(machines);
     plant(&mut world, &chosen, task("req-2/0", 2.0));
