--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -119,7 +119,7 @@
     /// It has come up.
     pub is_up: bool,
     /// It was terminated, reclaimed or lost.
-    pub gone: bool,
+    pub is_gone: bool,
     /// Until then neither its agent nor its tasks do anything.
     pub hangs_until: Micros,
     /// Until then its heartbeats arrive, but responses and commands do not reach it.
@@ -168,7 +168,7 @@
             provisioned_at: 0,
             boots_at: None,
             is_up: false,
-            gone: false,
+            is_gone: false,
             hangs_until: 0,
             deaf_until: 0,
             unplugged_until: 0,
@@ -208,15 +208,15 @@
     /// It comes up, or is reclaimed, if it is time. The result is whether it is up.
     pub fn boot_or_end(&mut self, now: Micros) -> bool {
         let boots = self.boots_at.is_some_and(|at| at <= now);
-        if boots && !self.is_up && !self.gone {
+        if boots && !self.is_up && !self.is_gone {
             self.is_up = true;
             self.lease_start = now;
             self.next_heartbeat = now;
         }
         if self.reclaim_at.is_some_and(|at| at <= now) {
-            self.gone = true;
+            self.is_gone = true;
         }
-        self.is_up && !self.gone
+        self.is_up && !self.is_gone
     }
 
     /// Its agent sends the next heartbeat to the next one of so many controllers, at this time.
@@ -342,7 +342,7 @@
     ) -> (Vec<String>, bool) {
         let mut completed = Vec::new();
         let mut changed = false;
-        if !self.is_up || self.gone || now < self.hangs_until {
+        if !self.is_up || self.is_gone || now < self.hangs_until {
             return (completed, changed);
         }
         if now > self.lease_start + lease {
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -33,7 +33,7 @@
 
     /// Machines that are not terminated, reachable or not.
     pub(super) fn present_machines(&self) -> impl Iterator<Item = &Machine> {
-        self.machines.values().filter(|machine| !machine.gone)
+        self.machines.values().filter(|machine| !machine.is_gone)
     }
 
     /// The response to a heartbeat reaches an agent, if it still waits for it and receives anything.
@@ -69,7 +69,7 @@
         let machine = self.machines.get_mut(name)?;
         let heartbeat = machine.in_flight?;
         let awaited = heartbeat.id == heartbeat_id && heartbeat.incarnation == machine.incarnation;
-        if !awaited || machine.gone {
+        if !awaited || machine.is_gone {
             return None;
         }
         if self.faults.lose_response.remove(name) || !machine.receives(self.now) {
@@ -213,7 +213,7 @@
     ) -> StepResult {
         let name = address.trim_start_matches("worker:").to_string();
         let receives =
-            |machine: &Machine| !machine.gone && machine.is_up && machine.receives(self.now);
+            |machine: &Machine| !machine.is_gone && machine.is_up && machine.receives(self.now);
         if !self.machines.get(&name).is_some_and(receives) {
             return Ok(());
         }
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -84,7 +84,7 @@
                 let names = from_cbor::<MachineNames>(body).map(|names| names.machines);
                 for name in names.unwrap_or_default() {
                     if let Some(machine) = self.machines.get_mut(&name) {
-                        machine.gone = true;
+                        machine.is_gone = true;
                     }
                 }
                 (200, to_cbor(&BTreeMap::<String, u64>::new()))
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -58,7 +58,7 @@
             "serving" => self.expect_serving(directive)?,
             "rented" => {
                 let machine = self.machines.get(directive.word(1)?);
-                let there = machine.is_some_and(|machine| !machine.gone);
+                let there = machine.is_some_and(|machine| !machine.is_gone);
                 let wanted = directive.word(2)? == "yes";
                 let detail = || format!("that it is provisioned is {there}");
                 ensure(there == wanted, detail)?;
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -46,7 +46,7 @@
             }
             "restart" => self.restart_agent(directive.word(1)?)?,
             "faulty" => self.machine_mut(directive.word(1)?)?.faulty = true,
-            "kill" => self.machine_mut(directive.word(1)?)?.gone = true,
+            "kill" => self.machine_mut(directive.word(1)?)?.is_gone = true,
             "recall" => {
                 let at = self.now + directive.duration("in", 10.0)?;
                 self.machine_mut(directive.word(1)?)?.reclaim_at = Some(at);
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -68,7 +68,7 @@
             tasks.any(|task| jobs.iter().any(|job| job == job_of(&task.task_name)))
         };
         let machines = self.machines.values_mut();
-        let machines = machines.filter(|machine| machine.is_up && !machine.gone);
+        let machines = machines.filter(|machine| machine.is_up && !machine.is_gone);
         for machine in machines.filter(holds).take(MAX_HUNG_MACHINES) {
             machine.hangs_until = until;
         }
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -44,7 +44,7 @@
 fn a_job_that_no_machine_or_team_has_room_for() {
     let all_deaf = |world: &mut World| {
         let machines = world.machines.values_mut();
-        for machine in machines.filter(|machine| !machine.gone) {
+        for machine in machines.filter(|machine| !machine.is_gone) {
             machine.deaf_until = 900 * SECOND;
         }
     };
@@ -75,7 +75,7 @@
         let there: Vec<String> = world.machines.keys().cloned().collect();
         for (index, name) in there.iter().enumerate() {
             let machine = machine(world, name);
-            machine.gone = false;
+            machine.is_gone = false;
             machine.zone = if index == 0 { "z" } else { "a" }.into();
         }
         plant(world, &there[0], task("req-3/0", 1.0));
@@ -84,7 +84,7 @@
     let one_zone = |world: &mut World| {
         let name = world.machines.keys().next().expect("a machine").clone();
         let machine = machine(world, &name);
-        (machine.gone, machine.zone) = (false, "z".into());
+        (machine.is_gone, machine.zone) = (false, "z".into());
         plant(world, &name, task("req-3/0", 8.0));
     };
     assert_eq!(waits("tasks=2 cpus=1 one_zone=yes", one_zone), None);
