--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -129,7 +129,7 @@
     /// Until then it reaches no controller, while direct commands reach it.
     pub mute_until: Micros,
     /// Tasks fail on it.
-    pub faulty: bool,
+    pub is_faulty: bool,
     /// When the cloud reclaims it.
     pub reclaim_at: Option<Micros>,
     /// The incarnation of its agent.
@@ -173,7 +173,7 @@
             deaf_until: 0,
             unplugged_until: 0,
             mute_until: 0,
-            faulty: false,
+            is_faulty: false,
             reclaim_at: None,
             incarnation: 1,
             sequence: 0,
@@ -349,7 +349,7 @@
             self.restart_agent(now);
             changed = true;
         }
-        let faulty = self.faulty;
+        let faulty = self.is_faulty;
         let tasks = self.tasks.iter_mut();
         for task in
             tasks.filter(|task| task.status != TaskStatus::Exited && now >= task.state_ends_at)
--- a/crates/testkit/src/world/checks/waiting.rs
+++ b/crates/testkit/src/world/checks/waiting.rs
@@ -77,7 +77,7 @@
     /// Machines that can take tasks, and what is free on them.
     fn rooms(&self) -> Vec<Room<'_>> {
         let takes_tasks = |machine: &&Machine| {
-            let well = !machine.faulty && machine.reclaim_at.is_none();
+            let well = !machine.is_faulty && machine.reclaim_at.is_none();
             machine.is_up && well && machine.is_reachable(self.now)
         };
         let machines = self.present_machines().filter(takes_tasks);
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -45,7 +45,7 @@
                 self.faults.lose_response.insert(name);
             }
             "restart" => self.restart_agent(directive.word(1)?)?,
-            "faulty" => self.machine_mut(directive.word(1)?)?.faulty = true,
+            "faulty" => self.machine_mut(directive.word(1)?)?.is_faulty = true,
             "kill" => self.machine_mut(directive.word(1)?)?.is_gone = true,
             "recall" => {
                 let at = self.now + directive.duration("in", 10.0)?;
