--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -206,7 +206,7 @@
     }
 
     /// It comes up, or is reclaimed, if it is time. The result is whether it is up.
-    pub fn boot_or_end(&mut self, now: Micros) -> bool {
+    pub fn update_lifecycle(&mut self, now: Micros) -> bool {
         let boots = self.boots_at.is_some_and(|at| at <= now);
         if boots && !self.is_up && !self.is_gone {
             self.is_up = true;
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -251,7 +251,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        if !machine.boot_or_end(self.now) {
+        if !machine.update_lifecycle(self.now) {
             return Ok(());
         }
         let lease = self.configuration.settings.agent_lease;
