--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -360,7 +360,10 @@
             }
         }
         // What was stopped is gone; what goes on is live.
-        let live = self.machine.live().map(|task| task.task_name.as_str());
+        let live = self
+            .machine
+            .live_tasks()
+            .map(|task| task.task_name.as_str());
         let live: BTreeSet<&str> = live.collect();
         log.live
             .retain(|task, machine| machine != here || live.contains(task.as_str()));
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -202,7 +202,8 @@
     /// Whether a task of this job is on it.
     pub fn holds_task_of(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
-        self.live().any(|task| task.task_name.starts_with(&prefix))
+        self.live_tasks()
+            .any(|task| task.task_name.starts_with(&prefix))
     }
 
     /// It comes up, or is reclaimed, if it is time. The result is whether it is up.
@@ -292,10 +293,13 @@
         let Some(job) = job else {
             return Some("unknown");
         };
-        if self.live().any(|task| task.task_name == command.task_name) {
+        if self
+            .live_tasks()
+            .any(|task| task.task_name == command.task_name)
+        {
             return Some("busy");
         }
-        let used: f64 = self.live().map(|task| task.cpus).sum();
+        let used: f64 = self.live_tasks().map(|task| task.cpus).sum();
         (used + job.cpus > self.cpus + SLACK).then_some("no_room")
     }
 
@@ -318,7 +322,7 @@
     }
 
     /// Tasks that are on the machine.
-    pub fn live(&self) -> impl Iterator<Item = &Task> {
+    pub fn live_tasks(&self) -> impl Iterator<Item = &Task> {
         let tasks = self.tasks.iter();
         tasks.filter(|task| task.status != TaskStatus::Exited)
     }
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -133,7 +133,7 @@
     /// A task that starts on a machine must not be on another one.
     fn check_runs_once(&self, name: &str, task_name: &str) -> StepResult {
         let mut others = self.present_machines().filter(|other| other.name != name);
-        match others.find(|other| other.live().any(|task| task.task_name == task_name)) {
+        match others.find(|other| other.live_tasks().any(|task| task.task_name == task_name)) {
             None => Ok(()),
             Some(other) => Err(ScenarioError::rule(
                 Rule::RanTwice,
@@ -194,7 +194,7 @@
         let prefix = format!("{job}/");
         let mut zones = BTreeMap::new();
         for machine in self.present_machines() {
-            let tasks = machine.live();
+            let tasks = machine.live_tasks();
             let tasks = tasks.filter(|task| task.task_name.starts_with(&prefix));
             let number = tasks.count() as u64;
             if number > 0 {
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -93,7 +93,7 @@
     fn check_all_run_once(&self) -> StepResult {
         let mut machine_of: BTreeMap<&str, &str> = BTreeMap::new();
         for machine in self.present_machines() {
-            for task in machine.live() {
+            for task in machine.live_tasks() {
                 let other = machine_of.insert(&task.task_name, &machine.name);
                 if let Some(other) = other {
                     let detail = format!("{} on {other} and {}", task.task_name, machine.name);
@@ -108,7 +108,7 @@
     fn check_cancelled_are_gone(&self) -> StepResult {
         let timeout = self.configuration.settings.cancel_timeout;
         for machine in self.present_machines() {
-            for task in machine.live() {
+            for task in machine.live_tasks() {
                 let job = self.jobs.get(job_of(&task.task_name));
                 let cancelled_at = job.and_then(|job| job.cancelled_at);
                 if cancelled_at.is_some_and(|at| self.now > at + timeout) {
@@ -123,7 +123,10 @@
     /// What each team's tasks use, on whatever machine.
     pub(super) fn used(&self) -> BTreeMap<&str, Usage> {
         let mut used: BTreeMap<&str, Usage> = BTreeMap::new();
-        for task in self.present_machines().flat_map(|machine| machine.live()) {
+        for task in self
+            .present_machines()
+            .flat_map(|machine| machine.live_tasks())
+        {
             if let Some(job) = self.jobs.get(job_of(&task.task_name)) {
                 let team = used.entry(job.spec.team.as_str()).or_default();
                 team.cpus += task.cpus;
--- a/crates/testkit/src/world/checks/waiting.rs
+++ b/crates/testkit/src/world/checks/waiting.rs
@@ -87,10 +87,10 @@
     fn room_on<'a>(&self, machine: &'a Machine) -> Room<'a> {
         let kind = self.cloud.machine_type(&machine.machine_type);
         let memory_gb = kind.map_or(0.0, |kind| kind.memory_gb);
-        let tasks = machine.live();
+        let tasks = machine.live_tasks();
         let jobs = tasks.filter_map(|task| self.jobs.get(job_of(&task.task_name)));
         let used_gb: f64 = jobs.map(|job| job.spec.memory_gb).sum();
-        let used_cpus: f64 = machine.live().map(|task| task.cpus).sum();
+        let used_cpus: f64 = machine.live_tasks().map(|task| task.cpus).sum();
         Room {
             machine,
             cpus: machine.cpus - used_cpus,
@@ -151,7 +151,7 @@
     fn live_tasks_by_zone(&self) -> BTreeMap<&str, BTreeMap<&str, u64>> {
         let mut live: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
         for machine in self.present_machines() {
-            for task in machine.live() {
+            for task in machine.live_tasks() {
                 let zones = live.entry(job_of(&task.task_name)).or_default();
                 *zones.entry(&machine.zone).or_insert(0) += 1;
             }
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -105,7 +105,7 @@
         let zone = directive.options.get("zone");
         let machines = self.present_machines().filter(|machine| machine.is_up);
         let machines = machines.filter(|machine| zone.is_none_or(|zone| *zone == machine.zone));
-        let tasks = machines.flat_map(|machine| machine.live());
+        let tasks = machines.flat_map(|machine| machine.live_tasks());
         let serving = tasks
             .filter(|task| {
                 task.status == TaskStatus::Running && task.task_name.starts_with(&prefix)
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -53,7 +53,7 @@
     fn runs_for_long(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
         let machines = self.present_machines().filter(|machine| machine.is_up);
-        let mut tasks = machines.flat_map(|machine| machine.live());
+        let mut tasks = machines.flat_map(|machine| machine.live_tasks());
         tasks.any(|task| {
             task.status == TaskStatus::Running
                 && task.task_name.starts_with(&prefix)
@@ -64,7 +64,7 @@
     /// Some machines that hold tasks of these jobs hang up to this time.
     fn hang_machines_of(&mut self, jobs: &[String], until: Micros) {
         let holds = |machine: &&mut Machine| {
-            let mut tasks = machine.live();
+            let mut tasks = machine.live_tasks();
             tasks.any(|task| jobs.iter().any(|job| job == job_of(&task.task_name)))
         };
         let machines = self.machines.values_mut();
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -107,7 +107,7 @@
         .handle_direct_command(caller, &format!("worker:{holder}"), &body)
         .expect("no fault");
     let is_live = |world: &World| {
-        let mut tasks = world.machines[&holder].live();
+        let mut tasks = world.machines[&holder].live_tasks();
         tasks.any(|task| task.task_name == first.task_name)
     };
     assert!(is_live(&world));
