--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -344,7 +344,9 @@
         self.machine.lease_start = sent;
         let now = self.cluster.now();
         let job_facts = &self.cluster.0.job_facts;
-        let started = self.machine.carry_out(now, &response.commands, job_facts);
+        let started = self
+            .machine
+            .apply_commands(now, &response.commands, job_facts);
         self.note_started(started);
     }
 
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -245,7 +245,7 @@
     }
 
     /// Carries out commands. The result names the tasks that came onto the machine.
-    pub fn carry_out(
+    pub fn apply_commands(
         &mut self,
         now: Micros,
         commands: &[Command],
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -91,7 +91,7 @@
         }
         machine.token = response.token;
         machine.lease_start = sent;
-        let started = machine.carry_out(self.now, &response.commands, &self.job_facts);
+        let started = machine.apply_commands(self.now, &response.commands, &self.job_facts);
         self.check_starts(name, &started)
     }
 
@@ -238,7 +238,7 @@
             (409, Vec::new())
         } else {
             machine.token = commands.token;
-            let started = machine.carry_out(self.now, &commands.commands, &self.job_facts);
+            let started = machine.apply_commands(self.now, &commands.commands, &self.job_facts);
             (200, started)
         };
         let heartbeat = to_cbor(&machine.heartbeat(self.now));
