--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -305,7 +305,7 @@
     fn send_heartbeat(&mut self, now: Micros) {
         self.machine.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let Some(front) = self.front else { return };
-        let heartbeat = to_cbor(&self.machine.heartbeat(now));
+        let heartbeat = to_cbor(&self.machine.build_heartbeat(now));
         match blocking::request(front, "POST", "/checkin", &heartbeat) {
             Ok(response) if response.status == 200 => self.carry_out(now, &response.body),
             Ok(response) if response.status == 421 => {
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -227,7 +227,7 @@
     }
 
     /// The agent's next heartbeat.
-    pub fn heartbeat(&mut self, now: Micros) -> Heartbeat {
+    pub fn build_heartbeat(&mut self, now: Micros) -> Heartbeat {
         self.sequence += 1;
         let reclaimed_in = self.reclaim_at.map(|at| at.saturating_sub(now));
         Heartbeat {
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -241,7 +241,7 @@
             let started = machine.apply_commands(self.now, &commands.commands, &self.job_facts);
             (200, started)
         };
-        let heartbeat = to_cbor(&machine.heartbeat(self.now));
+        let heartbeat = to_cbor(&machine.build_heartbeat(self.now));
         self.reply(caller, Link::Agents, CALL_LATENCY, status, heartbeat);
         self.check_starts(&name, &started)
     }
@@ -320,7 +320,7 @@
         machine.last_contact_at = now;
         machine.next_heartbeat = now + interval;
         machine.reported_token = machine.token;
-        let body = to_cbor(&machine.heartbeat(now));
+        let body = to_cbor(&machine.build_heartbeat(now));
         let (controller, sequence) = (machine.controller, machine.sequence);
         let unplugged = now < machine.unplugged_until;
         let requester = Requester::Heartbeat {
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -42,7 +42,7 @@
     let mut world = running();
     let leader = leader_of(&world);
     let (holder, _) = holder_and_other(&world, "req-1");
-    let newest = machine(&mut world, &holder).heartbeat(4 * SECOND);
+    let newest = machine(&mut world, &holder).build_heartbeat(4 * SECOND);
     let copy = |incarnation, sequence, token| {
         let heartbeat = Heartbeat {
             incarnation,
