--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -190,13 +190,13 @@
     }
 
     /// Whether responses and direct commands reach its agent.
-    pub fn receives(&self, now: Micros) -> bool {
+    pub fn can_receive(&self, now: Micros) -> bool {
         now >= self.deaf_until.max(self.unplugged_until)
     }
 
     /// Whether its agent runs, and is connected both ways.
     pub fn is_reachable(&self, now: Micros) -> bool {
-        self.receives(now) && now >= self.hangs_until.max(self.mute_until)
+        self.can_receive(now) && now >= self.hangs_until.max(self.mute_until)
     }
 
     /// Whether a task of this job is on it.
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -72,7 +72,7 @@
         if !awaited || machine.is_gone {
             return None;
         }
-        if self.faults.lose_response.remove(name) || !machine.receives(self.now) {
+        if self.faults.lose_response.remove(name) || !machine.can_receive(self.now) {
             return None;
         }
         machine.in_flight = None;
@@ -213,7 +213,7 @@
     ) -> StepResult {
         let name = address.trim_start_matches("worker:").to_string();
         let receives =
-            |machine: &Machine| !machine.is_gone && machine.is_up && machine.receives(self.now);
+            |machine: &Machine| !machine.is_gone && machine.is_up && machine.can_receive(self.now);
         if !self.machines.get(&name).is_some_and(receives) {
             return Ok(());
         }
