--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -39,7 +39,7 @@
         let Some(measures) = world.measures.take() else {
             continue;
         };
-        for (kind, times) in &measures.steps {
+        for (kind, times) in &measures.leader_step_times_ns {
             let total_s = times.mean() * times.len() as f64 / 1e9;
             println!(
                 "| {machines} | {kind:?} | {} | {:.1} | {:.1} | {:.0} | {:.4} |",
@@ -51,7 +51,7 @@
             );
         }
         let heartbeats = measures
-            .steps
+            .leader_step_times_ns
             .get(&StepKind::Heartbeat)
             .map_or(0, |histogram| histogram.len());
         let before = allocated();
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -86,7 +86,7 @@
         for team in measures.starts.values() {
             starts.add(team)?;
         }
-        let steps = measures.steps.values();
+        let steps = measures.leader_step_times_ns.values();
         let leader_s: f64 = steps
             .map(|step| step.mean() * step.len() as f64 / 1e9)
             .sum();
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct Measures {
     /// Processor time of the leader's steps, in nanoseconds.
-    pub steps: BTreeMap<StepKind, Histogram<u64>>,
+    pub leader_step_times_ns: BTreeMap<StepKind, Histogram<u64>>,
     /// Puts and deletes that the key-value store carried out for any controller.
     pub changes: u64,
     /// Requests to the key-value store of all controllers.
@@ -94,7 +94,10 @@
 
     /// Notes a step of the leader.
     pub(crate) fn step(&mut self, kind: StepKind, took: Duration) {
-        let histogram = self.steps.entry(kind).or_insert_with(new_histogram);
+        let histogram = self
+            .leader_step_times_ns
+            .entry(kind)
+            .or_insert_with(new_histogram);
         // It grows as needed; no step takes longer than it can grow to.
         let _ = histogram.record(took.as_nanos() as u64);
     }
