--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -96,7 +96,7 @@
             measures.leaderless_starts,
             measures.changes as f64 / LENGTH_S as f64,
             leader_s / LENGTH_S as f64,
-            measures.other_steps.as_secs_f64() / LENGTH_S as f64,
+            measures.follower_step_time.as_secs_f64() / LENGTH_S as f64,
         );
         if let Some(idle) = &measures.idle_granted {
             println!(
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -44,7 +44,7 @@
     /// Requests to the key-value store of all controllers.
     pub requests: u64,
     /// Processor time of all steps of controllers that do not lead, in nanoseconds.
-    pub other_steps: Duration,
+    pub follower_step_time: Duration,
     /// Time from a job's submission to the first start of each of its tasks, by team, in milliseconds.
     pub starts: BTreeMap<String, Histogram<u64>>,
     /// Tasks that started while nobody led.
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -213,7 +213,7 @@
         let effects = controller.step(now, input, &mut NoStopwatch);
         match (&mut self.measures, leads) {
             (Some(measures), true) => measures.step(kind, began.elapsed()),
-            (Some(measures), false) => measures.other_steps += began.elapsed(),
+            (Some(measures), false) => measures.follower_step_time += began.elapsed(),
             (None, _) => {}
         }
         Some(effects)
