--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -60,7 +60,7 @@
             "| {machines} | all | {:.0} heartbeats a second, {:.1} changes and {:.1} requests of state a \
              second, leader's memory {} KiB | | | | |",
             heartbeats as f64 / LENGTH_S as f64,
-            measures.changes as f64 / LENGTH_S as f64,
+            measures.store_changes as f64 / LENGTH_S as f64,
             measures.requests as f64 / LENGTH_S as f64,
             before.saturating_sub(allocated()) / 1024,
         );
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -94,7 +94,7 @@
             "| {machines} | {name} | {} | {} | {:.1} | {:.4} | {:.4} |",
             quantiles(Some(&starts)),
             measures.leaderless_starts,
-            measures.changes as f64 / LENGTH_S as f64,
+            measures.store_changes as f64 / LENGTH_S as f64,
             leader_s / LENGTH_S as f64,
             measures.follower_step_time.as_secs_f64() / LENGTH_S as f64,
         );
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -40,7 +40,7 @@
     /// Processor time of the leader's steps, in nanoseconds.
     pub leader_step_times_ns: BTreeMap<StepKind, Histogram<u64>>,
     /// Puts and deletes that the key-value store carried out for any controller.
-    pub changes: u64,
+    pub store_changes: u64,
     /// Requests to the key-value store of all controllers.
     pub requests: u64,
     /// Processor time of all steps of controllers that do not lead, in nanoseconds.
@@ -89,7 +89,7 @@
     /// Notes a request to the key-value store, which carried out so many puts and deletes.
     pub(crate) fn store_request(&mut self, operations: u64) {
         self.requests += 1;
-        self.changes += operations;
+        self.store_changes += operations;
     }
 
     /// Notes a step of the leader.
