--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -61,7 +61,7 @@
              second, leader's memory {} KiB | | | | |",
             heartbeats as f64 / LENGTH_S as f64,
             measures.store_changes as f64 / LENGTH_S as f64,
-            measures.requests as f64 / LENGTH_S as f64,
+            measures.store_requests as f64 / LENGTH_S as f64,
             before.saturating_sub(allocated()) / 1024,
         );
     }
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -42,7 +42,7 @@
     /// Puts and deletes that the key-value store carried out for any controller.
     pub store_changes: u64,
     /// Requests to the key-value store of all controllers.
-    pub requests: u64,
+    pub store_requests: u64,
     /// Processor time of all steps of controllers that do not lead, in nanoseconds.
     pub follower_step_time: Duration,
     /// Time from a job's submission to the first start of each of its tasks, by team, in milliseconds.
@@ -88,7 +88,7 @@
 
     /// Notes a request to the key-value store, which carried out so many puts and deletes.
     pub(crate) fn store_request(&mut self, operations: u64) {
-        self.requests += 1;
+        self.store_requests += 1;
         self.store_changes += operations;
     }
 
