--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -83,7 +83,7 @@
     for (name, settings) in SETTINGS {
         let measures = play(settings, &steady(machines))?;
         let mut starts = Histogram::<u64>::new(DIGITS)?;
-        for team in measures.starts.values() {
+        for team in measures.start_delays_ms.values() {
             starts.add(team)?;
         }
         let steps = measures.leader_step_times_ns.values();
@@ -116,7 +116,7 @@
         for run in 0..GUARANTEED_SHARE_RUNS {
             let submitted_s = 20.0 + f64::from(run) * 0.17;
             let measures = play(settings, &guaranteed_share(1.0, submitted_s))?;
-            if let Some(team) = measures.starts.get("t") {
+            if let Some(team) = measures.start_delays_ms.get("t") {
                 starts.add(team)?;
             }
         }
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -46,7 +46,7 @@
     /// Processor time of all steps of controllers that do not lead, in nanoseconds.
     pub follower_step_time: Duration,
     /// Time from a job's submission to the first start of each of its tasks, by team, in milliseconds.
-    pub starts: BTreeMap<String, Histogram<u64>>,
+    pub start_delays_ms: BTreeMap<String, Histogram<u64>>,
     /// Tasks that started while nobody led.
     pub leaderless_starts: u64,
     /// Part of a team's limit that was granted and not used, in thousandths, at each moment at which one of
@@ -73,7 +73,7 @@
     ) {
         self.leaderless_starts += u64::from(leaderless);
         if self.started.insert(task.to_string()) {
-            let starts = self.starts.entry(team.to_string());
+            let starts = self.start_delays_ms.entry(team.to_string());
             let _ = starts
                 .or_insert_with(new_histogram)
                 .record(waited / MILLISECOND);
