--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -98,7 +98,7 @@
             leader_s / LENGTH_S as f64,
             measures.follower_step_time.as_secs_f64() / LENGTH_S as f64,
         );
-        if let Some(idle) = &measures.idle_granted {
+        if let Some(idle) = &measures.unused_grant_thousandths {
             println!(
                 "| {machines} | {name}, idle part of a limit: mean {:.3}, p99 {:.3} | | | | | | | | |",
                 idle.mean() / 1e3,
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -51,7 +51,7 @@
     pub leaderless_starts: u64,
     /// Part of a team's limit that was granted and not used, in thousandths, at each moment at which one of
     /// its jobs waited for tasks.
-    pub idle_granted: Option<Histogram<u64>>,
+    pub unused_grant_thousandths: Option<Histogram<u64>>,
     started: BTreeSet<String>,
 }
 
@@ -82,7 +82,9 @@
 
     /// Notes how much of a limit is granted and not used.
     pub(crate) fn idle_granted(&mut self, thousandths: u64) {
-        let histogram = self.idle_granted.get_or_insert_with(new_histogram);
+        let histogram = self
+            .unused_grant_thousandths
+            .get_or_insert_with(new_histogram);
         let _ = histogram.record(thousandths);
     }
 
