--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -81,7 +81,7 @@
     }
 
     /// Notes how much of a limit is granted and not used.
-    pub(crate) fn idle_granted(&mut self, thousandths: u64) {
+    pub(crate) fn record_unused_grant(&mut self, thousandths: u64) {
         let histogram = self
             .unused_grant_thousandths
             .get_or_insert_with(new_histogram);
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -160,7 +160,7 @@
         }
         if let Some(measures) = &mut self.measures {
             let each = idle.into_iter();
-            each.for_each(|thousandths| measures.idle_granted(thousandths));
+            each.for_each(|thousandths| measures.record_unused_grant(thousandths));
         }
     }
 
