--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -64,7 +64,7 @@
 
 impl Measures {
     /// Notes that a task of a team started, so long after its job was submitted.
-    pub(crate) fn task_started(
+    pub(crate) fn record_task_start(
         &mut self,
         team: &str,
         task: &str,
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -153,7 +153,7 @@
         job.last_start = self.now;
         if let Some(measures) = &mut self.measures {
             let waited = self.now - job.submitted;
-            measures.task_started(&job.spec.team, task_name, waited, leaderless);
+            measures.record_task_start(&job.spec.team, task_name, waited, leaderless);
         }
         if job.cancelled_at.is_some() {
             self.checks.late_starts += 1;
