--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -89,7 +89,7 @@
     }
 
     /// Notes a request to the key-value store, which carried out so many puts and deletes.
-    pub(crate) fn store_request(&mut self, operations: u64) {
+    pub(crate) fn record_store_request(&mut self, operations: u64) {
         self.store_requests += 1;
         self.store_changes += operations;
     }
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -196,7 +196,7 @@
         }
         if let Some(measures) = &mut self.measures {
             let operations = transaction.map_or(0, |transaction| transaction.apply.len() as u64);
-            measures.store_request(if done { operations } else { 0 });
+            measures.record_store_request(if done { operations } else { 0 });
         }
         match reply {
             Reply::Now(status, body) => {
