--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -95,7 +95,7 @@
     }
 
     /// Notes a step of the leader.
-    pub(crate) fn step(&mut self, kind: StepKind, took: Duration) {
+    pub(crate) fn record_step(&mut self, kind: StepKind, took: Duration) {
         let histogram = self
             .leader_step_times_ns
             .entry(kind)
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -212,7 +212,7 @@
         let began = Instant::now();
         let effects = controller.step(now, input, &mut NoStopwatch);
         match (&mut self.measures, leads) {
-            (Some(measures), true) => measures.step(kind, began.elapsed()),
+            (Some(measures), true) => measures.record_step(kind, began.elapsed()),
             (Some(measures), false) => measures.follower_step_time += began.elapsed(),
             (None, _) => {}
         }
