--- a/crates/testkit/src/production.rs
+++ b/crates/testkit/src/production.rs
@@ -318,7 +318,7 @@
 }
 
 /// What of a message to another controller the version in production knows; the rest is lost.
-pub fn known_of_peer_request(body: &[u8]) -> Result<Vec<u8>, DecodeError> {
+pub fn known_part_of_peer_request(body: &[u8]) -> Result<Vec<u8>, DecodeError> {
     from_peer::<PeerRequest>(body).map(|known| to_peer(&known))
 }
 
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -113,7 +113,7 @@
         let mut body = call.body;
         if between_versions {
             // The version before writes and reads what it knows, and nothing else.
-            body = production::known_of_peer_request(&body).unwrap_or(body);
+            body = production::known_part_of_peer_request(&body).unwrap_or(body);
         }
         let leaves = self.arrival(from, Link::Peers, PEER_LATENCY);
         let reaches = self.arrival(to, Link::Peers, PEER_LATENCY);
--- a/crates/testkit/tests/production.rs
+++ b/crates/testkit/tests/production.rs
@@ -1,7 +1,7 @@
 //! The check of formats against the version in production.
 
 use grebewood_testkit::production::{
-    check_peer_request, check_record, known_of_peer_answer, known_of_peer_request,
+    check_peer_request, check_record, known_of_peer_answer, known_part_of_peer_request,
 };
 use grebewood_wire::http::to_value;
 use grebewood_wire::records::CancelRecord;
@@ -68,7 +68,7 @@
         from: "a".into(),
         load: 5,
     };
-    let known = known_of_peer_request(&to_peer(&request)).expect("a request");
+    let known = known_part_of_peer_request(&to_peer(&request)).expect("a request");
     let LaterRequest::Contact { from, load } = from_peer(&known).expect("a request");
     assert_eq!((from.as_str(), load), ("a", 0));
 }
