--- a/crates/testkit/src/production.rs
+++ b/crates/testkit/src/production.rs
@@ -323,7 +323,7 @@
 }
 
 /// What of the answer to such a message the version in production knows.
-pub fn known_of_peer_answer(body: &[u8]) -> Result<Vec<u8>, DecodeError> {
+pub fn known_part_of_peer_answer(body: &[u8]) -> Result<Vec<u8>, DecodeError> {
     from_peer::<PeerAnswer>(body).map(|known| to_peer(&known))
 }
 
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -217,7 +217,7 @@
             let previous_version = &self.configuration.previous_version;
             let mut ends = [controller, caller.controller].into_iter();
             if ends.any(|end| previous_version.contains(&end)) {
-                body = production::known_of_peer_answer(&body).unwrap_or(body);
+                body = production::known_part_of_peer_answer(&body).unwrap_or(body);
             }
         }
         if self
--- a/crates/testkit/tests/production.rs
+++ b/crates/testkit/tests/production.rs
@@ -1,7 +1,7 @@
 //! The check of formats against the version in production.
 
 use grebewood_testkit::production::{
-    check_peer_request, check_record, known_of_peer_answer, known_part_of_peer_request,
+    check_peer_request, check_record, known_part_of_peer_answer, known_part_of_peer_request,
 };
 use grebewood_wire::http::to_value;
 use grebewood_wire::records::CancelRecord;
@@ -58,7 +58,7 @@
         load: 5,
         ..Later::default()
     };
-    let known = known_of_peer_answer(&to_peer(&answer)).expect("an answer");
+    let known = known_part_of_peer_answer(&to_peer(&answer)).expect("an answer");
     let known: Later = from_peer(&known).expect("an answer");
     assert_eq!(
         (known.member.as_str(), known.token, known.load),
