--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -32,7 +32,7 @@
 
 impl Trace {
     /// Adds an effect of a process at this simulated time, in microseconds.
-    pub fn add(&mut self, time_us: u64, process: &str, effect: &Effect) {
+    pub fn record_effect(&mut self, time_us: u64, process: &str, effect: &Effect) {
         self.field(&time_us.to_be_bytes());
         self.field(process.as_bytes());
         match effect {
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -233,7 +233,7 @@
         };
         let process = member_name(index);
         for effect in effects {
-            trace.add(self.now, &process, effect);
+            trace.record_effect(self.now, &process, effect);
             let Effect::Answer { id, body, .. } = effect else {
                 continue;
             };
--- a/crates/testkit/tests/trace.rs
+++ b/crates/testkit/tests/trace.rs
@@ -14,7 +14,7 @@
 
 fn digest(time_us: u64, process: &str, body: &[u8]) -> String {
     let mut trace = Trace::default();
-    trace.add(time_us, process, &answer(body));
+    trace.record_effect(time_us, process, &answer(body));
     trace.digest()
 }
 
