--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -1,5 +1,5 @@
-//! The same stand-ins in real time, on sockets of the loopback interface: a key-value store and a cloud for
-//! real controllers, and agents that send heartbeats to them.
+//! Simulators in real time, on sockets of the loopback interface: a key-value store and a cloud for real
+//! controllers, and agents that send heartbeats to the controllers.
 
 use crate::machines::{JobFacts, Machine};
 use crate::state::{KeyValueStore, Reply};
@@ -16,85 +16,88 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often agents check what is due.
+/// How often agents check what is due, and the delay of the response to a watch.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long agents keep their tasks without an answer.
+/// How long agents keep their tasks without a response to a heartbeat.
 const AGENT_LEASE: Micros = 10 * SECOND;
-/// How often they send a heartbeat.
+/// How often agents send a heartbeat.
 const HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
 
-/// What happened to the tasks of all agents.
+/// The launches and completions of the tasks of all agents.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
-    /// Tasks on machines.
-    live: BTreeMap<String, String>,
-    /// How often each task came onto a machine.
+    /// The machine of each task that is on a machine now.
+    machine_of_task: BTreeMap<String, String>,
+    /// The number of launches of each task.
     pub starts: BTreeMap<String, u64>,
-    /// Tasks that completed, and how often.
+    /// The number of completions of each task that completed.
     pub completed: BTreeMap<String, u64>,
-    /// Tasks that came onto a machine while they were on another.
+    /// Tasks that were launched on a machine while they were on another one.
     pub duplicate_executions: Vec<String>,
-    /// Most tasks that were on machines at once, by the first characters of their jobs' names.
+    /// The largest number of tasks of each team that were on machines at the same time. A team is identified by
+    /// the first characters of its jobs' ids.
     pub peak_tasks_by_team: BTreeMap<String, u64>,
 }
 
-/// So many characters of a job's name stand for its team.
-const TEAM_CHARACTERS: usize = "req-1".len();
+/// The number of characters at the start of a job's id that identify its team.
+const TEAM_PREFIX_CHARACTERS: usize = "req-1".len();
 
 impl ExecutionLog {
-    /// Counts the tasks of each team that are on machines now.
-    fn note_most(&mut self) {
-        let mut now: BTreeMap<String, u64> = BTreeMap::new();
-        for task in self.live.keys() {
-            let team: String = task.chars().take(TEAM_CHARACTERS).collect();
-            *now.entry(team).or_insert(0) += 1;
+    /// Counts the tasks of each team that are on machines now and raises the peaks that they exceed.
+    fn update_peaks(&mut self) {
+        let mut tasks_by_team: BTreeMap<String, u64> = BTreeMap::new();
+        for task in self.machine_of_task.keys() {
+            let team: String = task.chars().take(TEAM_PREFIX_CHARACTERS).collect();
+            *tasks_by_team.entry(team).or_insert(0) += 1;
         }
-        for (team, tasks) in now {
-            let most = self.peak_tasks_by_team.entry(team).or_insert(0);
-            *most = tasks.max(*most);
+        for (team, tasks) in tasks_by_team {
+            let peak = self.peak_tasks_by_team.entry(team).or_insert(0);
+            *peak = tasks.max(*peak);
         }
     }
 }
 
-/// What the servers and agents of a cluster share.
+/// The state that the servers and agents of a cluster share.
 struct Shared {
-    began: Instant,
+    started_at: Instant,
     store: Mutex<KeyValueStore>,
     execution_log: Mutex<ExecutionLog>,
     job_facts: BTreeMap<String, JobFacts>,
     terminated: Mutex<BTreeSet<String>>,
     machines: Vec<String>,
-    over: AtomicBool,
+    is_stopped: AtomicBool,
 }
 
-/// A cluster without its controllers.
+/// A cluster without its controllers: the key-value store, the cloud and the agents.
 #[derive(Clone)]
 pub struct Cluster(Arc<Shared>);
 
+/// Locks a mutex, also after a thread has panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Serves requests, each on a connection of its own thread, with what `answer` makes of them.
+/// Serves HTTP requests on a free port, each connection on its own thread. `respond` maps the method, path and
+/// body of a request to the status and body of its response.
 fn serve(
-    answer: impl Fn(&str, &str, &[u8]) -> (u16, Vec<u8>) + Clone + Send + 'static,
+    respond: impl Fn(&str, &str, &[u8]) -> (u16, Vec<u8>) + Clone + Send + 'static,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let answer = answer.clone();
-            // A connection that ends, or sends no HTTP, concerns nobody else.
-            std::thread::spawn(move || serve_connection(stream, answer));
+            let respond = respond.clone();
+            // An error on one connection does not affect the others.
+            std::thread::spawn(move || serve_connection(stream, respond));
         }
     });
     Ok(address)
 }
 
-/// Serves the requests of a connection until it ends.
+/// Serves the requests of a connection until the client closes it.
 fn serve_connection(
     stream: TcpStream,
-    answer: impl Fn(&str, &str, &[u8]) -> (u16, Vec<u8>),
+    respond: impl Fn(&str, &str, &[u8]) -> (u16, Vec<u8>),
 ) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut writer = stream.try_clone()?;
@@ -109,7 +112,7 @@
         let path = words.next().unwrap_or_default().to_string();
         let mut body = vec![0; read_headers(&mut reader)?];
         reader.read_exact(&mut body)?;
-        let (status, body) = answer(&method, &path, &body);
+        let (status, body) = respond(&method, &path, &body);
         let head = format!(
             "HTTP/1.1 {status} S\r\nContent-Length: {}\r\n\r\n",
             body.len()
@@ -118,7 +121,7 @@
     }
 }
 
-/// Reads the headers of a request. The result is the length of its body.
+/// Reads the headers of a request. Returns the length of the request's body.
 fn read_headers(reader: &mut impl BufRead) -> std::io::Result<usize> {
     let mut length = 0;
     loop {
@@ -135,53 +138,57 @@
 }
 
 impl Cluster {
-    /// A cluster of so many machines that knows these jobs.
-    pub fn new(machines: usize, job_facts: BTreeMap<String, JobFacts>) -> Cluster {
+    /// Returns a cluster of this many machines whose agents know these jobs.
+    pub fn new(machine_count: usize, job_facts: BTreeMap<String, JobFacts>) -> Cluster {
         Cluster(Arc::new(Shared {
-            began: Instant::now(),
+            started_at: Instant::now(),
             store: Mutex::default(),
             execution_log: Mutex::default(),
             job_facts,
             terminated: Mutex::default(),
-            machines: (0..machines).map(|index| format!("n-{index:06}")).collect(),
-            over: AtomicBool::new(false),
+            machines: (0..machine_count)
+                .map(|index| format!("n-{index:06}"))
+                .collect(),
+            is_stopped: AtomicBool::new(false),
         }))
     }
 
+    /// Returns the time since the cluster was created.
     fn now(&self) -> Micros {
-        self.0.began.elapsed().as_micros() as Micros
+        self.0.started_at.elapsed().as_micros() as Micros
     }
 
-    /// The key-value store.
+    /// Locks and returns the key-value store.
     pub fn store(&self) -> MutexGuard<'_, KeyValueStore> {
         lock(&self.0.store)
     }
 
-    /// What happened to the tasks.
+    /// Locks and returns the log of launches and completions.
     pub fn execution_log(&self) -> MutexGuard<'_, ExecutionLog> {
         lock(&self.0.execution_log)
     }
 
-    /// Ends the agents.
+    /// Stops the agents.
     pub fn stop_agents(&self) {
-        self.0.over.store(true, Ordering::Relaxed);
+        self.0.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Serves the key-value store.
+    /// Serves the key-value store over HTTP and returns its address.
     pub fn serve_store(&self) -> std::io::Result<SocketAddr> {
         let cluster = self.clone();
-        serve(move |method, path, body| cluster.store_response(method, path, body))
+        serve(move |method, path, body| cluster.handle_store_request(method, path, body))
     }
 
-    fn store_response(&self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
-        // A watch is answered at once, whether anything has changed or not: its controller asks again.
-        let at_once = path.replace("block_ms=10000", "block_ms=0");
-        let is_watch = at_once != path;
+    /// Returns the key-value store's response to a request.
+    fn handle_store_request(&self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
+        // A watch does not block, whether a key has changed or not, because the controller sends it again.
+        let nonblocking_path = path.replace("block_ms=10000", "block_ms=0");
+        let is_watch = nonblocking_path != path;
         let response = {
             let mut store = self.store();
             let now = self.now();
             store.expire_leases(now);
-            match store.handle_request(now, 0, method, &at_once, body) {
+            match store.handle_request(now, 0, method, &nonblocking_path, body) {
                 Reply::Now(status, body) => (status, body),
                 Reply::Later => {
                     let ready = store.take_ready_watches(now).into_iter().next();
@@ -195,7 +202,8 @@
         response
     }
 
-    /// Serves the cloud: machines of one type, all of them up.
+    /// Serves the cloud over HTTP and returns its address. All machines are of one type and running, and there is
+    /// no capacity for more.
     pub fn serve_cloud(&self, machine_type: MachineType) -> std::io::Result<SocketAddr> {
         let cluster = self.clone();
         serve(move |method, path, body| {
@@ -237,7 +245,7 @@
         }
     }
 
-    /// Starts the agents, which heartbeat to these controllers in real time.
+    /// Starts the agents, which send heartbeats to these controllers in real time.
     pub fn start_agents(&self, machine_type: &MachineType, fronts: &BTreeMap<String, SocketAddr>) {
         for (index, name) in self.0.machines.iter().enumerate() {
             let mut machine = Machine::new(name, machine_type, "a");
@@ -258,56 +266,59 @@
 struct Agent {
     cluster: Cluster,
     machine: Machine,
-    /// The public interfaces of the controllers by their names.
+    /// The addresses of the controllers' public interfaces by member name.
     fronts: BTreeMap<String, SocketAddr>,
-    /// The one to which it sends heartbeats.
+    /// The address to which the agent sends heartbeats.
     front: Option<SocketAddr>,
 }
 
 impl Agent {
-    /// Runs until the cluster ends or the machine is terminated.
+    /// Runs until the agents are stopped or the machine is terminated.
     fn run(mut self) {
         let shared = self.cluster.0.clone();
-        while !shared.over.load(Ordering::Relaxed) {
+        while !shared.is_stopped.load(Ordering::Relaxed) {
             std::thread::sleep(POLL_INTERVAL);
             if lock(&shared.terminated).contains(&self.machine.name) {
-                self.forget_all();
+                self.remove_all_tasks();
                 return;
             }
             let now = self.cluster.now();
             let incarnation = self.machine.incarnation;
             let (completed, changed) = self.machine.advance(now, AGENT_LEASE, &shared.job_facts);
             if self.machine.incarnation != incarnation {
-                self.forget_all();
+                self.remove_all_tasks();
             }
-            self.note_completed(completed);
+            self.record_completions(completed);
             if changed || now >= self.machine.next_heartbeat {
                 self.send_heartbeat(now);
             }
         }
     }
 
-    /// None of its tasks are on its machine any longer.
-    fn forget_all(&self) {
-        let here = &self.machine.name;
+    /// Removes the tasks of this machine from the tasks that are on machines.
+    fn remove_all_tasks(&self) {
+        let own_name = &self.machine.name;
         let mut log = self.cluster.execution_log();
-        log.live.retain(|_, machine| machine != here);
+        log.machine_of_task.retain(|_, machine| machine != own_name);
     }
 
-    fn note_completed(&self, tasks: Vec<String>) {
+    /// Records tasks that completed on this machine.
+    fn record_completions(&self, tasks: Vec<String>) {
         let mut log = self.cluster.execution_log();
         for task in tasks {
-            log.live.remove(&task);
+            log.machine_of_task.remove(&task);
             *log.completed.entry(task).or_insert(0) += 1;
         }
     }
 
+    /// Sends a heartbeat and handles its response. After a redirect to another controller, the next heartbeat goes
+    /// there at once; after any other failure it goes to the next controller after the usual interval.
     fn send_heartbeat(&mut self, now: Micros) {
         self.machine.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let Some(front) = self.front else { return };
         let heartbeat = to_cbor(&self.machine.build_heartbeat(now));
         match blocking::request(front, "POST", "/checkin", &heartbeat) {
-            Ok(response) if response.status == 200 => self.carry_out(now, &response.body),
+            Ok(response) if response.status == 200 => self.apply_response(now, &response.body),
             Ok(response) if response.status == 421 => {
                 let redirect = from_cbor::<Redirect>(&response.body).ok();
                 let leader = redirect.and_then(|redirect| redirect.leader);
@@ -317,23 +328,24 @@
                         self.front = Some(leader);
                         self.machine.next_heartbeat = now;
                     }
-                    None => self.try_next(front),
+                    None => self.try_next_controller(front),
                 }
             }
-            _ => self.try_next(front),
+            _ => self.try_next_controller(front),
         }
     }
 
-    /// Sends its next heartbeat to the controller after this one.
-    fn try_next(&mut self, front: SocketAddr) {
+    /// Directs the next heartbeat to the controller after this one.
+    fn try_next_controller(&mut self, front: SocketAddr) {
         let all: Vec<SocketAddr> = self.fronts.values().copied().collect();
-        let place = all.iter().position(|known| *known == front);
-        let next = (place.unwrap_or(0) + 1) % all.len();
+        let index = all.iter().position(|known| *known == front);
+        let next = (index.unwrap_or(0) + 1) % all.len();
         self.front = all.get(next).copied();
     }
 
-    /// Carries out what the response to a heartbeat says, unless it comes from a leader of an older token.
-    fn carry_out(&mut self, sent: Micros, body: &[u8]) {
+    /// Renews the lease and applies the commands of the response to a heartbeat, unless its fencing token is lower
+    /// than the highest one that the agent has seen.
+    fn apply_response(&mut self, sent_at: Micros, body: &[u8]) {
         let Ok(response) = from_cbor::<HeartbeatResponse>(body) else {
             return;
         };
@@ -341,34 +353,34 @@
             return;
         }
         self.machine.token = response.token;
-        self.machine.lease_start = sent;
+        self.machine.lease_start = sent_at;
         let now = self.cluster.now();
         let job_facts = &self.cluster.0.job_facts;
-        let started = self
+        let launched = self
             .machine
             .apply_commands(now, &response.commands, job_facts);
-        self.note_started(started);
+        self.record_launches(launched);
     }
 
-    /// Notes the tasks that came onto its machine, and those that are no longer there.
-    fn note_started(&self, tasks: Vec<String>) {
-        let here = &self.machine.name;
+    /// Records the tasks that were launched on this machine, and removes those that are no longer on it.
+    fn record_launches(&self, tasks: Vec<String>) {
+        let own_name = &self.machine.name;
         let mut log = self.cluster.execution_log();
         for task in tasks {
             *log.starts.entry(task.clone()).or_insert(0) += 1;
-            let other = log.live.insert(task.clone(), here.clone());
-            if other.is_some_and(|other| other != *here) {
+            let previous = log.machine_of_task.insert(task.clone(), own_name.clone());
+            if previous.is_some_and(|previous| previous != *own_name) {
                 log.duplicate_executions.push(task);
             }
         }
-        // What was stopped is gone; what goes on is live.
+        // Tasks that were stopped are no longer on the machine; the live tasks remain.
         let live = self
             .machine
             .live_tasks()
             .map(|task| task.task_name.as_str());
         let live: BTreeSet<&str> = live.collect();
-        log.live
-            .retain(|task, machine| machine != here || live.contains(task.as_str()));
-        log.note_most();
+        log.machine_of_task
+            .retain(|task, machine| machine != own_name || live.contains(task.as_str()));
+        log.update_peaks();
     }
 }
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -1,29 +1,29 @@
-//! Stand-ins for the cloud's machines and their agents.
+//! Simulated machines of the cloud and their agents.
 
 use crate::time::{from_seconds, Micros, MILLISECOND};
 use grebewood_wire::http::{Command, ExitCause, Heartbeat, MachineType, ReportedTask};
 use std::collections::BTreeMap;
 
-/// How long an agent fetches the image of a task.
+/// The time that an agent takes to fetch the image of a task.
 const FETCH_TIME: Micros = 500 * MILLISECOND;
-/// Sums of CPUs that differ by less are the same.
-const SLACK: f64 = 1e-6;
+/// The tolerance for rounding errors in sums of CPUs.
+const CPU_TOLERANCE: f64 = 1e-6;
 
 /// The state of a task on an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskStatus {
-    /// Its image is fetched.
+    /// The agent fetches the task's image.
     Fetching,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It writes a checkpoint before it stops.
+    /// The task writes a checkpoint before it stops.
     Checkpointing,
-    /// It has ended, and its exit is yet to be acknowledged.
+    /// The task has ended, and no controller has acknowledged its exit yet.
     Exited,
 }
 
 impl TaskStatus {
-    /// All of them.
+    /// All states.
     pub const ALL: [TaskStatus; 4] = [
         TaskStatus::Fetching,
         TaskStatus::Running,
@@ -31,7 +31,7 @@
         TaskStatus::Exited,
     ];
 
-    /// The word for it in heartbeats.
+    /// Returns the name of the state in heartbeats.
     pub fn as_str(self) -> &'static str {
         match self {
             TaskStatus::Fetching => "fetching",
@@ -45,24 +45,24 @@
 /// A task on an agent.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Its job and its number, `JOB/N`.
+    /// The job's id and the number of the task in its job, `JOB/N`.
     pub task_name: String,
-    /// The number of the attempt, which is part of a task's identity.
+    /// The number of the attempt, which identifies the task together with its name.
     pub attempt: u64,
-    /// Its present state.
+    /// The current state.
     pub status: TaskStatus,
-    /// Why it has ended, in the word for it in heartbeats.
+    /// The exit cause by its name in heartbeats, once the task has ended.
     pub cause: Option<&'static str>,
-    /// It has written a checkpoint before it ended.
+    /// Whether the task wrote a checkpoint before it ended.
     pub checkpointed: bool,
-    /// When its present state ends.
+    /// When the current state ends.
     pub state_ends_at: Micros,
-    /// The CPUs that it takes.
+    /// The CPUs that the task uses.
     pub cpus: f64,
 }
 
 impl Task {
-    /// Whether this is the attempt that a command is about.
+    /// Returns whether a command is for this attempt.
     fn is_target_of(&self, command: &Command) -> bool {
         self.task_name == command.task_name && self.attempt == command.attempt
     }
@@ -73,91 +73,91 @@
     }
 }
 
-/// What an agent knows of a job, since it fetches the description on its own.
+/// The properties of a job that a simulated agent needs to run its tasks.
 #[derive(Clone, Debug)]
 pub struct JobFacts {
-    /// The CPUs that each task takes.
+    /// The CPUs that each task uses.
     pub cpus: f64,
     /// How long a task runs, in microseconds.
     pub run_time: Micros,
     /// How long a task takes to write a checkpoint, in microseconds.
     pub checkpoint_time: Micros,
-    /// Its tasks write checkpoints.
+    /// Whether the job's tasks write checkpoints when they are stopped.
     pub writes_checkpoints: bool,
-    /// Its tasks fail on every machine.
+    /// Whether the job's tasks fail on every machine.
     pub always_fails: bool,
 }
 
-/// A heartbeat whose response an agent waits for.
+/// A heartbeat that an agent has sent and that has no response yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightHeartbeat {
-    /// Its number.
+    /// The id of the heartbeat.
     pub id: u64,
-    /// When it was sent.
+    /// When the heartbeat was sent.
     pub sent_at: Micros,
     /// The incarnation of the agent that sent it.
     pub incarnation: u64,
 }
 
-/// A machine with its agent. Times are simulated ones, in microseconds.
+/// A machine with its agent. Times are in microseconds since the start of the scenario or of the loopback cluster.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name, which is its id in the cloud, too.
+    /// The name of the machine, which is also its id in the cloud.
     pub name: String,
-    /// The name of its type.
+    /// The name of the machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Its CPUs.
+    /// The CPUs of the machine.
     pub cpus: f64,
-    /// When it was provisioned.
+    /// When the machine was provisioned.
     pub provisioned_at: Micros,
-    /// When it is up; never for a boot that fails.
+    /// When the machine comes up; `None` if its boot fails.
     pub boots_at: Option<Micros>,
-    /// It has come up.
+    /// Whether the machine has come up.
     pub is_up: bool,
-    /// It was terminated, reclaimed or lost.
+    /// Whether the machine was terminated, reclaimed or lost.
     pub is_gone: bool,
-    /// Until then neither its agent nor its tasks do anything.
+    /// The end of a hang, during which neither the agent nor the tasks make progress.
     pub hangs_until: Micros,
-    /// Until then its heartbeats arrive, but responses and commands do not reach it.
+    /// The end of a fault in which heartbeats reach controllers, but no response or command reaches the agent.
     pub deaf_until: Micros,
-    /// Until then nothing reaches it or comes from it, while its tasks go on.
+    /// The end of a fault in which no message passes in either direction, while the tasks continue.
     pub unplugged_until: Micros,
-    /// Until then it reaches no controller, while direct commands reach it.
+    /// The end of a fault in which the agent reaches no controller, while direct commands reach the agent.
     pub mute_until: Micros,
-    /// Tasks fail on it.
+    /// Whether the tasks on this machine fail.
     pub is_faulty: bool,
-    /// When the cloud reclaims it.
+    /// When the cloud reclaims the machine.
     pub reclaim_at: Option<Micros>,
-    /// The incarnation of its agent.
+    /// The incarnation of the agent.
     pub incarnation: u64,
-    /// The number of the last heartbeat of this incarnation.
+    /// The sequence number of the last heartbeat of this incarnation.
     pub sequence: u64,
     /// The highest fencing token that the agent has seen.
     pub token: u64,
-    /// When the last answered heartbeat was sent, or the incarnation began.
+    /// The start of the agent's lease: when the last heartbeat with a response was sent, or the incarnation began.
     pub lease_start: Micros,
-    /// The tasks on it, with those that have ended and are not acknowledged.
+    /// The tasks on the machine, with those that have ended and are not acknowledged.
     pub tasks: Vec<Task>,
-    /// The index of the controller to which its agent sends heartbeats.
+    /// The index of the controller to which the agent sends heartbeats.
     pub controller: usize,
-    /// The heartbeat whose response its agent waits for.
+    /// The heartbeat whose response the agent waits for.
     pub in_flight: Option<InFlightHeartbeat>,
-    /// When its agent sends the next heartbeat.
+    /// When the agent sends the next heartbeat.
     pub next_heartbeat: Micros,
-    /// When its agent sent the last heartbeat.
+    /// When the agent sent the last heartbeat.
     pub last_contact_at: Micros,
-    /// The highest token that its agent has reported.
+    /// The highest fencing token that the agent has reported.
     pub reported_token: u64,
-    /// When a higher token last made it send a heartbeat at once.
+    /// When a higher fencing token last made the agent send a heartbeat early.
     pub token_reported_at: Option<Micros>,
 }
 
 impl Machine {
-    /// A machine that has yet to come up.
+    /// Returns a machine that has not come up yet.
     pub fn new(name: &str, machine_type: &MachineType, zone: &str) -> Machine {
         Machine {
             name: name.into(),
@@ -189,27 +189,27 @@
         }
     }
 
-    /// Whether responses and direct commands reach its agent.
+    /// Returns whether responses and direct commands reach the agent.
     pub fn can_receive(&self, now: Micros) -> bool {
         now >= self.deaf_until.max(self.unplugged_until)
     }
 
-    /// Whether its agent runs, and is connected both ways.
+    /// Returns whether the agent runs and has a connection in both directions.
     pub fn is_reachable(&self, now: Micros) -> bool {
         self.can_receive(now) && now >= self.hangs_until.max(self.mute_until)
     }
 
-    /// Whether a task of this job is on it.
+    /// Returns whether a task of this job is on the machine and has not exited.
     pub fn holds_task_of(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
         self.live_tasks()
             .any(|task| task.task_name.starts_with(&prefix))
     }
 
-    /// It comes up, or is reclaimed, if it is time. The result is whether it is up.
+    /// Boots or reclaims the machine if that is due. Returns whether the machine is up and not gone.
     pub fn update_lifecycle(&mut self, now: Micros) -> bool {
-        let boots = self.boots_at.is_some_and(|at| at <= now);
-        if boots && !self.is_up && !self.is_gone {
+        let boot_is_due = self.boots_at.is_some_and(|at| at <= now);
+        if boot_is_due && !self.is_up && !self.is_gone {
             self.is_up = true;
             self.lease_start = now;
             self.next_heartbeat = now;
@@ -220,13 +220,13 @@
         self.is_up && !self.is_gone
     }
 
-    /// Its agent sends the next heartbeat to the next one of so many controllers, at this time.
-    pub fn try_next_controller(&mut self, at: Micros, controllers: usize) {
-        self.controller = (self.controller + 1) % controllers;
+    /// Schedules the next heartbeat for this time and directs it to the next controller.
+    pub fn try_next_controller(&mut self, at: Micros, controller_count: usize) {
+        self.controller = (self.controller + 1) % controller_count;
         self.next_heartbeat = at;
     }
 
-    /// The agent's next heartbeat.
+    /// Builds the agent's next heartbeat and advances its sequence number.
     pub fn build_heartbeat(&mut self, now: Micros) -> Heartbeat {
         self.sequence += 1;
         let reclaimed_in = self.reclaim_at.map(|at| at.saturating_sub(now));
@@ -240,22 +240,22 @@
             sequence: self.sequence,
             token: self.token,
             reclaim_s: reclaimed_in.map(|span| span as f64 / 1e6),
-            tasks: self.tasks.iter().map(reported).collect(),
+            tasks: self.tasks.iter().map(reported_task).collect(),
         }
     }
 
-    /// Carries out commands. The result names the tasks that came onto the machine.
+    /// Applies commands. Returns the names of the tasks that were launched.
     pub fn apply_commands(
         &mut self,
         now: Micros,
         commands: &[Command],
         jobs: &BTreeMap<String, JobFacts>,
     ) -> Vec<String> {
-        let mut started = Vec::new();
+        let mut launched = Vec::new();
         for command in commands {
             let job = job_facts(jobs, &command.task_name);
             match command.verb.as_str() {
-                "launch" => started.extend(self.launch(now, command, job)),
+                "launch" => launched.extend(self.launch(now, command, job)),
                 "stop" => self.stop(now, command, job),
                 "reap" => self.tasks.retain(|task| {
                     !task.is_target_of(command) || task.status != TaskStatus::Exited
@@ -263,15 +263,16 @@
                 _ => {}
             }
         }
-        started
+        launched
     }
 
-    /// Launches a task, unless it is there already. The result is its name if it came onto the machine.
+    /// Launches a task, unless the agent has this attempt already. A task that the agent refuses is kept as
+    /// exited, with the cause. Returns the task's name if it was launched.
     fn launch(&mut self, now: Micros, command: &Command, job: Option<&JobFacts>) -> Option<String> {
         if self.tasks.iter().any(|task| task.is_target_of(command)) {
             return None;
         }
-        let refused = self.launch_refusal(command, job);
+        let refusal = self.launch_refusal(command, job);
         let mut task = Task {
             task_name: command.task_name.clone(),
             attempt: command.attempt,
@@ -281,14 +282,15 @@
             state_ends_at: now + FETCH_TIME,
             cpus: job.map_or(0.0, |job| job.cpus),
         };
-        if let Some(cause) = refused {
+        if let Some(cause) = refusal {
             task.exit(cause);
         }
         self.tasks.push(task);
-        refused.is_none().then(|| command.task_name.clone())
+        refusal.is_none().then(|| command.task_name.clone())
     }
 
-    /// Why a task cannot be launched.
+    /// Returns the exit cause for a task that cannot be launched: its job is unknown, another attempt of it is on
+    /// the machine, or there are too few CPUs left.
     fn launch_refusal(&self, command: &Command, job: Option<&JobFacts>) -> Option<&'static str> {
         let Some(job) = job else {
             return Some("unknown");
@@ -299,11 +301,12 @@
         {
             return Some("busy");
         }
-        let used: f64 = self.live_tasks().map(|task| task.cpus).sum();
-        (used + job.cpus > self.cpus + SLACK).then_some("no_room")
+        let used_cpus: f64 = self.live_tasks().map(|task| task.cpus).sum();
+        (used_cpus + job.cpus > self.cpus + CPU_TOLERANCE).then_some("no_room")
     }
 
-    /// Stops a task: with a checkpoint if its job writes any and the grace period is long enough.
+    /// Stops a task, with a checkpoint if the task runs, its job writes checkpoints and the grace period is long
+    /// enough.
     fn stop(&mut self, now: Micros, command: &Command, job: Option<&JobFacts>) {
         let grace = from_seconds(command.grace_s.unwrap_or(0.0));
         let checkpoint = job.filter(|job| job.writes_checkpoints && grace >= job.checkpoint_time);
@@ -321,13 +324,13 @@
         }
     }
 
-    /// Tasks that are on the machine.
+    /// Returns the tasks on the machine that have not exited.
     pub fn live_tasks(&self) -> impl Iterator<Item = &Task> {
         let tasks = self.tasks.iter();
         tasks.filter(|task| task.status != TaskStatus::Exited)
     }
 
-    /// Its agent starts anew: the tasks are killed and forgotten.
+    /// Restarts the agent with a new incarnation and without its tasks.
     pub fn restart_agent(&mut self, now: Micros) {
         self.tasks.clear();
         self.incarnation += 1;
@@ -336,8 +339,8 @@
         self.in_flight = None;
     }
 
-    /// Lets time pass for the tasks, which end with the agent's lease. Returns the tasks that completed,
-    /// and whether anything changed.
+    /// Moves tasks on whose current state has ended, and restarts the agent, which ends its tasks, if its lease
+    /// has expired. Returns the tasks that completed, and whether anything changed.
     pub fn advance(
         &mut self,
         now: Micros,
@@ -380,8 +383,8 @@
     }
 }
 
-/// A task as heartbeats report it.
-fn reported(task: &Task) -> ReportedTask {
+/// Returns the report of a task in a heartbeat.
+fn reported_task(task: &Task) -> ReportedTask {
     ReportedTask {
         task_name: task.task_name.clone(),
         attempt: task.attempt,
@@ -391,7 +394,7 @@
     }
 }
 
-/// What is known of the job of a task.
+/// Returns the properties of a task's job, if the agent knows the job.
 fn job_facts<'a>(jobs: &'a BTreeMap<String, JobFacts>, task_name: &str) -> Option<&'a JobFacts> {
     let (job, _) = task_name.rsplit_once('/')?;
     jobs.get(job)
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the key-value store: keys with revisions, leases, watches and compare-and-swap transactions.
+//! A simulated key-value store: keys with revisions, leases, watches and compare-and-swap transactions.
 
 use crate::time::{as_seconds, Micros, MILLISECOND};
 use grebewood_core::settings::StoreLimits;
@@ -10,18 +10,19 @@
 
 use bodies::{error_body, json_len, revision_body, EntryBody, ListBody, WatchBody, WatchEventBody};
 
-/// How many changes are kept for watches.
-const MAX_LOG: usize = 10_000;
-/// A transaction may have so many conditions for each operation that it may have.
+/// The number of changes that are kept for watches.
+const MAX_LOGGED_CHANGES: usize = 10_000;
+/// The number of conditions that a transaction may have for each operation that the limits allow it.
 const CONDITIONS_PER_OPERATION: usize = 4;
-/// How many keys a list has if the request does not say.
-const DEFAULT_PAGE: usize = 1_000;
-/// How long a lease lasts if the request does not say, in milliseconds.
+/// The number of keys on a page of a list if the request does not say.
+const DEFAULT_PAGE_KEYS: usize = 1_000;
+/// The duration of a lease if the request does not say, in milliseconds.
 const DEFAULT_LEASE_MS: u64 = 1_000;
 
-/// The parameters of a request's path.
+/// The query parameters of a request.
 type Query<'a> = BTreeMap<&'a str, &'a str>;
 
+/// The value of a key, the revision of its last change and the lease to which it is attached, if any.
 #[derive(Clone, Debug)]
 struct Entry {
     value: Value,
@@ -29,6 +30,7 @@
     lease: Option<u64>,
 }
 
+/// A change that watches can still report: the key was put, or deleted if there is no value.
 #[derive(Clone, Debug)]
 struct LoggedChange {
     key: String,
@@ -36,42 +38,42 @@
     mod_revision: u64,
 }
 
-/// A watch that waits for a change.
+/// A pending watch request.
 #[derive(Clone, Debug)]
 struct Watch {
-    /// The name under which it was asked for.
-    ticket: u64,
+    /// The id that the caller of [`KeyValueStore::handle_request`] gave the request.
+    watch_id: u64,
     prefix: String,
-    /// Only changes after this revision count.
-    since: u64,
-    /// It is answered then even if nothing has changed.
-    until: Micros,
+    /// The revision after which changes are reported.
+    since_revision: u64,
+    /// When the watch is answered even if no key with its prefix has changed.
+    deadline: Micros,
 }
 
-/// A lease, whose keys are deleted when it expires.
+/// A lease. The keys attached to it are deleted when it expires.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     duration: Micros,
     expires_at: Micros,
 }
 
-/// Requests and changes that may still come, as of a moment.
+/// The token buckets of the rate limits: the requests and changes that are left at the last refill.
 #[derive(Clone, Copy, Debug, Default)]
-struct TokenBucket {
+struct TokenBuckets {
     requests: f64,
     changes: f64,
-    filled_at: Micros,
+    refilled_at: Micros,
 }
 
-/// What a request leads to.
+/// The result of a request.
 pub enum Reply {
-    /// A status and a body.
+    /// A response that is ready, with its status and its body.
     Now(u16, Vec<u8>),
-    /// The answer comes when something changes.
+    /// A response that [`KeyValueStore::take_ready_watches`] returns after a change or a timeout.
     Later,
 }
 
-/// The store.
+/// The simulated key-value store.
 #[derive(Default)]
 pub struct KeyValueStore {
     entries: BTreeMap<String, Entry>,
@@ -79,21 +81,22 @@
     next_lease: u64,
     /// The revision of the last change.
     revision: u64,
-    log: VecDeque<LoggedChange>,
+    change_log: VecDeque<LoggedChange>,
     watches: Vec<Watch>,
-    /// There is an outage: everything but watches is answered 503.
+    /// Whether there is an outage. Every request but a watch is then answered 503, and watches stay pending.
     pub is_down: bool,
-    /// What it takes: more than a second's worth is answered 429, larger ones 400.
+    /// The limits of the store. Requests and changes above the rates are answered 429, larger transactions
+    /// and values 400.
     pub limits: Option<StoreLimits>,
-    tokens: TokenBucket,
-    /// Until then every change is answered 429.
+    tokens: TokenBuckets,
+    /// Before this time every change is answered 429.
     pub writes_throttled_until: Micros,
-    /// Transactions that were answered 400 because they were malformed.
+    /// The number of transactions that were answered 400 because they exceed the limits.
     pub malformed_transactions: u64,
 }
 
 impl KeyValueStore {
-    /// Keys with this prefix, their values and mod_revisions.
+    /// Returns the keys with this prefix, with their values and mod_revisions.
     pub fn entries_with_prefix<'a>(
         &'a self,
         prefix: &'a str,
@@ -103,8 +106,8 @@
         entries.map(|(key, entry)| (key.as_str(), &entry.value, entry.mod_revision))
     }
 
-    /// Puts or deletes a key under the present revision, and tells it to watches.
-    fn change(&mut self, key: &str, entry: Option<Entry>) {
+    /// Puts or deletes a key at the current revision and logs the change for watches.
+    fn apply_change(&mut self, key: &str, entry: Option<Entry>) {
         let value = entry.as_ref().map(|entry| entry.value.clone());
         let changed = match entry {
             Some(entry) => {
@@ -116,17 +119,17 @@
         if !changed {
             return;
         }
-        self.log.push_back(LoggedChange {
+        self.change_log.push_back(LoggedChange {
             key: key.to_string(),
             value,
             mod_revision: self.revision,
         });
-        if self.log.len() > MAX_LOG {
-            self.log.pop_front();
+        if self.change_log.len() > MAX_LOGGED_CHANGES {
+            self.change_log.pop_front();
         }
     }
 
-    /// Ends leases whose time is over.
+    /// Revokes the leases that have expired, but none during an outage.
     pub fn expire_leases(&mut self, now: Micros) {
         if self.is_down {
             return;
@@ -135,22 +138,23 @@
         let expired = leases.filter(|(_, lease)| lease.expires_at <= now);
         let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
         for id in expired {
-            self.end_lease(id);
+            self.revoke_lease(id);
         }
     }
 
-    fn end_lease(&mut self, id: u64) {
+    /// Removes a lease and deletes the keys attached to it, each at a revision of its own.
+    fn revoke_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let entries = self.entries.iter();
         let attached = entries.filter(|(_, entry)| entry.lease == Some(id));
         let keys: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.revision += 1;
-            self.change(&key, None);
+            self.apply_change(&key, None);
         }
     }
 
-    /// An outage ends: every lease has its full time again.
+    /// Ends an outage and renews every lease for its full duration.
     pub fn end_outage(&mut self, now: Micros) {
         self.is_down = false;
         for lease in self.leases.values_mut() {
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Overwrites a record with something unreadable.
+    /// Overwrites a record with an unreadable value. Returns `false` if the key does not exist.
     pub fn corrupt(&mut self, key: &str) -> bool {
         let Some(entry) = self.entries.get(key).cloned() else {
             return false;
@@ -169,11 +173,11 @@
             mod_revision: self.revision,
             ..entry
         };
-        self.change(key, Some(entry));
+        self.apply_change(key, Some(entry));
         true
     }
 
-    /// Puts a record there that was written before, with its mod_revision.
+    /// Loads a record of a snapshot with its mod_revision. Watches do not report it.
     pub fn load(&mut self, key: &str, value: Value, mod_revision: u64) {
         self.revision = self.revision.max(mod_revision);
         let entry = Entry {
@@ -184,7 +188,7 @@
         self.entries.insert(key.to_string(), entry);
     }
 
-    /// Writes a key as an operator would, whatever its mod_revision.
+    /// Puts a key without a condition on its mod_revision, as an operator would.
     pub fn write(&mut self, key: &str, value: Value) {
         self.revision += 1;
         let entry = Entry {
@@ -192,33 +196,34 @@
             mod_revision: self.revision,
             lease: None,
         };
-        self.change(key, Some(entry));
+        self.apply_change(key, Some(entry));
     }
 
-    /// Takes tokens for requests and changes; `false`: there are too few, which is answered 429.
+    /// Takes tokens for requests and changes. Returns `false` and takes none if there are too few, or if there
+    /// are changes while writes are throttled; the request is then answered 429.
     fn take_tokens(&mut self, now: Micros, requests: f64, changes: f64) -> bool {
         let Some(limits) = self.limits else {
             return true;
         };
-        let passed_s = as_seconds(now - self.tokens.filled_at);
-        let refill = |left: f64, rate: f64| (left + passed_s * rate).min(rate);
-        let mut tokens = TokenBucket {
+        let elapsed_s = as_seconds(now - self.tokens.refilled_at);
+        let refill = |left: f64, rate: f64| (left + elapsed_s * rate).min(rate);
+        let mut tokens = TokenBuckets {
             requests: refill(self.tokens.requests, limits.rps),
             changes: refill(self.tokens.changes, limits.write_rps),
-            filled_at: now,
+            refilled_at: now,
         };
-        let busy = changes != 0.0 && now < self.writes_throttled_until;
-        let enough = tokens.requests >= requests && tokens.changes >= changes && !busy;
-        if enough {
+        let is_throttled = changes != 0.0 && now < self.writes_throttled_until;
+        let is_admitted = tokens.requests >= requests && tokens.changes >= changes && !is_throttled;
+        if is_admitted {
             tokens.requests -= requests;
             tokens.changes -= changes;
         }
         self.tokens = tokens;
-        enough
+        is_admitted
     }
 
-    /// Why a transaction is malformed, if it is.
-    fn malformed(&self, transaction: &Transaction) -> Option<String> {
+    /// Returns the error text for a transaction that exceeds the limits.
+    fn exceeded_limit(&self, transaction: &Transaction) -> Option<String> {
         let limits = self.limits?;
         let max_operations = limits.transaction_operations;
         let max_conditions = CONDITIONS_PER_OPERATION * max_operations;
@@ -236,23 +241,24 @@
             })
     }
 
-    /// The size of the largest value there, in bytes, and its key.
+    /// Returns the size of the largest value as JSON, in bytes, and its key.
     pub fn largest_value(&self) -> (usize, &str) {
         let entries = self.entries.iter();
         let sizes = entries.map(|(key, entry)| (json_len(&entry.value), key.as_str()));
         sizes.max().unwrap_or((0, ""))
     }
 
-    /// Whether a key is there.
+    /// Returns whether a key exists.
     pub fn contains_key(&self, key: &str) -> bool {
         self.entries.contains_key(key)
     }
 
-    /// Takes one request. `ticket` names it in case the answer comes later.
+    /// Handles a request. If it is a watch, `watch_id` identifies its response in the result of
+    /// [`KeyValueStore::take_ready_watches`].
     pub fn handle_request(
         &mut self,
         now: Micros,
-        ticket: u64,
+        watch_id: u64,
         method: &str,
         path: &str,
         body: &[u8],
@@ -272,28 +278,28 @@
         match (method, path) {
             ("GET", "/kv") => self.list(&query),
             ("GET", "/changes") => {
-                self.watch(now, ticket, &query);
+                self.add_watch(now, watch_id, &query);
                 Reply::Later
             }
-            ("POST", "/txn") => self.transaction(now, body),
+            ("POST", "/txn") => self.execute_transaction(now, body),
             ("POST", "/leases") => self.grant_lease(now, body),
             _ => match path.strip_prefix("/kv/") {
                 Some(key) => self.read(key),
-                None => self.lease_request(now, method, path),
+                None => self.handle_lease_request(now, method, path),
             },
         }
     }
 
-    fn watch(&mut self, now: Micros, ticket: u64, query: &Query) {
+    fn add_watch(&mut self, now: Micros, watch_id: u64, query: &Query) {
         let number = |key: &str| {
             let value = query.get(key).and_then(|value| value.parse().ok());
             value.unwrap_or(0)
         };
         self.watches.push(Watch {
-            ticket,
+            watch_id,
             prefix: query.get("prefix").unwrap_or(&"").to_string(),
-            since: number("since"),
-            until: now + number("block_ms") * MILLISECOND,
+            since_revision: number("since"),
+            deadline: now + number("block_ms") * MILLISECOND,
         });
     }
 
@@ -318,8 +324,8 @@
         }
     }
 
-    /// Extends or ends a lease.
-    fn lease_request(&mut self, now: Micros, method: &str, path: &str) -> Reply {
+    /// Extends or revokes a lease.
+    fn handle_lease_request(&mut self, now: Micros, method: &str, path: &str) -> Reply {
         let id = path.strip_prefix("/leases/");
         let id = id.and_then(|id| id.trim_end_matches("/extend").parse::<u64>().ok());
         let status = match (method, id) {
@@ -331,7 +337,7 @@
                 None => 404,
             },
             ("DELETE", Some(id)) => {
-                self.end_lease(id);
+                self.revoke_lease(id);
                 200
             }
             _ => 400,
@@ -341,30 +347,31 @@
 
     fn list(&self, query: &Query) -> Reply {
         let prefix = query.get("prefix").copied().unwrap_or("");
-        let since = query.get("since").copied().unwrap_or("");
-        let page = query.get("page").and_then(|page| page.parse().ok());
-        let page = page.unwrap_or(DEFAULT_PAGE);
+        let after_key = query.get("since").copied().unwrap_or("");
+        let page_keys = query.get("page").and_then(|keys| keys.parse().ok());
+        let page_keys = page_keys.unwrap_or(DEFAULT_PAGE_KEYS);
         let entries = self.entries.iter();
         let mut entries: Vec<EntryBody> = entries
-            .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > since)
-            .take(page + 1)
+            .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after_key)
+            .take(page_keys + 1)
             .map(|(key, entry)| EntryBody::new(key, entry))
             .collect();
-        let more = entries.len() > page;
-        entries.truncate(page);
+        let has_more = entries.len() > page_keys;
+        entries.truncate(page_keys);
         let list = ListBody {
             entries,
-            more,
+            has_more,
             revision: self.revision,
         };
         Reply::Now(200, to_cbor(&list))
     }
 
-    fn transaction(&mut self, now: Micros, body: &[u8]) -> Reply {
+    /// Applies the operations of a transaction at a new revision if all of its conditions hold.
+    fn execute_transaction(&mut self, now: Micros, body: &[u8]) -> Reply {
         let Ok(transaction) = from_cbor::<Transaction>(body) else {
             return Reply::Now(400, Vec::new());
         };
-        if let Some(reason) = self.malformed(&transaction) {
+        if let Some(reason) = self.exceeded_limit(&transaction) {
             self.malformed_transactions += 1;
             return Reply::Now(400, error_body(&reason));
         }
@@ -376,17 +383,17 @@
             return Reply::Now(409, to_cbor(&BTreeMap::from([("failed", failed)])));
         }
         let mut operations = transaction.apply.iter();
-        if operations.any(|operation| self.lacks_lease(operation)) {
+        if operations.any(|operation| self.names_missing_lease(operation)) {
             return Reply::Now(400, error_body("no such lease"));
         }
         self.revision += 1;
         for operation in transaction.apply {
-            self.apply(operation);
+            self.apply_operation(operation);
         }
         Reply::Now(200, revision_body(self.revision))
     }
 
-    /// The keys whose mod_revision is not what a transaction's conditions say.
+    /// Returns the keys whose mod_revision differs from the one in the transaction's condition.
     fn failed_conditions(&self, transaction: &Transaction) -> Vec<String> {
         let revision_of = |key: &str| {
             let entry = self.entries.get(key);
@@ -399,8 +406,8 @@
             .collect()
     }
 
-    /// Whether an operation puts a key under a lease that is not there.
-    fn lacks_lease(&self, operation: &Operation) -> bool {
+    /// Returns whether an operation attaches a key to a lease that does not exist.
+    fn names_missing_lease(&self, operation: &Operation) -> bool {
         match operation {
             Operation::Put {
                 lease: Some(lease), ..
@@ -409,7 +416,7 @@
         }
     }
 
-    fn apply(&mut self, operation: Operation) {
+    fn apply_operation(&mut self, operation: Operation) {
         match operation {
             Operation::Put { put, value, lease } => {
                 let entry = Entry {
@@ -417,30 +424,31 @@
                     mod_revision: self.revision,
                     lease,
                 };
-                self.change(&put, Some(entry));
+                self.apply_change(&put, Some(entry));
             }
-            Operation::Delete { delete } => self.change(&delete, None),
+            Operation::Delete { delete } => self.apply_change(&delete, None),
         }
     }
 
-    /// Answers the watches that have something to tell or time out: their tickets and bodies.
+    /// Removes the watches that have changes to report or have timed out. Returns their ids and response bodies;
+    /// none during an outage.
     pub fn take_ready_watches(&mut self, now: Micros) -> Vec<(u64, Vec<u8>)> {
         if self.is_down {
             return Vec::new();
         }
         let mut ready = Vec::new();
-        let (log, revision) = (&self.log, self.revision);
+        let (change_log, revision) = (&self.change_log, self.revision);
         self.watches.retain(|watch| {
-            let concerns = |change: &&LoggedChange| {
-                change.mod_revision > watch.since && change.key.starts_with(&watch.prefix)
+            let is_reported = |change: &&LoggedChange| {
+                change.mod_revision > watch.since_revision && change.key.starts_with(&watch.prefix)
             };
-            let changes = log.iter().filter(concerns);
-            let events: Vec<WatchEventBody> = changes.map(LoggedChange::body).collect();
-            if events.is_empty() && now < watch.until {
+            let changes = change_log.iter().filter(is_reported);
+            let events: Vec<WatchEventBody> = changes.map(LoggedChange::event_body).collect();
+            if events.is_empty() && now < watch.deadline {
                 return true;
             }
             let body = WatchBody { revision, events };
-            ready.push((watch.ticket, to_cbor(&body)));
+            ready.push((watch.watch_id, to_cbor(&body)));
             false
         });
         ready
--- a/crates/testkit/src/state/bodies.rs
+++ b/crates/testkit/src/state/bodies.rs
@@ -1,11 +1,11 @@
-//! The bodies of the store's answers, and the sizes of values.
+//! The bodies of the store's responses, and the sizes of values.
 
 use super::{Entry, LoggedChange};
 use grebewood_wire::{to_cbor, Value};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a value takes as JSON without blanks, in bytes: the store counts sizes so.
+/// Returns the size of a value as JSON without white space, in bytes. The store's limit is on this size.
 pub(super) fn json_len(value: &Value) -> usize {
     match value {
         Value::Integer(number) => i128::from(*number).to_string().len(),
@@ -13,22 +13,23 @@
         Value::Bool(flag) => flag.to_string().len(),
         Value::Null => "null".len(),
         Value::Text(text) => text.len() + 2,
-        Value::Array(items) => list_len(items.iter().map(json_len)),
+        Value::Array(items) => json_list_len(items.iter().map(json_len)),
         Value::Map(items) => {
             let sizes = items.iter();
-            list_len(sizes.map(|(key, value)| json_len(key) + 1 + json_len(value)))
+            json_list_len(sizes.map(|(key, value)| json_len(key) + 1 + json_len(value)))
         }
         _ => 0,
     }
 }
 
-/// What a list takes whose items take so much: brackets, items, and commas in between.
-fn list_len(sizes: impl Iterator<Item = usize>) -> usize {
-    let (number, sum) = sizes.fold((0, 0), |(number, sum), size| (number + 1, sum + size));
-    2 + sum + usize::max(number, 1) - 1
+/// Returns the size of a JSON list or map from the sizes of its items: brackets, items and the commas between
+/// them.
+fn json_list_len(sizes: impl Iterator<Item = usize>) -> usize {
+    let (count, sum) = sizes.fold((0, 0), |(count, sum), size| (count + 1, sum + size));
+    2 + sum + usize::max(count, 1) - 1
 }
 
-/// An entry as it is answered.
+/// An entry in a response.
 #[derive(Serialize)]
 pub(super) struct EntryBody<'a> {
     #[serde(rename = "k")]
@@ -38,7 +39,7 @@
     mod_revision: u64,
 }
 
-/// A change as it is answered: the key is in `put` or in `delete`.
+/// A change in the response to a watch: the key is in `put` or in `delete`.
 #[derive(Serialize)]
 pub(super) struct WatchEventBody<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -61,16 +62,17 @@
     }
 }
 
-/// The answer to a list.
+/// The response to a list.
 #[derive(Serialize)]
 pub(super) struct ListBody<'a> {
     pub(super) entries: Vec<EntryBody<'a>>,
-    pub(super) more: bool,
+    #[serde(rename = "more")]
+    pub(super) has_more: bool,
     #[serde(rename = "epoch")]
     pub(super) revision: u64,
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 #[derive(Serialize)]
 pub(super) struct WatchBody<'a> {
     #[serde(rename = "epoch")]
@@ -78,16 +80,18 @@
     pub(super) events: Vec<WatchEventBody<'a>>,
 }
 
+/// Encodes a response that holds only the store's revision.
 pub(super) fn revision_body(revision: u64) -> Vec<u8> {
     to_cbor(&BTreeMap::from([("epoch", revision)]))
 }
 
+/// Encodes a response that holds an error text.
 pub(super) fn error_body(text: &str) -> Vec<u8> {
     to_cbor(&BTreeMap::from([("error", text)]))
 }
 
 impl LoggedChange {
-    pub(super) fn body(&self) -> WatchEventBody<'_> {
+    pub(super) fn event_body(&self) -> WatchEventBody<'_> {
         let key = self.key.as_str();
         WatchEventBody {
             put: self.value.is_some().then_some(key),
