--- a/crates/testkit/src/error.rs
+++ b/crates/testkit/src/error.rs
@@ -1,81 +1,81 @@
-//! Why a scenario cannot be read, or does not hold.
+//! Errors of scenarios that cannot be read or that fail.
 
 use crate::time::{as_seconds, Micros};
 use std::fmt;
 
-/// Why a script, or a part of it, cannot be carried out as it is written.
+/// The reason why a scenario script cannot be executed as it is written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScriptError {
-    /// A line ends too early.
+    /// A line has too few words.
     #[error("a word is missing")]
     MissingWord,
-    /// An option that must be given is not.
+    /// A required option is missing.
     #[error("{0} is missing")]
     MissingOption(String),
-    /// The value of an option is no number.
-    #[error("{key}={text} is no number")]
+    /// The value of an option is not a number.
+    #[error("{key}={text} is not a number")]
     OptionIsNoNumber {
-        /// The option.
+        /// The name of the option.
         key: String,
-        /// Its value.
+        /// The value of the option.
         text: String,
     },
-    /// A word is no number.
-    #[error("{0}: no number")]
+    /// A word is not a number.
+    #[error("{0}: not a number")]
     NotANumber(String),
-    /// A word is no time in seconds.
-    #[error("{0} is no time")]
+    /// A word is not a time in seconds.
+    #[error("{0}: not a time in seconds")]
     NotATime(String),
-    /// Bytes are not written as pairs of hexadecimal digits.
-    #[error("{0}: no hexadecimal digits")]
+    /// A text does not consist of pairs of hexadecimal digits.
+    #[error("{0}: not pairs of hexadecimal digits")]
     NotHexadecimal(String),
-    /// A directive, or a word of one, that does not exist.
+    /// A directive, or a word in one, does not exist.
     #[error("{0}: unknown")]
     Unknown(String),
-    /// There is no such controller, machine, team, job, or record; or none in the state that is needed.
+    /// A controller, machine, team, job or record does not exist, or none is in the required state.
     #[error("{name}: no such {kind}")]
     NotFound {
-        /// What was looked for.
+        /// The kind of object.
         kind: &'static str,
-        /// The name under which it was looked for.
+        /// The name in the script.
         name: String,
     },
-    /// An operators' setting cannot be set.
+    /// A setting of the service cannot be applied.
     #[error("{0}")]
     Setting(String),
     /// A data file, or a value in it, cannot be read.
     #[error("{file}: {reason}")]
     Unreadable {
-        /// The file, or what the value stands for.
+        /// The name of the file, or the kind of value.
         file: String,
-        /// Why.
+        /// The cause.
         reason: String,
     },
-    /// There is no `end`.
+    /// The script has no `end` line.
     #[error("the scenario has no end")]
     NoEnd,
 }
 
-/// A rule that the world checks at every step.
+/// A rule that the simulated world checks while it plays a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A task is on at most one machine.
+    /// A task is on at most one machine at a time.
     RanTwice,
-    /// A task of a job that is cancelled for long is on no machine.
+    /// No task of a job runs after the cancellation timeout of the job has passed.
     RanCancelled,
-    /// A team stays within its limit.
+    /// The tasks of a team stay within its limit.
     Quota,
-    /// A task runs only where its job permits.
+    /// A task runs only on machines that its job permits.
     WrongPlace,
-    /// No job waits for long while a machine has room for it.
+    /// No job waits for long while a machine has enough free resources for it.
     Waits,
-    /// An accepted job stays known, and questions about it are answered.
+    /// An accepted job stays known, and requests for its status are answered.
     Forgotten,
-    /// What users are told about a job never goes back.
+    /// The status of a job that users are given never goes backwards.
     WentBack,
-    /// A job that is said to be done is done.
+    /// A job is reported as done only if it is done.
     NotDone,
-    /// Nothing is said of a job that nobody submitted.
+    /// No status is reported for a job that nobody submitted.
     Invented,
 }
 
@@ -95,68 +95,68 @@
     }
 }
 
-/// Why a scenario fails.
+/// The reason why a scenario fails.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScenarioError {
-    /// The script cannot be carried out.
+    /// The script cannot be executed.
     #[error(transparent)]
     Script(#[from] ScriptError),
-    /// A rule that has a name is broken.
+    /// A rule is broken.
     #[error("{rule}: {detail}")]
     RuleBroken {
-        /// The rule.
+        /// The broken rule.
         rule: Rule,
-        /// What broke it.
+        /// The objects and values that break the rule.
         detail: String,
     },
-    /// A controller did what the protocol, or the version in production, does not allow.
+    /// A controller did something that the protocol does not allow or that the version in production cannot read.
     #[error("{0}")]
     Protocol(String),
-    /// What the script expects is not so.
+    /// An expectation of the script is not met.
     #[error("{0}")]
     Unmet(String),
-    /// The cause lies in a line of the script.
+    /// An error with the line of the script that caused it.
     #[error("line {line}: {source}")]
     AtLine {
-        /// The line's number, from 1.
+        /// The number of the line, from 1.
         line: usize,
-        /// What is wrong.
+        /// The error.
         source: Box<ScenarioError>,
     },
-    /// It came up while the scenario was played.
+    /// An error with the simulated time at which it occurred.
     #[error("at {:.3} s: {source}", as_seconds(*.time))]
     AtTime {
         /// The simulated time, in microseconds.
         time: Micros,
-        /// What went wrong.
+        /// The error.
         source: Box<ScenarioError>,
     },
 }
 
 impl ScenarioError {
-    /// A named rule is broken.
+    /// Returns the error for a broken rule.
     pub(crate) fn rule(rule: Rule, detail: impl Into<String>) -> ScenarioError {
         let detail = detail.into();
         ScenarioError::RuleBroken { rule, detail }
     }
 
-    /// An expectation of the script is not met.
+    /// Returns the error for an expectation of the script that is not met.
     pub(crate) fn unmet(detail: impl Into<String>) -> ScenarioError {
         ScenarioError::Unmet(detail.into())
     }
 
-    /// Adds the line of the script in which the cause lies.
+    /// Adds the number of the line of the script that caused the error.
     pub(crate) fn at_line(self, line: usize) -> ScenarioError {
         let source = Box::new(self);
         ScenarioError::AtLine { line, source }
     }
 
-    /// Adds the simulated time.
+    /// Adds the simulated time at which the error occurred.
     pub(crate) fn at_time(self, time: Micros) -> ScenarioError {
         let source = Box::new(self);
         ScenarioError::AtTime { time, source }
     }
 }
 
-/// The outcome of a step of a scenario.
+/// The result of a step of a scenario.
 pub(crate) type StepResult<T = ()> = Result<T, ScenarioError>;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,10 +1,9 @@
-//! Stand-ins for everything around the controllers, in simulated time, and the runner of scenario
-//! files.
+//! A simulator of everything around the controllers, in simulated time, and the runner of scenario files.
 //!
-//! A scenario is a text file; [`script`] lists its lines. [`world`] plays it: real controllers
-//! ([`grebewood_core::Controller`]), a key-value store ([`state`]), a cloud with machines and agents
-//! ([`machines`]) and users, joined by links that can be cut, delayed or made to lose messages.
-//! The rules of the protocol are checked at every step; a broken one ends the scenario.
+//! A scenario is a text file; [`script`] documents its lines. [`world`] plays it with real controllers
+//! ([`grebewood_core::Controller`]), a simulated key-value store ([`state`]), a simulated cloud with machines and
+//! agents ([`machines`]) and simulated users. Links between them can be cut, delayed or made to lose messages.
+//! The rules of the protocol are checked while the scenario is played, and a broken rule ends the scenario.
 
 pub mod error;
 pub mod loopback;
@@ -20,7 +19,7 @@
 
 pub use error::{ScenarioError, ScriptError};
 
-/// Reads bytes that are written as pairs of hexadecimal digits.
+/// Decodes bytes that are written as pairs of hexadecimal digits.
 pub fn unhex(hex: &str) -> Result<Vec<u8>, ScriptError> {
     let byte = |digits: &[u8]| {
         let digits = std::str::from_utf8(digits).ok()?;
@@ -30,7 +29,8 @@
     bytes.ok_or_else(|| ScriptError::NotHexadecimal(hex.to_string()))
 }
 
-/// Plays a scenario and measures what its leader costs.
+/// Plays a scenario and measures the steps of its controllers, their requests to the key-value store and the delay
+/// until tasks start.
 pub fn play_measured(text: &str) -> Result<world::World, ScenarioError> {
     let mut world = world::World::new(script::parse(text)?)?;
     world.measures = Some(measure::Measures::default());
@@ -38,17 +38,17 @@
     Ok(world)
 }
 
-/// Plays a scenario as far as it holds and traces what its controllers do. Fails only if the text is not
-/// a scenario.
+/// Plays a scenario to its end or its first failure, and traces the effects of its controllers. Returns an error
+/// only if the text cannot be read or its setup lines cannot be applied.
 pub fn play_traced(text: &str) -> Result<trace::Trace, ScenarioError> {
     let mut world = world::World::new(script::parse(text)?)?;
     world.trace = Some(trace::Trace::default());
-    // One that does not hold with the settings that are forced on it has a digest all the same.
+    // A scenario that fails with the settings forced on it has a digest, too.
     let _ = world.play_to_the_end();
     Ok(world.trace.take().unwrap_or_default())
 }
 
-/// Plays a scenario. The error says what went wrong, and when.
+/// Plays a scenario. The error says what failed and at which simulated time.
 pub fn play(text: &str) -> Result<(), ScenarioError> {
     let script = script::parse(text)?;
     world::World::new(script)?.run()
--- a/crates/testkit/src/production.rs
+++ b/crates/testkit/src/production.rs
@@ -1,15 +1,16 @@
-//! What the version in production reads: its definitions of records and peer messages, frozen.
+//! Frozen definitions of the records and peer messages of the version in production.
 //!
-//! Two versions serve side by side during an upgrade, each on what the other wrote. So whatever the
-//! present version writes to the key-value store, or sends to another controller, must be what these
-//! definitions read, and under a key that the version in production takes for what it is. The world
-//! checks every write and every peer message of every scenario. These definitions are of the version
-//! that `deploy/service.toml` names; they change only when it names another.
+//! During an upgrade two versions run side by side, and each reads what the other wrote. So the version in
+//! production must be able to read every record that the current version writes to the key-value store and the
+//! messages that it sends to other controllers, and must not mistake a key for that of a record of another kind.
+//! The simulated world checks each transaction and peer message of each scenario against these definitions, except
+//! partition orders, which a previous version refuses. The definitions are those of the version that
+//! `deploy/service.toml` names; they change only when it names another version.
 
 use grebewood_wire::{from_cbor, from_peer, to_cbor, to_peer, DecodeError, Value};
 use serde::{Deserialize, Serialize};
 
-/// A job's description, as it is part of its record.
+/// The description of a job in its record.
 #[derive(Deserialize)]
 pub struct Spec {
     /// The job's id.
@@ -18,7 +19,7 @@
     owner: String,
     shape: String,
     precedence: Precedence,
-    /// Number of its tasks.
+    /// The number of tasks.
     pub shards: u64,
     vcpus: f64,
     accelerators: f64,
@@ -139,46 +140,47 @@
     token: u64,
 }
 
-/// Prefixes under which the version in production lists keys: it would take a key that no other rule
-/// concerns for one of its own.
+/// Prefixes under which the version in production lists keys. It would read an unknown key there as one of its
+/// own records.
 const LISTED_PREFIXES: [&str; 2] = ["cancel/", "page/"];
-/// The most machines that are provisioned at once.
-const MAX_PROVISIONED: u64 = 50;
-/// The most hexadecimal digits that say which tasks of a job completed.
+/// The largest number of machines in a provision request.
+const MAX_PROVISIONED_MACHINES: u64 = 50;
+/// The largest number of hexadecimal digits in the bit set of the completed tasks of a job.
 const MAX_COMPLETED_DIGITS: usize = 512;
 
-/// Why the version in production cannot read something, or takes it for something else.
+/// The reason why the version in production cannot read a record or message, or misinterprets it.
 #[derive(Debug, thiserror::Error)]
 pub enum FormatError {
-    /// A record cannot be read.
+    /// A record cannot be decoded.
     #[error("{key}: {reason}")]
     Record {
-        /// Its key.
+        /// The key of the record.
         key: String,
-        /// Why.
+        /// The decoding error.
         reason: DecodeError,
     },
-    /// A record can be read, but what it says is not possible.
-    #[error("{0}: read, but it says something else")]
+    /// A record can be decoded, but its values are not possible for a record of its kind.
+    #[error("{0}: decoded, but with values that are not possible")]
     Implausible(String),
-    /// A key is taken for that of another record.
-    #[error("{0}: taken for something else")]
+    /// The version in production mistakes a key for that of a record of another kind.
+    #[error("{0}: mistaken for a record of another kind")]
     ForeignKey(String),
-    /// A message cannot be read.
+    /// A message cannot be decoded.
     #[error("{0}")]
     Message(DecodeError),
-    /// A message does not say from whom it is.
-    #[error("a peer message without a sender")]
+    /// A request has no sender, or is a progress request without a fencing token.
+    #[error("peer request without a sender or a fencing token")]
     NoSender,
-    /// A message has progress of a job without a name.
-    #[error("progress of a job without a name")]
+    /// A request reports the progress of a job without an id.
+    #[error("peer request with progress of a job that has no id")]
     NamelessJob,
-    /// An answer does not say from whom it is.
-    #[error("an answer without a name")]
+    /// A response does not name the member that sent it.
+    #[error("peer response without a member name")]
     NamelessAnswer,
 }
 
-/// Reads a record as the version in production does; the error says what it would make of it.
+/// Reads a record as the version in production does. Fails if that version could not read it or would
+/// misinterpret it.
 pub fn check_record(key: &str, value: &Value) -> Result<(), FormatError> {
     let listed = |prefix: &&str| key.starts_with(*prefix);
     match is_plausible(key, &to_cbor(value)) {
@@ -195,84 +197,88 @@
     }
 }
 
-/// Whether what a record says is possible; `None` if it is of no kind that the version in production knows.
+/// Returns whether the values of a record are possible, or `None` if the version in production knows no records of
+/// this kind.
 fn is_plausible(key: &str, bytes: &[u8]) -> Result<Option<bool>, DecodeError> {
-    let plausible = if let Some(rest) = key.strip_prefix("job/") {
-        // Whatever else is under this prefix is a job to it.
+    let is_plausible = if let Some(rest) = key.strip_prefix("job/") {
+        // The version in production reads every other key with this prefix as a job.
         match rest.strip_suffix("/cancel") {
-            Some(id) => plausible_cancel(id, &from_cbor(bytes)?),
-            None => plausible_job(rest, from_cbor(bytes)?),
+            Some(id) => is_plausible_cancel(id, &from_cbor(bytes)?),
+            None => is_plausible_job(rest, from_cbor(bytes)?),
         }
     } else if let Some(id) = key.strip_prefix("past/") {
-        plausible_past(id, &from_cbor(bytes)?)
+        is_plausible_past(id, &from_cbor(bytes)?)
     } else if let Some(page) = key.strip_prefix("done/") {
-        plausible_done(page, &from_cbor(bytes)?)
+        is_plausible_done(page, &from_cbor(bytes)?)
     } else if let Some(page) = key.strip_prefix("page/0/") {
-        plausible_page(page, &from_cbor(bytes)?)
+        is_plausible_page(page, &from_cbor(bytes)?)
     } else if key.starts_with("hire/") {
-        plausible_hire(&from_cbor(bytes)?)
+        is_plausible_hire(&from_cbor(bytes)?)
     } else {
         match key {
-            "stats" => plausible_stats(&from_cbor(bytes)?),
-            "leader" => plausible_leader(&from_cbor(bytes)?),
-            "catalogue" => plausible_catalogue(&from_cbor(bytes)?),
+            "stats" => is_plausible_stats(&from_cbor(bytes)?),
+            "leader" => is_plausible_leader(&from_cbor(bytes)?),
+            "catalogue" => is_plausible_catalogue(&from_cbor(bytes)?),
             _ => return Ok(None),
         }
     };
-    Ok(Some(plausible))
+    Ok(Some(is_plausible))
 }
 
-fn plausible_cancel(id: &str, record: &Cancel) -> bool {
+fn is_plausible_cancel(id: &str, record: &Cancel) -> bool {
     record.cancelled_us > 0 && !id.contains('/')
 }
 
-fn plausible_job(id: &str, record: Job) -> bool {
+fn is_plausible_job(id: &str, record: Job) -> bool {
     let spec = record.spec;
     let names = [&spec.workclass, &spec.owner, &spec.bundle];
     let amounts = [spec.vcpus, spec.accelerators, spec.memory_gb, spec.pull_gb];
     let times = [spec.expected_s, spec.savepoint_s, spec.flush_s];
-    let shape = matches!(spec.shape.as_str(), "batch" | "gang" | "daemon");
+    let is_known_shape = matches!(spec.shape.as_str(), "batch" | "gang" | "daemon");
     let _ = (spec.precedence, spec.builds, spec.yard, spec.due_s);
     let _ = (spec.one_zone, spec.spread, spec.loaner);
     spec.uid == id
         && record.accepted_us > 0
         && spec.shards > 0
-        && shape
+        && is_known_shape
         && names.iter().all(|name| !name.is_empty())
         && amounts.iter().chain(&times).all(|amount| *amount >= 0.0)
 }
 
-fn plausible_past(id: &str, record: &Past) -> bool {
-    let status = matches!(record.status.as_str(), "done" | "aborted");
-    status && record.shards > 0 && !id.contains('/')
+fn is_plausible_past(id: &str, record: &Past) -> bool {
+    let is_known_status = matches!(record.status.as_str(), "done" | "aborted");
+    is_known_status && record.shards > 0 && !id.contains('/')
 }
 
-fn plausible_done(page: &str, record: &Done) -> bool {
-    let entries = record.jobs.iter().all(|(id, _, digits)| {
-        let hexadecimal = digits.chars().all(|digit| digit.is_ascii_hexdigit());
-        !id.is_empty() && digits.len() <= MAX_COMPLETED_DIGITS && hexadecimal
+fn is_plausible_done(page: &str, record: &Done) -> bool {
+    let entries_are_plausible = record.jobs.iter().all(|(id, _, digits)| {
+        let is_hexadecimal = digits.chars().all(|digit| digit.is_ascii_hexdigit());
+        !id.is_empty() && digits.len() <= MAX_COMPLETED_DIGITS && is_hexadecimal
     });
-    page.parse::<u64>().is_ok() && entries
+    page.parse::<u64>().is_ok() && entries_are_plausible
 }
 
-fn plausible_page(page: &str, record: &Page) -> bool {
-    let entries = record.machines.iter().all(|machine| {
+fn is_plausible_page(page: &str, record: &Page) -> bool {
+    let entries_are_plausible = record.machines.iter().all(|machine| {
         let mut tasks = machine.t.iter();
-        let tasks = tasks.all(|(id, _, attempt)| !id.is_empty() && *attempt > 0);
-        !machine.m.is_empty() && !machine.zone.is_empty() && machine.tenure > 0 && tasks
+        let tasks_are_plausible = tasks.all(|(id, _, attempt)| !id.is_empty() && *attempt > 0);
+        !machine.m.is_empty()
+            && !machine.zone.is_empty()
+            && machine.tenure > 0
+            && tasks_are_plausible
     });
-    page.parse::<u64>().is_ok() && entries
+    page.parse::<u64>().is_ok() && entries_are_plausible
 }
 
-fn plausible_hire(record: &Hire) -> bool {
+fn is_plausible_hire(record: &Hire) -> bool {
     let _ = record.spot;
     !record.machine_type.is_empty()
         && !record.zone.is_empty()
-        && (1..=MAX_PROVISIONED).contains(&record.number)
+        && (1..=MAX_PROVISIONED_MACHINES).contains(&record.number)
         && record.requested_us > 0
 }
 
-fn plausible_stats(record: &Stats) -> bool {
+fn is_plausible_stats(record: &Stats) -> bool {
     let runs = record.runs.iter().map(|run| run.3);
     let boots = record.boots.iter().map(|boot| boot.2);
     let ratios = record.ratios.iter().map(|ratio| ratio.1 * ratio.2);
@@ -280,20 +286,21 @@
     values.all(|value| value.is_finite() && value >= 0.0)
 }
 
-fn plausible_leader(record: &Leader) -> bool {
+fn is_plausible_leader(record: &Leader) -> bool {
     let _ = record.incarnation;
     !record.member.is_empty()
 }
 
-fn plausible_catalogue(record: &Catalogue) -> bool {
+fn is_plausible_catalogue(record: &Catalogue) -> bool {
     record.builds.iter().all(|build| {
         let amounts = [build.vcpus, build.memory_gb, build.price, build.startup_s];
-        let named = !build.name.is_empty() && !build.yards.is_empty();
-        named && amounts.iter().all(|amount| *amount >= 0.0)
+        let has_name_and_zones = !build.name.is_empty() && !build.yards.is_empty();
+        has_name_and_zones && amounts.iter().all(|amount| *amount >= 0.0)
     })
 }
 
-/// Reads a message to another controller as the version in production does.
+/// Reads a peer request as the version in production does. Fails if that version could not read it or would
+/// refuse it.
 pub fn check_peer_request(body: &[u8]) -> Result<(), FormatError> {
     match from_peer::<PeerRequest>(body).map_err(FormatError::Message)? {
         PeerRequest::Contact { from } if !from.is_empty() => Ok(()),
@@ -307,7 +314,8 @@
     }
 }
 
-/// Reads the answer to such a message as the version in production does.
+/// Reads the response to a peer request as the version in production does. Fails if that version could not read
+/// it.
 pub fn check_peer_answer(body: &[u8]) -> Result<(), FormatError> {
     let answer: PeerAnswer = from_peer(body).map_err(FormatError::Message)?;
     let _ = (answer.state_contact_age_us, answer.token);
@@ -317,12 +325,12 @@
     }
 }
 
-/// What of a message to another controller the version in production knows; the rest is lost.
+/// Returns the part of a peer request that the version in production knows.
 pub fn known_part_of_peer_request(body: &[u8]) -> Result<Vec<u8>, DecodeError> {
     from_peer::<PeerRequest>(body).map(|known| to_peer(&known))
 }
 
-/// What of the answer to such a message the version in production knows.
+/// Returns the part of the response to a peer request that the version in production knows.
 pub fn known_part_of_peer_answer(body: &[u8]) -> Result<Vec<u8>, DecodeError> {
     from_peer::<PeerAnswer>(body).map(|known| to_peer(&known))
 }
--- a/crates/testkit/src/production/tests.rs
+++ b/crates/testkit/src/production/tests.rs
@@ -2,22 +2,23 @@
 use grebewood_wire::http::from_value;
 use grebewood_wire::{peer, records};
 
-/// What the version in production really wrote and sent, read by the present one; and by the
-/// frozen definitions, which must be those of that version.
+/// Reads records and messages that the version in production wrote and sent, both with the current version and
+/// with the frozen definitions. This guards against formats that the current version can no longer read, and
+/// against frozen definitions that differ from those of the version in production.
 #[test]
-fn what_production_wrote_is_read() {
+fn records_and_messages_of_production_are_read() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/data/production.txt");
-    let text = std::fs::read_to_string(path).expect("what production left");
+    let text = std::fs::read_to_string(path).expect("records and messages of production");
     let (mut records, mut messages) = (0, 0);
     for line in text.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let bytes = |at: usize| crate::unhex(words[at]).expect("hexadecimal digits");
+        let bytes = |index: usize| crate::unhex(words[index]).expect("hexadecimal digits");
         match words[0] {
             "record" => {
                 let value: Value = from_cbor(&bytes(3)).expect("a value");
                 let key = words[1];
                 check_record(key, &value).expect(key);
-                read_now(key, &value).expect(key);
+                read_as_current_version(key, &value).expect(key);
                 records += 1;
             }
             "peer-request" => {
@@ -36,8 +37,8 @@
     assert!(records > 10 && messages > 5);
 }
 
-/// Reads a record as the present version does.
-fn read_now(key: &str, value: &Value) -> Result<(), grebewood_wire::DecodeError> {
+/// Reads a record as the current version does.
+fn read_as_current_version(key: &str, value: &Value) -> Result<(), grebewood_wire::DecodeError> {
     use grebewood_wire::http::Catalogue;
     use records::*;
     match key.split('/').next().unwrap_or_default() {
--- a/crates/testkit/src/time.rs
+++ b/crates/testkit/src/time.rs
@@ -1,19 +1,19 @@
 //! Simulated time.
 
-/// A moment since the start of a scenario, or a span of time, in microseconds.
+/// A time since the start of a scenario, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A millisecond.
+/// One millisecond.
 pub const MILLISECOND: Micros = 1_000;
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000 * MILLISECOND;
 
-/// A span of so many seconds; fractions of a microsecond are cut off.
+/// Returns a duration from seconds; fractions of a microsecond are cut off.
 pub fn from_seconds(seconds: f64) -> Micros {
     (seconds * 1e6) as Micros
 }
 
-/// A span in seconds.
-pub fn as_seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
+/// Returns a duration in seconds.
+pub fn as_seconds(duration: Micros) -> f64 {
+    duration as f64 / 1e6
 }
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -1,7 +1,7 @@
-//! A digest of all that the controllers of a scenario do, and samples of what they write.
+//! A digest of all effects of the controllers in a scenario, and samples of the records and messages they write.
 //!
-//! The core is deterministic, so a change of the sources that leaves behaviour alone leaves every digest
-//! the same. The samples are the stored records and peer messages that later sources must still read.
+//! The core is deterministic, so a change of the source code that keeps the behaviour keeps every digest. The
+//! samples are stored records and peer messages that later versions must still read.
 
 use grebewood_core::{Call, Effect, Target};
 use grebewood_wire::http::{Operation, Transaction};
@@ -10,31 +10,33 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// Larger records and messages are not kept as samples, in bytes.
-const MAX_SAMPLE: usize = 2_000;
+/// The size from which records and messages are not kept as samples.
+const SAMPLE_SIZE_LIMIT_BYTES: usize = 2_000;
 
-/// Collects the effects of every controller of one scenario.
+/// A collector of the effects of all controllers in one scenario.
 #[derive(Default)]
 pub struct Trace {
     hasher: Sha256,
-    /// The largest sample of each kind: stored records by the shape of their key, peer messages by name.
+    /// The largest sample of each kind. The kind of a record is the pattern of its key; that of a peer message is
+    /// its variant and its parts that are not empty.
     samples: BTreeMap<String, Sample>,
 }
 
-/// One record or message as it was written.
+/// A record or message as a controller wrote it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// The key of a record; the kind of a peer message.
+    /// The key of a record; the variant and parts of a peer message.
     pub name: String,
-    /// The bytes, CBOR for a record and MessagePack for a peer message.
+    /// The encoded value: CBOR for a record, MessagePack for a peer message.
     pub bytes: Vec<u8>,
 }
 
 impl Trace {
-    /// Adds an effect of a process at this simulated time, in microseconds.
+    /// Adds an effect of a process at this simulated time to the digest, and takes samples of its records and
+    /// messages.
     pub fn record_effect(&mut self, time_us: u64, process: &str, effect: &Effect) {
-        self.field(&time_us.to_be_bytes());
-        self.field(process.as_bytes());
+        self.hash_field(&time_us.to_be_bytes());
+        self.hash_field(process.as_bytes());
         match effect {
             Effect::Answer {
                 id,
@@ -42,24 +44,24 @@
                 body,
                 retry_after,
             } => {
-                self.field(b"answer");
-                self.field(&id.to_be_bytes());
-                self.field(&status.to_be_bytes());
-                self.field(body);
-                self.field(&retry_after.unwrap_or_default().to_be_bytes());
+                self.hash_field(b"answer");
+                self.hash_field(&id.to_be_bytes());
+                self.hash_field(&status.to_be_bytes());
+                self.hash_field(body);
+                self.hash_field(&retry_after.unwrap_or_default().to_be_bytes());
             }
-            Effect::Call(call) => self.add_call(call),
+            Effect::Call(call) => self.record_call(call),
         }
     }
 
-    fn add_call(&mut self, call: &Call) {
-        self.field(b"call");
-        self.field(&call.id.to_be_bytes());
-        self.field(target_name(&call.target).as_bytes());
-        self.field(call.method.as_bytes());
-        self.field(call.path.as_bytes());
-        self.field(&call.body);
-        self.field(&call.timeout.to_be_bytes());
+    fn record_call(&mut self, call: &Call) {
+        self.hash_field(b"call");
+        self.hash_field(&call.id.to_be_bytes());
+        self.hash_field(target_name(&call.target).as_bytes());
+        self.hash_field(call.method.as_bytes());
+        self.hash_field(call.path.as_bytes());
+        self.hash_field(&call.body);
+        self.hash_field(&call.timeout.to_be_bytes());
         if call.target == Target::Store && call.path == "/txn" {
             self.sample_records(&call.body);
         }
@@ -68,24 +70,25 @@
         }
     }
 
-    /// Takes the answer to a peer message as a sample.
+    /// Takes a sample of the response to a peer request.
     pub fn sample_answer(&mut self, body: &[u8]) {
         self.sample_message("answer", body);
     }
 
-    /// The digest of all effects so far, in hexadecimal digits.
+    /// Returns the digest of all effects so far, in hexadecimal digits.
     pub fn digest(&self) -> String {
         let digest = self.hasher.clone().finalize();
         digest.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// The samples by kind.
+    /// Returns the samples by kind.
     pub fn samples(&self) -> &BTreeMap<String, Sample> {
         &self.samples
     }
 
-    /// A field is preceded by its length, so that no two sequences of fields are the same bytes.
-    fn field(&mut self, bytes: &[u8]) {
+    /// Adds a field to the digest, after its length, so that different sequences of fields never give the same
+    /// bytes.
+    fn hash_field(&mut self, bytes: &[u8]) {
         self.hasher.update((bytes.len() as u64).to_be_bytes());
         self.hasher.update(bytes);
     }
@@ -96,7 +99,7 @@
         };
         for operation in transaction.apply {
             if let Operation::Put { put, value, .. } = operation {
-                let kind = format!("record {}", key_shape(&put));
+                let kind = format!("record {}", key_pattern(&put));
                 self.keep_largest(kind, &put, to_cbor(&value));
             }
         }
@@ -105,7 +108,7 @@
     fn sample_message(&mut self, kind: &str, body: &[u8]) {
         let parts = match kind {
             "request" => from_peer(body).map(|request| request_parts(&request)),
-            _ => from_peer(body).map(|answer| answer_parts(&answer)),
+            _ => from_peer(body).map(|response| response_parts(&response)),
         };
         if let Ok(parts) = parts {
             self.keep_largest(format!("{kind} {parts}"), &parts, body.to_vec());
@@ -113,28 +116,28 @@
     }
 
     fn keep_largest(&mut self, kind: String, name: &str, bytes: Vec<u8>) {
-        let known = self
+        let largest_size = self
             .samples
             .get(&kind)
             .map_or(0, |sample| sample.bytes.len());
-        if (known + 1..MAX_SAMPLE).contains(&bytes.len()) {
+        if (largest_size + 1..SAMPLE_SIZE_LIMIT_BYTES).contains(&bytes.len()) {
             let name = name.to_string();
             self.samples.insert(kind, Sample { name, bytes });
         }
     }
 }
 
-/// What a target is called in the digest, and must be for it to stay the same.
+/// Returns the name of a target in the digest. A changed name changes every digest.
 fn target_name(target: &Target) -> String {
     match target {
         Target::Store => "state".into(),
         Target::Cloud => "cloud".into(),
         Target::Agent(address) => format!("worker {address}"),
-        Target::Peer(place) => format!("peer {place}"),
+        Target::Peer(index) => format!("peer {index}"),
     }
 }
 
-/// The variant of a request, with the parts of it that are not empty.
+/// Returns the variant of a request and the names of its parts that are not empty.
 fn request_parts(request: &PeerRequest) -> String {
     let orders = match request {
         PeerRequest::Contact { .. } => return "Contact".into(),
@@ -142,43 +145,43 @@
         PeerRequest::Partition(orders) => orders,
     };
     let mut parts = vec!["Partition"];
-    let mut part = |present: bool, name| parts.extend(present.then_some(name));
-    part(orders.sync.is_some(), "sync");
-    part(!orders.launches.is_empty(), "launches");
-    part(!orders.stops.is_empty(), "stops");
-    part(!orders.acknowledged.is_empty(), "acknowledged");
-    part(!orders.terminated.is_empty(), "released");
+    let mut add_part = |is_present: bool, name| parts.extend(is_present.then_some(name));
+    add_part(orders.sync.is_some(), "sync");
+    add_part(!orders.launches.is_empty(), "launches");
+    add_part(!orders.stops.is_empty(), "stops");
+    add_part(!orders.acknowledged.is_empty(), "acknowledged");
+    add_part(!orders.terminated.is_empty(), "released");
     if let Some(quota) = &orders.quota {
-        part(true, "quota");
-        part(!quota.work.is_empty(), "work");
-        part(!quota.revoked.is_empty(), "recalled");
-        part(!quota.reserved.is_empty(), "reserved");
+        add_part(true, "quota");
+        add_part(!quota.work.is_empty(), "work");
+        add_part(!quota.revoked.is_empty(), "recalled");
+        add_part(!quota.reserved.is_empty(), "reserved");
     }
     parts.join("+")
 }
 
-/// The parts of an answer that are not empty.
-fn answer_parts(answer: &PeerResponse) -> String {
+/// Returns the names of the parts of a response that are not empty.
+fn response_parts(response: &PeerResponse) -> String {
     let mut parts = vec!["answer"];
-    let mut part = |present: bool, name| parts.extend(present.then_some(name));
-    part(answer.confirmed.is_some(), "confirmed");
-    part(answer.limits.is_some(), "limits");
-    if let Some(report) = &answer.report {
-        part(!report.accepted.is_empty(), "accepted");
-        part(!report.outcomes.is_empty(), "outcomes");
-        part(!report.machines.is_empty(), "machines");
-        part(!report.gone.is_empty(), "gone");
+    let mut add_part = |is_present: bool, name| parts.extend(is_present.then_some(name));
+    add_part(response.confirmed.is_some(), "confirmed");
+    add_part(response.limits.is_some(), "limits");
+    if let Some(report) = &response.report {
+        add_part(!report.accepted.is_empty(), "accepted");
+        add_part(!report.outcomes.is_empty(), "outcomes");
+        add_part(!report.machines.is_empty(), "machines");
+        add_part(!report.gone.is_empty(), "gone");
         if let Some(quota) = &report.quota {
-            part(true, "quota");
-            part(!quota.waiting.is_empty(), "waiting");
-            part(!quota.placed.is_empty(), "placed");
+            add_part(true, "quota");
+            add_part(!quota.waiting.is_empty(), "waiting");
+            add_part(!quota.placed.is_empty(), "placed");
         }
     }
     parts.join("+")
 }
 
-/// A key with its numbers replaced, which all records of a kind share.
-fn key_shape(key: &str) -> String {
+/// Returns a key with each part that contains a digit replaced by `N`: the same for all records of a kind.
+fn key_pattern(key: &str) -> String {
     let parts: Vec<&str> = key
         .split('/')
         .map(
