--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -1,14 +1,14 @@
-//! What a leader costs by the size of its fleet: `cargo run --release -p grebewood-testkit --example
+//! Measures the cost of a leader by the number of machines: `cargo run --release -p grebewood-testkit --example
 //! fleet_size -- 400 1000 4000` prints a Markdown table.
 
 use grebewood_testkit::measure::StepKind;
 use grebewood_testkit::play_measured;
 use std::error::Error;
 
-/// Simulated seconds of a run.
+/// The duration of a run in simulated time.
 const LENGTH_S: u64 = 60;
 
-/// The scenario of a fleet of so many machines, all with work, that loses its leader once.
+/// Returns a scenario with this many machines, all of them with tasks, whose leader crashes once.
 fn scenario(machines: u64) -> String {
     format!(
         "nodes 3\nworkers report=5 lease=26.5 cancel=46.5\n\
@@ -24,8 +24,8 @@
     )
 }
 
-/// Bytes that are allocated and not freed.
-fn allocated() -> u64 {
+/// Returns the number of bytes that are allocated and not freed.
+fn allocated_bytes() -> u64 {
     // SAFETY: `mallinfo2` has no arguments and only reads the allocator's own counters.
     unsafe { libc::mallinfo2().uordblks as u64 }
 }
@@ -54,7 +54,7 @@
             .leader_step_times_ns
             .get(&StepKind::Heartbeat)
             .map_or(0, |histogram| histogram.len());
-        let before = allocated();
+        let allocated_before = allocated_bytes();
         world.end_leader();
         println!(
             "| {machines} | all | {:.0} heartbeats a second, {:.1} changes and {:.1} requests of state a \
@@ -62,7 +62,7 @@
             heartbeats as f64 / LENGTH_S as f64,
             measures.store_changes as f64 / LENGTH_S as f64,
             measures.store_requests as f64 / LENGTH_S as f64,
-            before.saturating_sub(allocated()) / 1024,
+            allocated_before.saturating_sub(allocated_bytes()) / 1024,
         );
     }
     Ok(())
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -1,13 +1,13 @@
-//! What quota grants bring and cost, in simulated time: `cargo run --release -p grebewood-testkit --example
-//! quota_figures` prints Markdown tables. Each scenario is played with partitions off, with partitions, and with
-//! quota grants, with the same submissions and the same faults.
+//! Measures the benefit and cost of quota grants in simulated time: `cargo run --release -p grebewood-testkit
+//! --example quota_figures -- MACHINES...` prints Markdown tables. Each scenario is played with partitions off, with
+//! partitions, and with quota grants, with the same submissions and the same faults.
 
 use grebewood_testkit::measure::Measures;
 use grebewood_testkit::play_measured;
 use hdrhistogram::Histogram;
 use std::error::Error;
 
-/// The settings that are compared: what they are called, and what is put before each scenario.
+/// The settings that are compared: their name in the tables and the lines that are put before each scenario.
 const SETTINGS: [(&str, &str); 3] = [
     ("partitions off", ""),
     ("partitions", "tuning partitions_per_zone=3\n"),
@@ -16,17 +16,17 @@
         "tuning partitions_per_zone=3 allotments=1\n",
     ),
 ];
-/// Simulated seconds of the scenarios with work for all machines.
+/// The duration of the scenario with steady load in simulated time.
 const LENGTH_S: u64 = 120;
-/// How often the leader ends.
+/// The number of crashes of the leader in the scenario with steady load.
 const LEADER_CRASHES: u64 = 6;
-/// How often the scenario with a team below its guaranteed share is played.
+/// The number of runs of the scenario with a team below its guaranteed share.
 const GUARANTEED_SHARE_RUNS: u32 = 20;
-/// Significant digits of histograms.
-const DIGITS: u8 = 3;
+/// The precision of histograms.
+const HISTOGRAM_SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Steady work of two teams near their limits, and a leader that ends every 15 s.
-fn steady(machines: u64) -> String {
+/// Returns a scenario with a steady load of two teams near their limits, in which the leader crashes every 15 s.
+fn steady_load(machines: u64) -> String {
     let crashes: String = (0..LEADER_CRASHES)
         .map(|crash| format!("at {} crash leader for=4\n", 25 + crash * 15))
         .collect();
@@ -45,7 +45,8 @@
     )
 }
 
-/// A team below its guaranteed share while another runs all the machines hold, `flush` to save.
+/// Returns a scenario in which a team below its guaranteed share submits a job while the tasks of another team use
+/// all machines and take `flush` seconds to write a checkpoint.
 fn guaranteed_share(flush: f64, start: f64) -> String {
     format!(
         "nodes 3\nstate writes=60 rps=400\n\
@@ -58,8 +59,8 @@
     )
 }
 
-/// The number of values and their quantiles in seconds, as cells of a table.
-fn quantiles(histogram: Option<&Histogram<u64>>) -> String {
+/// Returns the number of values and their quantiles in seconds, as cells of a table.
+fn quantile_cells(histogram: Option<&Histogram<u64>>) -> String {
     let Some(histogram) = histogram.filter(|histogram| !histogram.is_empty()) else {
         return "none | | | ".into();
     };
@@ -78,11 +79,11 @@
     Ok(world.measures.ok_or("nothing was measured")?)
 }
 
-/// Prints what steady work costs on a fleet of so many machines, a line for each of the settings.
-fn print_steady(machines: u64) -> Result<(), Box<dyn Error>> {
+/// Prints the measurements of a steady load on this many machines, a line for each of the settings.
+fn print_steady_load(machines: u64) -> Result<(), Box<dyn Error>> {
     for (name, settings) in SETTINGS {
-        let measures = play(settings, &steady(machines))?;
-        let mut starts = Histogram::<u64>::new(DIGITS)?;
+        let measures = play(settings, &steady_load(machines))?;
+        let mut starts = Histogram::<u64>::new(HISTOGRAM_SIGNIFICANT_DIGITS)?;
         for team in measures.start_delays_ms.values() {
             starts.add(team)?;
         }
@@ -92,7 +93,7 @@
             .sum();
         println!(
             "| {machines} | {name} | {} | {} | {:.1} | {:.4} | {:.4} |",
-            quantiles(Some(&starts)),
+            quantile_cells(Some(&starts)),
             measures.leaderless_starts,
             measures.store_changes as f64 / LENGTH_S as f64,
             leader_s / LENGTH_S as f64,
@@ -109,10 +110,10 @@
     Ok(())
 }
 
-/// Prints when a team's tasks within its guaranteed share start, a line for each of the settings.
+/// Prints the delays until tasks within a team's guaranteed share start, a line for each of the settings.
 fn print_guaranteed_share() -> Result<(), Box<dyn Error>> {
     for (name, settings) in SETTINGS {
-        let mut starts = Histogram::<u64>::new(DIGITS)?;
+        let mut starts = Histogram::<u64>::new(HISTOGRAM_SIGNIFICANT_DIGITS)?;
         for run in 0..GUARANTEED_SHARE_RUNS {
             let submitted_s = 20.0 + f64::from(run) * 0.17;
             let measures = play(settings, &guaranteed_share(1.0, submitted_s))?;
@@ -120,7 +121,7 @@
                 starts.add(team)?;
             }
         }
-        println!("| {name} | {} |", quantiles(Some(&starts)));
+        println!("| {name} | {} |", quantile_cells(Some(&starts)));
     }
     Ok(())
 }
@@ -130,7 +131,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let arguments = std::env::args().skip(1);
     for machines in arguments.filter_map(|argument| argument.parse().ok()) {
-        print_steady(machines)?;
+        print_steady_load(machines)?;
     }
     println!(
         "\n| settings | tasks within the guarantee that started | median s | p99 s | longest s |"
--- a/crates/testkit/examples/trace_digest.rs
+++ b/crates/testkit/examples/trace_digest.rs
@@ -1,7 +1,7 @@
-//! A digest of behaviour: `cargo run --release -p grebewood-testkit --example trace_digest [-- NAME]`
-//! plays the scenarios whose name has NAME in it as they stand, with partitions and with partitions and
-//! quota grants forced on, and prints a line for each: name, settings, hash over all effects.
-//! `-- --samples` prints the largest record and peer message of each kind instead, in hexadecimal digits.
+//! Prints a digest of behaviour: `cargo run --release -p grebewood-testkit --example trace_digest [-- NAME]` plays
+//! each scenario whose name contains NAME three times: unchanged, with partitions forced on, and with partitions and
+//! quota grants forced on. It prints a line for each run: name, settings, hash of all effects. `-- --samples` prints
+//! the largest record and peer message of each kind instead, in hexadecimal digits.
 
 use grebewood_testkit::scenario_files::{
     scenario_files, scenario_name, LARGE_SCENARIOS, SCENARIOS,
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// What is put before each scenario.
+/// The variants in which each scenario is played: their name and the lines that are put before the scenario.
 const VARIANTS: [(&str, &str); 3] = [
     ("as-it-stands", ""),
     (
@@ -24,14 +24,14 @@
     ),
 ];
 
-/// A scenario with the settings that are forced on it.
+/// A scenario with the settings of a variant.
 struct Play {
     name: String,
     variant: &'static str,
     text: String,
 }
 
-/// Lines of the digest by the number of their play, and samples by kind.
+/// The lines of the digest by the index of their play, and the samples by kind.
 #[derive(Default)]
 struct Results {
     lines: BTreeMap<usize, String>,
@@ -41,8 +41,8 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let argument = std::env::args().nth(1).unwrap_or_default();
     let samples_only = argument == "--samples";
-    let only = if samples_only { "" } else { &argument };
-    let plays = plays(only)?;
+    let name_filter = if samples_only { "" } else { &argument };
+    let plays = list_plays(name_filter)?;
     let results = play_all(&plays);
     if samples_only {
         for (kind, sample) in &results.samples {
@@ -62,14 +62,15 @@
     Ok(())
 }
 
-/// All plays, those of large fleets first, since they take the longest.
-fn plays(only: &str) -> Result<Vec<Play>, std::io::Error> {
+/// Returns the plays of all scenarios whose name contains the filter. Those with large fleets come first because
+/// they take the longest.
+fn list_plays(name_filter: &str) -> Result<Vec<Play>, std::io::Error> {
     let mut files = scenario_files(LARGE_SCENARIOS)?;
     files.extend(scenario_files(SCENARIOS)?);
     let mut plays = Vec::new();
     for file in files {
         let name = scenario_name(&file);
-        if !name.contains(only) {
+        if !name.contains(name_filter) {
             continue;
         }
         let text = std::fs::read_to_string(&file)?;
@@ -84,16 +85,16 @@
     Ok(plays)
 }
 
-/// Plays all scenarios, one on each processor.
+/// Plays all scenarios, with a thread for each processor.
 fn play_all(plays: &[Play]) -> Results {
-    let next = AtomicUsize::new(0);
+    let next_index = AtomicUsize::new(0);
     let results = Mutex::new(Results::default());
     let threads = std::thread::available_parallelism().map_or(1, |number| number.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while let Some((index, play)) = take(plays, &next) {
-                    run(index, play, &results);
+                while let Some((index, play)) = take_play(plays, &next_index) {
+                    run_play(index, play, &results);
                 }
             });
         }
@@ -101,14 +102,14 @@
     results.into_inner().unwrap_or_default()
 }
 
-/// The next play that nobody has taken.
-fn take<'a>(plays: &'a [Play], next: &AtomicUsize) -> Option<(usize, &'a Play)> {
-    let index = next.fetch_add(1, Ordering::Relaxed);
+/// Takes the next play that no thread has taken yet.
+fn take_play<'a>(plays: &'a [Play], next_index: &AtomicUsize) -> Option<(usize, &'a Play)> {
+    let index = next_index.fetch_add(1, Ordering::Relaxed);
     Some((index, plays.get(index)?))
 }
 
-/// Plays one and keeps its line and its samples.
-fn run(index: usize, play: &Play, results: &Mutex<Results>) {
+/// Plays a scenario and stores its line and its largest samples.
+fn run_play(index: usize, play: &Play, results: &Mutex<Results>) {
     let trace = grebewood_testkit::play_traced(&play.text);
     let digest = match &trace {
         Ok(trace) => trace.digest(),
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -1,29 +1,30 @@
-//! The faults of the script do what they say: small scenarios whose outcome shows it.
+//! Checks that each fault of the scenario language has its effect, by the outcome of small scenarios.
 
 use grebewood_testkit::play;
 
 const FLEET: &str = "team t cpus=16 max=32\ntype std cpus=8 cap=4\nmachines std count=2\n";
 
-/// The scenario holds.
-fn holds(text: &str) {
+/// Asserts that a scenario on [`FLEET`] passes.
+fn assert_passes(text: &str) {
     play(&format!("{FLEET}{text}")).expect(text);
 }
 
-/// The scenario fails with this text.
-fn fails(text: &str, with: &str) {
+/// Asserts that a scenario on [`FLEET`] fails with an error that contains this text.
+fn assert_fails(text: &str, expected_error: &str) {
     let error = play(&format!("{FLEET}{text}")).expect_err(text).to_string();
-    assert!(error.contains(with), "{error}");
+    assert!(error.contains(expected_error), "{error}");
 }
 
 #[test]
 fn heartbeat_copies_reach_the_next_leader_or_every_controller() {
-    // Kept for the next leader, they meet it; late ones before it ended meet the one of their token.
+    // Copies that are kept for the next leader reach a leader with a newer token. Copies with a short delay reach
+    // only the leader of their own token, which does not count.
     let next = "at 2 submit req-1 tasks=8 run=20\nat 6 copies all for=4 next=yes to=all\n\
                 at 9 crash leader\nat 20 copied 2\nend 30\n";
-    holds(next);
-    fails(&next.replace("copied 2", "copied 100"), "copies met");
-    fails(&next.replace("next=yes to=all", "late=1"), "0 copies met");
-    holds(&next.replace("next=yes to=all", "late=8 to=all"));
+    assert_passes(next);
+    assert_fails(&next.replace("copied 2", "copied 100"), "copies met");
+    assert_fails(&next.replace("next=yes to=all", "late=1"), "0 copies met");
+    assert_passes(&next.replace("next=yes to=all", "late=8 to=all"));
 }
 
 #[test]
@@ -31,12 +32,12 @@
     let never_reported =
         "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 mute of=req-1 for=15\n\
                 at 45 starts req-1 2\nend 46\n";
-    holds(never_reported);
-    fails(
+    assert_passes(never_reported);
+    assert_fails(
         &never_reported.replace("for=15", "for=3"),
         "1 starts, not 2",
     );
-    fails(
+    assert_fails(
         &never_reported.replace("of=req-1", "of=req-2"),
         "no machine holds a task",
     );
@@ -47,44 +48,45 @@
     let now = "at 2 submit req-1 tasks=1 run=60\nat 2 submit req-2 tasks=1 run=60\n\
                at 2 submit req-3 tasks=1 run=10\nat 10 cancel_now 8\nat 12 expect req-1 aborted\n\
                at 12 expect req-2 aborted\nat 12 expect req-3 running\nend 30\n";
-    holds(now);
-    fails(
+    assert_passes(now);
+    assert_fails(
         &now.replace("cancel_now 8", "cancel_now 1"),
         "says running of req-2",
     );
-    fails(
+    assert_fails(
         &now.replace("run=60", "run=12"),
         "no job runs that has long to go",
     );
-    // At the moment of the end, which the machine cannot report just then.
+    // The cancellation comes at the moment at which the task completes, and the mute machine cannot report that.
     let end = "at 2 submit req-1 tasks=1 run=5\nat 5 mute of=req-1 for=5\n\
                at 6 cancel_at_end for=20\nat 30 expect req-1 aborted\nend 31\n";
-    holds(end);
+    assert_passes(end);
     for not_then in ["for=1", "for=20 after=9"] {
         let text = end.replace("end for=20", &format!("end {not_then}"));
-        fails(&text, "says done of req-1");
+        assert_fails(&text, "says done of req-1");
     }
 }
 
 #[test]
-fn who_confirms_a_cancellation_crashes() {
+fn the_controller_that_confirms_a_cancellation_crashes() {
     let trap = "at 3 submit req-1 tasks=1 run=60\nat 6 trap confirm for=9\nat 7 cancel req-1 node=leader\n\
                 at 8 leaders 0\nat 20 leaders 1\nend 21\n";
-    holds(trap);
-    fails(&trap.replace("node=leader", "node=other"), "1 nodes lead");
+    assert_passes(trap);
+    assert_fails(&trap.replace("node=leader", "node=other"), "1 nodes lead");
 }
 
 #[test]
 fn a_crash_lasts_a_fraction_of_a_second() {
-    // The same member, back before its grant ends, gives it back and leads anew.
-    holds("at 5 crash leader for=0.2\nat 7 leaders 1\nend 8\n");
-    holds("at 5 crash all for=0.2\nat 7 leaders 1\nend 8\n");
-    fails(
+    // A member that restarts before its earlier leader lease has expired deletes its own leader record and becomes
+    // leader again.
+    assert_passes("at 5 crash leader for=0.2\nat 7 leaders 1\nend 8\n");
+    assert_passes("at 5 crash all for=0.2\nat 7 leaders 1\nend 8\n");
+    assert_fails(
         "at 5 crash all for=4\nat 7 leaders 1\nend 8\n",
         "0 nodes lead",
     );
-    // The later of two crashes counts.
-    fails(
+    // A second crash during the first one extends the time for which the controllers are down.
+    assert_fails(
         "at 5 crash all for=2\nat 6 crash all for=6\nat 11 leaders 1\nend 12\n",
         "0 nodes lead",
     );
@@ -94,24 +96,24 @@
 fn machines_boot_within_half_a_second() {
     let boots =
         "at 1 boots 0.5\nat 2 submit req-1 tasks=12 run=30\nat 15 starts req-1 12\nend 16\n";
-    holds(boots);
-    fails(&boots.replace("boots 0.5", "boots 20"), "starts, not 12");
+    assert_passes(boots);
+    assert_fails(&boots.replace("boots 0.5", "boots 20"), "starts, not 12");
 }
 
 #[test]
-fn a_slow_store_and_lost_answers_are_survived() {
-    holds(
+fn jobs_complete_despite_a_slow_store_and_lost_responses() {
+    assert_passes(
         "at 1 slow state for=20 by=0.4\nat 2 submit req-1 tasks=4 run=5\nat 1 looks for=30\n\
          at 30 expect req-1 done\nend 31\n",
     );
     for how in ["late=8", "late=3 at_once=yes"] {
-        holds(&format!(
+        assert_passes(&format!(
             "at 4 late txns for=20 every=3 {how}\nat 2 submit req-1 tasks=4 run=5\n\
              at 1 looks for=60\nat 60 expect req-1 done\nend 61\n"
         ));
     }
     for node in ["leader", "0", "1", "2"] {
-        holds(&format!(
+        assert_passes(&format!(
             "at 4 late txn for=10 node={node} at_once=yes\nat 2 submit req-1 node={node} run=5\n\
              at 30 expect req-1 done\nend 31\n"
         ));
--- a/crates/testkit/tests/known_red/mod.rs
+++ b/crates/testkit/tests/known_red/mod.rs
@@ -1,33 +1,33 @@
-//! Scenarios that fail for a real fault which is still to be mended: the file `KNOWN-RED.txt` at the
-//! root lists them, three at most, and is absent while there are none. A line each:
+//! Scenarios that fail because of a known fault that is not fixed yet. The file `KNOWN-RED.txt` at the root of the
+//! repository lists at most three of them and is absent while there are none. Each has one line:
 //!
 //! ```text
-//! # What begins so is a comment.
+//! # A comment.
 //! NAME: CAUSE: issue NUMBER
 //! ```
 //!
-//! They are played as all others are; only their failure is passed over, and it is printed. One
-//! that passes fails the run, so that no line outlives its fault; and so does any line that does
-//! not say exactly what it is about.
+//! They are played like all others, but their failure is only printed and does not fail the run. A listed scenario
+//! that passes fails the run, so that its line is removed with the fault. A line of another form, or with an
+//! unknown scenario, also fails the run.
 
 mod tests;
 
 use std::io::ErrorKind;
 use std::path::Path;
 
-/// Most scenarios that may be known red.
+/// The largest number of scenarios that the list may have.
 const MAX_KNOWN_RED: usize = 3;
 
-/// What to make of the scenarios' outcomes.
+/// The evaluation of the scenarios' outcomes.
 #[derive(Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// What failed and is passed over, to be printed.
+    /// Failures of listed scenarios, which are printed and do not fail the run.
     pub known_red: Vec<String>,
-    /// What fails the run.
+    /// Failures of other scenarios and faults of the list, which fail the run.
     pub faults: Vec<String>,
 }
 
-/// The list's text; none if there is no such file.
+/// Reads the list. Returns `None` if the file does not exist.
 pub fn read(path: &Path) -> Result<Option<String>, String> {
     match std::fs::read_to_string(path) {
         Ok(text) => Ok(Some(text)),
@@ -36,8 +36,8 @@
     }
 }
 
-/// Judges the `outcomes` of the scenarios that were played. `names` are those of all scenarios,
-/// since not all need have been played.
+/// Evaluates the outcomes of the scenarios that were played. `names` holds the names of all scenarios, also of
+/// those that were not played.
 pub fn judge(
     list: Option<&str>,
     names: &[String],
@@ -45,7 +45,7 @@
 ) -> Verdict {
     let mut verdict = Verdict::default();
     let mut listed: Vec<&str> = Vec::new();
-    for (at, line) in list.unwrap_or_default().lines().enumerate() {
+    for (index, line) in list.unwrap_or_default().lines().enumerate() {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
@@ -59,7 +59,7 @@
                 continue;
             }
         };
-        let fault = format!("KNOWN-RED.txt, line {}: {fault}: {line}", at + 1);
+        let fault = format!("KNOWN-RED.txt, line {}: {fault}: {line}", index + 1);
         verdict.faults.push(fault);
     }
     if list.is_some() && listed.is_empty() && verdict.faults.is_empty() {
@@ -80,19 +80,19 @@
     verdict
 }
 
-/// The scenario that a line of the list names, if the line is whole.
+/// Returns the scenario that a line of the list names, if the line has the right form.
 fn scenario_of(line: &str) -> Option<&str> {
     let parts: Vec<&str> = line.split(": ").collect();
     let [name, cause, issue] = parts[..] else {
         return None;
     };
     let number = issue.strip_prefix("issue ")?;
-    let whole = !name.is_empty()
+    let is_well_formed = !name.is_empty()
         && !name.contains(char::is_whitespace)
         && !cause.is_empty()
         && cause.trim() == cause
         && !number.is_empty()
         && !number.starts_with('0')
         && number.bytes().all(|b| b.is_ascii_digit());
-    whole.then_some(name)
+    is_well_formed.then_some(name)
 }
--- a/crates/testkit/tests/known_red/tests.rs
+++ b/crates/testkit/tests/known_red/tests.rs
@@ -2,8 +2,8 @@
 
 const NAMES: [&str; 5] = ["early", "late", "lost", "slow", "twice"];
 
-/// Judges outcomes in which these scenarios fail, each with its reason, and all others pass.
-fn judged(list: Option<&str>, failing: &[(&str, &str)]) -> Verdict {
+/// Evaluates outcomes in which these scenarios fail, each with its reason, and all others pass.
+fn judge_failures(list: Option<&str>, failing: &[(&str, &str)]) -> Verdict {
     let names = NAMES.map(String::from);
     let outcome = |name: &String| match failing.iter().find(|(n, _)| n == name) {
         Some((_, reason)) => (name.clone(), Err(reason.to_string())),
@@ -23,22 +23,25 @@
 
 #[test]
 fn without_a_list_every_failure_counts() {
-    assert_eq!(judged(None, &[]), verdict(&[], &[]));
+    assert_eq!(judge_failures(None, &[]), verdict(&[], &[]));
     let failing = [("late", "at 5: one"), ("slow", "at 6: two")];
     let expected = verdict(&[], &["late: at 5: one", "slow: at 6: two"]);
-    assert_eq!(judged(None, &failing), expected);
+    assert_eq!(judge_failures(None, &failing), expected);
 }
 
 #[test]
-fn only_the_failure_of_a_listed_scenario_is_passed_over_and_it_is_said() {
+fn only_the_failure_of_a_listed_scenario_is_tolerated_and_it_is_printed() {
     let list = "# To be mended first.\n\nlate: a write is lost: issue 7\n";
     let known = ["known red: late: at 5: one"];
     let expected = verdict(&known, &[]);
-    assert_eq!(judged(Some(list), &[("late", "at 5: one")]), expected);
-    // Its line passes over neither another one's failure nor that of one whose name it is part of.
+    assert_eq!(
+        judge_failures(Some(list), &[("late", "at 5: one")]),
+        expected
+    );
+    // The line tolerates neither the failure of another scenario nor that of a scenario whose name contains its name.
     let failing = [("late", "at 5: one"), ("slow", "at 6: two")];
     let expected = verdict(&known, &["slow: at 6: two"]);
-    assert_eq!(judged(Some(list), &failing), expected);
+    assert_eq!(judge_failures(Some(list), &failing), expected);
     let names = ["late".to_string(), "later".to_string()];
     let later = [("later".to_string(), Err("at 7: three".to_string()))];
     let expected = verdict(&[], &["later: at 7: three"]);
@@ -52,12 +55,15 @@
         &["known red: slow: at 6: two"],
         &["late: passes, although KNOWN-RED.txt lists it"],
     );
-    assert_eq!(judged(Some(list), &[("slow", "at 6: two")]), expected);
+    assert_eq!(
+        judge_failures(Some(list), &[("slow", "at 6: two")]),
+        expected
+    );
 }
 
-/// One that was left out says nothing, neither that it passes nor that it is unknown.
+/// Checks that a listed scenario that was not played counts neither as one that passes nor as an unknown one.
 #[test]
-fn a_listed_scenario_that_is_not_played_is_left_alone() {
+fn a_listed_scenario_that_is_not_played_is_ignored() {
     let list = "late: a write is lost: issue 7\n";
     let names = NAMES.map(String::from);
     let outcomes = [("slow".to_string(), Ok(()))];
@@ -68,7 +74,7 @@
 fn an_unknown_scenario_fails_the_run() {
     let list = "later: a write is lost: issue 7\n";
     let expected = "KNOWN-RED.txt, line 1: no such scenario: later: a write is lost: issue 7";
-    assert_eq!(judged(Some(list), &[]), verdict(&[], &[expected]));
+    assert_eq!(judge_failures(Some(list), &[]), verdict(&[], &[expected]));
 }
 
 #[test]
@@ -78,17 +84,20 @@
     let known = ["early", "late", "lost"].map(|n| format!("known red: {n}: at 5: one"));
     let known = known.each_ref().map(String::as_str);
     let expected = verdict(&known, &[]);
-    assert_eq!(judged(Some(three), &failing[..3]), expected);
+    assert_eq!(judge_failures(Some(three), &failing[..3]), expected);
     let four = format!("{three}slow: a: issue 7\n");
     let faults = [
         "KNOWN-RED.txt, line 5: more than three: slow: a: issue 7",
         "slow: at 5: one",
     ];
-    assert_eq!(judged(Some(&four), &failing), verdict(&known, &faults));
+    assert_eq!(
+        judge_failures(Some(&four), &failing),
+        verdict(&known, &faults)
+    );
 }
 
 #[test]
-fn a_line_that_is_not_whole_fails_the_run_and_passes_nothing_over() {
+fn a_malformed_line_fails_the_run_and_tolerates_no_failure() {
     for line in [
         "late",
         "late: a write is lost",
@@ -116,7 +125,7 @@
         let fault = format!("KNOWN-RED.txt, line 1: {fault}: {line}");
         let expected = verdict(&[], &[&fault, "late: at 5: one"]);
         let list = format!("{line}\n");
-        let found = judged(Some(&list), &[("late", "at 5: one")]);
+        let found = judge_failures(Some(&list), &[("late", "at 5: one")]);
         assert_eq!(found, expected, "{line:?}");
     }
 }
@@ -128,20 +137,23 @@
         &["known red: late: at 5: one"],
         &["KNOWN-RED.txt, line 2: listed twice: late: b: issue 8"],
     );
-    assert_eq!(judged(Some(list), &[("late", "at 5: one")]), expected);
+    assert_eq!(
+        judge_failures(Some(list), &[("late", "at 5: one")]),
+        expected
+    );
 }
 
 #[test]
-fn a_list_of_nothing_fails_the_run() {
+fn an_empty_list_fails_the_run() {
     for list in ["", "\n", "# Nothing is red.\n"] {
         let expected = verdict(&[], &["KNOWN-RED.txt lists nothing: it is to be removed"]);
-        assert_eq!(judged(Some(list), &[]), expected, "{list:?}");
+        assert_eq!(judge_failures(Some(list), &[]), expected, "{list:?}");
     }
 }
 
-/// Only a list that is not there is none: one that cannot be read is an error.
+/// Checks that only a missing file counts as an absent list: one that cannot be read is an error.
 #[test]
-fn a_list_that_cannot_be_read_is_not_taken_for_an_absent_one() {
+fn an_unreadable_list_is_an_error() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     assert_eq!(read(&root.join("no-such-file")), Ok(None));
     assert!(read(&root.join("Cargo.toml")).is_ok_and(|text| text.is_some()));
--- a/crates/testkit/tests/production.rs
+++ b/crates/testkit/tests/production.rs
@@ -1,4 +1,4 @@
-//! The check of formats against the version in production.
+//! Tests of the check of records and messages against the formats of the version in production.
 
 use grebewood_testkit::production::{
     check_peer_request, check_record, known_part_of_peer_answer, known_part_of_peer_request,
@@ -8,7 +8,7 @@
 use grebewood_wire::{from_peer, peer, to_peer};
 use std::collections::BTreeMap;
 
-/// A message that a later version may send: it is refused, not misread.
+/// Checks that a message of a kind that a later version may add is refused and not misinterpreted.
 #[test]
 fn an_unknown_peer_message_is_refused() {
     #[derive(serde::Serialize)]
@@ -20,12 +20,12 @@
     assert!(check_peer_request(&body).is_err());
 }
 
-/// The check itself must notice what it is there to notice.
+/// Checks that the format check rejects a renamed field and a key that production mistakes for another one.
 #[test]
-fn a_changed_format_or_a_foreign_key_is_noticed() {
+fn a_changed_format_or_a_foreign_key_is_rejected() {
     let cancel = to_value(&CancelRecord { cancelled_us: 7 });
     assert!(check_record("job/req-1/cancel", &cancel).is_ok());
-    // A key that it takes for a job's, and for a page of assignments.
+    // The version in production mistakes these keys for those of a job and of an assignment page.
     assert!(check_record("job/req-1/note", &cancel).is_err());
     assert!(check_record("page/1/0", &cancel).is_err());
     assert!(check_record("types/0", &cancel).is_ok());
@@ -33,9 +33,9 @@
     assert!(check_record("job/req-1/cancel", &renamed).is_err());
 }
 
-/// A node that stands for the version before passes on only what that one knows.
+/// Checks that a simulated controller of the previous version drops the fields that this version does not know.
 #[test]
-fn what_production_does_not_know_is_lost() {
+fn fields_that_production_does_not_know_are_dropped() {
     #[derive(serde::Serialize, serde::Deserialize, Default)]
     struct Later {
         member: String,
--- a/crates/testkit/tests/stored_formats.rs
+++ b/crates/testkit/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! Records, peer messages and settings as the sources of 2026-12-02 wrote them (`data/stored_formats.txt`):
-//! they must be read, and written again as the same bytes.
+//! Checks that records and peer messages as the sources of 2026-12-02 wrote them (`data/stored_formats.txt`) can
+//! be read, and are written again as the same bytes.
 
 use grebewood_testkit::unhex;
 use grebewood_wire::http::{from_value, to_value, Catalogue};
@@ -14,9 +14,9 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// How many kinds of records the file has.
+/// The number of records in the file, one of each kind.
 const RECORD_KINDS: usize = 13;
-/// How many peer messages it has: each kind, and each of their parts.
+/// The number of peer messages in the file, which cover each kind and each of their parts.
 const MESSAGE_KINDS: usize = 10;
 
 /// One line of the file: kind, name and bytes.
@@ -40,34 +40,35 @@
     lines.map(sample).collect()
 }
 
-/// Reads a record and writes it again.
-fn rewritten<T: Serialize + DeserializeOwned>(value: &Value) -> Vec<u8> {
+/// Decodes a record and encodes it again.
+fn reencode<T: Serialize + DeserializeOwned>(value: &Value) -> Vec<u8> {
     let record: T = from_value(value).expect("a readable record");
     to_cbor(&to_value(&record))
 }
 
-fn rewritten_record(key: &str, bytes: &[u8]) -> Vec<u8> {
+/// Decodes the record of a key and encodes it again.
+fn reencode_record(key: &str, bytes: &[u8]) -> Vec<u8> {
     let value: Value = from_cbor(bytes).expect("CBOR");
     match PartitionKey::parse(key) {
-        Some(PartitionKey::Record(_)) => return rewritten::<PartitionRecord>(&value),
-        Some(PartitionKey::Claim(_)) => return rewritten::<PartitionClaim>(&value),
+        Some(PartitionKey::Record(_)) => return reencode::<PartitionRecord>(&value),
+        Some(PartitionKey::Claim(_)) => return reencode::<PartitionClaim>(&value),
         None => {}
     }
     match JobKey::parse(key) {
-        Some(JobKey::Live(_)) => return rewritten::<JobRecord>(&value),
-        Some(JobKey::Cancelled(_)) => return rewritten::<CancelRecord>(&value),
+        Some(JobKey::Live(_)) => return reencode::<JobRecord>(&value),
+        Some(JobKey::Cancelled(_)) => return reencode::<CancelRecord>(&value),
         None => {}
     }
     match key.split('/').next().expect("a prefix") {
-        "leader" => rewritten::<LeaderRecord>(&value),
-        "stats" => rewritten::<StatsRecord>(&value),
-        "catalogue" => rewritten::<Catalogue>(&value),
-        "past" => rewritten::<FinishedJobRecord>(&value),
-        "done" => rewritten::<CompletedTasksPageRecord>(&value),
-        "page" => rewritten::<PageRecord>(&value),
-        "hire" => rewritten::<ProvisionRecord>(&value),
-        "quota" if key == "quota/limits" => rewritten::<LimitsRecord>(&value),
-        "quota" => rewritten::<QuotaGrantRecord>(&value),
+        "leader" => reencode::<LeaderRecord>(&value),
+        "stats" => reencode::<StatsRecord>(&value),
+        "catalogue" => reencode::<Catalogue>(&value),
+        "past" => reencode::<FinishedJobRecord>(&value),
+        "done" => reencode::<CompletedTasksPageRecord>(&value),
+        "page" => reencode::<PageRecord>(&value),
+        "hire" => reencode::<ProvisionRecord>(&value),
+        "quota" if key == "quota/limits" => reencode::<LimitsRecord>(&value),
+        "quota" => reencode::<QuotaGrantRecord>(&value),
         _ => panic!("{key}: no such kind of record"),
     }
 }
@@ -76,7 +77,7 @@
 fn frozen_records_are_read_and_written_as_the_same_bytes() {
     let mut records = 0;
     for sample in samples().iter().filter(|s| s.kind == "record") {
-        let written = rewritten_record(&sample.name, &sample.bytes);
+        let written = reencode_record(&sample.name, &sample.bytes);
         assert_eq!(written, sample.bytes, "{}", sample.name);
         records += 1;
     }
--- a/crates/testkit/tests/trace.rs
+++ b/crates/testkit/tests/trace.rs
@@ -1,9 +1,9 @@
-//! The digest of behaviour must notice what it is there to notice.
+//! Checks that the digest of behaviour changes with each effect and is the same for the same scenario.
 
 use grebewood_core::Effect;
 use grebewood_testkit::trace::Trace;
 
-fn answer(body: &[u8]) -> Effect {
+fn answer_effect(body: &[u8]) -> Effect {
     Effect::Answer {
         id: 1,
         status: 200,
@@ -14,7 +14,7 @@
 
 fn digest(time_us: u64, process: &str, body: &[u8]) -> String {
     let mut trace = Trace::default();
-    trace.record_effect(time_us, process, &answer(body));
+    trace.record_effect(time_us, process, &answer_effect(body));
     trace.digest()
 }
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_play_gives_the_same_digest_twice_and_another_one_with_other_settings() {
+fn a_scenario_has_the_same_digest_each_time_and_another_one_after_a_change() {
     let text = "team t cpus=8 max=8\ntype std cpus=8\nmachines std\n\
                 at 3 submit req-1 tasks=1 run=20\nend 12\n";
     let play = |text: &str| grebewood_testkit::play_traced(text).expect("a scenario");
