--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -48,14 +48,14 @@
     listener.local_addr().expect("its address")
 }
 
-/// Describes tasks that take one CPU, run for this time, write no checkpoints and do not fail.
-pub fn job_facts(run_time_us: u64) -> JobFacts {
+/// Describes tasks that take one CPU, run for `run_time` microseconds, write no checkpoints and do not fail.
+pub fn job_facts(run_time: u64) -> JobFacts {
     JobFacts {
         cpus: 1.0,
-        run: run_time_us,
-        flush: 0,
-        saves: false,
-        fails: false,
+        run_time,
+        checkpoint_time: 0,
+        writes_checkpoints: false,
+        always_fails: false,
     }
 }
 
@@ -168,12 +168,12 @@
     /// Starts the controllers together with the services and agents of a cluster.
     pub fn start(setup: &Setup, cluster: &Cluster) -> Controllers {
         let services = Services {
-            store: cluster.serve_state().expect("a key-value store"),
+            store: cluster.serve_store().expect("a key-value store"),
             cloud: cluster.serve_cloud(machine_type()).expect("a cloud"),
         };
         let mut controllers = Controllers::configure(setup, services);
         (0..setup.members).for_each(|number| controllers.spawn(number));
-        cluster.start_workers(&machine_type(), &controllers.fronts);
+        cluster.start_agents(&machine_type(), &controllers.fronts);
         controllers
     }
 
--- a/crates/grebewood/tests/partitions.rs
+++ b/crates/grebewood/tests/partitions.rs
@@ -45,9 +45,9 @@
 
 /// Assigns a partition to the next controller. Returns false if there are no partitions yet.
 fn hand_off_partition(cluster: &Cluster, round: usize) -> bool {
-    let mut store = cluster.state();
+    let mut store = cluster.store();
     let records: Vec<(String, PartitionRecord)> = store
-        .under("partition/")
+        .entries_with_prefix("partition/")
         .filter(|(key, _, _)| matches!(PartitionKey::parse(key), Some(PartitionKey::Record(_))))
         .filter_map(|(key, value, _)| Some((key.to_string(), from_value(value).ok()?)))
         .collect();
@@ -123,9 +123,9 @@
     assert_eq!(controllers.wait_for_jobs(&jobs), Ok(()));
     assert_command_shows_partitions(&controllers);
 
-    cluster.end();
-    let executions = cluster.write_buffer();
-    assert_eq!(executions.twice, Vec::<String>::new());
+    cluster.stop_agents();
+    let executions = cluster.execution_log();
+    assert_eq!(executions.duplicate_executions, Vec::<String>::new());
     assert_eq!(executions.completed.len() as u64, JOBS as u64 * TASKS);
     let repeated: Vec<_> = executions
         .completed
--- a/crates/grebewood/tests/quota.rs
+++ b/crates/grebewood/tests/quota.rs
@@ -106,20 +106,26 @@
 }
 
 fn assert_holders_placed_tasks(cluster: &Cluster) {
-    let placed_by_holders = cluster.state().under("page/0/").any(|(key, _, _)| {
-        let number = key
-            .rsplit_once('/')
-            .map(|(_, number)| number.parse::<u64>());
-        number.is_some_and(|number| number.is_ok_and(|n| n >= FIRST_HOLDER_PAGE))
-    });
+    let placed_by_holders = cluster
+        .store()
+        .entries_with_prefix("page/0/")
+        .any(|(key, _, _)| {
+            let number = key
+                .rsplit_once('/')
+                .map(|(_, number)| number.parse::<u64>());
+            number.is_some_and(|number| number.is_ok_and(|n| n >= FIRST_HOLDER_PAGE))
+        });
     assert!(placed_by_holders, "no partition holder has placed a task");
 }
 
 /// Checks that each team has used some CPUs, and never more than its limit.
 fn assert_limits_held(cluster: &Cluster) {
-    let executions = cluster.write_buffer();
+    let executions = cluster.execution_log();
     for (team, quota) in TEAMS.iter().enumerate() {
-        let most = executions.most.get(&format!("req-{}", team + 1)).copied();
+        let most = executions
+            .peak_tasks_by_team
+            .get(&format!("req-{}", team + 1))
+            .copied();
         let most = most.unwrap_or(0);
         let limit = quota.cpus_max as u64;
         assert!(
@@ -154,10 +160,10 @@
     assert_command_shows_teams(&controllers);
     assert_holders_placed_tasks(&cluster);
 
-    cluster.end();
+    cluster.stop_agents();
     {
-        let executions = cluster.write_buffer();
-        assert_eq!(executions.twice, Vec::<String>::new());
+        let executions = cluster.execution_log();
+        assert_eq!(executions.duplicate_executions, Vec::<String>::new());
         assert_eq!(executions.completed.len(), jobs.len() * TASKS as usize);
     }
     assert_limits_held(&cluster);
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -47,12 +47,12 @@
                 ensure(got.to_string() == wanted, detail)?;
             }
             "largest_value" => {
-                let (size, key) = self.store.largest();
+                let (size, key) = self.store.largest_value();
                 let most = (directive.number("most", 2.0)? * KIB) as usize;
                 ensure(size <= most, || format!("{key} has {size} bytes"))?;
             }
             "malformed" => {
-                let got = self.store.refused;
+                let got = self.store.malformed_transactions;
                 let most = directive.count("most", 0)?;
                 ensure(got <= most, || format!("{got} transactions were malformed"))?;
             }
@@ -60,13 +60,13 @@
             "serving" => self.expect_serving(directive)?,
             "provisioned" => {
                 let machine = self.machines.get(directive.word(1)?);
-                let is_provisioned = machine.is_some_and(|machine| !machine.gone);
+                let is_provisioned = machine.is_some_and(|machine| !machine.is_gone);
                 let wanted = directive.word(2)? == "yes";
                 let detail = || format!("whether the machine is provisioned: {is_provisioned}");
                 ensure(is_provisioned == wanted, detail)?;
             }
             "record" => {
-                let is_present = self.store.has(directive.word(1)?);
+                let is_present = self.store.contains_key(directive.word(1)?);
                 let wanted = directive.word(2)? == "yes";
                 let detail = || format!("whether the record exists: {is_present}");
                 ensure(is_present == wanted, detail)?;
@@ -96,7 +96,7 @@
     /// Returns the phases of all partitions on record.
     fn partition_phases(&self) -> Vec<&'static str> {
         let mut map = PartitionMap::default();
-        for (key, value, mod_revision) in self.store.under("partition/") {
+        for (key, value, mod_revision) in self.store.entries_with_prefix("partition/") {
             // The map itself reports a record that cannot be read.
             let _ = map.apply_put(key, value, mod_revision);
         }
@@ -107,9 +107,9 @@
     fn expect_serving(&self, directive: &Directive) -> StepResult {
         let prefix = format!("{}/", directive.word(1)?);
         let zone = directive.options.get("zone");
-        let machines = self.present_machines().filter(|machine| machine.up);
+        let machines = self.present_machines().filter(|machine| machine.is_up);
         let machines = machines.filter(|machine| zone.is_none_or(|zone| *zone == machine.zone));
-        let tasks = machines.flat_map(|machine| machine.live());
+        let tasks = machines.flat_map(|machine| machine.live_tasks());
         let serving = tasks
             .filter(|task| {
                 task.status == TaskStatus::Running && task.task_name.starts_with(&prefix)
--- a/crates/testkit/src/world/directives/machines.rs
+++ b/crates/testkit/src/world/directives/machines.rs
@@ -45,8 +45,8 @@
                 self.faults.lost_heartbeat_responses.insert(name);
             }
             "restart" => self.restart_agent(directive.word(1)?)?,
-            "faulty" => self.machine_mut(directive.word(1)?)?.faulty = true,
-            "kill" => self.machine_mut(directive.word(1)?)?.gone = true,
+            "faulty" => self.machine_mut(directive.word(1)?)?.is_faulty = true,
+            "kill" => self.machine_mut(directive.word(1)?)?.is_gone = true,
             "reclaim" => {
                 let at = self.now + directive.duration("in", 10.0)?;
                 self.machine_mut(directive.word(1)?)?.reclaim_at = Some(at);
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -55,23 +55,23 @@
     /// Returns whether a task of the job runs and has enough run time left.
     fn has_long_running_task(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
-        let machines = self.present_machines().filter(|machine| machine.up);
-        let mut tasks = machines.flat_map(|machine| machine.live());
+        let machines = self.present_machines().filter(|machine| machine.is_up);
+        let mut tasks = machines.flat_map(|machine| machine.live_tasks());
         tasks.any(|task| {
             task.status == TaskStatus::Running
                 && task.task_name.starts_with(&prefix)
-                && task.ends >= self.now + MIN_REMAINING_RUN
+                && task.state_ends_at >= self.now + MIN_REMAINING_RUN
         })
     }
 
     /// Makes some machines that hold tasks of these jobs hang until this time.
     fn hang_machines_of(&mut self, jobs: &[String], until: Micros) {
         let holds = |machine: &&mut Machine| {
-            let mut tasks = machine.live();
+            let mut tasks = machine.live_tasks();
             tasks.any(|task| jobs.iter().any(|job| job == job_of(&task.task_name)))
         };
         let machines = self.machines.values_mut();
-        let machines = machines.filter(|machine| machine.up && !machine.gone);
+        let machines = machines.filter(|machine| machine.is_up && !machine.is_gone);
         for machine in machines.filter(holds).take(MAX_HUNG_MACHINES) {
             machine.hangs_until = until;
         }
@@ -136,7 +136,7 @@
             let Some(over) = ends.into_iter().flatten().min() else {
                 continue;
             };
-            if self.now > over + within && !self.store.has(&format!("past/{id}")) {
+            if self.now > over + within && !self.store.contains_key(&format!("past/{id}")) {
                 let ago = (self.now - over) / SECOND;
                 return Err(ScenarioError::unmet(format!(
                     "{id} ended {ago} s ago, but its end is not recorded"
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -85,10 +85,10 @@
         let spec = submission(job, directive)?;
         let facts = JobFacts {
             cpus: spec.cpus,
-            run: directive.duration("run", DEFAULT_RUN_S)?,
-            flush: from_seconds(spec.checkpoint_duration_s),
-            saves: directive.flag("saves", false),
-            fails: directive.flag("fails", false),
+            run_time: directive.duration("run", DEFAULT_RUN_S)?,
+            checkpoint_time: from_seconds(spec.checkpoint_duration_s),
+            writes_checkpoints: directive.flag("saves", false),
+            always_fails: directive.flag("fails", false),
         };
         self.job_facts.insert(job.into(), facts);
         let observed = ObservedJob::new(spec, self.now);
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -116,14 +116,14 @@
     fn load_task(&mut self, line: &SnapshotLine) -> Result<(), ScriptError> {
         let word = line.word(4)?;
         let mut statuses = TaskStatus::ALL.into_iter();
-        let status = statuses.find(|status| status.word() == word);
+        let status = statuses.find(|status| status.as_str() == word);
         let task = Task {
             task_name: line.word(2)?.to_string(),
             attempt: line.number(3)?,
             status: status.ok_or_else(|| not_found("status", word))?,
             cause: (line.word(5)? == "done").then_some("done"),
             checkpointed: false,
-            ends: line.number(6)?,
+            state_ends_at: line.number(6)?,
             cpus: 0.0,
         };
         self.machine_mut(line.word(1)?)?.tasks.push(task);
@@ -135,10 +135,10 @@
         let spec: Submission = decoded(id, line.option("spec")?)?;
         let facts = JobFacts {
             cpus: spec.cpus,
-            run: line.time("run")?,
-            flush: line.time("flush")?,
-            saves: line.flag("saves")?,
-            fails: false,
+            run_time: line.time("run")?,
+            checkpoint_time: line.time("flush")?,
+            writes_checkpoints: line.flag("saves")?,
+            always_fails: false,
         };
         let tasks = self.machines.values_mut();
         let tasks = tasks.flat_map(|machine| &mut machine.tasks);
--- a/crates/testkit/src/world/tests/heartbeats.rs
+++ b/crates/testkit/src/world/tests/heartbeats.rs
@@ -42,7 +42,7 @@
     let mut world = world_with_running_job();
     let leader = leader_of(&world);
     let (holder, _) = holder_and_other(&world, "req-1");
-    let newest = machine(&mut world, &holder).heartbeat(4 * SECOND);
+    let newest = machine(&mut world, &holder).build_heartbeat(4 * SECOND);
     let copy = |incarnation, sequence, token| {
         let heartbeat = Heartbeat {
             incarnation,
@@ -107,7 +107,7 @@
         .handle_direct_command(caller, &format!("worker:{holder}"), &body)
         .expect("no fault");
     let is_live = |world: &World| {
-        let mut tasks = world.machines[&holder].live();
+        let mut tasks = world.machines[&holder].live_tasks();
         tasks.any(|task| task.task_name == first.task_name)
     };
     assert!(is_live(&world));
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -48,7 +48,7 @@
 fn job_without_room_does_not_count_as_waiting() {
     let all_deaf = |world: &mut World| {
         let machines = world.machines.values_mut();
-        for machine in machines.filter(|machine| !machine.gone) {
+        for machine in machines.filter(|machine| !machine.is_gone) {
             machine.deaf_until = 900 * SECOND;
         }
     };
@@ -85,7 +85,7 @@
         let there: Vec<String> = world.machines.keys().cloned().collect();
         for (index, name) in there.iter().enumerate() {
             let machine = machine(world, name);
-            machine.gone = false;
+            machine.is_gone = false;
             machine.zone = if index == 0 { "z" } else { "a" }.into();
         }
         add_task(world, &there[0], task("req-3/0", 1.0));
@@ -94,7 +94,7 @@
     let one_zone = |world: &mut World| {
         let name = world.machines.keys().next().expect("a machine").clone();
         let machine = machine(world, &name);
-        (machine.gone, machine.zone) = (false, "z".into());
+        (machine.is_gone, machine.zone) = (false, "z".into());
         add_task(world, &name, task("req-3/0", 8.0));
     };
     assert_eq!(
