--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -33,7 +33,7 @@
 
     /// Returns the machines that are not terminated, reclaimed or lost, reachable or not.
     pub(super) fn present_machines(&self) -> impl Iterator<Item = &Machine> {
-        self.machines.values().filter(|machine| !machine.gone)
+        self.machines.values().filter(|machine| !machine.is_gone)
     }
 
     /// Handles the response to a heartbeat, if the agent still waits for it and receives it.
@@ -69,10 +69,10 @@
         let machine = self.machines.get_mut(name)?;
         let heartbeat = machine.in_flight?;
         let awaited = heartbeat.id == heartbeat_id && heartbeat.incarnation == machine.incarnation;
-        if !awaited || machine.gone {
+        if !awaited || machine.is_gone {
             return None;
         }
-        if self.faults.lost_heartbeat_responses.remove(name) || !machine.receives(self.now) {
+        if self.faults.lost_heartbeat_responses.remove(name) || !machine.can_receive(self.now) {
             return None;
         }
         machine.in_flight = None;
@@ -95,7 +95,7 @@
         }
         machine.token = response.token;
         machine.lease_start = sent_at;
-        let started = machine.carry_out(self.now, &response.commands, &self.job_facts);
+        let started = machine.apply_commands(self.now, &response.commands, &self.job_facts);
         self.check_starts(name, &started)
     }
 
@@ -138,7 +138,7 @@
     /// Checks that a task that starts on a machine is not on another one.
     fn check_runs_once(&self, name: &str, task_name: &str) -> StepResult {
         let mut others = self.present_machines().filter(|other| other.name != name);
-        match others.find(|other| other.live().any(|task| task.task_name == task_name)) {
+        match others.find(|other| other.live_tasks().any(|task| task.task_name == task_name)) {
             None => Ok(()),
             Some(other) => Err(ScenarioError::rule(
                 Rule::RanTwice,
@@ -158,7 +158,7 @@
         job.last_start = self.now;
         if let Some(measures) = &mut self.measures {
             let waited = self.now - job.submitted_at;
-            measures.task_started(&job.spec.team, task_name, waited, leaderless);
+            measures.record_task_start(&job.spec.team, task_name, waited, leaderless);
         }
         if job.cancelled_at.is_some() {
             self.checks.late_starts += 1;
@@ -199,7 +199,7 @@
         let prefix = format!("{job}/");
         let mut zones = BTreeMap::new();
         for machine in self.present_machines() {
-            let tasks = machine.live();
+            let tasks = machine.live_tasks();
             let tasks = tasks.filter(|task| task.task_name.starts_with(&prefix));
             let number = tasks.count() as u64;
             if number > 0 {
@@ -218,7 +218,7 @@
     ) -> StepResult {
         let name = address.trim_start_matches("worker:").to_string();
         let receives =
-            |machine: &Machine| !machine.gone && machine.up && machine.receives(self.now);
+            |machine: &Machine| !machine.is_gone && machine.is_up && machine.can_receive(self.now);
         if !self.machines.get(&name).is_some_and(receives) {
             return Ok(());
         }
@@ -243,10 +243,10 @@
             (409, Vec::new())
         } else {
             machine.token = commands.token;
-            let started = machine.carry_out(self.now, &commands.commands, &self.job_facts);
+            let started = machine.apply_commands(self.now, &commands.commands, &self.job_facts);
             (200, started)
         };
-        let heartbeat = to_cbor(&machine.heartbeat(self.now));
+        let heartbeat = to_cbor(&machine.build_heartbeat(self.now));
         self.reply(caller, Link::Agents, CALL_LATENCY, status, heartbeat);
         self.check_starts(&name, &started)
     }
@@ -256,7 +256,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return Ok(());
         };
-        if !machine.boot_or_end(self.now) {
+        if !machine.update_lifecycle(self.now) {
             return Ok(());
         }
         let lease = self.configuration.settings.agent_lease;
@@ -325,7 +325,7 @@
         machine.last_contact_at = now;
         machine.next_heartbeat = now + interval;
         machine.reported_token = machine.token;
-        let body = to_cbor(&machine.heartbeat(now));
+        let body = to_cbor(&machine.build_heartbeat(now));
         let (controller, sequence) = (machine.controller, machine.sequence);
         let unplugged = now < machine.unplugged_until;
         let requester = Requester::Heartbeat {
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -115,7 +115,7 @@
         let mut body = call.body;
         if involves_previous_version {
             // The previous version writes and reads only the fields that it knows.
-            body = production::known_of_peer_request(&body).unwrap_or(body);
+            body = production::known_part_of_peer_request(&body).unwrap_or(body);
         }
         let leaves = self.arrival(from, Link::Peers, PEER_LATENCY);
         let reaches = self.arrival(to, Link::Peers, PEER_LATENCY);
@@ -189,14 +189,16 @@
             self.check_records(transaction);
         }
         let ticket = self.next_number();
-        let reply = self.store.request(self.now, ticket, method, path, body);
+        let reply = self
+            .store
+            .handle_request(self.now, ticket, method, path, body);
         let done = matches!(reply, Reply::Now(200, _));
         if done && transaction.as_ref().is_some_and(writes_leader_record) {
             self.on_leader_elected();
         }
         if let Some(measures) = &mut self.measures {
             let operations = transaction.map_or(0, |transaction| transaction.apply.len() as u64);
-            measures.store_request(if done { operations } else { 0 });
+            measures.record_store_request(if done { operations } else { 0 });
         }
         match reply {
             Reply::Now(status, body) => {
@@ -225,8 +227,8 @@
 
     /// Answers the watches of the key-value store that have events or time out.
     pub(super) fn answer_watches(&mut self) {
-        self.store.expire(self.now);
-        for (ticket, body) in self.store.ready(self.now) {
+        self.store.expire_leases(self.now);
+        for (ticket, body) in self.store.take_ready_watches(self.now) {
             let Some(caller) = self.calls.watches.remove(&ticket) else {
                 continue;
             };
--- a/crates/testkit/src/world/checks/waiting.rs
+++ b/crates/testkit/src/world/checks/waiting.rs
@@ -86,8 +86,8 @@
     /// Returns the free resources on each machine that can take tasks.
     fn free_capacities(&self) -> Vec<FreeCapacity<'_>> {
         let accepts_tasks = |machine: &&Machine| {
-            let is_healthy = !machine.faulty && machine.reclaim_at.is_none();
-            machine.up && is_healthy && machine.is_reachable(self.now)
+            let is_healthy = !machine.is_faulty && machine.reclaim_at.is_none();
+            machine.is_up && is_healthy && machine.is_reachable(self.now)
         };
         let machines = self.present_machines().filter(accepts_tasks);
         machines
@@ -98,10 +98,10 @@
     fn free_capacity_of<'a>(&self, machine: &'a Machine) -> FreeCapacity<'a> {
         let machine_type = self.cloud.machine_type(&machine.machine_type);
         let memory_gb = machine_type.map_or(0.0, |machine_type| machine_type.memory_gb);
-        let tasks = machine.live();
+        let tasks = machine.live_tasks();
         let jobs = tasks.filter_map(|task| self.jobs.get(job_of(&task.task_name)));
         let used_gb: f64 = jobs.map(|job| job.spec.memory_gb).sum();
-        let used_cpus: f64 = machine.live().map(|task| task.cpus).sum();
+        let used_cpus: f64 = machine.live_tasks().map(|task| task.cpus).sum();
         FreeCapacity {
             machine,
             cpus: machine.cpus - used_cpus,
@@ -148,7 +148,11 @@
     /// its tasks do not fail on every machine.
     fn should_run(&self, id: &str, job: &ObservedJob) -> bool {
         let wanted = job.accepted && !job.done && job.cancel_requested_at.is_none();
-        wanted && !self.job_facts.get(id).is_some_and(|facts| facts.fails)
+        wanted
+            && !self
+                .job_facts
+                .get(id)
+                .is_some_and(|facts| facts.always_fails)
     }
 
     /// Returns whether a team that uses this much may run this many more tasks of a job.
@@ -165,7 +169,7 @@
     fn live_tasks_by_zone(&self) -> BTreeMap<&str, BTreeMap<&str, u64>> {
         let mut live: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
         for machine in self.present_machines() {
-            for task in machine.live() {
+            for task in machine.live_tasks() {
                 let zones = live.entry(job_of(&task.task_name)).or_default();
                 *zones.entry(&machine.zone).or_insert(0) += 1;
             }
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -84,7 +84,7 @@
                 let names = from_cbor::<MachineNames>(body).map(|names| names.machines);
                 for name in names.unwrap_or_default() {
                     if let Some(machine) = self.machines.get_mut(&name) {
-                        machine.gone = true;
+                        machine.is_gone = true;
                     }
                 }
                 (200, to_cbor(&BTreeMap::<String, u64>::new()))
@@ -99,7 +99,8 @@
 
     fn machine_list(&self) -> MachineList {
         // Machines that are provisioned at the start are listed at once.
-        let listed_at = |machine: &Machine| machine.requested + LISTING_LAG.min(machine.requested);
+        let listed_at =
+            |machine: &Machine| machine.provisioned_at + LISTING_LAG.min(machine.provisioned_at);
         let machines = self.present_machines();
         let machines = machines.filter(|machine| self.now >= listed_at(machine));
         let machines = machines.map(|machine| ListedMachine {
@@ -108,8 +109,8 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            status: if machine.up { "running" } else { "starting" }.into(),
-            age_s: as_seconds(self.now - machine.requested),
+            status: if machine.is_up { "running" } else { "starting" }.into(),
+            age_s: as_seconds(self.now - machine.provisioned_at),
         });
         MachineList {
             machines: machines.collect(),
@@ -153,7 +154,7 @@
         let boots_at = self.now + self.cloud.boot_time;
         let machine = Machine {
             spot,
-            requested: self.now,
+            provisioned_at: self.now,
             boots_at: (!self.cloud.boots_fail).then_some(boots_at),
             controller: self.cloud.next_machine as usize % FIRST_CONTROLLERS,
             ..Machine::new(&name, kind, zone)
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -213,8 +213,8 @@
         let began = Instant::now();
         let effects = controller.step(now, input, &mut NoStopwatch);
         match (&mut self.measures, leads) {
-            (Some(measures), true) => measures.step(kind, began.elapsed()),
-            (Some(measures), false) => measures.other_steps += began.elapsed(),
+            (Some(measures), true) => measures.record_step(kind, began.elapsed()),
+            (Some(measures), false) => measures.follower_step_time += began.elapsed(),
             (None, _) => {}
         }
         Some(effects)
@@ -234,7 +234,7 @@
         };
         let process = member_name(index);
         for effect in effects {
-            trace.add(self.now, &process, effect);
+            trace.record_effect(self.now, &process, effect);
             let Effect::Answer { id, body, .. } = effect else {
                 continue;
             };
--- a/crates/testkit/src/world/directives/controllers.rs
+++ b/crates/testkit/src/world/directives/controllers.rs
@@ -1,4 +1,4 @@
-//! What a script does to controllers, their links and the key-value store.
+//! Directives about controllers, their links and the key-value store.
 
 use super::super::configuration::member_name;
 use super::super::events::Event;
@@ -10,13 +10,13 @@
 use grebewood_wire::http::{from_value, to_value};
 use grebewood_wire::records::PartitionRecord;
 
-/// For how long a controller is down that crashes, if the directive does not say, in seconds.
+/// The default time for which a crashed controller is down, in seconds.
 const DEFAULT_CRASH_S: f64 = 4.0;
-/// For how long most faults last if the directive does not say, in seconds.
+/// The default duration of most faults, in seconds.
 const DEFAULT_FAULT_S: f64 = 10.0;
 
 impl World {
-    /// Carries out what is done to controllers and the key-value store, if the directive is about them.
+    /// Carries out a directive about controllers or the key-value store. Returns whether the directive is one.
     pub(super) fn run_controller_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "move" => self.move_partition(directive.word(1)?)?,
@@ -45,7 +45,7 @@
                 };
                 self.network.cuts.push(cut);
             }
-            "freeze" => {
+            "pause" => {
                 let controller = self.controller_named(directive.word(1)?)?;
                 self.pause_controller(controller, directive.duration("for", 30.0)?);
             }
@@ -54,27 +54,27 @@
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
                 self.network.refused.push((controller, until));
             }
-            "trap" => self.faults.crash_on_page_write = true,
+            "fault_on" => self.faults.crash_on_page_write = true,
             _ => return self.run_store_directive(directive),
         }
         Ok(true)
     }
 
-    /// Carries out what is done to the key-value store, if the directive is about it.
+    /// Carries out a directive about the key-value store. Returns whether the directive is one.
     fn run_store_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "limits" => {
-                let now = self.store.limits;
-                let now = now.unwrap_or(self.configuration.settings.store);
-                let limits = store_limits(directive, "", now)?;
+                let current = self.store.limits;
+                let current = current.unwrap_or(self.configuration.settings.store);
+                let limits = store_limits(directive, "", current)?;
                 self.schedule_event(self.now, Event::StoreLimits(limits));
             }
             "busy" => {
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
-                self.store.busy_until = until;
+                self.store.writes_throttled_until = until;
             }
-            "state" => {
-                self.store.down = true;
+            "store" => {
+                self.store.is_down = true;
                 let until = self.now + directive.duration("for", DEFAULT_FAULT_S)?;
                 self.schedule_event(until, Event::StoreUp);
             }
@@ -91,14 +91,14 @@
         Ok(true)
     }
 
-    /// Assigns a partition to the next member that is up, as an operator would: one after the other, by
-    /// the number at the end of the word.
+    /// Assigns a partition to the next controller that is up, as an operator would. The number at the end of the
+    /// word chooses the partition.
     fn move_partition(&mut self, word: &str) -> Result<(), ScriptError> {
         let number: usize = word
             .trim_start_matches(char::is_alphabetic)
             .parse()
             .map_err(|_| ScriptError::NotANumber(word.to_string()))?;
-        let records = self.store.under("partition/");
+        let records = self.store.entries_with_prefix("partition/");
         let records = records.filter_map(|(key, value, _)| {
             let record = from_value::<PartitionRecord>(value).ok()?;
             Some((key.to_string(), record))
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -159,7 +159,7 @@
             }
             Event::Directive(directive) => {
                 let done = self.run_directive(&directive);
-                return done.map_err(|error| error.at_line(directive.number));
+                return done.map_err(|error| error.at_line(directive.line_number));
             }
             Event::Start(index) => self.start_controller(index),
             Event::Crash(index, down_for) => self.crash_controller(index, down_for),
@@ -173,7 +173,7 @@
             Event::StoreLimits(limits) => self.store.limits = Some(limits),
             Event::HeartbeatCopy { body, to_all } => self.deliver_heartbeat_copy(&body, to_all),
             Event::PollEverywhere(job) => self.poll_everywhere(&job),
-            Event::StoreUp => self.store.recover(self.now),
+            Event::StoreUp => self.store.end_outage(self.now),
             Event::CloudUp => self.cloud.down = false,
             Event::RetrySubmit(job) => self.submit(&job, None),
             Event::RetryCancel(job) => self.cancel(&job, None),
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -101,18 +101,18 @@
         match (directive.word(0)?, object) {
             ("late", "txn") => self.set_transaction_fault(directive)?,
             ("late", "txns") => self.set_recurring_transaction_fault(directive)?,
-            ("lost", _) => self.expect_unanswered_transactions(directive)?,
-            ("slow", "state") => {
+            ("unanswered", _) => self.expect_unanswered_transactions(directive)?,
+            ("slow", "store") => {
                 self.faults.slow_store = self.delay(directive, 20.0, ("by", 0.8))?
             }
-            ("slow", "workers") => {
+            ("slow", "agents") => {
                 self.faults.slow_agent_links = self.delay(directive, 20.0, ("by", 0.5))?;
             }
-            ("trap", "confirm") => {
+            ("fault_on", "confirm") => {
                 let down_for = directive.duration("for", 0.3)?;
                 self.faults.crash_on_confirmation = Some(down_for);
             }
-            ("trap", "grant") => {
+            ("fault_on", "grant") => {
                 let down_for = directive.duration("for", 40.0)?;
                 self.faults.store_outage_on_election = Some(down_for);
             }
@@ -120,9 +120,11 @@
                 let until = self.now + directive.duration("for", 5.0)?;
                 self.faults.forged_cancellation = Some((job.into(), until));
             }
-            ("copies", machine) => self.start_heartbeat_copies(directive, machine)?,
-            ("copied", _) => self.expect_copies(directive)?,
-            ("mute" | "deaf" | "unplug" | "hang", _) => self.silence_machines(directive)?,
+            ("heartbeat_copies", machine) => self.start_heartbeat_copies(directive, machine)?,
+            ("copies_at_newer_leader", _) => self.expect_copies(directive)?,
+            ("drop_heartbeats" | "drop_inbound" | "disconnect" | "hang", _) => {
+                self.silence_machines(directive)?
+            }
             ("lose", "direct") => {
                 let delay = self.delay(directive, 10.0, ("late", 6.0))?;
                 for name in self.machines_named(directive, 2)? {
@@ -144,7 +146,7 @@
             "cancel_at_end" => {
                 self.faults.cancel_at_end = self.delay(directive, 20.0, ("after", 0.0))?;
             }
-            "refusals" => {
+            "refused_polls" => {
                 let (got, most) = (self.faults.refused_polls, directive.count("most", 0)?);
                 if got > most {
                     let detail = format!("{got} polls were refused");
@@ -152,7 +154,7 @@
                 }
             }
             "ends" => self.check_ends(directive)?,
-            "looks" => {
+            "polls" => {
                 let until = self.now + directive.duration("for", 20.0)?;
                 self.faults.polls_until = until;
             }
@@ -191,9 +193,9 @@
         for name in self.machines_named(directive, 1)? {
             let machine = self.machine_mut(&name)?;
             match fault {
-                "mute" => machine.mute_until = until,
-                "deaf" => machine.deaf_until = until,
-                "unplug" => machine.unplugged_until = until,
+                "drop_heartbeats" => machine.mute_until = until,
+                "drop_inbound" => machine.deaf_until = until,
+                "disconnect" => machine.unplugged_until = until,
                 _ => machine.hangs_until = until,
             }
         }
--- a/crates/testkit/src/world/faults/store.rs
+++ b/crates/testkit/src/world/faults/store.rs
@@ -43,7 +43,7 @@
         &mut self,
         directive: &Directive,
     ) -> Result<(), ScriptError> {
-        let controller = match directive.options.get("node").map(String::as_str) {
+        let controller = match directive.options.get("controller").map(String::as_str) {
             None | Some("leader") => None,
             Some(word) => Some(self.controller_named(word)?),
         };
@@ -142,7 +142,7 @@
         if let Some(down_for) = self.faults.store_outage_on_election.take() {
             let until = self.now + down_for;
             self.faults.end = self.faults.end.max(until);
-            self.store.down = true;
+            self.store.is_down = true;
             self.schedule_event(until, Event::StoreUp);
         }
     }
--- a/crates/testkit/src/world/jobs.rs
+++ b/crates/testkit/src/world/jobs.rs
@@ -85,10 +85,10 @@
         let spec = submission(job, directive)?;
         let facts = JobFacts {
             cpus: spec.cpus,
-            run: directive.duration("run", DEFAULT_RUN_S)?,
-            flush: from_seconds(spec.checkpoint_duration_s),
-            saves: directive.flag("saves", false),
-            fails: directive.flag("fails", false),
+            run_time: directive.duration("run", DEFAULT_RUN_S)?,
+            checkpoint_time: from_seconds(spec.checkpoint_duration_s),
+            writes_checkpoints: directive.flag("saves", false),
+            always_fails: directive.flag("fails", false),
         };
         self.job_facts.insert(job.into(), facts);
         let observed = ObservedJob::new(spec, self.now);
@@ -107,9 +107,9 @@
     Ok(Submission {
         id: job.into(),
         class: directive.text("class", "work"),
-        team: directive.text("owner", "t"),
+        team: directive.text("team", "t"),
         shape: directive.text("shape", "batch"),
-        priority: priority(&directive.text("prec", "normal")),
+        priority: priority(&directive.text("priority", "normal")),
         tasks: directive.count("tasks", 1)?,
         cpus: directive.number("cpus", 2.0)?,
         gpus: directive.number("gpus", 0.0)?,
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -67,7 +67,7 @@
     pub(super) fn run_limits_directive(&mut self, directive: &Directive) -> StepResult<bool> {
         match directive.word(0)? {
             "settings" => self.change_settings(directive)?,
-            "in_force" => {
+            "team_limit" => {
                 let wanted = directive.number_at(2)?;
                 let limits = self.recorded_limits();
                 let got = limits.get(directive.word(1)?).copied();
@@ -104,10 +104,10 @@
         })?;
         let team = Team {
             cpus: directive.number("cpus", known.cpus)?,
-            cpus_max: directive.number("max", known.cpus_max)?,
+            cpus_max: directive.number("cpus_max", known.cpus_max)?,
             ..known
         };
-        let team = (!directive.flag("gone", false)).then_some(team);
+        let team = (!directive.flag("removed", false)).then_some(team);
         let changes = controllers.into_iter();
         let changes = changes.map(|controller| ((controller, name.clone()), team));
         self.limit_changes.by_controller.extend(changes);
@@ -116,7 +116,7 @@
 
     /// Returns the recorded limits by team, in CPUs.
     fn recorded_limits(&self) -> BTreeMap<String, f64> {
-        let mut records = self.store.under(QUOTA_LIMITS_KEY);
+        let mut records = self.store.entries_with_prefix(QUOTA_LIMITS_KEY);
         let record = records.find_map(|(_, value, _)| from_value::<LimitsRecord>(value).ok());
         let teams = record.unwrap_or_default().teams.into_iter();
         teams.map(|team| (team.team, team.cpus_max)).collect()
@@ -125,7 +125,7 @@
     /// Returns the sums of the recorded quota grants by team, in CPUs.
     fn recorded_grants(&self) -> BTreeMap<String, f64> {
         let mut granted: BTreeMap<String, f64> = BTreeMap::new();
-        for (_, value, _) in self.store.under(QUOTA_PREFIX) {
+        for (_, value, _) in self.store.entries_with_prefix(QUOTA_PREFIX) {
             let record = from_value::<QuotaGrantRecord>(value).unwrap_or_default();
             for team in record.teams {
                 let cpus = team.cpus as f64 / GRANT_UNITS_PER_CPU;
@@ -162,7 +162,7 @@
         }
         if let Some(measures) = &mut self.measures {
             let each = idle.into_iter();
-            each.for_each(|thousandths| measures.idle_granted(thousandths));
+            each.for_each(|thousandths| measures.record_unused_grant(thousandths));
         }
     }
 
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -7,7 +7,7 @@
 /// if it does within 200.
 fn seconds_until_violation(options: &str, change: fn(&mut World)) -> Option<u64> {
     let mut world = world_after(
-        "check waits\nat 2 submit req-1 tasks=4 run=500\nat 2 submit req-2 tasks=1 owner=u run=500",
+        "check waits\nat 2 submit req-1 tasks=4 run=500\nat 2 submit req-2 tasks=1 team=u run=500",
         4,
     );
     let text = format!("at 4 submit req-3 {options}\nend 9");
@@ -48,7 +48,7 @@
 fn job_without_room_does_not_count_as_waiting() {
     let all_deaf = |world: &mut World| {
         let machines = world.machines.values_mut();
-        for machine in machines.filter(|machine| !machine.gone) {
+        for machine in machines.filter(|machine| !machine.is_gone) {
             machine.deaf_until = 900 * SECOND;
         }
     };
@@ -63,8 +63,8 @@
     assert_eq!(seconds_until_violation("cpus=1 zone=c", |_| ()), None);
     assert_eq!(seconds_until_violation("cpus=1 type=big", |_| ()), None);
     assert_eq!(seconds_until_violation("cpus=1", all_deaf), None);
-    assert_eq!(seconds_until_violation("cpus=7 owner=u", |_| ()), None);
-    assert_eq!(seconds_until_violation("cpus=6 owner=u", |_| ()), Some(90));
+    assert_eq!(seconds_until_violation("cpus=7 team=u", |_| ()), None);
+    assert_eq!(seconds_until_violation("cpus=6 team=u", |_| ()), Some(90));
 }
 
 /// A job does not count as waiting if its user has asked to cancel it, or it fails on every machine.
@@ -85,7 +85,7 @@
         let there: Vec<String> = world.machines.keys().cloned().collect();
         for (index, name) in there.iter().enumerate() {
             let machine = machine(world, name);
-            machine.gone = false;
+            machine.is_gone = false;
             machine.zone = if index == 0 { "z" } else { "a" }.into();
         }
         add_task(world, &there[0], task("req-3/0", 1.0));
@@ -94,7 +94,7 @@
     let one_zone = |world: &mut World| {
         let name = world.machines.keys().next().expect("a machine").clone();
         let machine = machine(world, &name);
-        (machine.gone, machine.zone) = (false, "z".into());
+        (machine.is_gone, machine.zone) = (false, "z".into());
         add_task(world, &name, task("req-3/0", 8.0));
     };
     assert_eq!(
