--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Timeout of a call to the store, unless the caller sets another one.
-pub const STORE_TIMEOUT: Micros = 1_500 * MILLI;
+pub const STORE_CALL_TIMEOUT_US: Micros = 1_500 * MILLI;
 
 /// Lowest write rate of a member, in puts a second, at which holders write assignments. Below it the leader places
 /// all tasks.
@@ -171,7 +171,14 @@
     /// Sends a GET request to the store.
     pub fn get_from_store(&mut self, path: String, purpose: CallPurpose) -> u64 {
         let nothing = Vec::new();
-        self.call(Target::Store, "GET", path, nothing, STORE_TIMEOUT, purpose)
+        self.call(
+            Target::Store,
+            "GET",
+            path,
+            nothing,
+            STORE_CALL_TIMEOUT_US,
+            purpose,
+        )
     }
 
     /// Reads one key of the store.
@@ -191,7 +198,7 @@
             "POST",
             path.to_string(),
             wire::to_cbor(body),
-            STORE_TIMEOUT,
+            STORE_CALL_TIMEOUT_US,
             purpose,
         )
     }
@@ -273,7 +280,7 @@
             "DELETE",
             format!("/leases/{lease}"),
             Vec::new(),
-            STORE_TIMEOUT,
+            STORE_CALL_TIMEOUT_US,
             CallPurpose::Ignore,
         );
     }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -35,7 +35,7 @@
 pub(crate) mod user_requests;
 
 /// A controller that has had no contact with the store for this long refuses users' requests.
-pub const USER_REQUEST_CONTACT_TIMEOUT: Micros = 2_500 * MILLI;
+pub const USER_REQUEST_CONTACT_TIMEOUT_US: Micros = 2_500 * MILLI;
 
 /// Most finished jobs whose final records a controller keeps in memory.
 const MAX_FINISHED_JOBS: usize = 20_000;
@@ -155,7 +155,9 @@
     /// Returns whether this controller can serve users' requests.
     pub fn is_healthy(&self) -> bool {
         self.context.catalogue.is_some()
-            && self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT)
+            && self
+                .context
+                .has_store_contact(USER_REQUEST_CONTACT_TIMEOUT_US)
     }
 
     /// Routes a request of a user, an agent or a health check.
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -17,26 +17,26 @@
 use std::fmt::Display;
 
 /// Interval between two reads of the leader record by a controller that is not the leader.
-const PROBE_INTERVAL: Micros = 500 * MILLI;
+const PROBE_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Delay until the next read after deleting a leader record of an earlier process of this member.
-const PROBE_AFTER_DELETE: Micros = 20 * MILLI;
+const PROBE_AFTER_DELETE_US: Micros = 20 * MILLI;
 
 /// Delay until the next read of the leader record after stepping down.
-const PROBE_AFTER_STEP_DOWN: Micros = 50 * MILLI;
+const PROBE_AFTER_STEP_DOWN_US: Micros = 50 * MILLI;
 
 /// Delay until the next read of the leader record after ending the lease of a candidacy or of leadership.
-const PROBE_AFTER_LEASE_END: Micros = 100 * MILLI;
+const PROBE_AFTER_LEASE_END_US: Micros = 100 * MILLI;
 
 /// Time for which a leader that resigned does not become a candidate.
-const ABSTENTION: Micros = 10 * SECOND;
+const ABSTENTION_US: Micros = 10 * SECOND;
 
 /// What happens to the leader's lease when the leader steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepDownMode {
     /// The lease is lost or may be lost. It is left to expire.
     LeaseLost,
-    /// The lease is still valid. It is ended, and this controller is no candidate for [`ABSTENTION`].
+    /// The lease is still valid. It is ended, and this controller is no candidate for [`ABSTENTION_US`].
     Resign,
 }
 
@@ -50,7 +50,7 @@
         if self.leader.is_some() {
             return self.send_contact_requests();
         }
-        self.election.next_probe = now + PROBE_INTERVAL;
+        self.election.next_probe = now + PROBE_INTERVAL_US;
         if !self.election.request_in_flight {
             self.election.request_in_flight = true;
             self.context
@@ -61,7 +61,7 @@
         if !self.partitions.holders.is_empty() && now >= self.election.next_question {
             self.send_contact_requests();
             self.election.next_question = self.election.next_probe;
-            self.election.next_probe = now + PROBE_INTERVAL;
+            self.election.next_probe = now + PROBE_INTERVAL_US;
         }
     }
 
@@ -121,7 +121,7 @@
         self.context
             .post_to_store("/txn", &transaction, CallPurpose::Ignore);
         self.election.leader = None;
-        self.election.next_probe = self.context.now.steady + PROBE_AFTER_DELETE;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_DELETE_US;
     }
 
     /// Requests a lease for a candidacy, since the store has no leader record.
@@ -192,7 +192,7 @@
     /// Ends the lease of a candidacy or of leadership, and schedules an early read of the leader record.
     fn end_candidacy(&mut self, lease: u64) {
         self.context.end_lease(lease);
-        self.election.next_probe = self.context.now.steady + PROBE_AFTER_LEASE_END;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_LEASE_END_US;
     }
 
     /// Takes on leadership after the store applied this controller's leader record, whose mod_revision is the
@@ -231,10 +231,10 @@
         }
         self.election.leader = None;
         self.election.request_in_flight = false;
-        self.election.next_probe = self.context.now.steady + PROBE_AFTER_STEP_DOWN;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_STEP_DOWN_US;
         if mode == StepDownMode::Resign {
             self.end_candidacy(leader.lease);
-            self.election.abstain_until = self.context.now.steady + ABSTENTION;
+            self.election.abstain_until = self.context.now.steady + ABSTENTION_US;
         }
     }
 
--- a/crates/core/src/controller/catalogue.rs
+++ b/crates/core/src/controller/catalogue.rs
@@ -9,10 +9,10 @@
 use log::warn;
 
 /// Interval between two attempts to read the catalogue.
-const RETRY_INTERVAL: Micros = 500 * MILLI;
+const RETRY_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Timeout of a request to the cloud for the machine types.
-const CLOUD_TIMEOUT: Micros = 3 * SECOND;
+const CLOUD_TIMEOUT_US: Micros = 3 * SECOND;
 
 impl Controller {
     /// Requests the catalogue if it is not known and an attempt is due.
@@ -21,7 +21,7 @@
         if self.context.catalogue.is_some() || now < self.catalogue_reader.next_attempt {
             return;
         }
-        self.catalogue_reader.next_attempt = now + RETRY_INTERVAL;
+        self.catalogue_reader.next_attempt = now + RETRY_INTERVAL_US;
         match self.catalogue_reader.source {
             CatalogueSource::Store => {
                 let purpose = CallPurpose::Catalogue(CatalogueSource::Store);
@@ -34,7 +34,7 @@
                         "GET",
                         "/machine_types".into(),
                         Vec::new(),
-                        CLOUD_TIMEOUT,
+                        CLOUD_TIMEOUT_US,
                         CallPurpose::Catalogue(CatalogueSource::Cloud),
                     );
                 }
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -17,23 +17,23 @@
 use log::debug;
 
 /// Shortest interval between two requests to the store.
-const MIN_INTERVAL: Micros = 60 * MILLI;
+const MIN_INTERVAL_US: Micros = 60 * MILLI;
 
 /// Reads that the rate limit must allow for between two requests for the view: the view takes half of the reads at
 /// most, and the rest is for final records, submissions and cancellations.
 const READS_BETWEEN_REQUESTS: f64 = 2.0;
 
 /// Interval between two updates of the view without users' requests.
-const REFRESH_INTERVAL: Micros = SECOND;
+const REFRESH_INTERVAL_US: Micros = SECOND;
 
 /// Interval until the next update of the view without users' requests, after an update that failed.
-const REFRESH_RETRY_INTERVAL: Micros = 500 * MILLI;
+const REFRESH_RETRY_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Delay until the next request after the store refused one, or after a page of the list could not be read.
-const RETRY_AFTER_REFUSAL: Micros = 200 * MILLI;
+const RETRY_AFTER_REFUSAL_US: Micros = 200 * MILLI;
 
 /// Delay until the next request after a request for changes that failed otherwise.
-const RETRY_AFTER_FAILURE: Micros = 100 * MILLI;
+const RETRY_AFTER_FAILURE_US: Micros = 100 * MILLI;
 
 /// Most entries on one page of the list.
 const MAX_PAGE_ENTRIES: usize = 400;
@@ -65,8 +65,8 @@
         }
         view.request_in_flight = true;
         view.next_request =
-            now + MIN_INTERVAL.max(self.context.user_reads.refill_time(READS_BETWEEN_REQUESTS));
-        view.refresh_at = now + REFRESH_INTERVAL;
+            now + MIN_INTERVAL_US.max(self.context.user_reads.refill_time(READS_BETWEEN_REQUESTS));
+        view.refresh_at = now + REFRESH_INTERVAL_US;
         self.request_job_view();
     }
 
@@ -136,7 +136,7 @@
             _ => {
                 debug!(status = status; "listing the live jobs failed");
                 let now = self.context.now.steady;
-                self.job_view.next_request = now + RETRY_AFTER_REFUSAL;
+                self.job_view.next_request = now + RETRY_AFTER_REFUSAL_US;
             }
         }
     }
@@ -195,8 +195,8 @@
 
     fn on_store_unavailable(&mut self) {
         let now = self.context.now.steady;
-        self.job_view.next_request = now + RETRY_AFTER_REFUSAL;
-        self.job_view.refresh_at = now + REFRESH_RETRY_INTERVAL;
+        self.job_view.next_request = now + RETRY_AFTER_REFUSAL_US;
+        self.job_view.refresh_at = now + REFRESH_RETRY_INTERVAL_US;
         for request in std::mem::take(&mut self.job_view.awaiting_reply) {
             self.context
                 .refuse(request.request, 503, "the state service is out of reach");
@@ -211,8 +211,8 @@
         let mut waiting = std::mem::take(&mut view.awaiting_reply);
         waiting.append(&mut view.waiting);
         view.waiting = waiting;
-        view.next_request = now + RETRY_AFTER_FAILURE;
-        view.refresh_at = now + REFRESH_RETRY_INTERVAL;
+        view.next_request = now + RETRY_AFTER_FAILURE_US;
+        view.refresh_at = now + REFRESH_RETRY_INTERVAL_US;
         if status != 0 && status != 429 {
             // The store no longer has the changes, or they cannot be read: the view is listed again.
             view.reset();
--- a/crates/core/src/controller/leader.rs
+++ b/crates/core/src/controller/leader.rs
@@ -3,7 +3,7 @@
 use crate::calls::SchedulerCall;
 use crate::controller::candidacy::StepDownMode;
 use crate::controller::partition_claims::ReleaseReason;
-use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT;
+use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT_US;
 use crate::controller::Controller;
 use crate::{Outcome, Stopwatch};
 
@@ -19,7 +19,7 @@
         };
         // Without the store no other member can become the leader. Stepping down would only lose what this
         // controller knows, such as a cancelled task on a machine that hangs.
-        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT)
+        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US)
             && leader.is_isolated_from_agents(&self.context)
         {
             return self.step_down("no agent reaches this controller", StepDownMode::Resign);
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::{status_and_body, CallPurpose, ClaimStep};
 use crate::context::Role;
-use crate::controller::peer_contact::{LeaseLoss, STORE_CONTACT_TIMEOUT};
+use crate::controller::peer_contact::{LeaseLoss, STORE_CONTACT_TIMEOUT_US};
 use crate::controller::Controller;
 use crate::scheduler::{FencedLease, Scheduler};
 use crate::transactions::{absent, at_revision};
@@ -17,10 +17,10 @@
 use thiserror::Error;
 
 /// Delay after a failed attempt to claim a partition until the next attempt.
-const CLAIM_RETRY_INTERVAL: Micros = 50 * MILLI;
+const CLAIM_RETRY_INTERVAL_US: Micros = 50 * MILLI;
 
 /// Time for which a controller that released a partition because no agent reaches it claims no partition.
-const CLAIM_PAUSE_WHEN_CUT_OFF: Micros = 10 * SECOND;
+const CLAIM_PAUSE_WHEN_ISOLATED_US: Micros = 10 * SECOND;
 
 /// Why this controller releases a partition.
 #[derive(Debug, PartialEq, Eq, Error)]
@@ -177,7 +177,7 @@
 
     fn on_claim_failed(&mut self, id: PartitionId, lease: Option<u64>) {
         self.partitions.claiming.remove(&id);
-        self.partitions.claim_at = self.context.now.steady + CLAIM_RETRY_INTERVAL;
+        self.partitions.claim_at = self.context.now.steady + CLAIM_RETRY_INTERVAL_US;
         if let Some(lease) = lease {
             self.context.end_lease(lease);
         }
@@ -218,7 +218,7 @@
         if !self.election.leader_supports_partitions() {
             return Some(ReleaseReason::LeaderWithoutPartitions);
         }
-        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT)
+        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US)
             && holder.is_isolated_from_agents(&self.context)
         {
             return Some(ReleaseReason::CutOffFromAgents);
@@ -268,7 +268,7 @@
         }
         self.context.end_lease(holder.lease());
         if *reason == ReleaseReason::CutOffFromAgents {
-            self.partitions.claim_at = self.context.now.steady + CLAIM_PAUSE_WHEN_CUT_OFF;
+            self.partitions.claim_at = self.context.now.steady + CLAIM_PAUSE_WHEN_ISOLATED_US;
         }
     }
 
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -1,7 +1,7 @@
 //! Keeps the controller's copy of the partition map up to date: lists its keys first, then watches them for changes.
 
 use crate::calls::{CallPurpose, MapCall};
-use crate::context::STORE_TIMEOUT;
+use crate::context::STORE_CALL_TIMEOUT_US;
 use crate::controller::partitions::Partitions;
 use crate::controller::Controller;
 use crate::state::partition_map_reader::MapListing;
@@ -14,16 +14,16 @@
 use log::{error, warn};
 
 /// Time for which a watch of the map stays open without changes.
-const WATCH_DURATION: Micros = 10 * SECOND;
+const WATCH_DURATION_US: Micros = 10 * SECOND;
 
 /// Timeout of a watch, longer than the watch stays open.
-const WATCH_TIMEOUT: Micros = WATCH_DURATION + 3 * SECOND;
+const WATCH_TIMEOUT_US: Micros = WATCH_DURATION_US + 3 * SECOND;
 
 /// Delay after a failed read of the map until the next attempt.
-const RETRY_INTERVAL: Micros = 300 * MILLI;
+const RETRY_INTERVAL_US: Micros = 300 * MILLI;
 
 /// Delay after the answer to a watch until the next watch.
-const WATCH_INTERVAL: Micros = 20 * MILLI;
+const WATCH_INTERVAL_US: Micros = 20 * MILLI;
 
 /// Most entries on one page of the list.
 const MAX_PAGE_ENTRIES: usize = 200;
@@ -39,17 +39,17 @@
         reader.request_in_flight = true;
         let (call, path, timeout) = match (reader.revision, &reader.listing) {
             (Some(revision), _) => {
-                let block_ms = WATCH_DURATION / MILLI;
+                let block_ms = WATCH_DURATION_US / MILLI;
                 let path =
                     format!("/changes?prefix={PARTITION}&since={revision}&block_ms={block_ms}");
-                (MapCall::Watch, path, WATCH_TIMEOUT)
+                (MapCall::Watch, path, WATCH_TIMEOUT_US)
             }
             (None, listing) => {
                 let after = listing.as_ref().map(|page| &page.last_key);
                 let since = after.map(|key| format!("&since={key}"));
                 let since = since.unwrap_or_default();
                 let path = format!("/kv?prefix={PARTITION}{since}&page={MAX_PAGE_ENTRIES}");
-                (MapCall::List, path, STORE_TIMEOUT)
+                (MapCall::List, path, STORE_CALL_TIMEOUT_US)
             }
         };
         let purpose = CallPurpose::PartitionMap(call);
@@ -62,7 +62,7 @@
         let now = self.context.now.steady;
         let reader = &mut self.partitions.reader;
         reader.request_in_flight = false;
-        reader.next_read = now + RETRY_INTERVAL;
+        reader.next_read = now + RETRY_INTERVAL_US;
         match (call, outcome) {
             (MapCall::List, Outcome::Answer { status: 200, body }) => self.on_map_page(&body),
             (MapCall::Watch, Outcome::Answer { status: 200, body }) => self.on_map_changes(&body),
@@ -107,7 +107,7 @@
         };
         let now = self.context.now.steady;
         let Partitions { map, reader, .. } = &mut self.partitions;
-        reader.next_read = now + WATCH_INTERVAL;
+        reader.next_read = now + WATCH_INTERVAL_US;
         reader.revision = reader.revision.max(Some(changes.revision));
         for event in changes.events {
             if let (Some(key), Some(value)) = (&event.put, &event.value) {
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -9,7 +9,7 @@
 use log::debug;
 
 /// Timeout of a message with orders.
-const ORDERS_TIMEOUT: Micros = 900 * MILLI;
+const ORDERS_TIMEOUT_US: Micros = 900 * MILLI;
 
 impl Controller {
     /// Handles orders for a partition and returns the holder's report. Orders of any other member than the leader
@@ -104,7 +104,7 @@
             "POST",
             "/peer".into(),
             message,
-            ORDERS_TIMEOUT,
+            ORDERS_TIMEOUT_US,
             purpose,
         );
     }
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -16,26 +16,26 @@
 use thiserror::Error;
 
 /// A controller that has had no answer of the store for this long counts as having lost contact with it.
-pub(crate) const STORE_CONTACT_TIMEOUT: Micros = 2 * SECOND;
+pub(crate) const STORE_CONTACT_TIMEOUT_US: Micros = 2 * SECOND;
 
 /// Interval between two contact requests to the peers while there is contact with the store.
-const CONTACT_REQUEST_INTERVAL: Micros = SECOND;
+const CONTACT_REQUEST_INTERVAL_US: Micros = SECOND;
 
 /// Interval between two contact requests to the peers without contact with the store.
-const CONTACT_REQUEST_INTERVAL_IN_OUTAGE: Micros = 400 * MILLI;
+const CONTACT_REQUEST_INTERVAL_IN_OUTAGE_US: Micros = 400 * MILLI;
 
 /// Timeout of a contact request.
-const CONTACT_REQUEST_TIMEOUT: Micros = 900 * MILLI;
+const CONTACT_REQUEST_TIMEOUT_US: Micros = 900 * MILLI;
 
 /// Time by which the period that a contact request asks about is extended into the past, since the clocks of two
 /// members drift apart.
-const CONFIRMATION_OVERLAP: Micros = SECOND;
+const CONFIRMATION_OVERLAP_US: Micros = SECOND;
 
 /// The clocks of two members drift apart by less than the elapsed time divided by this number.
 const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
 /// A peer is assigned no partitions if the contact request that it last answered is older than this.
-const MAX_PEER_REPLY_AGE: Micros = 3 * SECOND;
+const MAX_PEER_RESPONSE_AGE_US: Micros = 3 * SECOND;
 
 /// Why a scheduler may not act under its lease any longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -56,10 +56,10 @@
     /// users. While the leader has contact itself, the answers only keep its view of the peers up to date.
     pub(crate) fn send_contact_requests(&mut self) {
         let now = self.context.now.steady;
-        let interval = if self.context.has_store_contact(STORE_CONTACT_TIMEOUT / 2) {
-            CONTACT_REQUEST_INTERVAL
+        let interval = if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US / 2) {
+            CONTACT_REQUEST_INTERVAL_US
         } else {
-            CONTACT_REQUEST_INTERVAL_IN_OUTAGE
+            CONTACT_REQUEST_INTERVAL_IN_OUTAGE_US
         };
         self.election.next_probe = now + interval;
         self.election.question += 1;
@@ -69,7 +69,7 @@
             let message = wire::to_peer(&PeerRequest::Contact {
                 from: self.context.settings.member.clone(),
                 question,
-                known_us: known_until.map(|at| now.saturating_sub(at) + CONFIRMATION_OVERLAP),
+                known_us: known_until.map(|at| now.saturating_sub(at) + CONFIRMATION_OVERLAP_US),
                 limits: self.leader.is_some() && self.context.supports_quota_grants(),
             });
             self.context.call(
@@ -77,7 +77,7 @@
                 "POST",
                 "/peer".into(),
                 message,
-                CONTACT_REQUEST_TIMEOUT,
+                CONTACT_REQUEST_TIMEOUT_US,
                 CallPurpose::Contact { peer, question },
             );
         }
@@ -117,7 +117,7 @@
                 .map(|age| asked_at.saturating_sub(age)),
             without_contact: answer
                 .store_contact_age_us
-                .is_none_or(|age| age >= STORE_CONTACT_TIMEOUT),
+                .is_none_or(|age| age >= STORE_CONTACT_TIMEOUT_US),
             remembers_from: None,
             highest_token: answer.grant,
             supports_partitions: answer.partitions,
@@ -178,8 +178,8 @@
         };
         for (peer, sibling) in settings.siblings.iter().enumerate() {
             let answered = self.election.peers.get(&peer);
-            let Some(peer) =
-                answered.filter(|peer| now.saturating_sub(peer.asked_at) < MAX_PEER_REPLY_AGE)
+            let Some(peer) = answered
+                .filter(|peer| now.saturating_sub(peer.asked_at) < MAX_PEER_RESPONSE_AGE_US)
             else {
                 view.all_answered = false;
                 continue;
@@ -279,7 +279,7 @@
     pub(crate) fn lease_loss(&self, scheduler: &Scheduler) -> Option<LeaseLoss> {
         let now = self.context.now.steady;
         let last_contact = self.context.last_store_contact?;
-        if now.saturating_sub(last_contact) >= STORE_CONTACT_TIMEOUT {
+        if now.saturating_sub(last_contact) >= STORE_CONTACT_TIMEOUT_US {
             let expired_at = last_contact + self.context.tuning.leader_lease_us;
             let mut peers = self.election.peers.values();
             // The claim on a partition stays valid under a later leader.
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -1,7 +1,7 @@
 //! Handles submissions: parses them and refuses those that cannot be accepted.
 
 use crate::calls::{UserAction, UserRequest, UserRequestStage};
-use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT};
+use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT_US};
 use crate::settings::Settings;
 use crate::state::jobs::{check_fields, check_possible, check_size, SubmissionRejection};
 use grebewood_wire as wire;
@@ -51,7 +51,10 @@
             }
             _ => false,
         };
-        if !self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT) {
+        if !self
+            .context
+            .has_store_contact(USER_REQUEST_CONTACT_TIMEOUT_US)
+        {
             return self.refuse_without_contact(id);
         }
         let now = self.context.now.steady;
--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -1,7 +1,7 @@
 //! Machines on which cancelled tasks were not proven to have ended when this controller last gave up a lease.
 
 use crate::calls::CallPurpose;
-use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT;
+use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT_US;
 use crate::controller::Controller;
 use crate::scheduler::leader::fleet::MAX_TERMINATIONS_PER_CALL;
 use crate::scheduler::Scheduler;
@@ -12,10 +12,10 @@
 use log::info;
 
 /// Delay after giving up a lease until unproven machines are terminated, if there is no contact with the store then.
-const TERMINATION_DELAY: Micros = 3 * SECOND;
+const TERMINATION_DELAY_US: Micros = 3 * SECOND;
 
 /// Timeout of a request to the cloud to terminate machines.
-const TERMINATION_TIMEOUT: Micros = 5 * SECOND;
+const TERMINATION_TIMEOUT_US: Micros = 5 * SECOND;
 
 /// Number of heartbeat intervals without contact after which a machine counts as unreachable here.
 const MISSED_HEARTBEATS: Micros = 2;
@@ -33,7 +33,7 @@
             .unproven_machines
             .get_or_insert_with(|| UnprovenMachines {
                 names: Vec::new(),
-                termination_due_at: now + TERMINATION_DELAY,
+                termination_due_at: now + TERMINATION_DELAY_US,
             });
         unproven.names.extend(names);
     }
@@ -57,7 +57,7 @@
         let Some(unproven) = self.unproven_machines.take() else {
             return;
         };
-        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT) {
+        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US) {
             return;
         }
         let member = self.context.settings.member.as_str();
@@ -70,7 +70,7 @@
                 "POST",
                 "/rentals/release".into(),
                 wire::to_cbor(&MachineNames { machines }),
-                TERMINATION_TIMEOUT,
+                TERMINATION_TIMEOUT_US,
                 CallPurpose::Ignore,
             );
         }
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -8,7 +8,7 @@
 
 use crate::calls::{CallPurpose, UserAction, UserRequest, UserRequestStage};
 use crate::context::Context;
-use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT};
+use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT_US};
 use crate::state::write_buffer::RecordId;
 use crate::transactions::{absent, at_revision, put};
 use crate::Outcome;
@@ -44,7 +44,10 @@
             let finished = finished.clone();
             return self.answer_finished(&request, &finished);
         }
-        if !self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT) {
+        if !self
+            .context
+            .has_store_contact(USER_REQUEST_CONTACT_TIMEOUT_US)
+        {
             return self.refuse_without_contact(id);
         }
         self.send_user_request(request);
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -2,7 +2,7 @@
 //! it is sent.
 
 use crate::calls::SchedulerCall;
-use crate::context::{Context, STORE_TIMEOUT};
+use crate::context::{Context, STORE_CALL_TIMEOUT_US};
 use crate::scheduler::Scheduler;
 use crate::state::write_buffer::{Batch, RecordId, RecordVersion, RecordWrite};
 use crate::{Micros, MILLI, SECOND};
@@ -205,7 +205,7 @@
     fn refresh_revision(&mut self, context: &mut Context, key: String) {
         let now = context.now.steady;
         let purpose = self.call_purpose(SchedulerCall::Refresh { key: key.clone() });
-        self.write_buffer.back_off(now, STORE_TIMEOUT);
+        self.write_buffer.back_off(now, STORE_CALL_TIMEOUT_US);
         context.read_key(&key, purpose);
     }
 
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -1,7 +1,7 @@
 //! Watches the key-value store for changes of jobs and cancellations.
 
 use crate::calls::{CallPurpose, SchedulerCall};
-use crate::context::{Context, STORE_TIMEOUT};
+use crate::context::{Context, STORE_CALL_TIMEOUT_US};
 use crate::scheduler::store_reads::WatchRequest;
 use crate::scheduler::Scheduler;
 use crate::{Micros, Outcome, Target, MILLI, SECOND};
@@ -44,7 +44,7 @@
                     let after = after.map_or(String::new(), |key| format!("&since={key}"));
                     let prefix = prefix.to_string();
                     let path = format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE_KEYS}");
-                    (SchedulerCall::List { prefix }, path, STORE_TIMEOUT)
+                    (SchedulerCall::List { prefix }, path, STORE_CALL_TIMEOUT_US)
                 }
                 WatchRequest::Changes { since } => {
                     let path =
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -17,7 +17,7 @@
 
 /// Interval between the ticks of [`advance_time`], in microseconds: a tick after more than half of the leader's lease
 /// would count as a process pause.
-const TICK_INTERVAL: Micros = 500 * MILLI;
+const TICK_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Returns a controller that has just become the leader and has read no records yet.
 pub fn leader_before_loading(now: Micros) -> Controller {
@@ -96,7 +96,7 @@
 
 /// Ticks the controller at short intervals from `from` until just before `to`.
 pub fn advance_time(controller: &mut Controller, from: Micros, to: Micros) {
-    for now in (from..to).step_by(TICK_INTERVAL as usize) {
+    for now in (from..to).step_by(TICK_INTERVAL_US as usize) {
         tick(controller, now);
     }
 }
