--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::scheduler::Scheduler;
 use crate::test_support::{
-    advance_time, clocks, first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START,
+    advance_time, clocks, first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START_US,
 };
 use crate::{Effect, Input, Interface, Micros, NoStopwatch, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
@@ -101,7 +101,7 @@
     controller
         .context
         .cancellations
-        .learn("req-1", WALL_CLOCK_START);
+        .learn("req-1", WALL_CLOCK_START_US);
     let (_, commands) = send_heartbeat(&mut controller, 21 * SECOND, 2);
     assert_eq!(commands.len(), 1);
     let stop = &commands[0];
@@ -157,7 +157,7 @@
     let leader = controller.leader.as_mut().expect("a leader");
     leader.add_job(&controller.context, "job/req-1", &to_value(&record), 5);
     let cancel = CancelRecord {
-        cancelled_us: WALL_CLOCK_START,
+        cancelled_us: WALL_CLOCK_START_US,
     };
     leader.on_cancelled(&mut controller.context, "req-1", Some(&cancel));
     assert_eq!(
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -4,7 +4,9 @@
 use crate::state::jobs::Job;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::Machine;
-use crate::test_support::{first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START};
+use crate::test_support::{
+    first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START_US,
+};
 use crate::SECOND;
 use grebewood_wire::http::{ExitCause, Verb};
 use grebewood_wire::peer::{PartitionOrders, PlacedTask, TaskAttempt, TaskEnd};
@@ -27,7 +29,7 @@
     let mut holder = Scheduler::new(&controller.context, Role::Holder(1), lease);
     holder
         .jobs
-        .insert(Job::new(job_record(2), now, WALL_CLOCK_START));
+        .insert(Job::new(job_record(2), now, WALL_CLOCK_START_US));
     let mut machine = Machine::new(&first_heartbeat(), None, now);
     machine.cpus = 8.0;
     machine.incarnation = 1;
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -4,7 +4,9 @@
 use crate::state::jobs::Job;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::{Assignment, Machine};
-use crate::test_support::{first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START};
+use crate::test_support::{
+    first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START_US,
+};
 use crate::{Effect, NoStopwatch, Target, SECOND};
 use grebewood_wire::http::{MachineType, Transaction};
 use grebewood_wire::peer::{
@@ -50,7 +52,7 @@
     let mut holder = Scheduler::new(&controller.context, Role::Holder(1), lease);
     holder
         .jobs
-        .insert(Job::new(job_record(4), now, WALL_CLOCK_START));
+        .insert(Job::new(job_record(4), now, WALL_CLOCK_START_US));
     let machine_type = machine_type();
     let mut machine = Machine::new(&first_heartbeat(), Some(&machine_type), now);
     machine.incarnation = 1;
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -7,7 +7,7 @@
 use grebewood_wire::records::JobRecord;
 
 /// Time of day at time zero of the steady clock, in microseconds since 1970.
-pub const WALL_CLOCK_START: u64 = 1_700_000_000 * SECOND;
+pub const WALL_CLOCK_START_US: u64 = 1_700_000_000 * SECOND;
 
 /// The fencing token under which [`leader_before_loading`] leads.
 const TOKEN: u64 = 7;
@@ -61,7 +61,7 @@
     };
     JobRecord {
         spec,
-        accepted_us: WALL_CLOCK_START,
+        accepted_us: WALL_CLOCK_START_US,
     }
 }
 
@@ -85,7 +85,7 @@
 pub fn clocks(now: Micros) -> Now {
     Now {
         steady: now,
-        wall: WALL_CLOCK_START + now,
+        wall: WALL_CLOCK_START_US + now,
     }
 }
 
