--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -41,7 +41,7 @@
 
 impl Cancellations {
     /// Records the start of the process, which has confirmed nothing before.
-    pub fn note_process_start(&mut self, now: Micros) {
+    pub fn record_process_start(&mut self, now: Micros) {
         self.remembers_from.get_or_insert(now);
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Records that the store was read at `at`: all cancellations that were confirmed before are known.
-    pub fn note_store_read(&mut self, at: Micros) {
+    pub fn record_store_read(&mut self, at: Micros) {
         self.store_read_at = self.store_read_at.max(Some(at));
     }
 
@@ -148,7 +148,7 @@
     /// `remembers_from`. If `remembers_from` is later than the moment up to which its confirmations are known, as
     /// after a restart of the peer, it may have confirmed cancellations in between that no process remembers. The
     /// list then does not advance that moment.
-    pub fn note_peer_list(&mut self, peer: usize, asked_at: Micros, remembers_from: Micros) {
+    pub fn record_peer_list(&mut self, peer: usize, asked_at: Micros, remembers_from: Micros) {
         let known_until = self.known_until_of_peer(peer);
         if known_until.is_some_and(|known_until| remembers_from <= known_until) {
             let listed_at = self.peer_lists.entry(peer).or_insert(asked_at);
--- a/crates/core/src/cancellations/tests.rs
+++ b/crates/core/src/cancellations/tests.rs
@@ -7,7 +7,7 @@
 /// `job` to a user at `confirmed_at`.
 fn peer_that_confirmed(since: Micros, job: &str, confirmed_at: Micros) -> Cancellations {
     let mut cancellations = Cancellations::default();
-    cancellations.note_process_start(since);
+    cancellations.record_process_start(since);
     cancellations.confirm(job, confirmed_at, 77);
     cancellations
 }
@@ -16,14 +16,14 @@
 fn a_complete_answer_makes_certain_as_of_its_question() {
     let mut cancellations = Cancellations::default();
     assert_eq!(cancellations.known_until(2, 50 * SECOND), None);
-    cancellations.note_store_read(10 * SECOND);
+    cancellations.record_store_read(10 * SECOND);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(10 * SECOND));
-    cancellations.note_peer_list(0, 20 * SECOND, 0);
+    cancellations.record_peer_list(0, 20 * SECOND, 0);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(10 * SECOND));
-    cancellations.note_peer_list(1, 19 * SECOND, 9 * SECOND);
+    cancellations.record_peer_list(1, 19 * SECOND, 9 * SECOND);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(19 * SECOND));
     // A late response to an earlier contact request does not move the moment back.
-    cancellations.note_peer_list(1, 15 * SECOND, 9 * SECOND);
+    cancellations.record_peer_list(1, 15 * SECOND, 9 * SECOND);
     assert_eq!(cancellations.known_until(2, 50 * SECOND), Some(19 * SECOND));
 }
 
@@ -31,13 +31,13 @@
 #[test]
 fn a_peer_that_restarted_since_makes_nothing_certain() {
     let mut cancellations = Cancellations::default();
-    cancellations.note_store_read(10 * SECOND);
-    cancellations.note_peer_list(0, 20 * SECOND, 0);
-    cancellations.note_peer_list(0, 30 * SECOND, 20 * SECOND + 1);
+    cancellations.record_store_read(10 * SECOND);
+    cancellations.record_peer_list(0, 20 * SECOND, 0);
+    cancellations.record_peer_list(0, 30 * SECOND, 20 * SECOND + 1);
     assert_eq!(cancellations.known_until(1, 50 * SECOND), Some(20 * SECOND));
     // After the next read of the store, the time that the restarted peer remembers is long enough.
-    cancellations.note_store_read(25 * SECOND);
-    cancellations.note_peer_list(0, 31 * SECOND, 20 * SECOND + 1);
+    cancellations.record_store_read(25 * SECOND);
+    cancellations.record_peer_list(0, 31 * SECOND, 20 * SECOND + 1);
     assert_eq!(cancellations.known_until(1, 50 * SECOND), Some(31 * SECOND));
 }
 
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -140,7 +140,7 @@
     }
 
     /// Records that the process resumes after a pause.
-    pub(crate) fn note_resumed(&mut self) {
+    pub(crate) fn record_resume(&mut self) {
         self.resumed_at = self.now.steady;
     }
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -98,7 +98,7 @@
         self.context.now = now;
         if !self.started {
             self.started = true;
-            self.context.cancellations.note_process_start(now.steady);
+            self.context.cancellations.record_process_start(now.steady);
             info!(member = self.context.settings.member.as_str(); "controller started");
         } else if since_last_input > self.context.tuning.leader_lease_us / 2 {
             // Timers fire far more often than that, so the process was paused.
@@ -203,7 +203,7 @@
     fn on_process_pause(&mut self, pause: Micros) {
         let member = self.context.settings.member.as_str();
         warn!(member = member, pause_ms = pause / MILLI; "process was paused");
-        self.context.note_resumed();
+        self.context.record_resume();
         self.suspend_uncertain_leases();
     }
 
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -150,7 +150,7 @@
                 .apply_put(&entry.key, &entry.value, entry.mod_revision);
         }
         for entry in &list.entries {
-            self.note_cancellation(&entry.key, &entry.value);
+            self.record_cancellation(&entry.key, &entry.value);
         }
         let last = list.entries.last().filter(|_| list.more);
         let view = &mut self.job_view;
@@ -168,7 +168,7 @@
             self.on_job_event(event);
         }
         self.job_view.revision = self.job_view.revision.max(Some(changes.revision));
-        self.context.cancellations.note_store_read(made_at);
+        self.context.cancellations.record_store_read(made_at);
         let now = self.context.now.steady;
         for request in std::mem::take(&mut self.job_view.awaiting_reply) {
             if now >= request.view_deadline() {
@@ -182,7 +182,7 @@
     fn on_job_event(&mut self, event: &WatchEvent) {
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
             self.job_view.apply_put(key, value, event.mod_revision);
-            self.note_cancellation(key, value);
+            self.record_cancellation(key, value);
         }
         if let Some(key) = &event.delete {
             self.job_view.apply_delete(key);
@@ -221,7 +221,7 @@
 
     /// Records the cancellation if the key is that of one, and applies it to the schedulers of this controller,
     /// whose own watch may be slower.
-    fn note_cancellation(&mut self, key: &str, value: &Value) {
+    fn record_cancellation(&mut self, key: &str, value: &Value) {
         let Some(JobKey::Cancelled(id)) = JobKey::parse(key) else {
             return;
         };
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -153,7 +153,7 @@
         let remembers_from = now.steady.saturating_sub(span - span / CLOCK_DRIFT_DIVISOR);
         self.context
             .cancellations
-            .note_peer_list(peer, asked_at, remembers_from);
+            .record_peer_list(peer, asked_at, remembers_from);
         Some(remembers_from)
     }
 
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -54,7 +54,7 @@
     controller
         .context
         .cancellations
-        .note_store_read(20 * SECOND);
+        .record_store_read(20 * SECOND);
     advance_time(&mut controller, 20 * SECOND, 21 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 21 * SECOND, 2).0, 200);
     // Neither the store nor its peer has answered since.
@@ -69,7 +69,7 @@
     controller
         .context
         .cancellations
-        .note_peer_list(0, late, SECOND);
+        .record_peer_list(0, late, SECOND);
     assert_eq!(send_heartbeat(&mut controller, late, 4).0, 200);
 }
 
@@ -81,7 +81,7 @@
     controller
         .context
         .cancellations
-        .note_store_read(20 * SECOND);
+        .record_store_read(20 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 20 * SECOND, 1).0, 200);
     controller.context.tuning.partitions_per_zone = 2;
     let leader = controller.leader.as_mut().expect("a leader");
@@ -95,7 +95,7 @@
     controller
         .context
         .cancellations
-        .note_store_read(20 * SECOND);
+        .record_store_read(20 * SECOND);
     assert!(send_heartbeat(&mut controller, 20 * SECOND, 1).1.is_empty());
     advance_time(&mut controller, 20 * SECOND, 21 * SECOND);
     controller
@@ -137,7 +137,7 @@
     controller
         .context
         .cancellations
-        .note_store_read(10 * SECOND);
+        .record_store_read(10 * SECOND);
     let certain =
         |controller: &Controller| controller.context.cancellations.known_until(1, 20 * SECOND);
     controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-9", 5));
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -21,13 +21,13 @@
             return self.dispatch_reply(purpose, made_at, outcome);
         }
         if purpose.shows_store_contact() {
-            self.note_store_contact(&outcome);
+            self.record_store_contact(&outcome);
         }
         self.dispatch_reply(purpose, made_at, outcome);
     }
 
     /// Records contact with the store if it sent any answer but a server error.
-    fn note_store_contact(&mut self, outcome: &Outcome) {
+    fn record_store_contact(&mut self, outcome: &Outcome) {
         if matches!(outcome, Outcome::Answer { status, .. } if *status < LOWEST_SERVER_ERROR) {
             self.context.last_store_contact = Some(self.context.now.steady);
         }
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -112,7 +112,7 @@
             self.remove_from_page(context, name, &assignment);
         }
         if let Some(job) = self.jobs.get_mut(assignment.job) {
-            job.note_assignment_removed(assignment.task, &assignment.zone, now);
+            job.record_assignment_removed(assignment.task, &assignment.zone, now);
         }
         self.placement.request_round(now);
         self.end_if_over(context, assignment.job);
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -110,11 +110,11 @@
             (_, Some(job)) if job.is_daemon() => self.apply_replica_exit(context, exit),
             (ExitCause::Done, Some(_)) => return self.apply_task_success(context, exit),
             (ExitCause::Error, Some(job)) => {
-                job.note_error(now);
+                job.record_error(now);
                 info!(task = task_name, machine = machine; "task failed");
-                self.note_failure(context, machine, index);
+                self.record_failure(context, machine, index);
             }
-            (ExitCause::UnknownJob, Some(job)) => job.note_unknown_to_agent(now),
+            (ExitCause::UnknownJob, Some(job)) => job.record_unknown_to_agent(now),
             (ExitCause::Unknown(cause), _) => {
                 warn!(task = task_name, machine = machine, cause:? = cause; "task exited with an unknown cause");
             }
@@ -143,10 +143,10 @@
             "replica exited"
         );
         if let Some(job) = self.jobs.get_mut(assignment.job) {
-            job.note_replica_exit(assignment.task, exit.machine, ran, now);
+            job.record_replica_exit(assignment.task, exit.machine, ran, now);
         }
         if *exit.cause == ExitCause::Error {
-            self.note_failure(context, exit.machine, assignment.job);
+            self.record_failure(context, exit.machine, assignment.job);
         }
     }
 
@@ -166,20 +166,20 @@
             let run_time = context.now.steady.saturating_sub(started);
             self.stats
                 .record_run(&job.spec, &machine.machine_type, run_time);
-            job.note_run_time(run_time);
+            job.record_run_time(run_time);
         }
         self.mark_completed(context, assignment.job, assignment.task)
     }
 
     /// Records that a task of the job failed on the machine. The machine is terminated if it seems to be at fault,
     /// but a single job causes only a few terminations.
-    fn note_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
+    fn record_failure(&mut self, context: &Context, name: &str, index: JobIndex) {
         let Some(job) = self.jobs.get_mut(index) else {
             return;
         };
         let id = job.id.clone();
         let was_likely_faulty = job.is_likely_faulty();
-        job.note_failure(name);
+        job.record_failure(name);
         if job.is_likely_faulty() && !was_likely_faulty {
             self.uncordon_machines_not_at_fault(context);
         }
@@ -187,7 +187,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.note_failure(&id, is_faulty_job);
+        machine.record_failure(&id, is_faulty_job);
         if machine.cordoned && !machine.draining {
             return;
         }
@@ -228,7 +228,7 @@
         task: u64,
         reported: &ReportedTask,
     ) {
-        if self.has_noted_exit(name, reported) {
+        if self.has_recorded_exit(name, reported) {
             return;
         }
         let index = self.jobs.find(job_id);
@@ -250,7 +250,7 @@
     }
 
     /// Returns whether the exit has been recorded and waits for its acknowledgement.
-    fn has_noted_exit(&self, name: &str, reported: &ReportedTask) -> bool {
+    fn has_recorded_exit(&self, name: &str, reported: &ReportedTask) -> bool {
         let is_reported = |exited: &ExitedAttempt| {
             exited.task_name == reported.task_name && exited.attempt == reported.attempt
         };
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -24,7 +24,7 @@
         let now = context.now.steady;
         let name = status.machine.clone();
         self.add_machine_if_new(context, &status);
-        self.note_machine_up(context, &status);
+        self.record_machine_up(context, &status);
         let Some(machine) = self.machines.get_mut(&name) else {
             return false;
         };
@@ -37,11 +37,11 @@
         }
         let knows_token = status.token == self.token;
         let new_incarnation = status.incarnation > machine.incarnation;
-        note_contact(machine, &status, source, now);
+        record_contact(machine, &status, source, now);
         if knows_token {
-            note_token(machine, source, now);
+            record_token(machine, source, now);
         }
-        note_reachability(machine, &status, source, new_incarnation, now);
+        record_reachability(machine, &status, source, new_incarnation, now);
         if new_incarnation {
             machine.exited_attempts.clear();
             // The agent has killed and forgotten every task of its earlier incarnations.
@@ -200,7 +200,7 @@
         }
         if let Some(job) = self.jobs.get_mut(index) {
             match is_running {
-                true => job.note_running(now),
+                true => job.record_running(now),
                 false => job.running_count = job.running_count.saturating_sub(1),
             }
             self.progress_dirty.insert(index);
@@ -217,7 +217,7 @@
 }
 
 /// Records the time, the incarnation and the sequence number of a status.
-fn note_contact(machine: &mut Machine, status: &Heartbeat, source: StatusSource, now: Micros) {
+fn record_contact(machine: &mut Machine, status: &Heartbeat, source: StatusSource, now: Micros) {
     machine.address = status.address.clone();
     machine.last_contact_at = now;
     machine.reclaim_at = status.reclaim_s.map(|seconds| now + micros(seconds));
@@ -232,7 +232,7 @@
 /// Records that the agent knows the current fencing token. Until then, an earlier leader that does not know yet
 /// that it was replaced may have renewed the agent's lease, so its expiry is counted from this status on. The
 /// handler of a heartbeat sets `last_response` itself.
-fn note_token(machine: &mut Machine, source: StatusSource, now: Micros) {
+fn record_token(machine: &mut Machine, source: StatusSource, now: Micros) {
     if !machine.knows_token && source == StatusSource::DirectCommand {
         machine.last_response = now;
     }
@@ -241,7 +241,7 @@
 
 /// Records whether responses reach the agent. An agent that receives them sends its next heartbeat to this
 /// controller well within `RESPONSE_TIMEOUT`; one that receives none turns to another controller after that time.
-fn note_reachability(
+fn record_reachability(
     machine: &mut Machine,
     status: &Heartbeat,
     source: StatusSource,
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -62,7 +62,7 @@
             deadline: now + MAX_HOLD_US,
         };
         if !self.apply_heartbeat(context, heartbeat, StatusSource::Heartbeat) {
-            self.note_late_heartbeat(context, &held);
+            self.record_late_heartbeat(context, &held);
             return self.answer_heartbeat(context, request, Vec::new());
         }
         self.last_heartbeat_at = now;
@@ -79,7 +79,7 @@
     /// agent reads the response. But if the response to a direct command overtook the heartbeat, the agent accepts
     /// the response to the heartbeat. Its lease then counts from the sending of this heartbeat, so its expiry must
     /// not be computed from the previous response.
-    fn note_late_heartbeat(&mut self, context: &Context, late: &HeldHeartbeat) {
+    fn record_late_heartbeat(&mut self, context: &Context, late: &HeldHeartbeat) {
         let Some(machine) = self.machines.get_mut(&late.machine) else {
             return;
         };
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -36,7 +36,7 @@
         if job.cancelled_at.is_some() {
             return;
         }
-        self.holder_state.note_cancelled(id, now);
+        self.holder_state.record_cancelled(id, now);
         let age = record.map_or(0, |record| {
             context.now.wall.saturating_sub(record.cancelled_us)
         });
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -104,7 +104,7 @@
             self.on_record_written(context, record);
         }
         if self.is_holder() {
-            self.note_durable_placements();
+            self.record_durable_placements();
         }
     }
 
@@ -117,7 +117,9 @@
                 }
                 self.forget_ended_job(*index);
             }
-            RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
+            RecordId::PendingProvision(machine) => {
+                self.fleet.record_provision_durable(now, machine)
+            }
             RecordId::QuotaGrant(partition) => {
                 self.leader_quota.grants.written(*partition);
                 self.schedule_quota_grant_write(context, *partition, 0);
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -55,7 +55,7 @@
             }
             warn!(key = entry.key, machine = machine; "late transaction restored a provision request; deleting it");
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             let record = RecordId::PendingProvision(machine.to_string());
             self.write_buffer.mark_dirty(record, context.now.steady);
         }
--- a/crates/core/src/scheduler/flush/refresh.rs
+++ b/crates/core/src/scheduler/flush/refresh.rs
@@ -28,7 +28,7 @@
     }
 
     fn on_key_present(&mut self, key: &str, entry: &KeyValue<Value>) {
-        self.write_buffer.note_revision(key, entry.mod_revision);
+        self.write_buffer.record_revision(key, entry.mod_revision);
         let Some(job) = key.strip_prefix(FINISHED) else {
             return;
         };
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -261,14 +261,14 @@
     }
 
     /// Marks placements that have become durable, so that they are reported to the leader from now on.
-    pub(crate) fn note_durable_placements(&mut self) {
+    pub(crate) fn record_durable_placements(&mut self) {
         for (name, machine) in &mut self.machines {
             let assignments = machine.assignments.iter_mut();
             for a in assignments.filter(|a| a.by_holder && !a.delivered) {
                 let page = RecordId::AssignmentPage(a.page);
                 if self.write_buffer.is_durable(&page, a.page_version) {
                     a.delivered = true;
-                    self.holder_quota.note_placed(placed_task(name, a));
+                    self.holder_quota.record_placed(placed_task(name, a));
                 }
             }
         }
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -23,21 +23,21 @@
 
 impl Scheduler {
     /// Records that a machine sent a heartbeat. If it was booting, its boot is complete.
-    pub(crate) fn note_machine_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
+    pub(crate) fn record_machine_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
         let now = context.now.steady;
         let name = &heartbeat.machine;
         self.fleet.running_without_heartbeat.remove(name);
         if let Some(boot) = self.fleet.booting_machines.remove(name) {
             self.placement.request_round(now);
             if !boot.running {
-                self.note_boot_time(context, name, &boot);
+                self.record_boot_time(context, name, &boot);
             }
         }
-        self.fleet.note_listed(name);
+        self.fleet.record_listed(name);
     }
 
     /// Records the boot time of a machine in the statistics of its type.
-    fn note_boot_time(&mut self, context: &Context, name: &str, boot: &BootingMachine) {
+    fn record_boot_time(&mut self, context: &Context, name: &str, boot: &BootingMachine) {
         let boot_time = context.now.steady.saturating_sub(boot.requested_at);
         info!(machine = name, boot_ms = boot_time / MILLI; "machine is up");
         let machine_type = &boot.offering.machine_type;
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -77,7 +77,7 @@
     fn process_listed_machine(&mut self, context: &Context, listed: &ListedMachine) {
         let now = context.now.steady;
         let name = &listed.id;
-        self.fleet.note_listed(name);
+        self.fleet.record_listed(name);
         if let Some(at) = self.fleet.terminated.get(name) {
             let max_listed_time = 4 * context.settings.machine_list_lag + 30 * SECOND;
             if now.saturating_sub(*at) > max_listed_time {
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -60,7 +60,7 @@
     /// Removes a machine whose termination the cloud has confirmed, with all its assignments.
     pub(crate) fn remove_terminated_machine(&mut self, context: &mut Context, name: &str) {
         if let Some(partition) = self.machines.get(name).and_then(|m| m.partition) {
-            self.remote_partitions.note_terminated(partition, name);
+            self.remote_partitions.record_terminated(partition, name);
         }
         self.remember_terminated(context.now.steady, name);
         self.remove_all_assignments(context, name);
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -133,7 +133,7 @@
             return;
         }
         let heartbeat = heartbeat_of(state);
-        self.note_machine_up(context, &heartbeat);
+        self.record_machine_up(context, &heartbeat);
         let machine_type = context.machine_type(&state.machine_type);
         let machine = self
             .machines
@@ -247,7 +247,7 @@
             self.last_known_placement = quota.version;
             self.reserved = std::mem::take(&mut self.reserved_sent);
         }
-        self.note_heartbeats(report.heartbeats, now);
+        self.record_heartbeats(report.heartbeats, now);
     }
 }
 
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -96,7 +96,7 @@
             .find(|a| a.id() == attempt)
             .map(|a| a.job);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
-            job.note_preempted();
+            job.record_preempted();
         }
     }
 
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -293,7 +293,7 @@
         if let Some(job) = self.jobs.get_mut(placing.index) {
             job.assign_task(task);
             if holder_partition.is_none() {
-                job.note_placed(context.now.steady);
+                job.record_placed(context.now.steady);
             }
         }
         placing.count_placed_task();
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -206,7 +206,7 @@
             if delegation.is_none() {
                 job.assign_task(placed.task);
             }
-            job.note_placed(context.now.steady);
+            job.record_placed(context.now.steady);
             *job.assignments_by_zone.entry(zone.clone()).or_insert(0) += 1;
             job.spec.clone()
         });
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -113,7 +113,7 @@
                 error!(key = entry.key, error:% = error; "record cannot be read and is left as it is");
             }
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
         }
         self.load_partitions(context, &map);
     }
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -45,7 +45,7 @@
     ) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             self.load_assignment_page(context, &entry);
         }
     }
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -20,7 +20,7 @@
     ) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             let name = entry.key.strip_prefix(COMPLETED_TASKS).unwrap_or_default();
             match name.rsplit_once('/') {
                 Some((job, span)) => self.load_legacy_span(&entry, job, span),
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -45,9 +45,9 @@
         }
         match from_value::<JobRecord>(value) {
             Ok(record) if record.spec.id == id => {
-                self.write_buffer.note_revision(key, mod_revision);
+                self.write_buffer.record_revision(key, mod_revision);
                 let job = Job::new(record, context.now.steady, context.now.wall);
-                self.headroom.note_job(&job, context.now.steady);
+                self.headroom.record_job(&job, context.now.steady);
                 self.jobs.insert(job);
                 self.placement.request_round(context.now.steady);
             }
@@ -70,7 +70,7 @@
     ) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
         }
         for entry in entries {
             let record = from_value::<CancelRecord>(&entry.value);
@@ -88,7 +88,7 @@
         }
         context
             .cancellations
-            .note_store_read(self.lease_acquired_at);
+            .record_store_read(self.lease_acquired_at);
     }
 
     /// Ends the jobs whose tasks are all completed.
@@ -105,7 +105,7 @@
 
     /// Sets the time to the first start of jobs that have completed tasks to their current age, which is its upper
     /// bound.
-    pub(crate) fn note_started_jobs(&mut self, context: &Context) {
+    pub(crate) fn record_started_jobs(&mut self, context: &Context) {
         for index in self.jobs.indices() {
             let job = self.jobs.get_mut(index);
             if let Some(job) = job.filter(|job| job.completed_count > 0) {
--- a/crates/core/src/scheduler/loading/records.rs
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -36,11 +36,11 @@
         let watch = Watch::since(loading.revision(JOB));
         self.watches.insert(JOB, watch);
         self.load_cancellations(context, &cancellations);
-        self.note_durable_placements();
+        self.record_durable_placements();
         // An earlier leader may have written pages under higher limits of the store.
         self.split_pages(context);
         self.end_completed_jobs(context);
-        self.note_started_jobs(context);
+        self.record_started_jobs(context);
         // The headroom is computed before any task is placed. Otherwise, batch tasks take the resources that are
         // reserved for services during the first second of each leader.
         self.headroom
@@ -68,7 +68,7 @@
     fn load_provisions(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             match from_value::<ProvisionRecord>(&entry.value) {
                 Ok(provision) => {
                     let machine = entry.key.trim_start_matches(PROVISION).to_string();
@@ -82,7 +82,7 @@
     fn load_stats(&mut self, entries: Vec<KeyValue<Value>>) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             match from_value(&entry.value) {
                 Ok(record) => self.stats = Stats::from_record(&record),
                 Err(error) => error!(key = STATS, error:% = error; "record cannot be read"),
@@ -98,7 +98,7 @@
         }
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
         }
     }
 
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -117,7 +117,7 @@
                 self.apply_cancellation(context, job);
             }
             Some(JobKey::Cancelled(job)) if self.jobs.find(job).is_some() => {
-                self.write_buffer.note_revision(key, mod_revision);
+                self.write_buffer.record_revision(key, mod_revision);
                 let record = from_value(value).ok();
                 self.on_cancelled(context, job, record.as_ref());
             }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -195,7 +195,7 @@
     }
 
     /// Records that the record of a provisioning request is durable, so that the request may be sent from now on.
-    pub fn note_provision_durable(&mut self, now: Micros, name: &str) {
+    pub fn record_provision_durable(&mut self, now: Micros, name: &str) {
         if let Some(provision) = self.provisions.get_mut(name) {
             provision.durable = true;
             provision.retry_at = now;
@@ -225,7 +225,7 @@
 
     /// Records that the machine list or a heartbeat has shown the machine, so that its provisioning request need not
     /// be kept for this machine any longer.
-    pub(crate) fn note_listed(&mut self, machine: &str) {
+    pub(crate) fn record_listed(&mut self, machine: &str) {
         for provision in self.provisions.values_mut() {
             if let Some(unlisted) = &mut provision.unlisted {
                 unlisted.remove(machine);
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -100,7 +100,7 @@
 
 impl Headroom {
     /// Records the class of a job and, if the job is the largest service so far, its submission.
-    pub fn note_job(&mut self, job: &Job, now: Micros) {
+    pub fn record_job(&mut self, job: &Job, now: Micros) {
         if !self.classes.contains(&job.spec.class) && self.classes.len() < MAX_CLASSES {
             self.classes.insert(job.spec.class.clone());
         }
--- a/crates/core/src/state/holder.rs
+++ b/crates/core/src/state/holder.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records the time at which this controller first learned that a job is cancelled.
-    pub(crate) fn note_cancelled(&mut self, job: &str, now: Micros) {
+    pub(crate) fn record_cancelled(&mut self, job: &str, now: Micros) {
         self.cancelled.entry(job.to_string()).or_insert(now);
     }
 
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records a task that was placed, for the next answer to the leader.
-    pub(crate) fn note_placed(&mut self, task: PlacedTask) {
+    pub(crate) fn record_placed(&mut self, task: PlacedTask) {
         self.last_placement += 1;
         self.placed.push_back(NumberedPlacement {
             number: self.last_placement,
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -237,7 +237,7 @@
     }
 
     /// Records that an assignment of the task in this zone is proven gone.
-    pub(crate) fn note_assignment_removed(&mut self, task: u64, zone: &str, now: Micros) {
+    pub(crate) fn record_assignment_removed(&mut self, task: u64, zone: &str, now: Micros) {
         self.unassign_task(task);
         if let Some(count) = self.assignments_by_zone.get_mut(zone) {
             *count = count.saturating_sub(1);
@@ -248,7 +248,7 @@
     }
 
     /// Records that a task is reported as running that was not running before.
-    pub(crate) fn note_running(&mut self, now: Micros) {
+    pub(crate) fn record_running(&mut self, now: Micros) {
         if self.age_at_first_run.is_none() {
             self.age_at_first_run = Some(self.age(now));
         }
@@ -259,7 +259,7 @@
     }
 
     /// Adds the run time of a task, in microseconds, to the mean run time.
-    pub(crate) fn note_run_time(&mut self, run_time: Micros) {
+    pub(crate) fn record_run_time(&mut self, run_time: Micros) {
         let (mean, runs) = self.mean_run_time;
         let sum = mean * u64::from(runs) + run_time;
         self.mean_run_time = (sum / (u64::from(runs) + 1), (runs + 1).min(MAX_MEAN_WEIGHT));
--- a/crates/core/src/state/jobs/job/failures.rs
+++ b/crates/core/src/state/jobs/job/failures.rs
@@ -31,7 +31,7 @@
 
 impl Job {
     /// Records that a task of the job exited with an error, and delays the next try.
-    pub(crate) fn note_error(&mut self, now: Micros) {
+    pub(crate) fn record_error(&mut self, now: Micros) {
         self.consecutive_errors += 1;
         self.retry_at = now + error_backoff(self.consecutive_errors);
         self.running_well_since = now;
@@ -39,21 +39,21 @@
 
     /// Records that an agent could not start a task because the agent does not know the job, and delays the next
     /// try.
-    pub(crate) fn note_unknown_to_agent(&mut self, now: Micros) {
+    pub(crate) fn record_unknown_to_agent(&mut self, now: Micros) {
         self.consecutive_errors += 1;
         self.retry_at = now + error_backoff(self.consecutive_errors.max(FAILING_ERRORS));
     }
 
     /// Records that a task of the job failed on the machine.
-    pub fn note_failure(&mut self, machine: &str) {
+    pub fn record_failure(&mut self, machine: &str) {
         if self.failed_on.len() < FAULTY_JOB_MACHINES {
             self.failed_on.insert(machine.to_string());
         }
     }
 
     /// Records that a replica exited without being stopped, after `ran` microseconds on `machine`.
-    pub fn note_replica_exit(&mut self, task: u64, machine: &str, ran: Micros, now: Micros) {
-        self.restarts.note_exit(task, machine, ran, now);
+    pub fn record_replica_exit(&mut self, task: u64, machine: &str, ran: Micros, now: Micros) {
+        self.restarts.record_exit(task, machine, ran, now);
     }
 
     /// Returns whether placement prefers other machines because a replica of the job recently exited on this one
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -75,7 +75,7 @@
     }
 
     /// Records that a task was placed, and ends the catch-up where this placement completes it.
-    pub fn note_placed(&mut self, now: Micros) {
+    pub fn record_placed(&mut self, now: Micros) {
         self.placed_at = now;
         if self.waiting_count() == 0 {
             self.waiting_since = None;
@@ -97,7 +97,7 @@
     }
 
     /// Records that a task of the job is preempted for a team below its guaranteed share.
-    pub fn note_preempted(&mut self) {
+    pub fn record_preempted(&mut self) {
         self.preempted += 1;
     }
 
--- a/crates/core/src/state/jobs/replica_restarts.rs
+++ b/crates/core/src/state/jobs/replica_restarts.rs
@@ -34,7 +34,7 @@
     /// Records that a replica exited without being stopped, after `ran` microseconds on `machine`. The replica may
     /// be restarted at once after the first exit of a series and after a growing backoff from the second exit on.
     /// Placement prefers other machines.
-    pub(crate) fn note_exit(&mut self, task: u64, machine: &str, ran: Micros, now: Micros) {
+    pub(crate) fn record_exit(&mut self, task: u64, machine: &str, ran: Micros, now: Micros) {
         let backoff = self.backoffs.entry(task).or_default();
         backoff.exits = match ran >= STABLE_RUN_US {
             true => 1,
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -269,7 +269,7 @@
 
     /// Records that a task of the job failed on the machine. Failures of jobs that are likely to be at fault
     /// themselves do not count against the machine.
-    pub(crate) fn note_failure(&mut self, job: &str, is_faulty_job: impl Fn(&str) -> bool) {
+    pub(crate) fn record_failure(&mut self, job: &str, is_faulty_job: impl Fn(&str) -> bool) {
         self.failed_jobs.push(job.to_string());
         self.forget_failures(is_faulty_job);
         let excess = self.failed_jobs.len().saturating_sub(MAX_FAILURES);
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -62,14 +62,14 @@
     let mut healthy = machine(0);
     let broken = |id: &str| id.starts_with("broken");
     for _ in 0..10 {
-        healthy.note_failure("broken-1", broken);
-        healthy.note_failure("broken-2", broken);
+        healthy.record_failure("broken-1", broken);
+        healthy.record_failure("broken-2", broken);
         assert_eq!(healthy.failure_attribution(), FailureAttribution::None);
     }
-    healthy.note_failure("req-1", broken);
-    healthy.note_failure("broken-1", broken);
+    healthy.record_failure("req-1", broken);
+    healthy.record_failure("broken-1", broken);
     assert_eq!(healthy.failure_attribution(), FailureAttribution::None);
-    healthy.note_failure("req-2", broken);
+    healthy.record_failure("req-2", broken);
     assert_eq!(healthy.failure_attribution(), FailureAttribution::ByTwoJobs);
 }
 
@@ -83,7 +83,7 @@
         FailureAttribution::None,
         FailureAttribution::ByOneJob,
     ] {
-        faulty.note_failure("req-1", |_| false);
+        faulty.record_failure("req-1", |_| false);
         assert_eq!(faulty.failure_attribution(), expected);
     }
     faulty.forget_failures(|id| id == "req-1");
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -111,7 +111,7 @@
     }
 
     /// Derives the load from the number of heartbeats that the holder has answered since its claim.
-    pub(crate) fn note_heartbeats(&mut self, count: u64, now: Micros) {
+    pub(crate) fn record_heartbeats(&mut self, count: u64, now: Micros) {
         let last = self.heartbeats;
         let span = now.saturating_sub(last.at);
         if span < SECOND && last.at > 0 {
@@ -191,7 +191,7 @@
     }
 
     /// Records that a machine of the partition was terminated.
-    pub(crate) fn note_terminated(&mut self, id: PartitionId, machine: &str) {
+    pub(crate) fn record_terminated(&mut self, id: PartitionId, machine: &str) {
         if let Some(partition) = self.by_id.get_mut(&id) {
             partition.terminated.push(machine.to_string());
         }
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -290,7 +290,7 @@
     }
 
     /// Records the mod_revision that a key was found to have.
-    pub fn note_revision(&mut self, key: &str, mod_revision: u64) {
+    pub fn record_revision(&mut self, key: &str, mod_revision: u64) {
         self.mod_revisions.insert(key.to_string(), mod_revision);
     }
 
--- a/crates/core/tests/jobs.rs
+++ b/crates/core/tests/jobs.rs
@@ -43,7 +43,7 @@
     let mut now = 100 * SECOND;
     let mut backoffs_s = Vec::new();
     for ran in [SECOND, SECOND, SECOND, 90 * SECOND, 0, 0, 0, 0, 0, 0, 0, 0] {
-        job.note_replica_exit(0, "n-000001", ran, now);
+        job.record_replica_exit(0, "n-000001", ran, now);
         let from = now;
         while job.next_waiting_task(now) != Some(0) {
             assert_eq!(
@@ -101,7 +101,7 @@
             assert_eq!(since, 0);
             let task = job.next_waiting_task(now).expect("a waiting task");
             job.assign_task(task);
-            job.note_placed(now);
+            job.record_placed(now);
             job.begin_catch_up(now);
             placed += 1;
         }
