--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -27,7 +27,7 @@
         /// The peer's place among the siblings in the settings.
         peer: usize,
         /// The number of the contact request.
-        question: u64,
+        number: u64,
     },
     /// A read that updates the controller's copy of the partition map.
     PartitionMap(MapCall),
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -58,9 +58,9 @@
         }
         // A partition holder renews agents' leases as the leader does, so it has to know which cancellations
         // its peers confirmed.
-        if !self.partitions.holders.is_empty() && now >= self.election.next_question {
+        if !self.partitions.holders.is_empty() && now >= self.election.next_contact_request {
             self.send_contact_requests();
-            self.election.next_question = self.election.next_probe;
+            self.election.next_contact_request = self.election.next_probe;
             self.election.next_probe = now + PROBE_INTERVAL_US;
         }
     }
--- a/crates/core/src/controller/catalogue.rs
+++ b/crates/core/src/controller/catalogue.rs
@@ -28,7 +28,7 @@
                 self.context.read_key(CATALOGUE, purpose);
             }
             CatalogueSource::Cloud => {
-                if self.context.cloud_requests.take(now, 1.0) {
+                if self.context.cloud_requests.try_acquire(now, 1.0) {
                     self.context.call(
                         Target::Cloud,
                         "GET",
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -56,11 +56,11 @@
         if view.request_in_flight || now < view.next_request || !wanted {
             return;
         }
-        if !self.context.user_reads.take(now, 1.0) {
+        if !self.context.user_reads.try_acquire(now, 1.0) {
             view.next_request = self.context.user_reads.ready_at(now, 1.0);
             return;
         }
-        if !view.built && view.unlisted_prefixes.is_empty() {
+        if !view.is_fully_listed && view.unlisted_prefixes.is_empty() {
             view.reset();
         }
         view.request_in_flight = true;
@@ -157,7 +157,7 @@
         view.last_key = last.map(|entry| entry.key.clone());
         if view.last_key.is_none() {
             view.unlisted_prefixes.remove(0);
-            view.built = view.unlisted_prefixes.is_empty();
+            view.is_fully_listed = view.unlisted_prefixes.is_empty();
         }
     }
 
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -70,7 +70,7 @@
         let now = self.context.now.steady;
         if now < self.partitions.claim_at
             || !self.partitions.reader.has_read_map()
-            || self.election.partition_term().is_none()
+            || self.election.leader_token_for_partitions().is_none()
         {
             return;
         }
@@ -127,7 +127,9 @@
         let own_name = &self.context.settings.member;
         let partition = self.partitions.map.get(id);
         let assigned = partition.filter(|partition| partition.record.holder == *own_name);
-        let (Some(partition), Some(term)) = (assigned, self.election.partition_term()) else {
+        let (Some(partition), Some(leader_token)) =
+            (assigned, self.election.leader_token_for_partitions())
+        else {
             return self.on_claim_failed(id, Some(lease));
         };
         let key = claim_key(id);
@@ -140,7 +142,7 @@
             when: vec![
                 absent(&key),
                 at_revision(&partition_key(id), partition.mod_revision),
-                at_revision(LEADER, term),
+                at_revision(LEADER, leader_token),
             ],
             apply: vec![Operation::Put {
                 put: key,
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -62,13 +62,13 @@
             CONTACT_REQUEST_INTERVAL_IN_OUTAGE_US
         };
         self.election.next_probe = now + interval;
-        self.election.question += 1;
-        let question = self.election.question;
+        self.election.last_contact_request += 1;
+        let number = self.election.last_contact_request;
         for peer in 0..self.context.settings.siblings.len() {
             let known_until = self.context.cancellations.known_until_of_peer(peer);
             let message = wire::to_peer(&PeerRequest::Contact {
                 from: self.context.settings.member.clone(),
-                question,
+                question: number,
                 known_us: known_until.map(|at| now.saturating_sub(at) + CONFIRMATION_OVERLAP_US),
                 limits: self.leader.is_some() && self.context.supports_quota_grants(),
             });
@@ -78,7 +78,7 @@
                 "/peer".into(),
                 message,
                 CONTACT_REQUEST_TIMEOUT_US,
-                CallPurpose::Contact { peer, question },
+                CallPurpose::Contact { peer, number },
             );
         }
     }
@@ -87,7 +87,7 @@
     pub(crate) fn on_contact_reply(
         &mut self,
         peer: usize,
-        question: u64,
+        number: u64,
         asked_at: Micros,
         outcome: Outcome,
     ) {
@@ -124,7 +124,7 @@
             supports_quota_grants: answer.supports_quota_grants,
         };
         // A list that answers another contact request is ignored. A peer of an earlier version sends no list.
-        if let Some(confirmed) = answer.confirmed.filter(|list| list.question == question) {
+        if let Some(confirmed) = answer.confirmed.filter(|list| list.question == number) {
             view.remembers_from = self.learn_confirmed_cancellations(peer, asked_at, confirmed);
         }
         let known = self.election.peers.entry(peer).or_default();
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -44,8 +44,8 @@
             CallPurpose::User(request) => self.on_user_reply(request, outcome),
             CallPurpose::JobView(call) => self.on_job_view_reply(call, made_at, outcome),
             CallPurpose::Catalogue(source) => self.on_catalogue_reply(source, outcome),
-            CallPurpose::Contact { peer, question } => {
-                self.on_contact_reply(peer, question, made_at, outcome);
+            CallPurpose::Contact { peer, number } => {
+                self.on_contact_reply(peer, number, made_at, outcome);
             }
             CallPurpose::Ignore => {}
         }
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -63,7 +63,7 @@
         if !acceptable || self.job_view.is_known_accepted(&job) {
             return self.send_user_request(request);
         }
-        if !self.context.user_writes.take(now, 1.0) {
+        if !self.context.user_writes.try_acquire(now, 1.0) {
             return self.context.refuse(id, 429, "too many submissions");
         }
         self.send_user_request(request.at_stage(UserRequestStage::Accept));
--- a/crates/core/src/controller/user_answers.rs
+++ b/crates/core/src/controller/user_answers.rs
@@ -40,7 +40,11 @@
         if !is_cancellation {
             return self.answer_live(&request);
         }
-        if !self.context.user_writes.take(self.context.now.steady, 1.0) {
+        if !self
+            .context
+            .user_writes
+            .try_acquire(self.context.now.steady, 1.0)
+        {
             return self
                 .context
                 .refuse(request.request, 429, "too many cancellations");
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -70,7 +70,11 @@
                 return joined.push(request);
             }
         }
-        if !self.context.user_reads.take(self.context.now.steady, 1.0) {
+        if !self
+            .context
+            .user_reads
+            .try_acquire(self.context.now.steady, 1.0)
+        {
             return self
                 .context
                 .refuse(request.request, 429, "too many requests");
--- a/crates/core/src/rate_limiter.rs
+++ b/crates/core/src/rate_limiter.rs
@@ -56,7 +56,7 @@
 
     /// Takes `tokens` if the bucket holds them, and returns whether it did. More tokens than the depth can be taken
     /// from a full bucket, which leaves its level negative.
-    pub fn take(&mut self, now: Micros, tokens: f64) -> bool {
+    pub fn try_acquire(&mut self, now: Micros, tokens: f64) -> bool {
         self.refill(now);
         let available = self.level + LEVEL_TOLERANCE >= tokens.min(self.depth);
         if available {
@@ -84,7 +84,7 @@
     }
 
     /// Empties the bucket, as after a response with status 429.
-    pub fn drain(&mut self, now: Micros) {
+    pub fn discard_tokens(&mut self, now: Micros) {
         self.refill(now);
         self.level = self.level.min(0.0);
     }
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the index of the first assignment of a machine that passes the test.
-    pub(crate) fn assignment_position(
+    pub(crate) fn assignment_index(
         &self,
         machine: &str,
         test: impl Fn(&Assignment) -> bool,
@@ -108,7 +108,7 @@
             self.report_attempt_end(name, &assignment, TaskEnd::Gone);
         }
         // Each page is written by the controller that placed the assignments on it.
-        if assignment.by_holder == self.is_holder() {
+        if assignment.placed_by_holder == self.is_holder() {
             self.remove_from_page(context, name, &assignment);
         }
         if let Some(job) = self.jobs.get_mut(assignment.job) {
@@ -125,7 +125,7 @@
         name: &str,
         test: impl Fn(&Assignment) -> bool,
     ) {
-        while let Some(position) = self.assignment_position(name, &test) {
+        while let Some(position) = self.assignment_index(name, &test) {
             self.remove_assignment(context, name, position);
         }
     }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -128,7 +128,7 @@
             warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
             return;
         };
-        let position = self.assignment_position(name, |a| {
+        let position = self.assignment_index(name, |a| {
             a.attempt == reported.attempt && a.task == task && a.job_id == job_id
         });
         let exited = reported.status == TaskStatus::Exited;
@@ -225,16 +225,16 @@
     machine.sequence = status.sequence;
     if source == StatusSource::Heartbeat {
         machine.newest_heartbeat = (status.incarnation, status.sequence);
-        machine.last_heartbeat = now;
+        machine.last_heartbeat_at = now;
     }
 }
 
 /// Records that the agent knows the current fencing token. Until then, an earlier leader that does not know yet
 /// that it was replaced may have renewed the agent's lease, so its expiry is counted from this status on. The
-/// handler of a heartbeat sets `last_response` itself.
+/// handler of a heartbeat sets `last_response_at` itself.
 fn record_token(machine: &mut Machine, source: StatusSource, now: Micros) {
     if !machine.knows_token && source == StatusSource::DirectCommand {
-        machine.last_response = now;
+        machine.last_response_at = now;
     }
     machine.knows_token = true;
 }
@@ -248,7 +248,7 @@
     new_incarnation: bool,
     now: Micros,
 ) {
-    let in_time = now.saturating_sub(machine.last_response) < RESPONSE_TIMEOUT_US;
+    let in_time = now.saturating_sub(machine.last_response_at) < RESPONSE_TIMEOUT_US;
     if source == StatusSource::Heartbeat && machine.knows_token && in_time && !new_incarnation {
         machine.receives_responses = true;
         machine.unreachable_since = None;
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -71,7 +71,7 @@
         let Some(machine) = self.machines.get_mut(&held.machine) else {
             return self.answer_heartbeat(context, request, Vec::new());
         };
-        machine.last_response = now;
+        machine.last_response_at = now;
         self.answer_or_hold(context, held);
     }
 
@@ -86,7 +86,7 @@
         let id = (late.incarnation, late.sequence);
         if late.incarnation == machine.incarnation && id > machine.newest_heartbeat {
             machine.newest_heartbeat = id;
-            machine.last_response = context.now.steady;
+            machine.last_response_at = context.now.steady;
         }
     }
 
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -148,7 +148,7 @@
     fn misses_heartbeats(&self, context: &Context, name: &str) -> bool {
         let max_silence = context.settings.heartbeat_timeout();
         self.machines.get(name).is_some_and(|machine| {
-            context.now.steady.saturating_sub(machine.last_heartbeat) > max_silence
+            context.now.steady.saturating_sub(machine.last_heartbeat_at) > max_silence
         })
     }
 
@@ -161,7 +161,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if !machine.knows_token || now.saturating_sub(machine.last_response) <= expiry {
+        if !machine.knows_token || now.saturating_sub(machine.last_response_at) <= expiry {
             return;
         }
         let jobs = &self.jobs;
@@ -226,7 +226,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let silence = now.saturating_sub(machine.last_heartbeat);
+        let silence = now.saturating_sub(machine.last_heartbeat_at);
         let is_gone =
             receives_heartbeats && silence > termination_delay(context.settings.agent_lease);
         if !has_overdue_cancellation && !is_gone {
@@ -260,7 +260,7 @@
             !machine.receives_responses
                 && !machine.cordoned
                 && now.saturating_sub(machine.last_contact_at) < max_silence
-                && now.saturating_sub(machine.last_response) >= PROBE_DELAY_US
+                && now.saturating_sub(machine.last_response_at) >= PROBE_DELAY_US
                 && self.direct_commands_in_flight.len() < MAX_PROBES
         })
     }
@@ -317,7 +317,7 @@
             true => max_silence,
             false => 3 * max_silence,
         };
-        let silence = now.saturating_sub(machine.last_heartbeat);
+        let silence = now.saturating_sub(machine.last_heartbeat_at);
         if (has_overdue_cancellation || silence > max_silence) && self.fleet.terminate(name, now) {
             info!(
                 machine = name, silence_s = silence / SECOND;
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -189,7 +189,9 @@
             ..
         } = draft;
         let operations = transaction.apply.len() as f64;
-        context.write_limiter(self.role).take(now, operations);
+        context
+            .write_limiter(self.role)
+            .try_acquire(now, operations);
         let purpose = self.call_purpose(SchedulerCall::Flush);
         context.post_to_store("/txn", &transaction, purpose);
         self.write_buffer.no_flush_before = now + context.tuning.flush_interval_us;
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -91,7 +91,7 @@
             warn!(status = status, error = response; "unexpected response to a flush");
         }
         if status == HTTP_TOO_MANY_REQUESTS {
-            context.write_limiter(self.role).drain(now);
+            context.write_limiter(self.role).discard_tokens(now);
         }
         self.on_flush_failed(context);
     }
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -23,7 +23,7 @@
         orders: PartitionOrders,
     ) -> Option<PartitionReport> {
         let number = OrdersNumber {
-            term: orders.term,
+            leader_token: orders.term,
             sequence: orders.sequence,
         };
         let is_stale = number <= self.holder_state.last_orders;
@@ -37,7 +37,7 @@
         if let Some(tasks) = &orders.sync {
             self.reconcile(context, orders.term, tasks);
         }
-        let is_reconciled = self.holder_state.reconciled_term == orders.term;
+        let is_reconciled = self.holder_state.reconciled_leader_token == orders.term;
         if is_reconciled {
             self.apply_quota_orders(context, orders.term, orders.quota.as_deref());
         }
@@ -63,7 +63,7 @@
 
     /// Reconciles the tasks known here with those that may be on the machines according to the leader. A task that
     /// the leader does not list was never launched, or its end is recorded in the store: it is dropped or stopped.
-    fn reconcile(&mut self, context: &mut Context, term: u64, tasks: &[PlacedTask]) {
+    fn reconcile(&mut self, context: &mut Context, leader_token: u64, tasks: &[PlacedTask]) {
         let is_first_time = !self.holder_state.is_reconciled();
         let listed: BTreeSet<TaskAttempt> = tasks.iter().map(PlacedTask::id).collect();
         self.drop_unrecorded_placements(context, &listed);
@@ -71,7 +71,7 @@
         for task in tasks {
             self.reconcile_listed(context, task);
         }
-        self.holder_state.reconciled_term = term;
+        self.holder_state.reconciled_leader_token = leader_token;
         if is_first_time {
             self.loaded_at = context.now.steady;
             self.last_heartbeat_at = context.now.steady;
@@ -87,7 +87,7 @@
         let machines: Vec<String> = self.machines.keys().cloned().collect();
         for machine in machines {
             // Tasks that this holder placed itself are recorded on its own pages.
-            let is_unknown = |a: &Assignment| !a.by_holder && !listed.contains(&a.id());
+            let is_unknown = |a: &Assignment| !a.placed_by_holder && !listed.contains(&a.id());
             self.stop_assignments(context, &machine, 0, is_unknown);
         }
     }
--- a/crates/core/src/scheduler/holder/orders/tests.rs
+++ b/crates/core/src/scheduler/holder/orders/tests.rs
@@ -13,7 +13,7 @@
 
 const MACHINE: &str = "n-000001";
 
-const TERM: u64 = 7;
+const LEADER_TOKEN: u64 = 7;
 
 const CLAIM: u64 = 9;
 
@@ -47,7 +47,7 @@
 fn orders(sequence: u64) -> PartitionOrders {
     PartitionOrders {
         from: "perch-0".into(),
-        term: TERM,
+        term: LEADER_TOKEN,
         sequence,
         partition: 1,
         claim: CLAIM,
@@ -149,7 +149,7 @@
 fn orders_of_an_earlier_term_or_for_another_claim_are_dropped() {
     let (mut controller, mut holder) = holder();
     let earlier = PartitionOrders {
-        term: TERM - 1,
+        term: LEADER_TOKEN - 1,
         ..launch(9)
     };
     let another = PartitionOrders {
@@ -178,7 +178,7 @@
     let (mut controller, mut holder) = holder();
     holder.carry_out_orders(&mut controller.context, launch(2));
     let sync = PartitionOrders {
-        term: TERM + 1,
+        term: LEADER_TOKEN + 1,
         sync: Some(Vec::new()),
         ..orders(1)
     };
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -66,7 +66,7 @@
         self.holder_quota.queue.clear();
         let durable: BTreeSet<TaskAttempt> = self
             .assignments()
-            .filter(|a| a.by_holder && self.is_assignment_durable(a))
+            .filter(|a| a.placed_by_holder && self.is_assignment_durable(a))
             .map(Assignment::id)
             .collect();
         self.remove_unlaunched_placements(context, |a| {
@@ -79,18 +79,18 @@
     pub(crate) fn apply_quota_orders(
         &mut self,
         context: &Context,
-        term: u64,
+        leader_token: u64,
         orders: Option<&QuotaOrders>,
     ) {
         let Some(orders) = orders.filter(|_| self.places_tasks(context)) else {
             self.holder_quota.queue.clear();
             self.holder_quota.grant.suspend();
-            self.holder_quota.term = None;
+            self.holder_quota.leader_token = None;
             return;
         };
         let quota = &mut self.holder_quota;
         quota.grant.set_granted(&orders.grant);
-        quota.term = Some(term);
+        quota.leader_token = Some(leader_token);
         quota.limits_revision = Some(orders.limits);
         quota
             .placed
@@ -99,7 +99,7 @@
             .queue
             .retain(|queued| !orders.revoked.contains(&queued.job));
         for (name, machine) in &mut self.machines {
-            machine.reserved = orders.reserved.contains(name);
+            machine.reserved_by_leader = orders.reserved.contains(name);
         }
         for work in &orders.work {
             self.queue_work(work);
@@ -152,7 +152,7 @@
         self.held_heartbeats_may_be_ready = true;
         self.drop_queued_of_cancelled_jobs();
         self.placement.has_backlog = !self.holder_quota.queue.is_empty();
-        if self.placement.has_backlog && self.holder_quota.term.is_some() {
+        if self.placement.has_backlog && self.holder_quota.leader_token.is_some() {
             self.place_queue(context, watch);
             self.placement.has_backlog = !self.holder_quota.queue.is_empty();
         }
@@ -219,14 +219,14 @@
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
             "placed a task"
         );
-        let expected = queued.expected_stay;
+        let expected_stay = queued.expected_stay;
         self.create_assignment(
             context,
             &name,
             index,
             queued.task,
             &spec,
-            (attempt, expected),
+            (attempt, expected_stay),
         );
         open[position].free = open[position].free - MachineResources::of_task(&spec);
         open.retain(|machine| machine.free.cpus > 0.0);
@@ -264,7 +264,7 @@
     pub(crate) fn record_durable_placements(&mut self) {
         for (name, machine) in &mut self.machines {
             let assignments = machine.assignments.iter_mut();
-            for a in assignments.filter(|a| a.by_holder && !a.delivered) {
+            for a in assignments.filter(|a| a.placed_by_holder && !a.delivered) {
                 let page = RecordId::AssignmentPage(a.page);
                 if self.write_buffer.is_durable(&page, a.page_version) {
                     a.delivered = true;
@@ -297,7 +297,9 @@
         let quota = &self.holder_quota;
         let queued = quota.queue.iter();
         let queued = queued.map(|queued| (queued.job.as_str(), queued.task));
-        let unwritten = self.assignments().filter(|a| a.by_holder && !a.delivered);
+        let unwritten = self
+            .assignments()
+            .filter(|a| a.placed_by_holder && !a.delivered);
         let unwritten = unwritten.map(|a| (a.job_id.as_str(), a.task));
         let later = quota.placements_in_later_answers();
         let later = later.map(|placement| (placement.task.job.as_str(), placement.task.task));
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -16,7 +16,7 @@
 
 const MACHINE: &str = "n-000001";
 
-const TERM: u64 = 7;
+const LEADER_TOKEN: u64 = 7;
 
 const CLAIM: u64 = 9;
 
@@ -87,7 +87,7 @@
     };
     PartitionOrders {
         from: "perch-0".into(),
-        term: TERM,
+        term: LEADER_TOKEN,
         sequence,
         partition: 1,
         claim: CLAIM,
@@ -169,7 +169,7 @@
         condition.map(|when| when.mod_revision)
     };
     assert_eq!(mod_revision(&claim_key(1)), Some(CLAIM));
-    assert_eq!(mod_revision(LEADER), Some(TERM));
+    assert_eq!(mod_revision(LEADER), Some(LEADER_TOKEN));
     assert_eq!(mod_revision(LIMITS), Some(LIMITS_REVISION));
     assert_eq!(mod_revision("page/0/1000"), Some(0));
     assert_eq!(mod_revision(&quota_grant_key(1)), None);
@@ -226,7 +226,7 @@
         expected_us: SECOND,
     };
     let sync = PartitionOrders {
-        term: TERM + 10,
+        term: LEADER_TOKEN + 10,
         sync: Some(vec![listed]),
         ..orders(1, 4, &[])
     };
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -24,7 +24,7 @@
         &mut self,
         context: &Context,
         seen: u64,
-        term: u64,
+        leader_token: u64,
         accepted: Vec<TaskAttempt>,
     ) -> PartitionReport {
         self.update_reported_states(context);
@@ -34,7 +34,7 @@
         let outcomes = outcomes.filter(|o| !self.holder_quota.is_in_later_answer(o.id()));
         PartitionReport {
             claim: self.token,
-            synced: self.holder_state.reconciled_term == term,
+            synced: self.holder_state.reconciled_leader_token == leader_token,
             accepted,
             outcomes: outcomes.take(MAX_OUTCOMES).cloned().collect(),
             machines: changed
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -255,7 +255,7 @@
                 continue;
             };
             let assignments = machine.assignments.iter();
-            for a in assignments.filter(|a| a.by_holder && ends_soon(a, now)) {
+            for a in assignments.filter(|a| a.placed_by_holder && ends_soon(a, now)) {
                 let unused = unused.entry((partition, a.team.clone()));
                 let unused: &mut Resources = unused.or_default();
                 *unused = unused.saturating_add(a.amount());
--- a/crates/core/src/scheduler/leader/fleet.rs
+++ b/crates/core/src/scheduler/leader/fleet.rs
@@ -76,7 +76,7 @@
             _ => (0, Vec::new()),
         };
         if status == 429 {
-            context.cloud_requests.drain(context.now.steady);
+            context.cloud_requests.discard_tokens(context.now.steady);
         }
         match call {
             CloudCall::MachineTypes => self.on_catalogue(context, status, &body),
@@ -90,7 +90,7 @@
     fn read_catalogue(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let is_due = now >= self.fleet.next_catalogue_read && !self.fleet.catalogue_in_flight;
-        if !is_due || !context.cloud_requests.take(now, 1.0) {
+        if !is_due || !context.cloud_requests.try_acquire(now, 1.0) {
             return;
         }
         self.fleet.catalogue_in_flight = true;
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -260,7 +260,7 @@
     /// Returns the demand for headroom, the free resources that are kept for future services. With a run time of
     /// one second, it takes up almost no computing power that batch tasks could use.
     fn headroom_demand<'a>(&'a self, zones: &BTreeSet<&str>) -> Vec<Demand<'a>> {
-        let Some((spec, replicas)) = self.headroom.wanted() else {
+        let Some((spec, replicas)) = self.headroom.target() else {
             return Vec::new();
         };
         zones
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -215,7 +215,7 @@
         offering: &MachineOffering,
     ) -> f64 {
         let (name, zone) = (&offering.machine_type, &offering.zone);
-        match self.headroom.wanted() {
+        match self.headroom.target() {
             Some((spec, replicas)) if permits(context, spec, name, zone, offering.spot) => {
                 let cpu_fraction = spec.cpus / machine_type.cpus.max(RESOURCE_TOLERANCE);
                 let machine_fraction = cpu_fraction
@@ -245,11 +245,11 @@
                 continue;
             };
             let elapsed = now.saturating_sub(booting.requested_at);
-            if !booting.running && elapsed > self.boot_timeout(context, name) {
+            if !booting.listed_as_running && elapsed > self.boot_timeout(context, name) {
                 // An overdue boot counts as no computing power, so that a replacement is provisioned.
                 continue;
             }
-            let delay_s = match booting.running {
+            let delay_s = match booting.listed_as_running {
                 true => 0.0,
                 false => {
                     let boot_time = self.expected_boot_time(machine_type);
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -29,7 +29,7 @@
         self.fleet.running_without_heartbeat.remove(name);
         if let Some(boot) = self.fleet.booting_machines.remove(name) {
             self.placement.request_round(now);
-            if !boot.running {
+            if !boot.listed_as_running {
                 self.record_boot_time(context, name, &boot);
             }
         }
@@ -78,7 +78,7 @@
     fn is_far_overdue(&self, context: &Context, boot: &BootingMachine) -> bool {
         let timeout = self.boot_timeout(context, &boot.offering.machine_type);
         let elapsed = context.now.steady.saturating_sub(boot.requested_at);
-        !boot.running && elapsed > timeout + timeout / 2
+        !boot.listed_as_running && elapsed > timeout + timeout / 2
     }
 
     /// Returns whether the machine list once showed the machine and no longer does. The time of the last full list
@@ -112,7 +112,7 @@
     /// Counts a boot that was given up, unless the machine was listed as running.
     fn count_failed_boot(&mut self, name: &str) {
         let boot = self.fleet.booting_machines.get(name);
-        if let Some(boot) = boot.filter(|boot| !boot.running) {
+        if let Some(boot) = boot.filter(|boot| !boot.listed_as_running) {
             let machine_type = boot.offering.machine_type.clone();
             *self.fleet.failed_boots.entry(machine_type).or_insert(0) += 1;
         }
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -25,7 +25,7 @@
     pub(crate) fn read_machine_list(&mut self, context: &mut Context) {
         let now = context.now.steady;
         let is_due = now >= self.fleet.next_list_read && !self.fleet.list_in_flight;
-        if !is_due || !context.cloud_requests.take(now, 1.0) {
+        if !is_due || !context.cloud_requests.try_acquire(now, 1.0) {
             return;
         }
         self.fleet.list_in_flight = true;
@@ -98,16 +98,16 @@
     /// Records a listed machine that may still be booting.
     fn record_listed_boot(&mut self, now: Micros, listed: &ListedMachine) {
         let name = &listed.id;
-        let running = listed.status == RUNNING;
+        let listed_as_running = listed.status == RUNNING;
         if let Some(boot) = self.fleet.booting_machines.get_mut(name) {
             boot.last_listed = Some(now);
-            boot.running = running;
+            boot.listed_as_running = listed_as_running;
         }
         let known_machine = self.machines.get(name);
         if known_machine.is_some_and(|machine| !machine.address.is_empty()) {
             return;
         }
-        if running {
+        if listed_as_running {
             let without_heartbeat = &mut self.fleet.running_without_heartbeat;
             without_heartbeat.entry(name.clone()).or_insert(now);
         }
@@ -118,7 +118,7 @@
                 offering: MachineOffering::new(&listed.machine_type, &listed.zone, listed.spot),
                 requested_at: now.saturating_sub(micros(listed.age_s)),
                 last_listed: Some(now),
-                running,
+                listed_as_running,
             }
         });
     }
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -42,7 +42,7 @@
             let Some(provision) = self.fleet.provisions.get_mut(&name) else {
                 continue;
             };
-            if !context.cloud_requests.take(now, 1.0) {
+            if !context.cloud_requests.try_acquire(now, 1.0) {
                 provision.retry_at = context.cloud_requests.ready_at(now, 1.0);
                 continue;
             }
@@ -119,7 +119,7 @@
                 offering: offering.clone(),
                 requested_at,
                 last_listed: None,
-                running: false,
+                listed_as_running: false,
             };
             let booting = self.fleet.booting_machines.entry(machine);
             booting.or_insert(boot);
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -25,7 +25,7 @@
         if nothing_to_send || now < fleet.next_termination {
             return;
         }
-        if !context.cloud_requests.take(now, 1.0) {
+        if !context.cloud_requests.try_acquire(now, 1.0) {
             fleet.next_termination = context.cloud_requests.ready_at(now, 1.0);
             return;
         }
--- a/crates/core/src/scheduler/leader/fleet/tests.rs
+++ b/crates/core/src/scheduler/leader/fleet/tests.rs
@@ -22,7 +22,7 @@
             .recover_provision(context, format!("h-7-{n}"), record);
     }
     leader.fleet.terminate("n-000001", context.now.steady);
-    context.cloud_requests.drain(context.now.steady);
+    context.cloud_requests.discard_tokens(context.now.steady);
     context.now.steady = context.cloud_requests.ready_at(context.now.steady, 1.0) + MILLI;
     context.effects.clear();
     leader.run_fleet(context);
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -14,25 +14,24 @@
     lacks_services: bool,
     /// The machine's free CPUs, in units of [`RESOURCE_TOLERANCE`].
     free_cpus: i64,
-    /// The machine's position among the open machines.
-    position: usize,
+    /// The machine's index among the open machines.
+    index: usize,
 }
 
 impl Scheduler {
     /// Reserves the wanted headroom for services in each zone: first on machines with replicas of services, then
     /// on the others. In both groups the machines with the fewest free CPUs come first.
     pub(crate) fn reserve_headroom(&self, context: &Context, open: &mut [OpenMachine]) {
-        let Some((spec, wanted)) = self.headroom.wanted() else {
+        let Some((spec, target)) = self.headroom.target() else {
             return;
         };
         let mut reserved: BTreeMap<String, u64> = BTreeMap::new();
-        for HeadroomMachine { position, .. } in self.headroom_machines_in_order(context, spec, open)
-        {
-            let machine = &mut open[position];
+        for HeadroomMachine { index, .. } in self.headroom_machines_in_order(context, spec, open) {
+            let machine = &mut open[index];
             let in_zone = reserved.entry(machine.zone.clone()).or_insert(0);
             // Only the wanted headroom is reserved, not whole machines: in a fleet of two machines, nothing would
             // be left for other jobs.
-            let replicas = tasks_that_fit(machine.free, spec).min(wanted - *in_zone);
+            let replicas = tasks_that_fit(machine.free, spec).min(target - *in_zone);
             *in_zone += replicas;
             machine.headroom = MachineResources::of_task(spec).times(replicas as f64);
         }
@@ -49,10 +48,10 @@
             .iter()
             .enumerate()
             .filter(|(_, machine)| fits(machine))
-            .map(|(position, machine)| HeadroomMachine {
+            .map(|(index, machine)| HeadroomMachine {
                 lacks_services: !self.runs_services(&machine.name),
                 free_cpus: (machine.free.cpus / RESOURCE_TOLERANCE) as i64,
-                position,
+                index,
             })
             .collect();
         order.sort();
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -109,10 +109,10 @@
         let now = context.now.steady;
         let mut any_in_contact = false;
         for machine in self.machines.values_mut() {
-            if machine.partition == Some(id) && machine.counted_by_holder {
-                machine.last_heartbeat = now;
+            if machine.partition == Some(id) && machine.counted_as_capacity_by_holder {
+                machine.last_heartbeat_at = now;
                 machine.last_contact_at = now;
-                machine.last_response = now;
+                machine.last_response_at = now;
                 any_in_contact = true;
             }
         }
@@ -150,7 +150,7 @@
         machine.receives_responses = state.receives_responses;
         // Only the holder knows whether the agent receives responses.
         machine.unreachable_since = None;
-        machine.counted_by_holder = state.counts;
+        machine.counted_as_capacity_by_holder = state.counts;
         machine.cordoned |= state.cordoned;
         machine.reclaim_at = state.reclaim_us.map(|left| now + left);
         if !machine.assignments.is_empty() {
@@ -214,7 +214,7 @@
     fn apply_outcome(&mut self, context: &mut Context, outcome: &TaskOutcome) {
         let name = &outcome.machine;
         let task_name = format!("{}/{}", outcome.job, outcome.task);
-        let at = self.assignment_position(name, |a| a.id() == outcome.id());
+        let at = self.assignment_index(name, |a| a.id() == outcome.id());
         match (at, &outcome.end) {
             (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
             (Some(at), TaskEnd::Exited(cause)) => {
@@ -245,7 +245,7 @@
         self.state_version = report.version;
         if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
             self.last_known_placement = quota.version;
-            self.reserved = std::mem::take(&mut self.reserved_sent);
+            self.reserved_confirmed = std::mem::take(&mut self.reserved_sent);
         }
         self.record_heartbeats(report.heartbeats, now);
     }
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -226,14 +226,16 @@
             None => machine.free(),
         };
         self.usable_machines(context)
-            .filter(|machine| free(machine).cpus > RESOURCE_TOLERANCE && !machine.reserved)
+            .filter(|machine| {
+                free(machine).cpus > RESOURCE_TOLERANCE && !machine.reserved_by_leader
+            })
             .map(|machine| OpenMachine {
                 name: machine.name.clone(),
                 zone: machine.zone.clone(),
                 machine_type: machine.machine_type.clone(),
                 spot: machine.spot,
                 free: free(machine),
-                kept_for_preemptor: machine.idle_excluded_until > now,
+                excludes_idle_priority: machine.idle_excluded_until > now,
                 headroom: MachineResources::default(),
                 placed_by: machine
                     .partition
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -18,7 +18,7 @@
 
 impl Scheduler {
     /// Assigns a task to a machine. The machine is told to launch the task once the assignment is durable.
-    /// `attempt` is the attempt number, and `expected` is how long the task is expected to stay on the machine, in
+    /// `attempt` is the attempt number, and `expected_stay` is how long the task is expected to stay on the machine, in
     /// microseconds.
     pub(crate) fn create_assignment(
         &mut self,
@@ -27,7 +27,7 @@
         job: JobIndex,
         task: u64,
         spec: &Submission,
-        (attempt, expected): (u64, Micros),
+        (attempt, expected_stay): (u64, Micros),
     ) {
         let now = context.now.steady;
         let page = self.page_with_room();
@@ -35,7 +35,7 @@
         let page_version = self
             .write_buffer
             .mark_dirty_by(RecordId::AssignmentPage(page), due);
-        let by_holder = self.is_holder();
+        let placed_by_holder = self.is_holder();
         self.log_service_placement(context, name, job, task, spec);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -46,13 +46,13 @@
             job: spec.id.clone(),
             task,
             attempt,
-            expected_us: expected,
+            expected_us: expected_stay,
         };
         let assignment = Assignment {
             page,
             page_version,
             delivered: false,
-            by_holder,
+            placed_by_holder,
             ..Assignment::new(TaskOnMachine {
                 task: &placed,
                 job: Some(job),
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -117,11 +117,12 @@
         // Without this, the rest of an array can wait for minutes next to unused headroom when no more machines
         // can be provisioned. If no service is live, this also applies to jobs that had other tasks placed
         // meanwhile.
-        let headroom_yields = self.headroom.has_no_live_services() && job.has_waited_long(now);
+        let may_take_unneeded_headroom =
+            self.headroom.has_no_live_services() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
             || job.must_begin_early(now)
             || job.is_starving(now)
-            || headroom_yields;
+            || may_take_unneeded_headroom;
         Some(PlacingJob {
             index: queued.index,
             shape: job.shape,
@@ -149,7 +150,7 @@
         let fits = |machine: &OpenMachine| {
             placing.tasks_that_fit(machine) > 0
                 && machine.permits(context, spec)
-                && (!machine.kept_for_preemptor || spec.priority > Priority::Idle)
+                && (!machine.excludes_idle_priority || spec.priority > Priority::Idle)
         };
         let fitting = open.iter().enumerate().filter(|(_, machine)| fits(machine));
         let mut candidates: Vec<(Preference, usize)> = fitting
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -131,7 +131,7 @@
         let is_undone = |a: &Assignment| a.launched.is_none() && teams.contains(&a.team);
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(at) = self.assignment_position(&name, is_undone) {
+            while let Some(at) = self.assignment_index(&name, is_undone) {
                 self.remove_assignment(context, &name, at);
             }
         }
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -182,9 +182,7 @@
     /// Applies the placement of a task that a holder reports.
     fn apply_placement(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
         let is_known = |a: &Assignment| a.id() == placed.id();
-        let is_already_known = self
-            .assignment_position(&placed.machine, is_known)
-            .is_some();
+        let is_already_known = self.assignment_index(&placed.machine, is_known).is_some();
         // A holder may still report tasks of a machine that was terminated.
         if is_already_known || self.fleet.is_terminated(&placed.machine) {
             return;
@@ -212,7 +210,7 @@
         });
         let assignment = Assignment {
             launched: Some((placed.incarnation, 0)),
-            by_holder: true,
+            placed_by_holder: true,
             ..Assignment::new(TaskOnMachine {
                 task: placed,
                 job: index,
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -151,7 +151,7 @@
 
     fn is_assigned(&self, machine: &str, job: &str, attempt: TaskAttempt) -> bool {
         let is_this = |a: &Assignment| a.id() == attempt && a.job_id == job;
-        self.assignment_position(machine, is_this).is_some()
+        self.assignment_index(machine, is_this).is_some()
     }
 
     /// Marks the task as assigned if its job is known, and returns the description of the job.
@@ -197,7 +197,7 @@
         page: page.number,
         launched: Some(LAUNCHED_EARLIER),
         delivered: false,
-        by_holder: page.written_by.is_some(),
+        placed_by_holder: page.written_by.is_some(),
         stop,
         ..Assignment::new(task)
     }
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -106,7 +106,7 @@
     /// Charges the resources of an assignment to the quota of its team, until the task is proven gone.
     pub(crate) fn charge_quota(&mut self, assignment: &Assignment) {
         let (team, amount) = (&assignment.team, assignment.amount());
-        match (assignment.by_holder, self.is_holder()) {
+        match (assignment.placed_by_holder, self.is_holder()) {
             (true, true) => self.holder_quota.grant.take(team, amount),
             // The leader charges it to the holder's quota grant when it learns of the assignment.
             (true, false) => {}
@@ -126,7 +126,7 @@
         assignment: &Assignment,
     ) {
         let (team, amount) = (&assignment.team, assignment.amount());
-        match (assignment.by_holder, self.is_holder()) {
+        match (assignment.placed_by_holder, self.is_holder()) {
             (true, true) => self.holder_quota.grant.give_back(team, amount),
             (true, false) => {
                 let machine = self.machines.get(machine);
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -23,7 +23,7 @@
         };
         Some(vec![
             condition(&claim_key(partition), self.token),
-            condition(LEADER, self.holder_quota.term?),
+            condition(LEADER, self.holder_quota.leader_token?),
             condition(LIMITS, self.holder_quota.limits_revision?),
         ])
     }
@@ -44,7 +44,7 @@
         }
         if has_failed(LEADER) {
             info!(partition = partition; "leader record changed; placing no task until the next leader sends orders");
-            self.holder_quota.term = None;
+            self.holder_quota.leader_token = None;
         }
         if has_failed(LIMITS) {
             // The next orders of the leader contain the limits in force.
@@ -66,11 +66,11 @@
         keep: impl Fn(&Assignment) -> bool,
     ) {
         let is_dropped = |assignment: &Assignment| {
-            assignment.by_holder && assignment.launched.is_none() && !keep(assignment)
+            assignment.placed_by_holder && assignment.launched.is_none() && !keep(assignment)
         };
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(position) = self.assignment_position(&name, is_dropped) {
+            while let Some(position) = self.assignment_index(&name, is_dropped) {
                 self.remove_assignment(context, &name, position);
             }
         }
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -138,7 +138,7 @@
     pub free: MachineResources,
     /// Whether tasks were stopped on the machine for a job of higher priority. Tasks of idle priority are then not
     /// placed on it.
-    pub(crate) kept_for_preemptor: bool,
+    pub(crate) excludes_idle_priority: bool,
     /// Part of the free resources that is headroom for services.
     pub headroom: MachineResources,
     /// Partition whose holder places tasks on the machine.
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -36,9 +36,9 @@
     /// Last answer of each peer, by the index of the peer in the settings.
     pub(crate) peers: BTreeMap<usize, PeerView>,
     /// Number of the last question to the peers.
-    pub(crate) question: u64,
+    pub(crate) last_contact_request: u64,
     /// Time at which a partition holder that is not the leader asks its peers next.
-    pub(crate) next_question: Micros,
+    pub(crate) next_contact_request: Micros,
     /// Highest fencing token of a leader that was read from the key-value store or is this controller's own.
     pub(crate) highest_token: u64,
 }
@@ -54,8 +54,8 @@
             incarnation,
             lease_requested_at: 0,
             peers: BTreeMap::new(),
-            question: 0,
-            next_question: 0,
+            last_contact_request: 0,
+            next_contact_request: 0,
             highest_token: 0,
         }
     }
@@ -91,7 +91,7 @@
     }
 
     /// Returns the fencing token of the leader, if a leader is known and supports partitions.
-    pub(crate) fn partition_term(&self) -> Option<u64> {
+    pub(crate) fn leader_token_for_partitions(&self) -> Option<u64> {
         let leader = self.leader.as_ref()?;
         leader.record.partitions.then_some(leader.token)
     }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -50,7 +50,7 @@
     /// Whether the cloud's machine list shows the machine as running. Such a machine only has to send its first
     /// heartbeat to this leader and is not an overdue boot, whatever its age. Without this distinction, a new leader
     /// would terminate its whole fleet as overdue boots.
-    pub(crate) running: bool,
+    pub(crate) listed_as_running: bool,
 }
 
 /// A provisioning request. It is kept from the write of its record until the cloud has refused it, or until the
@@ -271,7 +271,9 @@
 
     /// Returns whether the machine is still booting.
     pub fn is_booting(&self, name: &str) -> bool {
-        self.booting_machines.get(name).is_some_and(|b| !b.running)
+        self.booting_machines
+            .get(name)
+            .is_some_and(|b| !b.listed_as_running)
     }
 
     /// Queues the machine for termination. Returns false if it is already queued or terminated.
--- a/crates/core/src/state/headroom.rs
+++ b/crates/core/src/state/headroom.rs
@@ -41,7 +41,7 @@
 
 /// Headroom that is to be reserved.
 #[derive(Debug)]
-struct WantedHeadroom {
+struct HeadroomTarget {
     /// Service that the headroom is measured by.
     spec: Submission,
     /// Number of replicas of the service that are to fit into the headroom of each zone.
@@ -58,7 +58,7 @@
     /// Whether there are live services.
     has_live_services: bool,
     /// Headroom that is to be reserved now.
-    wanted: Option<WantedHeadroom>,
+    target: Option<HeadroomTarget>,
 }
 
 /// Returns the number of replicas of the job that a single zone may have to take.
@@ -81,9 +81,9 @@
 
 /// Returns the number of replicas of the service that are to fit into the headroom of each zone, in a fleet of
 /// `machines` machines.
-fn wanted_replicas(context: &Context, spec: &Submission, machines: u64) -> u64 {
+fn target_replicas(context: &Context, spec: &Submission, machines: u64) -> u64 {
     let zones = zone_count(context).max(1);
-    let wanted = (replicas_in_zone(spec) as f64 * context.tuning.standby_jobs).ceil() as u64;
+    let target = (replicas_in_zone(spec) as f64 * context.tuning.standby_jobs).ceil() as u64;
     let per_machine = machine_types_for(context, spec)
         .map(|t| tasks_that_fit(MachineResources::of_type(t), spec))
         .min()
@@ -93,7 +93,7 @@
     let most = machines / MACHINES_PER_FREE_MACHINE * per_machine / zones;
     let one_job = machines * per_machine / MACHINES_PER_JOB / zones;
     // The first services may be small, and more of them may be submitted before a new machine is up.
-    wanted
+    target
         .max(per_machine * MIN_HEADROOM_MACHINES)
         .min(most.max(replicas_in_zone(spec).min(one_job)))
 }
@@ -127,22 +127,22 @@
                 self.largest = None;
             }
         }
-        let wanted = self.wanted_in(context, machines as u64);
-        self.wanted = wanted.filter(|wanted| wanted.replicas > 0);
+        let target = self.target_in(context, machines as u64);
+        self.target = target.filter(|target| target.replicas > 0);
     }
 
-    fn wanted_in(&self, context: &Context, machines: u64) -> Option<WantedHeadroom> {
+    fn target_in(&self, context: &Context, machines: u64) -> Option<HeadroomTarget> {
         if context.tuning.standby_jobs <= 0.0 {
             return None;
         }
         if let Some(LargestService { spec, .. }) = &self.largest {
-            return Some(WantedHeadroom {
+            return Some(HeadroomTarget {
                 spec: spec.clone(),
-                replicas: wanted_replicas(context, spec, machines),
+                replicas: target_replicas(context, spec, machines),
             });
         }
         let most = machines / MACHINES_PER_FREE_MACHINE / zone_count(context).max(1);
-        Some(WantedHeadroom {
+        Some(HeadroomTarget {
             spec: self.unseen_service(context)?,
             replicas: MIN_HEADROOM_MACHINES.min(most),
         })
@@ -168,9 +168,9 @@
 
     /// Returns the service that the headroom is measured by, and the number of its replicas that are to fit into the
     /// headroom of each zone.
-    pub fn wanted(&self) -> Option<(&Submission, u64)> {
-        let wanted = self.wanted.as_ref()?;
-        Some((&wanted.spec, wanted.replicas))
+    pub fn target(&self) -> Option<(&Submission, u64)> {
+        let target = self.target.as_ref()?;
+        Some((&target.spec, target.replicas))
     }
 }
 
--- a/crates/core/src/state/holder.rs
+++ b/crates/core/src/state/holder.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OrdersNumber {
     /// Fencing token of the leader that sent the orders.
-    pub(crate) term: u64,
+    pub(crate) leader_token: u64,
     /// Sequence number of the orders among those of this leader.
     pub(crate) sequence: u64,
 }
@@ -29,7 +29,7 @@
     /// Number of the last orders.
     pub(crate) last_orders: OrdersNumber,
     /// Term of the leader with which the tasks on the machines were reconciled; 0 if there was none yet.
-    pub(crate) reconciled_term: u64,
+    pub(crate) reconciled_leader_token: u64,
     /// Outcomes of ended attempts that the leader has not recorded yet.
     pub(crate) outcomes: BTreeMap<TaskAttempt, TaskOutcome>,
     /// Last reported states of machines, by machine name.
@@ -45,7 +45,7 @@
 impl HolderState {
     /// Returns whether a leader has sent all tasks that may be on the machines.
     pub(crate) fn is_reconciled(&self) -> bool {
-        self.reconciled_term > 0
+        self.reconciled_leader_token > 0
     }
 
     /// Records the time at which this controller first learned that a job is cancelled.
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -44,7 +44,7 @@
     pub grant: HolderGrant,
     /// Fencing token of the leader whose tasks may be placed, as long as its leader record exists; `None` if no
     /// leader has sent orders with quota or if another controller may lead.
-    pub term: Option<u64>,
+    pub leader_token: Option<u64>,
     /// The mod_revision of the limits under which the grant was made; `None` if no limits are in force.
     pub limits_revision: Option<u64>,
     /// Delegated tasks that are not placed yet.
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -46,7 +46,7 @@
     /// Last key that was read under the first of the unlisted prefixes.
     pub(crate) last_key: Option<String>,
     /// Whether all prefixes have been listed.
-    pub(crate) built: bool,
+    pub(crate) is_fully_listed: bool,
     /// Whether a request to the key-value store is in flight.
     pub(crate) request_in_flight: bool,
     /// Earliest time of the next request to the key-value store.
@@ -78,7 +78,7 @@
 
     /// Returns whether the view has to be updated before its next refresh.
     pub(crate) fn needs_update(&self) -> bool {
-        !self.built || !self.waiting.is_empty()
+        !self.is_fully_listed || !self.waiting.is_empty()
     }
 
     /// Returns the time of the next action of the view, in microseconds of the steady clock.
@@ -146,7 +146,7 @@
 
     /// Empties the view so that it is listed again.
     pub(crate) fn reset(&mut self) {
-        self.built = false;
+        self.is_fully_listed = false;
         self.live.clear();
         self.revision = None;
         self.unlisted_prefixes = PREFIXES.to_vec();
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -44,7 +44,7 @@
     /// Partition whose holder manages the machine; `None` if this controller manages it.
     pub partition: Option<PartitionId>,
     /// Whether the partition holder counts the machine as capacity.
-    pub counted_by_holder: bool,
+    pub counted_as_capacity_by_holder: bool,
     /// Address at which the agent accepts direct commands; empty while the machine is known from records only.
     pub address: String,
     /// Name of the machine type.
@@ -69,11 +69,11 @@
     /// heartbeat, so the newest status is not always that of a heartbeat.
     pub newest_heartbeat: (u64, u64),
     /// Time of the last heartbeat. Only the response to a heartbeat can launch tasks.
-    pub last_heartbeat: Micros,
+    pub last_heartbeat_at: Micros,
     /// Time of the last heartbeat or response to a direct command.
     pub last_contact_at: Micros,
     /// Time of our last response to a heartbeat. The lease of the agent expires at most a lease duration later.
-    pub last_response: Micros,
+    pub last_response_at: Micros,
     /// Time at which the cloud reclaims the machine, if it has announced that.
     pub reclaim_at: Option<Micros>,
     /// Tasks assigned to the machine.
@@ -83,7 +83,7 @@
     /// Tasks that the holder of the machine's partition has yet to place, probably on this machine.
     pub planned: Vec<PlannedTask>,
     /// Whether the leader has told the holder of the machine's partition to place nothing new on the machine.
-    pub reserved: bool,
+    pub reserved_by_leader: bool,
     /// Exited attempts whose exits are not acknowledged yet.
     pub exited_attempts: Vec<ExitedAttempt>,
     /// Time since which the machine has had no assignment.
@@ -134,7 +134,7 @@
         Machine {
             name: heartbeat.machine.clone(),
             partition: None,
-            counted_by_holder: false,
+            counted_as_capacity_by_holder: false,
             address: heartbeat.address.clone(),
             machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
@@ -146,14 +146,14 @@
             sequence: 0,
             knows_token: false,
             newest_heartbeat: (0, 0),
-            last_heartbeat: now,
+            last_heartbeat_at: now,
             last_contact_at: now,
-            last_response: now,
+            last_response_at: now,
             reclaim_at: None,
             assignments: Vec::new(),
             used: MachineResources::default(),
             planned: Vec::new(),
-            reserved: false,
+            reserved_by_leader: false,
             exited_attempts: Vec::new(),
             idle_since: now,
             images: VecDeque::new(),
@@ -186,11 +186,11 @@
         let described = Machine::new(heartbeat, machine_type, now);
         *self = Machine {
             partition: self.partition,
-            counted_by_holder: self.counted_by_holder,
+            counted_as_capacity_by_holder: self.counted_as_capacity_by_holder,
             assignments: std::mem::take(&mut self.assignments),
             used: self.used,
             planned: std::mem::take(&mut self.planned),
-            reserved: self.reserved,
+            reserved_by_leader: self.reserved_by_leader,
             exited_attempts: std::mem::take(&mut self.exited_attempts),
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -326,7 +326,7 @@
             && self.reclaim_at.is_none()
             && self.incarnation > 0
             && self.quarantined_until <= now
-            && now.saturating_sub(self.last_heartbeat) <= max_silence
+            && now.saturating_sub(self.last_heartbeat_at) <= max_silence
     }
 }
 
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -87,7 +87,7 @@
     pub delivered: bool,
     /// Whether a partition holder placed the task. The assignment is then recorded on a page of that holder and
     /// counts against its quota grant.
-    pub by_holder: bool,
+    pub placed_by_holder: bool,
     /// Status that the agent last reported.
     pub observed_status: ObservedStatus,
     /// Time of the placement decision, in microseconds.
@@ -135,7 +135,7 @@
             zone: of.zone,
             launched: None,
             delivered: true,
-            by_holder: false,
+            placed_by_holder: false,
             observed_status: ObservedStatus::Never,
             decided_at: of.now,
             started_at: None,
--- a/crates/core/src/state/machine/tests.rs
+++ b/crates/core/src/state/machine/tests.rs
@@ -31,7 +31,7 @@
 fn a_task_launched_by_an_earlier_leader_is_recovered() {
     let mut assignment = Assignment {
         delivered: false,
-        by_holder: false,
+        placed_by_holder: false,
         job: 0,
         job_id: "req-1".into(),
         task: 0,
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -66,7 +66,7 @@
     /// Machines on which the last orders told the holder to place nothing new.
     pub(crate) reserved_sent: BTreeSet<String>,
     /// Machines on which the holder has confirmed that it places nothing new.
-    pub(crate) reserved: BTreeSet<String>,
+    pub(crate) reserved_confirmed: BTreeSet<String>,
 }
 
 impl RemotePartition {
@@ -86,7 +86,7 @@
             last_answer_at: 0,
             last_known_placement: 0,
             reserved_sent: BTreeSet::new(),
-            reserved: BTreeSet::new(),
+            reserved_confirmed: BTreeSet::new(),
         }
     }
 
@@ -107,7 +107,7 @@
         self.heartbeats = HeartbeatCount::default();
         self.last_known_placement = 0;
         self.reserved_sent.clear();
-        self.reserved.clear();
+        self.reserved_confirmed.clear();
     }
 
     /// Derives the load from the number of heartbeats that the holder has answered since its claim.
@@ -177,7 +177,7 @@
     /// Returns whether the partition's holder has confirmed that it places nothing new on the machine.
     pub(crate) fn is_reserved(&self, id: PartitionId, machine: &str) -> bool {
         let partition = self.by_id.get(&id);
-        partition.is_some_and(|partition| partition.reserved.contains(machine))
+        partition.is_some_and(|partition| partition.reserved_confirmed.contains(machine))
     }
 
     /// Returns the fencing token of the partition's claim.
