--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -24,7 +24,7 @@
     Catalogue(CatalogueSource),
     /// A contact request, which asks a peer for its contact with the store and the cancellations that it confirmed.
     Contact {
-        /// The peer's place among the siblings in the settings.
+        /// The peer's index among the siblings in the settings.
         peer: usize,
         /// The number of the contact request.
         number: u64,
--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -34,7 +34,7 @@
     remembers_from: Option<Micros>,
     /// Moment up to which all cancellations that any controller confirmed are known from the store.
     store_read_at: Option<Micros>,
-    /// For each peer, by its place in the settings, the moment up to which all cancellations that it confirmed are
+    /// For each peer, by its index in the settings, the moment up to which all cancellations that it confirmed are
     /// known from its own responses.
     peer_lists: BTreeMap<usize, Micros>,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -66,7 +66,7 @@
     Cloud,
     /// An agent, by its address.
     Agent(String),
-    /// Another controller, by its place among the siblings in the settings.
+    /// Another controller, by its index among the siblings in the settings.
     Peer(usize),
 }
 
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -89,12 +89,17 @@
     }
 
     /// Removes an assignment whose task is proven to be absent from the machine and unable to start there later.
-    pub(crate) fn remove_assignment(&mut self, context: &mut Context, name: &str, position: usize) {
+    pub(crate) fn remove_assignment(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        assignment_index: usize,
+    ) {
         let now = context.now.steady;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let assignment = machine.assignments.remove(position);
+        let assignment = machine.assignments.remove(assignment_index);
         machine.recompute_used();
         machine.idle_since = now;
         self.release_quota(context, name, &assignment);
@@ -125,8 +130,8 @@
         name: &str,
         test: impl Fn(&Assignment) -> bool,
     ) {
-        while let Some(position) = self.assignment_index(name, &test) {
-            self.remove_assignment(context, name, position);
+        while let Some(assignment_index) = self.assignment_index(name, &test) {
+            self.remove_assignment(context, name, assignment_index);
         }
     }
 
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -57,22 +57,22 @@
         Some((page.clone(), self.write_buffer.mark_dirty_by(page, due)))
     }
 
-    /// Handles the exit of the task whose assignment is at this position of the machine.
+    /// Handles the exit of the task whose assignment is at this index of the machine.
     pub(crate) fn on_task_exited(
         &mut self,
         context: &mut Context,
         name: &str,
-        position: usize,
+        assignment_index: usize,
         cause: &ExitCause,
         task_name: &str,
     ) {
         if self.is_holder() {
-            return self.on_exit_in_partition(context, name, position, cause, task_name);
+            return self.on_exit_in_partition(context, name, assignment_index, cause, task_name);
         }
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let assignment = machine.assignments[position].clone();
+        let assignment = machine.assignments[assignment_index].clone();
         let exit = TaskExit {
             machine: name,
             assignment: &assignment,
@@ -80,7 +80,7 @@
             task_name,
         };
         let required_record = self.apply_exit_cause(context, &exit);
-        self.remove_assignment(context, name, position);
+        self.remove_assignment(context, name, assignment_index);
         if let Some(machine) = self.machines.get_mut(name) {
             machine.exited_attempts.push(ExitedAttempt {
                 task_name: task_name.to_string(),
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -128,21 +128,21 @@
             warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
             return;
         };
-        let position = self.assignment_index(name, |a| {
+        let assignment_index = self.assignment_index(name, |a| {
             a.attempt == reported.attempt && a.task == task && a.job_id == job_id
         });
         let exited = reported.status == TaskStatus::Exited;
-        match position {
-            Some(position) if exited => {
+        match assignment_index {
+            Some(assignment_index) if exited => {
                 let cause = reported.cause.as_ref().unwrap_or(&NO_CAUSE);
-                self.on_task_exited(context, name, position, cause, &reported.task_name);
+                self.on_task_exited(context, name, assignment_index, cause, &reported.task_name);
             }
-            Some(position) => {
+            Some(assignment_index) => {
                 let Some(machine) = self.machines.get_mut(name) else {
                     return;
                 };
                 let now = context.now.steady;
-                let assignment = &mut machine.assignments[position];
+                let assignment = &mut machine.assignments[assignment_index];
                 let before = assignment.observed_status;
                 assignment.observe(&reported.status, now);
                 let (job, seen) = (assignment.job, assignment.observed_status);
@@ -159,25 +159,25 @@
         let name = &status.machine;
         let newest = (status.incarnation, status.sequence);
         let mut launch_was_lost = false;
-        let mut position = 0;
+        let mut assignment_index = 0;
         while let Some(assignment) = self
             .machines
             .get_mut(name)
-            .and_then(|machine| machine.assignments.get_mut(position))
+            .and_then(|machine| machine.assignments.get_mut(assignment_index))
         {
             let launched_before = assignment.launched.is_some_and(|launch| launch < newest);
             if !launched_before
                 || lists_attempt(status, &assignment.task_name(), assignment.attempt)
             {
-                position += 1;
+                assignment_index += 1;
             } else if assignment.is_launch_unconfirmed() {
                 // An agent never carries out a lost response late, so the launch can be sent again under the same
                 // attempt number once responses reach the agent.
                 assignment.launched = None;
                 launch_was_lost = true;
-                position += 1;
+                assignment_index += 1;
             } else {
-                self.remove_assignment(context, name, position);
+                self.remove_assignment(context, name, assignment_index);
             }
         }
         if let (true, Some(machine)) = (launch_was_lost, self.machines.get_mut(name)) {
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -51,8 +51,8 @@
         why: &str,
     ) {
         let is_of_machine = |held: &HeldHeartbeat| held.machine == machine;
-        if let Some(position) = self.held_heartbeats.iter().position(is_of_machine) {
-            let held = self.held_heartbeats.remove(position);
+        if let Some(index) = self.held_heartbeats.iter().position(is_of_machine) {
+            let held = self.held_heartbeats.remove(index);
             context.refuse(held.request, 503, why);
         }
         if let Some(held) = self.long_polls.remove(machine) {
--- a/crates/core/src/scheduler/assignment_pages.rs
+++ b/crates/core/src/scheduler/assignment_pages.rs
@@ -45,11 +45,11 @@
             if page.unreadable || page.bytes <= max_bytes {
                 continue;
             }
-            for (machine, position) in self.assignments_on_page(from).into_iter().rev() {
+            for (machine, assignment_index) in self.assignments_on_page(from).into_iter().rev() {
                 if self.page_mut(from).bytes <= max_bytes {
                     break;
                 }
-                let to = self.move_assignment(&machine, position, from, due);
+                let to = self.move_assignment(&machine, assignment_index, from, due);
                 moves.extend(
                     to.map(|to| (RecordId::AssignmentPage(from), RecordId::AssignmentPage(to))),
                 );
@@ -58,7 +58,7 @@
         moves
     }
 
-    /// Returns the assignments on a page, each as the name of its machine and its position among the assignments of
+    /// Returns the assignments on a page, each as the name of its machine and its index among the assignments of
     /// the machine.
     fn assignments_on_page(&self, number: u64) -> Vec<(String, usize)> {
         let Some(page) = self.pages.by_number.get(&number) else {
@@ -68,7 +68,7 @@
         let assignments = machines.filter_map(|name| {
             let assignments = self.machines.get(name)?.assignments.iter().enumerate();
             let on_page = assignments.filter(|(_, assignment)| assignment.page == number);
-            Some(on_page.map(|(position, _)| (name.clone(), position)))
+            Some(on_page.map(|(assignment_index, _)| (name.clone(), assignment_index)))
         });
         assignments.flatten().collect()
     }
@@ -77,13 +77,13 @@
     fn move_assignment(
         &mut self,
         machine: &str,
-        position: usize,
+        assignment_index: usize,
         from: u64,
         due: Micros,
     ) -> Option<u64> {
         let to = self.page_with_room();
         let assignments = &mut self.machines.get_mut(machine)?.assignments;
-        let assignment = &mut assignments[position];
+        let assignment = &mut assignments[assignment_index];
         assignment.page = to;
         if !assignment.may_be_on_machine() {
             // The assignment is launched once it is durable on the new page.
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -235,14 +235,14 @@
         &mut self,
         context: &mut Context,
         name: &str,
-        at: usize,
+        assignment_index: usize,
         cause: &ExitCause,
         task_name: &str,
     ) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let assignment = machine.assignments[at].clone();
+        let assignment = machine.assignments[assignment_index].clone();
         machine.exited_attempts.push(ExitedAttempt {
             task_name: task_name.to_string(),
             attempt: assignment.attempt,
@@ -250,7 +250,7 @@
             job: Some(assignment.job),
         });
         self.report_attempt_end(name, &assignment, TaskEnd::Exited(cause.clone()));
-        self.remove_assignment(context, name, at);
+        self.remove_assignment(context, name, assignment_index);
     }
 
     /// Reports to the leader the exit of an attempt that the leader did not list. The leader has recorded that
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -207,14 +207,14 @@
         if !self.holder_quota.grant.may_use(&spec.team, amount) {
             return PlacementOutcome::Waits;
         }
-        let Some(position) = self.choose_machine(context, queued, &spec, open) else {
+        let Some(machine_index) = self.choose_machine(context, queued, &spec, open) else {
             // The free resources of the proposed machine are kept for this task. Otherwise, smaller tasks would
             // take them as they become free.
             open.retain(|machine| machine.name != queued.machine);
             return PlacementOutcome::Waits;
         };
         let attempt = self.allocate_attempt();
-        let name = open[position].name.clone();
+        let name = open[machine_index].name.clone();
         debug!(
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
             "placed a task"
@@ -228,12 +228,12 @@
             &spec,
             (attempt, expected_stay),
         );
-        open[position].free = open[position].free - MachineResources::of_task(&spec);
+        open[machine_index].free = open[machine_index].free - MachineResources::of_task(&spec);
         open.retain(|machine| machine.free.cpus > 0.0);
         PlacementOutcome::Placed
     }
 
-    /// Returns the position in `open` of the machine that the leader proposed, if it still has room for the task,
+    /// Returns the index in `open` of the machine that the leader proposed, if it still has room for the task,
     /// or else of the best machine that has room.
     fn choose_machine(
         &self,
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -214,11 +214,13 @@
     fn apply_outcome(&mut self, context: &mut Context, outcome: &TaskOutcome) {
         let name = &outcome.machine;
         let task_name = format!("{}/{}", outcome.job, outcome.task);
-        let at = self.assignment_index(name, |a| a.id() == outcome.id());
-        match (at, &outcome.end) {
-            (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
-            (Some(at), TaskEnd::Exited(cause)) => {
-                self.on_task_exited(context, name, at, cause, &task_name)
+        let assignment_index = self.assignment_index(name, |a| a.id() == outcome.id());
+        match (assignment_index, &outcome.end) {
+            (Some(assignment_index), TaskEnd::Gone) => {
+                self.remove_assignment(context, name, assignment_index)
+            }
+            (Some(assignment_index), TaskEnd::Exited(cause)) => {
+                self.on_task_exited(context, name, assignment_index, cause, &task_name)
             }
             (None, TaskEnd::Gone) => {}
             (None, TaskEnd::Exited(cause)) => {
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -36,7 +36,7 @@
 /// An entry of the job queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuedJob {
-    /// The job's place in the job table.
+    /// The job's index in the job table.
     pub index: JobIndex,
     /// The job's level of urgency: lower levels are served first.
     pub level: u8,
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -21,7 +21,7 @@
 
 /// A job whose tasks are being placed in this round.
 pub(crate) struct PlacingJob {
-    /// The job's place in the job table.
+    /// The job's index in the job table.
     pub index: JobIndex,
     /// The job's submission.
     pub spec: Submission,
@@ -61,14 +61,14 @@
         tasks_that_fit(open.free_for(self.headroom_access), &self.spec)
     }
 
-    /// Returns how many of its tasks fit the open machines at these positions, by zone.
+    /// Returns how many of its tasks fit the open machines at these indices, by zone.
     fn slots_by_zone<'a>(
         &self,
-        positions: &[usize],
+        machine_indices: &[usize],
         open: &'a [OpenMachine],
     ) -> BTreeMap<&'a str, u64> {
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for at in positions {
+        for at in machine_indices {
             let machine = &open[*at];
             *zones.entry(&machine.zone).or_insert(0) += self.tasks_that_fit(machine);
         }
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Returns the positions in `open` of the machines on which a task of the job may be placed, the best first.
+    /// Returns the indices in `open` of the machines on which a task of the job may be placed, the best first.
     fn candidate_machines(
         &self,
         context: &Context,
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -131,8 +131,8 @@
         let is_undone = |a: &Assignment| a.launched.is_none() && teams.contains(&a.team);
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(at) = self.assignment_index(&name, is_undone) {
-                self.remove_assignment(context, &name, at);
+            while let Some(assignment_index) = self.assignment_index(&name, is_undone) {
+                self.remove_assignment(context, &name, assignment_index);
             }
         }
         let jobs = self.jobs.iter();
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -70,8 +70,8 @@
         };
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(position) = self.assignment_index(&name, is_dropped) {
-                self.remove_assignment(context, &name, position);
+            while let Some(assignment_index) = self.assignment_index(&name, is_dropped) {
+                self.remove_assignment(context, &name, assignment_index);
             }
         }
     }
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -322,9 +322,9 @@
             return;
         }
         let digits_per_span = (TASKS_PER_LEGACY_RECORD / TASKS_PER_DIGIT) as usize;
-        for (position, digit) in digits.chars().take(digits_per_span).enumerate() {
+        for (index, digit) in digits.chars().take(digits_per_span).enumerate() {
             let digit = digit.to_digit(16).unwrap_or(0);
-            let first = span * TASKS_PER_LEGACY_RECORD + position as u64 * TASKS_PER_DIGIT;
+            let first = span * TASKS_PER_LEGACY_RECORD + index as u64 * TASKS_PER_DIGIT;
             for bit in (0..TASKS_PER_DIGIT).filter(|bit| digit >> bit & 1 == 1) {
                 self.complete_task(first + bit);
             }
--- a/crates/core/src/state/stats.rs
+++ b/crates/core/src/state/stats.rs
@@ -148,10 +148,10 @@
         while json_size(&to_value(&record)) > bytes {
             // Averages by class and machine type are dropped first, because they are less useful than those by
             // class.
-            if let Some(position) = lightest(record.runs.iter().map(|run| run.3)) {
-                record.runs.remove(position);
-            } else if let Some(position) = lightest(record.ratios.iter().map(|ratio| ratio.2)) {
-                record.ratios.remove(position);
+            if let Some(index) = lightest(record.runs.iter().map(|run| run.3)) {
+                record.runs.remove(index);
+            } else if let Some(index) = lightest(record.ratios.iter().map(|ratio| ratio.2)) {
+                record.ratios.remove(index);
             } else if record.boots.pop().is_none() {
                 break;
             }
@@ -208,12 +208,12 @@
     }
 }
 
-/// Returns the position of the lowest weight, or of the first of several equal ones.
+/// Returns the index of the lowest weight, or of the first of several equal ones.
 fn lightest(weights: impl Iterator<Item = f64>) -> Option<usize> {
     weights
         .enumerate()
         .min_by(|a, b| a.1.total_cmp(&b.1))
-        .map(|(position, _)| position)
+        .map(|(index, _)| index)
 }
 
 #[cfg(test)]
