--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -43,7 +43,7 @@
 }
 
 impl CallPurpose {
-    /// Returns whether an answer to the call shows contact with the store.
+    /// Returns whether a response to the call shows contact with the store.
     pub(crate) fn shows_store_contact(&self) -> bool {
         match self {
             CallPurpose::Election(_)
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the status and body of an answer; without an answer the status is 0 and the body empty.
+/// Returns the status and body of a response; without a response the status is 0 and the body empty.
 pub(crate) fn status_and_body(outcome: Outcome) -> (u16, Vec<u8>) {
     match outcome {
         Outcome::Answer { status, body } => (status, body),
@@ -104,7 +104,7 @@
     },
     /// A call to the cloud.
     Cloud(CloudCall),
-    /// Sends commands to an agent that has no heartbeat waiting for an answer.
+    /// Sends commands to an agent that has no heartbeat waiting for a response.
     DirectCommands {
         /// The agent's machine.
         machine: String,
--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -4,7 +4,7 @@
 //! user. A leader that renews agents' leases must therefore know of every confirmation up to a recent moment. It
 //! learns of them from the key-value store (the controller's job view) and, where the store is out of reach, from its
 //! peers: each controller remembers what it has confirmed to users, and lists it in response to a contact request.
-//! There is no safety margin in time: the knowledge is complete up to the moment at which the last complete answer
+//! There is no safety margin in time: the knowledge is complete up to the moment at which the last complete response
 //! was requested.
 
 use crate::Micros;
@@ -14,7 +14,7 @@
 /// Most cancellations that are remembered.
 const MAX_KNOWN_CANCELLATIONS: usize = 10_000;
 
-/// Most cancellations in one answer to another controller.
+/// Most cancellations in one response to another controller.
 const MAX_LISTED_CANCELLATIONS: usize = 1_000;
 
 /// A cancellation of a job that is not known to be finished.
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -79,7 +79,7 @@
     pub holder_writes: RateLimiter,
     /// Rate limit of requests to the cloud.
     pub cloud_requests: RateLimiter,
-    /// Time of the store's last answer, in microseconds of the steady clock.
+    /// Time of the store's last response, in microseconds of the steady clock.
     pub last_store_contact: Option<Micros>,
     /// Time at which this process last resumed after a pause. A reply to a call that was made before may have
     /// waited in this process during the pause, so it does not count as contact with the store and does not prove
@@ -226,7 +226,7 @@
         });
     }
 
-    /// Returns the time since the store's last answer, in microseconds; `None`: it never answered.
+    /// Returns the time since the store's last response, in microseconds; `None`: it never answered.
     pub fn store_contact_age(&self) -> Option<Micros> {
         self.last_store_contact
             .map(|at| self.now.steady.saturating_sub(at))
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -216,7 +216,7 @@
         self.leader = Some(leader);
     }
 
-    /// Stops acting as the leader, and refuses the heartbeats that wait for an answer.
+    /// Stops acting as the leader, and refuses the heartbeats that wait for a response.
     pub(crate) fn step_down(&mut self, reason: impl Display, mode: StepDownMode) {
         let Some(leader) = self.leader.take() else {
             return;
@@ -240,7 +240,7 @@
 
     /// Suspends the schedulers of this controller after a process pause, until their leases are known to be
     /// valid: the leases may have expired, and other members may have acted since. Refuses the heartbeats that
-    /// wait for an answer.
+    /// wait for a response.
     pub(crate) fn suspend_uncertain_leases(&mut self) {
         let now = self.context.now.steady;
         if self.leader.is_none() && self.partitions.holders.is_empty() {
--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -34,7 +34,7 @@
             let reason = "it is not certain who leads";
             return self.context.refuse(id, 503, reason);
         }
-        // The machine may be in a partition: an answer of the leader would take it from the partition's holder.
+        // The machine may be in a partition: a response from the leader would take it from the partition's holder.
         if !leader.knows_partitions(&self.context) {
             let reason = "partitions are not known yet";
             return self.context.refuse(id, 503, reason);
@@ -51,7 +51,7 @@
         self.context.answer(id, 421, &Redirect { leader: None });
     }
 
-    /// Redirects an agent to the leader. The answer names no leader if none is known, or if the leader record
+    /// Redirects an agent to the leader. The response names no leader if none is known, or if the leader record
     /// names this member although this process is not the leader.
     fn redirect_to_leader(&mut self, id: u64) {
         let own_name = self.context.settings.member.as_str();
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -1,7 +1,7 @@
 //! Keeps the view of the live jobs up to date and answers users from it.
 //!
 //! The store's rate limit is far too low for one read per status poll. Requests that need the state of a job wait,
-//! mostly for a few milliseconds, for one `GET /changes` that is sent after they arrived. Its answer brings the view
+//! mostly for a few milliseconds, for one `GET /changes` that is sent after they arrived. Its response brings the view
 //! up to date as of a moment after their arrival, and all of them are answered at once. So no controller gives an
 //! answer that is older than another controller's. A view that has missed too many changes is listed again. Without
 //! requests the view is updated every second, so that the controller knows of all cancellations up to a recent
@@ -115,7 +115,7 @@
         self.job_view.request_in_flight = false;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
-            // The same request would get the same answer every time. So the view is listed again, page by page, as
+            // The same request would get the same response every time. So the view is listed again, page by page, as
             // when the store no longer has the changes (status 410).
             Outcome::TooLarge => (410, Vec::new()),
             Outcome::Unknown | Outcome::NotSent => (0, Vec::new()),
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -250,7 +250,7 @@
     }
 
     /// Releases a partition. The tasks on its machines keep running, and the next holder learns of them.
-    /// Heartbeats that wait for an answer are redirected to the next holder.
+    /// Heartbeats that wait for a response are redirected to the next holder.
     pub(crate) fn release_partition(&mut self, id: PartitionId, reason: &ReleaseReason) {
         let Some(holder) = self.partitions.holders.remove(&id) else {
             return;
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -22,7 +22,7 @@
 /// Delay after a failed read of the map until the next attempt.
 const RETRY_INTERVAL_US: Micros = 300 * MILLI;
 
-/// Delay after the answer to a watch until the next watch.
+/// Delay after the response to a watch until the next watch.
 const WATCH_INTERVAL_US: Micros = 20 * MILLI;
 
 /// Most entries on one page of the list.
@@ -66,7 +66,7 @@
         match (call, outcome) {
             (MapCall::List, Outcome::Answer { status: 200, body }) => self.on_map_page(&body),
             (MapCall::Watch, Outcome::Answer { status: 200, body }) => self.on_map_changes(&body),
-            // The store no longer has the changes since that revision, or they are too large for one answer: the
+            // The store no longer has the changes since that revision, or they are too large for one response: the
             // map is listed again.
             (MapCall::Watch, Outcome::Answer { status: 410, .. } | Outcome::TooLarge) => {
                 reader.revision = None;
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -24,7 +24,7 @@
         holder.carry_out_orders(&mut self.context, orders)
     }
 
-    /// Retracts cancellations that holders learned from a peer and that the store refutes: an answer that was
+    /// Retracts cancellations that holders learned from a peer and that the store refutes: a response that was
     /// requested since then still shows the job as live and not cancelled, so its tasks go on.
     pub(crate) fn retract_cancellations(&mut self) {
         let known_from_store_until = self.context.cancellations.known_from_store_until();
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// A controller that has had no answer of the store for this long counts as having lost contact with it.
+/// A controller that has had no response from the store for this long counts as having lost contact with it.
 pub(crate) const STORE_CONTACT_TIMEOUT_US: Micros = 2 * SECOND;
 
 /// Interval between two contact requests to the peers while there is contact with the store.
@@ -53,7 +53,7 @@
 
 impl Controller {
     /// Asks the peers whether they have contact with the store, and which cancellations they confirmed to
-    /// users. While the leader has contact itself, the answers only keep its view of the peers up to date.
+    /// users. While the leader has contact itself, the responses only keep its view of the peers up to date.
     pub(crate) fn send_contact_requests(&mut self) {
         let now = self.context.now.steady;
         let interval = if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US / 2) {
@@ -84,7 +84,7 @@
     }
 
     /// Handles a peer's response to the contact request that was sent at `asked_at`.
-    pub(crate) fn on_contact_reply(
+    pub(crate) fn on_contact_response(
         &mut self,
         peer: usize,
         number: u64,
@@ -94,37 +94,37 @@
         let Outcome::Answer { status: 200, body } = outcome else {
             return;
         };
-        let answer: PeerResponse = match wire::from_peer(&body) {
-            Ok(answer) => answer,
+        let response: PeerResponse = match wire::from_peer(&body) {
+            Ok(response) => response,
             Err(e) => return warn!(error:% = e; "unreadable response from a peer"),
         };
         let sibling = self.context.settings.siblings.get(peer);
-        if sibling.is_none_or(|sibling| sibling.member != answer.member) {
-            let member = answer.member.as_str();
+        if sibling.is_none_or(|sibling| sibling.member != response.member) {
+            let member = response.member.as_str();
             return warn!(member = member; "response from another member than the peer that was asked");
         }
-        if let (Some(leader), Some(teams)) = (&mut self.leader, &answer.limits) {
+        if let (Some(leader), Some(teams)) = (&mut self.leader, &response.limits) {
             // Limits that were asked for before this leader's term are ignored: an earlier process of the
             // member may have had others.
             if asked_at >= leader.lease_acquired_at {
-                leader.on_limits_announced(&mut self.context, &answer.member, teams);
+                leader.on_limits_announced(&mut self.context, &response.member, teams);
             }
         }
         let mut view = PeerView {
             asked_at,
-            last_contact: answer
+            last_contact: response
                 .store_contact_age_us
                 .map(|age| asked_at.saturating_sub(age)),
-            without_contact: answer
+            without_contact: response
                 .store_contact_age_us
                 .is_none_or(|age| age >= STORE_CONTACT_TIMEOUT_US),
             remembers_from: None,
-            highest_token: answer.grant,
-            supports_partitions: answer.partitions,
-            supports_quota_grants: answer.supports_quota_grants,
+            highest_token: response.grant,
+            supports_partitions: response.partitions,
+            supports_quota_grants: response.supports_quota_grants,
         };
         // A list that answers another contact request is ignored. A peer of an earlier version sends no list.
-        if let Some(confirmed) = answer.confirmed.filter(|list| list.question == number) {
+        if let Some(confirmed) = response.confirmed.filter(|list| list.question == number) {
             view.remembers_from = self.learn_confirmed_cancellations(peer, asked_at, confirmed);
         }
         let known = self.election.peers.entry(peer).or_default();
@@ -197,7 +197,7 @@
         view
     }
 
-    /// Confirms the leases that were suspended after a process pause, if the peers' answers show that the store
+    /// Confirms the leases that were suspended after a process pause, if the peers' responses show that the store
     /// is unavailable to all: every peer was asked since the pause, has no contact either, and remembers the
     /// time since before this controller lost contact. In such an outage leases do not expire, and no leader
     /// can be elected. The leader's lease is confirmed only if no peer knows of a higher fencing token.
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -13,7 +13,7 @@
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
 
-/// Sends the heartbeat of an agent that runs a task of `req-1`; returns the status and the commands of the answer.
+/// Sends the heartbeat of an agent that runs a task of `req-1`; returns the status and the commands of the response.
 fn send_heartbeat(controller: &mut Controller, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
     let heartbeat = Heartbeat {
         sequence,
@@ -73,7 +73,7 @@
     assert_eq!(send_heartbeat(&mut controller, late, 4).0, 200);
 }
 
-/// The machine may be in a partition whose holder has a lower token: an answer of the leader would take the machine
+/// The machine may be in a partition whose holder has a lower token: a response from the leader would take the machine
 /// from its holder.
 #[test]
 fn a_leader_that_knows_no_partitions_yet_answers_no_machine() {
@@ -140,11 +140,11 @@
         .record_store_read(10 * SECOND);
     let certain =
         |controller: &Controller| controller.context.cancellations.known_until(1, 20 * SECOND);
-    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-9", 5));
-    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-1", 4));
+    controller.on_contact_response(0, 5, 19 * SECOND, answer("perch-9", 5));
+    controller.on_contact_response(0, 5, 19 * SECOND, answer("perch-1", 4));
     assert_eq!(certain(&controller), Some(10 * SECOND));
     assert!(controller.context.cancellations.get("req-1").is_none());
-    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-1", 5));
+    controller.on_contact_response(0, 5, 19 * SECOND, answer("perch-1", 5));
     assert_eq!(certain(&controller), Some(19 * SECOND));
     assert!(controller.context.cancellations.get("req-1").is_some());
 }
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -47,7 +47,7 @@
             PeerRequest::Progress { from, token, jobs } => self.on_progress(&from, token, jobs),
             PeerRequest::Partition(orders) => report = self.on_orders(orders),
         }
-        let answer = PeerResponse {
+        let response = PeerResponse {
             member: self.context.settings.member.clone(),
             store_contact_age_us: self.context.store_contact_age(),
             token: self.context.token,
@@ -61,7 +61,7 @@
         self.context.effects.push(Effect::Answer {
             id,
             status: 200,
-            body: wire::to_peer(&answer),
+            body: wire::to_peer(&response),
             retry_after: None,
         });
     }
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::{Micros, Outcome};
 
-/// Lowest HTTP status of a server error. An answer with such a status does not count as contact with the store.
+/// Lowest HTTP status of a server error. A response with such a status does not count as contact with the store.
 const LOWEST_SERVER_ERROR: u16 = 500;
 
 impl Controller {
@@ -26,7 +26,7 @@
         self.dispatch_reply(purpose, made_at, outcome);
     }
 
-    /// Records contact with the store if it sent any answer but a server error.
+    /// Records contact with the store if it sent any response but a server error.
     fn record_store_contact(&mut self, outcome: &Outcome) {
         if matches!(outcome, Outcome::Answer { status, .. } if *status < LOWEST_SERVER_ERROR) {
             self.context.last_store_contact = Some(self.context.now.steady);
@@ -45,7 +45,7 @@
             CallPurpose::JobView(call) => self.on_job_view_reply(call, made_at, outcome),
             CallPurpose::Catalogue(source) => self.on_catalogue_reply(source, outcome),
             CallPurpose::Contact { peer, number } => {
-                self.on_contact_reply(peer, number, made_at, outcome);
+                self.on_contact_response(peer, number, made_at, outcome);
             }
             CallPurpose::Ignore => {}
         }
--- a/crates/core/src/controller/user_answers.rs
+++ b/crates/core/src/controller/user_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to users about jobs that are live, cancelled, finished or unknown.
+//! Responses to users about jobs that are live, cancelled, finished or unknown.
 
 use crate::calls::{UserAction, UserRequest, UserRequestStage};
 use crate::controller::{Controller, TaskCounts};
@@ -60,13 +60,13 @@
                 self.answer_accepted(request.request, 200, &request.job, status);
             }
             UserAction::Poll | UserAction::Cancel => {
-                let answer = JobStatus {
+                let response = JobStatus {
                     id: request.job.clone(),
                     status: status.to_string(),
                     done: completed,
                     running,
                 };
-                self.context.answer(request.request, 200, &answer);
+                self.context.answer(request.request, 200, &response);
             }
         }
     }
@@ -115,13 +115,13 @@
         match request.action {
             UserAction::Poll => {
                 let all_completed = finished.status == COMPLETED;
-                let answer = JobStatus {
+                let response = JobStatus {
                     id: request.job.clone(),
                     status: finished.status.clone(),
                     done: if all_completed { finished.tasks } else { 0 },
                     running: 0,
                 };
-                self.context.answer(request.request, 200, &answer);
+                self.context.answer(request.request, 200, &response);
             }
             UserAction::Submit(_) | UserAction::Malformed(_) | UserAction::Cancel => {
                 self.answer_accepted(request.request, 200, &request.job, &finished.status);
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -1,7 +1,7 @@
 //! Users' requests, which any controller serves: submissions, status polls and cancellations.
 //!
 //! Every controller answers from its [`JobView`](crate::state::job_view::JobView), which is updated after a request
-//! has arrived, so that no controller gives an answer older than another controller's. A live job has a `job/<id>`
+//! has arrived, so that no controller gives a response older than another controller's. A live job has a `job/<id>`
 //! key. When the job ends, one transaction puts its final record under `past/<id>` and deletes what is under
 //! `job/<id>`. So a job that is not live in the view, and has no final record when that is read afterwards, was never
 //! accepted.
@@ -145,7 +145,7 @@
         match (request.stage, status) {
             (UserRequestStage::Accept, 200) => self.answer_new_job(&request),
             (UserRequestStage::Accept, 0) => {
-                // The outcome is unknown: the job is looked up before the user gets an answer.
+                // The outcome is unknown: the job is looked up before the user gets a response.
                 request.is_acceptance_uncertain = true;
                 self.send_user_request(request.at_stage(UserRequestStage::JobView));
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -121,7 +121,7 @@
         /// Encoded body.
         body: Vec<u8>,
     },
-    /// The connection of a request was closed, so its answer is not needed any more.
+    /// The connection of a request was closed, so its response is not needed any more.
     RequestAbandoned {
         /// Number of the request.
         id: u64,
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -22,15 +22,15 @@
 impl Scheduler {
     /// Handles a refused transaction. The store would refuse the same transaction again, so each of its records is
     /// written alone next, and a record that is refused alone is made smaller.
-    pub(crate) fn on_flush_refused(&mut self, context: &Context, batch: &Batch, answer: &str) {
+    pub(crate) fn on_flush_refused(&mut self, context: &Context, batch: &Batch, response: &str) {
         let now = context.now.steady;
         self.write_buffer
             .back_off(now, context.tuning.flush_interval_us);
         match &batch.records[..] {
-            [(record, _)] => self.on_record_refused(context, batch, record, answer),
+            [(record, _)] => self.on_record_refused(context, batch, record, response),
             records => {
                 let count = records.len();
-                warn!(records = count, error = answer; "store refused a transaction; writing its records one by one");
+                warn!(records = count, error = response; "store refused a transaction; writing its records one by one");
                 self.write_buffer.isolate(records);
                 let operations = batch.transaction.apply.len() / 2;
                 self.max_transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
@@ -44,11 +44,11 @@
         context: &Context,
         batch: &Batch,
         record: &RecordId,
-        answer: &str,
+        response: &str,
     ) {
         let now = context.now.steady;
         let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
-        error!(key = keys.join(", "), error = answer; "store refused a record");
+        error!(key = keys.join(", "), error = response; "store refused a record");
         // A refusal with no more than the minimum number of operations has another cause, so the configured limit
         // applies again.
         let operations = batch.transaction.apply.len();
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -281,8 +281,8 @@
             return None;
         }
         let quota = &self.holder_quota;
-        let placements = quota.placements_in_answer();
-        let last = quota.placements_in_answer().last();
+        let placements = quota.placements_in_report();
+        let last = quota.placements_in_report().last();
         Some(QuotaReport {
             held: quota.grant.held(),
             waiting: self.waiting_ranges(),
@@ -301,7 +301,7 @@
             .assignments()
             .filter(|a| a.placed_by_holder && !a.delivered);
         let unwritten = unwritten.map(|a| (a.job_id.as_str(), a.task));
-        let later = quota.placements_in_later_answers();
+        let later = quota.placements_in_later_reports();
         let later = later.map(|placement| (placement.task.job.as_str(), placement.task.task));
         let mut tasks: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
         for (job, task) in queued.chain(unwritten).chain(later) {
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -31,7 +31,7 @@
         let changed = self.states_since(seen);
         let version = changed.last().map_or(seen, |reported| reported.version);
         let outcomes = self.holder_state.outcomes.values();
-        let outcomes = outcomes.filter(|o| !self.holder_quota.is_in_later_answer(o.id()));
+        let outcomes = outcomes.filter(|o| !self.holder_quota.is_in_later_report(o.id()));
         PartitionReport {
             claim: self.token,
             synced: self.holder_state.reconciled_leader_token == leader_token,
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -17,7 +17,7 @@
 
 impl Scheduler {
     /// Handles the outcome of a call that sent orders to a holder.
-    pub(crate) fn on_orders_answered(
+    pub(crate) fn on_orders_response(
         &mut self,
         context: &mut Context,
         id: PartitionId,
@@ -26,7 +26,7 @@
     ) {
         let report = match outcome {
             Outcome::Answer { status: 200, body } => match wire::from_peer::<PeerResponse>(&body) {
-                Ok(answer) => answer.report,
+                Ok(response) => response.report,
                 Err(error) => {
                     warn!(
                         partition = id, error:% = error;
@@ -54,7 +54,7 @@
         if partition.claim_token() != Some(claim) {
             return;
         }
-        partition.awaiting_answer = false;
+        partition.awaiting_report = false;
         let Some(report) = report.filter(|report| report.claim == claim) else {
             return;
         };
@@ -243,7 +243,7 @@
     /// Applies the parts of a holder's report that concern the partition itself.
     fn apply_report(&mut self, report: &PartitionReport, now: Micros) {
         self.reconciled |= report.synced;
-        self.last_answer_at = now;
+        self.last_report_at = now;
         self.state_version = report.version;
         if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
             self.last_known_placement = quota.version;
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -173,7 +173,7 @@
         let delegations = &self.leader_quota.delegations;
         let with_tasks = partitions.filter(|(id, _)| delegations.has_tasks_in(**id));
         let unreachable = with_tasks.filter(|(_, partition)| {
-            let since = partition.last_answer_at.max(self.loaded_at);
+            let since = partition.last_report_at.max(self.loaded_at);
             now.saturating_sub(since) > HOLDER_TIMEOUT_US
         });
         unreachable.map(|(id, _)| *id).collect()
@@ -242,7 +242,7 @@
         let now = context.now.steady;
         let partitions = self.remote_partitions.by_id.iter();
         let due = partitions.filter(|(_, partition)| {
-            let is_ready = partition.claim.is_some() && !partition.awaiting_answer;
+            let is_ready = partition.claim.is_some() && !partition.awaiting_report;
             is_ready && now >= partition.next_orders_at
         });
         let due: Vec<PartitionId> = due.map(|(id, _)| *id).collect();
@@ -255,7 +255,7 @@
         let now = context.now.steady;
         let partition = self.remote_partitions.by_id.get_mut(&id)?;
         let claim = partition.claim_token()?;
-        partition.awaiting_answer = true;
+        partition.awaiting_report = true;
         partition.next_orders_at = now + context.tuning.partition_poll_us;
         let reconciled = partition.reconciled;
         let seen = partition.state_version;
--- a/crates/core/src/scheduler/replies.rs
+++ b/crates/core/src/scheduler/replies.rs
@@ -27,7 +27,7 @@
                 self.on_direct_response(context, &machine, outcome)
             }
             SchedulerCall::Orders { partition, claim } => {
-                self.on_orders_answered(context, partition, claim, outcome);
+                self.on_orders_response(context, partition, claim, outcome);
             }
         }
         Ok(())
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -101,7 +101,7 @@
     pub objectives: Vec<Objective>,
     /// Between two heartbeats of an agent, in microseconds.
     pub heartbeat_interval: Micros,
-    /// Agents' lease: how long an agent keeps its tasks running without an answer to its heartbeats, in microseconds.
+    /// Agents' lease: how long an agent keeps its tasks running without a response to its heartbeats, in microseconds.
     pub agent_lease: Micros,
     /// Time after a confirmed cancellation by which no task of the job may run any more, in microseconds.
     pub cancel_timeout: Micros,
--- a/crates/core/src/state/delegations/tests.rs
+++ b/crates/core/src/state/delegations/tests.rs
@@ -29,7 +29,7 @@
     delegations
 }
 
-/// The answer to a message cannot contain tasks that were not in the message. If their absence counted as a return,
+/// The response to a message cannot contain tasks that were not in the message. If their absence counted as a return,
 /// they would be taken back before they were sent.
 #[test]
 fn only_what_was_sent_can_be_returned() {
@@ -53,7 +53,7 @@
 fn a_revocation_ends_once_it_is_answered() {
     let mut delegations = two_tasks();
     delegations.revoke(1, 4);
-    // The answer to a message that was sent before the revocation does not end the revocation.
+    // The response to a message that was sent before the revocation does not end the revocation.
     delegations.on_queue_reported(1, &BTreeSet::new());
     assert!(delegations.is_revoked(1, 4));
     assert_eq!(delegations.revocations_to_send(1), ["req-1"]);
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -33,7 +33,7 @@
     pub(crate) incarnation: u64,
     /// Time at which a lease was last requested.
     pub(crate) lease_requested_at: Micros,
-    /// Last answer of each peer, by the index of the peer in the settings.
+    /// Last response of each peer, by the index of the peer in the settings.
     pub(crate) peers: BTreeMap<usize, PeerView>,
     /// Number of the last question to the peers.
     pub(crate) last_contact_request: u64,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Members that can hold partitions, according to their recent answers.
+/// Members that can hold partitions, according to their recent responses.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberView {
     /// This controller, and the siblings that support partitions and have contact with the key-value store.
@@ -121,12 +121,12 @@
     pub(crate) any_without_quota_grants: bool,
 }
 
-/// Last answer of a peer about its contact with the key-value store.
+/// Last response of a peer about its contact with the key-value store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerView {
     /// Time at which the question was sent, in microseconds.
     pub(crate) asked_at: Micros,
-    /// Time of the peer's last contact: the time of the question minus the age of the contact in the answer; `None`
+    /// Time of the peer's last contact: the time of the question minus the age of the contact in the response; `None`
     /// if the peer has had no contact.
     pub(crate) last_contact: Option<Micros>,
     /// Whether the peer had been without contact for some time when it answered.
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -113,7 +113,7 @@
     pub(crate) provisions: BTreeMap<String, PendingProvision>,
     /// Number of the last provisioning request of this leader.
     pub(crate) last_provision_number: u64,
-    /// Machines whose termination the cloud has confirmed, each with the time of the answer, in microseconds.
+    /// Machines whose termination the cloud has confirmed, each with the time of the response, in microseconds.
     pub(crate) terminated: BTreeMap<String, Micros>,
     /// Machines to be terminated.
     pub(crate) terminating: BTreeSet<String>,
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -5,8 +5,8 @@
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Maximum number of placed tasks in one answer to orders.
-pub(crate) const MAX_PLACED_PER_ANSWER: usize = 500;
+/// Maximum number of placed tasks in one report.
+pub(crate) const MAX_PLACED_PER_REPORT: usize = 500;
 
 /// A delegated task that the holder has yet to place. The order of the fields determines the order in which tasks
 /// are served.
@@ -70,7 +70,7 @@
         placed.any(|placed| placed.task == task && placed.job == job)
     }
 
-    /// Records a task that was placed, for the next answer to the leader.
+    /// Records a task that was placed, for the next report to the leader.
     pub(crate) fn record_placed(&mut self, task: PlacedTask) {
         self.last_placement += 1;
         self.placed.push_back(NumberedPlacement {
@@ -79,19 +79,19 @@
         });
     }
 
-    /// Returns the placements that the next answer contains.
-    pub(crate) fn placements_in_answer(&self) -> impl Iterator<Item = &NumberedPlacement> {
-        self.placed.iter().take(MAX_PLACED_PER_ANSWER)
+    /// Returns the placements that the next report contains.
+    pub(crate) fn placements_in_report(&self) -> impl Iterator<Item = &NumberedPlacement> {
+        self.placed.iter().take(MAX_PLACED_PER_REPORT)
     }
 
-    /// Returns the placements that only a later answer will contain.
-    pub(crate) fn placements_in_later_answers(&self) -> impl Iterator<Item = &NumberedPlacement> {
-        self.placed.iter().skip(MAX_PLACED_PER_ANSWER)
+    /// Returns the placements that only a later report will contain.
+    pub(crate) fn placements_in_later_reports(&self) -> impl Iterator<Item = &NumberedPlacement> {
+        self.placed.iter().skip(MAX_PLACED_PER_REPORT)
     }
 
-    /// Returns whether only a later answer will tell the leader that this attempt was placed.
-    pub(crate) fn is_in_later_answer(&self, attempt: TaskAttempt) -> bool {
-        let mut later = self.placements_in_later_answers();
+    /// Returns whether only a later report will tell the leader that this attempt was placed.
+    pub(crate) fn is_in_later_report(&self, attempt: TaskAttempt) -> bool {
+        let mut later = self.placements_in_later_reports();
         later.any(|placement| placement.task.id() == attempt)
     }
 }
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -22,11 +22,11 @@
 /// Key prefixes that are listed to build the view, in this order.
 const PREFIXES: [&str; 2] = [JOB, LEGACY_CANCEL];
 
-/// Time that a poll waits for the view, in microseconds. Users wait 2 s for the answer.
+/// Time that a poll waits for the view, in microseconds. Users wait 2 s for the response.
 const POLL_WAIT_US: Micros = 1_400 * MILLI;
 
-/// Time that a submission or cancellation waits for the view, in microseconds. Users wait 5 s for the answer. With
-/// the shorter wait of a poll, all of them would be refused when the key-value store is slow or when the answer to a
+/// Time that a submission or cancellation waits for the view, in microseconds. Users wait 5 s for the response. With
+/// the shorter wait of a poll, all of them would be refused when the key-value store is slow or when the response to a
 /// transaction is lost, and users would repeat each of them a second later.
 const WRITE_WAIT_US: Micros = 3_400 * MILLI;
 
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -50,7 +50,7 @@
     /// Time at which the next orders are due.
     pub(crate) next_orders_at: Micros,
     /// Whether orders were sent and have not been answered yet.
-    pub(crate) awaiting_answer: bool,
+    pub(crate) awaiting_report: bool,
     /// Attempts whose outcomes were applied and may be acknowledged once they are recorded.
     pub(crate) applied_outcomes: BTreeSet<TaskAttempt>,
     /// Machines that were terminated since the last orders.
@@ -60,7 +60,7 @@
     /// Smoothed heartbeats per second.
     pub(crate) load: Load,
     /// Time at which the holder last answered.
-    pub(crate) last_answer_at: Micros,
+    pub(crate) last_report_at: Micros,
     /// Sequence number of the last placement of the holder that the leader knows of.
     pub(crate) last_known_placement: u64,
     /// Machines on which the last orders told the holder to place nothing new.
@@ -78,12 +78,12 @@
             reconciled: false,
             state_version: 0,
             next_orders_at: 0,
-            awaiting_answer: false,
+            awaiting_report: false,
             applied_outcomes: BTreeSet::new(),
             terminated: Vec::new(),
             heartbeats: HeartbeatCount::default(),
             load: 0.0,
-            last_answer_at: 0,
+            last_report_at: 0,
             last_known_placement: 0,
             reserved_sent: BTreeSet::new(),
             reserved_confirmed: BTreeSet::new(),
@@ -101,7 +101,7 @@
         self.claim = claim;
         self.reconciled = false;
         self.state_version = 0;
-        self.awaiting_answer = false;
+        self.awaiting_report = false;
         self.next_orders_at = 0;
         self.applied_outcomes.clear();
         self.heartbeats = HeartbeatCount::default();
@@ -148,7 +148,7 @@
     /// Returns the time at which the next orders are due.
     pub(crate) fn next_wake(&self) -> Micros {
         let partitions = self.by_id.values();
-        let ready = partitions.filter(|p| p.claim.is_some() && !p.awaiting_answer);
+        let ready = partitions.filter(|p| p.claim.is_some() && !p.awaiting_report);
         ready
             .map(|partition| partition.next_orders_at)
             .min()
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -90,7 +90,7 @@
     /// Transaction as it was sent.
     pub transaction: Transaction,
     /// Number of operations, from the first on, that were read back and found applied after a flush without an
-    /// answer.
+    /// response.
     pub confirmed_operations: usize,
     /// The mod_revision that these operations were found to have; 0 if it is not known yet.
     pub confirmed_revision: u64,
