--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -95,7 +95,7 @@
     fn on_leader_record(&mut self, body: &[u8]) {
         let entry = match wire::from_cbor::<KeyValue<LeaderRecord>>(body) {
             Ok(entry) => entry,
-            Err(e) => return warn!(path = LEADER, error:% = e; "unreadable leader record"),
+            Err(e) => return warn!(path = LEADER, error:% = e; "cannot decode the leader record"),
         };
         let token = entry.mod_revision;
         self.context.token = self.context.token.max(token);
--- a/crates/core/src/controller/catalogue.rs
+++ b/crates/core/src/controller/catalogue.rs
@@ -62,7 +62,7 @@
             }
             Ok(_) => self.catalogue_reader.source = other_source,
             Err(e) => {
-                warn!(error:% = e; "unreadable catalogue of machine types");
+                warn!(error:% = e; "cannot decode the catalogue of machine types");
                 self.catalogue_reader.source = other_source;
             }
         }
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -134,7 +134,7 @@
         match wire::from_cbor::<KeyValueList>(body) {
             Ok(list) if status == 200 => self.on_job_page(list),
             _ => {
-                debug!(status = status; "listing the live jobs failed");
+                debug!(status = status; "cannot list the live jobs; trying again");
                 let now = self.context.now.steady;
                 self.job_view.next_request = now + RETRY_AFTER_REFUSAL_US;
             }
@@ -205,7 +205,7 @@
 
     /// Puts the users' requests back to wait for the next reply, until they are overdue.
     fn on_job_changes_failed(&mut self, status: u16) {
-        debug!(status = status; "reading changes of the live jobs failed");
+        debug!(status = status; "cannot read the changes of the live jobs; trying again");
         let now = self.context.now.steady;
         let view = &mut self.job_view;
         let mut waiting = std::mem::take(&mut view.awaiting_reply);
--- a/crates/core/src/controller/partition_map.rs
+++ b/crates/core/src/controller/partition_map.rs
@@ -78,7 +78,7 @@
     fn on_map_page(&mut self, body: &[u8]) {
         let list = match wire::from_cbor::<KeyValueList>(body) {
             Ok(list) => list,
-            Err(e) => return warn!(error:% = e; "unreadable page of the partition map"),
+            Err(e) => return warn!(error:% = e; "cannot decode a page of the partition map"),
         };
         let now = self.context.now.steady;
         let Partitions { map, reader, .. } = &mut self.partitions;
@@ -103,7 +103,7 @@
     fn on_map_changes(&mut self, body: &[u8]) {
         let changes = match wire::from_cbor::<WatchResponse>(body) {
             Ok(changes) => changes,
-            Err(e) => return warn!(error:% = e; "unreadable changes of the partition map"),
+            Err(e) => return warn!(error:% = e; "cannot decode the changes of the partition map"),
         };
         let now = self.context.now.steady;
         let Partitions { map, reader, .. } = &mut self.partitions;
@@ -122,6 +122,6 @@
 
 fn put_in_map(map: &mut PartitionMap, key: &str, value: &Value, mod_revision: u64) {
     if let Err(e) = map.put(key, value, mod_revision) {
-        error!(path = key, error:% = e; "unreadable record of the partition map; ignored");
+        error!(path = key, error:% = e; "cannot decode a record of the partition map; ignoring it");
     }
 }
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -17,7 +17,7 @@
     pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
         if !self.election.is_led_by(&orders.from, orders.term) {
             let (member, token) = (orders.from.as_str(), orders.term);
-            debug!(member = member, token = token; "refused orders of a member that is not the leader");
+            debug!(member = member, token = token; "refused partition orders of a member that is not the leader");
             return None;
         }
         let holder = self.partitions.holders.get_mut(&orders.partition)?;
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -44,7 +44,7 @@
     #[error("a peer knows of a higher fencing token")]
     HigherToken,
     /// A peer had contact with the store at a time at which the lease had expired.
-    #[error("the store served a peer after this controller's lease had expired")]
+    #[error("a peer had contact with the key-value store after the lease of this leader or partition holder had expired")]
     StoreServesPeer,
     /// A peer may have confirmed a cancellation that this controller does not know.
     #[error("a peer may have confirmed cancellations that this controller does not know")]
@@ -96,12 +96,14 @@
         };
         let response: PeerResponse = match wire::from_peer(&body) {
             Ok(response) => response,
-            Err(e) => return warn!(error:% = e; "unreadable response from a peer"),
+            Err(e) => {
+                return warn!(error:% = e; "cannot decode the response of a peer to a contact request")
+            }
         };
         let sibling = self.context.settings.siblings.get(peer);
         if sibling.is_none_or(|sibling| sibling.member != response.member) {
             let member = response.member.as_str();
-            return warn!(member = member; "response from another member than the peer that was asked");
+            return warn!(member = member; "ignoring a contact response of this member, since another member was asked");
         }
         if let (Some(leader), Some(teams)) = (&mut self.leader, &response.limits) {
             // Limits that were asked for before this leader's term are ignored: an earlier process of the
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -23,7 +23,7 @@
         let request: PeerRequest = match wire::from_peer(body) {
             Ok(request) => request,
             Err(e) => {
-                warn!(error:% = e; "unreadable request from a peer");
+                warn!(error:% = e; "cannot decode a request of a peer");
                 return self.context.refuse(id, 400, "not a peer message");
             }
         };
@@ -37,7 +37,7 @@
                 known_us,
                 limits: limits_wanted,
             } => {
-                debug!(member = from.as_str(); "contact request from a peer");
+                debug!(member = from.as_str(); "received a contact request of a peer");
                 let now = self.context.now.steady;
                 let cancellations = &self.context.cancellations;
                 confirmed =
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -174,7 +174,7 @@
             }
             Err(e) => {
                 let key = finished_job_key(&request.job);
-                warn!(job = request.job.as_str(), path = key.as_str(), error:% = e; "unreadable record of a finished job");
+                warn!(job = request.job.as_str(), path = key.as_str(), error:% = e; "cannot decode the record of a finished job");
                 self.context
                     .refuse(request.request, 503, "unreadable record");
             }
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -271,7 +271,7 @@
     pub(crate) fn confirm_lease(&mut self) {
         if self.is_lease_uncertain {
             self.is_lease_uncertain = false;
-            info!(token = self.token; "lease still holds after a pause of the process");
+            info!(token = self.token; "lease of this leader or partition holder still holds after a process pause");
         }
     }
 
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -140,7 +140,7 @@
         };
         info!(
             task = exit.task_name, machine = exit.machine, cause:% = exit.cause, ran_s = ran / SECOND;
-            "replica exited"
+            "replica of a service exited"
         );
         if let Some(job) = self.jobs.get_mut(assignment.job) {
             job.record_replica_exit(assignment.task, exit.machine, ran, now);
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -90,7 +90,7 @@
         let since = *machine.unreachable_since.get_or_insert(now);
         let unreachable_for = now.saturating_sub(since);
         if unreachable_for > 2 * context.settings.agent_lease && !machine.cordoned {
-            info!(machine = name; "machine receives no responses and will be terminated");
+            info!(machine = name; "terminating a machine that receives no responses");
             machine.cordoned = true;
             self.fleet.terminate(name, now);
         }
@@ -125,7 +125,7 @@
     fn apply_task(&mut self, context: &mut Context, status: &Heartbeat, reported: &ReportedTask) {
         let name = &status.machine;
         let Some((job_id, task)) = parse_task_name(&reported.task_name) else {
-            warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
+            warn!(machine = name, task:? = reported.task_name; "agent reported a task whose name is not of the form job/number");
             return;
         };
         let assignment_index = self.assignment_index(name, |a| {
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -65,7 +65,7 @@
     ) {
         let now = context.now.steady;
         let name = &status.machine;
-        error!(machine = name, task = reported.task_name; "agent reports a task that is not on record; stopping it");
+        error!(machine = name, task = reported.task_name; "agent reported a task that is on no assignment page; stopping it");
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
             job.assign_task(task);
@@ -242,9 +242,11 @@
                 }
             }
             Ok(reported) if reported.machine == name => {}
-            Ok(_) => warn!(machine = name; "another agent answers at the machine's address"),
+            Ok(_) => {
+                warn!(machine = name; "another agent responded to a direct command at the machine's address")
+            }
             Err(error) => {
-                warn!(machine = name, error:% = error; "response to a direct command is unreadable");
+                warn!(machine = name, error:% = error; "cannot decode the response of an agent to a direct command");
             }
         }
     }
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -184,7 +184,7 @@
         if attempts.is_empty() {
             return;
         }
-        info!(machine = name; "agent lease expired");
+        info!(machine = name; "lease of an agent expired; counting its tasks as ended, except for cancelled ones");
         machine.incarnation += 1;
         machine.sequence = 0;
         machine.exited_attempts.clear();
@@ -234,7 +234,7 @@
         }
         machine.cordoned = true;
         if self.fleet.terminate(name, now) {
-            info!(machine = name, silence_s = silence / SECOND; "terminating unreachable machine");
+            info!(machine = name, silence_s = silence / SECOND; "terminating a machine: no heartbeats or an overdue cancellation");
         }
     }
 
@@ -321,7 +321,7 @@
         if (has_overdue_cancellation || silence > max_silence) && self.fleet.terminate(name, now) {
             info!(
                 machine = name, silence_s = silence / SECOND;
-                "terminating machine of a partition: no heartbeats or an overdue cancellation"
+                "terminating a machine of a partition: no heartbeats or an overdue cancellation"
             );
         }
     }
@@ -343,7 +343,7 @@
             } else if only_few_unreachable && self.fleet.terminate(name, now) {
                 info!(
                     machine = name, silence_s = silence / SECOND;
-                    "terminating unreachable machine with replicas"
+                    "terminating an unreachable machine with replicas of services"
                 );
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.cordoned = true;
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -68,7 +68,7 @@
         let index = self.jobs.find(id);
         let job = index.and_then(|index| self.jobs.get_mut(index));
         if let Some(job) = job.filter(|job| job.cancelled_at.is_some()) {
-            error!(job = id; "cancellation of the job is not on record; the job continues");
+            error!(job = id; "key-value store has no cancellation of the job; the job continues");
             job.cancelled_at = None;
             job.ending = None;
             self.placement.request_round(context.now.steady);
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -147,7 +147,7 @@
                 {
                     // The record exceeds the limits of a transaction by itself: other records must not wait behind
                     // it.
-                    warn!(record:? = record; "record exceeds the transaction limits");
+                    warn!(record:? = record; "record exceeds the limits of a transaction; postponing its write");
                     self.write_buffer.postpone(&record, now + REFUSED_PAUSE_US);
                     continue;
                 }
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -88,7 +88,7 @@
         let now = context.now.steady;
         if status != HTTP_TOO_MANY_REQUESTS && status != HTTP_SERVICE_UNAVAILABLE {
             let response = beginning_of(body);
-            warn!(status = status, error = response; "unexpected response to a flush");
+            warn!(status = status, error = response; "unexpected response of the key-value store to a transaction");
         }
         if status == HTTP_TOO_MANY_REQUESTS {
             context.write_limiter(self.role).discard_tokens(now);
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -53,7 +53,7 @@
             {
                 continue;
             }
-            warn!(key = entry.key, machine = machine; "late transaction restored a provision request; deleting it");
+            warn!(key = entry.key, machine = machine; "late transaction restored the record of a provisioning request; deleting it");
             self.write_buffer
                 .record_revision(&entry.key, entry.mod_revision);
             let record = RecordId::PendingProvision(machine.to_string());
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -30,7 +30,7 @@
             [(record, _)] => self.on_record_refused(context, batch, record, response),
             records => {
                 let count = records.len();
-                warn!(records = count, error = response; "store refused a transaction; writing its records one by one");
+                warn!(records = count, error = response; "key-value store refused a transaction; writing its records one by one");
                 self.write_buffer.isolate(records);
                 let operations = batch.transaction.apply.len() / 2;
                 self.max_transaction_operations = operations.max(MIN_TRANSACTION_OPERATIONS);
@@ -48,7 +48,7 @@
     ) {
         let now = context.now.steady;
         let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
-        error!(key = keys.join(", "), error = response; "store refused a record");
+        error!(key = keys.join(", "), error = response; "key-value store refused a transaction with a single record");
         // A refusal with no more than the minimum number of operations has another cause, so the configured limit
         // applies again.
         let operations = batch.transaction.apply.len();
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -89,7 +89,7 @@
         if wire::json_size(&to_value(&content)) > self.max_value_bytes {
             // If only a part of the catalogue were on record, jobs that can run would be refused. Without a record,
             // each controller reads the catalogue from the cloud.
-            warn!(key = CATALOGUE; "record exceeds the size of a value and is not written");
+            warn!(key = CATALOGUE; "catalogue of machine types exceeds the maximum value size of the key-value store; not writing it");
             return None;
         }
         Some(self.put_if_unchanged(CATALOGUE.into(), &content))
@@ -98,7 +98,7 @@
     fn render_limits(&self) -> Option<RecordWrite> {
         let content = self.limits_record();
         if wire::json_size(&to_value(&content)) > self.max_value_bytes {
-            warn!(key = LIMITS; "record exceeds the size of a value; partition holders get no quota grants");
+            warn!(key = LIMITS; "team limits exceed the maximum value size of the key-value store; granting no quota to partition holders");
             return None;
         }
         Some(self.put_if_unchanged(LIMITS.into(), &content))
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -77,7 +77,7 @@
             self.last_heartbeat_at = context.now.steady;
             info!(
                 partition = self.partition(), tasks = tasks.len();
-                "reconciled with the leader for the first time"
+                "partition holder reconciled its tasks with the leader for the first time"
             );
         }
     }
@@ -164,7 +164,7 @@
             // The task is never launched; the leader places it again.
             debug!(
                 job = task.job, task = task.task, machine = task.machine;
-                "refused to launch a task"
+                "partition holder refused a launch that the leader ordered, since the machine cannot take the task"
             );
             self.report_attempt_end(&task.machine, &assignment, TaskEnd::Gone);
             return true;
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -169,7 +169,7 @@
             if watch.elapsed() > context.tuning.placement_budget_us {
                 debug!(
                     partition = self.partition();
-                    "placement round ran out of time; the next round continues"
+                    "placement round exceeded its time budget; the next round continues it"
                 );
                 self.placement.is_round_requested = true;
                 break;
@@ -217,7 +217,7 @@
         let name = open[machine_index].name.clone();
         debug!(
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
-            "placed a task"
+            "placed a task on a machine"
         );
         let expected_stay = queued.expected_stay;
         self.create_assignment(
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -250,7 +250,10 @@
     assert_eq!(holder.on_conditions_failed(&[LIMITS.to_string()]), Ok(()));
     assert_nothing_is_written(&mut controller, &mut holder);
     let ended = holder.on_conditions_failed(&[claim_key(1)]);
-    assert_eq!(ended, Err("its claim has ended".to_string()));
+    assert_eq!(
+        ended,
+        Err("the claim on the partition has changed or is gone".to_string())
+    );
 }
 
 fn assert_nothing_is_written(controller: &mut Controller, holder: &mut Scheduler) {
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -181,7 +181,7 @@
         let now = context.now.steady;
         debug!(
             job = delegation.job_id, task = task.task, partition = delegation.partition;
-            "a delegated task was not placed and waits at the leader again"
+            "requeued a delegated task that the partition holder did not place"
         );
         if !delegation.awaits_resources {
             self.release_unplaced_charge(&delegation, now);
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -39,7 +39,7 @@
     /// Records the boot time of a machine in the statistics of its type.
     fn record_boot_time(&mut self, context: &Context, name: &str, boot: &BootingMachine) {
         let boot_time = context.now.steady.saturating_sub(boot.requested_at);
-        info!(machine = name, boot_ms = boot_time / MILLI; "machine is up");
+        info!(machine = name, boot_ms = boot_time / MILLI; "provisioned machine sent its first heartbeat");
         let machine_type = &boot.offering.machine_type;
         self.fleet.failed_boots.remove(machine_type);
         if let Some(published) = context.machine_type(machine_type).map(|t| t.boot_s) {
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -44,7 +44,7 @@
             self.remote_partitions.by_id.insert(id, partition);
         }
         if map.unreadable().next().is_some() {
-            self.remove_partitions(context, "a partition record cannot be read", map.keys());
+            self.remove_partitions(context, "a partition record cannot be decoded", map.keys());
         }
     }
 
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -86,7 +86,7 @@
         info!(
             job = spec.id, task = task, machine = name, zone = machine.zone, age_ms = age / MILLI,
             image_cached = machine.has_image(&spec.image), free_cpus = machine.free().cpus;
-            "placing a replica of a service on a machine"
+            "placed a replica of a service on a machine"
         );
     }
 }
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -70,7 +70,7 @@
             Err(error) => {
                 error!(
                     key = entry.key, partition = id, error:% = error;
-                    "cannot read a quota grant record; it counts as the full limit of each team"
+                    "cannot decode a quota grant record; counting it as the full limit of each team"
                 );
                 let in_force = self.leader_quota.limits.in_force().iter();
                 let limits = in_force.map(|(team, quota)| (team.to_string(), quota.limit));
@@ -115,7 +115,7 @@
         let lowered = self.leader_quota.limits.in_force().lowered_since(&before);
         info!(
             member = member, lowered_teams:? = lowered;
-            "quotas in force have changed with a member's settings"
+            "team quotas in force changed after a member announced its settings"
         );
         for team in &lowered {
             self.leader_quota.grants.cancel_unrecorded_growth(team);
@@ -185,7 +185,7 @@
             excess = excess.saturating_sub(candidate.amount);
             info!(
                 team = team, attempt = candidate.id.attempt, task = candidate.id.task;
-                "stopping a task, since its team's limit was lowered"
+                "stopping a task of a team that exceeds its lowered limit"
             );
             self.stop_attempt(context, candidate.id, candidate.grace);
         }
@@ -238,7 +238,7 @@
         Err(error) => {
             error!(
                 key = LIMITS, error:% = error;
-                "cannot read the record of team quotas; using this member's settings"
+                "cannot decode the record of team quotas; using this member's settings"
             );
             None
         }
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -122,7 +122,7 @@
             return self.on_holder_places_nothing(id);
         };
         if self.leader_quota.placing_partitions.insert(id) {
-            info!(partition = id; "partition holder reports that it places tasks");
+            info!(partition = id; "partition holder reported that it places tasks");
         }
         for task in &quota.placed {
             self.apply_placement(context, id, task);
@@ -194,7 +194,7 @@
             // placed until its end is proven again.
             debug!(
                 partition = id, job = placed.job, task = placed.task;
-                "partition holder reports a placed task that was not delegated to it"
+                "partition holder reported a placed task that was not delegated to it"
             );
         }
         let zone = self.zone_of_partition(id);
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -95,7 +95,7 @@
                 }
             }
             Err(error) => {
-                warn!(key = prefix, error:% = error; "listing keys failed");
+                warn!(key = prefix, error:% = error; "cannot list the keys with a prefix; trying again");
                 loading.retry(prefix, now + RETRY_PAUSE_US);
             }
         }
@@ -110,7 +110,7 @@
         let mut map = PartitionMap::default();
         for entry in entries.unwrap_or_default() {
             if let Err(error) = map.put(&entry.key, &entry.value, entry.mod_revision) {
-                error!(key = entry.key, error:% = error; "record cannot be read and is left as it is");
+                error!(key = entry.key, error:% = error; "cannot decode a partition record; leaving it in the key-value store");
             }
             self.write_buffer
                 .record_revision(&entry.key, entry.mod_revision);
@@ -128,7 +128,7 @@
                 loading.finish(key);
                 match wire::from_cbor::<KeyValue<Value>>(&body) {
                     Ok(entry) => loading.add_entry(key, entry),
-                    Err(error) => error!(key = key, error:% = error; "record cannot be read"),
+                    Err(error) => error!(key = key, error:% = error; "cannot decode a record"),
                 }
             }
             Outcome::Answer { status: 404, .. } => loading.finish(key),
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -79,7 +79,7 @@
     /// Handles a page that cannot be read. Its assignments are unknown, so no task is started until every machine
     /// has had time to send a heartbeat or to be terminated.
     fn on_unreadable_page(&mut self, context: &Context, key: &str, number: Option<u64>) {
-        error!(key = key; "record cannot be read; no task is placed until all machines had time to send a heartbeat");
+        error!(key = key; "cannot decode an assignment page; placing no task until all machines have had time to send a heartbeat");
         self.placement.blocked_until =
             context.now.steady + context.settings.agent_lease * 2 + 10 * SECOND;
         if let Some(number) = number {
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -93,5 +93,5 @@
 }
 
 fn log_unreadable(key: &str) {
-    error!(key = key; "record cannot be read; tasks that it lists as completed may run again");
+    error!(key = key; "cannot decode a record of completed tasks; the tasks that it lists may run again");
 }
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -51,10 +51,12 @@
                 self.jobs.insert(job);
                 self.placement.request_round(context.now.steady);
             }
-            Ok(_) => error!(key = key; "record contains a different job id and is left as it is"),
+            Ok(_) => {
+                error!(key = key; "job record contains the id of another job; leaving it in the key-value store")
+            }
             Err(error) => {
                 if !self.unreadable_job_keys.iter().any(|known| known == key) {
-                    error!(key = key, error:% = error; "record cannot be read and is left as it is");
+                    error!(key = key, error:% = error; "cannot decode a job record; leaving it in the key-value store");
                     self.unreadable_job_keys.push(key.to_string());
                 }
             }
@@ -75,7 +77,7 @@
         for entry in entries {
             let record = from_value::<CancelRecord>(&entry.value);
             if let Err(error) = &record {
-                error!(key = entry.key, error:% = error; "cancellation cannot be read; treating the job as cancelled");
+                error!(key = entry.key, error:% = error; "cannot decode a cancellation record; treating the job as cancelled");
             }
             if let Some(JobKey::Cancelled(job)) = JobKey::parse(&entry.key) {
                 self.on_cancelled(context, job, record.ok().as_ref());
--- a/crates/core/src/scheduler/loading/records.rs
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -49,7 +49,7 @@
             token = self.token,
             jobs = self.jobs.len(),
             machines_with_tasks = self.machines.len();
-            "records loaded"
+            "loaded the records from the key-value store"
         );
     }
 
@@ -74,7 +74,9 @@
                     let machine = entry.key.trim_start_matches(PROVISION).to_string();
                     self.fleet.recover_provision(context, machine, provision);
                 }
-                Err(error) => error!(key = entry.key, error:% = error; "record cannot be read"),
+                Err(error) => {
+                    error!(key = entry.key, error:% = error; "cannot decode the record of a provisioning request")
+                }
             }
         }
     }
@@ -85,7 +87,9 @@
                 .record_revision(&entry.key, entry.mod_revision);
             match from_value(&entry.value) {
                 Ok(record) => self.stats = Stats::from_record(&record),
-                Err(error) => error!(key = STATS, error:% = error; "record cannot be read"),
+                Err(error) => {
+                    error!(key = STATS, error:% = error; "cannot decode the record of statistics")
+                }
             }
         }
     }
--- a/crates/core/src/scheduler/replies.rs
+++ b/crates/core/src/scheduler/replies.rs
@@ -36,7 +36,9 @@
     fn on_lease_renewed(&mut self, context: &Context, outcome: &Outcome) -> Result<(), String> {
         match outcome {
             Outcome::Answer { status: 200, .. } => self.confirm_lease(),
-            Outcome::Answer { status: 404, .. } => return Err("the lease has ended".into()),
+            Outcome::Answer { status: 404, .. } => {
+                return Err("the key-value store has no such lease any more".into())
+            }
             _ => {
                 let pause = context.tuning.leader_lease_us / URGENT_RENEWALS_PER_LEASE;
                 self.lease_renewal_at = self.lease_renewal_at.min(context.now.steady + pause);
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -79,7 +79,7 @@
                         }
                     }
                     Err(error) => {
-                        warn!(key = prefix, error:% = error; "response to a watch cannot be read");
+                        warn!(key = prefix, error:% = error; "cannot decode the response to a watch");
                         watch.end_request(now + UNREADABLE_PAUSE_US);
                     }
                 }
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -34,16 +34,16 @@
         let has_failed = |key: &str| failed_keys.iter().any(|failed| failed == key);
         let Some(partition) = self.partition() else {
             return if has_failed(LEADER) {
-                Err("another leader was elected".into())
+                Err("the leader record has changed or is gone".into())
             } else {
                 Ok(())
             };
         };
         if has_failed(&claim_key(partition)) {
-            return Err("its claim has ended".into());
+            return Err("the claim on the partition has changed or is gone".into());
         }
         if has_failed(LEADER) {
-            info!(partition = partition; "leader record changed; placing no task until the next leader sends orders");
+            info!(partition = partition; "leader record has changed or is gone; this partition holder places no task until a leader sends it orders");
             self.holder_quota.leader_token = None;
         }
         if has_failed(LIMITS) {
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -102,7 +102,7 @@
                 let tasks = match wire::http::from_value::<JobRecord>(value) {
                     Ok(record) => record.spec.tasks,
                     Err(e) => {
-                        error!(job = id, path = key, error:% = e; "cannot read job record; the job is kept in the view without tasks");
+                        error!(job = id, path = key, error:% = e; "cannot decode a job record; keeping the job in the view without tasks");
                         0
                     }
                 };
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -295,7 +295,7 @@
 
     /// Cordons the machine because tasks fail on it. It is terminated once it is empty.
     pub(crate) fn cordon_as_faulty(&mut self) {
-        warn!(machine = self.name; "machine is faulty; cordoned until it is empty and can be terminated");
+        warn!(machine = self.name; "cordoned a faulty machine; terminating it once it is empty");
         self.cordoned = true;
         self.draining = false;
         self.faulty = true;
@@ -303,7 +303,7 @@
 
     /// Uncordons a machine that was cordoned for failures that are now attributed to jobs.
     pub(crate) fn uncordon_as_healthy(&mut self) {
-        info!(machine = self.name; "machine is not faulty and is uncordoned; the failed jobs are likely to be at fault");
+        info!(machine = self.name; "uncordoned a machine, since the failed jobs are likely to be at fault");
         self.cordoned = false;
         self.faulty = false;
     }
