--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -76,7 +76,7 @@
 /// A call of a scheduler. The reply is dropped if the scheduler has lost its lease since.
 #[derive(Debug)]
 pub enum SchedulerCall {
-    /// Renews the lease.
+    /// Renews the lease of the leader record or of the claim record.
     RenewLease,
     /// Reads a page of the keys with a prefix.
     List {
@@ -104,7 +104,7 @@
     },
     /// A call to the cloud.
     Cloud(CloudCall),
-    /// Sends commands to an agent that has no heartbeat waiting for a response.
+    /// Sends a direct command to an agent: commands outside of the response to a heartbeat.
     DirectCommands {
         /// The agent's machine.
         machine: String,
@@ -127,12 +127,12 @@
     Lease,
     /// Puts the leader record under the lease.
     Claim {
-        /// The lease that the record is put under.
+        /// The id of the lease that the leader record is put under.
         lease: u64,
     },
     /// Reads the leader record back after a claim without a clear outcome.
     ReadBack {
-        /// The lease that the record was put under.
+        /// The id of the lease that the leader record was put under.
         lease: u64,
     },
 }
@@ -190,14 +190,14 @@
 pub enum ClaimStep {
     /// Requests a lease.
     Lease,
-    /// Puts the claim under the lease.
+    /// Puts the claim record of this controller under the lease.
     Claim {
-        /// The lease that the claim is put under.
+        /// The id of the lease that the claim record of this controller is put under.
         lease: u64,
     },
-    /// Reads the claim back after a put without a clear outcome.
+    /// Reads the claim record back after a put without a clear outcome.
     ReadBack {
-        /// The lease that the claim was put under.
+        /// The id of the lease that the claim record of this controller was put under.
         lease: u64,
     },
 }
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -43,7 +43,8 @@
     /// A peer knows of a leader with a higher fencing token.
     #[error("a peer knows of a higher fencing token")]
     HigherToken,
-    /// A peer had contact with the store at a time at which the lease had expired.
+    /// A peer had contact with the store at a time at which the lease on the leader record, or on the claim on the
+    /// partition, had expired.
     #[error("a peer had contact with the key-value store after the lease of this leader or partition holder had expired")]
     StoreServesPeer,
     /// A peer may have confirmed a cancellation that this controller does not know.
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -1,5 +1,5 @@
-//! Applies the status of a machine, from a heartbeat or from the response to a direct command, to the state of the
-//! machine and of the tasks on it.
+//! Applies the status of a machine, from a heartbeat or from the response to a direct command (see
+//! [`stops`](super::stops)), to the state of the machine and of the tasks on it.
 
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
@@ -240,7 +240,7 @@
 }
 
 /// Records whether responses reach the agent. An agent that receives them sends its next heartbeat to this
-/// controller well within `RESPONSE_TIMEOUT`; one that receives none turns to another controller after that time.
+/// controller well within [`RESPONSE_TIMEOUT_US`]; one that receives none turns to another controller after that time.
 fn record_reachability(
     machine: &mut Machine,
     status: &Heartbeat,
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -143,7 +143,7 @@
 
     /// Returns the commands for the response to a heartbeat, and marks the launches and stops among them as sent.
     /// Tasks are launched only here, because an agent never carries out the response to a heartbeat late. Launches
-    /// are limited to assignments that are on record, and acknowledgements to outcomes that are durable.
+    /// are limited to durable assignments, and acknowledgements to outcomes that are durable.
     pub(crate) fn prepare_commands(
         &mut self,
         context: &Context,
@@ -183,7 +183,7 @@
             .collect()
     }
 
-    /// Adds the stops of a machine and the launches of its assignments that are on record.
+    /// Adds the stops of a machine and the launches of its durable assignments.
     fn add_stops_and_launches(
         &mut self,
         context: &Context,
--- a/crates/core/src/scheduler/agents/held_heartbeats.rs
+++ b/crates/core/src/scheduler/agents/held_heartbeats.rs
@@ -96,8 +96,8 @@
         self.held_heartbeats.push(held);
     }
 
-    /// Ends the long poll of a machine on which a task was placed: the response now waits only until the assignment
-    /// is on record.
+    /// Ends the long poll of a machine on which a task was placed: the response now waits only until the assignment is
+    /// durable.
     pub(crate) fn wake_long_poll(&mut self, context: &Context, machine: &str) {
         if let Some(mut held) = self.long_polls.remove(machine) {
             held.deadline = context.now.steady + MAX_HOLD_US;
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -1,4 +1,8 @@
-//! Stops tasks: sends stop commands and direct commands, and drains machines that will be reclaimed.
+//! Stops tasks: sends stop commands, and drains machines that will be reclaimed.
+//!
+//! A direct command is a request that this controller sends to the address of an agent (`POST /do`), while all other
+//! commands travel in responses to heartbeats. It carries the due stops or, as a probe, no command at all; launches
+//! travel only in responses to heartbeats.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -33,7 +37,7 @@
 /// Timeout of a direct command.
 const DIRECT_COMMAND_TIMEOUT_US: Micros = 2 * SECOND;
 
-/// Expected run time of a task that is on a machine without being on record.
+/// Expected run time of a task that runs on a machine although it is on no assignment page.
 const UNRECORDED_TASK_DURATION_US: Micros = SECOND;
 
 /// What to send to a machine that has no stop due.
@@ -217,7 +221,7 @@
         );
     }
 
-    /// Handles the end of a call that sent a direct command to the machine.
+    /// Handles the outcome of a direct command to the machine's agent. The response has the form of a heartbeat.
     pub(crate) fn on_direct_response(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -62,7 +62,7 @@
     }
 
     /// Retracts the cancellation of a job for which the store has none: the information was wrong, and the job
-    /// continues. Only a cancellation that is on record may end it.
+    /// continues. Only a cancellation in the store may end the job.
     pub(crate) fn retract_cancellation(&mut self, context: &mut Context, id: &str) {
         context.cancellations.forget(id);
         let index = self.jobs.find(id);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns the key under which the cancellation of the job is, or would be, on record.
+    /// Returns the key under which the store has, or would have, the cancellation of the job.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
         let legacy = format!("{LEGACY_CANCEL}{id}");
         if self.write_buffer.is_on_record(&legacy) {
@@ -104,8 +104,8 @@
         let id = job.id.clone();
         let cancellation = self.cancellation_key(&id);
         if ending == FinalStatus::Aborted && !self.write_buffer.is_on_record(&cancellation) {
-            // The cancellation is known only from a peer or from a user request. A job ends as cancelled only if
-            // its cancellation is on record, so the mod_revision of that record is read first.
+            // The cancellation is known only from a peer or from a user request. A job ends as cancelled only if the
+            // store has its cancellation, so the mod_revision of the cancellation record is read first.
             self.write_buffer.stale_keys.push(cancellation);
         }
         let due = context.now.steady.saturating_sub(JOB_END_PRIORITY_US);
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Forgets a job whose end is on record.
+    /// Forgets a job whose end the store has.
     pub(crate) fn forget_ended_job(&mut self, index: JobIndex) {
         let Some(job) = self.jobs.remove(index) else {
             return;
--- a/crates/core/src/scheduler/flush/refused.rs
+++ b/crates/core/src/scheduler/flush/refused.rs
@@ -49,8 +49,8 @@
         let now = context.now.steady;
         let keys: Vec<&str> = batch.puts().chain(batch.deletes()).collect();
         error!(key = keys.join(", "), error = response; "key-value store refused a transaction with a single record");
-        // A refusal with no more than the minimum number of operations has another cause, so the configured limit
-        // applies again.
+        // If the transaction had no more than the minimum number of operations, their number is not what the store
+        // refuses, so the configured limit of operations applies again.
         let operations = batch.transaction.apply.len();
         self.max_transaction_operations = if operations > MIN_TRANSACTION_OPERATIONS {
             MIN_TRANSACTION_OPERATIONS
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -87,7 +87,7 @@
         let machine_types = context.catalogue.clone()?;
         let content = wire::http::Catalogue { machine_types };
         if wire::json_size(&to_value(&content)) > self.max_value_bytes {
-            // If only a part of the catalogue were on record, jobs that can run would be refused. Without a record,
+            // If the store had only a part of the catalogue, jobs that can run would be refused. Without a record,
             // each controller reads the catalogue from the cloud.
             warn!(key = CATALOGUE; "catalogue of machine types exceeds the maximum value size of the key-value store; not writing it");
             return None;
@@ -122,7 +122,7 @@
             operations: vec![put(finished, &content), delete(&live)],
         };
         match ending {
-            // A cancellation that is on record before the end takes precedence.
+            // A cancellation that is in the store before the end takes precedence.
             FinalStatus::Done => write.conditions.push(absent(&cancellation)),
             FinalStatus::Aborted => self.add_deletion(&mut write, &cancellation),
         }
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -14,9 +14,9 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// Carries out orders and returns a report. Drops stale orders, since a late copy of orders would launch a
-    /// task again that has ended since. Also drops orders for another claim, and all orders while it is not
-    /// certain that the claim still holds.
+    /// Carries out the leader's orders and returns the holder's report. Drops stale orders, since a late copy of
+    /// orders would launch a task again that has ended since. Also drops orders for another claim on the partition
+    /// than this holder's, and all orders while it is not certain that the store still has this holder's claim.
     pub(crate) fn carry_out_orders(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -18,8 +18,8 @@
 const TERMINATED_REPORT_TIME_US: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// Returns the report in response to orders of this term. `seen` is the version of the last machine state that
-    /// the leader knows, and `accepted` lists the launches that were accepted.
+    /// Returns the report in response to orders of the leader with this fencing token. `seen` is the version of the
+    /// last machine state that the leader knows, and `accepted` lists the launches that were accepted.
     pub(crate) fn partition_report(
         &mut self,
         context: &Context,
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Delegates a task to the holder of a partition. The holder is to place the task on this machine if it can.
+    /// Delegates a task to the holder of a partition and proposes `machine` to it: the holder places the task there if
+    /// it can, and otherwise on another machine of the partition.
     pub(crate) fn delegate_task(
         &mut self,
         context: &Context,
@@ -341,7 +342,8 @@
             if freeing.is_empty() || leader_only_level.is_some_and(|level| queued.level >= level) {
                 break;
             }
-            // The tasks use quota that other tasks free, so the unused part of the limit does not matter.
+            // The delegated tasks use the quota that the ending tasks free, so the unused part of the team's limit
+            // does not matter.
             let placing = self.prepare_placing(context, *queued);
             let Some(mut placing) = placing.filter(PlacingJob::is_for_holders) else {
                 continue;
@@ -368,8 +370,8 @@
     }
 
     /// Returns the most urgent level of the jobs in the queue that fit their team's limit and that only the leader
-    /// can place, such as gangs and jobs that have waited too long to start or that catch up. Holders must not use
-    /// the resources that these jobs wait for.
+    /// can place, such as gangs, jobs that have waited too long to start, and jobs that have starved and are served
+    /// ahead of others until their tasks are placed. Holders must not use the resources that these jobs wait for.
     fn most_urgent_leader_only_level(&self, context: &Context, queue: &[QueuedJob]) -> Option<u8> {
         let now = context.now.steady;
         let needs_leader = |queued: &&QueuedJob| {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -23,7 +23,8 @@
 /// A job of which fewer tasks than this fit under its team's limit is left out of the demand.
 const MIN_TASKS_IN_DEMAND: f64 = 0.5;
 
-/// A pass of the autoscaler, which determines the offerings that may be added.
+/// A planning pass. Each round of the autoscaler makes both passes, in this order; a pass determines the offerings of
+/// which machines may be added to the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlanningPass {
     /// Adds only offerings that are about as cheap as the cheapest, for a short completion time.
@@ -34,7 +35,8 @@
 
 /// Waiting tasks of one job, or the headroom for services, that may have to run in one zone.
 pub(crate) struct Demand<'a> {
-    /// Submission of the job, or of the service that headroom is measured by.
+    /// Submission of the job. For the headroom, the submission of the service whose replicas are the unit in which
+    /// headroom is measured.
     pub(crate) spec: &'a Submission,
     /// Zone in which these tasks must run; `None` if any zone will do. A job that is spread over zones needs free
     /// resources in each of them.
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -19,7 +19,7 @@
 /// Maximum number of machines of one offering that one round of the autoscaler adds.
 const MAX_MACHINES_PER_OFFERING: u64 = 2 * MAX_MACHINES_PER_REQUEST;
 
-/// Maximum number of machines that one pass of the autoscaler adds.
+/// Maximum number of machines that one planning pass adds to the plan.
 const MAX_MACHINES_PER_PASS: usize = 200;
 
 /// An offering counts as cheap if its price per CPU is at most this multiple of the lowest price per CPU.
@@ -28,7 +28,7 @@
 /// Number of machines to provision, by offering.
 pub(crate) type ProvisionPlan = BTreeMap<MachineOffering, u64>;
 
-/// An offering of which a pass may add machines.
+/// An offering of which a planning pass may add machines.
 struct Candidate {
     offering: MachineOffering,
     /// Price of one machine, multiplied by a risk factor for spot machines, which the cloud may reclaim.
@@ -40,7 +40,8 @@
 /// Demand that the computing power of the fleet does not cover, updated as machines are added to the plan.
 struct UnmetDemand<'a> {
     demand: &'a [Demand<'a>],
-    /// Computing power of the fleet and the plan before the pass, for each demand.
+    /// Computing power, as a number of tasks, of the fleet and of the machines that were in the plan before this
+    /// planning pass, for each demand.
     power: Vec<f64>,
     /// Number of tasks of each demand that are not covered yet.
     gap: Vec<f64>,
@@ -63,9 +64,10 @@
         }
     }
 
-    /// Returns whether a machine of this power serves tasks that must get a machine however little of it they use.
-    /// These are batch tasks for which the fleet has no computing power and this pass has added none, and tasks of
-    /// gangs and services that lack a slot. Without this rule, a gang that lacks one slot would wait forever.
+    /// Returns whether a machine with this computing power for each demand serves tasks that must get a machine
+    /// however little of it they use. These are batch tasks for which the fleet has no computing power and this
+    /// planning pass has added none, and tasks of gangs and services that lack a slot. Without this rule, a gang that
+    /// lacks one slot would wait forever.
     fn serves_uncovered_tasks(&self, power: &[f64]) -> bool {
         let mut demand = self.demand.iter().enumerate();
         demand.any(|(i, d)| match d.is_batch() {
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -15,7 +15,8 @@
 /// Number of candidates that one round tries for each machine that may be drained.
 const CANDIDATES_PER_DRAIN: usize = 8;
 
-/// Draining stops once a job has waited longer than this for free resources, in microseconds.
+/// Once a job has waited longer than this for free resources, machines that are being drained take tasks again, in
+/// microseconds.
 const MAX_WAIT_US: Micros = 20 * SECOND;
 
 /// A machine is drained only if more than this fraction of its CPUs is free.
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -14,13 +14,14 @@
     lacks_services: bool,
     /// The machine's free CPUs, in units of [`RESOURCE_TOLERANCE`].
     free_cpus: i64,
-    /// The machine's index among the open machines.
+    /// The machine's index in the list of open machines, those that still have free resources in this round of
+    /// placement.
     index: usize,
 }
 
 impl Scheduler {
-    /// Reserves the wanted headroom for services in each zone: first on machines with replicas of services, then
-    /// on the others. In both groups the machines with the fewest free CPUs come first.
+    /// Reserves the headroom that is to be kept for services in each zone: first on machines with replicas of
+    /// services, then on the others. In both groups the machines with the fewest free CPUs come first.
     pub(crate) fn reserve_headroom(&self, context: &Context, open: &mut [OpenMachine]) {
         let Some((spec, target)) = self.headroom.target() else {
             return;
@@ -29,8 +30,8 @@
         for HeadroomMachine { index, .. } in self.headroom_machines_in_order(context, spec, open) {
             let machine = &mut open[index];
             let in_zone = reserved.entry(machine.zone.clone()).or_insert(0);
-            // Only the wanted headroom is reserved, not whole machines: in a fleet of two machines, nothing would
-            // be left for other jobs.
+            // Only the target of the headroom is reserved, not whole machines: in a fleet of two machines, nothing
+            // would be left for other jobs.
             let replicas = tasks_that_fit(machine.free, spec).min(target - *in_zone);
             *in_zone += replicas;
             machine.headroom = MachineResources::of_task(spec).times(replicas as f64);
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -35,8 +35,8 @@
 const STOP_RETRY_INTERVAL_US: Micros = SECOND;
 
 impl Scheduler {
-    /// Loads the partitions on record into the state of a new leader. Removes all of them if a record cannot be
-    /// read.
+    /// Loads the partitions that were read from the key-value store into the state of a new leader. Removes all of
+    /// them if a record cannot be decoded.
     pub(crate) fn load_partitions(&mut self, context: &Context, map: &PartitionMap) {
         for (id, record) in map.iter() {
             let mut partition = RemotePartition::new(record.record.clone());
@@ -324,7 +324,8 @@
         }
     }
 
-    /// Returns the attempts whose outcome was applied and is on record.
+    /// Returns the attempts in the partition whose outcomes this leader has applied and, as far as they have to be
+    /// recorded, written to the key-value store. The holder may drop them.
     fn attempts_to_acknowledge(&self, id: PartitionId) -> Vec<TaskAttempt> {
         let Some(partition) = self.remote_partitions.by_id.get(&id) else {
             return Vec::new();
@@ -345,7 +346,7 @@
     }
 }
 
-/// Returns whether the assignment is on record and its task is still to be launched.
+/// Returns whether the assignment is durable and its task is still to be launched.
 fn is_launchable(a: &Assignment, jobs: &Jobs, write_buffer: &WriteBuffer) -> bool {
     let job = jobs.get(a.job);
     let is_wanted =
--- a/crates/core/src/scheduler/leader/placement/queue.rs
+++ b/crates/core/src/scheduler/leader/placement/queue.rs
@@ -19,7 +19,7 @@
     pub(super) const PROD: u8 = 2;
     /// Jobs of priority `high`.
     pub(super) const HIGH: u8 = 3;
-    /// Jobs that have starved and catch up.
+    /// Jobs that have starved and catch up: their waiting tasks are placed ahead of those of later levels.
     pub(super) const CATCHING_UP: u8 = 4;
     /// Jobs within their team's guaranteed share, if an objective measures how soon such jobs start.
     pub(super) const GUARANTEED: u8 = 5;
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -22,8 +22,8 @@
 const LIMITS_WRITE_ADVANCE_US: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// Loads the team quotas and the quota grants on record into the state of a new leader. Schedules the deletion
-    /// of grants whose partition does not exist.
+    /// Loads the team quotas and the quota grants that were read from the key-value store into the state of a new
+    /// leader. Schedules the deletion of grants whose partition does not exist.
     pub(crate) fn load_quota(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         if !context.supports_quota_grants() {
             return;
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns whether the quotas in force are on record, so that the writes of holders can be conditional on
-    /// them.
+    /// Returns whether the quotas in force are written to the key-value store, so that the writes of holders can be
+    /// conditional on them.
     pub(crate) fn limits_are_on_record(&self) -> bool {
         self.write_buffer.mod_revisions.contains_key(LIMITS)
             && !self.write_buffer.is_dirty(&RecordId::Limits)
@@ -92,7 +92,7 @@
         self.write_buffer.mark_dirty_by(RecordId::Limits, due);
     }
 
-    /// Returns the quotas in force in the form of a record.
+    /// Returns the quotas of all teams that are in force, as the record that the leader writes to the key-value store.
     pub(crate) fn limits_record(&self) -> LimitsRecord {
         self.leader_quota.limits.in_force().to_record()
     }
@@ -120,7 +120,8 @@
         for team in &lowered {
             self.leader_quota.grants.cancel_unrecorded_growth(team);
         }
-        // A placement that is decided but not being written must not come on record after the lower limit.
+        // A placement that is decided but not being written must not be written to the key-value store after the lower
+        // limit.
         self.undo_unlaunched_placements(context, &lowered);
         self.write_limits(context);
         self.placement.request_round(context.now.steady);
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Returns whether the team's use and its quota grants together exceed its limit.
+    /// Returns whether the resources of a team's tasks and the leader's quota grants to partition holders for the team
+    /// together exceed the team's limit.
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.team_quota(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -25,7 +25,7 @@
 
 impl Scheduler {
     /// Returns the quota grant and the delegated tasks for the partition's holder; `None` while quota grants are not
-    /// supported or no limits are on record. Tasks are delegated only to a holder that is `reconciled`.
+    /// supported or the key-value store has no limits. Tasks are delegated only to a holder that is `reconciled`.
     pub(crate) fn quota_orders(
         &mut self,
         context: &Context,
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Applies the cancellations on record, then those that this controller has learned from later requests or from
-    /// its peers.
+    /// Applies the cancellations that were read from the key-value store, then those that this controller has learned
+    /// from later requests or from its peers.
     pub(crate) fn load_cancellations(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -8,8 +8,8 @@
 //! No task is placed by two controllers. A write of a holder depends on its claim and on the record of the leader
 //! that delegated the task ([`write_conditions`](crate::scheduler::write_conditions)), and that record outlives the
 //! leader by the time to live of its lease. A new leader reads all pages after it has acquired its lease, and from
-//! then on holders write nothing until they have received its orders. The new leader places the tasks that were not
-//! on record by then again.
+//! then on holders write nothing until they have received its orders. The new leader places again those tasks that
+//! were on no page by then.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -19,9 +19,9 @@
 use grebewood_quota::{Resources, TeamQuota};
 
 impl Scheduler {
-    /// Returns whether holders may be given tasks and quota grants now: the limits are on record, the write rate
-    /// suffices for several members, no member has answered that does not support quota grants, and the store has
-    /// not refused a record of them.
+    /// Returns whether holders may be given tasks and quota grants now: the limits are written to the key-value store,
+    /// the write rate suffices for several members, no member has answered that does not support quota grants, and the
+    /// store has not refused a record of them.
     pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         self.enforces_guarantees(context)
             && context.holders_can_write()
--- a/crates/core/src/state/bin_packing.rs
+++ b/crates/core/src/state/bin_packing.rs
@@ -124,7 +124,7 @@
     Denied,
 }
 
-/// A machine with free resources during a round of placement.
+/// An open machine: a machine with free resources on which tasks may be placed in a round of placement.
 pub(crate) struct OpenMachine {
     /// Name of the machine.
     pub name: String,
@@ -136,8 +136,8 @@
     pub spot: bool,
     /// Free resources of the machine, including the headroom.
     pub free: MachineResources,
-    /// Whether tasks were stopped on the machine for a job of higher priority. Tasks of idle priority are then not
-    /// placed on it.
+    /// Whether no tasks of idle priority are placed on the machine, because tasks were stopped on it for a job of
+    /// higher priority.
     pub(crate) excludes_idle_priority: bool,
     /// Part of the free resources that is headroom for services.
     pub headroom: MachineResources,
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -35,9 +35,9 @@
     pub(crate) lease_requested_at: Micros,
     /// Last response of each peer, by the index of the peer in the settings.
     pub(crate) peers: BTreeMap<usize, PeerView>,
-    /// Number of the last question to the peers.
+    /// Number of the last contact requests to the peers.
     pub(crate) last_contact_request: u64,
-    /// Time at which a partition holder that is not the leader asks its peers next.
+    /// Time at which a partition holder that is not the leader next sends contact requests to its peers.
     pub(crate) next_contact_request: Micros,
     /// Highest fencing token of a leader that was read from the key-value store or is this controller's own.
     pub(crate) highest_token: u64,
@@ -124,10 +124,12 @@
 /// Last response of a peer about its contact with the key-value store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerView {
-    /// Time at which the question was sent, in microseconds.
+    /// Time at which the contact request was sent, in microseconds.
     pub(crate) asked_at: Micros,
-    /// Time of the peer's last contact: the time of the question minus the age of the contact in the response; `None`
-    /// if the peer has had no contact.
+    /// Lower bound of the time of the peer's last contact with the key-value store: the time at which the contact
+    /// request was sent minus the age of the contact when the peer responded. The contact may be later by up to the
+    /// duration of the request, but if this time is after the expiry of a lease, so is the contact. `None` if the peer
+    /// has had no contact.
     pub(crate) last_contact: Option<Micros>,
     /// Whether the peer had been without contact for some time when it answered.
     pub(crate) without_contact: bool,
--- a/crates/core/src/state/holder.rs
+++ b/crates/core/src/state/holder.rs
@@ -5,7 +5,8 @@
 use grebewood_wire::peer::{MachineState, TaskAttempt, TaskOutcome};
 use std::collections::BTreeMap;
 
-/// Number of a message with orders. Orders whose number is not higher than the last one are stale.
+/// Number of a message with orders from the leader to this partition holder. Orders whose number is not higher than
+/// that of the last orders that this holder accepted are stale.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OrdersNumber {
     /// Fencing token of the leader that sent the orders.
@@ -26,9 +27,9 @@
 /// State that a holder keeps besides its machines.
 #[derive(Clone, Debug, Default)]
 pub struct HolderState {
-    /// Number of the last orders.
+    /// Number of the last orders that this holder accepted.
     pub(crate) last_orders: OrdersNumber,
-    /// Term of the leader with which the tasks on the machines were reconciled; 0 if there was none yet.
+    /// Fencing token of the leader with which the tasks on the machines were last reconciled; 0 if there was none yet.
     pub(crate) reconciled_leader_token: u64,
     /// Outcomes of ended attempts that the leader has not recorded yet.
     pub(crate) outcomes: BTreeMap<TaskAttempt, TaskOutcome>,
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -42,8 +42,8 @@
 pub struct HolderQuota {
     /// Amounts of each team's limit that the holder may use and that it uses.
     pub grant: HolderGrant,
-    /// Fencing token of the leader whose tasks may be placed, as long as its leader record exists; `None` if no
-    /// leader has sent orders with quota or if another controller may lead.
+    /// Fencing token of the leader whose delegated tasks this holder may place, as long as the leader record exists;
+    /// `None` if no leader has sent orders with quota or if another controller may lead.
     pub leader_token: Option<u64>,
     /// The mod_revision of the limits under which the grant was made; `None` if no limits are in force.
     pub limits_revision: Option<u64>,
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -41,7 +41,7 @@
     ended: VecDeque<String>,
     /// Revision up to which the view is up to date; while the view is being listed, the revision of the first page.
     pub(crate) revision: Option<u64>,
-    /// Prefixes that are not completely listed yet.
+    /// Key prefixes of the job records that are not completely listed yet.
     pub(crate) unlisted_prefixes: Vec<&'static str>,
     /// Last key that was read under the first of the unlisted prefixes.
     pub(crate) last_key: Option<String>,
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -94,7 +94,8 @@
     pub waiting_since: Option<Micros>,
     /// Time at which a task was last placed.
     placed_at: Micros,
-    /// Time at which a task was last placed before the job starved; set while the job catches up.
+    /// Time at which a task was last placed before the job starved; set while the job catches up, that is, while its
+    /// tasks are placed ahead of others after it has starved.
     catch_up: Option<Micros>,
     /// Whether the job has ever starved.
     has_starved: bool,
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -43,9 +43,10 @@
     pub name: String,
     /// Partition whose holder manages the machine; `None` if this controller manages it.
     pub partition: Option<PartitionId>,
-    /// Whether the partition holder counts the machine as capacity.
+    /// On the leader, whether the partition holder reported that it counts the machine as capacity.
     pub counted_as_capacity_by_holder: bool,
-    /// Address at which the agent accepts direct commands; empty while the machine is known from records only.
+    /// Address at which the agent accepts direct commands, which a controller sends outside of responses to
+    /// heartbeats; empty while the machine is known from records only.
     pub address: String,
     /// Name of the machine type.
     pub machine_type: String,
@@ -82,9 +83,10 @@
     pub used: MachineResources,
     /// Tasks that the holder of the machine's partition has yet to place, probably on this machine.
     pub planned: Vec<PlannedTask>,
-    /// Whether the leader has told the holder of the machine's partition to place nothing new on the machine.
+    /// On a partition holder, whether the leader's last orders told it to place nothing new on the machine.
     pub reserved_by_leader: bool,
-    /// Exited attempts whose exits are not acknowledged yet.
+    /// Exited attempts that the agent or, for the leader and a machine in a partition, the partition holder still
+    /// reports, because their exits have not been acknowledged to it yet.
     pub exited_attempts: Vec<ExitedAttempt>,
     /// Time since which the machine has had no assignment.
     pub idle_since: Micros,
--- a/crates/core/src/state/machine/assignment.rs
+++ b/crates/core/src/state/machine/assignment.rs
@@ -82,8 +82,9 @@
     /// not launched. The sequence number is 0 if the holder of the machine's partition sends the launch. An
     /// assignment read back from records counts as launched by an earlier leader or holder and has `(0, 0)`.
     pub launched: Option<(u64, u64)>,
-    /// On the leader, whether the holder of the machine's partition has accepted the assignment. On a holder,
-    /// whether the placement has been reported to the leader or is queued for the next report.
+    /// Has two meanings. On the leader, for a task that it placed: whether the holder of the machine's partition has
+    /// accepted the assignment. On a holder, for a task that it placed itself: whether the placement is durable and is
+    /// reported to the leader or queued for a report.
     pub delivered: bool,
     /// Whether a partition holder placed the task. The assignment is then recorded on a page of that holder and
     /// counts against its quota grant.
--- a/crates/core/src/state/quota.rs
+++ b/crates/core/src/state/quota.rs
@@ -13,7 +13,8 @@
 pub struct LeaderQuota {
     /// Quotas in force.
     pub(crate) limits: LimitsInForce,
-    /// Parts of the teams' limits that are granted to partition holders.
+    /// Parts of the teams' limits that this leader grants to partition holders, the controllers that hold a claim on a
+    /// partition and place delegated tasks there.
     pub(crate) grants: QuotaGrants,
     /// Tasks that are delegated to partition holders and not placed yet.
     pub(crate) delegations: Delegations,
--- a/crates/core/src/state/stats.rs
+++ b/crates/core/src/state/stats.rs
@@ -76,7 +76,7 @@
     runs: BTreeMap<(String, String), Mean>,
     /// Boot times in microseconds, by machine type.
     boots: BTreeMap<String, Mean>,
-    /// Whether anything changed since the record was last written.
+    /// Whether any average has changed since the write of the statistics record was last scheduled.
     pub changed: bool,
 }
 
