--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -30,7 +30,7 @@
     LeaderWithoutPartitions,
     /// No agent of the partition reaches this controller.
     #[error("no agent reaches this controller")]
-    CutOffFromAgents,
+    IsolatedFromAgents,
     /// The partition is no longer in the partition map.
     #[error("the partition is no longer in the partition map")]
     Removed,
@@ -223,7 +223,7 @@
         if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US)
             && holder.is_isolated_from_agents(&self.context)
         {
-            return Some(ReleaseReason::CutOffFromAgents);
+            return Some(ReleaseReason::IsolatedFromAgents);
         }
         self.reason_in_partition_map(id, holder)
             .or_else(|| self.lease_loss(holder).map(ReleaseReason::from))
@@ -269,7 +269,7 @@
             self.context.answer(request, 421, &Redirect { leader });
         }
         self.context.end_lease(holder.lease());
-        if *reason == ReleaseReason::CutOffFromAgents {
+        if *reason == ReleaseReason::IsolatedFromAgents {
             self.partitions.claim_at = self.context.now.steady + CLAIM_PAUSE_WHEN_ISOLATED_US;
         }
     }
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -78,7 +78,7 @@
     /// Returns the key under which the store has, or would have, the cancellation of the job.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
         let legacy = format!("{LEGACY_CANCEL}{id}");
-        if self.write_buffer.is_on_record(&legacy) {
+        if self.write_buffer.is_in_store(&legacy) {
             legacy
         } else {
             cancel_key(id)
@@ -103,7 +103,7 @@
         job.ending = Some(ending);
         let id = job.id.clone();
         let cancellation = self.cancellation_key(&id);
-        if ending == FinalStatus::Aborted && !self.write_buffer.is_on_record(&cancellation) {
+        if ending == FinalStatus::Aborted && !self.write_buffer.is_in_store(&cancellation) {
             // The cancellation is known only from a peer or from a user request. A job ends as cancelled only if the
             // store has its cancellation, so the mod_revision of the cancellation record is read first.
             self.write_buffer.stale_keys.push(cancellation);
--- a/crates/core/src/scheduler/flush/provision_sweep.rs
+++ b/crates/core/src/scheduler/flush/provision_sweep.rs
@@ -49,7 +49,7 @@
         for entry in list.map(|list| list.entries).unwrap_or_default() {
             let machine = entry.key.strip_prefix(PROVISION).unwrap_or_default();
             if self.fleet.provision_record(machine).is_some()
-                || self.write_buffer.is_on_record(&entry.key)
+                || self.write_buffer.is_in_store(&entry.key)
             {
                 continue;
             }
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -52,7 +52,7 @@
     /// Returns the write that deletes a key on the condition that the key has not changed; `None` if there is no
     /// such key.
     fn delete_if_unchanged(&self, key: &str) -> Option<RecordWrite> {
-        self.write_buffer.is_on_record(key).then(|| RecordWrite {
+        self.write_buffer.is_in_store(key).then(|| RecordWrite {
             conditions: vec![self.write_buffer.unchanged_condition(key)],
             operations: vec![delete(key)],
         })
@@ -129,7 +129,7 @@
         // A record in the format of an earlier version. Further records of this kind are left behind, which wastes
         // space but is harmless.
         let legacy = format!("{COMPLETED_TASKS}{}/0", job.id);
-        if self.write_buffer.is_on_record(&legacy)
+        if self.write_buffer.is_in_store(&legacy)
             && write.operations.len() < self.max_transaction_operations
         {
             self.add_deletion(&mut write, &legacy);
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -211,7 +211,7 @@
     carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
     run_holder(&mut controller, &mut holder);
     complete_flush(&mut controller, &mut holder);
-    let on_record = holder.assignments().next().expect("a task").id();
+    let in_store = holder.assignments().next().expect("a task").id();
     carry_out(&mut controller, &mut holder, orders(3, 4, &[1, 2]));
     controller.context.now.steady += SECOND;
     holder.placement.next_at = 0;
@@ -221,8 +221,8 @@
         machine: MACHINE.into(),
         incarnation: 1,
         job: "req-1".into(),
-        task: on_record.task,
-        attempt: on_record.attempt,
+        task: in_store.task,
+        attempt: in_store.attempt,
         expected_us: SECOND,
     };
     let sync = PartitionOrders {
@@ -234,7 +234,7 @@
     assert_eq!(waiting_ranges(&report), []);
     assert_eq!(
         holder.assignments().map(Assignment::id).collect::<Vec<_>>(),
-        [on_record]
+        [in_store]
     );
     assert_eq!(command_count(&controller, &mut holder), 1);
 }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -57,8 +57,8 @@
         }
         let partitions = self.remote_partitions.by_id.keys();
         let grants = partitions.map(|id| quota_grant_key(*id));
-        let on_record = &self.write_buffer.mod_revisions;
-        let grants: Vec<String> = grants.filter(|key| on_record.contains_key(key)).collect();
+        let in_store = &self.write_buffer.mod_revisions;
+        let grants: Vec<String> = grants.filter(|key| in_store.contains_key(key)).collect();
         for key in keys.into_iter().chain(grants) {
             let id = RecordId::Deleted(key.clone());
             self.write_buffer.mark_dirty(id, context.now.steady);
@@ -330,7 +330,7 @@
         let Some(partition) = self.remote_partitions.by_id.get(&id) else {
             return Vec::new();
         };
-        let not_on_record: BTreeSet<TaskAttempt> = self
+        let not_durable: BTreeSet<TaskAttempt> = self
             .machines
             .values()
             .filter(|machine| machine.partition == Some(id))
@@ -340,7 +340,7 @@
             .collect();
         let applied = partition.applied_outcomes.iter().copied();
         applied
-            .filter(|attempt| !not_on_record.contains(attempt))
+            .filter(|attempt| !not_durable.contains(attempt))
             .take(MAX_ORDERS_PER_MESSAGE)
             .collect()
     }
@@ -351,8 +351,8 @@
     let job = jobs.get(a.job);
     let is_wanted =
         job.is_some_and(|job| job.cancelled_at.is_none() && !job.is_task_completed(a.task));
-    let is_on_record = write_buffer.is_durable(&RecordId::AssignmentPage(a.page), a.page_version);
-    a.launched.is_none() && a.stop.is_none() && is_wanted && is_on_record
+    let is_durable = write_buffer.is_durable(&RecordId::AssignmentPage(a.page), a.page_version);
+    a.launched.is_none() && a.stop.is_none() && is_wanted && is_durable
 }
 
 /// Returns the order to stop a task if one is due, and counts it as sent.
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -82,7 +82,7 @@
 
     /// Returns whether the quotas in force are written to the key-value store, so that the writes of holders can be
     /// conditional on them.
-    pub(crate) fn limits_are_on_record(&self) -> bool {
+    pub(crate) fn limits_are_in_store(&self) -> bool {
         self.write_buffer.mod_revisions.contains_key(LIMITS)
             && !self.write_buffer.is_dirty(&RecordId::Limits)
     }
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -31,7 +31,7 @@
 
     /// Returns whether tasks are preempted for teams that are below their guaranteed share.
     pub(crate) fn enforces_guarantees(&self, context: &Context) -> bool {
-        context.supports_quota_grants() && self.limits_are_on_record()
+        context.supports_quota_grants() && self.limits_are_in_store()
     }
 
     /// Returns whether the partition's holder places tasks.
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -300,7 +300,7 @@
     }
 
     /// Returns whether the key is known to be in the store.
-    pub fn is_on_record(&self, key: &str) -> bool {
+    pub fn is_in_store(&self, key: &str) -> bool {
         self.mod_revisions.contains_key(key)
     }
 
