--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -1,4 +1,5 @@
-//! Claims partitions for this controller and releases them.
+//! Claims partitions for this controller and releases them. A claim is a record that the partition holder puts under a
+//! lease; its mod_revision is the fencing token of the holder.
 
 use crate::calls::{status_and_body, CallPurpose, ClaimStep};
 use crate::context::Role;
--- a/crates/core/src/controller/partitions.rs
+++ b/crates/core/src/controller/partitions.rs
@@ -3,9 +3,9 @@
 //! The leader decides for the whole fleet which task runs on which machine, within the teams' quotas. The holder of
 //! a partition answers the heartbeats of its machines under its own fencing token, launches and stops tasks as the
 //! leader orders, and proves which tasks have ended. The leader records every task in the store before it orders the
-//! holder to launch it, so for these tasks the holder keeps nothing in the store but its claim. A partition moves by
-//! a new claim: the next holder learns from the leader which tasks may be on the machines, and from the agents which
-//! tasks are.
+//! holder to launch it, so for these tasks the holder keeps nothing in the store but its claim: a record under a
+//! lease, whose mod_revision is the fencing token. A partition moves by a new claim: the next holder learns from the
+//! leader which tasks may be on the machines, and from the agents which tasks are.
 
 use crate::scheduler::Scheduler;
 use crate::state::partition_map_reader::MapReader;
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -1,5 +1,7 @@
-//! Contact requests to the peers. Their responses decide whether a scheduler without contact with the key-value store
-//! may go on renewing agents' leases, or has lost its own lease.
+//! Contact requests to the peers. A contact request asks a peer how long ago it had contact with the key-value store,
+//! and which cancellations it has confirmed to users. The responses decide whether a scheduler without contact with
+//! the key-value store may go on renewing agents' leases, or has lost its own lease (on the leader record or on the
+//! claim record of a partition).
 
 use crate::calls::CallPurpose;
 use crate::context::Role;
@@ -37,7 +39,7 @@
 /// A peer is assigned no partitions if the contact request that it last answered is older than this.
 const MAX_PEER_RESPONSE_AGE_US: Micros = 3 * SECOND;
 
-/// Why a scheduler may not act under its lease any longer.
+/// Why a scheduler may not act under its lease on the leader record or on a claim record any longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum LeaseLoss {
     /// A peer knows of a leader with a higher fencing token.
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -19,10 +19,13 @@
 /// Why the job of a submission cannot be determined. The texts are sent to users.
 #[derive(Debug, Error)]
 enum UnreadableSubmission {
+    /// The body is no CBOR value.
     #[error(transparent)]
     Undecodable(#[from] wire::DecodeError),
+    /// The body is no CBOR map.
     #[error("not a map")]
     NotAMap,
+    /// The job id is missing or not of the form of a job id.
     #[error("uid: not of the form req-000000")]
     InvalidId,
 }
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -4,6 +4,15 @@
 //! A controller builds this state from the key-value store after it has acquired the lease, and drops all of it
 //! when it loses the lease. Modules under `leader` run for the leader only, those under `holder` for the holder of
 //! a partition only; the others run for both.
+//!
+//! Terms of these modules:
+//! - A fenced lease is a lease in the key-value store with a record attached to it: the leader record for the leader,
+//!   the claim record of the partition for a partition holder. The mod_revision of the record is the fencing token.
+//! - A change is durable once the store is known to have it.
+//! - The leader sends orders to the holder of a partition, which responds with a report.
+//! - The leader may delegate a task to the holder of a partition, which then chooses the machine within its quota
+//!   grant, the part of each team's limit that the leader lets it use.
+//! - A task is proven gone once it neither runs on its machine nor can start there any more.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, Role};
@@ -59,7 +68,7 @@
 pub struct FencedLease {
     /// The fencing token: the mod_revision of the record.
     pub token: u64,
-    /// The id of the lease.
+    /// The id of the lease in the key-value store, to which the record is attached.
     pub lease: u64,
     /// When the lease was requested, in microseconds of the steady clock.
     pub lease_requested_at: Micros,
@@ -70,17 +79,19 @@
 /// The fields are in three groups: those shared by the leader and the holders of partitions, those that only the
 /// leader uses, and those that only a holder uses.
 pub struct Scheduler {
-    // Used by the leader and by holders of partitions: the lease.
+    // Used by the leader and by holders of partitions: the role, and the fenced lease on the leader record or on the
+    // claim record.
     pub(crate) role: Role,
     /// The fencing token.
     pub token: u64,
     pub(crate) lease: u64,
-    /// When the next renewal of the lease is due.
+    /// When the next renewal of the fenced lease is due.
     pub(crate) lease_renewal_at: Micros,
-    /// Whether the process was paused and the lease may have expired in the meantime. Until the lease is confirmed,
-    /// the scheduler launches or stops no task, writes nothing, provisions no machine, and answers no heartbeat.
+    /// Whether the process was paused and the fenced lease may have expired in the meantime. Until the lease is
+    /// confirmed, the scheduler launches or stops no task, writes nothing, provisions no machine, and answers no
+    /// heartbeat.
     pub(crate) is_lease_uncertain: bool,
-    /// When the lease was acquired. All records are read after that.
+    /// When this process acquired the fenced lease. All records are read after that.
     pub(crate) lease_acquired_at: Micros,
 
     // Used by both: records in the key-value store.
@@ -257,17 +268,17 @@
         !context.supports_partitions() || loading.is_none_or(|loading| loading.has_read(PARTITION))
     }
 
-    /// Returns the id of the lease.
+    /// Returns the id of the fenced lease in the key-value store.
     pub(crate) fn lease(&self) -> u64 {
         self.lease
     }
 
-    /// Returns whether the lease may have expired during a pause of the process.
+    /// Returns whether the fenced lease may have expired during a pause of the process.
     pub fn is_lease_uncertain(&self) -> bool {
         self.is_lease_uncertain
     }
 
-    /// Records that the lease still holds, which ends the uncertainty after a pause of the process.
+    /// Records that the fenced lease still holds, which ends the uncertainty after a pause of the process.
     pub(crate) fn confirm_lease(&mut self) {
         if self.is_lease_uncertain {
             self.is_lease_uncertain = false;
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -1,5 +1,7 @@
 //! Detects machines that stopped sending heartbeats or do not receive responses, and derives what that proves about
 //! their tasks.
+//!
+//! The lease of an agent is the time for which it keeps its tasks running without a response from a controller.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -1,4 +1,5 @@
-//! Carries out the leader's orders to the holder of a partition.
+//! Carries out the leader's orders to the holder of a partition: which tasks may be on the machines, which tasks to
+//! launch, to stop and to place, and which outcomes the leader has recorded.
 
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -1,4 +1,8 @@
 //! Decides which tasks the leader delegates to partition holders and which delegated tasks it revokes.
+//!
+//! The holder of a partition places a delegated task on one of the partition's machines. The task is charged to the
+//! holder's quota grant if there are free resources for it. A task may also be delegated to wait for resources and
+//! quota that other tasks will free; these resources are promised to it.
 
 use crate::context::Context;
 use crate::scheduler::leader::placement::tasks::PlacingJob;
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -1,5 +1,6 @@
-//! Consolidation: drains machines whose tasks fit on other machines, so that the drained machines can be
-//! terminated.
+//! Consolidation: drains machines whose tasks fit on other machines, so that the drained machines can be terminated.
+//! A machine that is drained is cordoned, and those of its tasks that write checkpoints and still run long enough are
+//! moved.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
--- a/crates/core/src/scheduler/leader/headroom.rs
+++ b/crates/core/src/scheduler/leader/headroom.rs
@@ -1,4 +1,5 @@
-//! Reserves headroom for services on machines during a placement round.
+//! Reserves headroom for services on machines during a placement round. Headroom is defined in
+//! [`state::headroom`](crate::state::headroom), open machines in [`placement`](super::placement).
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -3,6 +3,8 @@
 //! A placement round serves the waiting jobs in the order of the job queue, as far as the team's limit and the
 //! free resources allow. Each round has a time budget. The round after one that exceeds its budget starts with the
 //! job at which that one stopped.
+//!
+//! A machine is open in a round while it has free CPUs and new tasks may be placed on it.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -1,4 +1,5 @@
-//! Reads the records of a new leader or holder from the key-value store.
+//! Reads the records of a new leader or holder from the key-value store. A record that cannot be decoded is called
+//! unreadable.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::Context;
--- a/crates/core/src/scheduler/timers.rs
+++ b/crates/core/src/scheduler/timers.rs
@@ -7,8 +7,8 @@
 use crate::state::write_buffer::RecordId;
 use crate::{Micros, Stopwatch, Target, SECOND};
 
-/// Number of lease renewals that are sent within the time to live of the lease after a failed renewal, and while it
-/// is uncertain whether the lease still holds.
+/// Number of lease renewals that are sent within the time to live of the lease after a failed renewal, and while it is
+/// uncertain whether the fenced lease still holds.
 pub(crate) const URGENT_RENEWALS_PER_LEASE: Micros = 12;
 
 /// Delay of the write of changed statistics.
@@ -81,7 +81,7 @@
         self.run_progress(context);
     }
 
-    /// Sends a renewal of the lease. The reply may be lost, so the next renewal is sent regardless of it.
+    /// Sends a renewal of the fenced lease. The reply may be lost, so the next renewal is sent regardless of it.
     fn renew_lease(&mut self, context: &mut Context) {
         let renewals = if self.is_lease_uncertain {
             URGENT_RENEWALS_PER_LEASE
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -2,11 +2,11 @@
 //!
 //! The writes of the leader depend on the leader record.
 //!
-//! A holder may write assignments only under its claim, and only while the leader that delegated the tasks is on
-//! record: each of its writes depends on both records. The leader record lasts as long as the leader's lease, so
-//! tasks continue to start for that time after the leader has failed. The next leader reads all pages after it has
-//! acquired its lease, and from then on no write of a holder succeeds until that leader has sent it orders. Thus no
-//! task is placed by two controllers, and a write that the store applies late fails.
+//! A holder may write assignments only while the store has its claim record and the leader record of the leader that
+//! delegated the tasks: each of its writes depends on both records. The leader record lasts as long as the leader's
+//! lease, so tasks continue to start for that time after the leader has failed. The next leader reads all pages after
+//! it has acquired its lease, and from then on no write of a holder succeeds until that leader has sent it orders.
+//! Thus no task is placed by two controllers, and a write that the store applies late fails.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -1,4 +1,5 @@
-//! State that a partition holder keeps about its quota grant and about the tasks that are delegated to it.
+//! State that a partition holder keeps about its quota grant (the part of each team's limit that the leader lets it
+//! use) and about the tasks that are delegated to it.
 
 use crate::Micros;
 use grebewood_quota::HolderGrant;
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -1,5 +1,9 @@
 //! Jobs that have waited for a long time: which of them begin ahead of their turn, which of them catch up, and which
 //! of them preemption spares.
+//!
+//! A job starves if its tasks wait too long without any placement. It then catches up: its tasks are placed ahead of
+//! those of most other jobs (see the levels of the job queue). A job without any placed task begins ahead of its turn
+//! after a shorter time.
 
 use crate::state::jobs::job::Job;
 use crate::{Micros, SECOND};
