--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -35,7 +35,7 @@
     PartitionClaim {
         /// The partition.
         partition: PartitionId,
-        /// How far the claim has come.
+        /// The step.
         step: ClaimStep,
     },
     /// A call whose reply is ignored.
@@ -73,7 +73,7 @@
     }
 }
 
-/// A call of a scheduler. The reply is dropped if the scheduler has lost its lease since.
+/// A call of a scheduler. The reply is dropped if the scheduler has lost its fenced lease since.
 #[derive(Debug)]
 pub enum SchedulerCall {
     /// Renews the lease of the leader record or of the claim record.
@@ -113,7 +113,7 @@
     Orders {
         /// The partition.
         partition: PartitionId,
-        /// The fencing token of the claim that the orders are for.
+        /// The fencing token of the claim on the partition whose holder the orders are for.
         claim: u64,
     },
 }
@@ -125,12 +125,12 @@
     Probe,
     /// Requests a lease.
     Lease,
-    /// Puts the leader record under the lease.
+    /// Puts this controller's leader record under the lease.
     Claim {
         /// The id of the lease that the leader record is put under.
         lease: u64,
     },
-    /// Reads the leader record back after a claim without a clear outcome.
+    /// Reads the leader record back after a put without a clear outcome.
     ReadBack {
         /// The id of the lease that the leader record was put under.
         lease: u64,
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -67,7 +67,8 @@
     pub progress: BTreeMap<String, TaskCounts>,
     /// Its copy of the partition map, and the partitions that it holds or claims.
     pub partitions: Partitions,
-    /// Machines on which cancelled tasks were not proven to have ended when this controller last gave up a lease.
+    /// Machines on which cancelled tasks were not proven to have ended when this controller last stepped down as the
+    /// leader or released a partition.
     pub(crate) unproven_machines: Option<UnprovenMachines>,
     catalogue_reader: CatalogueReader,
     started: bool,
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -34,9 +34,10 @@
 /// What happens to the leader's lease when the leader steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepDownMode {
-    /// The lease is lost or may be lost. It is left to expire.
+    /// The lease on the leader record is lost or may be lost. It is left to expire.
     LeaseLost,
-    /// The lease is still valid. It is ended, and this controller is no candidate for [`ABSTENTION_US`].
+    /// The lease on the leader record is still valid. It is ended, and this controller is no candidate for
+    /// [`ABSTENTION_US`].
     Resign,
 }
 
@@ -110,7 +111,8 @@
     }
 
     /// Deletes a leader record that names this member although this process is not the leader: an earlier
-    /// process of the member put it, or the store applied a claim late. No process acts under its token.
+    /// process of the member put it, or the store put the leader record of this process late. No process acts under
+    /// its token.
     fn delete_own_leader_record(&mut self, token: u64) {
         let transaction = Transaction {
             when: vec![at_revision(LEADER, token)],
@@ -159,7 +161,7 @@
             .post_to_store("/txn", &transaction, CallPurpose::Election(step));
     }
 
-    /// Reads the leader record back after a claim whose outcome is unknown.
+    /// Reads the leader record back after a put whose outcome is unknown.
     fn read_leader_claim_back(&mut self, lease: u64) {
         self.election.request_in_flight = true;
         let step = ElectionStep::ReadBack { lease };
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -38,13 +38,13 @@
     /// The leader has assigned the partition to another member.
     #[error("the partition is assigned to another member")]
     Reassigned,
-    /// The partition map has a claim with a higher fencing token.
+    /// The partition map has a claim on the partition with a higher fencing token than this holder's.
     #[error("another member has claimed the partition")]
     ClaimedByOther,
     /// This controller may not act under the lease of its claim any longer.
     #[error(transparent)]
     LeaseLost(#[from] LeaseLoss),
-    /// The holder's scheduler reported that it lost its lease, with this reason.
+    /// The holder's scheduler reported, with this reason, that it lost its fenced lease.
     #[error("{0}")]
     Scheduler(String),
 }
@@ -98,7 +98,7 @@
         unclaimed.map(|(id, _)| id).collect()
     }
 
-    /// Handles the reply to a request of a claim.
+    /// Handles the reply to a request by which this controller claims a partition.
     pub(crate) fn on_claim_reply(&mut self, id: PartitionId, step: ClaimStep, outcome: Outcome) {
         let (status, body) = status_and_body(outcome);
         match (step, status) {
@@ -111,7 +111,7 @@
                 Ok(applied) => self.become_holder(id, lease, applied.revision),
                 Err(_) => self.read_claim_back(id, lease),
             },
-            // The store may have applied the claim or not: the record that is read back shows it.
+            // The store may have put the claim record or not: the record that is read back shows it.
             (ClaimStep::Claim { lease }, 0) => self.read_claim_back(id, lease),
             (ClaimStep::ReadBack { lease }, 200) => self.on_claim_read_back(id, lease, &body),
             (ClaimStep::Lease, _) => self.on_claim_failed(id, None),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Writes the claim on the conditions that the partition is still assigned to this controller and that the
+    /// Writes the claim record on the conditions that the partition is still assigned to this controller and that the
     /// leader record is still the known one. So no claim is made under a leader that does not support
     /// partitions, and the fencing token of the next leader is higher than that of every earlier claim.
     fn write_claim(&mut self, id: PartitionId, lease: u64) {
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -45,8 +45,8 @@
     }
 
     /// Runs the leader's work for partitions: follows their claims, plans assignments, and sends the orders that
-    /// are due. Steps down once all partitions are removed from the store, or when a holder does not tell which
-    /// tasks were placed before its claim.
+    /// are due. Steps down once all partitions are removed from the store, or when a holder does not tell which tasks
+    /// were placed before its claim on the partition.
     pub(crate) fn run_leader_partitions(&mut self) {
         let now = self.context.now.steady;
         let planning_due = self
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -229,7 +229,8 @@
                 leader.confirm_lease();
             }
         }
-        // The claims still hold if no peer had contact at a moment at which one of them could have expired.
+        // This controller's claims still hold if no peer had contact with the store at a time at which the lease of
+        // one of them could have expired.
         let valid_until = contact_lost_at + self.context.tuning.leader_lease_us / 2;
         let claims_valid = peers
             .iter()
--- a/crates/core/src/controller/unproven_machines.rs
+++ b/crates/core/src/controller/unproven_machines.rs
@@ -1,4 +1,5 @@
-//! Machines on which cancelled tasks were not proven to have ended when this controller last gave up a lease.
+//! Machines on which cancelled tasks were not proven to have ended when this controller last stepped down as the
+//! leader or released a partition.
 
 use crate::calls::CallPurpose;
 use crate::controller::peer_contact::STORE_CONTACT_TIMEOUT_US;
@@ -11,7 +12,8 @@
 use grebewood_wire::http::MachineNames;
 use log::info;
 
-/// Delay after giving up a lease until unproven machines are terminated, if there is no contact with the store then.
+/// Delay after stepping down or releasing a partition until unproven machines are terminated, if there is no contact
+/// with the store then.
 const TERMINATION_DELAY_US: Micros = 3 * SECOND;
 
 /// Timeout of a request to the cloud to terminate machines.
@@ -21,7 +23,8 @@
 const MISSED_HEARTBEATS: Micros = 2;
 
 impl Controller {
-    /// Keeps the names of the unproven machines of a scheduler that gives up its lease.
+    /// Keeps the names of the unproven machines of a scheduler that this controller stops, because it steps down as
+    /// the leader or releases the partition.
     pub(crate) fn keep_unproven_machines(&mut self, scheduler: &Scheduler) {
         let now = self.context.now.steady;
         let silence = MISSED_HEARTBEATS * self.context.settings.heartbeat_interval;
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,9 +1,9 @@
 //! The state of a controller that manages machines under a fenced lease, as the leader or as the holder of a
 //! partition.
 //!
-//! A controller builds this state from the key-value store after it has acquired the lease, and drops all of it
-//! when it loses the lease. Modules under `leader` run for the leader only, those under `holder` for the holder of
-//! a partition only; the others run for both.
+//! A controller builds this state from the key-value store after it has acquired the fenced lease, and drops all of it
+//! when it loses that lease. Modules under `leader` run for the leader only, those under `holder` for the holder of a
+//! partition only; the others run for both.
 //!
 //! Terms of these modules:
 //! - A fenced lease is a lease in the key-value store with a record attached to it: the leader record for the leader,
@@ -128,7 +128,7 @@
     pub stats: Stats,
     /// State of the placement rounds.
     pub placement: PlacementState,
-    /// Count of the attempt numbers allocated under this lease.
+    /// Count of the attempt numbers allocated under this fenced lease.
     allocated_attempts: u64,
 
     // Used by both: machines and their agents.
@@ -300,7 +300,7 @@
         (self.token << ATTEMPT_COUNTER_BITS) + self.allocated_attempts
     }
 
-    /// Returns whether the attempt number was allocated under this lease.
+    /// Returns whether the attempt number was allocated under this fenced lease.
     pub(crate) fn has_allocated_attempt(&self, attempt: u64) -> bool {
         attempt >> ATTEMPT_COUNTER_BITS == self.token
     }
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -81,7 +81,7 @@
         if let Some(at) = self.fleet.terminated.get(name) {
             let max_listed_time = 4 * context.settings.machine_list_lag + 30 * SECOND;
             if now.saturating_sub(*at) > max_listed_time {
-                // The machine still exists long after its termination was answered, so it is terminated again.
+                // The machine still exists long after the cloud confirmed its termination, so it is terminated again.
                 self.fleet.terminated.remove(name);
                 self.fleet.terminate(name, now);
             }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -82,7 +82,8 @@
             let Some(observed) = map.get(*id) else {
                 continue;
             };
-            // The map may be older than a claim that this leader has read itself.
+            // This controller's copy of the map may be older than a claim on the partition that this leader has read
+            // itself.
             let known_token = partition.claim_token();
             let has_changed = match &observed.claim {
                 Some(claim) => known_token.is_none_or(|known| claim.token > known),
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -17,9 +17,9 @@
 const HIGH_WRITE_ADVANCE_US: Micros = 10 * SECOND;
 
 impl Scheduler {
-    /// Assigns a task to a machine. The machine is told to launch the task once the assignment is durable.
-    /// `attempt` is the attempt number, and `expected_stay` is how long the task is expected to stay on the machine, in
-    /// microseconds.
+    /// Assigns a task to a machine. The launch is sent to the agent of the machine once the assignment is durable.
+    /// `attempt` is the attempt number, and `expected_stay` is how long the task is expected to stay on the machine,
+    /// in microseconds.
     pub(crate) fn create_assignment(
         &mut self,
         context: &Context,
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -31,7 +31,7 @@
     pub(crate) abstain_until: Micros,
     /// Incarnation of this process, which distinguishes it from an earlier process of the same member.
     pub(crate) incarnation: u64,
-    /// Time at which a lease was last requested.
+    /// Time at which a lease for a candidacy was last requested.
     pub(crate) lease_requested_at: Micros,
     /// Last response of each peer, by the index of the peer in the settings.
     pub(crate) peers: BTreeMap<usize, PeerView>,
--- a/crates/core/src/state/holder.rs
+++ b/crates/core/src/state/holder.rs
@@ -39,7 +39,7 @@
     pub(crate) state_version: u64,
     /// Cancelled jobs, each with the time at which this controller learned of the cancellation.
     pub(crate) cancelled: BTreeMap<String, Micros>,
-    /// Number of heartbeats answered since the claim.
+    /// Number of heartbeats that this holder has answered since its claim on the partition.
     pub(crate) heartbeats: u64,
 }
 
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -64,7 +64,7 @@
     pub incarnation: u64,
     /// Sequence number of the newest status within the incarnation.
     pub sequence: u64,
-    /// Whether the agent has shown that it knows our fencing token.
+    /// Whether the agent has shown that it knows this scheduler's fencing token.
     pub knows_token: bool,
     /// Incarnation and sequence number of the newest heartbeat. The response to a direct command may overtake a
     /// heartbeat, so the newest status is not always that of a heartbeat.
@@ -73,7 +73,8 @@
     pub last_heartbeat_at: Micros,
     /// Time of the last heartbeat or response to a direct command.
     pub last_contact_at: Micros,
-    /// Time of our last response to a heartbeat. The lease of the agent expires at most a lease duration later.
+    /// Time of this controller's last response to a heartbeat. The lease of the agent expires at most a lease duration
+    /// later.
     pub last_response_at: Micros,
     /// Time at which the cloud reclaims the machine, if it has announced that.
     pub reclaim_at: Option<Micros>,
@@ -111,11 +112,11 @@
     pub idle_excluded_until: Micros,
     /// Time at which the cloud's machine list first showed the machine.
     pub first_listed_at: Option<Micros>,
-    /// Whether our responses reach the machine, as far as its heartbeats show. A machine may send heartbeats
-    /// although no response reaches it, and copies of its heartbeats may arrive after it is gone. It gets no tasks
-    /// in either case.
+    /// Whether this controller's responses reach the machine, as far as its heartbeats show. A machine may send
+    /// heartbeats although no response reaches it, and copies of its heartbeats may arrive after it is gone. It gets
+    /// no tasks in either case.
     pub receives_responses: bool,
-    /// Time since which the machine has sent heartbeats without a sign that our responses reach it.
+    /// Time since which the machine has sent heartbeats without a sign that this controller's responses reach it.
     pub unreachable_since: Option<Micros>,
 }
 
@@ -317,8 +318,8 @@
     }
 
     /// Returns whether the autoscaler counts the machine as capacity. A machine counts for a limited time even if it
-    /// has not shown yet that our responses reach it. For a new leader this is so for every machine; if they did not
-    /// count, the leader would provision a second fleet.
+    /// has not shown yet that this controller's responses reach it. For a new leader this is so for every machine; if
+    /// they did not count, the leader would provision a second fleet.
     pub fn counts_as_capacity(&self, now: Micros, max_silence: Micros) -> bool {
         let unreachable_for = self
             .unreachable_since
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -10,12 +10,12 @@
 /// Weight of the latest heartbeat rate in the smoothed load of a partition.
 const LOAD_SMOOTHING: Load = 0.2;
 
-/// Claim whose holder receives the orders of a partition.
+/// A claim on a partition, whose holder receives the orders for the partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RemoteClaim {
     /// Name of the member that holds the partition.
     pub(crate) member: String,
-    /// Fencing token of the claim.
+    /// Fencing token of the claim on the partition.
     pub(crate) token: u64,
 }
 
@@ -41,7 +41,7 @@
 pub(crate) struct RemotePartition {
     /// Partition record as it is to be written.
     pub(crate) record: PartitionRecord,
-    /// Claim that orders are sent to.
+    /// Claim on the partition, to whose holder orders are sent; `None` if there is no claim.
     pub(crate) claim: Option<RemoteClaim>,
     /// Whether the holder knows all tasks that may be on the machines.
     pub(crate) reconciled: bool,
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Returns the fencing token of the claim.
+    /// Returns the fencing token of the claim on the partition.
     pub(crate) fn claim_token(&self) -> Option<u64> {
         self.claim.as_ref().map(|claim| claim.token)
     }
 
-    /// Handles a change of the claim. All state that was learned from the previous holder is dropped, since nothing
-    /// is known about the new one.
+    /// Handles a change of the claim on the partition. All state that was learned from the previous holder is dropped,
+    /// since nothing is known about the new one.
     pub(crate) fn on_claim_changed(&mut self, claim: Option<RemoteClaim>) {
         self.claim = claim;
         self.reconciled = false;
--- a/crates/core/src/state/unproven_machines.rs
+++ b/crates/core/src/state/unproven_machines.rs
@@ -1,9 +1,10 @@
-//! Machines on which cancelled tasks may still run after this controller has given up a role.
+//! Machines on which cancelled tasks may still run after this controller has stepped down as the leader or released a
+//! partition.
 
 use crate::Micros;
 
 /// Machines on which cancelled tasks were not proven to have ended when this controller stepped down as the leader
-/// or gave up a partition.
+/// or released a partition.
 #[derive(Debug)]
 pub(crate) struct UnprovenMachines {
     /// Names of the machines.
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -1,10 +1,10 @@
 //! Write buffer: tracks which records still have to be written to the key-value store and which are durable.
 //!
 //! Each change of a record gets the next number of a sequence as its version. A flush writes the current content of
-//! several records in one transaction, on the condition that the lease is still held and that each key still has its
-//! known mod_revision. The second condition guards against a transaction whose outcome was unknown and which the
-//! store applies late. Either the late transaction is applied before the next write of the same key, which then
-//! fails and is repeated, or the late transaction itself fails.
+//! several records in one transaction, on the conditions that the fenced lease (of the leader or of the partition
+//! holder) is still held and that each key still has its known mod_revision. The second condition guards against a
+//! transaction whose outcome was unknown and which the store applies late. Either the late transaction is applied
+//! before the next write of the same key, which then fails and is repeated, or the late transaction itself fails.
 //!
 //! Content that moves from one record to another is written to the new record first. The old record waits until that
 //! write is durable ([`WriteBuffer::wait_for`]), so that the content is in the store at every moment. If the store
