--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -146,7 +146,7 @@
     List,
     /// Provisions a machine.
     Provision {
-        /// The name of the provision request, under which it can be repeated.
+        /// The name of the provisioning request, under which it can be repeated.
         name: String,
     },
     /// Terminates machines.
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -214,7 +214,7 @@
         view.next_request = now + RETRY_AFTER_FAILURE_US;
         view.refresh_at = now + REFRESH_RETRY_INTERVAL_US;
         if status != 0 && status != 429 {
-            // The store no longer has the changes, or they cannot be read: the view is listed again.
+            // The store no longer has the changes, or they cannot be decoded: the view is listed again.
             view.reset();
         }
     }
@@ -234,7 +234,7 @@
     /// Continues a request after an update of the view that was requested after the request arrived.
     fn continue_with_fresh_view(&mut self, mut request: UserRequest) {
         // A cancellation without a job record, which an earlier version may have left behind, is no live job. A
-        // job whose record cannot be read (0 tasks in the view) cannot run, but counts as live: otherwise
+        // job whose record cannot be decoded (0 tasks in the view) cannot run, but counts as live: otherwise
         // requests about it would never be answered.
         let live = self.job_view.get(&request.job);
         let Some(live) = live.filter(|job| job.mod_revision > 0) else {
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -119,7 +119,7 @@
     pub jobs: Jobs,
     /// Ids of the jobs that ended most recently, so that a list which predates their end does not add them again.
     recently_ended: VecDeque<String>,
-    /// Keys of the job records that cannot be read.
+    /// Keys of the job records that cannot be decoded.
     unreadable_job_keys: Vec<String>,
     /// Ids of jobs that are marked as cancelled although the store has no cancellation for them. Whether such a job
     /// has already ended is read before the mark is removed.
@@ -169,7 +169,7 @@
     /// Number of progress rounds so far, with or without a message.
     progress_round: u32,
     next_stats_at: Micros,
-    /// When the provision requests in the store are next compared with those of this leader.
+    /// When the provisioning requests in the store are next compared with those of this leader.
     provision_sweep_at: Micros,
     /// When these comparisons end.
     provision_sweep_until: Micros,
@@ -245,7 +245,7 @@
         max_page_bytes(self.max_value_bytes)
     }
 
-    /// Returns whether a machine may have a task of a job whose record cannot be read.
+    /// Returns whether a machine may have a task of a job whose record cannot be decoded.
     pub(crate) fn has_unreadable_tasks(&self) -> bool {
         // The team of such a task is unknown.
         !self.unreadable_job_keys.is_empty() && self.assignments().any(|a| a.team.is_empty())
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -233,7 +233,7 @@
     a.observed_status != ObservedStatus::Never && a.stop.is_none()
 }
 
-/// Returns the team quotas from their record; `None` if the record cannot be read.
+/// Returns the team quotas from their record; `None` if the record cannot be decoded.
 fn recorded_limits(value: &Value) -> Option<Limits> {
     match from_value::<LimitsRecord>(value) {
         Ok(record) => Some(Limits::from_teams(&record.teams)),
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -32,7 +32,7 @@
 enum LoadedJob {
     /// The record of the job has been read.
     Known(JobIndex),
-    /// The record of the job cannot be read.
+    /// The record of the job cannot be decoded.
     Unreadable,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Handles a page that cannot be read. Its assignments are unknown, so no task is started until every machine
+    /// Handles a page that cannot be decoded. Its assignments are unknown, so no task is started until every machine
     /// has had time to send a heartbeat or to be terminated.
     fn on_unreadable_page(&mut self, context: &Context, key: &str, number: Option<u64>) {
         error!(key = key; "cannot decode an assignment page; placing no task until all machines have had time to send a heartbeat");
@@ -183,7 +183,7 @@
 }
 
 fn recovered_assignment(page: LoadedPage, job: LoadedJob, task: TaskOnMachine) -> Assignment {
-    // If the record of the job cannot be read, neither its team nor its resources are known. Its tasks are stopped,
+    // If the record of the job cannot be decoded, neither its team nor its resources are known. Its tasks are stopped,
     // and no task is placed until they are proven gone.
     let stop = match job {
         LoadedJob::Known(_) => None,
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -26,7 +26,7 @@
 /// Pause after a failed request.
 const RETRY_PAUSE_US: Micros = 300 * MILLI;
 
-/// Pause after a response that cannot be read.
+/// Pause after a response that cannot be decoded.
 const UNREADABLE_PAUSE_US: Micros = SECOND;
 
 const HTTP_GONE: u16 = 410;
--- a/crates/core/src/state/assignment_pages.rs
+++ b/crates/core/src/state/assignment_pages.rs
@@ -21,7 +21,7 @@
     pub(crate) machines: BTreeMap<String, usize>,
     /// Upper bound of the size of the page record in its JSON form.
     pub(crate) bytes: usize,
-    /// Whether the page record cannot be read. Such a page takes no further assignments.
+    /// Whether the page record cannot be decoded. Such a page takes no further assignments.
     pub unreadable: bool,
     /// Whether the page takes no further assignments because its write may have to wait for that of another page.
     pub(crate) closed: bool,
--- a/crates/core/src/state/completed_tasks.rs
+++ b/crates/core/src/state/completed_tasks.rs
@@ -17,7 +17,7 @@
     /// Size of the page record once all tasks of its spans are completed.
     bytes: usize,
     /// Whether the page takes no further spans, because its write may have to wait for that of another page or
-    /// because its record cannot be read.
+    /// because its record cannot be decoded.
     closed: bool,
 }
 
@@ -99,7 +99,7 @@
             page.closed |= page.bytes > page_bytes;
         }
         for from in 0..self.pages.len() {
-            // A page whose record could not be read has no spans.
+            // A page whose record could not be decoded has no spans.
             while self.pages[from].bytes > page_bytes && self.pages[from].spans.len() > 1 {
                 let Some((index, span)) = self.pages[from].spans.pop_last() else {
                     break;
@@ -118,7 +118,7 @@
     }
 
     /// Closes a page, which then takes no further spans, because its write waits for that of another page or because
-    /// its record cannot be read.
+    /// its record cannot be decoded.
     pub fn close_page(&mut self, page: u64) {
         self.page_mut(page).closed = true;
     }
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -11,7 +11,7 @@
 /// A live job in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LiveJob {
-    /// Number of tasks of the job; 0 if the job record cannot be read.
+    /// Number of tasks of the job; 0 if the job record cannot be decoded.
     pub tasks: u64,
     /// The mod_revision of the job record; 0 if only the cancellation was read.
     pub mod_revision: u64,
--- a/crates/core/src/state/jobs/admission.rs
+++ b/crates/core/src/state/jobs/admission.rs
@@ -30,7 +30,7 @@
 }
 
 /// Checks that the job's record fits into a value of the key-value store, which holds up to `value_bytes` bytes.
-/// Without this check the store would reject a larger record every time, and the user would be told to retry each
+/// Without this check the store would refuse a larger record every time, and the user would be told to retry each
 /// time.
 pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), SubmissionRejection> {
     let record = JobRecord {
--- a/crates/core/src/state/placement.rs
+++ b/crates/core/src/state/placement.rs
@@ -14,7 +14,7 @@
     pub is_round_requested: bool,
     /// Job with which the next round begins because the last round ran out of time before it.
     pub(crate) resume_with: Option<JobIndex>,
-    /// Time before which nothing is placed, because an assignment page could not be read.
+    /// Time before which nothing is placed, because an assignment page could not be decoded.
     pub blocked_until: Micros,
     /// Time at which the next round of preemption is due.
     pub(crate) next_preemption: Micros,
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -8,7 +8,7 @@
 //!
 //! Content that moves from one record to another is written to the new record first. The old record waits until that
 //! write is durable ([`WriteBuffer::wait_for`]), so that the content is in the store at every moment. If the store
-//! rejects a transaction as invalid, each of its records is written alone from then on ([`WriteBuffer::isolate`]),
+//! refuses a transaction as invalid, each of its records is written alone from then on ([`WriteBuffer::isolate`]),
 //! so that a single bad record cannot prevent the writes of others.
 
 use crate::state::jobs::JobIndex;
@@ -149,7 +149,7 @@
     pub stale_keys: Vec<String>,
     /// Record versions that must be durable before a record may be written, by that record.
     prerequisites: BTreeMap<RecordId, Vec<RecordVersion>>,
-    /// Records of transactions that the store rejected as invalid. Each of them is written alone.
+    /// Records of transactions that the store refused as invalid. Each of them is written alone.
     isolated: BTreeSet<RecordId>,
 }
 
@@ -232,7 +232,7 @@
         waits
     }
 
-    /// Makes each of these records be written alone from now on, because the store rejected their transaction as
+    /// Makes each of these records be written alone from now on, because the store refused their transaction as
     /// invalid.
     pub fn isolate(&mut self, records: &[RecordVersion]) {
         let records = records.iter().map(|(record, _)| record.clone());
