--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -124,7 +124,7 @@
     /// Ids of jobs that are marked as cancelled although the store has no cancellation for them. Whether such a job
     /// has already ended is read before the mark is removed.
     unconfirmed_cancellations: BTreeSet<String>,
-    /// Averages of observed run times and startup times.
+    /// Averages of observed run times and boot times.
     pub stats: Stats,
     /// State of the placement rounds.
     pub placement: PlacementState,
