--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -1,6 +1,6 @@
 //! The setup lines of a script.
 
-use super::configuration::{finished_within, WALL_CLOCK_START_US};
+use super::configuration::{finished_within, WALL_CLOCK_START};
 use super::World;
 use crate::error::{ScenarioError, ScriptError, StepResult};
 use crate::script::Directive;
@@ -104,7 +104,7 @@
             })?;
         }
         let age = directive.duration("age", 0.0)?;
-        self.configuration.wall_clock_start = WALL_CLOCK_START_US + age;
+        self.configuration.wall_clock_start = WALL_CLOCK_START + age;
         Ok(())
     }
 
