--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -24,10 +24,10 @@
     Catalogue(CatalogueSource),
     /// A contact request, which asks a peer for its contact with the store and the cancellations that it confirmed.
     Contact {
-        /// The peer's place among the siblings in the settings.
+        /// The peer's index among the siblings in the settings.
         peer: usize,
         /// The number of the contact request.
-        question: u64,
+        number: u64,
     },
     /// A read that updates the controller's copy of the partition map.
     PartitionMap(MapCall),
@@ -35,7 +35,7 @@
     PartitionClaim {
         /// The partition.
         partition: PartitionId,
-        /// How far the claim has come.
+        /// The step.
         step: ClaimStep,
     },
     /// A call whose reply is ignored.
@@ -43,7 +43,7 @@
 }
 
 impl CallPurpose {
-    /// Returns whether an answer to the call shows contact with the store.
+    /// Returns whether a response to the call shows contact with the store.
     pub(crate) fn shows_store_contact(&self) -> bool {
         match self {
             CallPurpose::Election(_)
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the status and body of an answer; without an answer the status is 0 and the body empty.
+/// Returns the status and body of a response; without a response the status is 0 and the body empty.
 pub(crate) fn status_and_body(outcome: Outcome) -> (u16, Vec<u8>) {
     match outcome {
         Outcome::Answer { status, body } => (status, body),
@@ -73,10 +73,10 @@
     }
 }
 
-/// A call of a scheduler. The reply is dropped if the scheduler has lost its lease since.
+/// A call of a scheduler. The reply is dropped if the scheduler has lost its fenced lease since.
 #[derive(Debug)]
 pub enum SchedulerCall {
-    /// Renews the lease.
+    /// Renews the lease of the leader record or of the claim record.
     RenewLease,
     /// Reads a page of the keys with a prefix.
     List {
@@ -104,7 +104,7 @@
     },
     /// A call to the cloud.
     Cloud(CloudCall),
-    /// Sends commands to an agent that has no heartbeat waiting for an answer.
+    /// Sends a direct command to an agent: commands outside of the response to a heartbeat.
     DirectCommands {
         /// The agent's machine.
         machine: String,
@@ -113,7 +113,7 @@
     Orders {
         /// The partition.
         partition: PartitionId,
-        /// The fencing token of the claim that the orders are for.
+        /// The fencing token of the claim on the partition whose holder the orders are for.
         claim: u64,
     },
 }
@@ -125,14 +125,14 @@
     Probe,
     /// Requests a lease.
     Lease,
-    /// Puts the leader record under the lease.
+    /// Puts this controller's leader record under the lease.
     Claim {
-        /// The lease that the record is put under.
+        /// The id of the lease that the leader record is put under.
         lease: u64,
     },
-    /// Reads the leader record back after a claim without a clear outcome.
+    /// Reads the leader record back after a put without a clear outcome.
     ReadBack {
-        /// The lease that the record was put under.
+        /// The id of the lease that the leader record was put under.
         lease: u64,
     },
 }
@@ -146,7 +146,7 @@
     List,
     /// Provisions a machine.
     Provision {
-        /// The name of the provision request, under which it can be repeated.
+        /// The name of the provisioning request, under which it can be repeated.
         name: String,
     },
     /// Terminates machines.
@@ -190,14 +190,14 @@
 pub enum ClaimStep {
     /// Requests a lease.
     Lease,
-    /// Puts the claim under the lease.
+    /// Puts the claim record of this controller under the lease.
     Claim {
-        /// The lease that the claim is put under.
+        /// The id of the lease that the claim record of this controller is put under.
         lease: u64,
     },
-    /// Reads the claim back after a put without a clear outcome.
+    /// Reads the claim record back after a put without a clear outcome.
     ReadBack {
-        /// The lease that the claim was put under.
+        /// The id of the lease that the claim record of this controller was put under.
         lease: u64,
     },
 }
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Timeout of a call to the store, unless the caller sets another one.
-pub const STORE_TIMEOUT: Micros = 1_500 * MILLI;
+pub const STORE_CALL_TIMEOUT_US: Micros = 1_500 * MILLI;
 
 /// Lowest write rate of a member, in puts a second, at which holders write assignments. Below it the leader places
 /// all tasks.
@@ -79,7 +79,7 @@
     pub holder_writes: RateLimiter,
     /// Rate limit of requests to the cloud.
     pub cloud_requests: RateLimiter,
-    /// Time of the store's last answer, in microseconds of the steady clock.
+    /// Time of the store's last response, in microseconds of the steady clock.
     pub last_store_contact: Option<Micros>,
     /// Time at which this process last resumed after a pause. A reply to a call that was made before may have
     /// waited in this process during the pause, so it does not count as contact with the store and does not prove
@@ -140,7 +140,7 @@
     }
 
     /// Records that the process resumes after a pause.
-    pub(crate) fn note_resumed(&mut self) {
+    pub(crate) fn record_resume(&mut self) {
         self.resumed_at = self.now.steady;
     }
 
@@ -171,7 +171,14 @@
     /// Sends a GET request to the store.
     pub fn get_from_store(&mut self, path: String, purpose: CallPurpose) -> u64 {
         let nothing = Vec::new();
-        self.call(Target::Store, "GET", path, nothing, STORE_TIMEOUT, purpose)
+        self.call(
+            Target::Store,
+            "GET",
+            path,
+            nothing,
+            STORE_CALL_TIMEOUT_US,
+            purpose,
+        )
     }
 
     /// Reads one key of the store.
@@ -191,7 +198,7 @@
             "POST",
             path.to_string(),
             wire::to_cbor(body),
-            STORE_TIMEOUT,
+            STORE_CALL_TIMEOUT_US,
             purpose,
         )
     }
@@ -219,7 +226,7 @@
         });
     }
 
-    /// Returns the time since the store's last answer, in microseconds; `None`: it never answered.
+    /// Returns the time since the store's last response, in microseconds; `None`: it never answered.
     pub fn store_contact_age(&self) -> Option<Micros> {
         self.last_store_contact
             .map(|at| self.now.steady.saturating_sub(at))
@@ -273,7 +280,7 @@
             "DELETE",
             format!("/leases/{lease}"),
             Vec::new(),
-            STORE_TIMEOUT,
+            STORE_CALL_TIMEOUT_US,
             CallPurpose::Ignore,
         );
     }
--- a/crates/core/src/controller/catalogue.rs
+++ b/crates/core/src/controller/catalogue.rs
@@ -9,10 +9,10 @@
 use log::warn;
 
 /// Interval between two attempts to read the catalogue.
-const RETRY_INTERVAL: Micros = 500 * MILLI;
+const RETRY_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Timeout of a request to the cloud for the machine types.
-const CLOUD_TIMEOUT: Micros = 3 * SECOND;
+const CLOUD_TIMEOUT_US: Micros = 3 * SECOND;
 
 impl Controller {
     /// Requests the catalogue if it is not known and an attempt is due.
@@ -21,20 +21,20 @@
         if self.context.catalogue.is_some() || now < self.catalogue_reader.next_attempt {
             return;
         }
-        self.catalogue_reader.next_attempt = now + RETRY_INTERVAL;
+        self.catalogue_reader.next_attempt = now + RETRY_INTERVAL_US;
         match self.catalogue_reader.source {
             CatalogueSource::Store => {
                 let purpose = CallPurpose::Catalogue(CatalogueSource::Store);
                 self.context.read_key(CATALOGUE_KEY, purpose);
             }
             CatalogueSource::Cloud => {
-                if self.context.cloud_requests.take(now, 1.0) {
+                if self.context.cloud_requests.try_acquire(now, 1.0) {
                     self.context.call(
                         Target::Cloud,
                         "GET",
                         "/machine_types".into(),
                         Vec::new(),
-                        CLOUD_TIMEOUT,
+                        CLOUD_TIMEOUT_US,
                         CallPurpose::Catalogue(CatalogueSource::Cloud),
                     );
                 }
@@ -62,7 +62,7 @@
             }
             Ok(_) => self.catalogue_reader.source = other_source,
             Err(e) => {
-                warn!(error:% = e; "unreadable catalogue of machine types");
+                warn!(error:% = e; "cannot decode the catalogue of machine types");
                 self.catalogue_reader.source = other_source;
             }
         }
--- a/crates/core/src/controller/job_view.rs
+++ b/crates/core/src/controller/job_view.rs
@@ -1,7 +1,7 @@
 //! Keeps the view of the live jobs up to date and answers users from it.
 //!
 //! The store's rate limit is far too low for one read per status poll. Requests that need the state of a job wait,
-//! mostly for a few milliseconds, for one `GET /changes` that is sent after they arrived. Its answer brings the view
+//! mostly for a few milliseconds, for one `GET /changes` that is sent after they arrived. Its response brings the view
 //! up to date as of a moment after their arrival, and all of them are answered at once. So no controller gives an
 //! answer that is older than another controller's. A view that has missed too many changes is listed again. Without
 //! requests the view is updated every second, so that the controller knows of all cancellations up to a recent
@@ -17,23 +17,23 @@
 use log::debug;
 
 /// Shortest interval between two requests to the store.
-const MIN_INTERVAL: Micros = 60 * MILLI;
+const MIN_INTERVAL_US: Micros = 60 * MILLI;
 
 /// Reads that the rate limit must allow for between two requests for the view: the view takes half of the reads at
 /// most, and the rest is for final records, submissions and cancellations.
 const READS_BETWEEN_REQUESTS: f64 = 2.0;
 
 /// Interval between two updates of the view without users' requests.
-const REFRESH_INTERVAL: Micros = SECOND;
+const REFRESH_INTERVAL_US: Micros = SECOND;
 
 /// Interval until the next update of the view without users' requests, after an update that failed.
-const REFRESH_RETRY_INTERVAL: Micros = 500 * MILLI;
+const REFRESH_RETRY_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Delay until the next request after the store refused one, or after a page of the list could not be read.
-const RETRY_AFTER_REFUSAL: Micros = 200 * MILLI;
+const RETRY_AFTER_REFUSAL_US: Micros = 200 * MILLI;
 
 /// Delay until the next request after a request for changes that failed otherwise.
-const RETRY_AFTER_FAILURE: Micros = 100 * MILLI;
+const RETRY_AFTER_FAILURE_US: Micros = 100 * MILLI;
 
 /// Most entries on one page of the list.
 const MAX_PAGE_ENTRIES: usize = 400;
@@ -56,17 +56,17 @@
         if view.request_in_flight || now < view.next_request || !wanted {
             return;
         }
-        if !self.context.user_reads.take(now, 1.0) {
+        if !self.context.user_reads.try_acquire(now, 1.0) {
             view.next_request = self.context.user_reads.ready_at(now, 1.0);
             return;
         }
-        if !view.built && view.unlisted_prefixes.is_empty() {
+        if !view.is_fully_listed && view.unlisted_prefixes.is_empty() {
             view.reset();
         }
         view.request_in_flight = true;
         view.next_request =
-            now + MIN_INTERVAL.max(self.context.user_reads.refill_time(READS_BETWEEN_REQUESTS));
-        view.refresh_at = now + REFRESH_INTERVAL;
+            now + MIN_INTERVAL_US.max(self.context.user_reads.refill_time(READS_BETWEEN_REQUESTS));
+        view.refresh_at = now + REFRESH_INTERVAL_US;
         self.request_job_view();
     }
 
@@ -115,7 +115,7 @@
         self.job_view.request_in_flight = false;
         let (status, body) = match outcome {
             Outcome::Answer { status, body } => (status, body),
-            // The same request would get the same answer every time. So the view is listed again, page by page, as
+            // The same request would get the same response every time. So the view is listed again, page by page, as
             // when the store no longer has the changes (status 410).
             Outcome::TooLarge => (410, Vec::new()),
             Outcome::Unknown | Outcome::NotSent => (0, Vec::new()),
@@ -134,9 +134,9 @@
         match wire::from_cbor::<KeyValueList>(body) {
             Ok(list) if status == 200 => self.on_job_page(list),
             _ => {
-                debug!(status = status; "listing the live jobs failed");
+                debug!(status = status; "cannot list the live jobs; trying again");
                 let now = self.context.now.steady;
-                self.job_view.next_request = now + RETRY_AFTER_REFUSAL;
+                self.job_view.next_request = now + RETRY_AFTER_REFUSAL_US;
             }
         }
     }
@@ -150,14 +150,14 @@
                 .apply_put(&entry.key, &entry.value, entry.mod_revision);
         }
         for entry in &list.entries {
-            self.note_cancellation(&entry.key, &entry.value);
+            self.record_cancellation(&entry.key, &entry.value);
         }
         let last = list.entries.last().filter(|_| list.has_more);
         let view = &mut self.job_view;
         view.last_key = last.map(|entry| entry.key.clone());
         if view.last_key.is_none() {
             view.unlisted_prefixes.remove(0);
-            view.built = view.unlisted_prefixes.is_empty();
+            view.is_fully_listed = view.unlisted_prefixes.is_empty();
         }
     }
 
@@ -168,7 +168,7 @@
             self.on_job_event(event);
         }
         self.job_view.revision = self.job_view.revision.max(Some(changes.revision));
-        self.context.cancellations.note_store_read(made_at);
+        self.context.cancellations.record_store_read(made_at);
         let now = self.context.now.steady;
         for request in std::mem::take(&mut self.job_view.awaiting_reply) {
             if now >= request.view_deadline() {
@@ -182,7 +182,7 @@
     fn on_job_event(&mut self, event: &WatchEvent) {
         if let (Some(key), Some(value)) = (&event.put, &event.value) {
             self.job_view.apply_put(key, value, event.mod_revision);
-            self.note_cancellation(key, value);
+            self.record_cancellation(key, value);
         }
         if let Some(key) = &event.delete {
             self.job_view.apply_delete(key);
@@ -195,8 +195,8 @@
 
     fn on_store_unavailable(&mut self) {
         let now = self.context.now.steady;
-        self.job_view.next_request = now + RETRY_AFTER_REFUSAL;
-        self.job_view.refresh_at = now + REFRESH_RETRY_INTERVAL;
+        self.job_view.next_request = now + RETRY_AFTER_REFUSAL_US;
+        self.job_view.refresh_at = now + REFRESH_RETRY_INTERVAL_US;
         for request in std::mem::take(&mut self.job_view.awaiting_reply) {
             self.context
                 .refuse(request.request, 503, "the state service is out of reach");
@@ -205,23 +205,23 @@
 
     /// Puts the users' requests back to wait for the next reply, until they are overdue.
     fn on_job_changes_failed(&mut self, status: u16) {
-        debug!(status = status; "reading changes of the live jobs failed");
+        debug!(status = status; "cannot read the changes of the live jobs; trying again");
         let now = self.context.now.steady;
         let view = &mut self.job_view;
         let mut waiting = std::mem::take(&mut view.awaiting_reply);
         waiting.append(&mut view.waiting);
         view.waiting = waiting;
-        view.next_request = now + RETRY_AFTER_FAILURE;
-        view.refresh_at = now + REFRESH_RETRY_INTERVAL;
+        view.next_request = now + RETRY_AFTER_FAILURE_US;
+        view.refresh_at = now + REFRESH_RETRY_INTERVAL_US;
         if status != 0 && status != 429 {
-            // The store no longer has the changes, or they cannot be read: the view is listed again.
+            // The store no longer has the changes, or they cannot be decoded: the view is listed again.
             view.reset();
         }
     }
 
     /// Records the cancellation if the key is that of one, and applies it to the schedulers of this controller,
     /// whose own watch may be slower.
-    fn note_cancellation(&mut self, key: &str, value: &Value) {
+    fn record_cancellation(&mut self, key: &str, value: &Value) {
         let Some(JobKey::Cancelled(id)) = JobKey::parse(key) else {
             return;
         };
@@ -234,7 +234,7 @@
     /// Continues a request after an update of the view that was requested after the request arrived.
     fn continue_with_fresh_view(&mut self, mut request: UserRequest) {
         // A cancellation without a job record, which an earlier version may have left behind, is no live job. A
-        // job whose record cannot be read (0 tasks in the view) cannot run, but counts as live: otherwise
+        // job whose record cannot be decoded (0 tasks in the view) cannot run, but counts as live: otherwise
         // requests about it would never be answered.
         let live = self.job_view.get(&request.job);
         let Some(live) = live.filter(|job| job.mod_revision > 0) else {
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -1,8 +1,9 @@
-//! Claims partitions for this controller and releases them.
+//! Claims partitions for this controller and releases them. A claim is a record that the partition holder puts under a
+//! lease; its mod_revision is the fencing token of the holder.
 
 use crate::calls::{status_and_body, CallPurpose, ClaimStep};
 use crate::context::Role;
-use crate::controller::peer_contact::{LeaseLoss, STORE_CONTACT_TIMEOUT};
+use crate::controller::peer_contact::{LeaseLoss, STORE_CONTACT_TIMEOUT_US};
 use crate::controller::Controller;
 use crate::scheduler::{FencedLease, Scheduler};
 use crate::transactions::{absent, at_revision};
@@ -17,10 +18,10 @@
 use thiserror::Error;
 
 /// Delay after a failed attempt to claim a partition until the next attempt.
-const CLAIM_RETRY_INTERVAL: Micros = 50 * MILLI;
+const CLAIM_RETRY_INTERVAL_US: Micros = 50 * MILLI;
 
 /// Time for which a controller that released a partition because no agent reaches it claims no partition.
-const CLAIM_PAUSE_WHEN_CUT_OFF: Micros = 10 * SECOND;
+const CLAIM_PAUSE_WHEN_ISOLATED_US: Micros = 10 * SECOND;
 
 /// Why this controller releases a partition.
 #[derive(Debug, PartialEq, Eq, Error)]
@@ -30,20 +31,20 @@
     LeaderWithoutPartitions,
     /// No agent of the partition reaches this controller.
     #[error("no agent reaches this controller")]
-    CutOffFromAgents,
+    IsolatedFromAgents,
     /// The partition is no longer in the partition map.
     #[error("the partition is no longer in the partition map")]
     Removed,
     /// The leader has assigned the partition to another member.
     #[error("the partition is assigned to another member")]
     Reassigned,
-    /// The partition map has a claim with a higher fencing token.
+    /// The partition map has a claim on the partition with a higher fencing token than this holder's.
     #[error("another member has claimed the partition")]
     ClaimedByOther,
     /// This controller may not act under the lease of its claim any longer.
     #[error(transparent)]
     LeaseLost(#[from] LeaseLoss),
-    /// The holder's scheduler reported that it lost its lease, with this reason.
+    /// The holder's scheduler reported, with this reason, that it lost its fenced lease.
     #[error("{0}")]
     Scheduler(String),
 }
@@ -70,7 +71,7 @@
         let now = self.context.now.steady;
         if now < self.partitions.claim_at
             || !self.partitions.reader.has_read_map()
-            || self.election.partition_term().is_none()
+            || self.election.leader_token_for_partitions().is_none()
         {
             return;
         }
@@ -97,7 +98,7 @@
         unclaimed.map(|(id, _)| id).collect()
     }
 
-    /// Handles the reply to a request of a claim.
+    /// Handles the reply to a request by which this controller claims a partition.
     pub(crate) fn on_claim_reply(&mut self, id: PartitionId, step: ClaimStep, outcome: Outcome) {
         let (status, body) = status_and_body(outcome);
         match (step, status) {
@@ -110,7 +111,7 @@
                 Ok(applied) => self.become_holder(id, lease, applied.revision),
                 Err(_) => self.read_claim_back(id, lease),
             },
-            // The store may have applied the claim or not: the record that is read back shows it.
+            // The store may have put the claim record or not: the record that is read back shows it.
             (ClaimStep::Claim { lease }, 0) => self.read_claim_back(id, lease),
             (ClaimStep::ReadBack { lease }, 200) => self.on_claim_read_back(id, lease, &body),
             (ClaimStep::Lease, _) => self.on_claim_failed(id, None),
@@ -120,14 +121,16 @@
         }
     }
 
-    /// Writes the claim on the conditions that the partition is still assigned to this controller and that the
+    /// Writes the claim record on the conditions that the partition is still assigned to this controller and that the
     /// leader record is still the known one. So no claim is made under a leader that does not support
     /// partitions, and the fencing token of the next leader is higher than that of every earlier claim.
     fn write_claim(&mut self, id: PartitionId, lease: u64) {
         let own_name = &self.context.settings.member;
         let partition = self.partitions.map.get(id);
         let assigned = partition.filter(|partition| partition.record.holder == *own_name);
-        let (Some(partition), Some(term)) = (assigned, self.election.partition_term()) else {
+        let (Some(partition), Some(leader_token)) =
+            (assigned, self.election.leader_token_for_partitions())
+        else {
             return self.on_claim_failed(id, Some(lease));
         };
         let key = claim_key(id);
@@ -140,7 +143,7 @@
             when: vec![
                 absent(&key),
                 at_revision(&partition_key(id), partition.mod_revision),
-                at_revision(LEADER_KEY, term),
+                at_revision(LEADER_KEY, leader_token),
             ],
             apply: vec![Operation::Put {
                 put: key,
@@ -177,7 +180,7 @@
 
     fn on_claim_failed(&mut self, id: PartitionId, lease: Option<u64>) {
         self.partitions.claiming.remove(&id);
-        self.partitions.claim_at = self.context.now.steady + CLAIM_RETRY_INTERVAL;
+        self.partitions.claim_at = self.context.now.steady + CLAIM_RETRY_INTERVAL_US;
         if let Some(lease) = lease {
             self.context.end_lease(lease);
         }
@@ -218,10 +221,10 @@
         if !self.election.leader_supports_partitions() {
             return Some(ReleaseReason::LeaderWithoutPartitions);
         }
-        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT)
+        if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US)
             && holder.is_isolated_from_agents(&self.context)
         {
-            return Some(ReleaseReason::CutOffFromAgents);
+            return Some(ReleaseReason::IsolatedFromAgents);
         }
         self.reason_in_partition_map(id, holder)
             .or_else(|| self.lease_loss(holder).map(ReleaseReason::from))
@@ -248,7 +251,7 @@
     }
 
     /// Releases a partition. The tasks on its machines keep running, and the next holder learns of them.
-    /// Heartbeats that wait for an answer are redirected to the next holder.
+    /// Heartbeats that wait for a response are redirected to the next holder.
     pub(crate) fn release_partition(&mut self, id: PartitionId, reason: &ReleaseReason) {
         let Some(holder) = self.partitions.holders.remove(&id) else {
             return;
@@ -268,8 +271,8 @@
                 .answer(request, 421, &Redirect { controller: leader });
         }
         self.context.end_lease(holder.lease());
-        if *reason == ReleaseReason::CutOffFromAgents {
-            self.partitions.claim_at = self.context.now.steady + CLAIM_PAUSE_WHEN_CUT_OFF;
+        if *reason == ReleaseReason::IsolatedFromAgents {
+            self.partitions.claim_at = self.context.now.steady + CLAIM_PAUSE_WHEN_ISOLATED_US;
         }
     }
 
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::scheduler::Scheduler;
 use crate::test_support::{
-    advance_time, clocks, first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START,
+    advance_time, clocks, first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START_US,
 };
 use crate::{Effect, Input, Interface, Micros, NoStopwatch, Outcome, MILLI, SECOND};
 use grebewood_wire as wire;
@@ -13,7 +13,7 @@
 use grebewood_wire::Value;
 use std::collections::BTreeMap;
 
-/// Sends the heartbeat of an agent that runs a task of `req-1`; returns the status and the commands of the answer.
+/// Sends the heartbeat of an agent that runs a task of `req-1`; returns the status and the commands of the response.
 fn send_heartbeat(controller: &mut Controller, now: Micros, sequence: u64) -> (u16, Vec<Command>) {
     let heartbeat = Heartbeat {
         sequence,
@@ -54,7 +54,7 @@
     controller
         .context
         .cancellations
-        .note_store_read(20 * SECOND);
+        .record_store_read(20 * SECOND);
     advance_time(&mut controller, 20 * SECOND, 21 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 21 * SECOND, 2).0, 200);
     // Neither the store nor its peer has answered since.
@@ -69,11 +69,11 @@
     controller
         .context
         .cancellations
-        .note_peer_list(0, late, SECOND);
+        .record_peer_list(0, late, SECOND);
     assert_eq!(send_heartbeat(&mut controller, late, 4).0, 200);
 }
 
-/// The machine may be in a partition whose holder has a lower token: an answer of the leader would take the machine
+/// The machine may be in a partition whose holder has a lower token: a response from the leader would take the machine
 /// from its holder.
 #[test]
 fn a_leader_that_knows_no_partitions_yet_answers_no_machine() {
@@ -81,7 +81,7 @@
     controller
         .context
         .cancellations
-        .note_store_read(20 * SECOND);
+        .record_store_read(20 * SECOND);
     assert_eq!(send_heartbeat(&mut controller, 20 * SECOND, 1).0, 200);
     controller.context.tuning.partitions_per_zone = 2;
     let leader = controller.leader.as_mut().expect("a leader");
@@ -95,13 +95,13 @@
     controller
         .context
         .cancellations
-        .note_store_read(20 * SECOND);
+        .record_store_read(20 * SECOND);
     assert!(send_heartbeat(&mut controller, 20 * SECOND, 1).1.is_empty());
     advance_time(&mut controller, 20 * SECOND, 21 * SECOND);
     controller
         .context
         .cancellations
-        .learn("req-1", WALL_CLOCK_START);
+        .learn("req-1", WALL_CLOCK_START_US);
     let (_, commands) = send_heartbeat(&mut controller, 21 * SECOND, 2);
     assert_eq!(commands.len(), 1);
     let stop = &commands[0];
@@ -137,14 +137,14 @@
     controller
         .context
         .cancellations
-        .note_store_read(10 * SECOND);
+        .record_store_read(10 * SECOND);
     let certain =
         |controller: &Controller| controller.context.cancellations.known_until(1, 20 * SECOND);
-    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-9", 5));
-    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-1", 4));
+    controller.on_contact_response(0, 5, 19 * SECOND, answer("perch-9", 5));
+    controller.on_contact_response(0, 5, 19 * SECOND, answer("perch-1", 4));
     assert_eq!(certain(&controller), Some(10 * SECOND));
     assert!(controller.context.cancellations.get("req-1").is_none());
-    controller.on_contact_reply(0, 5, 19 * SECOND, answer("perch-1", 5));
+    controller.on_contact_response(0, 5, 19 * SECOND, answer("perch-1", 5));
     assert_eq!(certain(&controller), Some(19 * SECOND));
     assert!(controller.context.cancellations.get("req-1").is_some());
 }
@@ -157,7 +157,7 @@
     let leader = controller.leader.as_mut().expect("a leader");
     leader.add_job(&controller.context, "job/req-1", &to_value(&record), 5);
     let cancel = CancelRecord {
-        cancelled_us: WALL_CLOCK_START,
+        cancelled_us: WALL_CLOCK_START_US,
     };
     leader.on_cancelled(&mut controller.context, "req-1", Some(&cancel));
     assert_eq!(
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -23,7 +23,7 @@
         let request: PeerRequest = match wire::from_peer(body) {
             Ok(request) => request,
             Err(e) => {
-                warn!(error:% = e; "unreadable request from a peer");
+                warn!(error:% = e; "cannot decode a request of a peer");
                 return self.context.refuse(id, 400, "not a peer message");
             }
         };
@@ -37,7 +37,7 @@
                 known_us,
                 wants_limits: limits_wanted,
             } => {
-                debug!(member = from.as_str(); "contact request from a peer");
+                debug!(member = from.as_str(); "received a contact request of a peer");
                 let now = self.context.now.steady;
                 let cancellations = &self.context.cancellations;
                 confirmed =
@@ -47,7 +47,7 @@
             PeerRequest::Progress { from, token, jobs } => self.on_progress(&from, token, jobs),
             PeerRequest::Partition(orders) => report = self.on_orders(orders),
         }
-        let answer = PeerResponse {
+        let response = PeerResponse {
             member: self.context.settings.member.clone(),
             store_contact_age_us: self.context.store_contact_age(),
             token: self.context.token,
@@ -61,7 +61,7 @@
         self.context.effects.push(Effect::Answer {
             id,
             status: 200,
-            body: wire::to_peer(&answer),
+            body: wire::to_peer(&response),
             retry_after: None,
         });
     }
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::{Micros, Outcome};
 
-/// Lowest HTTP status of a server error. An answer with such a status does not count as contact with the store.
+/// Lowest HTTP status of a server error. A response with such a status does not count as contact with the store.
 const LOWEST_SERVER_ERROR: u16 = 500;
 
 impl Controller {
@@ -21,13 +21,13 @@
             return self.dispatch_reply(purpose, made_at, outcome);
         }
         if purpose.shows_store_contact() {
-            self.note_store_contact(&outcome);
+            self.record_store_contact(&outcome);
         }
         self.dispatch_reply(purpose, made_at, outcome);
     }
 
-    /// Records contact with the store if it sent any answer but a server error.
-    fn note_store_contact(&mut self, outcome: &Outcome) {
+    /// Records contact with the store if it sent any response but a server error.
+    fn record_store_contact(&mut self, outcome: &Outcome) {
         if matches!(outcome, Outcome::Answer { status, .. } if *status < LOWEST_SERVER_ERROR) {
             self.context.last_store_contact = Some(self.context.now.steady);
         }
@@ -44,8 +44,8 @@
             CallPurpose::User(request) => self.on_user_reply(request, outcome),
             CallPurpose::JobView(call) => self.on_job_view_reply(call, made_at, outcome),
             CallPurpose::Catalogue(source) => self.on_catalogue_reply(source, outcome),
-            CallPurpose::Contact { peer, question } => {
-                self.on_contact_reply(peer, question, made_at, outcome);
+            CallPurpose::Contact { peer, number } => {
+                self.on_contact_response(peer, number, made_at, outcome);
             }
             CallPurpose::Ignore => {}
         }
--- a/crates/core/src/controller/user_requests.rs
+++ b/crates/core/src/controller/user_requests.rs
@@ -1,14 +1,14 @@
 //! Users' requests, which any controller serves: submissions, status polls and cancellations.
 //!
 //! Every controller answers from its [`JobView`](crate::state::job_view::JobView), which is updated after a request
-//! has arrived, so that no controller gives an answer older than another controller's. A live job has a `job/<id>`
+//! has arrived, so that no controller gives a response older than another controller's. A live job has a `job/<id>`
 //! key. When the job ends, one transaction puts its final record under `past/<id>` and deletes what is under
 //! `job/<id>`. So a job that is not live in the view, and has no final record when that is read afterwards, was never
 //! accepted.
 
 use crate::calls::{CallPurpose, UserAction, UserRequest, UserRequestStage};
 use crate::context::Context;
-use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT};
+use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT_US};
 use crate::state::write_buffer::RecordId;
 use crate::transactions::{absent, at_revision, put};
 use crate::Outcome;
@@ -44,7 +44,10 @@
             let finished = finished.clone();
             return self.answer_finished(&request, &finished);
         }
-        if !self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT) {
+        if !self
+            .context
+            .has_store_contact(USER_REQUEST_CONTACT_TIMEOUT_US)
+        {
             return self.refuse_without_contact(id);
         }
         self.send_user_request(request);
@@ -67,7 +70,11 @@
                 return joined.push(request);
             }
         }
-        if !self.context.user_reads.take(self.context.now.steady, 1.0) {
+        if !self
+            .context
+            .user_reads
+            .try_acquire(self.context.now.steady, 1.0)
+        {
             return self
                 .context
                 .refuse(request.request, 429, "too many requests");
@@ -138,7 +145,7 @@
         match (request.stage, status) {
             (UserRequestStage::Accept, 200) => self.answer_new_job(&request),
             (UserRequestStage::Accept, 0) => {
-                // The outcome is unknown: the job is looked up before the user gets an answer.
+                // The outcome is unknown: the job is looked up before the user gets a response.
                 request.is_acceptance_uncertain = true;
                 self.send_user_request(request.at_stage(UserRequestStage::JobView));
             }
@@ -167,7 +174,7 @@
             }
             Err(e) => {
                 let key = finished_job_key(&request.job);
-                warn!(job = request.job.as_str(), path = key.as_str(), error:% = e; "unreadable record of a finished job");
+                warn!(job = request.job.as_str(), path = key.as_str(), error:% = e; "cannot decode the record of a finished job");
                 self.context
                     .refuse(request.request, 503, "unreadable record");
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -66,7 +66,7 @@
     Cloud,
     /// An agent, by its address.
     Agent(String),
-    /// Another controller, by its place among the siblings in the settings.
+    /// Another controller, by its index among the siblings in the settings.
     Peer(usize),
 }
 
@@ -121,7 +121,7 @@
         /// Encoded body.
         body: Vec<u8>,
     },
-    /// The connection of a request was closed, so its answer is not needed any more.
+    /// The connection of a request was closed, so its response is not needed any more.
     RequestAbandoned {
         /// Number of the request.
         id: u64,
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,9 +1,18 @@
 //! The state of a controller that manages machines under a fenced lease, as the leader or as the holder of a
 //! partition.
 //!
-//! A controller builds this state from the key-value store after it has acquired the lease, and drops all of it
-//! when it loses the lease. Modules under `leader` run for the leader only, those under `holder` for the holder of
-//! a partition only; the others run for both.
+//! A controller builds this state from the key-value store after it has acquired the fenced lease, and drops all of it
+//! when it loses that lease. Modules under `leader` run for the leader only, those under `holder` for the holder of a
+//! partition only; the others run for both.
+//!
+//! Terms of these modules:
+//! - A fenced lease is a lease in the key-value store with a record attached to it: the leader record for the leader,
+//!   the claim record of the partition for a partition holder. The mod_revision of the record is the fencing token.
+//! - A change is durable once the store is known to have it.
+//! - The leader sends orders to the holder of a partition, which responds with a report.
+//! - The leader may delegate a task to the holder of a partition, which then chooses the machine within its quota
+//!   grant, the part of each team's limit that the leader lets it use.
+//! - A task is proven gone once it neither runs on its machine nor can start there any more.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, Role};
@@ -59,7 +68,7 @@
 pub struct FencedLease {
     /// The fencing token: the mod_revision of the record.
     pub token: u64,
-    /// The id of the lease.
+    /// The id of the lease in the key-value store, to which the record is attached.
     pub lease: u64,
     /// When the lease was requested, in microseconds of the steady clock.
     pub lease_requested_at: Micros,
@@ -70,17 +79,19 @@
 /// The fields are in three groups: those shared by the leader and the holders of partitions, those that only the
 /// leader uses, and those that only a holder uses.
 pub struct Scheduler {
-    // Used by the leader and by holders of partitions: the lease.
+    // Used by the leader and by holders of partitions: the role, and the fenced lease on the leader record or on the
+    // claim record.
     pub(crate) role: Role,
     /// The fencing token.
     pub token: u64,
     pub(crate) lease: u64,
-    /// When the next renewal of the lease is due.
+    /// When the next renewal of the fenced lease is due.
     pub(crate) lease_renewal_at: Micros,
-    /// Whether the process was paused and the lease may have expired in the meantime. Until the lease is confirmed,
-    /// the scheduler launches or stops no task, writes nothing, provisions no machine, and answers no heartbeat.
+    /// Whether the process was paused and the fenced lease may have expired in the meantime. Until the lease is
+    /// confirmed, the scheduler launches or stops no task, writes nothing, provisions no machine, and answers no
+    /// heartbeat.
     pub(crate) is_lease_uncertain: bool,
-    /// When the lease was acquired. All records are read after that.
+    /// When this process acquired the fenced lease. All records are read after that.
     pub(crate) lease_acquired_at: Micros,
 
     // Used by both: records in the key-value store.
@@ -108,16 +119,16 @@
     pub jobs: Jobs,
     /// Ids of the jobs that ended most recently, so that a list which predates their end does not add them again.
     recently_ended: VecDeque<String>,
-    /// Keys of the job records that cannot be read.
+    /// Keys of the job records that cannot be decoded.
     unreadable_job_keys: Vec<String>,
     /// Ids of jobs that are marked as cancelled although the store has no cancellation for them. Whether such a job
     /// has already ended is read before the mark is removed.
     unconfirmed_cancellations: BTreeSet<String>,
-    /// Averages of observed run times and startup times.
+    /// Averages of observed run times and boot times.
     pub stats: Stats,
     /// State of the placement rounds.
     pub placement: PlacementState,
-    /// Count of the attempt numbers allocated under this lease.
+    /// Count of the attempt numbers allocated under this fenced lease.
     allocated_attempts: u64,
 
     // Used by both: machines and their agents.
@@ -158,7 +169,7 @@
     /// Number of progress rounds so far, with or without a message.
     progress_round: u32,
     next_stats_at: Micros,
-    /// When the provision requests in the store are next compared with those of this leader.
+    /// When the provisioning requests in the store are next compared with those of this leader.
     provision_sweep_at: Micros,
     /// When these comparisons end.
     provision_sweep_until: Micros,
@@ -234,7 +245,7 @@
         max_page_bytes(self.max_value_bytes)
     }
 
-    /// Returns whether a machine may have a task of a job whose record cannot be read.
+    /// Returns whether a machine may have a task of a job whose record cannot be decoded.
     pub(crate) fn has_unreadable_tasks(&self) -> bool {
         // The team of such a task is unknown.
         !self.unreadable_job_keys.is_empty() && self.assignments().any(|a| a.team.is_empty())
@@ -258,21 +269,21 @@
             || loading.is_none_or(|loading| loading.has_read(PARTITION_PREFIX))
     }
 
-    /// Returns the id of the lease.
+    /// Returns the id of the fenced lease in the key-value store.
     pub(crate) fn lease(&self) -> u64 {
         self.lease
     }
 
-    /// Returns whether the lease may have expired during a pause of the process.
+    /// Returns whether the fenced lease may have expired during a pause of the process.
     pub fn is_lease_uncertain(&self) -> bool {
         self.is_lease_uncertain
     }
 
-    /// Records that the lease still holds, which ends the uncertainty after a pause of the process.
+    /// Records that the fenced lease still holds, which ends the uncertainty after a pause of the process.
     pub(crate) fn confirm_lease(&mut self) {
         if self.is_lease_uncertain {
             self.is_lease_uncertain = false;
-            info!(token = self.token; "lease still holds after a pause of the process");
+            info!(token = self.token; "lease of this leader or partition holder still holds after a process pause");
         }
     }
 
@@ -290,7 +301,7 @@
         (self.token << ATTEMPT_COUNTER_BITS) + self.allocated_attempts
     }
 
-    /// Returns whether the attempt number was allocated under this lease.
+    /// Returns whether the attempt number was allocated under this fenced lease.
     pub(crate) fn has_allocated_attempt(&self, attempt: u64) -> bool {
         attempt >> ATTEMPT_COUNTER_BITS == self.token
     }
--- a/crates/core/src/scheduler/agents/heartbeat_status.rs
+++ b/crates/core/src/scheduler/agents/heartbeat_status.rs
@@ -1,5 +1,5 @@
-//! Applies the status of a machine, from a heartbeat or from the response to a direct command, to the state of the
-//! machine and of the tasks on it.
+//! Applies the status of a machine, from a heartbeat or from the response to a direct command (see
+//! [`stops`](super::stops)), to the state of the machine and of the tasks on it.
 
 use crate::context::Context;
 use crate::scheduler::agents::StatusSource;
@@ -24,7 +24,7 @@
         let now = context.now.steady;
         let name = status.machine.clone();
         self.add_machine_if_new(context, &status);
-        self.note_machine_up(context, &status);
+        self.record_machine_up(context, &status);
         let Some(machine) = self.machines.get_mut(&name) else {
             return false;
         };
@@ -37,11 +37,11 @@
         }
         let knows_token = status.token == self.token;
         let new_incarnation = status.incarnation > machine.incarnation;
-        note_contact(machine, &status, source, now);
+        record_contact(machine, &status, source, now);
         if knows_token {
-            note_token(machine, source, now);
+            record_token(machine, source, now);
         }
-        note_reachability(machine, &status, source, new_incarnation, now);
+        record_reachability(machine, &status, source, new_incarnation, now);
         if new_incarnation {
             machine.exited_attempts.clear();
             // The agent has killed and forgotten every task of its earlier incarnations.
@@ -90,7 +90,7 @@
         let since = *machine.unreachable_since.get_or_insert(now);
         let unreachable_for = now.saturating_sub(since);
         if unreachable_for > 2 * context.settings.agent_lease && !machine.cordoned {
-            info!(machine = name; "machine receives no responses and will be terminated");
+            info!(machine = name; "terminating a machine that receives no responses");
             machine.cordoned = true;
             self.fleet.terminate(name, now);
         }
@@ -125,24 +125,24 @@
     fn apply_task(&mut self, context: &mut Context, status: &Heartbeat, reported: &ReportedTask) {
         let name = &status.machine;
         let Some((job_id, task)) = parse_task_name(&reported.task_name) else {
-            warn!(machine = name, task:? = reported.task_name; "task name is not of the form job/number");
+            warn!(machine = name, task:? = reported.task_name; "agent reported a task whose name is not of the form job/number");
             return;
         };
-        let position = self.assignment_position(name, |a| {
+        let assignment_index = self.assignment_index(name, |a| {
             a.attempt == reported.attempt && a.task == task && a.job_id == job_id
         });
         let exited = reported.status == TaskStatus::Exited;
-        match position {
-            Some(position) if exited => {
+        match assignment_index {
+            Some(assignment_index) if exited => {
                 let cause = reported.cause.as_ref().unwrap_or(&NO_CAUSE);
-                self.on_task_exited(context, name, position, cause, &reported.task_name);
+                self.on_task_exited(context, name, assignment_index, cause, &reported.task_name);
             }
-            Some(position) => {
+            Some(assignment_index) => {
                 let Some(machine) = self.machines.get_mut(name) else {
                     return;
                 };
                 let now = context.now.steady;
-                let assignment = &mut machine.assignments[position];
+                let assignment = &mut machine.assignments[assignment_index];
                 let before = assignment.observed_status;
                 assignment.observe(&reported.status, now);
                 let (job, seen) = (assignment.job, assignment.observed_status);
@@ -159,25 +159,25 @@
         let name = &status.machine;
         let newest = (status.incarnation, status.sequence);
         let mut launch_was_lost = false;
-        let mut position = 0;
+        let mut assignment_index = 0;
         while let Some(assignment) = self
             .machines
             .get_mut(name)
-            .and_then(|machine| machine.assignments.get_mut(position))
+            .and_then(|machine| machine.assignments.get_mut(assignment_index))
         {
             let launched_before = assignment.launched.is_some_and(|launch| launch < newest);
             if !launched_before
                 || lists_attempt(status, &assignment.task_name(), assignment.attempt)
             {
-                position += 1;
+                assignment_index += 1;
             } else if assignment.is_launch_unconfirmed() {
                 // An agent never carries out a lost response late, so the launch can be sent again under the same
                 // attempt number once responses reach the agent.
                 assignment.launched = None;
                 launch_was_lost = true;
-                position += 1;
+                assignment_index += 1;
             } else {
-                self.remove_assignment(context, name, position);
+                self.remove_assignment(context, name, assignment_index);
             }
         }
         if let (true, Some(machine)) = (launch_was_lost, self.machines.get_mut(name)) {
@@ -200,7 +200,7 @@
         }
         if let Some(job) = self.jobs.get_mut(index) {
             match is_running {
-                true => job.note_running(now),
+                true => job.record_running(now),
                 false => job.running_count = job.running_count.saturating_sub(1),
             }
             self.progress_dirty.insert(index);
@@ -217,7 +217,7 @@
 }
 
 /// Records the time, the incarnation and the sequence number of a status.
-fn note_contact(machine: &mut Machine, status: &Heartbeat, source: StatusSource, now: Micros) {
+fn record_contact(machine: &mut Machine, status: &Heartbeat, source: StatusSource, now: Micros) {
     machine.address = status.address.clone();
     machine.last_contact_at = now;
     machine.reclaim_at = status.reclaim_s.map(|seconds| now + micros(seconds));
@@ -225,30 +225,30 @@
     machine.sequence = status.sequence;
     if source == StatusSource::Heartbeat {
         machine.newest_heartbeat = (status.incarnation, status.sequence);
-        machine.last_heartbeat = now;
+        machine.last_heartbeat_at = now;
     }
 }
 
 /// Records that the agent knows the current fencing token. Until then, an earlier leader that does not know yet
 /// that it was replaced may have renewed the agent's lease, so its expiry is counted from this status on. The
-/// handler of a heartbeat sets `last_response` itself.
-fn note_token(machine: &mut Machine, source: StatusSource, now: Micros) {
+/// handler of a heartbeat sets `last_response_at` itself.
+fn record_token(machine: &mut Machine, source: StatusSource, now: Micros) {
     if !machine.knows_token && source == StatusSource::DirectCommand {
-        machine.last_response = now;
+        machine.last_response_at = now;
     }
     machine.knows_token = true;
 }
 
 /// Records whether responses reach the agent. An agent that receives them sends its next heartbeat to this
-/// controller well within `RESPONSE_TIMEOUT`; one that receives none turns to another controller after that time.
-fn note_reachability(
+/// controller well within [`RESPONSE_TIMEOUT_US`]; one that receives none turns to another controller after that time.
+fn record_reachability(
     machine: &mut Machine,
     status: &Heartbeat,
     source: StatusSource,
     new_incarnation: bool,
     now: Micros,
 ) {
-    let in_time = now.saturating_sub(machine.last_response) < RESPONSE_TIMEOUT_US;
+    let in_time = now.saturating_sub(machine.last_response_at) < RESPONSE_TIMEOUT_US;
     if source == StatusSource::Heartbeat && machine.knows_token && in_time && !new_incarnation {
         machine.receives_responses = true;
         machine.unreachable_since = None;
--- a/crates/core/src/scheduler/completion.rs
+++ b/crates/core/src/scheduler/completion.rs
@@ -36,7 +36,7 @@
         if job.cancelled_at.is_some() {
             return;
         }
-        self.holder_state.note_cancelled(id, now);
+        self.holder_state.record_cancelled(id, now);
         let age = record.map_or(0, |record| {
             context.now.wall.saturating_sub(record.cancelled_us)
         });
@@ -62,23 +62,23 @@
     }
 
     /// Retracts the cancellation of a job for which the store has none: the information was wrong, and the job
-    /// continues. Only a cancellation that is on record may end it.
+    /// continues. Only a cancellation in the store may end the job.
     pub(crate) fn retract_cancellation(&mut self, context: &mut Context, id: &str) {
         context.cancellations.forget(id);
         let index = self.jobs.find(id);
         let job = index.and_then(|index| self.jobs.get_mut(index));
         if let Some(job) = job.filter(|job| job.cancelled_at.is_some()) {
-            error!(job = id; "cancellation of the job is not on record; the job continues");
+            error!(job = id; "key-value store has no cancellation of the job; the job continues");
             job.cancelled_at = None;
             job.ending = None;
             self.placement.request_round(context.now.steady);
         }
     }
 
-    /// Returns the key under which the cancellation of the job is, or would be, on record.
+    /// Returns the key under which the store has, or would have, the cancellation of the job.
     pub(crate) fn cancellation_key(&self, id: &str) -> String {
         let legacy = format!("{LEGACY_CANCEL_PREFIX}{id}");
-        if self.write_buffer.is_on_record(&legacy) {
+        if self.write_buffer.is_in_store(&legacy) {
             legacy
         } else {
             cancel_key(id)
@@ -103,9 +103,9 @@
         job.ending = Some(ending);
         let id = job.id.clone();
         let cancellation = self.cancellation_key(&id);
-        if ending == FinalStatus::Aborted && !self.write_buffer.is_on_record(&cancellation) {
-            // The cancellation is known only from a peer or from a user request. A job ends as cancelled only if
-            // its cancellation is on record, so the mod_revision of that record is read first.
+        if ending == FinalStatus::Aborted && !self.write_buffer.is_in_store(&cancellation) {
+            // The cancellation is known only from a peer or from a user request. A job ends as cancelled only if the
+            // store has its cancellation, so the mod_revision of the cancellation record is read first.
             self.write_buffer.stale_keys.push(cancellation);
         }
         let due = context.now.steady.saturating_sub(JOB_END_PRIORITY_US);
--- a/crates/core/src/scheduler/flush.rs
+++ b/crates/core/src/scheduler/flush.rs
@@ -2,7 +2,7 @@
 //! it is sent.
 
 use crate::calls::SchedulerCall;
-use crate::context::{Context, STORE_TIMEOUT};
+use crate::context::{Context, STORE_CALL_TIMEOUT_US};
 use crate::scheduler::Scheduler;
 use crate::state::write_buffer::{Batch, RecordId, RecordVersion, RecordWrite};
 use crate::{Micros, MILLI, SECOND};
@@ -147,7 +147,7 @@
                 {
                     // The record exceeds the limits of a transaction by itself: other records must not wait behind
                     // it.
-                    warn!(record:? = record; "record exceeds the transaction limits");
+                    warn!(record:? = record; "record exceeds the limits of a transaction; postponing its write");
                     self.write_buffer.postpone(&record, now + REFUSED_PAUSE_US);
                     continue;
                 }
@@ -189,7 +189,9 @@
             ..
         } = draft;
         let operations = transaction.apply.len() as f64;
-        context.write_limiter(self.role).take(now, operations);
+        context
+            .write_limiter(self.role)
+            .try_acquire(now, operations);
         let purpose = self.call_purpose(SchedulerCall::Flush);
         context.post_to_store("/txn", &transaction, purpose);
         self.write_buffer.no_flush_before = now + context.tuning.flush_interval_us;
@@ -205,7 +207,7 @@
     fn refresh_revision(&mut self, context: &mut Context, key: String) {
         let now = context.now.steady;
         let purpose = self.call_purpose(SchedulerCall::Refresh { key: key.clone() });
-        self.write_buffer.back_off(now, STORE_TIMEOUT);
+        self.write_buffer.back_off(now, STORE_CALL_TIMEOUT_US);
         context.read_key(&key, purpose);
     }
 
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -88,10 +88,10 @@
         let now = context.now.steady;
         if status != HTTP_TOO_MANY_REQUESTS && status != HTTP_SERVICE_UNAVAILABLE {
             let response = beginning_of(body);
-            warn!(status = status, error = response; "unexpected response to a flush");
+            warn!(status = status, error = response; "unexpected response of the key-value store to a transaction");
         }
         if status == HTTP_TOO_MANY_REQUESTS {
-            context.write_limiter(self.role).drain(now);
+            context.write_limiter(self.role).discard_tokens(now);
         }
         self.on_flush_failed(context);
     }
@@ -104,7 +104,7 @@
             self.on_record_written(context, record);
         }
         if self.is_holder() {
-            self.note_durable_placements();
+            self.record_durable_placements();
         }
     }
 
@@ -117,7 +117,9 @@
                 }
                 self.forget_ended_job(*index);
             }
-            RecordId::PendingProvision(machine) => self.fleet.note_provision_durable(now, machine),
+            RecordId::PendingProvision(machine) => {
+                self.fleet.record_provision_durable(now, machine)
+            }
             RecordId::QuotaGrant(partition) => {
                 self.leader_quota.grants.on_record_written(*partition);
                 self.schedule_quota_grant_write(context, *partition, 0);
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Forgets a job whose end is on record.
+    /// Forgets a job whose end the store has.
     pub(crate) fn forget_ended_job(&mut self, index: JobIndex) {
         let Some(job) = self.jobs.remove(index) else {
             return;
--- a/crates/core/src/scheduler/holder/orders.rs
+++ b/crates/core/src/scheduler/holder/orders.rs
@@ -1,4 +1,5 @@
-//! Carries out the leader's orders to the holder of a partition.
+//! Carries out the leader's orders to the holder of a partition: which tasks may be on the machines, which tasks to
+//! launch, to stop and to place, and which outcomes the leader has recorded.
 
 use crate::context::{Context, Role};
 use crate::scheduler::Scheduler;
@@ -14,16 +15,16 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// Carries out orders and returns a report. Drops stale orders, since a late copy of orders would launch a
-    /// task again that has ended since. Also drops orders for another claim, and all orders while it is not
-    /// certain that the claim still holds.
+    /// Carries out the leader's orders and returns the holder's report. Drops stale orders, since a late copy of
+    /// orders would launch a task again that has ended since. Also drops orders for another claim on the partition
+    /// than this holder's, and all orders while it is not certain that the store still has this holder's claim.
     pub(crate) fn carry_out_orders(
         &mut self,
         context: &mut Context,
         orders: PartitionOrders,
     ) -> Option<PartitionReport> {
         let number = OrdersNumber {
-            term: orders.term,
+            leader_token: orders.term,
             sequence: orders.sequence,
         };
         let is_stale = number <= self.holder_state.last_orders;
@@ -42,7 +43,7 @@
         if let Some(tasks) = &orders.sync {
             self.reconcile(context, orders.term, tasks);
         }
-        let is_reconciled = self.holder_state.reconciled_term == orders.term;
+        let is_reconciled = self.holder_state.reconciled_leader_token == orders.term;
         if is_reconciled {
             self.apply_quota_orders(context, orders.term, orders.quota.as_deref());
         }
@@ -68,7 +69,7 @@
 
     /// Reconciles the tasks known here with those that may be on the machines according to the leader. A task that
     /// the leader does not list was never launched, or its end is recorded in the store: it is dropped or stopped.
-    fn reconcile(&mut self, context: &mut Context, term: u64, tasks: &[PlacedTask]) {
+    fn reconcile(&mut self, context: &mut Context, leader_token: u64, tasks: &[PlacedTask]) {
         let is_first_time = !self.holder_state.is_reconciled();
         let listed: BTreeSet<TaskAttempt> = tasks.iter().map(PlacedTask::id).collect();
         self.drop_unrecorded_placements(context, &listed);
@@ -76,13 +77,13 @@
         for task in tasks {
             self.reconcile_listed(context, task);
         }
-        self.holder_state.reconciled_term = term;
+        self.holder_state.reconciled_leader_token = leader_token;
         if is_first_time {
             self.loaded_at = context.now.steady;
             self.last_heartbeat_at = context.now.steady;
             info!(
                 partition = self.partition(), tasks = tasks.len();
-                "reconciled with the leader for the first time"
+                "partition holder reconciled its tasks with the leader for the first time"
             );
         }
     }
@@ -92,7 +93,7 @@
         let machines: Vec<String> = self.machines.keys().cloned().collect();
         for machine in machines {
             // Tasks that this holder placed itself are recorded on its own pages.
-            let is_unknown = |a: &Assignment| !a.by_holder && !listed.contains(&a.id());
+            let is_unknown = |a: &Assignment| !a.placed_by_holder && !listed.contains(&a.id());
             self.stop_assignments(context, &machine, 0, is_unknown);
         }
     }
@@ -169,7 +170,7 @@
             // The task is never launched; the leader places it again.
             debug!(
                 job = task.job, task = task.task, machine = task.machine;
-                "refused to launch a task"
+                "partition holder refused a launch that the leader ordered, since the machine cannot take the task"
             );
             self.report_attempt_end(&task.machine, &assignment, TaskEnd::Gone);
             return true;
@@ -240,14 +241,14 @@
         &mut self,
         context: &mut Context,
         name: &str,
-        at: usize,
+        assignment_index: usize,
         cause: &ExitCause,
         task_name: &str,
     ) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let assignment = machine.assignments[at].clone();
+        let assignment = machine.assignments[assignment_index].clone();
         machine.exited_attempts.push(ExitedAttempt {
             task_name: task_name.to_string(),
             attempt: assignment.attempt,
@@ -255,7 +256,7 @@
             job: Some(assignment.job),
         });
         self.report_attempt_end(name, &assignment, TaskEnd::Exited(cause.clone()));
-        self.remove_assignment(context, name, at);
+        self.remove_assignment(context, name, assignment_index);
     }
 
     /// Reports to the leader the exit of an attempt that the leader did not list. The leader has recorded that
--- a/crates/core/src/scheduler/holder/placement/tests.rs
+++ b/crates/core/src/scheduler/holder/placement/tests.rs
@@ -4,7 +4,9 @@
 use crate::state::jobs::Job;
 use crate::state::long_polls::HeldHeartbeat;
 use crate::state::machine::{Assignment, Machine};
-use crate::test_support::{first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START};
+use crate::test_support::{
+    first_heartbeat, job_record, leader_before_loading, WALL_CLOCK_START_US,
+};
 use crate::{Effect, NoStopwatch, Target, SECOND};
 use grebewood_wire::http::{MachineType, Transaction};
 use grebewood_wire::peer::{
@@ -16,7 +18,7 @@
 
 const MACHINE: &str = "n-000001";
 
-const TERM: u64 = 7;
+const LEADER_TOKEN: u64 = 7;
 
 const CLAIM: u64 = 9;
 
@@ -52,7 +54,7 @@
     let mut holder = Scheduler::new(&controller.context, Role::Holder(1), lease);
     holder
         .jobs
-        .insert(Job::new(job_record(4), now, WALL_CLOCK_START));
+        .insert(Job::new(job_record(4), now, WALL_CLOCK_START_US));
     let machine_type = machine_type();
     let mut machine = Machine::new(&first_heartbeat(), Some(&machine_type), now);
     machine.incarnation = 1;
@@ -87,7 +89,7 @@
     };
     PartitionOrders {
         from: "perch-0".into(),
-        term: TERM,
+        term: LEADER_TOKEN,
         sequence,
         partition: 1,
         claim: CLAIM,
@@ -169,7 +171,7 @@
         condition.map(|when| when.mod_revision)
     };
     assert_eq!(mod_revision(&claim_key(1)), Some(CLAIM));
-    assert_eq!(mod_revision(LEADER_KEY), Some(TERM));
+    assert_eq!(mod_revision(LEADER_KEY), Some(LEADER_TOKEN));
     assert_eq!(mod_revision(QUOTA_LIMITS_KEY), Some(LIMITS_REVISION));
     assert_eq!(mod_revision("page/0/1000"), Some(0));
     assert_eq!(mod_revision(&quota_grant_key(1)), None);
@@ -211,7 +213,7 @@
     carry_out(&mut controller, &mut holder, orders(2, 4, &[0]));
     run_holder(&mut controller, &mut holder);
     complete_flush(&mut controller, &mut holder);
-    let on_record = holder.assignments().next().expect("a task").id();
+    let in_store = holder.assignments().next().expect("a task").id();
     carry_out(&mut controller, &mut holder, orders(3, 4, &[1, 2]));
     controller.context.now.steady += SECOND;
     holder.placement.next_at = 0;
@@ -221,12 +223,12 @@
         machine: MACHINE.into(),
         incarnation: 1,
         job: "req-1".into(),
-        task: on_record.task,
-        attempt: on_record.attempt,
+        task: in_store.task,
+        attempt: in_store.attempt,
         expected_us: SECOND,
     };
     let sync = PartitionOrders {
-        term: TERM + 10,
+        term: LEADER_TOKEN + 10,
         sync: Some(vec![listed]),
         ..orders(1, 4, &[])
     };
@@ -234,7 +236,7 @@
     assert_eq!(waiting_ranges(&report), []);
     assert_eq!(
         holder.assignments().map(Assignment::id).collect::<Vec<_>>(),
-        [on_record]
+        [in_store]
     );
     assert_eq!(command_count(&controller, &mut holder), 1);
 }
@@ -256,7 +258,10 @@
     );
     assert_nothing_is_written(&mut controller, &mut holder);
     let ended = holder.on_conditions_failed(&[claim_key(1)]);
-    assert_eq!(ended, Err("its claim has ended".to_string()));
+    assert_eq!(
+        ended,
+        Err("the claim on the partition has changed or is gone".to_string())
+    );
 }
 
 fn assert_nothing_is_written(controller: &mut Controller, holder: &mut Scheduler) {
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -18,23 +18,23 @@
 const TERMINATED_REPORT_TIME_US: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// Returns the report in response to orders of this term. `seen` is the version of the last machine state that
-    /// the leader knows, and `accepted` lists the launches that were accepted.
+    /// Returns the report in response to orders of the leader with this fencing token. `seen` is the version of the
+    /// last machine state that the leader knows, and `accepted` lists the launches that were accepted.
     pub(crate) fn partition_report(
         &mut self,
         context: &Context,
         seen: u64,
-        term: u64,
+        leader_token: u64,
         accepted: Vec<TaskAttempt>,
     ) -> PartitionReport {
         self.update_reported_states(context);
         let changed = self.states_since(seen);
         let version = changed.last().map_or(seen, |reported| reported.version);
         let outcomes = self.holder_state.outcomes.values();
-        let outcomes = outcomes.filter(|o| !self.holder_quota.is_in_later_answer(o.id()));
+        let outcomes = outcomes.filter(|o| !self.holder_quota.is_in_later_report(o.id()));
         PartitionReport {
             claim: self.token,
-            synced: self.holder_state.reconciled_term == term,
+            synced: self.holder_state.reconciled_leader_token == leader_token,
             accepted,
             outcomes: outcomes.take(MAX_OUTCOMES).cloned().collect(),
             machines: changed
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -1,5 +1,6 @@
-//! Consolidation: drains machines whose tasks fit on other machines, so that the drained machines can be
-//! terminated.
+//! Consolidation: drains machines whose tasks fit on other machines, so that the drained machines can be terminated.
+//! A machine that is drained is cordoned, and those of its tasks that write checkpoints and still run long enough are
+//! moved.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -15,7 +16,8 @@
 /// Number of candidates that one round tries for each machine that may be drained.
 const CANDIDATES_PER_DRAIN: usize = 8;
 
-/// Draining stops once a job has waited longer than this for free resources, in microseconds.
+/// Once a job has waited longer than this for free resources, machines that are being drained take tasks again, in
+/// microseconds.
 const MAX_WAIT_US: Micros = 20 * SECOND;
 
 /// A machine is drained only if more than this fraction of its CPUs is free.
--- a/crates/core/src/scheduler/leader/fleet/termination.rs
+++ b/crates/core/src/scheduler/leader/fleet/termination.rs
@@ -25,7 +25,7 @@
         if nothing_to_send || now < fleet.next_termination {
             return;
         }
-        if !context.cloud_requests.take(now, 1.0) {
+        if !context.cloud_requests.try_acquire(now, 1.0) {
             fleet.next_termination = context.cloud_requests.ready_at(now, 1.0);
             return;
         }
@@ -60,7 +60,7 @@
     /// Removes a machine whose termination the cloud has confirmed, with all its assignments.
     pub(crate) fn remove_terminated_machine(&mut self, context: &mut Context, name: &str) {
         if let Some(partition) = self.machines.get(name).and_then(|m| m.partition) {
-            self.remote_partitions.note_terminated(partition, name);
+            self.remote_partitions.record_terminated(partition, name);
         }
         self.remember_terminated(context.now.steady, name);
         self.remove_all_assignments(context, name);
--- a/crates/core/src/scheduler/leader/partition_reports.rs
+++ b/crates/core/src/scheduler/leader/partition_reports.rs
@@ -17,7 +17,7 @@
 
 impl Scheduler {
     /// Handles the outcome of a call that sent orders to a holder.
-    pub(crate) fn on_orders_answered(
+    pub(crate) fn on_orders_response(
         &mut self,
         context: &mut Context,
         id: PartitionId,
@@ -26,7 +26,7 @@
     ) {
         let report = match outcome {
             Outcome::Answer { status: 200, body } => match wire::from_peer::<PeerResponse>(&body) {
-                Ok(answer) => answer.report,
+                Ok(response) => response.report,
                 Err(error) => {
                     warn!(
                         partition = id, error:% = error;
@@ -54,7 +54,7 @@
         if partition.claim_token() != Some(claim) {
             return;
         }
-        partition.awaiting_answer = false;
+        partition.awaiting_report = false;
         let Some(report) = report.filter(|report| report.claim == claim) else {
             return;
         };
@@ -109,10 +109,10 @@
         let now = context.now.steady;
         let mut any_in_contact = false;
         for machine in self.machines.values_mut() {
-            if machine.partition == Some(id) && machine.counted_by_holder {
-                machine.last_heartbeat = now;
+            if machine.partition == Some(id) && machine.counted_as_capacity_by_holder {
+                machine.last_heartbeat_at = now;
                 machine.last_contact_at = now;
-                machine.last_response = now;
+                machine.last_response_at = now;
                 any_in_contact = true;
             }
         }
@@ -133,7 +133,7 @@
             return;
         }
         let heartbeat = heartbeat_of(state);
-        self.note_machine_up(context, &heartbeat);
+        self.record_machine_up(context, &heartbeat);
         let machine_type = context.machine_type(&state.machine_type);
         let machine = self
             .machines
@@ -150,7 +150,7 @@
         machine.receives_responses = state.receives_responses;
         // Only the holder knows whether the agent receives responses.
         machine.unreachable_since = None;
-        machine.counted_by_holder = state.counts_as_capacity;
+        machine.counted_as_capacity_by_holder = state.counts_as_capacity;
         machine.cordoned |= state.cordoned;
         machine.reclaim_at = state.reclaim_us.map(|left| now + left);
         if !machine.assignments.is_empty() {
@@ -214,11 +214,13 @@
     fn apply_outcome(&mut self, context: &mut Context, outcome: &TaskOutcome) {
         let name = &outcome.machine;
         let task_name = format!("{}/{}", outcome.job, outcome.task);
-        let at = self.assignment_position(name, |a| a.id() == outcome.id());
-        match (at, &outcome.end) {
-            (Some(at), TaskEnd::Gone) => self.remove_assignment(context, name, at),
-            (Some(at), TaskEnd::Exited(cause)) => {
-                self.on_task_exited(context, name, at, cause, &task_name)
+        let assignment_index = self.assignment_index(name, |a| a.id() == outcome.id());
+        match (assignment_index, &outcome.end) {
+            (Some(assignment_index), TaskEnd::Gone) => {
+                self.remove_assignment(context, name, assignment_index)
+            }
+            (Some(assignment_index), TaskEnd::Exited(cause)) => {
+                self.on_task_exited(context, name, assignment_index, cause, &task_name)
             }
             (None, TaskEnd::Gone) => {}
             (None, TaskEnd::Exited(cause)) => {
@@ -241,13 +243,13 @@
     /// Applies the parts of a holder's report that concern the partition itself.
     fn apply_report(&mut self, report: &PartitionReport, now: Micros) {
         self.reconciled |= report.synced;
-        self.last_answer_at = now;
+        self.last_report_at = now;
         self.state_version = report.version;
         if let Some(quota) = report.quota.as_ref().filter(|_| report.synced) {
             self.last_known_placement = quota.version;
-            self.reserved = std::mem::take(&mut self.reserved_sent);
+            self.reserved_confirmed = std::mem::take(&mut self.reserved_sent);
         }
-        self.note_heartbeats(report.heartbeats, now);
+        self.record_heartbeats(report.heartbeats, now);
     }
 }
 
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -34,8 +34,8 @@
 const STOP_RETRY_INTERVAL_US: Micros = SECOND;
 
 impl Scheduler {
-    /// Loads the partitions on record into the state of a new leader. Removes all of them if a record cannot be
-    /// read.
+    /// Loads the partitions that were read from the key-value store into the state of a new leader. Removes all of
+    /// them if a record cannot be decoded.
     pub(crate) fn load_partitions(&mut self, context: &Context, map: &PartitionMap) {
         for (id, record) in map.iter() {
             let mut partition = RemotePartition::new(record.record.clone());
@@ -43,7 +43,7 @@
             self.remote_partitions.by_id.insert(id, partition);
         }
         if map.unreadable_keys().next().is_some() {
-            self.remove_partitions(context, "a partition record cannot be read", map.keys());
+            self.remove_partitions(context, "a partition record cannot be decoded", map.keys());
         }
     }
 
@@ -56,8 +56,8 @@
         }
         let partitions = self.remote_partitions.by_id.keys();
         let grants = partitions.map(|id| quota_grant_key(*id));
-        let on_record = &self.write_buffer.mod_revisions;
-        let grants: Vec<String> = grants.filter(|key| on_record.contains_key(key)).collect();
+        let in_store = &self.write_buffer.mod_revisions;
+        let grants: Vec<String> = grants.filter(|key| in_store.contains_key(key)).collect();
         for key in keys.into_iter().chain(grants) {
             let id = RecordId::Deleted(key.clone());
             self.write_buffer.mark_dirty(id, context.now.steady);
@@ -81,7 +81,8 @@
             let Some(observed) = map.get(*id) else {
                 continue;
             };
-            // The map may be older than a claim that this leader has read itself.
+            // This controller's copy of the map may be older than a claim on the partition that this leader has read
+            // itself.
             let known_token = partition.claim_token();
             let has_changed = match &observed.claim {
                 Some(claim) => known_token.is_none_or(|known| claim.token > known),
@@ -174,7 +175,7 @@
         let delegations = &self.leader_quota.delegations;
         let with_tasks = partitions.filter(|(id, _)| delegations.has_tasks_in(**id));
         let unreachable = with_tasks.filter(|(_, partition)| {
-            let since = partition.last_answer_at.max(self.loaded_at);
+            let since = partition.last_report_at.max(self.loaded_at);
             now.saturating_sub(since) > HOLDER_TIMEOUT_US
         });
         unreachable.map(|(id, _)| *id).collect()
@@ -243,7 +244,7 @@
         let now = context.now.steady;
         let partitions = self.remote_partitions.by_id.iter();
         let due = partitions.filter(|(_, partition)| {
-            let is_ready = partition.claim.is_some() && !partition.awaiting_answer;
+            let is_ready = partition.claim.is_some() && !partition.awaiting_report;
             is_ready && now >= partition.next_orders_at
         });
         let due: Vec<PartitionId> = due.map(|(id, _)| *id).collect();
@@ -256,7 +257,7 @@
         let now = context.now.steady;
         let partition = self.remote_partitions.by_id.get_mut(&id)?;
         let claim = partition.claim_token()?;
-        partition.awaiting_answer = true;
+        partition.awaiting_report = true;
         partition.next_orders_at = now + context.tuning.partition_poll_us;
         let reconciled = partition.reconciled;
         let seen = partition.state_version;
@@ -325,12 +326,13 @@
         }
     }
 
-    /// Returns the attempts whose outcome was applied and is on record.
+    /// Returns the attempts in the partition whose outcomes this leader has applied and, as far as they have to be
+    /// recorded, written to the key-value store. The holder may drop them.
     fn attempts_to_acknowledge(&self, id: PartitionId) -> Vec<TaskAttempt> {
         let Some(partition) = self.remote_partitions.by_id.get(&id) else {
             return Vec::new();
         };
-        let not_on_record: BTreeSet<TaskAttempt> = self
+        let not_durable: BTreeSet<TaskAttempt> = self
             .machines
             .values()
             .filter(|machine| machine.partition == Some(id))
@@ -340,19 +342,19 @@
             .collect();
         let applied = partition.applied_outcomes.iter().copied();
         applied
-            .filter(|attempt| !not_on_record.contains(attempt))
+            .filter(|attempt| !not_durable.contains(attempt))
             .take(MAX_ORDERS_PER_MESSAGE)
             .collect()
     }
 }
 
-/// Returns whether the assignment is on record and its task is still to be launched.
+/// Returns whether the assignment is durable and its task is still to be launched.
 fn is_launchable(a: &Assignment, jobs: &Jobs, write_buffer: &WriteBuffer) -> bool {
     let job = jobs.get(a.job);
     let is_wanted =
         job.is_some_and(|job| job.cancelled_at.is_none() && !job.is_task_completed(a.task));
-    let is_on_record = write_buffer.is_durable(&RecordId::AssignmentPage(a.page), a.page_version);
-    a.launched.is_none() && a.stop.is_none() && is_wanted && is_on_record
+    let is_durable = write_buffer.is_durable(&RecordId::AssignmentPage(a.page), a.page_version);
+    a.launched.is_none() && a.stop.is_none() && is_wanted && is_durable
 }
 
 /// Returns the order to stop a task if one is due, and counts it as sent.
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -21,7 +21,7 @@
 
 /// A job whose tasks are being placed in this round.
 pub(crate) struct PlacingJob {
-    /// The job's place in the job table.
+    /// The job's index in the job table.
     pub index: JobIndex,
     /// The job's submission.
     pub spec: Submission,
@@ -61,14 +61,14 @@
         tasks_that_fit(open.free_for(self.headroom_access), &self.spec)
     }
 
-    /// Returns how many of its tasks fit the open machines at these positions, by zone.
+    /// Returns how many of its tasks fit the open machines at these indices, by zone.
     fn slots_by_zone<'a>(
         &self,
-        positions: &[usize],
+        machine_indices: &[usize],
         open: &'a [OpenMachine],
     ) -> BTreeMap<&'a str, u64> {
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        for at in positions {
+        for at in machine_indices {
             let machine = &open[*at];
             *zones.entry(&machine.zone).or_insert(0) += self.tasks_that_fit(machine);
         }
@@ -117,11 +117,12 @@
         // Without this, the rest of an array can wait for minutes next to unused headroom when no more machines
         // can be provisioned. If no service is live, this also applies to jobs that had other tasks placed
         // meanwhile.
-        let headroom_yields = self.headroom.has_no_live_services() && job.has_waited_long(now);
+        let may_take_unneeded_headroom =
+            self.headroom.has_no_live_services() && job.has_waited_long(now);
         let may_take_headroom = job.shape == Shape::Daemon
             || job.must_begin_early(now)
             || job.is_starving(now)
-            || headroom_yields;
+            || may_take_unneeded_headroom;
         Some(PlacingJob {
             index: queued.index,
             shape: job.shape,
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Returns the positions in `open` of the machines on which a task of the job may be placed, the best first.
+    /// Returns the indices in `open` of the machines on which a task of the job may be placed, the best first.
     fn candidate_machines(
         &self,
         context: &Context,
@@ -149,7 +150,7 @@
         let fits = |machine: &OpenMachine| {
             placing.tasks_that_fit(machine) > 0
                 && machine.permits(context, spec)
-                && (!machine.kept_for_preemptor || spec.priority > Priority::Idle)
+                && (!machine.excludes_idle_priority || spec.priority > Priority::Idle)
         };
         let fitting = open.iter().enumerate().filter(|(_, machine)| fits(machine));
         let mut candidates: Vec<(Preference, usize)> = fitting
@@ -293,7 +294,7 @@
         if let Some(job) = self.jobs.get_mut(placing.index) {
             job.assign_task(task);
             if holder_partition.is_none() {
-                job.note_placed(context.now.steady);
+                job.record_placed(context.now.steady);
             }
         }
         placing.count_placed_task();
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -25,7 +25,7 @@
 
 impl Scheduler {
     /// Returns the quota grant and the delegated tasks for the partition's holder; `None` while quota grants are not
-    /// supported or no limits are on record. Tasks are delegated only to a holder that is `reconciled`.
+    /// supported or the key-value store has no limits. Tasks are delegated only to a holder that is `reconciled`.
     pub(crate) fn quota_orders(
         &mut self,
         context: &Context,
@@ -126,7 +126,7 @@
             return self.on_holder_places_nothing(id);
         };
         if self.leader_quota.placing_partitions.insert(id) {
-            info!(partition = id; "partition holder reports that it places tasks");
+            info!(partition = id; "partition holder reported that it places tasks");
         }
         for task in &quota.placed {
             self.apply_placement(context, id, task);
@@ -188,9 +188,7 @@
     /// Applies the placement of a task that a holder reports.
     fn apply_placement(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
         let is_known = |a: &Assignment| a.id() == placed.id();
-        let is_already_known = self
-            .assignment_position(&placed.machine, is_known)
-            .is_some();
+        let is_already_known = self.assignment_index(&placed.machine, is_known).is_some();
         // A holder may still report tasks of a machine that was terminated.
         if is_already_known || self.fleet.is_terminated(&placed.machine) {
             return;
@@ -202,7 +200,7 @@
             // placed until its end is proven again.
             debug!(
                 partition = id, job = placed.job, task = placed.task;
-                "partition holder reports a placed task that was not delegated to it"
+                "partition holder reported a placed task that was not delegated to it"
             );
         }
         let zone = self.zone_of_partition(id);
@@ -212,13 +210,13 @@
             if delegation.is_none() {
                 job.assign_task(placed.task);
             }
-            job.note_placed(context.now.steady);
+            job.record_placed(context.now.steady);
             *job.assignments_by_zone.entry(zone.clone()).or_insert(0) += 1;
             job.spec.clone()
         });
         let assignment = Assignment {
             launched: Some((placed.incarnation, 0)),
-            by_holder: true,
+            placed_by_holder: true,
             ..Assignment::new(TaskOnMachine {
                 task: placed,
                 job: index,
--- a/crates/core/src/scheduler/loading/assignments.rs
+++ b/crates/core/src/scheduler/loading/assignments.rs
@@ -32,7 +32,7 @@
 enum LoadedJob {
     /// The record of the job has been read.
     Known(JobIndex),
-    /// The record of the job cannot be read.
+    /// The record of the job cannot be decoded.
     Unreadable,
 }
 
@@ -45,7 +45,7 @@
     ) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             self.load_assignment_page(context, &entry);
         }
     }
@@ -77,10 +77,10 @@
         }
     }
 
-    /// Handles a page that cannot be read. Its assignments are unknown, so no task is started until every machine
+    /// Handles a page that cannot be decoded. Its assignments are unknown, so no task is started until every machine
     /// has had time to send a heartbeat or to be terminated.
     fn on_unreadable_page(&mut self, context: &Context, key: &str, number: Option<u64>) {
-        error!(key = key; "record cannot be read; no task is placed until all machines had time to send a heartbeat");
+        error!(key = key; "cannot decode an assignment page; placing no task until all machines have had time to send a heartbeat");
         self.placement.blocked_until =
             context.now.steady + context.settings.agent_lease * 2 + 10 * SECOND;
         if let Some(number) = number {
@@ -152,7 +152,7 @@
 
     fn is_assigned(&self, machine: &str, job: &str, attempt: TaskAttempt) -> bool {
         let is_this = |a: &Assignment| a.id() == attempt && a.job_id == job;
-        self.assignment_position(machine, is_this).is_some()
+        self.assignment_index(machine, is_this).is_some()
     }
 
     /// Marks the task as assigned if its job is known, and returns the description of the job.
@@ -184,7 +184,7 @@
 }
 
 fn recovered_assignment(page: LoadedPage, job: LoadedJob, task: TaskOnMachine) -> Assignment {
-    // If the record of the job cannot be read, neither its team nor its resources are known. Its tasks are stopped,
+    // If the record of the job cannot be decoded, neither its team nor its resources are known. Its tasks are stopped,
     // and no task is placed until they are proven gone.
     let stop = match job {
         LoadedJob::Known(_) => None,
@@ -198,7 +198,7 @@
         page: page.number,
         launched: Some(LAUNCHED_EARLIER),
         delivered: false,
-        by_holder: page.written_by.is_some(),
+        placed_by_holder: page.written_by.is_some(),
         stop,
         ..Assignment::new(task)
     }
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -2,11 +2,11 @@
 //!
 //! The writes of the leader depend on the leader record.
 //!
-//! A holder may write assignments only under its claim, and only while the leader that delegated the tasks is on
-//! record: each of its writes depends on both records. The leader record lasts as long as the leader's lease, so
-//! tasks continue to start for that time after the leader has failed. The next leader reads all pages after it has
-//! acquired its lease, and from then on no write of a holder succeeds until that leader has sent it orders. Thus no
-//! task is placed by two controllers, and a write that the store applies late fails.
+//! A holder may write assignments only while the store has its claim record and the leader record of the leader that
+//! delegated the tasks: each of its writes depends on both records. The leader record lasts as long as the leader's
+//! lease, so tasks continue to start for that time after the leader has failed. The next leader reads all pages after
+//! it has acquired its lease, and from then on no write of a holder succeeds until that leader has sent it orders.
+//! Thus no task is placed by two controllers, and a write that the store applies late fails.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -23,7 +23,7 @@
         };
         Some(vec![
             condition(&claim_key(partition), self.token),
-            condition(LEADER_KEY, self.holder_quota.term?),
+            condition(LEADER_KEY, self.holder_quota.leader_token?),
             condition(QUOTA_LIMITS_KEY, self.holder_quota.limits_revision?),
         ])
     }
@@ -34,17 +34,17 @@
         let has_failed = |key: &str| failed_keys.iter().any(|failed| failed == key);
         let Some(partition) = self.partition() else {
             return if has_failed(LEADER_KEY) {
-                Err("another leader was elected".into())
+                Err("the leader record has changed or is gone".into())
             } else {
                 Ok(())
             };
         };
         if has_failed(&claim_key(partition)) {
-            return Err("its claim has ended".into());
+            return Err("the claim on the partition has changed or is gone".into());
         }
         if has_failed(LEADER_KEY) {
-            info!(partition = partition; "leader record changed; placing no task until the next leader sends orders");
-            self.holder_quota.term = None;
+            info!(partition = partition; "leader record has changed or is gone; this partition holder places no task until a leader sends it orders");
+            self.holder_quota.leader_token = None;
         }
         if has_failed(QUOTA_LIMITS_KEY) {
             // The next orders of the leader contain the limits in force.
@@ -68,12 +68,12 @@
         keep: impl Fn(&Assignment) -> bool,
     ) {
         let is_dropped = |assignment: &Assignment| {
-            assignment.by_holder && assignment.launched.is_none() && !keep(assignment)
+            assignment.placed_by_holder && assignment.launched.is_none() && !keep(assignment)
         };
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(position) = self.assignment_position(&name, is_dropped) {
-                self.remove_assignment(context, &name, position);
+            while let Some(assignment_index) = self.assignment_index(&name, is_dropped) {
+                self.remove_assignment(context, &name, assignment_index);
             }
         }
     }
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -47,10 +47,10 @@
     pub(crate) requested_at: Micros,
     /// Time at which the cloud's machine list last showed the machine, in microseconds.
     pub(crate) last_listed: Option<Micros>,
-    /// Whether the cloud's machine list shows the machine as running. Such a machine only has to send its first
-    /// heartbeat to this leader and is not an overdue boot, whatever its age. Without this distinction, a new leader
-    /// would terminate its whole fleet as overdue boots.
-    pub(crate) running: bool,
+    /// Whether the cloud's machine list shows the machine with status `running`. Such a machine only has to send its
+    /// first heartbeat to this leader and is not an overdue boot, whatever its age. Without this distinction, a new
+    /// leader would terminate its whole fleet as overdue boots.
+    pub(crate) listed_as_running: bool,
 }
 
 /// A provisioning request. It is kept from the write of its record until the cloud has refused it, or until the
@@ -113,7 +113,7 @@
     pub(crate) provisions: BTreeMap<String, PendingProvision>,
     /// Number of the last provisioning request of this leader.
     pub(crate) last_provision_number: u64,
-    /// Machines whose termination the cloud has confirmed, each with the time of the answer, in microseconds.
+    /// Machines whose termination the cloud has confirmed, each with the time of the response, in microseconds.
     pub(crate) terminated: BTreeMap<String, Micros>,
     /// Machines to be terminated.
     pub(crate) terminating: BTreeSet<String>,
@@ -121,7 +121,7 @@
     pub(crate) termination_in_flight: bool,
     /// Earliest time of the next termination call, in microseconds.
     pub(crate) next_termination: Micros,
-    /// Time of the next read of the machine list, in microseconds.
+    /// Time of the next read of a page of the cloud's machine list, in microseconds.
     pub(crate) next_list_read: Micros,
     /// Whether a read of a page of the machine list is in flight.
     pub(crate) list_in_flight: bool,
@@ -195,7 +195,7 @@
     }
 
     /// Records that the record of a provisioning request is durable, so that the request may be sent from now on.
-    pub fn note_provision_durable(&mut self, now: Micros, name: &str) {
+    pub fn record_provision_durable(&mut self, now: Micros, name: &str) {
         if let Some(provision) = self.provisions.get_mut(name) {
             provision.durable = true;
             provision.retry_at = now;
@@ -225,7 +225,7 @@
 
     /// Records that the machine list or a heartbeat has shown the machine, so that its provisioning request need not
     /// be kept for this machine any longer.
-    pub(crate) fn note_listed(&mut self, machine: &str) {
+    pub(crate) fn record_listed(&mut self, machine: &str) {
         for provision in self.provisions.values_mut() {
             if let Some(unlisted) = &mut provision.unlisted {
                 unlisted.remove(machine);
@@ -271,7 +271,9 @@
 
     /// Returns whether the machine is still booting.
     pub fn is_booting(&self, name: &str) -> bool {
-        self.booting_machines.get(name).is_some_and(|b| !b.running)
+        self.booting_machines
+            .get(name)
+            .is_some_and(|b| !b.listed_as_running)
     }
 
     /// Queues the machine for termination. Returns false if it is already queued or terminated.
--- a/crates/core/src/state/holder.rs
+++ b/crates/core/src/state/holder.rs
@@ -5,11 +5,12 @@
 use grebewood_wire::peer::{MachineState, TaskAttempt, TaskOutcome};
 use std::collections::BTreeMap;
 
-/// Number of a message with orders. Orders whose number is not higher than the last one are stale.
+/// Number of a message with orders from the leader to this partition holder. Orders whose number is not higher than
+/// that of the last orders that this holder accepted are stale.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OrdersNumber {
     /// Fencing token of the leader that sent the orders.
-    pub(crate) term: u64,
+    pub(crate) leader_token: u64,
     /// Sequence number of the orders among those of this leader.
     pub(crate) sequence: u64,
 }
@@ -26,10 +27,10 @@
 /// State that a holder keeps besides its machines.
 #[derive(Clone, Debug, Default)]
 pub struct HolderState {
-    /// Number of the last orders.
+    /// Number of the last orders that this holder accepted.
     pub(crate) last_orders: OrdersNumber,
-    /// Term of the leader with which the tasks on the machines were reconciled; 0 if there was none yet.
-    pub(crate) reconciled_term: u64,
+    /// Fencing token of the leader with which the tasks on the machines were last reconciled; 0 if there was none yet.
+    pub(crate) reconciled_leader_token: u64,
     /// Outcomes of ended attempts that the leader has not recorded yet.
     pub(crate) outcomes: BTreeMap<TaskAttempt, TaskOutcome>,
     /// Last reported states of machines, by machine name.
@@ -38,18 +39,18 @@
     pub(crate) state_version: u64,
     /// Cancelled jobs, each with the time at which this controller learned of the cancellation.
     pub(crate) cancelled: BTreeMap<String, Micros>,
-    /// Number of heartbeats answered since the claim.
+    /// Number of heartbeats that this holder has answered since its claim on the partition.
     pub(crate) heartbeats: u64,
 }
 
 impl HolderState {
     /// Returns whether a leader has sent all tasks that may be on the machines.
     pub(crate) fn is_reconciled(&self) -> bool {
-        self.reconciled_term > 0
+        self.reconciled_leader_token > 0
     }
 
     /// Records the time at which this controller first learned that a job is cancelled.
-    pub(crate) fn note_cancelled(&mut self, job: &str, now: Micros) {
+    pub(crate) fn record_cancelled(&mut self, job: &str, now: Micros) {
         self.cancelled.entry(job.to_string()).or_insert(now);
     }
 
--- a/crates/core/src/state/jobs/job/starvation.rs
+++ b/crates/core/src/state/jobs/job/starvation.rs
@@ -1,5 +1,9 @@
 //! Jobs that have waited for a long time: which of them begin ahead of their turn, which of them catch up, and which
 //! of them preemption spares.
+//!
+//! A job starves if its tasks wait too long without any placement. It then catches up: its tasks are placed ahead of
+//! those of most other jobs (see the levels of the job queue). A job without any placed task begins ahead of its turn
+//! after a shorter time.
 
 use crate::state::jobs::job::Job;
 use crate::{Micros, SECOND};
@@ -75,7 +79,7 @@
     }
 
     /// Records that a task was placed, and ends the catch-up where this placement completes it.
-    pub fn note_placed(&mut self, now: Micros) {
+    pub fn record_placed(&mut self, now: Micros) {
         self.placed_at = now;
         if self.waiting_count() == 0 {
             self.waiting_since = None;
@@ -97,7 +101,7 @@
     }
 
     /// Records that a task of the job is preempted for a team below its guaranteed share.
-    pub fn note_preempted(&mut self) {
+    pub fn record_preempted(&mut self) {
         self.preempted += 1;
     }
 
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -10,12 +10,12 @@
 /// Weight of the latest heartbeat rate in the smoothed load of a partition.
 const LOAD_SMOOTHING: Load = 0.2;
 
-/// Claim whose holder receives the orders of a partition.
+/// A claim on a partition, whose holder receives the orders for the partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RemoteClaim {
     /// Name of the member that holds the partition.
     pub(crate) member: String,
-    /// Fencing token of the claim.
+    /// Fencing token of the claim on the partition.
     pub(crate) token: u64,
 }
 
@@ -41,7 +41,7 @@
 pub(crate) struct RemotePartition {
     /// Partition record as it is to be written.
     pub(crate) record: PartitionRecord,
-    /// Claim that orders are sent to.
+    /// Claim on the partition, to whose holder orders are sent; `None` if there is no claim.
     pub(crate) claim: Option<RemoteClaim>,
     /// Whether the holder knows all tasks that may be on the machines.
     pub(crate) reconciled: bool,
@@ -50,7 +50,7 @@
     /// Time at which the next orders are due.
     pub(crate) next_orders_at: Micros,
     /// Whether orders were sent and have not been answered yet.
-    pub(crate) awaiting_answer: bool,
+    pub(crate) awaiting_report: bool,
     /// Attempts whose outcomes were applied and may be acknowledged once they are recorded.
     pub(crate) applied_outcomes: BTreeSet<TaskAttempt>,
     /// Machines that were terminated since the last orders.
@@ -60,13 +60,13 @@
     /// Smoothed heartbeats per second.
     pub(crate) load: Load,
     /// Time at which the holder last answered.
-    pub(crate) last_answer_at: Micros,
+    pub(crate) last_report_at: Micros,
     /// Sequence number of the last placement of the holder that the leader knows of.
     pub(crate) last_known_placement: u64,
     /// Machines on which the last orders told the holder to place nothing new.
     pub(crate) reserved_sent: BTreeSet<String>,
     /// Machines on which the holder has confirmed that it places nothing new.
-    pub(crate) reserved: BTreeSet<String>,
+    pub(crate) reserved_confirmed: BTreeSet<String>,
 }
 
 impl RemotePartition {
@@ -78,40 +78,40 @@
             reconciled: false,
             state_version: 0,
             next_orders_at: 0,
-            awaiting_answer: false,
+            awaiting_report: false,
             applied_outcomes: BTreeSet::new(),
             terminated: Vec::new(),
             heartbeats: HeartbeatCount::default(),
             load: 0.0,
-            last_answer_at: 0,
+            last_report_at: 0,
             last_known_placement: 0,
             reserved_sent: BTreeSet::new(),
-            reserved: BTreeSet::new(),
+            reserved_confirmed: BTreeSet::new(),
         }
     }
 
-    /// Returns the fencing token of the claim.
+    /// Returns the fencing token of the claim on the partition.
     pub(crate) fn claim_token(&self) -> Option<u64> {
         self.claim.as_ref().map(|claim| claim.token)
     }
 
-    /// Handles a change of the claim. All state that was learned from the previous holder is dropped, since nothing
-    /// is known about the new one.
+    /// Handles a change of the claim on the partition. All state that was learned from the previous holder is dropped,
+    /// since nothing is known about the new one.
     pub(crate) fn on_claim_changed(&mut self, claim: Option<RemoteClaim>) {
         self.claim = claim;
         self.reconciled = false;
         self.state_version = 0;
-        self.awaiting_answer = false;
+        self.awaiting_report = false;
         self.next_orders_at = 0;
         self.applied_outcomes.clear();
         self.heartbeats = HeartbeatCount::default();
         self.last_known_placement = 0;
         self.reserved_sent.clear();
-        self.reserved.clear();
+        self.reserved_confirmed.clear();
     }
 
     /// Derives the load from the number of heartbeats that the holder has answered since its claim.
-    pub(crate) fn note_heartbeats(&mut self, count: u64, now: Micros) {
+    pub(crate) fn record_heartbeats(&mut self, count: u64, now: Micros) {
         let last = self.heartbeats;
         let span = now.saturating_sub(last.at);
         if span < SECOND && last.at > 0 {
@@ -148,7 +148,7 @@
     /// Returns the time at which the next orders are due.
     pub(crate) fn next_wake(&self) -> Micros {
         let partitions = self.by_id.values();
-        let ready = partitions.filter(|p| p.claim.is_some() && !p.awaiting_answer);
+        let ready = partitions.filter(|p| p.claim.is_some() && !p.awaiting_report);
         ready
             .map(|partition| partition.next_orders_at)
             .min()
@@ -177,7 +177,7 @@
     /// Returns whether the partition's holder has confirmed that it places nothing new on the machine.
     pub(crate) fn is_reserved(&self, id: PartitionId, machine: &str) -> bool {
         let partition = self.by_id.get(&id);
-        partition.is_some_and(|partition| partition.reserved.contains(machine))
+        partition.is_some_and(|partition| partition.reserved_confirmed.contains(machine))
     }
 
     /// Returns the fencing token of the partition's claim.
@@ -191,7 +191,7 @@
     }
 
     /// Records that a machine of the partition was terminated.
-    pub(crate) fn note_terminated(&mut self, id: PartitionId, machine: &str) {
+    pub(crate) fn record_terminated(&mut self, id: PartitionId, machine: &str) {
         if let Some(partition) = self.by_id.get_mut(&id) {
             partition.terminated.push(machine.to_string());
         }
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -7,7 +7,7 @@
 use grebewood_wire::records::JobRecord;
 
 /// Time of day at time zero of the steady clock, in microseconds since 1970.
-pub const WALL_CLOCK_START: u64 = 1_700_000_000 * SECOND;
+pub const WALL_CLOCK_START_US: u64 = 1_700_000_000 * SECOND;
 
 /// The fencing token under which [`leader_before_loading`] leads.
 const TOKEN: u64 = 7;
@@ -17,7 +17,7 @@
 
 /// Interval between the ticks of [`advance_time`], in microseconds: a tick after more than half of the leader's lease
 /// would count as a process pause.
-const TICK_INTERVAL: Micros = 500 * MILLI;
+const TICK_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Returns a controller that has just become the leader and has read no records yet.
 pub fn leader_before_loading(now: Micros) -> Controller {
@@ -61,7 +61,7 @@
     };
     JobRecord {
         spec,
-        accepted_us: WALL_CLOCK_START,
+        accepted_us: WALL_CLOCK_START_US,
     }
 }
 
@@ -85,7 +85,7 @@
 pub fn clocks(now: Micros) -> Now {
     Now {
         steady: now,
-        wall: WALL_CLOCK_START + now,
+        wall: WALL_CLOCK_START_US + now,
     }
 }
 
@@ -96,7 +96,7 @@
 
 /// Ticks the controller at short intervals from `from` until just before `to`.
 pub fn advance_time(controller: &mut Controller, from: Micros, to: Micros) {
-    for now in (from..to).step_by(TICK_INTERVAL as usize) {
+    for now in (from..to).step_by(TICK_INTERVAL_US as usize) {
         tick(controller, now);
     }
 }
