--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -76,7 +76,7 @@
 /// A call of a scheduler. The reply is dropped if the scheduler has lost its fenced lease since.
 #[derive(Debug)]
 pub enum SchedulerCall {
-    /// Renews the lease of the leader record or of the claim record.
+    /// Renews the lease to which the leader record or the partition's claim record is attached.
     RenewLease,
     /// Reads a page of the keys with a prefix.
     List {
@@ -99,7 +99,7 @@
     FlushReadBack,
     /// Reads a record again, since its known revision may be outdated.
     Refresh {
-        /// Its key.
+        /// Key of the record.
         key: String,
     },
     /// A call to the cloud.
@@ -151,7 +151,7 @@
     },
     /// Terminates machines.
     Terminate {
-        /// Their names.
+        /// Names of the machines.
         machines: Vec<String>,
     },
 }
@@ -179,7 +179,7 @@
 /// A read of the partition map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MapCall {
-    /// Reads a page of its keys.
+    /// Reads a page of the partition map's keys.
     List,
     /// Waits for changes since the revision that was read.
     Watch,
@@ -190,14 +190,14 @@
 pub enum ClaimStep {
     /// Requests a lease.
     Lease,
-    /// Puts the claim record of this controller under the lease.
+    /// Puts the partition's claim record, which names this controller, under the lease.
     Claim {
-        /// The id of the lease that the claim record of this controller is put under.
+        /// The id of the lease that the partition's claim record is put under.
         lease: u64,
     },
-    /// Reads the claim record back after a put without a clear outcome.
+    /// Reads the partition's claim record back after a put without a clear outcome.
     ReadBack {
-        /// The id of the lease that the claim record of this controller was put under.
+        /// The id of the lease that the partition's claim record was to be put under.
         lease: u64,
     },
 }
@@ -267,7 +267,7 @@
 pub enum UserAction {
     /// Submits a job.
     Submit(Box<Submission>),
-    /// Submits a job with a missing or invalid field; the text says what is wrong. Refused unless the job was
+    /// Submits a job with a missing or invalid field; the text describes the error. Refused unless the job was
     /// accepted before.
     Malformed(String),
     /// Asks for a job's status.
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -15,9 +15,9 @@
 /// Timeout of a call to the store, unless the caller sets another one.
 pub const STORE_CALL_TIMEOUT_US: Micros = 1_500 * MILLI;
 
-/// Lowest write rate of a member, in puts a second, at which holders write assignments. Below it the leader places
+/// Lowest write rate of a member, in puts a second, at which holders write assignments. At a lower rate the leader places
 /// all tasks.
-const MIN_HOLDER_WRITE_RATE: f64 = 2.0;
+const MIN_HOLDER_PUTS_PER_S: f64 = 2.0;
 
 /// Share of the store's write rate that the leader uses.
 const LEADER_WRITE_SHARE: f64 = 0.7;
@@ -34,10 +34,10 @@
 
 /// Burst of the leader, in puts: the end of a job takes several puts and deletes in one transaction, and a low rate
 /// must be able to accumulate tokens for them.
-const LEADER_WRITE_BURST: f64 = 4.0;
+const LEADER_WRITE_BURST_PUTS: f64 = 4.0;
 
 /// Burst of a partition holder, in puts.
-const HOLDER_WRITE_BURST: f64 = 2.0;
+const HOLDER_WRITE_BURST_PUTS: f64 = 2.0;
 
 /// Share of the cloud's request rate that this controller uses.
 const CLOUD_SHARE: f64 = 0.8;
@@ -100,7 +100,7 @@
         let StoreLimits { rps, write_rps, .. } = settings.store;
         let user_write_rate = write_rps * (1.0 - LEADER_WRITE_SHARE);
         let holder_rate = write_rps * HOLDER_WRITE_SHARE / members;
-        let holders_write = tuning.grants_quota() && holder_rate >= MIN_HOLDER_WRITE_RATE;
+        let holders_write = tuning.grants_quota() && holder_rate >= MIN_HOLDER_PUTS_PER_S;
         let leader_share = if holders_write {
             LEADER_WRITE_SHARE - HOLDER_WRITE_SHARE
         } else {
@@ -114,9 +114,9 @@
             ),
             leader_writes: RateLimiter::with_depth(
                 write_rps * leader_share,
-                write_rps.min(LEADER_WRITE_BURST),
+                write_rps.min(LEADER_WRITE_BURST_PUTS),
             ),
-            holder_writes: RateLimiter::with_depth(holder_rate, HOLDER_WRITE_BURST),
+            holder_writes: RateLimiter::with_depth(holder_rate, HOLDER_WRITE_BURST_PUTS),
             cloud_requests: RateLimiter::new(settings.cloud_rps * CLOUD_SHARE),
             settings,
             tuning,
@@ -262,7 +262,7 @@
     /// Returns whether the store's write rate is enough for several members to write assignments. With a lower
     /// rate, tasks wait longer for their holder's writes than for the leader's.
     pub fn holders_can_write(&self) -> bool {
-        self.holder_writes.rate() >= MIN_HOLDER_WRITE_RATE
+        self.holder_writes.rate() >= MIN_HOLDER_PUTS_PER_S
     }
 
     /// Returns the rate limit of the puts and deletes of a scheduler in this role.
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -51,21 +51,21 @@
 
 /// A controller.
 pub struct Controller {
-    /// Settings, clocks, rate limiters and calls under way, which all its parts share.
+    /// Settings, clocks, rate limiters and calls under way, which all parts of the controller share.
     pub context: Context,
-    /// What it knows of the leader and of its peers.
+    /// What this controller knows of the leader and of its peers.
     pub election: Election,
-    /// Its scheduler as the leader, while it is the leader.
+    /// The scheduler of this controller as the leader, while it is the leader.
     pub leader: Option<Box<Scheduler>>,
-    /// Final records that it has read, and those of jobs whose cancellation it has confirmed.
+    /// Final records that this controller has read, and final records of jobs whose cancellation it has confirmed.
     pub finished_jobs: FinishedJobs,
     /// Reads of final records that are under way.
     pub finished_reads: FinishedReads,
-    /// Its view of the live jobs.
+    /// This controller's view of the live jobs.
     pub job_view: JobView,
     /// Task counts of live jobs, as last sent by the leader.
     pub progress: BTreeMap<String, TaskCounts>,
-    /// Its copy of the partition map, and the partitions that it holds or claims.
+    /// This controller's copy of the partition map, and the partitions that it holds or claims.
     pub partitions: Partitions,
     /// Machines on which cancelled tasks were not proven to have ended when this controller last stepped down as the
     /// leader or released a partition.
--- a/crates/core/src/controller/heartbeats.rs
+++ b/crates/core/src/controller/heartbeats.rs
@@ -55,10 +55,9 @@
     /// names this member although this process is not the leader.
     fn redirect_to_leader(&mut self, id: u64) {
         let own_name = self.context.settings.member.as_str();
-        let leader = self.election.leader().filter(|name| *name != own_name);
-        let leader = leader.map(str::to_string);
-        self.context
-            .answer(id, 421, &Redirect { controller: leader });
+        let controller = self.election.leader().filter(|name| *name != own_name);
+        let controller = controller.map(str::to_string);
+        self.context.answer(id, 421, &Redirect { controller });
     }
 
     /// Returns the partition of the heartbeat's machine: on the leader by the partitions that it read under its
@@ -99,8 +98,7 @@
             let reason = "its partition is not held yet";
             return self.context.refuse(id, 503, reason);
         };
-        let leader = Some(holder);
-        self.context
-            .answer(id, 421, &Redirect { controller: leader });
+        let controller = Some(holder);
+        self.context.answer(id, 421, &Redirect { controller });
     }
 }
--- a/crates/core/src/controller/partition_claims.rs
+++ b/crates/core/src/controller/partition_claims.rs
@@ -111,7 +111,7 @@
                 Ok(applied) => self.become_holder(id, lease, applied.revision),
                 Err(_) => self.read_claim_back(id, lease),
             },
-            // The store may have put the claim record or not: the record that is read back shows it.
+            // The store may have put the partition's claim record or not: the record that is read back shows it.
             (ClaimStep::Claim { lease }, 0) => self.read_claim_back(id, lease),
             (ClaimStep::ReadBack { lease }, 200) => self.on_claim_read_back(id, lease, &body),
             (ClaimStep::Lease, _) => self.on_claim_failed(id, None),
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Writes the claim record on the conditions that the partition is still assigned to this controller and that the
-    /// leader record is still the known one. So no claim is made under a leader that does not support
-    /// partitions, and the fencing token of the next leader is higher than that of every earlier claim.
+    /// Writes the partition's claim record on the conditions that the partition is still assigned to this
+    /// controller and that the leader record is still the known one. So no claim is made under a leader that does
+    /// not support partitions, and the fencing token of the next leader is higher than that of every earlier claim.
     fn write_claim(&mut self, id: PartitionId, lease: u64) {
         let own_name = &self.context.settings.member;
         let partition = self.partitions.map.get(id);
@@ -266,9 +266,8 @@
         self.keep_unproven_machines(&holder);
         let next_holder = self.other_holder_of(id);
         for request in holder.waiting_heartbeats() {
-            let leader = next_holder.clone();
-            self.context
-                .answer(request, 421, &Redirect { controller: leader });
+            let controller = next_holder.clone();
+            self.context.answer(request, 421, &Redirect { controller });
         }
         self.context.end_lease(holder.lease());
         if *reason == ReleaseReason::IsolatedFromAgents {
--- a/crates/core/src/controller/partitions.rs
+++ b/crates/core/src/controller/partitions.rs
@@ -22,7 +22,8 @@
     pub(crate) reader: MapReader,
     /// The schedulers of the partitions that this controller holds.
     pub holders: BTreeMap<PartitionId, Box<Scheduler>>,
-    /// Partitions that are being claimed, with the time at which the lease for the claim record was requested.
+    /// Partitions that are being claimed, with the time at which the lease for each partition's claim record was
+    /// requested.
     pub(crate) claiming: BTreeMap<PartitionId, Micros>,
     /// Time before which this controller starts no claim.
     pub(crate) claim_at: Micros,
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -39,7 +39,8 @@
 /// A peer is assigned no partitions if the contact request that it last answered is older than this.
 const MAX_PEER_RESPONSE_AGE_US: Micros = 3 * SECOND;
 
-/// Why a scheduler may not act under its lease on the leader record or on a claim record any longer.
+/// Why a scheduler may not act under its lease on the leader record or on the claim record of a partition any
+/// longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum LeaseLoss {
     /// A peer knows of a leader with a higher fencing token.
--- a/crates/core/src/controller/peer_contact/tests.rs
+++ b/crates/core/src/controller/peer_contact/tests.rs
@@ -172,8 +172,9 @@
     Outcome::Answer { status, body }
 }
 
-/// If the store has no record of a cancellation, the leader was told wrongly, unless the job is finished: the
-/// transaction that ends a job deletes the record. Retracting it then would start the job's tasks again.
+/// If the store has no record of a cancellation that a peer reported to the leader, the report was wrong, unless
+/// the job is finished: the transaction that ends a job deletes the record. Retracting the cancellation of a
+/// finished job would start the job's tasks again.
 #[test]
 fn a_cancellation_without_record_is_taken_back_only_if_the_job_is_not_over() {
     for over in [false, true] {
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -35,14 +35,14 @@
                 from,
                 question,
                 known_us,
-                wants_limits: limits_wanted,
+                wants_limits,
             } => {
                 debug!(member = from.as_str(); "received a contact request of a peer");
                 let now = self.context.now.steady;
                 let cancellations = &self.context.cancellations;
                 confirmed =
                     (question > 0).then(|| cancellations.list_confirmed(question, known_us, now));
-                limits = limits_wanted.then(|| self.context.settings.limits().to_teams());
+                limits = wants_limits.then(|| self.context.settings.limits().to_teams());
             }
             PeerRequest::Progress { from, token, jobs } => self.on_progress(&from, token, jobs),
             PeerRequest::Partition(orders) => report = self.on_orders(orders),
@@ -66,8 +66,8 @@
         });
     }
 
-    /// Handles task counts of live jobs. Those of any other member than the leader that the leader record names are
-    /// ignored.
+    /// Handles task counts of live jobs. Task counts from any member but the leader that the leader record names
+    /// are ignored.
     fn on_progress(&mut self, from: &str, token: u64, jobs: Vec<(String, u64, u64)>) {
         if !self.election.is_led_by(from, token) {
             return;
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -53,15 +53,15 @@
 }
 
 /// Returns how the outcome of a call that was made before a process pause is to be handled; `None`: it is ignored.
-/// The reply may have waited in this process during the whole pause, and what it says may have changed since.
+/// The reply may have waited in this process during the whole pause, and its content may be outdated.
 fn outcome_after_pause(purpose: &CallPurpose, outcome: Outcome) -> Option<Outcome> {
     match purpose {
-        // Another member may lead or hold the partition now. What users are told is read from the store again.
+        // Another member may lead or hold the partition now. Answers to users are built from a new read of the store.
         CallPurpose::Election(_)
         | CallPurpose::PartitionClaim { .. }
         | CallPurpose::User(_)
         | CallPurpose::JobView(_) => Some(Outcome::Unknown),
-        // A lease that was renewed may have expired since. One that the store did not know (404) is still lost.
+        // A lease that was renewed may have expired since. A lease that the store did not know (404) is still lost.
         CallPurpose::Scheduler {
             call: SchedulerCall::RenewLease,
             ..
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -41,8 +41,8 @@
             let status = finished.status.clone();
             return self.answer_accepted(id, 200, &job, &status);
         }
-        // A repeated submission of an accepted job must get neither 422 nor 400, whatever it contains now
-        // and whatever the limits were when the job was accepted. So the job is looked up before the
+        // A repeated submission of an accepted job must get neither 422 nor 400, regardless of its present
+        // content and of the limits at the time of acceptance. So the job is looked up before the
         // submission is refused.
         let acceptable = match &action {
             UserAction::Submit(submission) => {
--- a/crates/core/src/controller/user_answers.rs
+++ b/crates/core/src/controller/user_answers.rs
@@ -13,7 +13,7 @@
 const RUNNING: &str = "running";
 
 /// Status of a finished job all of whose tasks completed.
-const COMPLETED: &str = "done";
+const DONE: &str = "done";
 
 /// Status of a cancelled job.
 const ABORTED: &str = "aborted";
@@ -114,7 +114,7 @@
         self.progress.remove(&request.job);
         match request.action {
             UserAction::Poll => {
-                let all_completed = finished.status == COMPLETED;
+                let all_completed = finished.status == DONE;
                 let response = JobStatus {
                     id: request.job.clone(),
                     status: finished.status.clone(),
--- a/crates/core/src/rate_limiter.rs
+++ b/crates/core/src/rate_limiter.rs
@@ -6,7 +6,7 @@
 const LEVEL_TOLERANCE: f64 = 1e-9;
 
 /// Lowest rate for which waiting times are computed, in tokens a second.
-const LOWEST_RATE: f64 = 1e-6;
+const LOWEST_TOKENS_PER_S: f64 = 1e-6;
 
 /// A token bucket. It holds the tokens of one second, but at least one token, unless it is created with a greater
 /// depth.
@@ -80,7 +80,7 @@
 
     /// Returns how long the bucket takes to refill by `tokens`, in microseconds.
     pub fn refill_time(&self, tokens: f64) -> Micros {
-        (tokens / self.rate.max(LOWEST_RATE) * SECOND as f64).ceil() as Micros
+        (tokens / self.rate.max(LOWEST_TOKENS_PER_S) * SECOND as f64).ceil() as Micros
     }
 
     /// Empties the bucket, as after a response with status 429.
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -66,9 +66,10 @@
 /// token, which fences off earlier owners.
 #[derive(Clone, Copy, Debug)]
 pub struct FencedLease {
-    /// The fencing token: the mod_revision of the record.
+    /// The fencing token: the mod_revision of the leader record or of the partition's claim record.
     pub token: u64,
-    /// The id of the lease in the key-value store, to which the record is attached.
+    /// The id of the lease in the key-value store, to which the leader record or the partition's claim record is
+    /// attached.
     pub lease: u64,
     /// When the lease was requested, in microseconds of the steady clock.
     pub lease_requested_at: Micros,
@@ -79,8 +80,8 @@
 /// The fields are in three groups: those shared by the leader and the holders of partitions, those that only the
 /// leader uses, and those that only a holder uses.
 pub struct Scheduler {
-    // Used by the leader and by holders of partitions: the role, and the fenced lease on the leader record or on the
-    // claim record.
+    // Fields that the leader and holders use: the role, and the fenced lease, to which the leader record or the
+    // partition's claim record is attached.
     pub(crate) role: Role,
     /// The fencing token.
     pub token: u64,
@@ -94,7 +95,7 @@
     /// When this process acquired the fenced lease. All records are read after that.
     pub(crate) lease_acquired_at: Micros,
 
-    // Used by both: records in the key-value store.
+    // Fields that the leader and holders use: records in the key-value store.
     /// The reads of the records that the scheduler starts from; `None` once all of them are complete.
     loading: Option<Loading>,
     /// When all records had been read and applied; for a holder, when it had first reconciled its tasks with the
@@ -106,15 +107,15 @@
     /// Number of consecutive failed flushes, up to a limit.
     flush_failures: u32,
     /// Maximum size of a value. Starts as the configured limit and is lowered when the store refuses a value within
-    /// it.
+    /// the limit.
     max_value_bytes: usize,
     /// Maximum number of operations in a transaction. Starts as the configured limit and is lowered when the store
-    /// refuses a transaction within it.
+    /// refuses a transaction within the limit.
     max_transaction_operations: usize,
     /// The assignment pages that this scheduler writes.
     pub pages: AssignmentPages,
 
-    // Used by both: jobs.
+    // Fields that the leader and holders use: jobs.
     /// Jobs that have not ended.
     pub jobs: Jobs,
     /// Ids of the jobs that ended most recently, so that a list which predates their end does not add them again.
@@ -131,7 +132,7 @@
     /// Count of the attempt numbers allocated under this fenced lease.
     allocated_attempts: u64,
 
-    // Used by both: machines and their agents.
+    // Fields that the leader and holders use: machines and their agents.
     /// Machines by name.
     pub machines: BTreeMap<String, Machine>,
     /// Machines that are being provisioned or terminated, or that are gone.
@@ -151,7 +152,7 @@
     /// When all machines are next checked for missing heartbeats and overdue stops.
     pub next_machine_check: Micros,
 
-    // Used by the leader only.
+    // Fields that only the leader uses.
     /// Partitions and the reports of their holders.
     pub(crate) remote_partitions: RemotePartitions,
     /// Quotas of the teams, and quota grants to the holders of partitions.
@@ -171,10 +172,10 @@
     next_stats_at: Micros,
     /// When the provisioning requests in the store are next compared with those of this leader.
     provision_sweep_at: Micros,
-    /// When these comparisons end.
+    /// When the leader stops comparing provisioning requests in this way.
     provision_sweep_until: Micros,
 
-    // Used by the holder of a partition only.
+    // Fields that only the holder of a partition uses.
     /// Orders received from the leader, and reports that are due to it.
     pub(crate) holder_state: HolderState,
     /// The quota grant from the leader, and the tasks that the holder is to place under it.
--- a/crates/core/src/scheduler/agents/exits.rs
+++ b/crates/core/src/scheduler/agents/exits.rs
@@ -123,8 +123,8 @@
         None
     }
 
-    /// Handles the exit of a replica, which is started again whatever the cause. The exit of a replica that was to
-    /// be stopped is not recorded.
+    /// Handles the exit of a replica, which is started again regardless of the cause. The exit of a replica that
+    /// was to be stopped is not recorded.
     fn apply_replica_exit(&mut self, context: &Context, exit: &TaskExit) {
         let now = context.now.steady;
         let assignment = exit.assignment;
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -321,7 +321,9 @@
         }
     }
 
-    /// Returns how many tasks of the job fit into the free resources of the machines in a zone.
+    /// Returns how many tasks of the job fit into the free resources of the machines in a zone that take new tasks.
+    /// Machines that are cordoned or to be reclaimed are not counted, so a replica that is moved off such a machine
+    /// has to fit on another.
     fn tasks_that_fit_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
         let now = context.now.steady;
         let max_silence = context.settings.heartbeat_timeout();
--- a/crates/core/src/scheduler/flush/outcome.rs
+++ b/crates/core/src/scheduler/flush/outcome.rs
@@ -23,7 +23,7 @@
 const HTTP_SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Scheduler {
-    /// Handles the store's response to a flush. The error says why the fenced lease is lost.
+    /// Handles the store's response to a flush. The error is the reason why the fenced lease is lost.
     pub(crate) fn on_flush(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/holder/report.rs
+++ b/crates/core/src/scheduler/holder/report.rs
@@ -18,18 +18,21 @@
 const TERMINATED_REPORT_TIME_US: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// Returns the report in response to orders of the leader with this fencing token. `seen` is the version of the
-    /// last machine state that the leader knows, and `accepted` lists the launches that were accepted.
+    /// Returns the report in response to orders of the leader with this fencing token. `last_known_version`
+    /// is the version of the last machine state that the leader knows, and `accepted` lists the launches that were
+    /// accepted.
     pub(crate) fn partition_report(
         &mut self,
         context: &Context,
-        seen: u64,
+        last_known_version: u64,
         leader_token: u64,
         accepted: Vec<TaskAttempt>,
     ) -> PartitionReport {
         self.update_reported_states(context);
-        let changed = self.states_since(seen);
-        let version = changed.last().map_or(seen, |reported| reported.version);
+        let changed = self.states_since(last_known_version);
+        let version = changed
+            .last()
+            .map_or(last_known_version, |reported| reported.version);
         let outcomes = self.holder_state.outcomes.values();
         let outcomes = outcomes.filter(|o| !self.holder_quota.is_in_later_report(o.id()));
         PartitionReport {
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -57,7 +57,7 @@
 
 impl Scheduler {
     /// Charges a task to a partition's quota grant if the team's limit allows it, and returns whether it did. The
-    /// grant grows if it is too small for the task. A refusal marks the team as short of room.
+    /// grant grows if it is too small for the task. A refusal marks the team as short of quota.
     pub(crate) fn try_charge_quota_grant(
         &mut self,
         context: &Context,
@@ -137,7 +137,7 @@
         };
         debug!(
             job = spec.id, task = task, partition = partition, given:? = kind;
-            "delegated a task to a partition holder"
+            "delegated a task to a partition holder, as placeable now or waiting for resources"
         );
         let delegations = &mut self.leader_quota.delegations;
         delegations.insert(TaskKey::new(placing.index, task), delegation);
@@ -346,8 +346,8 @@
             if freeing.is_empty() || leader_only_level.is_some_and(|level| queued.level >= level) {
                 break;
             }
-            // The delegated tasks use the quota that the ending tasks free, so the unused part of the team's limit
-            // does not matter.
+            // The delegated tasks use quota of the team's tasks that are being stopped or are expected to end soon,
+            // so it does not matter how much of the team's limit is unused.
             let placing = self.prepare_placing(context, *queued);
             let Some(mut placing) = placing.filter(PlacingJob::is_for_holders) else {
                 continue;
@@ -373,9 +373,10 @@
         }
     }
 
-    /// Returns the most urgent level of the jobs in the queue that fit their team's limit and that only the leader
-    /// can place, such as gangs, jobs that have waited too long to start, and jobs that have starved and are served
-    /// ahead of others until their tasks are placed. Holders must not use the resources that these jobs wait for.
+    /// Returns the most urgent level in the job queue, which is the lowest number, of the jobs that fit their
+    /// team's limit and that only the leader can place. Examples are gangs, jobs that have waited too long for
+    /// their first task, and jobs that catch up because their tasks have waited too long without any placement.
+    /// Holders must not use the resources that these jobs wait for.
     fn most_urgent_leader_only_level(&self, context: &Context, queue: &[QueuedJob]) -> Option<u8> {
         let now = context.now.steady;
         let needs_leader = |queued: &&QueuedJob| {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler.rs
@@ -1,9 +1,9 @@
 //! The autoscaler: decides how many machines of which offering to provision.
 //!
-//! It follows Mao, Li and Humphrey, "Cloud Auto-scaling with Deadline and Budget Constraints" (GRID 2010), with
-//! the changes listed in `docs/design.md`. The computing power of a machine is the number of tasks of a job that
-//! it can complete in time. For a job with `n` waiting tasks of run time `t` and time `D` to its deadline, a
-//! machine that is up contributes `D * n / sum(n * t)`, multiplied by the number of tasks that fit into its free
+//! The autoscaler follows Mao, Li and Humphrey, "Cloud Auto-scaling with Deadline and Budget Constraints" (GRID
+//! 2010), with the changes listed in `docs/design.md`. The computing power of a machine is the number of tasks of a
+//! job that it can complete in time. For a job with `n` waiting tasks of run time `t` and time `D` to its deadline,
+//! a machine that is up contributes `D * n / sum(n * t)`, multiplied by the number of tasks that fit into its free
 //! resources. For a booting machine, the remaining boot delay is subtracted from `D`, down to zero. If the demand
 //! exceeds the computing power of the fleet, machines are added greedily by their price per unit of the gap that
 //! they close.
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -47,8 +47,8 @@
     pub(crate) run_s: f64,
     /// Time in which the tasks are to be completed, in seconds: the paper's `D`.
     pub(crate) time_left_s: f64,
-    /// The same time for machines that are still booting, in seconds. It is at least one boot plus one run, since
-    /// a machine that is provisioned now cannot be faster.
+    /// Time in which machines that are still booting are to complete the tasks, in seconds. This time is at least
+    /// one boot plus one run, since a machine that is provisioned now cannot be faster.
     pub(crate) time_left_booting_s: f64,
 }
 
@@ -424,6 +424,6 @@
 struct GangZone {
     /// Whether machines for the gang may be provisioned in the zone.
     can_provision: bool,
-    /// Number of slots for its tasks, on machines that are up, booting or requested.
+    /// Number of slots for the gang's tasks, on machines that are up, booting or requested.
     slots: u64,
 }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/plan.rs
@@ -40,8 +40,8 @@
 /// Demand that the computing power of the fleet does not cover, updated as machines are added to the plan.
 struct UnmetDemand<'a> {
     demand: &'a [Demand<'a>],
-    /// Computing power, as a number of tasks, of the fleet and of the machines that were in the plan before this
-    /// planning pass, for each demand.
+    /// Computing power for each demand, as a number of tasks: that of the fleet, with machines that are booting or
+    /// requested, and that of the machines that an earlier pass added to the plan.
     power: Vec<f64>,
     /// Number of tasks of each demand that are not covered yet.
     gap: Vec<f64>,
@@ -65,9 +65,9 @@
     }
 
     /// Returns whether a machine with this computing power for each demand serves tasks that must get a machine
-    /// however little of it they use. These are batch tasks for which the fleet has no computing power and this
-    /// planning pass has added none, and tasks of gangs and services that lack a slot. Without this rule, a gang that
-    /// lacks one slot would wait forever.
+    /// however little of it they use: batch tasks for which the fleet has no computing power and the plan has added
+    /// none, and tasks of gangs and services that lack a slot, which is free resources for one task on a machine.
+    /// Without this rule, a gang that lacks one slot would wait forever.
     fn serves_uncovered_tasks(&self, power: &[f64]) -> bool {
         let mut demand = self.demand.iter().enumerate();
         demand.any(|(i, d)| match d.is_batch() {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeMap;
 
 /// Returns, for each demand, how many of its tasks a machine completes in time: the paper's computing power `P`,
-/// multiplied by the number of `slots` that the machine has for tasks of that demand. `boot_delay_s` is the
-/// remaining boot time, in seconds, of a machine that is not up yet.
+/// multiplied by the number of `slots`: how many tasks of that demand fit on the machine at the same time.
+/// `boot_delay_s` is the remaining boot time, in seconds, of a machine that is not up yet.
 ///
 /// Each task of a gang or service needs a slot immediately and takes precedence over batch tasks, so gangs and
 /// services share the slots only among themselves. If they shared the slots with all demand, they would be
--- a/crates/core/src/scheduler/leader/fleet/consolidation.rs
+++ b/crates/core/src/scheduler/leader/fleet/consolidation.rs
@@ -10,7 +10,7 @@
 use crate::{Micros, SECOND};
 use log::info;
 
-/// One machine may be drained at a time, plus one for each this many usable machines.
+/// Number of usable machines for each machine that may be drained at the same time in addition to the first.
 const MACHINES_PER_DRAIN: usize = 20;
 
 /// Number of candidates that one round tries for each machine that may be drained.
--- a/crates/core/src/scheduler/leader/fleet/machine_list.rs
+++ b/crates/core/src/scheduler/leader/fleet/machine_list.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 /// Maximum number of machines on one page of the list.
-const PAGE_SIZE: usize = 500;
+const PAGE_MACHINES: usize = 500;
 
 /// Status of a listed machine whose agent should be sending heartbeats.
 const RUNNING: &str = "running";
@@ -33,7 +33,7 @@
             Some(machine) => format!("since={machine}&"),
             None => String::new(),
         };
-        let path = format!("/rentals?{since}page={PAGE_SIZE}");
+        let path = format!("/rentals?{since}page={PAGE_MACHINES}");
         self.call_cloud(context, "GET", &path, Vec::new(), CloudCall::List);
     }
 
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -24,7 +24,7 @@
 /// Upper bound of the number of refusals in a row that are counted.
 const MAX_REFUSALS: u32 = 3;
 
-/// Returns whether the body of an error response says that the offering has no capacity.
+/// Returns whether the body of an error response means that the offering has no capacity.
 fn is_no_capacity(body: &[u8]) -> bool {
     wire::from_cbor::<ErrorResponse>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
 }
--- a/crates/core/src/scheduler/leader/partitions.rs
+++ b/crates/core/src/scheduler/leader/partitions.rs
@@ -81,8 +81,8 @@
             let Some(observed) = map.get(*id) else {
                 continue;
             };
-            // This controller's copy of the map may be older than a claim on the partition that this leader has read
-            // itself.
+            // This controller's copy of the partition map may be older than a claim on the partition that this
+            // leader has read itself.
             let known_token = partition.claim_token();
             let has_changed = match &observed.claim {
                 Some(claim) => known_token.is_none_or(|known| claim.token > known),
@@ -260,7 +260,7 @@
         partition.awaiting_report = true;
         partition.next_orders_at = now + context.tuning.partition_poll_us;
         let reconciled = partition.reconciled;
-        let seen = partition.state_version;
+        let last_known_version = partition.state_version;
         let terminated = std::mem::take(&mut partition.terminated);
         self.remote_partitions.sequence += 1;
         let mut orders = PartitionOrders {
@@ -271,7 +271,7 @@
             claim,
             acknowledged: self.attempts_to_acknowledge(id),
             terminated,
-            last_known_version: seen,
+            last_known_version,
             ..PartitionOrders::default()
         };
         if reconciled {
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -82,11 +82,11 @@
             return;
         };
         let job = self.jobs.get(index);
-        let age = job.map_or(0, |job| job.age(context.now.steady));
+        let job_age = job.map_or(0, |job| job.age(context.now.steady));
         info!(
-            job = spec.id, task = task, machine = name, zone = machine.zone, age_ms = age / MILLI,
+            job = spec.id, task = task, machine = name, zone = machine.zone, age_ms = job_age / MILLI,
             image_cached = machine.has_image(&spec.image), free_cpus = machine.free().cpus;
-            "placed a replica of a service on a machine"
+            "placed a replica of a service on a machine; age_ms is the time since the job was accepted"
         );
     }
 }
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -28,7 +28,7 @@
     shape: Shape,
     /// How many more of its tasks may be placed in this round.
     tasks_left: u64,
-    /// Whether its tasks may use the headroom that is reserved for services.
+    /// Whether the job's tasks may use the headroom that is reserved for services.
     headroom_access: HeadroomAccess,
     /// How long a task is expected to stay on its machine, in microseconds.
     pub expected_stay: Micros,
@@ -104,7 +104,8 @@
         let job = self.jobs.get(queued.index)?;
         let spec = &job.spec;
         let now = context.now.steady;
-        // This limits a job whose tasks keep failing to a few tasks at a time, at first to one.
+        // The placeable count of a job whose tasks keep failing is limited to a few tasks at a time, at first to
+        // one.
         let mut tasks_left = job.placeable_count(now);
         if tasks_left == 0 {
             return None;
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -35,7 +35,7 @@
         if !context.supports_quota_grants() {
             return None;
         }
-        let limits = self
+        let limits_revision = self
             .write_buffer
             .mod_revisions
             .get(QUOTA_LIMITS_KEY)
@@ -48,7 +48,7 @@
         };
         Some(QuotaOrders {
             grant_version: self.leader_quota.grants.record_version(id),
-            limits_revision: limits,
+            limits_revision,
             grant,
             work,
             revoked: self.leader_quota.delegations.revocations_to_send(id),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Handles a report in which the holder says that it places no tasks.
+    /// Handles a report of a holder that places no tasks.
     fn on_holder_places_nothing(&mut self, id: PartitionId) {
         self.leader_quota.placing_partitions.remove(&id);
         if self.leader_quota.delegations.has_tasks_in(id) {
@@ -250,8 +250,8 @@
         record.map_or_else(String::new, |record| record.zone.clone())
     }
 
-    /// Pauses or resumes quota grants. The caller pauses them if a member that answered lately does not support
-    /// them. While they are paused, no tasks are delegated to holders.
+    /// Pauses or resumes quota grants. The caller pauses quota grants if a member that answered recently does not
+    /// support them. While quota grants are paused, no tasks are delegated to holders.
     pub(crate) fn set_quota_grants_paused(&mut self, context: &Context, paused: bool) {
         if !context.supports_quota_grants() || self.leader_quota.quota_grants_paused == paused {
             return;
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -5,11 +5,12 @@
 //! the assignment to one of its own pages, and launches the task. Tasks therefore continue to start after the
 //! leader has failed.
 //!
-//! No task is placed by two controllers. A write of a holder depends on its claim record and on the leader record of
-//! the leader that delegated the task ([`write_conditions`](crate::scheduler::write_conditions)), and that record
-//! outlives the leader by the time to live of its lease. A new leader reads all pages after it has acquired its lease,
-//! and from then on holders write nothing until they have received its orders. The new leader places again those tasks
-//! that were on no page by then.
+//! No task is placed by two controllers. A write of a holder depends on the claim record of its partition and on
+//! the leader record of the leader that delegated the task
+//! ([`write_conditions`](crate::scheduler::write_conditions)), and the leader record outlives the leader by the
+//! time to live of its lease. A new leader reads all pages after it has acquired its lease, and from then on
+//! holders write nothing until they have received its orders. The new leader places again those tasks that were on
+//! no page by then.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
--- a/crates/core/src/scheduler/replies.rs
+++ b/crates/core/src/scheduler/replies.rs
@@ -7,7 +7,7 @@
 use crate::Outcome;
 
 impl Scheduler {
-    /// Handles the reply to a call. The error says why the fenced lease is lost.
+    /// Handles the reply to a call. The error is the reason why the fenced lease is lost.
     pub(crate) fn on_reply(
         &mut self,
         context: &mut Context,
--- a/crates/core/src/scheduler/watches/tests.rs
+++ b/crates/core/src/scheduler/watches/tests.rs
@@ -7,7 +7,7 @@
 use grebewood_wire::records::{job_key, JOB_PREFIX};
 use grebewood_wire::Value;
 
-fn page(first: u64, revision: u64, more: bool) -> KeyValueList {
+fn page(first: u64, revision: u64, has_more: bool) -> KeyValueList {
     let entry = KeyValue {
         key: job_key(&format!("req-{first}")),
         value: Value::Null,
@@ -15,7 +15,7 @@
     };
     KeyValueList {
         entries: vec![entry],
-        has_more: more,
+        has_more,
         revision,
     }
 }
--- a/crates/core/src/scheduler/write_conditions.rs
+++ b/crates/core/src/scheduler/write_conditions.rs
@@ -2,11 +2,12 @@
 //!
 //! The writes of the leader depend on the leader record.
 //!
-//! A holder may write assignments only while the store has its claim record and the leader record of the leader that
-//! delegated the tasks: each of its writes depends on both records. The leader record lasts as long as the leader's
-//! lease, so tasks continue to start for that time after the leader has failed. The next leader reads all pages after
-//! it has acquired its lease, and from then on no write of a holder succeeds until that leader has sent it orders.
-//! Thus no task is placed by two controllers, and a write that the store applies late fails.
+//! A holder may write assignments only while the store has the claim record of its partition and the leader record
+//! of the leader that delegated the tasks: each of its writes depends on both records. The leader record lasts as
+//! long as the leader's lease, so tasks continue to start for that time after the leader has failed. The next
+//! leader reads all pages after it has acquired its lease, and from then on no write of a holder succeeds until
+//! that leader has sent it orders. Thus no task is placed by two controllers, and a write that the store applies
+//! late fails.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -28,8 +29,8 @@
         ])
     }
 
-    /// Handles a write that failed because these conditions did not hold. The error says why the fenced lease is
-    /// lost.
+    /// Handles a write that failed because these conditions did not hold. The error is the reason why the fenced
+    /// lease is lost.
     pub(crate) fn on_conditions_failed(&mut self, failed_keys: &[String]) -> Result<(), String> {
         let has_failed = |key: &str| failed_keys.iter().any(|failed| failed == key);
         let Some(partition) = self.partition() else {
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -31,9 +31,9 @@
 /// Another controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sibling {
-    /// Its member name.
+    /// Member name of the other controller.
     pub member: String,
-    /// The zone that it runs in.
+    /// The zone that the other controller runs in.
     pub zone: String,
 }
 
--- a/crates/core/src/state/fleet.rs
+++ b/crates/core/src/state/fleet.rs
@@ -47,9 +47,9 @@
     pub(crate) requested_at: Micros,
     /// Time at which the cloud's machine list last showed the machine, in microseconds.
     pub(crate) last_listed: Option<Micros>,
-    /// Whether the cloud's machine list shows the machine with status `running`. Such a machine only has to send its
-    /// first heartbeat to this leader and is not an overdue boot, whatever its age. Without this distinction, a new
-    /// leader would terminate its whole fleet as overdue boots.
+    /// Whether the cloud's machine list shows the machine with status `running`. Such a machine only has to send
+    /// its first heartbeat to this leader and is not an overdue boot, regardless of its age. Without this
+    /// distinction, a new leader would terminate its whole fleet as overdue boots.
     pub(crate) listed_as_running: bool,
 }
 
--- a/crates/core/src/state/jobs/admission.rs
+++ b/crates/core/src/state/jobs/admission.rs
@@ -30,8 +30,8 @@
 }
 
 /// Checks that the job's record fits into a value of the key-value store, which holds up to `value_bytes` bytes.
-/// Without this check the store would refuse a larger record every time, and the user would be told to retry each
-/// time.
+/// Without this check the store would refuse a larger record every time, and each response would ask the user to
+/// retry.
 pub fn check_size(submission: &Submission, value_bytes: usize) -> Result<(), SubmissionRejection> {
     let record = JobRecord {
         spec: submission.clone(),
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -84,10 +84,10 @@
     pub used: MachineResources,
     /// Tasks that the holder of the machine's partition has yet to place, probably on this machine.
     pub planned: Vec<PlannedTask>,
-    /// On a partition holder, whether the leader's last orders told it to place nothing new on the machine.
+    /// On a partition holder, whether the leader's last orders forbid placing anything new on the machine.
     pub reserved_by_leader: bool,
-    /// Exited attempts that the agent or, for the leader and a machine in a partition, the partition holder still
-    /// reports, because their exits have not been acknowledged to it yet.
+    /// Exited attempts that are still reported because their exits have not been acknowledged yet. The agent
+    /// reports the attempts; to the leader, the holder of the machine's partition does so if the machine is in one.
     pub exited_attempts: Vec<ExitedAttempt>,
     /// Time since which the machine has had no assignment.
     pub idle_since: Micros,
@@ -306,7 +306,7 @@
 
     /// Uncordons a machine that was cordoned for failures that are now attributed to jobs.
     pub(crate) fn uncordon_as_healthy(&mut self) {
-        info!(machine = self.name; "uncordoned a machine, since the failed jobs are likely to be at fault");
+        info!(machine = self.name; "uncordoned a machine: its task failures are attributed to the failing jobs");
         self.cordoned = false;
         self.faulty = false;
     }
--- a/crates/core/src/state/remote_partitions.rs
+++ b/crates/core/src/state/remote_partitions.rs
@@ -63,7 +63,7 @@
     pub(crate) last_report_at: Micros,
     /// Sequence number of the last placement of the holder that the leader knows of.
     pub(crate) last_known_placement: u64,
-    /// Machines on which the last orders told the holder to place nothing new.
+    /// Machines on which the last orders forbid the holder to place anything new.
     pub(crate) reserved_sent: BTreeSet<String>,
     /// Machines on which the holder has confirmed that it places nothing new.
     pub(crate) reserved_confirmed: BTreeSet<String>,
