--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -214,9 +214,9 @@
 /// A live job, as it was in the job view when a user's request was looked up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FoundJob {
-    /// Number of its tasks.
+    /// Number of the job's tasks.
     pub tasks: u64,
-    /// The mod_revision of its record.
+    /// The mod_revision of the job's record.
     pub mod_revision: u64,
 }
 
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -15,8 +15,8 @@
 /// Timeout of a call to the store, unless the caller sets another one.
 pub const STORE_CALL_TIMEOUT_US: Micros = 1_500 * MILLI;
 
-/// Lowest write rate of a member, in puts a second, at which holders write assignments. At a lower rate the leader places
-/// all tasks.
+/// Lowest write rate of a member, in puts a second, at which holders write assignments. At a lower rate the
+/// leader places all tasks.
 const MIN_HOLDER_PUTS_PER_S: f64 = 2.0;
 
 /// Share of the store's write rate that the leader uses.
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -56,7 +56,8 @@
 /// The reply may have waited in this process during the whole pause, and its content may be outdated.
 fn outcome_after_pause(purpose: &CallPurpose, outcome: Outcome) -> Option<Outcome> {
     match purpose {
-        // Another member may lead or hold the partition now. Answers to users are built from a new read of the store.
+        // Another member may lead or hold the partition now. Answers to users are built from a new read of the
+        // store.
         CallPurpose::Election(_)
         | CallPurpose::PartitionClaim { .. }
         | CallPurpose::User(_)
--- a/crates/core/src/scheduler/leader/placement/guarantees.rs
+++ b/crates/core/src/scheduler/leader/placement/guarantees.rs
@@ -216,7 +216,7 @@
     spec: &'a Submission,
     /// What one task of the job uses of the team's limit.
     task_amount: Resources,
-    /// How many of its tasks still lack resources.
+    /// How many of the job's tasks still lack resources.
     missing_tasks: u64,
     /// How much the team may still use of its guaranteed share.
     shortfall: &'a mut Resources,
--- a/crates/core/src/scheduler/leader/placement/preemption.rs
+++ b/crates/core/src/scheduler/leader/placement/preemption.rs
@@ -122,11 +122,11 @@
     job: &'a Job,
     /// Whether the job is within its team's guaranteed share; false while guaranteed shares are not enforced.
     is_within_guarantee: bool,
-    /// The only zone in which its tasks may be placed, if there is one.
+    /// The only zone in which the job's tasks may be placed, if there is one.
     zone: Option<String>,
-    /// How many of its tasks still lack resources.
+    /// How many of the job's tasks still lack resources.
     missing_tasks: u64,
-    /// The unused part of its team's limit.
+    /// The unused part of the limit of the job's team.
     quota: QuotaLeft,
 }
 
--- a/crates/core/src/scheduler/leader/placement/tasks.rs
+++ b/crates/core/src/scheduler/leader/placement/tasks.rs
@@ -26,7 +26,7 @@
     /// The job's submission.
     pub spec: Submission,
     shape: Shape,
-    /// How many more of its tasks may be placed in this round.
+    /// How many more of the job's tasks may be placed in this round.
     tasks_left: u64,
     /// Whether the job's tasks may use the headroom that is reserved for services.
     headroom_access: HeadroomAccess,
@@ -36,7 +36,7 @@
     pub task_amount: Resources,
     /// The job's level in the job queue.
     pub level: u8,
-    /// Whether partition holders may place its tasks.
+    /// Whether partition holders may place the job's tasks.
     may_be_placed_by_holders: bool,
 }
 
