--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -123,11 +123,11 @@
     /// The end of a hang, during which neither the agent nor the tasks make progress.
     pub hangs_until: Micros,
     /// The end of a fault in which heartbeats reach controllers, but no response or command reaches the agent.
-    pub deaf_until: Micros,
+    pub inbound_dropped_until: Micros,
     /// The end of a fault in which no message passes in either direction, while the tasks continue.
-    pub unplugged_until: Micros,
+    pub disconnected_until: Micros,
     /// The end of a fault in which the agent reaches no controller, while direct commands reach the agent.
-    pub mute_until: Micros,
+    pub heartbeats_dropped_until: Micros,
     /// Whether the tasks on this machine fail.
     pub is_faulty: bool,
     /// When the cloud reclaims the machine.
@@ -170,9 +170,9 @@
             is_up: false,
             is_gone: false,
             hangs_until: 0,
-            deaf_until: 0,
-            unplugged_until: 0,
-            mute_until: 0,
+            inbound_dropped_until: 0,
+            disconnected_until: 0,
+            heartbeats_dropped_until: 0,
             is_faulty: false,
             reclaim_at: None,
             incarnation: 1,
@@ -191,12 +191,12 @@
 
     /// Returns whether responses and direct commands reach the agent.
     pub fn can_receive(&self, now: Micros) -> bool {
-        now >= self.deaf_until.max(self.unplugged_until)
+        now >= self.inbound_dropped_until.max(self.disconnected_until)
     }
 
     /// Returns whether the agent runs and has a connection in both directions.
     pub fn is_reachable(&self, now: Micros) -> bool {
-        self.can_receive(now) && now >= self.hangs_until.max(self.mute_until)
+        self.can_receive(now) && now >= self.hangs_until.max(self.heartbeats_dropped_until)
     }
 
     /// Returns whether a task of this job is on the machine and has not exited.
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -304,7 +304,7 @@
         if now < machine.next_heartbeat {
             return false;
         }
-        if now < machine.mute_until {
+        if now < machine.heartbeats_dropped_until {
             machine.try_next_controller(now + RETRY_DELAY, controller_count);
             return false;
         }
@@ -327,7 +327,7 @@
         machine.reported_token = machine.token;
         let body = to_cbor(&machine.build_heartbeat(now));
         let (controller, sequence) = (machine.controller, machine.sequence);
-        let unplugged = now < machine.unplugged_until;
+        let unplugged = now < machine.disconnected_until;
         let requester = Requester::Heartbeat {
             machine: name.into(),
             heartbeat_id: id,
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -193,9 +193,9 @@
         for name in self.machines_named(directive, 1)? {
             let machine = self.machine_mut(&name)?;
             match fault {
-                "drop_heartbeats" => machine.mute_until = until,
-                "drop_inbound" => machine.deaf_until = until,
-                "disconnect" => machine.unplugged_until = until,
+                "drop_heartbeats" => machine.heartbeats_dropped_until = until,
+                "drop_inbound" => machine.inbound_dropped_until = until,
+                "disconnect" => machine.disconnected_until = until,
                 _ => machine.hangs_until = until,
             }
         }
--- a/crates/testkit/src/world/tests/placement.rs
+++ b/crates/testkit/src/world/tests/placement.rs
@@ -8,9 +8,9 @@
     let hide: [fn(&mut Machine); 5] = [
         |_| (),
         |machine| machine.hangs_until = 900 * SECOND,
-        |machine| machine.deaf_until = 900 * SECOND,
-        |machine| machine.unplugged_until = 900 * SECOND,
-        |machine| machine.mute_until = 900 * SECOND,
+        |machine| machine.inbound_dropped_until = 900 * SECOND,
+        |machine| machine.disconnected_until = 900 * SECOND,
+        |machine| machine.heartbeats_dropped_until = 900 * SECOND,
     ];
     for hide in hide {
         let mut world = world_with_running_job();
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -49,7 +49,7 @@
     let all_deaf = |world: &mut World| {
         let machines = world.machines.values_mut();
         for machine in machines.filter(|machine| !machine.is_gone) {
-            machine.deaf_until = 900 * SECOND;
+            machine.inbound_dropped_until = 900 * SECOND;
         }
     };
     assert_eq!(
