--- a/crates/testkit/examples/fleet_size.rs
+++ b/crates/testkit/examples/fleet_size.rs
@@ -36,10 +36,10 @@
     for argument in std::env::args().skip(1) {
         let machines = argument.parse()?;
         let mut world = play_measured(&scenario(machines))?;
-        let Some(measures) = world.measures.take() else {
+        let Some(measurements) = world.measurements.take() else {
             continue;
         };
-        for (kind, times) in &measures.leader_step_times_ns {
+        for (kind, times) in &measurements.leader_step_times_ns {
             let total_s = times.mean() * times.len() as f64 / 1e9;
             println!(
                 "| {machines} | {kind:?} | {} | {:.1} | {:.1} | {:.0} | {:.4} |",
@@ -50,7 +50,7 @@
                 total_s / LENGTH_S as f64,
             );
         }
-        let heartbeats = measures
+        let heartbeats = measurements
             .leader_step_times_ns
             .get(&StepKind::Heartbeat)
             .map_or(0, |histogram| histogram.len());
@@ -60,8 +60,8 @@
             "| {machines} | all | {:.0} heartbeats a second, {:.1} changes and {:.1} requests of state a \
              second, leader's memory {} KiB | | | | |",
             heartbeats as f64 / LENGTH_S as f64,
-            measures.store_changes as f64 / LENGTH_S as f64,
-            measures.store_requests as f64 / LENGTH_S as f64,
+            measurements.store_changes as f64 / LENGTH_S as f64,
+            measurements.store_requests as f64 / LENGTH_S as f64,
             allocated_before.saturating_sub(allocated_bytes()) / 1024,
         );
     }
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -2,7 +2,7 @@
 //! --example quota_figures -- MACHINES...` prints Markdown tables. Each scenario is played with partitions off, with
 //! partitions, and with quota grants, with the same submissions and the same faults.
 
-use grebewood_testkit::measure::Measures;
+use grebewood_testkit::measure::Measurements;
 use grebewood_testkit::play_measured;
 use hdrhistogram::Histogram;
 use std::error::Error;
@@ -74,32 +74,32 @@
     )
 }
 
-fn play(settings: &str, text: &str) -> Result<Measures, Box<dyn Error>> {
+fn play(settings: &str, text: &str) -> Result<Measurements, Box<dyn Error>> {
     let world = play_measured(&format!("{settings}{text}"))?;
-    Ok(world.measures.ok_or("nothing was measured")?)
+    Ok(world.measurements.ok_or("nothing was measured")?)
 }
 
 /// Prints the measurements of a steady load on this many machines, a line for each of the settings.
 fn print_steady_load(machines: u64) -> Result<(), Box<dyn Error>> {
     for (name, settings) in SETTINGS {
-        let measures = play(settings, &steady_load(machines))?;
+        let measurements = play(settings, &steady_load(machines))?;
         let mut starts = Histogram::<u64>::new(HISTOGRAM_SIGNIFICANT_DIGITS)?;
-        for team in measures.start_delays_ms.values() {
+        for team in measurements.start_delays_ms.values() {
             starts.add(team)?;
         }
-        let steps = measures.leader_step_times_ns.values();
+        let steps = measurements.leader_step_times_ns.values();
         let leader_s: f64 = steps
             .map(|step| step.mean() * step.len() as f64 / 1e9)
             .sum();
         println!(
             "| {machines} | {name} | {} | {} | {:.1} | {:.4} | {:.4} |",
             quantile_cells(Some(&starts)),
-            measures.leaderless_starts,
-            measures.store_changes as f64 / LENGTH_S as f64,
+            measurements.leaderless_starts,
+            measurements.store_changes as f64 / LENGTH_S as f64,
             leader_s / LENGTH_S as f64,
-            measures.follower_step_time.as_secs_f64() / LENGTH_S as f64,
+            measurements.follower_step_time.as_secs_f64() / LENGTH_S as f64,
         );
-        if let Some(idle) = &measures.unused_grant_thousandths {
+        if let Some(idle) = &measurements.unused_grant_thousandths {
             println!(
                 "| {machines} | {name}, idle part of a limit: mean {:.3}, p99 {:.3} | | | | | | | | |",
                 idle.mean() / 1e3,
@@ -116,8 +116,8 @@
         let mut starts = Histogram::<u64>::new(HISTOGRAM_SIGNIFICANT_DIGITS)?;
         for run in 0..GUARANTEED_SHARE_RUNS {
             let submitted_s = 20.0 + f64::from(run) * 0.17;
-            let measures = play(settings, &guaranteed_share(1.0, submitted_s))?;
-            if let Some(team) = measures.start_delays_ms.get("t") {
+            let measurements = play(settings, &guaranteed_share(1.0, submitted_s))?;
+            if let Some(team) = measurements.start_delays_ms.get("t") {
                 starts.add(team)?;
             }
         }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -33,7 +33,7 @@
 /// until tasks start.
 pub fn play_measured(text: &str) -> Result<world::World, ScenarioError> {
     let mut world = world::World::new(script::parse(text)?)?;
-    world.measures = Some(measure::Measures::default());
+    world.measurements = Some(measure::Measurements::default());
     world.play_to_the_end()?;
     Ok(world)
 }
--- a/crates/testkit/src/measure.rs
+++ b/crates/testkit/src/measure.rs
@@ -37,7 +37,7 @@
 
 /// The measurements of a scenario.
 #[derive(Debug, Default)]
-pub struct Measures {
+pub struct Measurements {
     /// The durations of the leader's steps in real time by kind, in nanoseconds.
     pub leader_step_times_ns: BTreeMap<StepKind, Histogram<u64>>,
     /// The number of puts and deletes that the key-value store applied for all controllers.
@@ -63,7 +63,7 @@
     Histogram::new(HISTOGRAM_SIGNIFICANT_DIGITS).expect("a valid number of digits")
 }
 
-impl Measures {
+impl Measurements {
     /// Records that a task of a team started, with the time since the submission of its job. Only the first start
     /// of a task counts for the delays.
     pub(crate) fn record_task_start(
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{ScenarioError, StepResult};
 use crate::machines::{JobFacts, Machine};
-use crate::measure::Measures;
+use crate::measure::Measurements;
 use crate::script::Script;
 use crate::state::KeyValueStore;
 use crate::time::{Micros, MILLISECOND, SECOND};
@@ -85,7 +85,7 @@
     /// First violation of the protocol that was found while the current event was handled.
     violation: Option<ScenarioError>,
     /// Measurements of the scenario; `None` if nothing is measured.
-    pub measures: Option<Measures>,
+    pub measurements: Option<Measurements>,
     /// Trace of the controllers' effects; `None` if they are not traced.
     pub trace: Option<Trace>,
 }
@@ -133,7 +133,7 @@
             limit_changes: LimitChanges::default(),
             expectations: Expectations::default(),
             violation: None,
-            measures: None,
+            measurements: None,
             trace: None,
         }
     }
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -156,9 +156,9 @@
         };
         job.starts += 1;
         job.last_start = self.now;
-        if let Some(measures) = &mut self.measures {
+        if let Some(measurements) = &mut self.measurements {
             let waited = self.now - job.submitted_at;
-            measures.record_task_start(&job.spec.team, task_name, waited, leaderless);
+            measurements.record_task_start(&job.spec.team, task_name, waited, leaderless);
         }
         if job.cancelled_at.is_some() {
             self.checks.late_starts += 1;
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -196,9 +196,9 @@
         if done && transaction.as_ref().is_some_and(writes_leader_record) {
             self.on_leader_elected();
         }
-        if let Some(measures) = &mut self.measures {
+        if let Some(measurements) = &mut self.measurements {
             let operations = transaction.map_or(0, |transaction| transaction.apply.len() as u64);
-            measures.record_store_request(if done { operations } else { 0 });
+            measurements.record_store_request(if done { operations } else { 0 });
         }
         match reply {
             Reply::Now(status, body) => {
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -212,9 +212,9 @@
         let kind = StepKind::of(&input);
         let began = Instant::now();
         let effects = controller.step(now, input, &mut NoStopwatch);
-        match (&mut self.measures, leads) {
-            (Some(measures), true) => measures.record_step(kind, began.elapsed()),
-            (Some(measures), false) => measures.follower_step_time += began.elapsed(),
+        match (&mut self.measurements, leads) {
+            (Some(measurements), true) => measurements.record_step(kind, began.elapsed()),
+            (Some(measurements), false) => measurements.follower_step_time += began.elapsed(),
             (None, _) => {}
         }
         Some(effects)
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -146,7 +146,7 @@
 
     /// Measures the share of each team's limit that is granted and unused while jobs of the team wait for tasks.
     pub(super) fn measure_idle_grants(&mut self) {
-        if self.measures.is_none() {
+        if self.measurements.is_none() {
             return;
         }
         let granted = self.recorded_grants();
@@ -160,9 +160,9 @@
                 idle.push((share * 1_000.0) as u64);
             }
         }
-        if let Some(measures) = &mut self.measures {
+        if let Some(measurements) = &mut self.measurements {
             let each = idle.into_iter();
-            each.for_each(|thousandths| measures.record_unused_grant(thousandths));
+            each.for_each(|thousandths| measurements.record_unused_grant(thousandths));
         }
     }
 
