--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -19,9 +19,9 @@
 /// How often agents check what is due, and the delay of the response to a watch.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long agents keep their tasks without a response to a heartbeat.
-const AGENT_LEASE: Micros = 10 * SECOND;
+const AGENT_LEASE_US: Micros = 10 * SECOND;
 /// How often agents send a heartbeat.
-const HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
+const HEARTBEAT_INTERVAL_US: Micros = 500 * MILLISECOND;
 
 /// The launches and completions of the tasks of all agents.
 #[derive(Debug, Default)]
@@ -284,7 +284,7 @@
             }
             let now = self.cluster.now();
             let incarnation = self.machine.incarnation;
-            let (completed, changed) = self.machine.advance(now, AGENT_LEASE, &shared.job_facts);
+            let (completed, changed) = self.machine.advance(now, AGENT_LEASE_US, &shared.job_facts);
             if self.machine.incarnation != incarnation {
                 self.remove_all_tasks();
             }
@@ -314,7 +314,7 @@
     /// Sends a heartbeat and handles its response. After a redirect to another controller, the next heartbeat goes
     /// there at once; after any other failure it goes to the next controller after the usual interval.
     fn send_heartbeat(&mut self, now: Micros) {
-        self.machine.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        self.machine.next_heartbeat = now + HEARTBEAT_INTERVAL_US;
         let Some(front) = self.front else { return };
         let heartbeat = to_cbor(&self.machine.build_heartbeat(now));
         match blocking::request(front, "POST", "/checkin", &heartbeat) {
--- a/crates/testkit/src/machines.rs
+++ b/crates/testkit/src/machines.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// The time that an agent takes to fetch the image of a task.
-const FETCH_TIME: Micros = 500 * MILLISECOND;
+const FETCH_TIME_US: Micros = 500 * MILLISECOND;
 /// The tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
 
@@ -279,7 +279,7 @@
             status: TaskStatus::Fetching,
             cause: None,
             checkpointed: false,
-            state_ends_at: now + FETCH_TIME,
+            state_ends_at: now + FETCH_TIME_US,
             cpus: job.map_or(0.0, |job| job.cpus),
         };
         if let Some(cause) = refusal {
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -40,11 +40,11 @@
 use team_limits::LimitChanges;
 
 /// Interval at which controllers, machines and the key-value store's watches are advanced.
-const TICK_INTERVAL: Micros = 20 * MILLISECOND;
+const TICK_INTERVAL_US: Micros = 20 * MILLISECOND;
 /// Time between the starts of two controllers.
-const START_INTERVAL: Micros = 5 * MILLISECOND;
+const START_INTERVAL_US: Micros = 5 * MILLISECOND;
 /// Interval at which users poll each job.
-const POLL_INTERVAL: Micros = 5 * SECOND;
+const POLL_INTERVAL_US: Micros = 5 * SECOND;
 
 /// Counts of the responses that the script expects, and of the partition moves that it makes.
 #[derive(Default)]
@@ -101,13 +101,13 @@
         world.store.limits = Some(world.configuration.settings.store);
         for index in 0..world.configuration.controllers {
             world.controllers.push(ControllerProcess::default());
-            let start = index as Micros * START_INTERVAL;
+            let start = index as Micros * START_INTERVAL_US;
             world.schedule_event(start, Event::Start(index));
         }
         for (at, directive) in script.events {
             world.schedule_event(at, Event::Directive(directive));
         }
-        world.schedule_event(TICK_INTERVAL, Event::Tick);
+        world.schedule_event(TICK_INTERVAL_US, Event::Tick);
         Ok(world)
     }
 
@@ -127,7 +127,7 @@
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
             job_facts: BTreeMap::new(),
-            next_poll: POLL_INTERVAL,
+            next_poll: POLL_INTERVAL_US,
             faults: Faults::until(script.faults_end()),
             checks: Checks::default(),
             limit_changes: LimitChanges::default(),
@@ -193,7 +193,7 @@
 
     /// Advances watches, controllers and machines, polls the jobs if it is time, and checks the invariants.
     fn tick(&mut self) -> StepResult {
-        self.schedule_event(self.now + TICK_INTERVAL, Event::Tick);
+        self.schedule_event(self.now + TICK_INTERVAL_US, Event::Tick);
         self.answer_watches();
         self.tick_controllers();
         let names: Vec<String> = self.machines.keys().cloned().collect();
@@ -201,7 +201,7 @@
             self.tick_machine(&name)?;
         }
         if self.now >= self.next_poll {
-            self.next_poll = self.now + POLL_INTERVAL;
+            self.next_poll = self.now + POLL_INTERVAL_US;
             self.poll_all_jobs()?;
         }
         self.check_invariants()
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -2,7 +2,7 @@
 
 use super::events::{Caller, Event, Requester};
 use super::jobs::job_of;
-use super::network::{Link, CALL_LATENCY, REQUEST_LATENCY};
+use super::network::{Link, CALL_LATENCY_US, REQUEST_LATENCY_US};
 use super::users::front_request;
 use super::World;
 use crate::error::{Rule, ScenarioError, ScriptError, StepResult};
@@ -13,13 +13,13 @@
 use std::collections::BTreeMap;
 
 /// Delay before the next heartbeat of an agent that was redirected to the leader.
-const REDIRECT_DELAY: Micros = 100 * MILLISECOND;
+const REDIRECT_DELAY_US: Micros = 100 * MILLISECOND;
 /// Delay before the next heartbeat of an agent that found no leader.
-const RETRY_DELAY: Micros = SECOND;
+const RETRY_DELAY_US: Micros = SECOND;
 /// Time that an agent waits for the response to a heartbeat.
-const RESPONSE_TIMEOUT: Micros = 4 * SECOND;
+const RESPONSE_TIMEOUT_US: Micros = 4 * SECOND;
 /// Shortest time between a heartbeat and the next one that is sent because something has changed.
-const CHANGE_INTERVAL: Micros = SECOND / 2;
+const CHANGE_INTERVAL_US: Micros = SECOND / 2;
 
 impl World {
     /// Returns a machine by its name.
@@ -110,11 +110,11 @@
         match index.filter(|index| *index != controller && *index < controller_count) {
             Some(leader) => {
                 machine.controller = leader;
-                machine.next_heartbeat = self.now + REDIRECT_DELAY;
+                machine.next_heartbeat = self.now + REDIRECT_DELAY_US;
             }
             None => {
                 machine.controller = (controller + 1) % controller_count;
-                machine.next_heartbeat = self.now + RETRY_DELAY;
+                machine.next_heartbeat = self.now + RETRY_DELAY_US;
             }
         }
     }
@@ -247,7 +247,7 @@
             (200, started)
         };
         let heartbeat = to_cbor(&machine.build_heartbeat(self.now));
-        self.reply(caller, Link::Agents, CALL_LATENCY, status, heartbeat);
+        self.reply(caller, Link::Agents, CALL_LATENCY_US, status, heartbeat);
         self.check_starts(&name, &started)
     }
 
@@ -291,13 +291,13 @@
             machine.reported_token = machine.token;
         }
         if changed || report_token {
-            let soon = (machine.last_contact_at + CHANGE_INTERVAL).max(now);
+            let soon = (machine.last_contact_at + CHANGE_INTERVAL_US).max(now);
             machine.next_heartbeat = machine.next_heartbeat.min(soon);
         }
         if let Some(heartbeat) = machine.in_flight {
-            if now >= heartbeat.sent_at + RESPONSE_TIMEOUT {
+            if now >= heartbeat.sent_at + RESPONSE_TIMEOUT_US {
                 machine.in_flight = None;
-                machine.try_next_controller(now + RETRY_DELAY, controller_count);
+                machine.try_next_controller(now + RETRY_DELAY_US, controller_count);
             }
             return false;
         }
@@ -305,7 +305,7 @@
             return false;
         }
         if now < machine.heartbeats_dropped_until {
-            machine.try_next_controller(now + RETRY_DELAY, controller_count);
+            machine.try_next_controller(now + RETRY_DELAY_US, controller_count);
             return false;
         }
         true
@@ -354,7 +354,7 @@
             let event = Event::OvertakenHeartbeat(name.into(), sequence);
             self.schedule_event(now + delay, event);
         }
-        let latency = REQUEST_LATENCY + delay.unwrap_or(0);
+        let latency = REQUEST_LATENCY_US + delay.unwrap_or(0);
         if let Some(at) = self.arrival(controller, Link::Agents, latency) {
             self.schedule_event(at, request(body));
         }
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of controllers to the key-value store, the cloud, agents and each other.
 
 use super::events::{Caller, Event, Request, Requester};
-use super::network::{Link, CALL_LATENCY, CLOUD_LATENCY, PEER_LATENCY};
+use super::network::{Link, CALL_LATENCY_US, CLOUD_LATENCY_US, PEER_LATENCY_US};
 use super::World;
 use crate::error::ScenarioError;
 use crate::production;
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Downtime of a controller that crashes as it writes a page of assignments.
-const CRASH_ON_WRITE_DOWNTIME: Micros = 4_000 * MILLISECOND;
+const CRASH_ON_WRITE_DOWNTIME_US: Micros = 4_000 * MILLISECOND;
 
 /// Requests and calls that wait for responses.
 #[derive(Default)]
@@ -52,13 +52,13 @@
         match call.target.clone() {
             Target::Store => self.send_to_store(caller, call),
             Target::Cloud => {
-                if let Some(at) = self.arrival(caller.controller, Link::Cloud, CLOUD_LATENCY) {
+                if let Some(at) = self.arrival(caller.controller, Link::Cloud, CLOUD_LATENCY_US) {
                     let event = Event::CloudCall(caller, call.method, call.path, call.body);
                     self.schedule_event(at, event);
                 }
             }
             Target::Agent(address) => {
-                if let Some(at) = self.arrival(caller.controller, Link::Agents, CALL_LATENCY) {
+                if let Some(at) = self.arrival(caller.controller, Link::Agents, CALL_LATENCY_US) {
                     self.schedule_event(at, Event::DirectCommand(caller, address, call.body));
                 }
             }
@@ -68,7 +68,7 @@
 
     fn send_to_store(&mut self, caller: Caller, call: Call) {
         let controller = caller.controller;
-        let Some(at) = self.arrival(controller, Link::Store, CALL_LATENCY) else {
+        let Some(at) = self.arrival(controller, Link::Store, CALL_LATENCY_US) else {
             return;
         };
         let is_transaction = call.path == "/txn";
@@ -80,7 +80,7 @@
         self.schedule_event(at, event);
         if crashes {
             // The write is applied, and the controller crashes before it receives the response.
-            let crash = Event::Crash(controller, CRASH_ON_WRITE_DOWNTIME);
+            let crash = Event::Crash(controller, CRASH_ON_WRITE_DOWNTIME_US);
             self.schedule_event(at + MILLISECOND, crash);
         }
     }
@@ -105,7 +105,7 @@
         let is_orders = matches!(from_peer(&call.body), Ok(PeerRequest::Partition(_)));
         let previous_version = &self.configuration.previous_version;
         if is_orders && previous_version.contains(&to) {
-            return self.reply(caller, Link::Peers, CALL_LATENCY, 400, Vec::new());
+            return self.reply(caller, Link::Peers, CALL_LATENCY_US, 400, Vec::new());
         }
         let involves_previous_version =
             previous_version.contains(&from) || previous_version.contains(&to);
@@ -117,8 +117,8 @@
             // The previous version writes and reads only the fields that it knows.
             body = production::known_part_of_peer_request(&body).unwrap_or(body);
         }
-        let leaves = self.arrival(from, Link::Peers, PEER_LATENCY);
-        let reaches = self.arrival(to, Link::Peers, PEER_LATENCY);
+        let leaves = self.arrival(from, Link::Peers, PEER_LATENCY_US);
+        let reaches = self.arrival(to, Link::Peers, PEER_LATENCY_US);
         if let (Some(leaves), Some(reaches)) = (leaves, reaches) {
             let request = Request {
                 controller: to,
@@ -180,7 +180,7 @@
     ) {
         if self.now < self.network.refused_until(caller.controller) {
             if !path.starts_with("/changes") {
-                self.reply(caller, Link::Store, CALL_LATENCY, 503, Vec::new());
+                self.reply(caller, Link::Store, CALL_LATENCY_US, 503, Vec::new());
             }
             return;
         }
@@ -203,7 +203,7 @@
         match reply {
             Reply::Now(status, body) => {
                 self.count_unanswered_transaction(caller, path, status);
-                self.reply(caller, Link::Store, CALL_LATENCY, status, body);
+                self.reply(caller, Link::Store, CALL_LATENCY_US, status, body);
             }
             Reply::Later => {
                 self.calls.watches.insert(ticket, caller);
@@ -235,7 +235,7 @@
             // The open watches of a controller that the store refuses wait, as in an outage.
             let until = self.network.refused_until(caller.controller);
             let wait = until.saturating_sub(self.now);
-            self.reply(caller, Link::Store, wait + CALL_LATENCY, 200, body);
+            self.reply(caller, Link::Store, wait + CALL_LATENCY_US, 200, body);
         }
     }
 }
--- a/crates/testkit/src/world/checks/service.rs
+++ b/crates/testkit/src/world/checks/service.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Time within which the largest jobs of a class must start; only jobs that are older are checked.
-const START_DEADLINE: Micros = 240 * SECOND;
+const START_DEADLINE_US: Micros = 240 * SECOND;
 /// One of this many jobs of a class, rounded up, counts as one of its largest.
 const LARGEST_SHARE: usize = 10;
 
@@ -45,7 +45,7 @@
     /// Returns the jobs that are checked, by class and by team.
     fn groups(&self) -> Groups<'_> {
         let is_checked = |job: &&ObservedJob| {
-            let old = self.now > job.submitted_at + START_DEADLINE;
+            let old = self.now > job.submitted_at + START_DEADLINE_US;
             job.accepted && old && job.cancelled_at.is_none()
         };
         let mut groups = Groups::new();
@@ -74,7 +74,7 @@
 }
 
 fn started_late(job: &ObservedJob) -> bool {
-    let deadline = job.submitted_at + START_DEADLINE;
+    let deadline = job.submitted_at + START_DEADLINE_US;
     job.first_start.is_none_or(|at| at > deadline)
 }
 
--- a/crates/testkit/src/world/cloud.rs
+++ b/crates/testkit/src/world/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud: provisioning and termination of machines, and the machine list.
 
 use super::events::Caller;
-use super::network::{Link, CLOUD_LATENCY};
+use super::network::{Link, CLOUD_LATENCY_US};
 use super::World;
 use crate::machines::Machine;
 use crate::time::{as_seconds, Micros, SECOND};
@@ -12,9 +12,9 @@
 use std::collections::BTreeMap;
 
 /// Boot time of machines if the script gives none.
-const DEFAULT_BOOT_TIME: Micros = 10 * SECOND;
+const DEFAULT_BOOT_TIME_US: Micros = 10 * SECOND;
 /// Delay before a machine that was provisioned while the scenario runs is in the machine list.
-const LISTING_LAG: Micros = 3 * SECOND;
+const LISTING_LAG_US: Micros = 3 * SECOND;
 /// Number of controllers to which the agents of new machines, in turn, send their first heartbeats.
 const FIRST_CONTROLLERS: usize = 3;
 
@@ -40,7 +40,7 @@
         Cloud {
             machine_types: Vec::new(),
             capacity: BTreeMap::new(),
-            boot_time: DEFAULT_BOOT_TIME,
+            boot_time: DEFAULT_BOOT_TIME_US,
             boots_fail: false,
             down: false,
             provisions: BTreeMap::new(),
@@ -67,7 +67,7 @@
         body: &[u8],
     ) {
         let (status, body) = self.cloud_response(method, path, body);
-        self.reply(caller, Link::Cloud, CLOUD_LATENCY, status, body);
+        self.reply(caller, Link::Cloud, CLOUD_LATENCY_US, status, body);
     }
 
     fn cloud_response(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
@@ -100,7 +100,7 @@
     fn machine_list(&self) -> MachineList {
         // Machines that are provisioned at the start are listed at once.
         let listed_at =
-            |machine: &Machine| machine.provisioned_at + LISTING_LAG.min(machine.provisioned_at);
+            |machine: &Machine| machine.provisioned_at + LISTING_LAG_US.min(machine.provisioned_at);
         let machines = self.present_machines();
         let machines = machines.filter(|machine| self.now >= listed_at(machine));
         let machines = machines.map(|machine| ListedMachine {
--- a/crates/testkit/src/world/configuration.rs
+++ b/crates/testkit/src/world/configuration.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 /// Time of day at the start, in microseconds since 1970.
-pub(super) const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
+pub(super) const WALL_CLOCK_START_US: Micros = 1_700_000_000 * SECOND;
 /// The default number of controllers.
 const DEFAULT_CONTROLLERS: usize = 3;
 /// The zone in which all controllers run.
@@ -38,7 +38,7 @@
             tuning: Tuning::default(),
             next_limits: None,
             previous_version: BTreeSet::new(),
-            wall_clock_start: WALL_CLOCK_START,
+            wall_clock_start: WALL_CLOCK_START_US,
         }
     }
 }
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -2,7 +2,7 @@
 
 use super::configuration::{member_index, member_name};
 use super::events::{Event, Request, Requester};
-use super::network::REQUEST_LATENCY;
+use super::network::REQUEST_LATENCY_US;
 use super::users::status_in;
 use super::World;
 use crate::error::{ScriptError, StepResult};
@@ -224,7 +224,7 @@
         if let Some(requester) = self.calls.requests.remove(&(index, id)) {
             self.on_confirmation(index, &requester, status, &status_in(&body));
             let response = Event::Response(requester, index, status, body);
-            self.schedule_event(self.now + REQUEST_LATENCY, response);
+            self.schedule_event(self.now + REQUEST_LATENCY_US, response);
         }
     }
 
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -9,13 +9,13 @@
 use crate::time::{Micros, MILLISECOND, SECOND};
 
 /// Shortest remaining run time of a task whose job users cancel while it runs.
-const MIN_REMAINING_RUN: Micros = 20 * SECOND;
+const MIN_REMAINING_RUN_US: Micros = 20 * SECOND;
 /// Time over which users spread the cancellations of running jobs.
-const CANCEL_WINDOW: Micros = 200 * MILLISECOND;
+const CANCEL_WINDOW_US: Micros = 200 * MILLISECOND;
 /// Largest number of machines of cancelled jobs that hang.
 const MAX_HUNG_MACHINES: usize = 8;
 /// Delays after a response about a job at which users poll the job at every controller.
-const POLL_DELAYS: [Micros; 4] = [
+const POLL_DELAYS_US: [Micros; 4] = [
     MILLISECOND,
     5 * MILLISECOND,
     20 * MILLISECOND,
@@ -35,7 +35,7 @@
         if hang > 0 {
             self.hang_machines_of(&jobs, self.now + hang);
         }
-        let interval = CANCEL_WINDOW / jobs.len() as Micros;
+        let interval = CANCEL_WINDOW_US / jobs.len() as Micros;
         for (index, job) in jobs.into_iter().enumerate() {
             let at = self.now + index as Micros * interval;
             self.schedule_event(at, Event::RetryCancel(job));
@@ -60,7 +60,7 @@
         tasks.any(|task| {
             task.status == TaskStatus::Running
                 && task.task_name.starts_with(&prefix)
-                && task.state_ends_at >= self.now + MIN_REMAINING_RUN
+                && task.state_ends_at >= self.now + MIN_REMAINING_RUN_US
         })
     }
 
@@ -156,7 +156,7 @@
         let first = self.now < self.faults.polls_until
             && self.faults.polled_after.insert((job.to_string(), event));
         if first {
-            for delay in POLL_DELAYS {
+            for delay in POLL_DELAYS_US {
                 self.schedule_event(self.now + delay, Event::PollEverywhere(job.into()));
             }
         }
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -13,13 +13,13 @@
 }
 
 /// One-way latency of a message between controllers.
-pub(super) const PEER_LATENCY: Micros = MILLISECOND;
+pub(super) const PEER_LATENCY_US: Micros = MILLISECOND;
 /// One-way latency of a call to the key-value store and of a direct command.
-pub(super) const CALL_LATENCY: Micros = 2 * MILLISECOND;
+pub(super) const CALL_LATENCY_US: Micros = 2 * MILLISECOND;
 /// One-way latency of a call to the cloud.
-pub(super) const CLOUD_LATENCY: Micros = 100 * MILLISECOND;
+pub(super) const CLOUD_LATENCY_US: Micros = 100 * MILLISECOND;
 /// Latency of a request to a controller, and of its response.
-pub(super) const REQUEST_LATENCY: Micros = MILLISECOND;
+pub(super) const REQUEST_LATENCY_US: Micros = MILLISECOND;
 
 impl Link {
     /// Returns the word for the link in scenarios.
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -2,7 +2,7 @@
 
 use super::configuration::member_name;
 use super::events::{Caller, Event, Requester};
-use super::network::{Link, PEER_LATENCY, REQUEST_LATENCY};
+use super::network::{Link, PEER_LATENCY_US, REQUEST_LATENCY_US};
 use super::users::status_in;
 use super::World;
 use crate::error::{ScenarioError, StepResult};
@@ -12,9 +12,9 @@
 use grebewood_wire::http::{Command, HeartbeatResponse, JobStatus, Verb};
 
 /// Delay after which a user repeats a request that was not answered.
-const RETRY_INTERVAL: Micros = SECOND;
+const RETRY_INTERVAL_US: Micros = SECOND;
 /// Agents drop the response to a heartbeat that takes longer than this, beyond the delay of the link.
-const HEARTBEAT_TIMEOUT: Micros = SECOND;
+const HEARTBEAT_TIMEOUT_US: Micros = SECOND;
 
 /// A raw request of the script.
 pub(super) struct RawRequest<'a> {
@@ -36,7 +36,7 @@
         match requester {
             Requester::Submit(job, sent) => {
                 if !self.check_submission_response(&job, sent, status, &body)? {
-                    self.schedule_event(self.now + RETRY_INTERVAL, Event::RetrySubmit(job));
+                    self.schedule_event(self.now + RETRY_INTERVAL_US, Event::RetrySubmit(job));
                 }
             }
             Requester::Resubmit(job, sent) => {
@@ -46,7 +46,7 @@
             Requester::Cancel(job, sent) => match status {
                 200 => self.check_status(&job, &status_in(&body))?,
                 404 => self.check_denial(&job, sent, status)?,
-                _ => self.schedule_event(self.now + RETRY_INTERVAL, Event::RetryCancel(job)),
+                _ => self.schedule_event(self.now + RETRY_INTERVAL_US, Event::RetryCancel(job)),
             },
             Requester::Expect(job, wanted, line, sent) => {
                 let got = self.expected_status(&job, sent, status, &body)?;
@@ -175,11 +175,11 @@
             self.schedule_event(self.now + delay, event);
             return Ok(());
         }
-        let Some(at) = self.arrival(controller, Link::Agents, REQUEST_LATENCY) else {
+        let Some(at) = self.arrival(controller, Link::Agents, REQUEST_LATENCY_US) else {
             return Ok(());
         };
         let delay = self.link_delay(Link::Agents);
-        if at > self.now + delay + HEARTBEAT_TIMEOUT {
+        if at > self.now + delay + HEARTBEAT_TIMEOUT_US {
             return Ok(());
         }
         if delay > 0 {
@@ -224,10 +224,10 @@
             }
         }
         if self
-            .arrival(controller, Link::Peers, PEER_LATENCY)
+            .arrival(controller, Link::Peers, PEER_LATENCY_US)
             .is_some()
         {
-            self.reply(caller, Link::Peers, PEER_LATENCY, status, body);
+            self.reply(caller, Link::Peers, PEER_LATENCY_US, status, body);
         }
         Ok(())
     }
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -1,6 +1,6 @@
 //! The setup lines of a scenario.
 
-use super::configuration::{objective_within, WALL_CLOCK_START};
+use super::configuration::{objective_within, WALL_CLOCK_START_US};
 use super::World;
 use crate::error::{ScenarioError, ScriptError, StepResult};
 use crate::script::Directive;
@@ -105,7 +105,7 @@
             })?;
         }
         let age = directive.duration("age", 0.0)?;
-        self.configuration.wall_clock_start = WALL_CLOCK_START + age;
+        self.configuration.wall_clock_start = WALL_CLOCK_START_US + age;
         Ok(())
     }
 
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Time within which a launch that was recorded before a limit was lowered may still reach its agent.
-const LAUNCH_TRANSIT: Micros = 2 * SECOND;
+const LAUNCH_TRANSIT_US: Micros = 2 * SECOND;
 /// Amounts of a resource that differ by less count as equal.
 pub(super) const RESOURCE_TOLERANCE: f64 = 1e-6;
 /// Units of a recorded quota grant that make one CPU.
@@ -182,7 +182,7 @@
             };
             let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
             let has_grown = known.is_some_and(|known| used > known.used + RESOURCE_TOLERANCE);
-            let settled = lowered_at > 0 && now > lowered_at + LAUNCH_TRANSIT;
+            let settled = lowered_at > 0 && now > lowered_at + LAUNCH_TRANSIT_US;
             if has_grown && settled && used > cpus + RESOURCE_TOLERANCE {
                 return Err(ScenarioError::Protocol(format!(
                     "{team} uses {used} CPUs, more than its recorded limit of {cpus}"
--- a/crates/testkit/src/world/tests.rs
+++ b/crates/testkit/src/world/tests.rs
@@ -2,8 +2,8 @@
 
 use super::checks::Checks;
 use super::events::{Caller, Event, Requester};
-use super::network::{Link, CALL_LATENCY};
-use super::users::UNANSWERED_LIMIT;
+use super::network::{Link, CALL_LATENCY_US};
+use super::users::UNANSWERED_LIMIT_US;
 use super::World;
 use crate::error::StepResult;
 use crate::machines::{Machine, Task, TaskStatus};
--- a/crates/testkit/src/world/tests/responses.rs
+++ b/crates/testkit/src/world/tests/responses.rs
@@ -119,7 +119,7 @@
 #[test]
 fn unanswered_polls_are_a_violation() {
     let mut world = world_with_running_job();
-    world.now = world.jobs["req-1"].last_answered_at + UNANSWERED_LIMIT;
+    world.now = world.jobs["req-1"].last_answered_at + UNANSWERED_LIMIT_US;
     assert_eq!(world.poll_all_jobs(), Ok(()));
     world.now += 1;
     assert_violation(world.poll_all_jobs(), "forgotten");
--- a/crates/testkit/src/world/tests/store.rs
+++ b/crates/testkit/src/world/tests/store.rs
@@ -61,7 +61,7 @@
 fn reply_latency(world: &mut World, link: Link) -> Option<Micros> {
     let caller = call_of_first(world);
     world.queue.clear();
-    world.reply(caller, link, CALL_LATENCY, 200, Vec::new());
+    world.reply(caller, link, CALL_LATENCY_US, 200, Vec::new());
     let ((at, _), _) = world.queue.pop_first()?;
     Some(at - world.now)
 }
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -2,7 +2,7 @@
 
 use super::events::{Event, Request, Requester};
 use super::jobs::ObservedJob;
-use super::network::REQUEST_LATENCY;
+use super::network::REQUEST_LATENCY_US;
 use super::World;
 use crate::error::{Rule, ScenarioError, ScriptError, StepResult};
 use crate::script::Directive;
@@ -14,7 +14,7 @@
 
 /// Time without an answered poll after which a job that is accepted and not over counts as forgotten, once
 /// all faults are over.
-pub(super) const UNANSWERED_LIMIT: Micros = 75 * SECOND;
+pub(super) const UNANSWERED_LIMIT_US: Micros = 75 * SECOND;
 /// Id of a job that nobody submits and that users poll.
 const UNKNOWN_JOB: &str = "req-999999";
 /// First number of out-of-band requests, which come after all other events of the same time.
@@ -64,7 +64,7 @@
         requester: Requester,
     ) {
         let request = front_request(controller, method, path, body, requester);
-        self.schedule_event(self.now + REQUEST_LATENCY, Event::Request(request));
+        self.schedule_event(self.now + REQUEST_LATENCY_US, Event::Request(request));
     }
 
     /// Sends a user's submission of a job, to any controller that is up unless one is given.
@@ -105,7 +105,7 @@
             .collect();
         for (job, answered) in jobs {
             let since = answered.max(self.faults.end);
-            if self.now.saturating_sub(since) > UNANSWERED_LIMIT {
+            if self.now.saturating_sub(since) > UNANSWERED_LIMIT_US {
                 let detail = format!("no poll of {job} is answered");
                 return Err(ScenarioError::rule(Rule::Forgotten, detail));
             }
@@ -137,7 +137,7 @@
             let request = front_request(controller, "GET", path, Vec::new(), requester);
             self.checks.out_of_band_requests += 1;
             let number = OUT_OF_BAND + self.checks.out_of_band_requests;
-            let key = (self.now + REQUEST_LATENCY, number);
+            let key = (self.now + REQUEST_LATENCY_US, number);
             self.queue.insert(key, Event::Request(request));
         }
     }
