--- a/crates/grebewood/src/config/error.rs
+++ b/crates/grebewood/src/config/error.rs
@@ -58,7 +58,7 @@
     },
 }
 
-/// Reasons why the value of a field is invalid.
+/// Reasons why the value of a field of the settings file is invalid. The text follows the path of the field.
 #[derive(Debug, Error)]
 pub enum InvalidValue {
     /// A name is empty.
@@ -100,7 +100,7 @@
 #[derive(Debug, Error)]
 pub enum TuningError {
     /// The file is not valid INI.
-    #[error("not a valid INI file")]
+    #[error("the tuning file is not valid INI")]
     Parse(#[from] ini::ParseError),
     /// The file has an unknown section.
     #[error("unknown section [{0}]")]
--- a/crates/grebewood/src/config/format_tests.rs
+++ b/crates/grebewood/src/config/format_tests.rs
@@ -132,7 +132,7 @@
         allotments: 1,
         fleet_max: 20_017,
     };
-    assert_eq!(tuning.expect("a good file"), expected);
+    assert_eq!(tuning.expect("a valid tuning file"), expected);
 }
 
 #[test]
@@ -142,11 +142,11 @@
         partitions_per_zone: 3,
         ..Tuning::default()
     };
-    assert_eq!(partitions.expect("a good file"), expected);
+    assert_eq!(partitions.expect("a valid tuning file"), expected);
     let quota = load_tuning(Some(&package_file("../../deploy/quota.ini")));
     let expected = Tuning {
         allotments: 1,
         ..expected
     };
-    assert_eq!(quota.expect("a good file"), expected);
+    assert_eq!(quota.expect("a valid tuning file"), expected);
 }
--- a/crates/grebewood/src/config/tuning.rs
+++ b/crates/grebewood/src/config/tuning.rs
@@ -7,7 +7,7 @@
 /// Name of the only section that the file may have; keys may also precede all sections.
 const SECTION: &str = "grebewood";
 
-/// Parses the text of the file. Keys that the file does not set keep their defaults.
+/// Parses the text of a tuning file. Keys that the text does not set keep their defaults.
 pub(super) fn parse(text: &str) -> Result<Tuning, TuningError> {
     let mut tuning = Tuning::default();
     for (section, properties) in &Ini::load_from_str(text)? {
--- a/crates/grebewood/src/main.rs
+++ b/crates/grebewood/src/main.rs
@@ -124,7 +124,7 @@
     print_overview(&overview, json, overview.to_text())
 }
 
-/// Prints an overview as text or as JSON.
+/// Prints the overview of the partitions or of the quotas, as text or as JSON.
 fn print_overview<T: Serialize>(
     overview: &T,
     json: bool,
--- a/crates/grebewood/tests/common/mod.rs
+++ b/crates/grebewood/tests/common/mod.rs
@@ -248,7 +248,7 @@
     /// Waits until all of these jobs are done. The error names the first job that is not done in time.
     pub fn wait_for_jobs(&self, jobs: &[String]) -> Result<(), String> {
         match jobs.iter().find(|job| !self.wait_for_job(job)) {
-            Some(job) => Err(format!("{job} is not done")),
+            Some(job) => Err(format!("job {job} is not done in time")),
             None => Ok(()),
         }
     }
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -58,11 +58,11 @@
     }
 }
 
-/// Reason why the value of a key was not applied to the map.
+/// Reason why a record of the key-value store was not applied to the partition map.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RecordError {
     /// The key is neither the key of a partition's record nor the key of a claim.
-    #[error("not the key of a partition")]
+    #[error("not the key of a partition record or of a claim")]
     NotAPartitionKey,
     /// The value cannot be decoded.
     #[error("{0}")]
@@ -71,7 +71,7 @@
     #[error("invalid range of hash slots")]
     InvalidSlots,
     /// The name of the zone or of the assigned holder is empty.
-    #[error("zone or holder is missing")]
+    #[error("the partition record names no zone or no assigned holder")]
     MissingName,
 }
 
--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -16,9 +16,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Error: the requested grant exceeds the amount that the team may still use.
+/// Error: the requested quota grant of a partition exceeds the amount that the team may still use.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the team's limit leaves no room for the requested grant")]
+#[error("the team's limit leaves no room for the requested quota grant")]
 pub struct OverLimit;
 
 /// Quota grants of all partitions.
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -18,7 +18,7 @@
     pub amount: Resources,
 }
 
-/// Records that are read from the key-value store.
+/// Content of the records in the key-value store from which the overview of the quotas is computed.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     /// Name of the leader, if any.
--- a/crates/testkit/examples/quota_figures.rs
+++ b/crates/testkit/examples/quota_figures.rs
@@ -99,11 +99,11 @@
             leader_s / LENGTH_S as f64,
             measurements.follower_step_time.as_secs_f64() / LENGTH_S as f64,
         );
-        if let Some(idle) = &measurements.unused_grant_thousandths {
+        if let Some(unused) = &measurements.unused_grant_thousandths {
             println!(
-                "| {machines} | {name}, idle part of a limit: mean {:.3}, p99 {:.3} | | | | | | | | |",
-                idle.mean() / 1e3,
-                idle.value_at_quantile(0.99) as f64 / 1e3,
+                "| {machines} | {name}, granted and unused part of a limit: mean {:.3}, p99 {:.3} | | | | | | | | |",
+                unused.mean() / 1e3,
+                unused.value_at_quantile(0.99) as f64 / 1e3,
             );
         }
     }
--- a/crates/testkit/examples/trace_digest.rs
+++ b/crates/testkit/examples/trace_digest.rs
@@ -108,12 +108,12 @@
     Some((index, plays.get(index)?))
 }
 
-/// Plays a scenario and stores its line and its largest samples.
+/// Plays a scenario and stores its line (name, variant and digest) and its largest samples.
 fn run_play(index: usize, play: &Play, results: &Mutex<Results>) {
     let trace = grebewood_testkit::play_traced(&play.text);
     let digest = match &trace {
         Ok(trace) => trace.digest(),
-        Err(error) => format!("cannot be played: {error}"),
+        Err(error) => format!("scenario cannot be played: {error}"),
     };
     let Ok(mut results) = results.lock() else {
         return;
--- a/crates/testkit/src/error.rs
+++ b/crates/testkit/src/error.rs
@@ -6,11 +6,11 @@
 /// The reason why a scenario script cannot be executed as it is written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScriptError {
-    /// A line has too few words.
-    #[error("a word is missing")]
+    /// A line of a scenario or of a snapshot has too few words.
+    #[error("a word of the line is missing")]
     MissingWord,
-    /// A required option is missing.
-    #[error("{0} is missing")]
+    /// A required option of a line is missing.
+    #[error("option {0} is missing")]
     MissingOption(String),
     /// The value of an option is not a number.
     #[error("{key}={text} is not a number")]
@@ -20,17 +20,17 @@
         /// The value of the option.
         text: String,
     },
-    /// A word is not a number.
-    #[error("{0}: not a number")]
+    /// A word of a line is not a number.
+    #[error("{0} is not a number")]
     NotANumber(String),
-    /// A word is not a time in seconds.
-    #[error("{0}: not a time in seconds")]
+    /// A word of a line is not a time in seconds.
+    #[error("{0} is not a time in seconds")]
     NotATime(String),
     /// A text does not consist of pairs of hexadecimal digits.
     #[error("{0}: not pairs of hexadecimal digits")]
     NotHexadecimal(String),
     /// A directive, or a word in one, does not exist.
-    #[error("{0}: unknown")]
+    #[error("unknown directive or word: {0}")]
     Unknown(String),
     /// A controller, machine, team, job or record does not exist, or none is in the required state.
     #[error("{name}: no such {kind}")]
@@ -102,7 +102,7 @@
     #[error(transparent)]
     Script(#[from] ScriptError),
     /// A rule is broken.
-    #[error("{rule}: {detail}")]
+    #[error("broken rule {rule}: {detail}")]
     RuleBroken {
         /// The broken rule.
         rule: Rule,
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -202,8 +202,8 @@
         response
     }
 
-    /// Serves the cloud over HTTP and returns its address. All machines are of one type and running, and there is
-    /// no capacity for more.
+    /// Serves a simulated cloud over HTTP and returns its address. It lists the machines of this cluster as running
+    /// and of the given type, and refuses every provision request for lack of capacity.
     pub fn serve_cloud(&self, machine_type: MachineType) -> std::io::Result<SocketAddr> {
         let cluster = self.clone();
         serve(move |method, path, body| {
--- a/crates/testkit/src/production.rs
+++ b/crates/testkit/src/production.rs
@@ -19,7 +19,7 @@
     owner: String,
     shape: String,
     precedence: Precedence,
-    /// The number of tasks.
+    /// The number of the job's tasks.
     pub shards: u64,
     vcpus: f64,
     accelerators: f64,
--- a/crates/testkit/src/scenario_files.rs
+++ b/crates/testkit/src/scenario_files.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The directory of the scenarios that are played in all variants.
+/// The directory of the scenarios that tests play as written, and again with quota grants forced on.
 pub const SCENARIOS: &str = "scenarios";
 /// The directory of the scenarios with large fleets, which take long.
 pub const LARGE_SCENARIOS: &str = "scenarios/large";
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -65,7 +65,7 @@
 //! at 5  largest_value most=2                no value in the key-value store is larger (KiB)
 //! at 5  malformed most=0                    at most so many transactions were malformed so far
 //! at 5  half_served                         at least half of each class, of each team and of each class's
-//!                                           largest jobs is served, and the largest began within 240 s
+//!                                           largest jobs is served, and the largest started within 240 s
 //! at 5  serving JOB N [zone=a]              so many tasks of the job run
 //! at 5  record KEY yes|no                   whether the key-value store has this key
 //! at 5  cut CONTROLLER|leader store|cloud|agents|peers|all for=10 [hold=yes]
--- a/crates/testkit/src/trace.rs
+++ b/crates/testkit/src/trace.rs
@@ -1,4 +1,5 @@
-//! A digest of all effects of the controllers in a scenario, and samples of the records and messages they write.
+//! A digest of all effects of the controllers in a scenario, which are their responses and calls, and samples of
+//! the records and messages that they write.
 //!
 //! The core is deterministic, so a change of the source code that keeps the behaviour keeps every digest. The
 //! samples are stored records and peer messages that later versions must still read.
@@ -75,7 +76,7 @@
         self.sample_message("answer", body);
     }
 
-    /// Returns the digest of all effects so far, in hexadecimal digits.
+    /// Returns the digest of the effects that were recorded so far, in hexadecimal digits.
     pub fn digest(&self) -> String {
         let digest = self.hasher.clone().finalize();
         digest.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/testkit/src/world/agents.rs
+++ b/crates/testkit/src/world/agents.rs
@@ -280,7 +280,8 @@
         if now < machine.hangs_until {
             return false;
         }
-        // A new higher token counts as a change, but at most once in half a lease.
+        // A higher fencing token makes the agent send its next heartbeat early, as a change of its tasks does, but at
+        // most once in half a lease.
         let may_report_token = machine
             .token_reported_at
             .is_none_or(|at| now >= at + lease / 2);
@@ -327,7 +328,7 @@
         machine.reported_token = machine.token;
         let body = to_cbor(&machine.build_heartbeat(now));
         let (controller, sequence) = (machine.controller, machine.sequence);
-        let unplugged = now < machine.disconnected_until;
+        let is_disconnected = now < machine.disconnected_until;
         let requester = Requester::Heartbeat {
             machine: name.into(),
             heartbeat_id: id,
@@ -346,7 +347,7 @@
             self.schedule_event(now + late, request(body.clone()));
         }
         self.copy_heartbeat(name, &body);
-        if unplugged {
+        if is_disconnected {
             return Ok(());
         }
         let delay = self.faults.heartbeat_delays.remove(name);
--- a/crates/testkit/src/world/calls.rs
+++ b/crates/testkit/src/world/calls.rs
@@ -25,8 +25,8 @@
     pub(super) next_request: u64,
     /// Calls of controllers that are neither answered nor timed out.
     pub(super) open: BTreeSet<Caller>,
-    /// Watches of the key-value store, by ticket.
-    pub(super) watches: BTreeMap<u64, Caller>,
+    /// Callers whose watches of the key-value store are pending, by watch id.
+    pub(super) watch_callers: BTreeMap<u64, Caller>,
 }
 
 impl World {
@@ -188,10 +188,10 @@
         if let Some(transaction) = &transaction {
             self.check_records(transaction);
         }
-        let ticket = self.next_number();
+        let watch_id = self.next_number();
         let reply = self
             .store
-            .handle_request(self.now, ticket, method, path, body);
+            .handle_request(self.now, watch_id, method, path, body);
         let done = matches!(reply, Reply::Now(200, _));
         if done && transaction.as_ref().is_some_and(writes_leader_record) {
             self.on_leader_elected();
@@ -206,7 +206,7 @@
                 self.reply(caller, Link::Store, CALL_LATENCY_US, status, body);
             }
             Reply::Later => {
-                self.calls.watches.insert(ticket, caller);
+                self.calls.watch_callers.insert(watch_id, caller);
             }
         }
     }
@@ -228,8 +228,8 @@
     /// Answers the watches of the key-value store that have events or time out.
     pub(super) fn answer_watches(&mut self) {
         self.store.expire_leases(self.now);
-        for (ticket, body) in self.store.take_ready_watches(self.now) {
-            let Some(caller) = self.calls.watches.remove(&ticket) else {
+        for (watch_id, body) in self.store.take_ready_watches(self.now) {
+            let Some(caller) = self.calls.watch_callers.remove(&watch_id) else {
                 continue;
             };
             // The open watches of a controller that the store refuses wait, as in an outage.
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -81,7 +81,7 @@
         self.check_all_run_once()?;
         self.check_quota()?;
         self.check_recorded_limits()?;
-        self.measure_idle_grants();
+        self.measure_unused_grants();
         self.check_cancelled_are_gone()?;
         if let (Some(most), true) = (self.checks.max_wait, self.now >= self.faults.end) {
             self.update_waits();
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -210,11 +210,11 @@
         }
         let leads = controller.leader.is_some();
         let kind = StepKind::of(&input);
-        let began = Instant::now();
+        let step_start = Instant::now();
         let effects = controller.step(now, input, &mut NoStopwatch);
         match (&mut self.measurements, leads) {
-            (Some(measurements), true) => measurements.record_step(kind, began.elapsed()),
-            (Some(measurements), false) => measurements.follower_step_time += began.elapsed(),
+            (Some(measurements), true) => measurements.record_step(kind, step_start.elapsed()),
+            (Some(measurements), false) => measurements.follower_step_time += step_start.elapsed(),
             (None, _) => {}
         }
         Some(effects)
--- a/crates/testkit/src/world/directives/expectations.rs
+++ b/crates/testkit/src/world/directives/expectations.rs
@@ -22,7 +22,9 @@
         match directive.word(0)? {
             "starts" => {
                 let (got, wanted) = (self.starts_of(directive)?, directive.number_at(2)?);
-                ensure(got == wanted, || format!("{got} starts, not {wanted}"))?;
+                ensure(got == wanted, || {
+                    format!("{got} task starts of the job, not {wanted}")
+                })?;
             }
             "has_started" => {
                 let has_started = self.starts_of(directive)? > 0;
@@ -68,7 +70,7 @@
             "record" => {
                 let is_present = self.store.contains_key(directive.word(1)?);
                 let wanted = directive.word(2)? == "yes";
-                let detail = || format!("whether the record exists: {is_present}");
+                let detail = || format!("whether the key-value store has the record: {is_present}");
                 ensure(is_present == wanted, detail)?;
             }
             _ => return Ok(false),
--- a/crates/testkit/src/world/events.rs
+++ b/crates/testkit/src/world/events.rs
@@ -7,7 +7,7 @@
 use grebewood_core::settings::StoreLimits;
 use grebewood_core::{Input, Interface};
 
-/// A call of a controller's process.
+/// A call that a controller's process makes to the key-value store, the cloud, an agent or another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Caller {
     /// Index of the controller.
@@ -181,14 +181,14 @@
         Ok(())
     }
 
-    /// Checks, when a heartbeat with this sequence number arrives, that the agent has sent a newer status
-    /// since.
+    /// Checks, when a heartbeat with this sequence number arrives, that the agent has sent a newer list of
+    /// its tasks since, as the answer to a direct command.
     fn check_overtaken(&mut self, name: &str, sequence: u64) -> StepResult {
         let overtaken = self.machine_mut(name)?.sequence > sequence;
         match overtaken {
             true => Ok(()),
             false => Err(ScenarioError::unmet(format!(
-                "no newer status overtook the delayed heartbeat of {name}"
+                "no newer answer of the agent overtook the delayed heartbeat of {name}"
             ))),
         }
     }
--- a/crates/testkit/src/world/faults.rs
+++ b/crates/testkit/src/world/faults.rs
@@ -123,7 +123,7 @@
             ("heartbeat_copies", machine) => self.start_heartbeat_copies(directive, machine)?,
             ("copies_at_newer_leader", _) => self.expect_copies(directive)?,
             ("drop_heartbeats" | "drop_inbound" | "disconnect" | "hang", _) => {
-                self.silence_machines(directive)?
+                self.apply_machine_fault(directive)?
             }
             ("lose", "direct") => {
                 let delay = self.delay(directive, 10.0, ("late", 6.0))?;
@@ -185,8 +185,9 @@
         }
     }
 
-    /// Makes machines mute, deaf, unplugged or hang for a time.
-    fn silence_machines(&mut self, directive: &Directive) -> StepResult {
+    /// Makes machines hang for a time, or drops their inbound messages, their heartbeats, or all messages from and
+    /// to them.
+    fn apply_machine_fault(&mut self, directive: &Directive) -> StepResult {
         let fault = directive.word(0)?;
         let default_s = if fault == "hang" { 5.0 } else { 30.0 };
         let until = self.now + directive.duration("for", default_s)?;
--- a/crates/testkit/src/world/faults/users.rs
+++ b/crates/testkit/src/world/faults/users.rs
@@ -29,7 +29,7 @@
         let jobs = self.long_running_jobs(max_jobs);
         if jobs.is_empty() {
             return Err(ScenarioError::unmet(
-                "no running job has enough run time left",
+                "no running job has enough run time left to be cancelled while it runs",
             ));
         }
         if hang > 0 {
--- a/crates/testkit/src/world/responses.rs
+++ b/crates/testkit/src/world/responses.rs
@@ -151,7 +151,9 @@
             return Ok(status.to_string());
         }
         let answer: JobStatus = from_cbor(body).map_err(|error| {
-            ScenarioError::Protocol(format!("the response to a poll cannot be decoded: {error}"))
+            ScenarioError::Protocol(format!(
+                "the response to a poll of {job} cannot be decoded: {error}"
+            ))
         })?;
         self.check_status(job, &answer.status)?;
         Ok(answer.status)
@@ -244,7 +246,7 @@
         return Ok(());
     }
     let member = member_name(controller);
-    let detail = format!("{member} reports {got} for {job}, not {wanted}");
+    let detail = format!("controller {member} reports {got} for {job}, not {wanted}");
     Err(ScenarioError::unmet(detail))
 }
 
--- a/crates/testkit/src/world/snapshot.rs
+++ b/crates/testkit/src/world/snapshot.rs
@@ -2,7 +2,7 @@
 //! jobs.
 //!
 //! The file has a line for each. `record KEY REVISION HEX` is a record of the key-value store; `machine`,
-//! `task`, `hire`, `job` and `completed` describe the state outside the store.
+//! `task`, `hire`, `job` and `completed` describe the simulated cluster outside the key-value store.
 
 use super::jobs::{job_of, ObservedJob};
 use super::World;
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -145,23 +145,23 @@
     }
 
     /// Measures the share of each team's limit that is granted and unused while jobs of the team wait for tasks.
-    pub(super) fn measure_idle_grants(&mut self) {
+    pub(super) fn measure_unused_grants(&mut self) {
         if self.measurements.is_none() {
             return;
         }
         let granted = self.recorded_grants();
         let used = self.usage_by_team();
-        let mut idle = Vec::new();
+        let mut unused_thousandths = Vec::new();
         for (team, limit) in &self.configuration.settings.teams {
             if self.has_waiting_job(team) {
                 let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
                 let granted = granted.get(team).copied().unwrap_or(0.0);
                 let share = (granted - used).max(0.0) / limit.cpus_max;
-                idle.push((share * 1_000.0) as u64);
+                unused_thousandths.push((share * 1_000.0) as u64);
             }
         }
         if let Some(measurements) = &mut self.measurements {
-            let each = idle.into_iter();
+            let each = unused_thousandths.into_iter();
             each.for_each(|thousandths| measurements.record_unused_grant(thousandths));
         }
     }
--- a/crates/testkit/src/world/tests/placement.rs
+++ b/crates/testkit/src/world/tests/placement.rs
@@ -4,7 +4,8 @@
 
 #[test]
 fn task_on_two_machines_is_a_violation() {
-    // The check also covers machines that hang, or are deaf, unplugged or mute.
+    // The check also covers machines that hang, receive no messages, are disconnected, or whose heartbeats are
+    // dropped.
     let hide: [fn(&mut Machine); 5] = [
         |_| (),
         |machine| machine.hangs_until = 900 * SECOND,
@@ -57,7 +58,7 @@
     let mut world = world_after(&text, 4);
     world
         .play_until(4 * SECOND + MILLISECOND)
-        .expect("no fault yet");
+        .expect("no rule is broken before the task starts");
     let mut machines = world.present_machines();
     let chosen = machines.find(|machine| machine.is_up && choose(machine));
     let chosen = chosen.expect("a machine").name.clone();
--- a/crates/testkit/src/world/tests/waiting.rs
+++ b/crates/testkit/src/world/tests/waiting.rs
@@ -46,7 +46,7 @@
 /// A job does not count as waiting if no machine has room, fits or can be reached, or its team's limit is used up.
 #[test]
 fn job_without_room_does_not_count_as_waiting() {
-    let all_deaf = |world: &mut World| {
+    let drop_all_inbound = |world: &mut World| {
         let machines = world.machines.values_mut();
         for machine in machines.filter(|machine| !machine.is_gone) {
             machine.inbound_dropped_until = 900 * SECOND;
@@ -62,7 +62,7 @@
     );
     assert_eq!(seconds_until_violation("cpus=1 zone=c", |_| ()), None);
     assert_eq!(seconds_until_violation("cpus=1 type=big", |_| ()), None);
-    assert_eq!(seconds_until_violation("cpus=1", all_deaf), None);
+    assert_eq!(seconds_until_violation("cpus=1", drop_all_inbound), None);
     assert_eq!(seconds_until_violation("cpus=7 team=u", |_| ()), None);
     assert_eq!(seconds_until_violation("cpus=6 team=u", |_| ()), Some(90));
 }
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn a_mute_machine_loses_its_tasks_with_its_lease() {
+fn a_machine_whose_heartbeats_are_dropped_loses_its_tasks_with_its_lease() {
     let never_reported = "at 2 submit req-1 tasks=1 run=40\nat 8 starts req-1 1\nat 9 drop_heartbeats of=req-1 for=15\n\
                 at 45 starts req-1 2\nend 46\n";
     assert_passes(never_reported);
     assert_fails(
         &never_reported.replace("for=15", "for=3"),
-        "1 starts, not 2",
+        "1 task starts of the job, not 2",
     );
     assert_fails(
         &never_reported.replace("of=req-1", "of=req-2"),
@@ -58,9 +58,10 @@
     );
     assert_fails(
         &now.replace("run=60", "run=12"),
-        "no running job has enough run time left",
+        "no running job has enough run time left to be cancelled while it runs",
     );
-    // The cancellation comes at the moment at which the task completes, and the mute machine cannot report that.
+    // The cancellation comes at the moment at which the task completes, and the agent cannot report that because its
+    // heartbeats are dropped.
     let end = "at 2 submit req-1 tasks=1 run=5\nat 5 drop_heartbeats of=req-1 for=5\n\
                at 6 cancel_at_end for=20\nat 30 expect req-1 aborted\nend 31\n";
     assert_passes(end);
@@ -103,7 +104,10 @@
     let boots =
         "at 1 boots 0.5\nat 2 submit req-1 tasks=12 run=30\nat 15 starts req-1 12\nend 16\n";
     assert_passes(boots);
-    assert_fails(&boots.replace("boots 0.5", "boots 20"), "starts, not 12");
+    assert_fails(
+        &boots.replace("boots 0.5", "boots 20"),
+        "task starts of the job, not 12",
+    );
 }
 
 #[test]
@@ -118,9 +122,9 @@
              at 1 polls for=60\nat 60 expect req-1 done\nend 61\n"
         ));
     }
-    for node in ["leader", "0", "1", "2"] {
+    for controller in ["leader", "0", "1", "2"] {
         assert_passes(&format!(
-            "at 4 late txn for=10 controller={node} at_once=yes\nat 2 submit req-1 controller={node} run=5\n\
+            "at 4 late txn for=10 controller={controller} at_once=yes\nat 2 submit req-1 controller={controller} run=5\n\
              at 30 expect req-1 done\nend 31\n"
         ));
     }
--- a/crates/testkit/tests/known_red/mod.rs
+++ b/crates/testkit/tests/known_red/mod.rs
@@ -36,8 +36,9 @@
     }
 }
 
-/// Evaluates the outcomes of the scenarios that were played. `names` holds the names of all scenarios, also of
-/// those that were not played.
+/// Compares the outcomes of the scenarios that were played with `list`, the text of `KNOWN-RED.txt`, and returns
+/// which failures are known and which fail the run. `names` holds the names of all scenarios, also of those that
+/// were not played.
 pub fn judge(
     list: Option<&str>,
     names: &[String],
--- a/crates/testkit/tests/scenarios.rs
+++ b/crates/testkit/tests/scenarios.rs
@@ -53,7 +53,8 @@
         }
         outcomes.push((name, outcome));
     }
-    let list = known_red::read(&package.join("../../KNOWN-RED.txt")).expect("the known red");
+    let list = known_red::read(&package.join("../../KNOWN-RED.txt"))
+        .expect("KNOWN-RED.txt can be read or is absent");
     let verdict = known_red::judge(list.as_deref(), &names, &outcomes);
     for line in &verdict.known_red {
         // `eprintln!` would not do: its output is hidden when the test passes.
--- a/crates/testkit/tests/stored_formats.rs
+++ b/crates/testkit/tests/stored_formats.rs
@@ -28,7 +28,7 @@
 
 fn samples() -> Vec<Sample> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("data/stored_formats.txt");
-    let text = std::fs::read_to_string(file).expect("the frozen samples");
+    let text = std::fs::read_to_string(file).expect("data/stored_formats.txt can be read");
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let sample = |line: &str| {
         let mut words = line.split(' ');
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,5 @@
-//! Encoding and decoding: CBOR for HTTP bodies and records, MessagePack for messages between controllers.
+//! Encoding and decoding: CBOR for HTTP bodies and records, MessagePack for
+//! messages between controllers (peer messages).
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::io;
@@ -21,7 +22,7 @@
     /// Further bytes follow a complete CBOR value.
     #[error("bytes after the CBOR value")]
     TrailingBytes,
-    /// The bytes are not a message of a controller.
+    /// The bytes are not a message between controllers.
     #[error("not a peer message: {0}")]
     Peer(rmp_serde::decode::Error),
     /// Any other reason, stated by a caller.
--- a/crates/wire/src/http/agents.rs
+++ b/crates/wire/src/http/agents.rs
@@ -44,7 +44,7 @@
 /// Status of one task in a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// Name of the task: `<job>/<number>`.
+    /// Name of the task: `<job id>/<number>`.
     #[serde(rename = "shard")]
     pub task_name: String,
     /// Number of the attempt.
@@ -65,7 +65,7 @@
 pub struct Command {
     /// Action that the agent is to perform.
     pub verb: Verb,
-    /// Name of the task: `<job>/<number>`.
+    /// Name of the task: `<job id>/<number>`.
     #[serde(rename = "shard")]
     pub task_name: String,
     /// Number of the attempt.
