--- a/crates/partition/src/lib.rs
+++ b/crates/partition/src/lib.rs
@@ -7,6 +7,9 @@
 //! controller an agent sends its heartbeats to and how far the handoff of a partition has progressed. A handoff
 //! has no other state, so any leader can continue it.
 //!
+//! A member is a controller of the cluster, by the name in its settings. The holder of a partition is the member
+//! that has claimed it and places tasks on its machines.
+//!
 //! This package does no I/O and reads no clock.
 
 #![warn(missing_docs)]
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -1,4 +1,5 @@
-//! Partition map, built from the records in the key-value store.
+//! Partition map, built from the records in the key-value store: the record of each partition, which the leader
+//! writes, and the claim of the partition holder.
 
 use crate::hash_slots::{slot_of, SLOTS_PER_ZONE};
 use crate::Micros;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! A team's tasks may use at most its limit across the whole cluster. The leader grants the holder of each
 //! partition a part of a team's limit (a quota grant) and records it in the key-value store before it is used.
-//! The holder starts tasks within its grant without asking. A granted amount counts as used until the holder,
-//! or the next holder of the partition, has answered that it will not use it.
+//! The holder of a partition is the controller that has claimed it and places tasks on its machines. It starts
+//! tasks within its grant without asking. A granted amount counts as used until the holder, or the next holder of
+//! the partition, has answered that it will not use it.
 //!
 //! Like the scheduler's core, this package maps inputs to decisions. It does no I/O and reads no clock.
 //!
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -1,10 +1,11 @@
 //! The guaranteed shares and limits that are in force while the members' settings change.
 //!
-//! Each member reads the teams' quotas from its own settings when it starts, so for some time members can have
-//! different amounts. The amount in force is recorded in the key-value store. It is lowered as soon as one member
-//! announces a lower amount. It is raised only after all members, asked by the present leader, have announced a
-//! higher one. So a member with old settings that becomes the leader does not act on an amount above the recorded
-//! one, and neither does a member that cannot be reached.
+//! A member is a controller of the cluster, by the name in its settings. Each member reads the teams' quotas from
+//! its own settings when it starts, so for some time members can have different amounts. The amount in force is
+//! recorded in the key-value store. It is lowered as soon as one member announces a lower amount. It is raised only
+//! after all members, asked by the present leader, have announced a higher one. So a member with old settings that
+//! becomes the leader does not act on an amount above the recorded one, and neither does a member that cannot be
+//! reached.
 
 use crate::Resources;
 use grebewood_wire::records::{LimitsRecord, TeamQuotaRecord};
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -27,6 +27,10 @@
 //! machines TYPE zone=a count=2 [spot=yes]   machines that are up at the start: n-000000, n-000001, ...
 //! ```
 //!
+//! The words in capitals stand for values: CONTROLLER for the number of a controller from 0, MACHINE for the name
+//! of a machine, JOB for the id of a job, TEAM for the name of a team, and KEY for a key of the key-value store. A
+//! direct command is one that a controller sends to an agent itself, instead of in the response to a heartbeat.
+//!
 //! The other lines say what happens and what is checked, each at a time in seconds:
 //!
 //! ```text
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -1,4 +1,9 @@
 //! Simulated cluster: plays the script of a scenario and checks the rules of the protocol.
+//!
+//! The world holds real controllers and simulates what they communicate with: the key-value store, the cloud, the
+//! machines with their agents, and users. A fault is a failure that the script injects, such as a lost message; a
+//! violation is a broken rule of the protocol, and ends the scenario. A poll is a user's request for the status of
+//! a job.
 
 use crate::error::{ScenarioError, StepResult};
 use crate::machines::{JobFacts, Machine};
--- a/crates/testkit/tests/faults.rs
+++ b/crates/testkit/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Checks that each fault of the scenario language has its effect, by the outcome of small scenarios.
+//! Checks that each fault of the scenario language has its effect, by the outcome of small scenarios. The
+//! directives are described in `grebewood_testkit::script`.
 
 use grebewood_testkit::play;
 
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,5 +1,5 @@
-//! Encoding and decoding: CBOR for HTTP bodies and records, MessagePack for
-//! messages between controllers (peer messages).
+//! Encoding and decoding: CBOR for HTTP bodies and records, MessagePack for messages between controllers (peer
+//! messages).
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::io;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,7 @@
-//! Messages between controllers: one request and one response, over `POST /peer`.
+//! Messages between controllers (peer messages): one request and one response, over `POST /peer`.
+//!
+//! A member is a controller of the cluster, by the name in its settings. A partition holder is the member that
+//! has claimed a partition and places tasks on its machines.
 
 use crate::http::{ExitCause, TaskStatus};
 use crate::records::{TeamAmount, TeamQuotaRecord};
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -16,6 +16,9 @@
 //! | `quota/limits` | the leader | [`LimitsRecord`]: the teams' guaranteed shares and limits in force |
 //! | `quota/<n>` | the leader | [`QuotaGrantRecord`]: the parts of the limits granted to partition `n` |
 //!
+//! The holder of a partition is the controller that has claimed it. A page is a record with the assignments of many
+//! tasks to machines.
+//!
 //! An earlier version wrote `cancel/<id>` for a cancellation and `done/<id>/<n>` ([`LegacyCompletedTasksRecord`])
 //! for completed tasks. Both are still read, and they are removed with their job.
 
