--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -27,6 +27,10 @@
 //! machines TYPE zone=a count=2 [spot=yes]   machines that are up at the start: n-000000, n-000001, ...
 //! ```
 //!
+//! The words in capitals stand for values: CONTROLLER for the number of a controller from 0, MACHINE for the name
+//! of a machine, JOB for the id of a job, TEAM for the name of a team, and KEY for a key of the key-value store. A
+//! direct command is one that a controller sends to an agent itself, instead of in the response to a heartbeat.
+//!
 //! The other lines say what happens and what is checked, each at a time in seconds:
 //!
 //! ```text
@@ -65,7 +69,7 @@
 //! at 5  largest_value most=2                no value in the key-value store is larger (KiB)
 //! at 5  malformed most=0                    at most so many transactions were malformed so far
 //! at 5  half_served                         at least half of each class, of each team and of each class's
-//!                                           largest jobs is served, and the largest began within 240 s
+//!                                           largest jobs is served, and the largest started within 240 s
 //! at 5  serving JOB N [zone=a]              so many tasks of the job run
 //! at 5  record KEY yes|no                   whether the key-value store has this key
 //! at 5  cut CONTROLLER|leader store|cloud|agents|peers|all for=10 [hold=yes]
--- a/crates/testkit/src/world/controllers.rs
+++ b/crates/testkit/src/world/controllers.rs
@@ -2,7 +2,7 @@
 
 use super::configuration::{member_index, member_name};
 use super::events::{Event, Request, Requester};
-use super::network::REQUEST_LATENCY;
+use super::network::REQUEST_LATENCY_US;
 use super::users::status_in;
 use super::World;
 use crate::error::{ScriptError, StepResult};
@@ -210,11 +210,11 @@
         }
         let leads = controller.leader.is_some();
         let kind = StepKind::of(&input);
-        let began = Instant::now();
+        let step_start = Instant::now();
         let effects = controller.step(now, input, &mut NoStopwatch);
-        match (&mut self.measures, leads) {
-            (Some(measures), true) => measures.record_step(kind, began.elapsed()),
-            (Some(measures), false) => measures.follower_step_time += began.elapsed(),
+        match (&mut self.measurements, leads) {
+            (Some(measurements), true) => measurements.record_step(kind, step_start.elapsed()),
+            (Some(measurements), false) => measurements.follower_step_time += step_start.elapsed(),
             (None, _) => {}
         }
         Some(effects)
@@ -224,7 +224,7 @@
         if let Some(requester) = self.calls.requests.remove(&(index, id)) {
             self.on_confirmation(index, &requester, status, &status_in(&body));
             let response = Event::Response(requester, index, status, body);
-            self.schedule_event(self.now + REQUEST_LATENCY, response);
+            self.schedule_event(self.now + REQUEST_LATENCY_US, response);
         }
     }
 
--- a/crates/testkit/src/world/team_limits.rs
+++ b/crates/testkit/src/world/team_limits.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// Time within which a launch that was recorded before a limit was lowered may still reach its agent.
-const LAUNCH_TRANSIT: Micros = 2 * SECOND;
+const LAUNCH_TRANSIT_US: Micros = 2 * SECOND;
 /// Amounts of a resource that differ by less count as equal.
 pub(super) const RESOURCE_TOLERANCE: f64 = 1e-6;
 /// Units of a recorded quota grant that make one CPU.
@@ -145,24 +145,24 @@
     }
 
     /// Measures the share of each team's limit that is granted and unused while jobs of the team wait for tasks.
-    pub(super) fn measure_idle_grants(&mut self) {
-        if self.measures.is_none() {
+    pub(super) fn measure_unused_grants(&mut self) {
+        if self.measurements.is_none() {
             return;
         }
         let granted = self.recorded_grants();
         let used = self.usage_by_team();
-        let mut idle = Vec::new();
+        let mut unused_thousandths = Vec::new();
         for (team, limit) in &self.configuration.settings.teams {
             if self.has_waiting_job(team) {
                 let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
                 let granted = granted.get(team).copied().unwrap_or(0.0);
                 let share = (granted - used).max(0.0) / limit.cpus_max;
-                idle.push((share * 1_000.0) as u64);
+                unused_thousandths.push((share * 1_000.0) as u64);
             }
         }
-        if let Some(measures) = &mut self.measures {
-            let each = idle.into_iter();
-            each.for_each(|thousandths| measures.record_unused_grant(thousandths));
+        if let Some(measurements) = &mut self.measurements {
+            let each = unused_thousandths.into_iter();
+            each.for_each(|thousandths| measurements.record_unused_grant(thousandths));
         }
     }
 
@@ -182,7 +182,7 @@
             };
             let used = used.get(team.as_str()).map_or(0.0, |used| used.cpus);
             let has_grown = known.is_some_and(|known| used > known.used + RESOURCE_TOLERANCE);
-            let settled = lowered_at > 0 && now > lowered_at + LAUNCH_TRANSIT;
+            let settled = lowered_at > 0 && now > lowered_at + LAUNCH_TRANSIT_US;
             if has_grown && settled && used > cpus + RESOURCE_TOLERANCE {
                 return Err(ScenarioError::Protocol(format!(
                     "{team} uses {used} CPUs, more than its recorded limit of {cpus}"
