--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -4,7 +4,7 @@
 //! user. A leader that renews agents' leases must therefore know of every confirmation up to a recent moment. It
 //! learns of them from the key-value store (the controller's job view) and, where the store is out of reach, from its
 //! peers: each controller remembers what it has confirmed to users, and lists it in response to a contact request.
-//! There is no safety margin in time: the knowledge is complete up to the moment at which the last complete answer
+//! There is no safety margin in time: the knowledge is complete up to the moment at which the last complete response
 //! was requested.
 
 use crate::Micros;
@@ -14,7 +14,7 @@
 /// Most cancellations that are remembered.
 const MAX_KNOWN_CANCELLATIONS: usize = 10_000;
 
-/// Most cancellations in one answer to another controller.
+/// Most cancellations in one response to another controller.
 const MAX_LISTED_CANCELLATIONS: usize = 1_000;
 
 /// A cancellation of a job that is not known to be finished.
@@ -34,14 +34,14 @@
     remembers_from: Option<Micros>,
     /// Moment up to which all cancellations that any controller confirmed are known from the store.
     store_read_at: Option<Micros>,
-    /// For each peer, by its place in the settings, the moment up to which all cancellations that it confirmed are
+    /// For each peer, by its index in the settings, the moment up to which all cancellations that it confirmed are
     /// known from its own responses.
     peer_lists: BTreeMap<usize, Micros>,
 }
 
 impl Cancellations {
     /// Records the start of the process, which has confirmed nothing before.
-    pub fn note_process_start(&mut self, now: Micros) {
+    pub fn record_process_start(&mut self, now: Micros) {
         self.remembers_from.get_or_insert(now);
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Records that the store was read at `at`: all cancellations that were confirmed before are known.
-    pub fn note_store_read(&mut self, at: Micros) {
+    pub fn record_store_read(&mut self, at: Micros) {
         self.store_read_at = self.store_read_at.max(Some(at));
     }
 
@@ -148,7 +148,7 @@
     /// `remembers_from`. If `remembers_from` is later than the moment up to which its confirmations are known, as
     /// after a restart of the peer, it may have confirmed cancellations in between that no process remembers. The
     /// list then does not advance that moment.
-    pub fn note_peer_list(&mut self, peer: usize, asked_at: Micros, remembers_from: Micros) {
+    pub fn record_peer_list(&mut self, peer: usize, asked_at: Micros, remembers_from: Micros) {
         let known_until = self.known_until_of_peer(peer);
         if known_until.is_some_and(|known_until| remembers_from <= known_until) {
             let listed_at = self.peer_lists.entry(peer).or_insert(asked_at);
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -35,7 +35,7 @@
 pub(crate) mod user_requests;
 
 /// A controller that has had no contact with the store for this long refuses users' requests.
-pub const USER_REQUEST_CONTACT_TIMEOUT: Micros = 2_500 * MILLI;
+pub const USER_REQUEST_CONTACT_TIMEOUT_US: Micros = 2_500 * MILLI;
 
 /// Most finished jobs whose final records a controller keeps in memory.
 const MAX_FINISHED_JOBS: usize = 20_000;
@@ -51,23 +51,24 @@
 
 /// A controller.
 pub struct Controller {
-    /// Settings, clocks, rate limiters and calls under way, which all its parts share.
+    /// Settings, clocks, rate limiters and calls under way, which all parts of the controller share.
     pub context: Context,
-    /// What it knows of the leader and of its peers.
+    /// What this controller knows of the leader and of its peers.
     pub election: Election,
-    /// Its scheduler as the leader, while it is the leader.
+    /// The scheduler of this controller as the leader, while it is the leader.
     pub leader: Option<Box<Scheduler>>,
-    /// Final records that it has read, and those of jobs whose cancellation it has confirmed.
+    /// Final records that this controller has read, and final records of jobs whose cancellation it has confirmed.
     pub finished_jobs: FinishedJobs,
     /// Reads of final records that are under way.
     pub finished_reads: FinishedReads,
-    /// Its view of the live jobs.
+    /// This controller's view of the live jobs.
     pub job_view: JobView,
     /// Task counts of live jobs, as last sent by the leader.
     pub progress: BTreeMap<String, TaskCounts>,
-    /// Its copy of the partition map, and the partitions that it holds or claims.
+    /// This controller's copy of the partition map, and the partitions that it holds or claims.
     pub partitions: Partitions,
-    /// Machines on which cancelled tasks were not proven to have ended when this controller last gave up a lease.
+    /// Machines on which cancelled tasks were not proven to have ended when this controller last stepped down as the
+    /// leader or released a partition.
     pub(crate) unproven_machines: Option<UnprovenMachines>,
     catalogue_reader: CatalogueReader,
     started: bool,
@@ -98,7 +99,7 @@
         self.context.now = now;
         if !self.started {
             self.started = true;
-            self.context.cancellations.note_process_start(now.steady);
+            self.context.cancellations.record_process_start(now.steady);
             info!(member = self.context.settings.member.as_str(); "controller started");
         } else if since_last_input > self.context.tuning.leader_lease_us / 2 {
             // Timers fire far more often than that, so the process was paused.
@@ -155,7 +156,9 @@
     /// Returns whether this controller can serve users' requests.
     pub fn is_healthy(&self) -> bool {
         self.context.catalogue.is_some()
-            && self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT)
+            && self
+                .context
+                .has_store_contact(USER_REQUEST_CONTACT_TIMEOUT_US)
     }
 
     /// Routes a request of a user, an agent or a health check.
@@ -201,7 +204,7 @@
     fn on_process_pause(&mut self, pause: Micros) {
         let member = self.context.settings.member.as_str();
         warn!(member = member, pause_ms = pause / MILLI; "process was paused");
-        self.context.note_resumed();
+        self.context.record_resume();
         self.suspend_uncertain_leases();
     }
 
--- a/crates/core/src/controller/candidacy.rs
+++ b/crates/core/src/controller/candidacy.rs
@@ -17,26 +17,27 @@
 use std::fmt::Display;
 
 /// Interval between two reads of the leader record by a controller that is not the leader.
-const PROBE_INTERVAL: Micros = 500 * MILLI;
+const PROBE_INTERVAL_US: Micros = 500 * MILLI;
 
 /// Delay until the next read after deleting a leader record of an earlier process of this member.
-const PROBE_AFTER_DELETE: Micros = 20 * MILLI;
+const PROBE_AFTER_DELETE_US: Micros = 20 * MILLI;
 
 /// Delay until the next read of the leader record after stepping down.
-const PROBE_AFTER_STEP_DOWN: Micros = 50 * MILLI;
+const PROBE_AFTER_STEP_DOWN_US: Micros = 50 * MILLI;
 
 /// Delay until the next read of the leader record after ending the lease of a candidacy or of leadership.
-const PROBE_AFTER_LEASE_END: Micros = 100 * MILLI;
+const PROBE_AFTER_LEASE_END_US: Micros = 100 * MILLI;
 
 /// Time for which a leader that resigned does not become a candidate.
-const ABSTENTION: Micros = 10 * SECOND;
+const ABSTENTION_US: Micros = 10 * SECOND;
 
 /// What happens to the leader's lease when the leader steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepDownMode {
-    /// The lease is lost or may be lost. It is left to expire.
+    /// The lease on the leader record is lost or may be lost. It is left to expire.
     LeaseLost,
-    /// The lease is still valid. It is ended, and this controller is no candidate for [`ABSTENTION`].
+    /// The lease on the leader record is still valid. It is ended, and this controller is no candidate for
+    /// [`ABSTENTION_US`].
     Resign,
 }
 
@@ -50,7 +51,7 @@
         if self.leader.is_some() {
             return self.send_contact_requests();
         }
-        self.election.next_probe = now + PROBE_INTERVAL;
+        self.election.next_probe = now + PROBE_INTERVAL_US;
         if !self.election.request_in_flight {
             self.election.request_in_flight = true;
             self.context
@@ -58,10 +59,10 @@
         }
         // A partition holder renews agents' leases as the leader does, so it has to know which cancellations
         // its peers confirmed.
-        if !self.partitions.holders.is_empty() && now >= self.election.next_question {
+        if !self.partitions.holders.is_empty() && now >= self.election.next_contact_request {
             self.send_contact_requests();
-            self.election.next_question = self.election.next_probe;
-            self.election.next_probe = now + PROBE_INTERVAL;
+            self.election.next_contact_request = self.election.next_probe;
+            self.election.next_probe = now + PROBE_INTERVAL_US;
         }
     }
 
@@ -95,7 +96,9 @@
     fn on_leader_record(&mut self, body: &[u8]) {
         let entry = match wire::from_cbor::<KeyValue<LeaderRecord>>(body) {
             Ok(entry) => entry,
-            Err(e) => return warn!(path = LEADER_KEY, error:% = e; "unreadable leader record"),
+            Err(e) => {
+                return warn!(path = LEADER_KEY, error:% = e; "cannot decode the leader record")
+            }
         };
         let token = entry.mod_revision;
         self.context.token = self.context.token.max(token);
@@ -110,7 +113,8 @@
     }
 
     /// Deletes a leader record that names this member although this process is not the leader: an earlier
-    /// process of the member put it, or the store applied a claim late. No process acts under its token.
+    /// process of the member put it, or the store put the leader record of this process late. No process acts under
+    /// its token.
     fn delete_own_leader_record(&mut self, token: u64) {
         let transaction = Transaction {
             when: vec![at_revision(LEADER_KEY, token)],
@@ -121,7 +125,7 @@
         self.context
             .post_to_store("/txn", &transaction, CallPurpose::Ignore);
         self.election.leader = None;
-        self.election.next_probe = self.context.now.steady + PROBE_AFTER_DELETE;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_DELETE_US;
     }
 
     /// Requests a lease for a candidacy, since the store has no leader record.
@@ -159,7 +163,7 @@
             .post_to_store("/txn", &transaction, CallPurpose::Election(step));
     }
 
-    /// Reads the leader record back after a claim whose outcome is unknown.
+    /// Reads the leader record back after a put whose outcome is unknown.
     fn read_leader_claim_back(&mut self, lease: u64) {
         self.election.request_in_flight = true;
         let step = ElectionStep::ReadBack { lease };
@@ -193,7 +197,7 @@
     /// Ends the lease of a candidacy or of leadership, and schedules an early read of the leader record.
     fn end_candidacy(&mut self, lease: u64) {
         self.context.end_lease(lease);
-        self.election.next_probe = self.context.now.steady + PROBE_AFTER_LEASE_END;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_LEASE_END_US;
     }
 
     /// Takes on leadership after the store applied this controller's leader record, whose mod_revision is the
@@ -217,7 +221,7 @@
         self.leader = Some(leader);
     }
 
-    /// Stops acting as the leader, and refuses the heartbeats that wait for an answer.
+    /// Stops acting as the leader, and refuses the heartbeats that wait for a response.
     pub(crate) fn step_down(&mut self, reason: impl Display, mode: StepDownMode) {
         let Some(leader) = self.leader.take() else {
             return;
@@ -232,16 +236,16 @@
         }
         self.election.leader = None;
         self.election.request_in_flight = false;
-        self.election.next_probe = self.context.now.steady + PROBE_AFTER_STEP_DOWN;
+        self.election.next_probe = self.context.now.steady + PROBE_AFTER_STEP_DOWN_US;
         if mode == StepDownMode::Resign {
             self.end_candidacy(leader.lease);
-            self.election.abstain_until = self.context.now.steady + ABSTENTION;
+            self.election.abstain_until = self.context.now.steady + ABSTENTION_US;
         }
     }
 
     /// Suspends the schedulers of this controller after a process pause, until their leases are known to be
     /// valid: the leases may have expired, and other members may have acted since. Refuses the heartbeats that
-    /// wait for an answer.
+    /// wait for a response.
     pub(crate) fn suspend_uncertain_leases(&mut self) {
         let now = self.context.now.steady;
         if self.leader.is_none() && self.partitions.holders.is_empty() {
--- a/crates/core/src/controller/partition_orders.rs
+++ b/crates/core/src/controller/partition_orders.rs
@@ -9,7 +9,7 @@
 use log::debug;
 
 /// Timeout of a message with orders.
-const ORDERS_TIMEOUT: Micros = 900 * MILLI;
+const ORDERS_TIMEOUT_US: Micros = 900 * MILLI;
 
 impl Controller {
     /// Handles orders for a partition and returns the holder's report. Orders of any other member than the leader
@@ -17,14 +17,14 @@
     pub(crate) fn on_orders(&mut self, orders: PartitionOrders) -> Option<PartitionReport> {
         if !self.election.is_led_by(&orders.from, orders.term) {
             let (member, token) = (orders.from.as_str(), orders.term);
-            debug!(member = member, token = token; "refused orders of a member that is not the leader");
+            debug!(member = member, token = token; "refused partition orders of a member that is not the leader");
             return None;
         }
         let holder = self.partitions.holders.get_mut(&orders.partition)?;
         holder.carry_out_orders(&mut self.context, orders)
     }
 
-    /// Retracts cancellations that holders learned from a peer and that the store refutes: an answer that was
+    /// Retracts cancellations that holders learned from a peer and that the store refutes: a response that was
     /// requested since then still shows the job as live and not cancelled, so its tasks go on.
     pub(crate) fn retract_cancellations(&mut self) {
         let known_from_store_until = self.context.cancellations.known_from_store_until();
@@ -45,8 +45,8 @@
     }
 
     /// Runs the leader's work for partitions: follows their claims, plans assignments, and sends the orders that
-    /// are due. Steps down once all partitions are removed from the store, or when a holder does not tell which
-    /// tasks were placed before its claim.
+    /// are due. Steps down once all partitions are removed from the store, or when a holder does not tell which tasks
+    /// were placed before its claim on the partition.
     pub(crate) fn run_leader_partitions(&mut self) {
         let now = self.context.now.steady;
         let planning_due = self
@@ -104,7 +104,7 @@
             "POST",
             "/peer".into(),
             message,
-            ORDERS_TIMEOUT,
+            ORDERS_TIMEOUT_US,
             purpose,
         );
     }
--- a/crates/core/src/controller/peer_contact.rs
+++ b/crates/core/src/controller/peer_contact.rs
@@ -1,5 +1,7 @@
-//! Contact requests to the peers. Their responses decide whether a scheduler without contact with the key-value store
-//! may go on renewing agents' leases, or has lost its own lease.
+//! Contact requests to the peers. A contact request asks a peer how long ago it had contact with the key-value store,
+//! and which cancellations it has confirmed to users. The responses decide whether a scheduler without contact with
+//! the key-value store may go on renewing agents' leases, or has lost its own lease (on the leader record or on the
+//! claim record of a partition).
 
 use crate::calls::CallPurpose;
 use crate::context::Role;
@@ -15,36 +17,38 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// A controller that has had no answer of the store for this long counts as having lost contact with it.
-pub(crate) const STORE_CONTACT_TIMEOUT: Micros = 2 * SECOND;
+/// A controller that has had no response from the store for this long counts as having lost contact with it.
+pub(crate) const STORE_CONTACT_TIMEOUT_US: Micros = 2 * SECOND;
 
 /// Interval between two contact requests to the peers while there is contact with the store.
-const CONTACT_REQUEST_INTERVAL: Micros = SECOND;
+const CONTACT_REQUEST_INTERVAL_US: Micros = SECOND;
 
 /// Interval between two contact requests to the peers without contact with the store.
-const CONTACT_REQUEST_INTERVAL_IN_OUTAGE: Micros = 400 * MILLI;
+const CONTACT_REQUEST_INTERVAL_IN_OUTAGE_US: Micros = 400 * MILLI;
 
 /// Timeout of a contact request.
-const CONTACT_REQUEST_TIMEOUT: Micros = 900 * MILLI;
+const CONTACT_REQUEST_TIMEOUT_US: Micros = 900 * MILLI;
 
 /// Time by which the period that a contact request asks about is extended into the past, since the clocks of two
 /// members drift apart.
-const CONFIRMATION_OVERLAP: Micros = SECOND;
+const CONFIRMATION_OVERLAP_US: Micros = SECOND;
 
 /// The clocks of two members drift apart by less than the elapsed time divided by this number.
 const CLOCK_DRIFT_DIVISOR: Micros = 1_000;
 
 /// A peer is assigned no partitions if the contact request that it last answered is older than this.
-const MAX_PEER_REPLY_AGE: Micros = 3 * SECOND;
+const MAX_PEER_RESPONSE_AGE_US: Micros = 3 * SECOND;
 
-/// Why a scheduler may not act under its lease any longer.
+/// Why a scheduler may not act under its lease on the leader record or on the claim record of a partition any
+/// longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum LeaseLoss {
     /// A peer knows of a leader with a higher fencing token.
     #[error("a peer knows of a higher fencing token")]
     HigherToken,
-    /// A peer had contact with the store at a time at which the lease had expired.
-    #[error("the store served a peer after this controller's lease had expired")]
+    /// A peer had contact with the store at a time at which the lease on the leader record, or on the claim on the
+    /// partition, had expired.
+    #[error("a peer had contact with the key-value store after the lease of this leader or partition holder had expired")]
     StoreServesPeer,
     /// A peer may have confirmed a cancellation that this controller does not know.
     #[error("a peer may have confirmed cancellations that this controller does not know")]
@@ -53,23 +57,23 @@
 
 impl Controller {
     /// Asks the peers whether they have contact with the store, and which cancellations they confirmed to
-    /// users. While the leader has contact itself, the answers only keep its view of the peers up to date.
+    /// users. While the leader has contact itself, the responses only keep its view of the peers up to date.
     pub(crate) fn send_contact_requests(&mut self) {
         let now = self.context.now.steady;
-        let interval = if self.context.has_store_contact(STORE_CONTACT_TIMEOUT / 2) {
-            CONTACT_REQUEST_INTERVAL
+        let interval = if self.context.has_store_contact(STORE_CONTACT_TIMEOUT_US / 2) {
+            CONTACT_REQUEST_INTERVAL_US
         } else {
-            CONTACT_REQUEST_INTERVAL_IN_OUTAGE
+            CONTACT_REQUEST_INTERVAL_IN_OUTAGE_US
         };
         self.election.next_probe = now + interval;
-        self.election.question += 1;
-        let question = self.election.question;
+        self.election.last_contact_request += 1;
+        let number = self.election.last_contact_request;
         for peer in 0..self.context.settings.siblings.len() {
             let known_until = self.context.cancellations.known_until_of_peer(peer);
             let message = wire::to_peer(&PeerRequest::Contact {
                 from: self.context.settings.member.clone(),
-                question,
-                known_us: known_until.map(|at| now.saturating_sub(at) + CONFIRMATION_OVERLAP),
+                question: number,
+                known_us: known_until.map(|at| now.saturating_sub(at) + CONFIRMATION_OVERLAP_US),
                 wants_limits: self.leader.is_some() && self.context.supports_quota_grants(),
             });
             self.context.call(
@@ -77,54 +81,56 @@
                 "POST",
                 "/peer".into(),
                 message,
-                CONTACT_REQUEST_TIMEOUT,
-                CallPurpose::Contact { peer, question },
+                CONTACT_REQUEST_TIMEOUT_US,
+                CallPurpose::Contact { peer, number },
             );
         }
     }
 
     /// Handles a peer's response to the contact request that was sent at `asked_at`.
-    pub(crate) fn on_contact_reply(
+    pub(crate) fn on_contact_response(
         &mut self,
         peer: usize,
-        question: u64,
+        number: u64,
         asked_at: Micros,
         outcome: Outcome,
     ) {
         let Outcome::Answer { status: 200, body } = outcome else {
             return;
         };
-        let answer: PeerResponse = match wire::from_peer(&body) {
-            Ok(answer) => answer,
-            Err(e) => return warn!(error:% = e; "unreadable response from a peer"),
+        let response: PeerResponse = match wire::from_peer(&body) {
+            Ok(response) => response,
+            Err(e) => {
+                return warn!(error:% = e; "cannot decode the response of a peer to a contact request")
+            }
         };
         let sibling = self.context.settings.siblings.get(peer);
-        if sibling.is_none_or(|sibling| sibling.member != answer.member) {
-            let member = answer.member.as_str();
-            return warn!(member = member; "response from another member than the peer that was asked");
+        if sibling.is_none_or(|sibling| sibling.member != response.member) {
+            let member = response.member.as_str();
+            return warn!(member = member; "ignoring a contact response of this member, since another member was asked");
         }
-        if let (Some(leader), Some(teams)) = (&mut self.leader, &answer.limits) {
+        if let (Some(leader), Some(teams)) = (&mut self.leader, &response.limits) {
             // Limits that were asked for before this leader's term are ignored: an earlier process of the
             // member may have had others.
             if asked_at >= leader.lease_acquired_at {
-                leader.on_limits_announced(&mut self.context, &answer.member, teams);
+                leader.on_limits_announced(&mut self.context, &response.member, teams);
             }
         }
         let mut view = PeerView {
             asked_at,
-            last_contact: answer
+            last_contact: response
                 .store_contact_age_us
                 .map(|age| asked_at.saturating_sub(age)),
-            without_contact: answer
+            without_contact: response
                 .store_contact_age_us
-                .is_none_or(|age| age >= STORE_CONTACT_TIMEOUT),
+                .is_none_or(|age| age >= STORE_CONTACT_TIMEOUT_US),
             remembers_from: None,
-            highest_token: answer.highest_leader_token,
-            supports_partitions: answer.supports_partitions,
-            supports_quota_grants: answer.supports_quota_grants,
+            highest_token: response.highest_leader_token,
+            supports_partitions: response.supports_partitions,
+            supports_quota_grants: response.supports_quota_grants,
         };
         // A list that answers another contact request is ignored. A peer of an earlier version sends no list.
-        if let Some(confirmed) = answer.confirmed.filter(|list| list.question == question) {
+        if let Some(confirmed) = response.confirmed.filter(|list| list.question == number) {
             view.remembers_from = self.learn_confirmed_cancellations(peer, asked_at, confirmed);
         }
         let known = self.election.peers.entry(peer).or_default();
@@ -153,7 +159,7 @@
         let remembers_from = now.steady.saturating_sub(span - span / CLOCK_DRIFT_DIVISOR);
         self.context
             .cancellations
-            .note_peer_list(peer, asked_at, remembers_from);
+            .record_peer_list(peer, asked_at, remembers_from);
         Some(remembers_from)
     }
 
@@ -178,8 +184,8 @@
         };
         for (peer, sibling) in settings.siblings.iter().enumerate() {
             let answered = self.election.peers.get(&peer);
-            let Some(peer) =
-                answered.filter(|peer| now.saturating_sub(peer.asked_at) < MAX_PEER_REPLY_AGE)
+            let Some(peer) = answered
+                .filter(|peer| now.saturating_sub(peer.asked_at) < MAX_PEER_RESPONSE_AGE_US)
             else {
                 view.all_answered = false;
                 continue;
@@ -197,7 +203,7 @@
         view
     }
 
-    /// Confirms the leases that were suspended after a process pause, if the peers' answers show that the store
+    /// Confirms the leases that were suspended after a process pause, if the peers' responses show that the store
     /// is unavailable to all: every peer was asked since the pause, has no contact either, and remembers the
     /// time since before this controller lost contact. In such an outage leases do not expire, and no leader
     /// can be elected. The leader's lease is confirmed only if no peer knows of a higher fencing token.
@@ -224,7 +230,8 @@
                 leader.confirm_lease();
             }
         }
-        // The claims still hold if no peer had contact at a moment at which one of them could have expired.
+        // This controller's claims still hold if no peer had contact with the store at a time at which the lease of
+        // one of them could have expired.
         let valid_until = contact_lost_at + self.context.tuning.leader_lease_us / 2;
         let claims_valid = peers
             .iter()
@@ -279,7 +286,7 @@
     pub(crate) fn lease_loss(&self, scheduler: &Scheduler) -> Option<LeaseLoss> {
         let now = self.context.now.steady;
         let last_contact = self.context.last_store_contact?;
-        if now.saturating_sub(last_contact) >= STORE_CONTACT_TIMEOUT {
+        if now.saturating_sub(last_contact) >= STORE_CONTACT_TIMEOUT_US {
             let expired_at = last_contact + self.context.tuning.leader_lease_us;
             let mut peers = self.election.peers.values();
             // The claim on a partition stays valid under a later leader.
--- a/crates/core/src/controller/peer_requests.rs
+++ b/crates/core/src/controller/peer_requests.rs
@@ -23,7 +23,7 @@
         let request: PeerRequest = match wire::from_peer(body) {
             Ok(request) => request,
             Err(e) => {
-                warn!(error:% = e; "unreadable request from a peer");
+                warn!(error:% = e; "cannot decode a request of a peer");
                 return self.context.refuse(id, 400, "not a peer message");
             }
         };
@@ -35,19 +35,19 @@
                 from,
                 question,
                 known_us,
-                wants_limits: limits_wanted,
+                wants_limits,
             } => {
-                debug!(member = from.as_str(); "contact request from a peer");
+                debug!(member = from.as_str(); "received a contact request of a peer");
                 let now = self.context.now.steady;
                 let cancellations = &self.context.cancellations;
                 confirmed =
                     (question > 0).then(|| cancellations.list_confirmed(question, known_us, now));
-                limits = limits_wanted.then(|| self.context.settings.limits().to_teams());
+                limits = wants_limits.then(|| self.context.settings.limits().to_teams());
             }
             PeerRequest::Progress { from, token, jobs } => self.on_progress(&from, token, jobs),
             PeerRequest::Partition(orders) => report = self.on_orders(orders),
         }
-        let answer = PeerResponse {
+        let response = PeerResponse {
             member: self.context.settings.member.clone(),
             store_contact_age_us: self.context.store_contact_age(),
             token: self.context.token,
@@ -61,13 +61,13 @@
         self.context.effects.push(Effect::Answer {
             id,
             status: 200,
-            body: wire::to_peer(&answer),
+            body: wire::to_peer(&response),
             retry_after: None,
         });
     }
 
-    /// Handles task counts of live jobs. Those of any other member than the leader that the leader record names are
-    /// ignored.
+    /// Handles task counts of live jobs. Task counts from any member but the leader that the leader record names
+    /// are ignored.
     fn on_progress(&mut self, from: &str, token: u64, jobs: Vec<(String, u64, u64)>) {
         if !self.election.is_led_by(from, token) {
             return;
--- a/crates/core/src/controller/submission.rs
+++ b/crates/core/src/controller/submission.rs
@@ -1,7 +1,7 @@
 //! Handles submissions: parses them and refuses those that cannot be accepted.
 
 use crate::calls::{UserAction, UserRequest, UserRequestStage};
-use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT};
+use crate::controller::{Controller, USER_REQUEST_CONTACT_TIMEOUT_US};
 use crate::settings::Settings;
 use crate::state::jobs::{check_fields, check_possible, check_size, SubmissionRejection};
 use grebewood_wire as wire;
@@ -19,10 +19,13 @@
 /// Why the job of a submission cannot be determined. The texts are sent to users.
 #[derive(Debug, Error)]
 enum UnreadableSubmission {
+    /// The body is no CBOR value.
     #[error(transparent)]
     Undecodable(#[from] wire::DecodeError),
+    /// The body is no CBOR map.
     #[error("not a map")]
     NotAMap,
+    /// The job id is missing or not of the form of a job id.
     #[error("uid: not of the form req-000000")]
     InvalidId,
 }
@@ -38,8 +41,8 @@
             let status = finished.status.clone();
             return self.answer_accepted(id, 200, &job, &status);
         }
-        // A repeated submission of an accepted job must get neither 422 nor 400, whatever it contains now
-        // and whatever the limits were when the job was accepted. So the job is looked up before the
+        // A repeated submission of an accepted job must get neither 422 nor 400, regardless of its present
+        // content and of the limits at the time of acceptance. So the job is looked up before the
         // submission is refused.
         let acceptable = match &action {
             UserAction::Submit(submission) => {
@@ -51,7 +54,10 @@
             }
             _ => false,
         };
-        if !self.context.has_store_contact(USER_REQUEST_CONTACT_TIMEOUT) {
+        if !self
+            .context
+            .has_store_contact(USER_REQUEST_CONTACT_TIMEOUT_US)
+        {
             return self.refuse_without_contact(id);
         }
         let now = self.context.now.steady;
@@ -60,7 +66,7 @@
         if !acceptable || self.job_view.is_known_accepted(&job) {
             return self.send_user_request(request);
         }
-        if !self.context.user_writes.take(now, 1.0) {
+        if !self.context.user_writes.try_acquire(now, 1.0) {
             return self.context.refuse(id, 429, "too many submissions");
         }
         self.send_user_request(request.at_stage(UserRequestStage::Accept));
--- a/crates/core/src/scheduler.rs
+++ b/crates/core/src/scheduler.rs
@@ -1,9 +1,18 @@
 //! The state of a controller that manages machines under a fenced lease, as the leader or as the holder of a
 //! partition.
 //!
-//! A controller builds this state from the key-value store after it has acquired the lease, and drops all of it
-//! when it loses the lease. Modules under `leader` run for the leader only, those under `holder` for the holder of
-//! a partition only; the others run for both.
+//! A controller builds this state from the key-value store after it has acquired the fenced lease, and drops all of it
+//! when it loses that lease. Modules under `leader` run for the leader only, those under `holder` for the holder of a
+//! partition only; the others run for both.
+//!
+//! Terms of these modules:
+//! - A fenced lease is a lease in the key-value store with a record attached to it: the leader record for the leader,
+//!   the claim record of the partition for a partition holder. The mod_revision of the record is the fencing token.
+//! - A change is durable once the store is known to have it.
+//! - The leader sends orders to the holder of a partition, which responds with a report.
+//! - The leader may delegate a task to the holder of a partition, which then chooses the machine within its quota
+//!   grant, the part of each team's limit that the leader lets it use.
+//! - A task is proven gone once it neither runs on its machine nor can start there any more.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::{Context, Role};
@@ -57,9 +66,10 @@
 /// token, which fences off earlier owners.
 #[derive(Clone, Copy, Debug)]
 pub struct FencedLease {
-    /// The fencing token: the mod_revision of the record.
+    /// The fencing token: the mod_revision of the leader record or of the partition's claim record.
     pub token: u64,
-    /// The id of the lease.
+    /// The id of the lease in the key-value store, to which the leader record or the partition's claim record is
+    /// attached.
     pub lease: u64,
     /// When the lease was requested, in microseconds of the steady clock.
     pub lease_requested_at: Micros,
@@ -70,20 +80,22 @@
 /// The fields are in three groups: those shared by the leader and the holders of partitions, those that only the
 /// leader uses, and those that only a holder uses.
 pub struct Scheduler {
-    // Used by the leader and by holders of partitions: the lease.
+    // Fields that the leader and holders use: the role, and the fenced lease, to which the leader record or the
+    // partition's claim record is attached.
     pub(crate) role: Role,
     /// The fencing token.
     pub token: u64,
     pub(crate) lease: u64,
-    /// When the next renewal of the lease is due.
+    /// When the next renewal of the fenced lease is due.
     pub(crate) lease_renewal_at: Micros,
-    /// Whether the process was paused and the lease may have expired in the meantime. Until the lease is confirmed,
-    /// the scheduler launches or stops no task, writes nothing, provisions no machine, and answers no heartbeat.
+    /// Whether the process was paused and the fenced lease may have expired in the meantime. Until the lease is
+    /// confirmed, the scheduler launches or stops no task, writes nothing, provisions no machine, and answers no
+    /// heartbeat.
     pub(crate) is_lease_uncertain: bool,
-    /// When the lease was acquired. All records are read after that.
+    /// When this process acquired the fenced lease. All records are read after that.
     pub(crate) lease_acquired_at: Micros,
 
-    // Used by both: records in the key-value store.
+    // Fields that the leader and holders use: records in the key-value store.
     /// The reads of the records that the scheduler starts from; `None` once all of them are complete.
     loading: Option<Loading>,
     /// When all records had been read and applied; for a holder, when it had first reconciled its tasks with the
@@ -95,32 +107,32 @@
     /// Number of consecutive failed flushes, up to a limit.
     flush_failures: u32,
     /// Maximum size of a value. Starts as the configured limit and is lowered when the store refuses a value within
-    /// it.
+    /// the limit.
     max_value_bytes: usize,
     /// Maximum number of operations in a transaction. Starts as the configured limit and is lowered when the store
-    /// refuses a transaction within it.
+    /// refuses a transaction within the limit.
     max_transaction_operations: usize,
     /// The assignment pages that this scheduler writes.
     pub pages: AssignmentPages,
 
-    // Used by both: jobs.
+    // Fields that the leader and holders use: jobs.
     /// Jobs that have not ended.
     pub jobs: Jobs,
     /// Ids of the jobs that ended most recently, so that a list which predates their end does not add them again.
     recently_ended: VecDeque<String>,
-    /// Keys of the job records that cannot be read.
+    /// Keys of the job records that cannot be decoded.
     unreadable_job_keys: Vec<String>,
     /// Ids of jobs that are marked as cancelled although the store has no cancellation for them. Whether such a job
     /// has already ended is read before the mark is removed.
     unconfirmed_cancellations: BTreeSet<String>,
-    /// Averages of observed run times and startup times.
+    /// Averages of observed run times and boot times.
     pub stats: Stats,
     /// State of the placement rounds.
     pub placement: PlacementState,
-    /// Count of the attempt numbers allocated under this lease.
+    /// Count of the attempt numbers allocated under this fenced lease.
     allocated_attempts: u64,
 
-    // Used by both: machines and their agents.
+    // Fields that the leader and holders use: machines and their agents.
     /// Machines by name.
     pub machines: BTreeMap<String, Machine>,
     /// Machines that are being provisioned or terminated, or that are gone.
@@ -140,7 +152,7 @@
     /// When all machines are next checked for missing heartbeats and overdue stops.
     pub next_machine_check: Micros,
 
-    // Used by the leader only.
+    // Fields that only the leader uses.
     /// Partitions and the reports of their holders.
     pub(crate) remote_partitions: RemotePartitions,
     /// Quotas of the teams, and quota grants to the holders of partitions.
@@ -158,12 +170,12 @@
     /// Number of progress rounds so far, with or without a message.
     progress_round: u32,
     next_stats_at: Micros,
-    /// When the provision requests in the store are next compared with those of this leader.
+    /// When the provisioning requests in the store are next compared with those of this leader.
     provision_sweep_at: Micros,
-    /// When these comparisons end.
+    /// When the leader stops comparing provisioning requests in this way.
     provision_sweep_until: Micros,
 
-    // Used by the holder of a partition only.
+    // Fields that only the holder of a partition uses.
     /// Orders received from the leader, and reports that are due to it.
     pub(crate) holder_state: HolderState,
     /// The quota grant from the leader, and the tasks that the holder is to place under it.
@@ -234,7 +246,7 @@
         max_page_bytes(self.max_value_bytes)
     }
 
-    /// Returns whether a machine may have a task of a job whose record cannot be read.
+    /// Returns whether a machine may have a task of a job whose record cannot be decoded.
     pub(crate) fn has_unreadable_tasks(&self) -> bool {
         // The team of such a task is unknown.
         !self.unreadable_job_keys.is_empty() && self.assignments().any(|a| a.team.is_empty())
@@ -258,21 +270,21 @@
             || loading.is_none_or(|loading| loading.has_read(PARTITION_PREFIX))
     }
 
-    /// Returns the id of the lease.
+    /// Returns the id of the fenced lease in the key-value store.
     pub(crate) fn lease(&self) -> u64 {
         self.lease
     }
 
-    /// Returns whether the lease may have expired during a pause of the process.
+    /// Returns whether the fenced lease may have expired during a pause of the process.
     pub fn is_lease_uncertain(&self) -> bool {
         self.is_lease_uncertain
     }
 
-    /// Records that the lease still holds, which ends the uncertainty after a pause of the process.
+    /// Records that the fenced lease still holds, which ends the uncertainty after a pause of the process.
     pub(crate) fn confirm_lease(&mut self) {
         if self.is_lease_uncertain {
             self.is_lease_uncertain = false;
-            info!(token = self.token; "lease still holds after a pause of the process");
+            info!(token = self.token; "lease of this leader or partition holder still holds after a process pause");
         }
     }
 
@@ -290,7 +302,7 @@
         (self.token << ATTEMPT_COUNTER_BITS) + self.allocated_attempts
     }
 
-    /// Returns whether the attempt number was allocated under this lease.
+    /// Returns whether the attempt number was allocated under this fenced lease.
     pub(crate) fn has_allocated_attempt(&self, attempt: u64) -> bool {
         attempt >> ATTEMPT_COUNTER_BITS == self.token
     }
--- a/crates/core/src/scheduler/agents.rs
+++ b/crates/core/src/scheduler/agents.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the index of the first assignment of a machine that passes the test.
-    pub(crate) fn assignment_position(
+    pub(crate) fn assignment_index(
         &self,
         machine: &str,
         test: impl Fn(&Assignment) -> bool,
@@ -89,12 +89,17 @@
     }
 
     /// Removes an assignment whose task is proven to be absent from the machine and unable to start there later.
-    pub(crate) fn remove_assignment(&mut self, context: &mut Context, name: &str, position: usize) {
+    pub(crate) fn remove_assignment(
+        &mut self,
+        context: &mut Context,
+        name: &str,
+        assignment_index: usize,
+    ) {
         let now = context.now.steady;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let assignment = machine.assignments.remove(position);
+        let assignment = machine.assignments.remove(assignment_index);
         machine.recompute_used();
         machine.idle_since = now;
         self.release_quota(context, name, &assignment);
@@ -108,11 +113,11 @@
             self.report_attempt_end(name, &assignment, TaskEnd::Gone);
         }
         // Each page is written by the controller that placed the assignments on it.
-        if assignment.by_holder == self.is_holder() {
+        if assignment.placed_by_holder == self.is_holder() {
             self.remove_from_page(context, name, &assignment);
         }
         if let Some(job) = self.jobs.get_mut(assignment.job) {
-            job.note_assignment_removed(assignment.task, &assignment.zone, now);
+            job.record_assignment_removed(assignment.task, &assignment.zone, now);
         }
         self.placement.request_round(now);
         self.end_if_over(context, assignment.job);
@@ -125,8 +130,8 @@
         name: &str,
         test: impl Fn(&Assignment) -> bool,
     ) {
-        while let Some(position) = self.assignment_position(name, &test) {
-            self.remove_assignment(context, name, position);
+        while let Some(assignment_index) = self.assignment_index(name, &test) {
+            self.remove_assignment(context, name, assignment_index);
         }
     }
 
--- a/crates/core/src/scheduler/agents/heartbeats.rs
+++ b/crates/core/src/scheduler/agents/heartbeats.rs
@@ -62,7 +62,7 @@
             deadline: now + MAX_HOLD_US,
         };
         if !self.apply_heartbeat(context, heartbeat, StatusSource::Heartbeat) {
-            self.note_late_heartbeat(context, &held);
+            self.record_late_heartbeat(context, &held);
             return self.answer_heartbeat(context, request, Vec::new());
         }
         self.last_heartbeat_at = now;
@@ -71,7 +71,7 @@
         let Some(machine) = self.machines.get_mut(&held.machine) else {
             return self.answer_heartbeat(context, request, Vec::new());
         };
-        machine.last_response = now;
+        machine.last_response_at = now;
         self.answer_or_hold(context, held);
     }
 
@@ -79,14 +79,14 @@
     /// agent reads the response. But if the response to a direct command overtook the heartbeat, the agent accepts
     /// the response to the heartbeat. Its lease then counts from the sending of this heartbeat, so its expiry must
     /// not be computed from the previous response.
-    fn note_late_heartbeat(&mut self, context: &Context, late: &HeldHeartbeat) {
+    fn record_late_heartbeat(&mut self, context: &Context, late: &HeldHeartbeat) {
         let Some(machine) = self.machines.get_mut(&late.machine) else {
             return;
         };
         let id = (late.incarnation, late.sequence);
         if late.incarnation == machine.incarnation && id > machine.newest_heartbeat {
             machine.newest_heartbeat = id;
-            machine.last_response = context.now.steady;
+            machine.last_response_at = context.now.steady;
         }
     }
 
@@ -143,7 +143,7 @@
 
     /// Returns the commands for the response to a heartbeat, and marks the launches and stops among them as sent.
     /// Tasks are launched only here, because an agent never carries out the response to a heartbeat late. Launches
-    /// are limited to assignments that are on record, and acknowledgements to outcomes that are durable.
+    /// are limited to durable assignments, and acknowledgements to outcomes that are durable.
     pub(crate) fn prepare_commands(
         &mut self,
         context: &Context,
@@ -183,7 +183,7 @@
             .collect()
     }
 
-    /// Adds the stops of a machine and the launches of its assignments that are on record.
+    /// Adds the stops of a machine and the launches of its durable assignments.
     fn add_stops_and_launches(
         &mut self,
         context: &Context,
--- a/crates/core/src/scheduler/agents/stops.rs
+++ b/crates/core/src/scheduler/agents/stops.rs
@@ -1,4 +1,8 @@
-//! Stops tasks: sends stop commands and direct commands, and drains machines that will be reclaimed.
+//! Stops tasks: sends stop commands, and drains machines that will be reclaimed.
+//!
+//! A direct command is a request that this controller sends to the address of an agent (`POST /do`), while all other
+//! commands travel in responses to heartbeats. It carries the due stops or, as a probe, no command at all; launches
+//! travel only in responses to heartbeats.
 
 use crate::calls::SchedulerCall;
 use crate::context::Context;
@@ -33,7 +37,7 @@
 /// Timeout of a direct command.
 const DIRECT_COMMAND_TIMEOUT_US: Micros = 2 * SECOND;
 
-/// Expected run time of a task that is on a machine without being on record.
+/// Expected run time of a task that runs on a machine although it is on no assignment page.
 const UNRECORDED_TASK_DURATION_US: Micros = SECOND;
 
 /// What to send to a machine that has no stop due.
@@ -65,7 +69,7 @@
     ) {
         let now = context.now.steady;
         let name = &status.machine;
-        error!(machine = name, task = reported.task_name; "agent reports a task that is not on record; stopping it");
+        error!(machine = name, task = reported.task_name; "agent reported a task that is on no assignment page; stopping it");
         let index = self.jobs.find(job_id);
         if let Some(job) = index.and_then(|index| self.jobs.get_mut(index)) {
             job.assign_task(task);
@@ -217,7 +221,7 @@
         );
     }
 
-    /// Handles the end of a call that sent a direct command to the machine.
+    /// Handles the outcome of a direct command to the machine's agent. The response has the form of a heartbeat.
     pub(crate) fn on_direct_response(
         &mut self,
         context: &mut Context,
@@ -242,9 +246,11 @@
                 }
             }
             Ok(reported) if reported.machine == name => {}
-            Ok(_) => warn!(machine = name; "another agent answers at the machine's address"),
+            Ok(_) => {
+                warn!(machine = name; "another agent responded to a direct command at the machine's address")
+            }
             Err(error) => {
-                warn!(machine = name, error:% = error; "response to a direct command is unreadable");
+                warn!(machine = name, error:% = error; "cannot decode the response of an agent to a direct command");
             }
         }
     }
@@ -315,7 +321,9 @@
         }
     }
 
-    /// Returns how many tasks of the job fit into the free resources of the machines in a zone.
+    /// Returns how many tasks of the job fit into the free resources of the machines in a zone that take new tasks.
+    /// Machines that are cordoned or to be reclaimed are not counted, so a replica that is moved off such a machine
+    /// has to fit on another.
     fn tasks_that_fit_elsewhere(&self, context: &Context, zone: &str, spec: &Submission) -> u64 {
         let now = context.now.steady;
         let max_silence = context.settings.heartbeat_timeout();
--- a/crates/core/src/scheduler/agents/unreachable.rs
+++ b/crates/core/src/scheduler/agents/unreachable.rs
@@ -1,5 +1,7 @@
 //! Detects machines that stopped sending heartbeats or do not receive responses, and derives what that proves about
 //! their tasks.
+//!
+//! The lease of an agent is the time for which it keeps its tasks running without a response from a controller.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -148,7 +150,7 @@
     fn misses_heartbeats(&self, context: &Context, name: &str) -> bool {
         let max_silence = context.settings.heartbeat_timeout();
         self.machines.get(name).is_some_and(|machine| {
-            context.now.steady.saturating_sub(machine.last_heartbeat) > max_silence
+            context.now.steady.saturating_sub(machine.last_heartbeat_at) > max_silence
         })
     }
 
@@ -161,7 +163,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if !machine.knows_token || now.saturating_sub(machine.last_response) <= expiry {
+        if !machine.knows_token || now.saturating_sub(machine.last_response_at) <= expiry {
             return;
         }
         let jobs = &self.jobs;
@@ -184,7 +186,7 @@
         if attempts.is_empty() {
             return;
         }
-        info!(machine = name; "agent lease expired");
+        info!(machine = name; "lease of an agent expired; counting its tasks as ended, except for cancelled ones");
         machine.incarnation += 1;
         machine.sequence = 0;
         machine.exited_attempts.clear();
@@ -226,7 +228,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let silence = now.saturating_sub(machine.last_heartbeat);
+        let silence = now.saturating_sub(machine.last_heartbeat_at);
         let is_gone =
             receives_heartbeats && silence > termination_delay(context.settings.agent_lease);
         if !has_overdue_cancellation && !is_gone {
@@ -234,7 +236,7 @@
         }
         machine.cordoned = true;
         if self.fleet.terminate(name, now) {
-            info!(machine = name, silence_s = silence / SECOND; "terminating unreachable machine");
+            info!(machine = name, silence_s = silence / SECOND; "terminating a machine: no heartbeats or an overdue cancellation");
         }
     }
 
@@ -260,7 +262,7 @@
             !machine.receives_responses
                 && !machine.cordoned
                 && now.saturating_sub(machine.last_contact_at) < max_silence
-                && now.saturating_sub(machine.last_response) >= PROBE_DELAY_US
+                && now.saturating_sub(machine.last_response_at) >= PROBE_DELAY_US
                 && self.direct_commands_in_flight.len() < MAX_PROBES
         })
     }
@@ -317,11 +319,11 @@
             true => max_silence,
             false => 3 * max_silence,
         };
-        let silence = now.saturating_sub(machine.last_heartbeat);
+        let silence = now.saturating_sub(machine.last_heartbeat_at);
         if (has_overdue_cancellation || silence > max_silence) && self.fleet.terminate(name, now) {
             info!(
                 machine = name, silence_s = silence / SECOND;
-                "terminating machine of a partition: no heartbeats or an overdue cancellation"
+                "terminating a machine of a partition: no heartbeats or an overdue cancellation"
             );
         }
     }
@@ -343,7 +345,7 @@
             } else if only_few_unreachable && self.fleet.terminate(name, now) {
                 info!(
                     machine = name, silence_s = silence / SECOND;
-                    "terminating unreachable machine with replicas"
+                    "terminating an unreachable machine with replicas of services"
                 );
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.cordoned = true;
--- a/crates/core/src/scheduler/flush/render.rs
+++ b/crates/core/src/scheduler/flush/render.rs
@@ -53,7 +53,7 @@
     /// Returns the write that deletes a key on the condition that the key has not changed; `None` if there is no
     /// such key.
     fn delete_if_unchanged(&self, key: &str) -> Option<RecordWrite> {
-        self.write_buffer.is_on_record(key).then(|| RecordWrite {
+        self.write_buffer.is_in_store(key).then(|| RecordWrite {
             conditions: vec![self.write_buffer.unchanged_condition(key)],
             operations: vec![delete(key)],
         })
@@ -88,9 +88,9 @@
         let machine_types = context.catalogue.clone()?;
         let content = wire::http::Catalogue { machine_types };
         if wire::json_size(&to_value(&content)) > self.max_value_bytes {
-            // If only a part of the catalogue were on record, jobs that can run would be refused. Without a record,
+            // If the store had only a part of the catalogue, jobs that can run would be refused. Without a record,
             // each controller reads the catalogue from the cloud.
-            warn!(key = CATALOGUE_KEY; "record exceeds the size of a value and is not written");
+            warn!(key = CATALOGUE_KEY; "catalogue of machine types exceeds the maximum value size of the key-value store; not writing it");
             return None;
         }
         Some(self.put_if_unchanged(CATALOGUE_KEY.into(), &content))
@@ -99,7 +99,7 @@
     fn render_limits(&self) -> Option<RecordWrite> {
         let content = self.limits_record();
         if wire::json_size(&to_value(&content)) > self.max_value_bytes {
-            warn!(key = QUOTA_LIMITS_KEY; "record exceeds the size of a value; partition holders get no quota grants");
+            warn!(key = QUOTA_LIMITS_KEY; "team limits exceed the maximum value size of the key-value store; granting no quota to partition holders");
             return None;
         }
         Some(self.put_if_unchanged(QUOTA_LIMITS_KEY.into(), &content))
@@ -123,14 +123,14 @@
             operations: vec![put(finished, &content), delete(&live)],
         };
         match ending {
-            // A cancellation that is on record before the end takes precedence.
+            // A cancellation that is in the store before the end takes precedence.
             FinalStatus::Done => write.conditions.push(absent(&cancellation)),
             FinalStatus::Aborted => self.add_deletion(&mut write, &cancellation),
         }
         // A record in the format of an earlier version. Further records of this kind are left behind, which wastes
         // space but is harmless.
         let legacy = format!("{COMPLETED_TASKS_PREFIX}{}/0", job.id);
-        if self.write_buffer.is_on_record(&legacy)
+        if self.write_buffer.is_in_store(&legacy)
             && write.operations.len() < self.max_transaction_operations
         {
             self.add_deletion(&mut write, &legacy);
--- a/crates/core/src/scheduler/holder/placement.rs
+++ b/crates/core/src/scheduler/holder/placement.rs
@@ -66,7 +66,7 @@
         self.holder_quota.queue.clear();
         let durable: BTreeSet<TaskAttempt> = self
             .assignments()
-            .filter(|a| a.by_holder && self.is_assignment_durable(a))
+            .filter(|a| a.placed_by_holder && self.is_assignment_durable(a))
             .map(Assignment::id)
             .collect();
         self.remove_unlaunched_placements(context, |a| {
@@ -79,18 +79,18 @@
     pub(crate) fn apply_quota_orders(
         &mut self,
         context: &Context,
-        term: u64,
+        leader_token: u64,
         orders: Option<&QuotaOrders>,
     ) {
         let Some(orders) = orders.filter(|_| self.places_tasks(context)) else {
             self.holder_quota.queue.clear();
             self.holder_quota.grant.suspend();
-            self.holder_quota.term = None;
+            self.holder_quota.leader_token = None;
             return;
         };
         let quota = &mut self.holder_quota;
         quota.grant.set_granted(&orders.grant);
-        quota.term = Some(term);
+        quota.leader_token = Some(leader_token);
         quota.limits_revision = Some(orders.limits_revision);
         quota
             .placed
@@ -99,7 +99,7 @@
             .queue
             .retain(|queued| !orders.revoked.contains(&queued.job));
         for (name, machine) in &mut self.machines {
-            machine.reserved = orders.reserved.contains(name);
+            machine.reserved_by_leader = orders.reserved.contains(name);
         }
         for work in &orders.work {
             self.queue_work(work);
@@ -152,7 +152,7 @@
         self.held_heartbeats_may_be_ready = true;
         self.drop_queued_of_cancelled_jobs();
         self.placement.has_backlog = !self.holder_quota.queue.is_empty();
-        if self.placement.has_backlog && self.holder_quota.term.is_some() {
+        if self.placement.has_backlog && self.holder_quota.leader_token.is_some() {
             self.place_queue(context, watch);
             self.placement.has_backlog = !self.holder_quota.queue.is_empty();
         }
@@ -169,7 +169,7 @@
             if watch.elapsed() > context.tuning.placement_budget_us {
                 debug!(
                     partition = self.partition();
-                    "placement round ran out of time; the next round continues"
+                    "placement round exceeded its time budget; the next round continues it"
                 );
                 self.placement.is_round_requested = true;
                 break;
@@ -207,33 +207,33 @@
         if !self.holder_quota.grant.may_use(&spec.team, amount) {
             return PlacementOutcome::Waits;
         }
-        let Some(position) = self.choose_machine(context, queued, &spec, open) else {
+        let Some(machine_index) = self.choose_machine(context, queued, &spec, open) else {
             // The free resources of the proposed machine are kept for this task. Otherwise, smaller tasks would
             // take them as they become free.
             open.retain(|machine| machine.name != queued.machine);
             return PlacementOutcome::Waits;
         };
         let attempt = self.allocate_attempt();
-        let name = open[position].name.clone();
+        let name = open[machine_index].name.clone();
         debug!(
             job = queued.job, task = queued.task, attempt = attempt, machine = name;
-            "placed a task"
+            "placed a task on a machine"
         );
-        let expected = queued.expected_stay;
+        let expected_stay = queued.expected_stay;
         self.create_assignment(
             context,
             &name,
             index,
             queued.task,
             &spec,
-            (attempt, expected),
+            (attempt, expected_stay),
         );
-        open[position].free = open[position].free - MachineResources::of_task(&spec);
+        open[machine_index].free = open[machine_index].free - MachineResources::of_task(&spec);
         open.retain(|machine| machine.free.cpus > 0.0);
         PlacementOutcome::Placed
     }
 
-    /// Returns the position in `open` of the machine that the leader proposed, if it still has room for the task,
+    /// Returns the index in `open` of the machine that the leader proposed, if it still has room for the task,
     /// or else of the best machine that has room.
     fn choose_machine(
         &self,
@@ -261,14 +261,14 @@
     }
 
     /// Marks placements that have become durable, so that they are reported to the leader from now on.
-    pub(crate) fn note_durable_placements(&mut self) {
+    pub(crate) fn record_durable_placements(&mut self) {
         for (name, machine) in &mut self.machines {
             let assignments = machine.assignments.iter_mut();
-            for a in assignments.filter(|a| a.by_holder && !a.delivered) {
+            for a in assignments.filter(|a| a.placed_by_holder && !a.delivered) {
                 let page = RecordId::AssignmentPage(a.page);
                 if self.write_buffer.is_durable(&page, a.page_version) {
                     a.delivered = true;
-                    self.holder_quota.note_placed(placed_task(name, a));
+                    self.holder_quota.record_placed(placed_task(name, a));
                 }
             }
         }
@@ -281,8 +281,8 @@
             return None;
         }
         let quota = &self.holder_quota;
-        let placements = quota.placements_in_answer();
-        let last = quota.placements_in_answer().last();
+        let placements = quota.placements_in_report();
+        let last = quota.placements_in_report().last();
         Some(QuotaReport {
             usage_bound: quota.grant.usage_bound(),
             waiting: self.waiting_ranges(),
@@ -297,9 +297,11 @@
         let quota = &self.holder_quota;
         let queued = quota.queue.iter();
         let queued = queued.map(|queued| (queued.job.as_str(), queued.task));
-        let unwritten = self.assignments().filter(|a| a.by_holder && !a.delivered);
+        let unwritten = self
+            .assignments()
+            .filter(|a| a.placed_by_holder && !a.delivered);
         let unwritten = unwritten.map(|a| (a.job_id.as_str(), a.task));
-        let later = quota.placements_in_later_answers();
+        let later = quota.placements_in_later_reports();
         let later = later.map(|placement| (placement.task.job.as_str(), placement.task.task));
         let mut tasks: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
         for (job, task) in queued.chain(unwritten).chain(later) {
--- a/crates/core/src/scheduler/leader/delegation_policy.rs
+++ b/crates/core/src/scheduler/leader/delegation_policy.rs
@@ -1,4 +1,8 @@
 //! Decides which tasks the leader delegates to partition holders and which delegated tasks it revokes.
+//!
+//! The holder of a partition places a delegated task on one of the partition's machines. The task is charged to the
+//! holder's quota grant if there are free resources for it. A task may also be delegated to wait for resources and
+//! quota that other tasks will free; these resources are promised to it.
 
 use crate::context::Context;
 use crate::scheduler::leader::placement::tasks::PlacingJob;
@@ -53,7 +57,7 @@
 
 impl Scheduler {
     /// Charges a task to a partition's quota grant if the team's limit allows it, and returns whether it did. The
-    /// grant grows if it is too small for the task. A refusal marks the team as short of room.
+    /// grant grows if it is too small for the task. A refusal marks the team as short of quota.
     pub(crate) fn try_charge_quota_grant(
         &mut self,
         context: &Context,
@@ -99,7 +103,8 @@
         }
     }
 
-    /// Delegates a task to the holder of a partition. The holder is to place the task on this machine if it can.
+    /// Delegates a task to the holder of a partition and proposes `machine` to it: the holder places the task there if
+    /// it can, and otherwise on another machine of the partition.
     pub(crate) fn delegate_task(
         &mut self,
         context: &Context,
@@ -181,7 +186,7 @@
         let now = context.now.steady;
         debug!(
             job = delegation.job_id, task = task.task, partition = delegation.partition;
-            "a delegated task was not placed and waits at the leader again"
+            "requeued a delegated task that the partition holder did not place"
         );
         if !delegation.awaits_resources {
             self.release_unplaced_charge(&delegation, now);
@@ -255,7 +260,7 @@
                 continue;
             };
             let assignments = machine.assignments.iter();
-            for a in assignments.filter(|a| a.by_holder && ends_soon(a, now)) {
+            for a in assignments.filter(|a| a.placed_by_holder && ends_soon(a, now)) {
                 let unused = unused.entry((partition, a.team.clone()));
                 let unused: &mut Resources = unused.or_default();
                 *unused = unused.saturating_add(a.amount());
@@ -341,7 +346,8 @@
             if freeing.is_empty() || leader_only_level.is_some_and(|level| queued.level >= level) {
                 break;
             }
-            // The tasks use quota that other tasks free, so the unused part of the limit does not matter.
+            // The delegated tasks use quota of the team's tasks that are being stopped or are expected to end soon,
+            // so it does not matter how much of the team's limit is unused.
             let placing = self.prepare_placing(context, *queued);
             let Some(mut placing) = placing.filter(PlacingJob::is_for_holders) else {
                 continue;
@@ -367,9 +373,10 @@
         }
     }
 
-    /// Returns the most urgent level of the jobs in the queue that fit their team's limit and that only the leader
-    /// can place, such as gangs and jobs that have waited too long to start or that catch up. Holders must not use
-    /// the resources that these jobs wait for.
+    /// Returns the most urgent level in the job queue, which is the lowest number, of the jobs that fit their
+    /// team's limit and that only the leader can place. Examples are gangs, jobs that have waited too long for
+    /// their first task, and jobs that catch up because their tasks have waited too long without any placement.
+    /// Holders must not use the resources that these jobs wait for.
     fn most_urgent_leader_only_level(&self, context: &Context, queue: &[QueuedJob]) -> Option<u8> {
         let now = context.now.steady;
         let needs_leader = |queued: &&QueuedJob| {
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/demand.rs
@@ -23,7 +23,8 @@
 /// A job of which fewer tasks than this fit under its team's limit is left out of the demand.
 const MIN_TASKS_IN_DEMAND: f64 = 0.5;
 
-/// A pass of the autoscaler, which determines the offerings that may be added.
+/// A planning pass. Each round of the autoscaler makes both passes, in this order; a pass determines the offerings of
+/// which machines may be added to the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlanningPass {
     /// Adds only offerings that are about as cheap as the cheapest, for a short completion time.
@@ -34,7 +35,8 @@
 
 /// Waiting tasks of one job, or the headroom for services, that may have to run in one zone.
 pub(crate) struct Demand<'a> {
-    /// Submission of the job, or of the service that headroom is measured by.
+    /// Submission of the job. For the headroom, the submission of the service whose replicas are the unit in which
+    /// headroom is measured.
     pub(crate) spec: &'a Submission,
     /// Zone in which these tasks must run; `None` if any zone will do. A job that is spread over zones needs free
     /// resources in each of them.
@@ -45,8 +47,8 @@
     pub(crate) run_s: f64,
     /// Time in which the tasks are to be completed, in seconds: the paper's `D`.
     pub(crate) time_left_s: f64,
-    /// The same time for machines that are still booting, in seconds. It is at least one boot plus one run, since
-    /// a machine that is provisioned now cannot be faster.
+    /// Time in which machines that are still booting are to complete the tasks, in seconds. This time is at least
+    /// one boot plus one run, since a machine that is provisioned now cannot be faster.
     pub(crate) time_left_booting_s: f64,
 }
 
@@ -260,7 +262,7 @@
     /// Returns the demand for headroom, the free resources that are kept for future services. With a run time of
     /// one second, it takes up almost no computing power that batch tasks could use.
     fn headroom_demand<'a>(&'a self, zones: &BTreeSet<&str>) -> Vec<Demand<'a>> {
-        let Some((spec, replicas)) = self.headroom.wanted() else {
+        let Some((spec, replicas)) = self.headroom.target() else {
             return Vec::new();
         };
         zones
@@ -422,6 +424,6 @@
 struct GangZone {
     /// Whether machines for the gang may be provisioned in the zone.
     can_provision: bool,
-    /// Number of slots for its tasks, on machines that are up, booting or requested.
+    /// Number of slots for the gang's tasks, on machines that are up, booting or requested.
     slots: u64,
 }
--- a/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
+++ b/crates/core/src/scheduler/leader/fleet/autoscaler/supply.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeMap;
 
 /// Returns, for each demand, how many of its tasks a machine completes in time: the paper's computing power `P`,
-/// multiplied by the number of `slots` that the machine has for tasks of that demand. `boot_delay_s` is the
-/// remaining boot time, in seconds, of a machine that is not up yet.
+/// multiplied by the number of `slots`: how many tasks of that demand fit on the machine at the same time.
+/// `boot_delay_s` is the remaining boot time, in seconds, of a machine that is not up yet.
 ///
 /// Each task of a gang or service needs a slot immediately and takes precedence over batch tasks, so gangs and
 /// services share the slots only among themselves. If they shared the slots with all demand, they would be
@@ -215,7 +215,7 @@
         offering: &MachineOffering,
     ) -> f64 {
         let (name, zone) = (&offering.machine_type, &offering.zone);
-        match self.headroom.wanted() {
+        match self.headroom.target() {
             Some((spec, replicas)) if permits(context, spec, name, zone, offering.spot) => {
                 let cpu_fraction = spec.cpus / machine_type.cpus.max(RESOURCE_TOLERANCE);
                 let machine_fraction = cpu_fraction
@@ -245,11 +245,11 @@
                 continue;
             };
             let elapsed = now.saturating_sub(booting.requested_at);
-            if !booting.running && elapsed > self.boot_timeout(context, name) {
+            if !booting.listed_as_running && elapsed > self.boot_timeout(context, name) {
                 // An overdue boot counts as no computing power, so that a replacement is provisioned.
                 continue;
             }
-            let delay_s = match booting.running {
+            let delay_s = match booting.listed_as_running {
                 true => 0.0,
                 false => {
                     let boot_time = self.expected_boot_time(machine_type);
--- a/crates/core/src/scheduler/leader/fleet/boots.rs
+++ b/crates/core/src/scheduler/leader/fleet/boots.rs
@@ -23,23 +23,23 @@
 
 impl Scheduler {
     /// Records that a machine sent a heartbeat. If it was booting, its boot is complete.
-    pub(crate) fn note_machine_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
+    pub(crate) fn record_machine_up(&mut self, context: &Context, heartbeat: &Heartbeat) {
         let now = context.now.steady;
         let name = &heartbeat.machine;
         self.fleet.running_without_heartbeat.remove(name);
         if let Some(boot) = self.fleet.booting_machines.remove(name) {
             self.placement.request_round(now);
-            if !boot.running {
-                self.note_boot_time(context, name, &boot);
+            if !boot.listed_as_running {
+                self.record_boot_time(context, name, &boot);
             }
         }
-        self.fleet.note_listed(name);
+        self.fleet.record_listed(name);
     }
 
     /// Records the boot time of a machine in the statistics of its type.
-    fn note_boot_time(&mut self, context: &Context, name: &str, boot: &BootingMachine) {
+    fn record_boot_time(&mut self, context: &Context, name: &str, boot: &BootingMachine) {
         let boot_time = context.now.steady.saturating_sub(boot.requested_at);
-        info!(machine = name, boot_ms = boot_time / MILLI; "machine is up");
+        info!(machine = name, boot_ms = boot_time / MILLI; "provisioned machine sent its first heartbeat");
         let machine_type = &boot.offering.machine_type;
         self.fleet.failed_boots.remove(machine_type);
         if let Some(published) = context.machine_type(machine_type).map(|t| t.boot_s) {
@@ -78,7 +78,7 @@
     fn is_far_overdue(&self, context: &Context, boot: &BootingMachine) -> bool {
         let timeout = self.boot_timeout(context, &boot.offering.machine_type);
         let elapsed = context.now.steady.saturating_sub(boot.requested_at);
-        !boot.running && elapsed > timeout + timeout / 2
+        !boot.listed_as_running && elapsed > timeout + timeout / 2
     }
 
     /// Returns whether the machine list once showed the machine and no longer does. The time of the last full list
@@ -112,7 +112,7 @@
     /// Counts a boot that was given up, unless the machine was listed as running.
     fn count_failed_boot(&mut self, name: &str) {
         let boot = self.fleet.booting_machines.get(name);
-        if let Some(boot) = boot.filter(|boot| !boot.running) {
+        if let Some(boot) = boot.filter(|boot| !boot.listed_as_running) {
             let machine_type = boot.offering.machine_type.clone();
             *self.fleet.failed_boots.entry(machine_type).or_insert(0) += 1;
         }
--- a/crates/core/src/scheduler/leader/fleet/provisioning.rs
+++ b/crates/core/src/scheduler/leader/fleet/provisioning.rs
@@ -24,7 +24,7 @@
 /// Upper bound of the number of refusals in a row that are counted.
 const MAX_REFUSALS: u32 = 3;
 
-/// Returns whether the body of an error response says that the offering has no capacity.
+/// Returns whether the body of an error response means that the offering has no capacity.
 fn is_no_capacity(body: &[u8]) -> bool {
     wire::from_cbor::<ErrorResponse>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
 }
@@ -42,7 +42,7 @@
             let Some(provision) = self.fleet.provisions.get_mut(&name) else {
                 continue;
             };
-            if !context.cloud_requests.take(now, 1.0) {
+            if !context.cloud_requests.try_acquire(now, 1.0) {
                 provision.retry_at = context.cloud_requests.ready_at(now, 1.0);
                 continue;
             }
@@ -119,7 +119,7 @@
                 offering: offering.clone(),
                 requested_at,
                 last_listed: None,
-                running: false,
+                listed_as_running: false,
             };
             let booting = self.fleet.booting_machines.entry(machine);
             booting.or_insert(boot);
--- a/crates/core/src/scheduler/leader/placement.rs
+++ b/crates/core/src/scheduler/leader/placement.rs
@@ -3,6 +3,8 @@
 //! A placement round serves the waiting jobs in the order of the job queue, as far as the team's limit and the
 //! free resources allow. Each round has a time budget. The round after one that exceeds its budget starts with the
 //! job at which that one stopped.
+//!
+//! A machine is open in a round while it has free CPUs and new tasks may be placed on it.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -36,7 +38,7 @@
 /// An entry of the job queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueuedJob {
-    /// The job's place in the job table.
+    /// The job's index in the job table.
     pub index: JobIndex,
     /// The job's level of urgency: lower levels are served first.
     pub level: u8,
@@ -226,14 +228,16 @@
             None => machine.free(),
         };
         self.usable_machines(context)
-            .filter(|machine| free(machine).cpus > RESOURCE_TOLERANCE && !machine.reserved)
+            .filter(|machine| {
+                free(machine).cpus > RESOURCE_TOLERANCE && !machine.reserved_by_leader
+            })
             .map(|machine| OpenMachine {
                 name: machine.name.clone(),
                 zone: machine.zone.clone(),
                 machine_type: machine.machine_type.clone(),
                 spot: machine.spot,
                 free: free(machine),
-                kept_for_preemptor: machine.idle_excluded_until > now,
+                excludes_idle_priority: machine.idle_excluded_until > now,
                 headroom: MachineResources::default(),
                 placed_by: machine
                     .partition
--- a/crates/core/src/scheduler/leader/placement/assignment.rs
+++ b/crates/core/src/scheduler/leader/placement/assignment.rs
@@ -17,9 +17,9 @@
 const HIGH_WRITE_ADVANCE_US: Micros = 10 * SECOND;
 
 impl Scheduler {
-    /// Assigns a task to a machine. The machine is told to launch the task once the assignment is durable.
-    /// `attempt` is the attempt number, and `expected` is how long the task is expected to stay on the machine, in
-    /// microseconds.
+    /// Assigns a task to a machine. The launch is sent to the agent of the machine once the assignment is durable.
+    /// `attempt` is the attempt number, and `expected_stay` is how long the task is expected to stay on the machine,
+    /// in microseconds.
     pub(crate) fn create_assignment(
         &mut self,
         context: &Context,
@@ -27,7 +27,7 @@
         job: JobIndex,
         task: u64,
         spec: &Submission,
-        (attempt, expected): (u64, Micros),
+        (attempt, expected_stay): (u64, Micros),
     ) {
         let now = context.now.steady;
         let page = self.page_with_room();
@@ -35,7 +35,7 @@
         let page_version = self
             .write_buffer
             .mark_dirty_by(RecordId::AssignmentPage(page), due);
-        let by_holder = self.is_holder();
+        let placed_by_holder = self.is_holder();
         self.log_service_placement(context, name, job, task, spec);
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -46,13 +46,13 @@
             job: spec.id.clone(),
             task,
             attempt,
-            expected_us: expected,
+            expected_us: expected_stay,
         };
         let assignment = Assignment {
             page,
             page_version,
             delivered: false,
-            by_holder,
+            placed_by_holder,
             ..Assignment::new(TaskOnMachine {
                 task: &placed,
                 job: Some(job),
@@ -82,11 +82,11 @@
             return;
         };
         let job = self.jobs.get(index);
-        let age = job.map_or(0, |job| job.age(context.now.steady));
+        let job_age = job.map_or(0, |job| job.age(context.now.steady));
         info!(
-            job = spec.id, task = task, machine = name, zone = machine.zone, age_ms = age / MILLI,
+            job = spec.id, task = task, machine = name, zone = machine.zone, age_ms = job_age / MILLI,
             image_cached = machine.has_image(&spec.image), free_cpus = machine.free().cpus;
-            "placing a replica of a service on a machine"
+            "placed a replica of a service on a machine"
         );
     }
 }
--- a/crates/core/src/scheduler/leader/quota_limits.rs
+++ b/crates/core/src/scheduler/leader/quota_limits.rs
@@ -24,8 +24,8 @@
 const LIMITS_WRITE_ADVANCE_US: Micros = 60 * SECOND;
 
 impl Scheduler {
-    /// Loads the team quotas and the quota grants on record into the state of a new leader. Schedules the deletion
-    /// of grants whose partition does not exist.
+    /// Loads the team quotas and the quota grants that were read from the key-value store into the state of a new
+    /// leader. Schedules the deletion of grants whose partition does not exist.
     pub(crate) fn load_quota(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         if !context.supports_quota_grants() {
             return;
@@ -75,7 +75,7 @@
             Err(error) => {
                 error!(
                     key = entry.key, partition = id, error:% = error;
-                    "cannot read a quota grant record; it counts as the full limit of each team"
+                    "cannot decode a quota grant record; counting it as the full limit of each team"
                 );
                 let in_force = self.leader_quota.limits.in_force().iter();
                 let limits = in_force.map(|(team, quota)| (team.to_string(), quota.limit));
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Returns whether the quotas in force are on record, so that the writes of holders can be conditional on
-    /// them.
-    pub(crate) fn limits_are_on_record(&self) -> bool {
+    /// Returns whether the quotas in force are written to the key-value store, so that the writes of holders can be
+    /// conditional on them.
+    pub(crate) fn limits_are_in_store(&self) -> bool {
         self.write_buffer
             .mod_revisions
             .contains_key(QUOTA_LIMITS_KEY)
@@ -99,7 +99,7 @@
         self.write_buffer.mark_dirty_by(RecordId::Limits, due);
     }
 
-    /// Returns the quotas in force in the form of a record.
+    /// Returns the quotas of all teams that are in force, as the record that the leader writes to the key-value store.
     pub(crate) fn limits_record(&self) -> LimitsRecord {
         self.leader_quota.limits.in_force().to_record()
     }
@@ -126,12 +126,13 @@
         let lowered = self.leader_quota.limits.in_force().lowered_since(&before);
         info!(
             member = member, lowered_teams:? = lowered;
-            "quotas in force have changed with a member's settings"
+            "team quotas in force changed after a member announced its settings"
         );
         for team in &lowered {
             self.leader_quota.grants.cancel_unrecorded_growth(team);
         }
-        // A placement that is decided but not being written must not come on record after the lower limit.
+        // A placement that is decided but not being written must not be written to the key-value store after the lower
+        // limit.
         self.undo_unlaunched_placements(context, &lowered);
         self.write_limits(context);
         self.placement.request_round(context.now.steady);
@@ -142,8 +143,8 @@
         let is_undone = |a: &Assignment| a.launched.is_none() && teams.contains(&a.team);
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            while let Some(at) = self.assignment_position(&name, is_undone) {
-                self.remove_assignment(context, &name, at);
+            while let Some(assignment_index) = self.assignment_index(&name, is_undone) {
+                self.remove_assignment(context, &name, assignment_index);
             }
         }
         let jobs = self.jobs.iter();
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Returns whether the team's use and its quota grants together exceed its limit.
+    /// Returns whether the resources of a team's tasks and the leader's quota grants to partition holders for the team
+    /// together exceed the team's limit.
     pub(crate) fn is_over_limit(&self, context: &Context, team: &str) -> bool {
         let limit = self.team_quota(context, team).unwrap_or_default().limit;
         let own = self.usage.get(team).copied().unwrap_or_default();
@@ -196,7 +198,7 @@
             excess = excess.saturating_sub(candidate.amount);
             info!(
                 team = team, attempt = candidate.id.attempt, task = candidate.id.task;
-                "stopping a task, since its team's limit was lowered"
+                "stopping a task of a team that exceeds its lowered limit"
             );
             self.stop_attempt(context, candidate.id, candidate.grace);
         }
@@ -242,14 +244,14 @@
     a.observed_status != ObservedStatus::Never && a.stop.is_none()
 }
 
-/// Returns the team quotas from their record; `None` if the record cannot be read.
+/// Returns the team quotas from their record; `None` if the record cannot be decoded.
 fn recorded_limits(value: &Value) -> Option<Limits> {
     match from_value::<LimitsRecord>(value) {
         Ok(record) => Some(Limits::from_teams(&record.teams)),
         Err(error) => {
             error!(
                 key = QUOTA_LIMITS_KEY, error:% = error;
-                "cannot read the record of team quotas; using this member's settings"
+                "cannot decode the record of team quotas; using this member's settings"
             );
             None
         }
--- a/crates/core/src/scheduler/leader/quota_messages.rs
+++ b/crates/core/src/scheduler/leader/quota_messages.rs
@@ -25,7 +25,7 @@
 
 impl Scheduler {
     /// Returns the quota grant and the delegated tasks for the partition's holder; `None` while quota grants are not
-    /// supported or no limits are on record. Tasks are delegated only to a holder that is `reconciled`.
+    /// supported or the key-value store has no limits. Tasks are delegated only to a holder that is `reconciled`.
     pub(crate) fn quota_orders(
         &mut self,
         context: &Context,
@@ -35,7 +35,7 @@
         if !context.supports_quota_grants() {
             return None;
         }
-        let limits = self
+        let limits_revision = self
             .write_buffer
             .mod_revisions
             .get(QUOTA_LIMITS_KEY)
@@ -48,7 +48,7 @@
         };
         Some(QuotaOrders {
             grant_version: self.leader_quota.grants.record_version(id),
-            limits_revision: limits,
+            limits_revision,
             grant,
             work,
             revoked: self.leader_quota.delegations.revocations_to_send(id),
@@ -126,7 +126,7 @@
             return self.on_holder_places_nothing(id);
         };
         if self.leader_quota.placing_partitions.insert(id) {
-            info!(partition = id; "partition holder reports that it places tasks");
+            info!(partition = id; "partition holder reported that it places tasks");
         }
         for task in &quota.placed {
             self.apply_placement(context, id, task);
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Handles a report in which the holder says that it places no tasks.
+    /// Handles a report of a holder that places no tasks.
     fn on_holder_places_nothing(&mut self, id: PartitionId) {
         self.leader_quota.placing_partitions.remove(&id);
         if self.leader_quota.delegations.has_tasks_in(id) {
@@ -188,9 +188,7 @@
     /// Applies the placement of a task that a holder reports.
     fn apply_placement(&mut self, context: &Context, id: PartitionId, placed: &PlacedTask) {
         let is_known = |a: &Assignment| a.id() == placed.id();
-        let is_already_known = self
-            .assignment_position(&placed.machine, is_known)
-            .is_some();
+        let is_already_known = self.assignment_index(&placed.machine, is_known).is_some();
         // A holder may still report tasks of a machine that was terminated.
         if is_already_known || self.fleet.is_terminated(&placed.machine) {
             return;
@@ -202,7 +200,7 @@
             // placed until its end is proven again.
             debug!(
                 partition = id, job = placed.job, task = placed.task;
-                "partition holder reports a placed task that was not delegated to it"
+                "partition holder reported a placed task that was not delegated to it"
             );
         }
         let zone = self.zone_of_partition(id);
@@ -212,13 +210,13 @@
             if delegation.is_none() {
                 job.assign_task(placed.task);
             }
-            job.note_placed(context.now.steady);
+            job.record_placed(context.now.steady);
             *job.assignments_by_zone.entry(zone.clone()).or_insert(0) += 1;
             job.spec.clone()
         });
         let assignment = Assignment {
             launched: Some((placed.incarnation, 0)),
-            by_holder: true,
+            placed_by_holder: true,
             ..Assignment::new(TaskOnMachine {
                 task: placed,
                 job: index,
@@ -252,8 +250,8 @@
         record.map_or_else(String::new, |record| record.zone.clone())
     }
 
-    /// Pauses or resumes quota grants. The caller pauses them if a member that answered lately does not support
-    /// them. While they are paused, no tasks are delegated to holders.
+    /// Pauses or resumes quota grants. The caller pauses quota grants if a member that answered recently does not
+    /// support them. While quota grants are paused, no tasks are delegated to holders.
     pub(crate) fn set_quota_grants_paused(&mut self, context: &Context, paused: bool) {
         if !context.supports_quota_grants() || self.leader_quota.quota_grants_paused == paused {
             return;
--- a/crates/core/src/scheduler/loading.rs
+++ b/crates/core/src/scheduler/loading.rs
@@ -1,4 +1,5 @@
-//! Reads the records of a new leader or holder from the key-value store.
+//! Reads the records of a new leader or holder from the key-value store. A record that cannot be decoded is called
+//! unreadable.
 
 use crate::calls::{CallPurpose, SchedulerCall};
 use crate::context::Context;
@@ -104,7 +105,7 @@
                 }
             }
             Err(error) => {
-                warn!(key = prefix, error:% = error; "listing keys failed");
+                warn!(key = prefix, error:% = error; "cannot list the keys with a prefix; trying again");
                 loading.retry(prefix, now + RETRY_PAUSE_US);
             }
         }
@@ -122,10 +123,10 @@
         let mut map = PartitionMap::default();
         for entry in entries.unwrap_or_default() {
             if let Err(error) = map.apply_put(&entry.key, &entry.value, entry.mod_revision) {
-                error!(key = entry.key, error:% = error; "record cannot be read and is left as it is");
+                error!(key = entry.key, error:% = error; "cannot decode a partition record; leaving it in the key-value store");
             }
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
         }
         self.load_partitions(context, &map);
     }
@@ -140,7 +141,7 @@
                 loading.finish(key);
                 match wire::from_cbor::<KeyValue<Value>>(&body) {
                     Ok(entry) => loading.add_entry(key, entry),
-                    Err(error) => error!(key = key, error:% = error; "record cannot be read"),
+                    Err(error) => error!(key = key, error:% = error; "cannot decode a record"),
                 }
             }
             Outcome::Answer { status: 404, .. } => loading.finish(key),
--- a/crates/core/src/scheduler/loading/completed_tasks.rs
+++ b/crates/core/src/scheduler/loading/completed_tasks.rs
@@ -20,7 +20,7 @@
     ) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             let name = entry
                 .key
                 .strip_prefix(COMPLETED_TASKS_PREFIX)
@@ -96,5 +96,5 @@
 }
 
 fn log_unreadable(key: &str) {
-    error!(key = key; "record cannot be read; tasks that it lists as completed may run again");
+    error!(key = key; "cannot decode a record of completed tasks; the tasks that it lists may run again");
 }
--- a/crates/core/src/scheduler/loading/jobs.rs
+++ b/crates/core/src/scheduler/loading/jobs.rs
@@ -45,24 +45,26 @@
         }
         match from_value::<JobRecord>(value) {
             Ok(record) if record.spec.id == id => {
-                self.write_buffer.note_revision(key, mod_revision);
+                self.write_buffer.record_revision(key, mod_revision);
                 let job = Job::new(record, context.now.steady, context.now.wall);
-                self.headroom.note_job(&job, context.now.steady);
+                self.headroom.record_job(&job, context.now.steady);
                 self.jobs.insert(job);
                 self.placement.request_round(context.now.steady);
             }
-            Ok(_) => error!(key = key; "record contains a different job id and is left as it is"),
+            Ok(_) => {
+                error!(key = key; "job record contains the id of another job; leaving it in the key-value store")
+            }
             Err(error) => {
                 if !self.unreadable_job_keys.iter().any(|known| known == key) {
-                    error!(key = key, error:% = error; "record cannot be read and is left as it is");
+                    error!(key = key, error:% = error; "cannot decode a job record; leaving it in the key-value store");
                     self.unreadable_job_keys.push(key.to_string());
                 }
             }
         }
     }
 
-    /// Applies the cancellations on record, then those that this controller has learned from later requests or from
-    /// its peers.
+    /// Applies the cancellations that were read from the key-value store, then those that this controller has learned
+    /// from later requests or from its peers.
     pub(crate) fn load_cancellations(
         &mut self,
         context: &mut Context,
@@ -70,12 +72,12 @@
     ) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
         }
         for entry in entries {
             let record = from_value::<CancelRecord>(&entry.value);
             if let Err(error) = &record {
-                error!(key = entry.key, error:% = error; "cancellation cannot be read; treating the job as cancelled");
+                error!(key = entry.key, error:% = error; "cannot decode a cancellation record; treating the job as cancelled");
             }
             if let Some(JobKey::Cancelled(job)) = JobKey::parse(&entry.key) {
                 self.on_cancelled(context, job, record.ok().as_ref());
@@ -88,7 +90,7 @@
         }
         context
             .cancellations
-            .note_store_read(self.lease_acquired_at);
+            .record_store_read(self.lease_acquired_at);
     }
 
     /// Ends the jobs whose tasks are all completed.
@@ -105,7 +107,7 @@
 
     /// Sets the time to the first start of jobs that have completed tasks to their current age, which is its upper
     /// bound.
-    pub(crate) fn note_started_jobs(&mut self, context: &Context) {
+    pub(crate) fn record_started_jobs(&mut self, context: &Context) {
         for index in self.jobs.indices() {
             let job = self.jobs.get_mut(index);
             if let Some(job) = job.filter(|job| job.completed_count > 0) {
--- a/crates/core/src/scheduler/loading/records.rs
+++ b/crates/core/src/scheduler/loading/records.rs
@@ -41,11 +41,11 @@
         let watch = Watch::since(loading.revision(JOB_PREFIX));
         self.watches.insert(JOB_PREFIX, watch);
         self.load_cancellations(context, &cancellations);
-        self.note_durable_placements();
+        self.record_durable_placements();
         // An earlier leader may have written pages under higher limits of the store.
         self.split_pages(context);
         self.end_completed_jobs(context);
-        self.note_started_jobs(context);
+        self.record_started_jobs(context);
         // The headroom is computed before any task is placed. Otherwise, batch tasks take the resources that are
         // reserved for services during the first second of each leader.
         self.headroom
@@ -54,7 +54,7 @@
             token = self.token,
             jobs = self.jobs.len(),
             machines_with_tasks = self.machines.len();
-            "records loaded"
+            "loaded the records from the key-value store"
         );
     }
 
@@ -73,13 +73,15 @@
     fn load_provisions(&mut self, context: &Context, entries: Vec<KeyValue<Value>>) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             match from_value::<ProvisionRecord>(&entry.value) {
                 Ok(provision) => {
                     let machine = entry.key.trim_start_matches(PROVISION_PREFIX).to_string();
                     self.fleet.recover_provision(context, machine, provision);
                 }
-                Err(error) => error!(key = entry.key, error:% = error; "record cannot be read"),
+                Err(error) => {
+                    error!(key = entry.key, error:% = error; "cannot decode the record of a provisioning request")
+                }
             }
         }
     }
@@ -87,10 +89,12 @@
     fn load_stats(&mut self, entries: Vec<KeyValue<Value>>) {
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
             match from_value(&entry.value) {
                 Ok(record) => self.stats = Stats::from_record(&record),
-                Err(error) => error!(key = STATS_KEY, error:% = error; "record cannot be read"),
+                Err(error) => {
+                    error!(key = STATS_KEY, error:% = error; "cannot decode the record of statistics")
+                }
             }
         }
     }
@@ -103,7 +107,7 @@
         }
         for entry in entries {
             self.write_buffer
-                .note_revision(&entry.key, entry.mod_revision);
+                .record_revision(&entry.key, entry.mod_revision);
         }
     }
 
--- a/crates/core/src/scheduler/quota.rs
+++ b/crates/core/src/scheduler/quota.rs
@@ -5,11 +5,12 @@
 //! the assignment to one of its own pages, and launches the task. Tasks therefore continue to start after the
 //! leader has failed.
 //!
-//! No task is placed by two controllers. A write of a holder depends on its claim and on the record of the leader
-//! that delegated the task ([`write_conditions`](crate::scheduler::write_conditions)), and that record outlives the
-//! leader by the time to live of its lease. A new leader reads all pages after it has acquired its lease, and from
-//! then on holders write nothing until they have received its orders. The new leader places the tasks that were not
-//! on record by then again.
+//! No task is placed by two controllers. A write of a holder depends on the claim record of its partition and on
+//! the leader record of the leader that delegated the task
+//! ([`write_conditions`](crate::scheduler::write_conditions)), and the leader record outlives the leader by the
+//! time to live of its lease. A new leader reads all pages after it has acquired its lease, and from then on
+//! holders write nothing until they have received its orders. The new leader places again those tasks that were on
+//! no page by then.
 
 use crate::context::Context;
 use crate::scheduler::Scheduler;
@@ -19,9 +20,9 @@
 use grebewood_quota::{Resources, TeamQuota};
 
 impl Scheduler {
-    /// Returns whether holders may be given tasks and quota grants now: the limits are on record, the write rate
-    /// suffices for several members, no member has answered that does not support quota grants, and the store has
-    /// not refused a record of them.
+    /// Returns whether holders may be given tasks and quota grants now: the limits are written to the key-value store,
+    /// the write rate suffices for several members, no member has answered that does not support quota grants, and the
+    /// store has not refused a record of them.
     pub(crate) fn grants_quota(&self, context: &Context) -> bool {
         self.enforces_guarantees(context)
             && context.holders_can_write()
@@ -31,7 +32,7 @@
 
     /// Returns whether tasks are preempted for teams that are below their guaranteed share.
     pub(crate) fn enforces_guarantees(&self, context: &Context) -> bool {
-        context.supports_quota_grants() && self.limits_are_on_record()
+        context.supports_quota_grants() && self.limits_are_in_store()
     }
 
     /// Returns whether the partition's holder places tasks.
@@ -106,7 +107,7 @@
     /// Charges the resources of an assignment to the quota of its team, until the task is proven gone.
     pub(crate) fn charge_quota(&mut self, assignment: &Assignment) {
         let (team, amount) = (&assignment.team, assignment.amount());
-        match (assignment.by_holder, self.is_holder()) {
+        match (assignment.placed_by_holder, self.is_holder()) {
             (true, true) => self.holder_quota.grant.reserve(team, amount),
             // The leader charges it to the holder's quota grant when it learns of the assignment.
             (true, false) => {}
@@ -126,7 +127,7 @@
         assignment: &Assignment,
     ) {
         let (team, amount) = (&assignment.team, assignment.amount());
-        match (assignment.by_holder, self.is_holder()) {
+        match (assignment.placed_by_holder, self.is_holder()) {
             (true, true) => self.holder_quota.grant.release(team, amount),
             (true, false) => {
                 let machine = self.machines.get(machine);
--- a/crates/core/src/scheduler/watches.rs
+++ b/crates/core/src/scheduler/watches.rs
@@ -1,7 +1,7 @@
 //! Watches the key-value store for changes of jobs and cancellations.
 
 use crate::calls::{CallPurpose, SchedulerCall};
-use crate::context::{Context, STORE_TIMEOUT};
+use crate::context::{Context, STORE_CALL_TIMEOUT_US};
 use crate::scheduler::store_reads::WatchRequest;
 use crate::scheduler::Scheduler;
 use crate::{Micros, Outcome, Target, MILLI, SECOND};
@@ -26,7 +26,7 @@
 /// Pause after a failed request.
 const RETRY_PAUSE_US: Micros = 300 * MILLI;
 
-/// Pause after a response that cannot be read.
+/// Pause after a response that cannot be decoded.
 const UNREADABLE_PAUSE_US: Micros = SECOND;
 
 const HTTP_GONE: u16 = 410;
@@ -44,7 +44,7 @@
                     let after = after.map_or(String::new(), |key| format!("&since={key}"));
                     let prefix = prefix.to_string();
                     let path = format!("/kv?prefix={prefix}{after}&page={RELIST_PAGE_KEYS}");
-                    (SchedulerCall::List { prefix }, path, STORE_TIMEOUT)
+                    (SchedulerCall::List { prefix }, path, STORE_CALL_TIMEOUT_US)
                 }
                 WatchRequest::Changes { since } => {
                     let path =
@@ -79,7 +79,7 @@
                         }
                     }
                     Err(error) => {
-                        warn!(key = prefix, error:% = error; "response to a watch cannot be read");
+                        warn!(key = prefix, error:% = error; "cannot decode the response to a watch");
                         watch.end_request(now + UNREADABLE_PAUSE_US);
                     }
                 }
@@ -117,7 +117,7 @@
                 self.apply_cancellation(context, job);
             }
             Some(JobKey::Cancelled(job)) if self.jobs.find(job).is_some() => {
-                self.write_buffer.note_revision(key, mod_revision);
+                self.write_buffer.record_revision(key, mod_revision);
                 let record = from_value(value).ok();
                 self.on_cancelled(context, job, record.as_ref());
             }
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/state/election.rs
@@ -31,14 +31,14 @@
     pub(crate) abstain_until: Micros,
     /// Incarnation of this process, which distinguishes it from an earlier process of the same member.
     pub(crate) incarnation: u64,
-    /// Time at which a lease was last requested.
+    /// Time at which a lease for a candidacy was last requested.
     pub(crate) lease_requested_at: Micros,
-    /// Last answer of each peer, by the index of the peer in the settings.
+    /// Last response of each peer, by the index of the peer in the settings.
     pub(crate) peers: BTreeMap<usize, PeerView>,
-    /// Number of the last question to the peers.
-    pub(crate) question: u64,
-    /// Time at which a partition holder that is not the leader asks its peers next.
-    pub(crate) next_question: Micros,
+    /// Number of the last contact requests to the peers.
+    pub(crate) last_contact_request: u64,
+    /// Time at which a partition holder that is not the leader next sends contact requests to its peers.
+    pub(crate) next_contact_request: Micros,
     /// Highest fencing token of a leader that was read from the key-value store or is this controller's own.
     pub(crate) highest_token: u64,
 }
@@ -54,8 +54,8 @@
             incarnation,
             lease_requested_at: 0,
             peers: BTreeMap::new(),
-            question: 0,
-            next_question: 0,
+            last_contact_request: 0,
+            next_contact_request: 0,
             highest_token: 0,
         }
     }
@@ -91,7 +91,7 @@
     }
 
     /// Returns the fencing token of the leader, if a leader is known and supports partitions.
-    pub(crate) fn partition_term(&self) -> Option<u64> {
+    pub(crate) fn leader_token_for_partitions(&self) -> Option<u64> {
         let leader = self.leader.as_ref()?;
         leader.record.supports_partitions.then_some(leader.token)
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// Members that can hold partitions, according to their recent answers.
+/// Members that can hold partitions, according to their recent responses.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberView {
     /// This controller, and the siblings that support partitions and have contact with the key-value store.
@@ -121,13 +121,15 @@
     pub(crate) any_without_quota_grants: bool,
 }
 
-/// Last answer of a peer about its contact with the key-value store.
+/// Last response of a peer about its contact with the key-value store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerView {
-    /// Time at which the question was sent, in microseconds.
+    /// Time at which the contact request was sent, in microseconds.
     pub(crate) asked_at: Micros,
-    /// Time of the peer's last contact: the time of the question minus the age of the contact in the answer; `None`
-    /// if the peer has had no contact.
+    /// Lower bound of the time of the peer's last contact with the key-value store: the time at which the contact
+    /// request was sent minus the age of the contact when the peer responded. The contact may be later by up to the
+    /// duration of the request, but if this time is after the expiry of a lease, so is the contact. `None` if the peer
+    /// has had no contact.
     pub(crate) last_contact: Option<Micros>,
     /// Whether the peer had been without contact for some time when it answered.
     pub(crate) without_contact: bool,
--- a/crates/core/src/state/holder_quota.rs
+++ b/crates/core/src/state/holder_quota.rs
@@ -1,12 +1,13 @@
-//! State that a partition holder keeps about its quota grant and about the tasks that are delegated to it.
+//! State that a partition holder keeps about its quota grant (the part of each team's limit that the leader lets it
+//! use) and about the tasks that are delegated to it.
 
 use crate::Micros;
 use grebewood_quota::HolderGrant;
 use grebewood_wire::peer::{PlacedTask, TaskAttempt};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Maximum number of placed tasks in one answer to orders.
-pub(crate) const MAX_PLACED_PER_ANSWER: usize = 500;
+/// Maximum number of placed tasks in one report.
+pub(crate) const MAX_PLACED_PER_REPORT: usize = 500;
 
 /// A delegated task that the holder has yet to place. The order of the fields determines the order in which tasks
 /// are served.
@@ -42,9 +43,9 @@
 pub struct HolderQuota {
     /// Amounts of each team's limit that the holder may use and that it uses.
     pub grant: HolderGrant,
-    /// Fencing token of the leader whose tasks may be placed, as long as its leader record exists; `None` if no
-    /// leader has sent orders with quota or if another controller may lead.
-    pub term: Option<u64>,
+    /// Fencing token of the leader whose delegated tasks this holder may place, as long as the leader record exists;
+    /// `None` if no leader has sent orders with quota or if another controller may lead.
+    pub leader_token: Option<u64>,
     /// The mod_revision of the limits under which the grant was made; `None` if no limits are in force.
     pub limits_revision: Option<u64>,
     /// Delegated tasks that are not placed yet.
@@ -70,8 +71,8 @@
         placed.any(|placed| placed.task == task && placed.job == job)
     }
 
-    /// Records a task that was placed, for the next answer to the leader.
-    pub(crate) fn note_placed(&mut self, task: PlacedTask) {
+    /// Records a task that was placed, for the next report to the leader.
+    pub(crate) fn record_placed(&mut self, task: PlacedTask) {
         self.last_placement += 1;
         self.placed.push_back(NumberedPlacement {
             number: self.last_placement,
@@ -79,19 +80,19 @@
         });
     }
 
-    /// Returns the placements that the next answer contains.
-    pub(crate) fn placements_in_answer(&self) -> impl Iterator<Item = &NumberedPlacement> {
-        self.placed.iter().take(MAX_PLACED_PER_ANSWER)
+    /// Returns the placements that the next report contains.
+    pub(crate) fn placements_in_report(&self) -> impl Iterator<Item = &NumberedPlacement> {
+        self.placed.iter().take(MAX_PLACED_PER_REPORT)
     }
 
-    /// Returns the placements that only a later answer will contain.
-    pub(crate) fn placements_in_later_answers(&self) -> impl Iterator<Item = &NumberedPlacement> {
-        self.placed.iter().skip(MAX_PLACED_PER_ANSWER)
+    /// Returns the placements that only a later report will contain.
+    pub(crate) fn placements_in_later_reports(&self) -> impl Iterator<Item = &NumberedPlacement> {
+        self.placed.iter().skip(MAX_PLACED_PER_REPORT)
     }
 
-    /// Returns whether only a later answer will tell the leader that this attempt was placed.
-    pub(crate) fn is_in_later_answer(&self, attempt: TaskAttempt) -> bool {
-        let mut later = self.placements_in_later_answers();
+    /// Returns whether only a later report will tell the leader that this attempt was placed.
+    pub(crate) fn is_in_later_report(&self, attempt: TaskAttempt) -> bool {
+        let mut later = self.placements_in_later_reports();
         later.any(|placement| placement.task.id() == attempt)
     }
 }
--- a/crates/core/src/state/job_view.rs
+++ b/crates/core/src/state/job_view.rs
@@ -11,7 +11,7 @@
 /// A live job in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LiveJob {
-    /// Number of tasks of the job; 0 if the job record cannot be read.
+    /// Number of tasks of the job; 0 if the job record cannot be decoded.
     pub tasks: u64,
     /// The mod_revision of the job record; 0 if only the cancellation was read.
     pub mod_revision: u64,
@@ -22,11 +22,11 @@
 /// Key prefixes that are listed to build the view, in this order.
 const PREFIXES: [&str; 2] = [JOB_PREFIX, LEGACY_CANCEL_PREFIX];
 
-/// Time that a poll waits for the view, in microseconds. Users wait 2 s for the answer.
+/// Time that a poll waits for the view, in microseconds. Users wait 2 s for the response.
 const POLL_WAIT_US: Micros = 1_400 * MILLI;
 
-/// Time that a submission or cancellation waits for the view, in microseconds. Users wait 5 s for the answer. With
-/// the shorter wait of a poll, all of them would be refused when the key-value store is slow or when the answer to a
+/// Time that a submission or cancellation waits for the view, in microseconds. Users wait 5 s for the response. With
+/// the shorter wait of a poll, all of them would be refused when the key-value store is slow or when the response to a
 /// transaction is lost, and users would repeat each of them a second later.
 const WRITE_WAIT_US: Micros = 3_400 * MILLI;
 
@@ -41,12 +41,12 @@
     ended: VecDeque<String>,
     /// Revision up to which the view is up to date; while the view is being listed, the revision of the first page.
     pub(crate) revision: Option<u64>,
-    /// Prefixes that are not completely listed yet.
+    /// Key prefixes of the job records that are not completely listed yet.
     pub(crate) unlisted_prefixes: Vec<&'static str>,
     /// Last key that was read under the first of the unlisted prefixes.
     pub(crate) last_key: Option<String>,
     /// Whether all prefixes have been listed.
-    pub(crate) built: bool,
+    pub(crate) is_fully_listed: bool,
     /// Whether a request to the key-value store is in flight.
     pub(crate) request_in_flight: bool,
     /// Earliest time of the next request to the key-value store.
@@ -78,7 +78,7 @@
 
     /// Returns whether the view has to be updated before its next refresh.
     pub(crate) fn needs_update(&self) -> bool {
-        !self.built || !self.waiting.is_empty()
+        !self.is_fully_listed || !self.waiting.is_empty()
     }
 
     /// Returns the time of the next action of the view, in microseconds of the steady clock.
@@ -102,7 +102,7 @@
                 let tasks = match wire::http::from_value::<JobRecord>(value) {
                     Ok(record) => record.spec.tasks,
                     Err(e) => {
-                        error!(job = id, path = key, error:% = e; "cannot read job record; the job is kept in the view without tasks");
+                        error!(job = id, path = key, error:% = e; "cannot decode a job record; keeping the job in the view without tasks");
                         0
                     }
                 };
@@ -146,7 +146,7 @@
 
     /// Empties the view so that it is listed again.
     pub(crate) fn reset(&mut self) {
-        self.built = false;
+        self.is_fully_listed = false;
         self.live.clear();
         self.revision = None;
         self.unlisted_prefixes = PREFIXES.to_vec();
--- a/crates/core/src/state/jobs/job.rs
+++ b/crates/core/src/state/jobs/job.rs
@@ -94,7 +94,8 @@
     pub waiting_since: Option<Micros>,
     /// Time at which a task was last placed.
     placed_at: Micros,
-    /// Time at which a task was last placed before the job starved; set while the job catches up.
+    /// Time at which a task was last placed before the job starved; set while the job catches up, that is, while its
+    /// tasks are placed ahead of others after it has starved.
     catch_up: Option<Micros>,
     /// Whether the job has ever starved.
     has_starved: bool,
@@ -237,7 +238,7 @@
     }
 
     /// Records that an assignment of the task in this zone is proven gone.
-    pub(crate) fn note_assignment_removed(&mut self, task: u64, zone: &str, now: Micros) {
+    pub(crate) fn record_assignment_removed(&mut self, task: u64, zone: &str, now: Micros) {
         self.unassign_task(task);
         if let Some(count) = self.assignments_by_zone.get_mut(zone) {
             *count = count.saturating_sub(1);
@@ -248,7 +249,7 @@
     }
 
     /// Records that a task is reported as running that was not running before.
-    pub(crate) fn note_running(&mut self, now: Micros) {
+    pub(crate) fn record_running(&mut self, now: Micros) {
         if self.age_at_first_run.is_none() {
             self.age_at_first_run = Some(self.age(now));
         }
@@ -259,7 +260,7 @@
     }
 
     /// Adds the run time of a task, in microseconds, to the mean run time.
-    pub(crate) fn note_run_time(&mut self, run_time: Micros) {
+    pub(crate) fn record_run_time(&mut self, run_time: Micros) {
         let (mean, runs) = self.mean_run_time;
         let sum = mean * u64::from(runs) + run_time;
         self.mean_run_time = (sum / (u64::from(runs) + 1), (runs + 1).min(MAX_MEAN_WEIGHT));
@@ -322,9 +323,9 @@
             return;
         }
         let digits_per_span = (TASKS_PER_LEGACY_RECORD / TASKS_PER_DIGIT) as usize;
-        for (position, digit) in digits.chars().take(digits_per_span).enumerate() {
+        for (index, digit) in digits.chars().take(digits_per_span).enumerate() {
             let digit = digit.to_digit(16).unwrap_or(0);
-            let first = span * TASKS_PER_LEGACY_RECORD + position as u64 * TASKS_PER_DIGIT;
+            let first = span * TASKS_PER_LEGACY_RECORD + index as u64 * TASKS_PER_DIGIT;
             for bit in (0..TASKS_PER_DIGIT).filter(|bit| digit >> bit & 1 == 1) {
                 self.complete_task(first + bit);
             }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -43,9 +43,10 @@
     pub name: String,
     /// Partition whose holder manages the machine; `None` if this controller manages it.
     pub partition: Option<PartitionId>,
-    /// Whether the partition holder counts the machine as capacity.
-    pub counted_by_holder: bool,
-    /// Address at which the agent accepts direct commands; empty while the machine is known from records only.
+    /// On the leader, whether the partition holder reported that it counts the machine as capacity.
+    pub counted_as_capacity_by_holder: bool,
+    /// Address at which the agent accepts direct commands, which a controller sends outside of responses to
+    /// heartbeats; empty while the machine is known from records only.
     pub address: String,
     /// Name of the machine type.
     pub machine_type: String,
@@ -63,17 +64,18 @@
     pub incarnation: u64,
     /// Sequence number of the newest status within the incarnation.
     pub sequence: u64,
-    /// Whether the agent has shown that it knows our fencing token.
+    /// Whether the agent has shown that it knows this scheduler's fencing token.
     pub knows_token: bool,
     /// Incarnation and sequence number of the newest heartbeat. The response to a direct command may overtake a
     /// heartbeat, so the newest status is not always that of a heartbeat.
     pub newest_heartbeat: (u64, u64),
     /// Time of the last heartbeat. Only the response to a heartbeat can launch tasks.
-    pub last_heartbeat: Micros,
+    pub last_heartbeat_at: Micros,
     /// Time of the last heartbeat or response to a direct command.
     pub last_contact_at: Micros,
-    /// Time of our last response to a heartbeat. The lease of the agent expires at most a lease duration later.
-    pub last_response: Micros,
+    /// Time of this controller's last response to a heartbeat. The lease of the agent expires at most a lease duration
+    /// later.
+    pub last_response_at: Micros,
     /// Time at which the cloud reclaims the machine, if it has announced that.
     pub reclaim_at: Option<Micros>,
     /// Tasks assigned to the machine.
@@ -82,9 +84,10 @@
     pub used: MachineResources,
     /// Tasks that the holder of the machine's partition has yet to place, probably on this machine.
     pub planned: Vec<PlannedTask>,
-    /// Whether the leader has told the holder of the machine's partition to place nothing new on the machine.
-    pub reserved: bool,
-    /// Exited attempts whose exits are not acknowledged yet.
+    /// On a partition holder, whether the leader's last orders forbid placing anything new on the machine.
+    pub reserved_by_leader: bool,
+    /// Exited attempts that are still reported because their exits have not been acknowledged yet. The agent
+    /// reports the attempts; to the leader, the holder of the machine's partition does so if the machine is in one.
     pub exited_attempts: Vec<ExitedAttempt>,
     /// Time since which the machine has had no assignment.
     pub idle_since: Micros,
@@ -109,11 +112,11 @@
     pub idle_excluded_until: Micros,
     /// Time at which the cloud's machine list first showed the machine.
     pub first_listed_at: Option<Micros>,
-    /// Whether our responses reach the machine, as far as its heartbeats show. A machine may send heartbeats
-    /// although no response reaches it, and copies of its heartbeats may arrive after it is gone. It gets no tasks
-    /// in either case.
+    /// Whether this controller's responses reach the machine, as far as its heartbeats show. A machine may send
+    /// heartbeats although no response reaches it, and copies of its heartbeats may arrive after it is gone. It gets
+    /// no tasks in either case.
     pub receives_responses: bool,
-    /// Time since which the machine has sent heartbeats without a sign that our responses reach it.
+    /// Time since which the machine has sent heartbeats without a sign that this controller's responses reach it.
     pub unreachable_since: Option<Micros>,
 }
 
@@ -134,7 +137,7 @@
         Machine {
             name: heartbeat.machine.clone(),
             partition: None,
-            counted_by_holder: false,
+            counted_as_capacity_by_holder: false,
             address: heartbeat.address.clone(),
             machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
@@ -146,14 +149,14 @@
             sequence: 0,
             knows_token: false,
             newest_heartbeat: (0, 0),
-            last_heartbeat: now,
+            last_heartbeat_at: now,
             last_contact_at: now,
-            last_response: now,
+            last_response_at: now,
             reclaim_at: None,
             assignments: Vec::new(),
             used: MachineResources::default(),
             planned: Vec::new(),
-            reserved: false,
+            reserved_by_leader: false,
             exited_attempts: Vec::new(),
             idle_since: now,
             images: VecDeque::new(),
@@ -186,11 +189,11 @@
         let described = Machine::new(heartbeat, machine_type, now);
         *self = Machine {
             partition: self.partition,
-            counted_by_holder: self.counted_by_holder,
+            counted_as_capacity_by_holder: self.counted_as_capacity_by_holder,
             assignments: std::mem::take(&mut self.assignments),
             used: self.used,
             planned: std::mem::take(&mut self.planned),
-            reserved: self.reserved,
+            reserved_by_leader: self.reserved_by_leader,
             exited_attempts: std::mem::take(&mut self.exited_attempts),
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -269,7 +272,7 @@
 
     /// Records that a task of the job failed on the machine. Failures of jobs that are likely to be at fault
     /// themselves do not count against the machine.
-    pub(crate) fn note_failure(&mut self, job: &str, is_faulty_job: impl Fn(&str) -> bool) {
+    pub(crate) fn record_failure(&mut self, job: &str, is_faulty_job: impl Fn(&str) -> bool) {
         self.failed_jobs.push(job.to_string());
         self.forget_failures(is_faulty_job);
         let excess = self.failed_jobs.len().saturating_sub(MAX_FAILURES);
@@ -295,7 +298,7 @@
 
     /// Cordons the machine because tasks fail on it. It is terminated once it is empty.
     pub(crate) fn cordon_as_faulty(&mut self) {
-        warn!(machine = self.name; "machine is faulty; cordoned until it is empty and can be terminated");
+        warn!(machine = self.name; "cordoned a faulty machine; terminating it once it is empty");
         self.cordoned = true;
         self.draining = false;
         self.faulty = true;
@@ -303,7 +306,7 @@
 
     /// Uncordons a machine that was cordoned for failures that are now attributed to jobs.
     pub(crate) fn uncordon_as_healthy(&mut self) {
-        info!(machine = self.name; "machine is not faulty and is uncordoned; the failed jobs are likely to be at fault");
+        info!(machine = self.name; "uncordoned a machine: its task failures are attributed to the failing jobs");
         self.cordoned = false;
         self.faulty = false;
     }
@@ -315,8 +318,8 @@
     }
 
     /// Returns whether the autoscaler counts the machine as capacity. A machine counts for a limited time even if it
-    /// has not shown yet that our responses reach it. For a new leader this is so for every machine; if they did not
-    /// count, the leader would provision a second fleet.
+    /// has not shown yet that this controller's responses reach it. For a new leader this is so for every machine; if
+    /// they did not count, the leader would provision a second fleet.
     pub fn counts_as_capacity(&self, now: Micros, max_silence: Micros) -> bool {
         let unreachable_for = self
             .unreachable_since
@@ -326,7 +329,7 @@
             && self.reclaim_at.is_none()
             && self.incarnation > 0
             && self.quarantined_until <= now
-            && now.saturating_sub(self.last_heartbeat) <= max_silence
+            && now.saturating_sub(self.last_heartbeat_at) <= max_silence
     }
 }
 
--- a/crates/core/src/state/write_buffer.rs
+++ b/crates/core/src/state/write_buffer.rs
@@ -1,14 +1,14 @@
 //! Write buffer: tracks which records still have to be written to the key-value store and which are durable.
 //!
 //! Each change of a record gets the next number of a sequence as its version. A flush writes the current content of
-//! several records in one transaction, on the condition that the lease is still held and that each key still has its
-//! known mod_revision. The second condition guards against a transaction whose outcome was unknown and which the
-//! store applies late. Either the late transaction is applied before the next write of the same key, which then
-//! fails and is repeated, or the late transaction itself fails.
+//! several records in one transaction, on the conditions that the fenced lease (of the leader or of the partition
+//! holder) is still held and that each key still has its known mod_revision. The second condition guards against a
+//! transaction whose outcome was unknown and which the store applies late. Either the late transaction is applied
+//! before the next write of the same key, which then fails and is repeated, or the late transaction itself fails.
 //!
 //! Content that moves from one record to another is written to the new record first. The old record waits until that
 //! write is durable ([`WriteBuffer::wait_for`]), so that the content is in the store at every moment. If the store
-//! rejects a transaction as invalid, each of its records is written alone from then on ([`WriteBuffer::isolate`]),
+//! refuses a transaction as invalid, each of its records is written alone from then on ([`WriteBuffer::isolate`]),
 //! so that a single bad record cannot prevent the writes of others.
 
 use crate::state::jobs::JobIndex;
@@ -90,7 +90,7 @@
     /// Transaction as it was sent.
     pub transaction: Transaction,
     /// Number of operations, from the first on, that were read back and found applied after a flush without an
-    /// answer.
+    /// response.
     pub confirmed_operations: usize,
     /// The mod_revision that these operations were found to have; 0 if it is not known yet.
     pub confirmed_revision: u64,
@@ -149,7 +149,7 @@
     pub stale_keys: Vec<String>,
     /// Record versions that must be durable before a record may be written, by that record.
     prerequisites: BTreeMap<RecordId, Vec<RecordVersion>>,
-    /// Records of transactions that the store rejected as invalid. Each of them is written alone.
+    /// Records of transactions that the store refused as invalid. Each of them is written alone.
     isolated: BTreeSet<RecordId>,
 }
 
@@ -232,7 +232,7 @@
         waits
     }
 
-    /// Makes each of these records be written alone from now on, because the store rejected their transaction as
+    /// Makes each of these records be written alone from now on, because the store refused their transaction as
     /// invalid.
     pub fn isolate(&mut self, records: &[RecordVersion]) {
         let records = records.iter().map(|(record, _)| record.clone());
@@ -290,7 +290,7 @@
     }
 
     /// Records the mod_revision that a key was found to have.
-    pub fn note_revision(&mut self, key: &str, mod_revision: u64) {
+    pub fn record_revision(&mut self, key: &str, mod_revision: u64) {
         self.mod_revisions.insert(key.to_string(), mod_revision);
     }
 
@@ -300,7 +300,7 @@
     }
 
     /// Returns whether the key is known to be in the store.
-    pub fn is_on_record(&self, key: &str) -> bool {
+    pub fn is_in_store(&self, key: &str) -> bool {
         self.mod_revisions.contains_key(key)
     }
 
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -1,8 +1,13 @@
 //! Simulated cluster: plays the script of a scenario and checks the rules of the protocol.
+//!
+//! The world holds real controllers and simulates what they communicate with: the key-value store, the cloud, the
+//! machines with their agents, and users. A fault is a failure that the script injects, such as a lost message; a
+//! violation is a broken rule of the protocol, and ends the scenario. A poll is a user's request for the status of
+//! a job.
 
 use crate::error::{ScenarioError, StepResult};
 use crate::machines::{JobFacts, Machine};
-use crate::measure::Measures;
+use crate::measure::Measurements;
 use crate::script::Script;
 use crate::state::KeyValueStore;
 use crate::time::{Micros, MILLISECOND, SECOND};
@@ -40,11 +45,11 @@
 use team_limits::LimitChanges;
 
 /// Interval at which controllers, machines and the key-value store's watches are advanced.
-const TICK_INTERVAL: Micros = 20 * MILLISECOND;
+const TICK_INTERVAL_US: Micros = 20 * MILLISECOND;
 /// Time between the starts of two controllers.
-const START_INTERVAL: Micros = 5 * MILLISECOND;
+const START_INTERVAL_US: Micros = 5 * MILLISECOND;
 /// Interval at which users poll each job.
-const POLL_INTERVAL: Micros = 5 * SECOND;
+const POLL_INTERVAL_US: Micros = 5 * SECOND;
 
 /// Counts of the responses that the script expects, and of the partition moves that it makes.
 #[derive(Default)]
@@ -85,7 +90,7 @@
     /// First violation of the protocol that was found while the current event was handled.
     violation: Option<ScenarioError>,
     /// Measurements of the scenario; `None` if nothing is measured.
-    pub measures: Option<Measures>,
+    pub measurements: Option<Measurements>,
     /// Trace of the controllers' effects; `None` if they are not traced.
     pub trace: Option<Trace>,
 }
@@ -101,13 +106,13 @@
         world.store.limits = Some(world.configuration.settings.store);
         for index in 0..world.configuration.controllers {
             world.controllers.push(ControllerProcess::default());
-            let start = index as Micros * START_INTERVAL;
+            let start = index as Micros * START_INTERVAL_US;
             world.schedule_event(start, Event::Start(index));
         }
         for (at, directive) in script.events {
             world.schedule_event(at, Event::Directive(directive));
         }
-        world.schedule_event(TICK_INTERVAL, Event::Tick);
+        world.schedule_event(TICK_INTERVAL_US, Event::Tick);
         Ok(world)
     }
 
@@ -127,13 +132,13 @@
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
             job_facts: BTreeMap::new(),
-            next_poll: POLL_INTERVAL,
+            next_poll: POLL_INTERVAL_US,
             faults: Faults::until(script.faults_end()),
             checks: Checks::default(),
             limit_changes: LimitChanges::default(),
             expectations: Expectations::default(),
             violation: None,
-            measures: None,
+            measurements: None,
             trace: None,
         }
     }
@@ -193,7 +198,7 @@
 
     /// Advances watches, controllers and machines, polls the jobs if it is time, and checks the invariants.
     fn tick(&mut self) -> StepResult {
-        self.schedule_event(self.now + TICK_INTERVAL, Event::Tick);
+        self.schedule_event(self.now + TICK_INTERVAL_US, Event::Tick);
         self.answer_watches();
         self.tick_controllers();
         let names: Vec<String> = self.machines.keys().cloned().collect();
@@ -201,7 +206,7 @@
             self.tick_machine(&name)?;
         }
         if self.now >= self.next_poll {
-            self.next_poll = self.now + POLL_INTERVAL;
+            self.next_poll = self.now + POLL_INTERVAL_US;
             self.poll_all_jobs()?;
         }
         self.check_invariants()
