--- a/crates/grebewood/src/config/error.rs
+++ b/crates/grebewood/src/config/error.rs
@@ -53,7 +53,7 @@
     Field {
         /// Path of the field in the file.
         field: String,
-        /// Why its value is invalid.
+        /// Why the value of the field is invalid.
         reason: InvalidValue,
     },
 }
@@ -73,10 +73,10 @@
     /// The value is less than this minimum, which the controller needs.
     #[error("must be at least {0}")]
     BelowMinimum(f64),
-    /// A team's amount is negative or not finite.
+    /// A team's guaranteed share or limit of CPUs or GPUs is negative or not finite.
     #[error("{amount} of team {team} is negative or not finite")]
     InvalidAmount {
-        /// The amount.
+        /// The number of CPUs or GPUs in the settings file.
         amount: f64,
         /// The team.
         team: String,
@@ -84,9 +84,9 @@
     /// A team's limit is less than its guaranteed share.
     #[error("{limit} of team {team} is less than its guaranteed share of {guaranteed}")]
     LimitBelowGuarantee {
-        /// The limit.
+        /// The limit, in CPUs or GPUs.
         limit: f64,
-        /// The guaranteed share.
+        /// The guaranteed share, in CPUs or GPUs.
         guaranteed: f64,
         /// The team.
         team: String,
--- a/crates/partition/src/map.rs
+++ b/crates/partition/src/map.rs
@@ -36,20 +36,21 @@
     pub claim: Option<Claim>,
 }
 
-/// Phase of the handoff of a partition to its assigned holder. It follows from the record and the claim, so a
-/// leader that ends in the middle of a handoff leaves no other state behind.
+/// Phase of the handoff of a partition to its assigned holder. The phase follows from the partition's record and
+/// claim, so a leader that ends in the middle of a handoff leaves no other state behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Held by the member that it is assigned to.
+    /// The partition is held by the member to which it is assigned.
     Held,
-    /// Held by another member, which has to release its claim.
+    /// The partition is held by another member than the assigned one, and that member has to release its claim.
     Moving,
-    /// Held by no member. The machines of the partition keep running their tasks until their leases expire.
+    /// The partition is held by no member. The machines of the partition keep running their tasks until their leases
+    /// expire.
     Unclaimed,
 }
 
 impl Partition {
-    /// Returns the phase that follows from the record and the claim.
+    /// Returns the phase of the handoff, which follows from the partition's record and claim.
     pub fn phase(&self) -> Phase {
         match &self.claim {
             None => Phase::Unclaimed,
@@ -101,7 +102,8 @@
     partitions: BTreeMap<PartitionId, Partition>,
     /// Claims on partitions whose record is not known yet.
     claims_without_record: BTreeMap<PartitionId, Claim>,
-    /// Keys whose value cannot be decoded, until they are overwritten or deleted.
+    /// Keys of records that could not be applied to the map, until the key is overwritten with a valid record or
+    /// deleted.
     unreadable: BTreeSet<String>,
 }
 
@@ -198,7 +200,8 @@
         Ok(())
     }
 
-    /// Applies the write of a claim. The known claim of a recorded partition stays if it is newer.
+    /// Applies the write of a partition's claim to the map. If the partition has a record, a known claim that is newer
+    /// than the written one stays.
     fn put_claim(
         &mut self,
         id: PartitionId,
--- a/crates/partition/src/overview.rs
+++ b/crates/partition/src/overview.rs
@@ -10,23 +10,23 @@
 pub struct PartitionRow {
     /// Number of the partition.
     pub partition: PartitionId,
-    /// Zone of its machines.
+    /// Zone of the partition's machines.
     pub zone: String,
-    /// Hash slots of its machines: the first one, and the one after the last.
+    /// Hash slots of the partition's machines: the first slot, and the slot after the last one.
     pub slots: (u16, u16),
-    /// Name of the member that is assigned to hold it.
+    /// Name of the member to which the partition is assigned.
     pub assigned_to: String,
-    /// Name of the member that holds it, if any.
+    /// Name of the member that holds the partition, if any.
     pub held_by: Option<String>,
-    /// Fencing token of its machines.
+    /// Fencing token of the partition's machines.
     pub token: Option<u64>,
-    /// Phase of its handoff: `held`, `moving` or `unclaimed`.
+    /// Phase of the partition's handoff: `held`, `moving` or `unclaimed`.
     pub phase: &'static str,
-    /// Time since it was assigned, in seconds.
+    /// Time since the partition was assigned to that member, in seconds.
     pub assigned_s: u64,
-    /// Time since it was claimed, in seconds.
+    /// Time since the partition was claimed, in seconds.
     pub claimed_s: Option<u64>,
-    /// Reason for its assignment to this member.
+    /// Reason for which the partition was assigned to that member.
     pub reason: String,
 }
 
--- a/crates/partition/src/plan.rs
+++ b/crates/partition/src/plan.rs
@@ -55,7 +55,9 @@
     pub members: &'a BTreeSet<Member>,
     /// Loads of the partitions, as far as they are known.
     pub loads: &'a BTreeMap<PartitionId, Load>,
-    /// Partitions whose holders were delegated tasks and cannot be reached. They are assigned to other members.
+    /// Partitions to whose holders the leader has delegated tasks and whose holders have not answered the leader for
+    /// a while. No other member knows whether such a holder has placed these tasks, so the planner assigns the
+    /// partition to another member, unless the holder is among `members`.
     pub partitions_of_unreachable_holders: &'a BTreeSet<PartitionId>,
     /// Number of the next new partition.
     pub next_id: PartitionId,
@@ -84,14 +86,14 @@
 pub struct Planner {
     /// Time since which each unclaimed partition has had no claim.
     unclaimed_since: BTreeMap<PartitionId, Micros>,
-    /// Partitions that have had a claim since their last assignment.
+    /// Partitions that have had a claim since the planner last assigned them to a member.
     claimed: BTreeSet<PartitionId>,
     /// Time of the last move that balanced the load.
     last_move_at: Option<Micros>,
 }
 
 impl Planner {
-    /// Returns the assignments to write now.
+    /// Returns the assignments of partitions to members that the leader is to write to the key-value store now.
     pub fn plan_assignments(
         &mut self,
         settings: &PlannerSettings,
@@ -253,7 +255,7 @@
         .min_by(|a, b| remaining_gap(a.0).total_cmp(&remaining_gap(b.0)))
 }
 
-/// Returns an assignment of the partition to another holder.
+/// Returns the assignment of a partition to the member `holder`, with the other fields of its record unchanged.
 fn reassignment(
     id: PartitionId,
     record: &PartitionRecord,
@@ -294,7 +296,7 @@
         .map(|member| member.name.as_str())
 }
 
-/// Returns the first assignments of the partitions of zones that have none.
+/// Returns the first assignments, to members, of new partitions for the zones that have no partitions.
 fn missing_partitions(
     settings: &PlannerSettings,
     input: &PlannerInput,
--- a/crates/quota/src/grants.rs
+++ b/crates/quota/src/grants.rs
@@ -124,7 +124,8 @@
         Ok(())
     }
 
-    /// Removes a task from the queued ones, because the holder has placed it or will not place it.
+    /// Removes a task of the team from those queued at the partition's holder, because the holder has placed the task
+    /// or will not place it.
     pub fn remove_queued(
         &mut self,
         partition: PartitionId,
@@ -147,7 +148,8 @@
         });
     }
 
-    /// Removes a task from the placed ones, because it is proven absent from its machine.
+    /// Removes a task of the team from those placed on the partition, because the task is proven absent from its
+    /// machine.
     pub fn remove_placed(
         &mut self,
         partition: PartitionId,
@@ -184,7 +186,8 @@
         grant.map_or_else(Vec::new, |grant| grant.usable(now, reduction))
     }
 
-    /// Applies the holder's answer to the last message with usable amounts. The holder will use at most `bounds`.
+    /// Applies the answer of a partition's holder to the last message with usable amounts. The holder will use at
+    /// most `bounds` until it is granted more.
     pub fn on_usage_bound(&mut self, partition: PartitionId, bounds: &[TeamAmount], now: Micros) {
         let bounds = from_list(bounds);
         let Some(grant) = self.partitions.get(&partition) else {
@@ -199,13 +202,14 @@
         });
     }
 
-    /// Returns whether the record has to be written to match the granted amounts.
+    /// Returns whether the partition's record has to be written to match the amounts that the leader has granted.
     pub fn differs_from_record(&self, partition: PartitionId) -> bool {
         let grant = self.partitions.get(&partition);
         grant.is_some_and(PartitionGrant::differs_from_record)
     }
 
-    /// Returns the record to write now. `claim` is the fencing token of the partition's claim.
+    /// Builds the partition's record, which the leader is to write now. `claim` is the fencing token of the
+    /// partition's claim.
     pub fn build_record(&mut self, partition: PartitionId, claim: u64) -> QuotaGrantRecord {
         let teams = self.team_names(partition);
         let teams = teams.iter().map(String::as_str);
--- a/crates/quota/src/holder_grant.rs
+++ b/crates/quota/src/holder_grant.rs
@@ -7,14 +7,16 @@
 /// Quota grant of a partition, as its holder knows it.
 #[derive(Clone, Debug, Default)]
 pub struct HolderGrant {
-    /// Amounts that may be used.
+    /// Amounts of each team's limit that tasks on the partition may use.
     granted: TeamAmounts,
-    /// Amounts that tasks use, from their placement decision until they are proven absent.
+    /// Amounts that tasks on the partition use. A task counts from the decision of the holder to place it until the
+    /// task is proven absent from its machine.
     used: TeamAmounts,
 }
 
 impl HolderGrant {
-    /// Replaces the amounts that may be used. Messages must be applied in the order in which they were sent.
+    /// Replaces the amounts that the holder may use by those in a message from the leader. The messages must be
+    /// applied in the order in which the leader sent them.
     pub fn set_granted(&mut self, amounts: &[TeamAmount]) {
         self.granted = from_list(amounts);
     }
--- a/crates/quota/src/overview.rs
+++ b/crates/quota/src/overview.rs
@@ -44,10 +44,11 @@
     pub team: String,
     /// Guaranteed share.
     pub guarantee: Amount,
-    /// Limit. Operators' scripts read it by its earlier name.
+    /// Limit of the team. Operators' scripts read this field by its earlier name.
     #[serde(rename = "ceiling")]
     pub limit: Amount,
-    /// Part of the limit that is granted to partition holders. Operators' scripts read it by its earlier name.
+    /// Part of the limit that is granted to partition holders. Operators' scripts read this field by its earlier
+    /// name.
     #[serde(rename = "allotted")]
     pub granted: Amount,
     /// Amount that the team's recorded tasks use.
@@ -112,7 +113,7 @@
         self.grants.keys().copied().chain(with_tasks).collect()
     }
 
-    /// Returns why it is in doubt whether the partition's grant is used; `None`: it is not in doubt.
+    /// Returns the reason why it is not known whether the partition's quota grant is in use; `None`: it is known.
     fn reason_for_doubt(&self, partition: PartitionId) -> Option<String> {
         if matches!(self.grants.get(&partition), Some(None)) {
             return Some(format!("{} cannot be read", quota_grant_key(partition)));
@@ -178,7 +179,7 @@
 }
 
 impl Overview {
-    /// Returns the overview of these records.
+    /// Builds the quota overview from the records in the key-value store.
     pub fn of(records: &Records) -> Overview {
         Overview {
             leader: records.leader.clone(),
--- a/crates/quota/src/partition_grant.rs
+++ b/crates/quota/src/partition_grant.rs
@@ -11,9 +11,9 @@
 /// Part of a team's quota grants that the leader revokes from partition holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantReduction {
-    /// The amount that no task has needed for some time.
+    /// The amount that no task on the partition has needed for some time.
     IdleSlack,
-    /// The amount that no task needs now, because other tasks of the team need it.
+    /// The amount that no task on the partition needs now, because other tasks of the team need it.
     Slack,
     /// The whole amount, because the team is above its limit. Nothing more may start, even after a task has ended.
     All,
@@ -24,11 +24,11 @@
 pub(crate) struct TeamGrant {
     /// Amount that the holder may use, as far as this leader has decided.
     pub(crate) granted: Resources,
-    /// Amount that the tasks use that are known to be placed.
+    /// Amount that is used by the tasks that the leader knows to be placed on the partition.
     pub(crate) placed: Resources,
-    /// Amount that the tasks need that are charged and yet to be placed.
+    /// Amount that is needed by the tasks that are charged to the grant and that the holder has yet to place.
     pub(crate) queued: Resources,
-    /// Time since which more is granted than needed.
+    /// Time since which the partition is granted more of the team's limit than its tasks need.
     pub(crate) slack_since: Option<Micros>,
 }
 
@@ -38,7 +38,7 @@
         self.placed.saturating_add(self.queued)
     }
 
-    /// Updates the time since which more is granted than needed.
+    /// Updates the time since which the partition is granted more of the team's limit than its tasks need.
     pub(crate) fn update_slack(&mut self, now: Micros) {
         if self.granted.fits(self.needed()) {
             self.slack_since = None;
@@ -65,7 +65,7 @@
 /// Parts of all teams' limits that a partition is granted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PartitionGrant {
-    /// Version of the record that was last loaded or built.
+    /// Version of the partition's quota grant record that the leader last loaded or built.
     pub(crate) record_version: u64,
     teams: BTreeMap<String, TeamGrant>,
     /// Amounts that the record holds at least, whatever becomes of the writes in flight. The holder may not be
@@ -73,7 +73,7 @@
     recorded_at_least: TeamAmounts,
     /// Amounts that the record holds at most, now or after a late write.
     recorded_at_most: TeamAmounts,
-    /// Amounts in the record that was built last.
+    /// Amounts in the record that the leader built last.
     last_built: TeamAmounts,
 }
 
@@ -98,19 +98,19 @@
         self.teams.entry(team.to_string()).or_default()
     }
 
-    /// Returns the amount that is charged against the team's limit.
+    /// Returns the amount that this partition's grant charges against the team's limit.
     pub(crate) fn charged(&self, team: &str) -> Resources {
         let known = self.team(team).map(|grant| grant.granted.max(grant.placed));
         let recorded_at_most = amount_of(&self.recorded_at_most, team);
         known.unwrap_or_default().max(recorded_at_most)
     }
 
-    /// Returns the amount that placed and queued tasks of the team need.
+    /// Returns the amount that the team's placed and queued tasks on this partition need.
     pub(crate) fn needed(&self, team: &str) -> Resources {
         self.team(team).map_or(Resources::ZERO, TeamGrant::needed)
     }
 
-    /// Returns the granted amounts that are not zero.
+    /// Returns the amounts that the leader has granted to the partition for each team, without those that are zero.
     fn granted(&self) -> TeamAmounts {
         let teams = self.teams.iter();
         let non_empty = teams.filter(|(_, grant)| !grant.granted.is_zero());
@@ -132,7 +132,7 @@
         grant.granted = grant.granted.min(recorded_at_least);
     }
 
-    /// Returns the amounts that the holder is told that it may use after these reductions.
+    /// Returns the amounts that the leader tells the partition's holder it may use after these reductions.
     pub(crate) fn usable(
         &mut self,
         now: Micros,
@@ -148,7 +148,7 @@
         to_list(&usable)
     }
 
-    /// Applies the holder's answer that it will use at most `bound` of the team's limit.
+    /// Applies the answer of the partition's holder that it will use at most `bound` of the team's limit.
     pub(crate) fn on_usage_bound(&mut self, team: &str, bound: Resources, now: Micros) {
         let grant = self.team_mut(team);
         let needed = grant.needed().min(grant.granted);
--- a/crates/quota/tests/model/holder.rs
+++ b/crates/quota/tests/model/holder.rs
@@ -10,7 +10,7 @@
     pub claim: u64,
     /// Fencing token of the leader whose orders the holder has applied; 0: it has applied none.
     pub term: u64,
-    /// Term and sequence number of the last orders.
+    /// Term and sequence number of the last orders that the holder has applied.
     last_orders: (u64, u64),
     /// Revision of the limits under which the quota was granted.
     limits_revision: u64,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Places a task if the grant covers it, and returns the write of its assignment.
+    /// Places a task if the grant covers it, and returns the write of the task's assignment to a page.
     pub fn place(&mut self, partition: usize) -> Option<PageWrite> {
         if self.term == 0 || !self.grant.may_use(TEAM, TASK) {
             return None;
--- a/crates/quota/tests/model/leader.rs
+++ b/crates/quota/tests/model/leader.rs
@@ -16,7 +16,7 @@
     placed: u64,
     /// Number of tasks that have ended under this claim.
     ended: u64,
-    /// Sequence number of the message that is not answered yet.
+    /// Sequence number of the orders whose answer the leader awaits from the holder.
     pub awaits: Option<u64>,
     /// Number of tasks placed under the previous claim, until the next holder has reported the tasks on its pages.
     of_previous_claim: u64,
@@ -33,9 +33,9 @@
     pub partitions: [PartitionView; PARTITIONS],
     /// Partition whose grant is being written.
     writing: Option<usize>,
-    /// Whether the last task to queue did not fit under the limit.
+    /// Whether the last task that the leader tried to queue at a holder did not fit under the team's limit.
     short_of_room: bool,
-    /// Sequence number of the last orders.
+    /// Sequence number of the last orders that the leader sent to any holder.
     sequence: u64,
 }
 
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Returns the next orders for the partition's holder, unless the last ones are not answered yet.
+    /// Returns the next orders for the partition's holder, unless the leader still awaits the answer to the last
+    /// orders.
     pub fn orders(&mut self, store: &Store, partition: usize, now: u64) -> Option<Orders> {
         let reduction = match (self.is_over_limit(store), self.short_of_room) {
             (true, _) => GrantReduction::All,
@@ -167,7 +168,8 @@
         })
     }
 
-    /// Applies a holder's answer, unless it is not the awaited one.
+    /// Applies a holder's answer to orders of this leader. Ignores the answer if the leader does not await it or if
+    /// the holder gave it under another claim than the one that the leader knows.
     pub fn on_answer(&mut self, answer: &Answer, now: u64) {
         let id = answer.partition as u64;
         let view = &mut self.partitions[answer.partition];
--- a/crates/quota/tests/model/messages.rs
+++ b/crates/quota/tests/model/messages.rs
@@ -13,7 +13,7 @@
     pub usable: Vec<TeamAmount>,
 }
 
-/// Answer of a holder to orders.
+/// Answer of a partition's holder to orders of the leader.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub partition: usize,
--- a/crates/quota/tests/model/mod.rs
+++ b/crates/quota/tests/model/mod.rs
@@ -38,15 +38,15 @@
     WriteGrant(usize),
     /// The store applies a write in flight. `answered` says whether the writer receives the response.
     ApplyWrite { which: usize, answered: bool },
-    /// The leader stops waiting for a write and reads its outcome.
+    /// The leader stops waiting for the write of a grant and reads the outcome from the store.
     ReadBack,
     /// The leader sends orders to a holder.
     SendOrders(usize),
-    /// Orders arrive. If `again` is set, the same orders may arrive again later.
+    /// Orders arrive at a holder. If `again` is set, the same orders may arrive again later.
     DeliverOrders { which: usize, again: bool },
-    /// An answer to orders arrives.
+    /// A holder's answer to orders arrives at the leader.
     DeliverAnswer(usize),
-    /// The leader stops waiting for a holder's answer.
+    /// The leader stops waiting for a holder's answer to the last orders.
     TimeOut(usize),
     /// A holder places a task.
     Place(usize),
@@ -62,7 +62,7 @@
     AdvanceClock,
     /// A partition's grant is written, orders are sent, and the holder answers, without any fault.
     Exchange(usize),
-    /// A holder places a task and writes its assignment, without any fault.
+    /// A holder places a task and writes the task's assignment to a page, without any fault.
     PlaceAndWrite(usize),
 }
 
@@ -270,7 +270,9 @@
     fn apply_page(&mut self, write: &PageWrite) -> Result<(), String> {
         let holder = &mut self.holders[write.partition];
         if !self.store.apply_page(write) {
-            // The assignment is not in the store, so the holder releases its resources.
+            // The store refused the write of the task's assignment to a page, so the task does not start. The holder
+            // that placed the task releases the resources that it had reserved for the task, unless the partition
+            // has another holder now.
             if holder.claim == write.claim {
                 holder.grant.release(TEAM, TASK);
             }
--- a/crates/quota/tests/model/store.rs
+++ b/crates/quota/tests/model/store.rs
@@ -47,7 +47,7 @@
         self.revision
     }
 
-    /// Applies the write of a grant if its conditions hold.
+    /// Applies the write of a partition's quota grant if the conditions of the write hold.
     pub fn apply_grant(&mut self, write: GrantWrite) -> GrantOutcome {
         let known = &self.grants[write.partition];
         if (write.leader, write.mod_revision) != (self.leader, known.mod_revision) {
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Applies the write of an assignment if its conditions hold, and returns whether they did.
+    /// Applies the write of a task's assignment to a page if the conditions of the write hold, and returns whether
+    /// they did.
     pub fn apply_page(&mut self, write: &PageWrite) -> bool {
         let holds = write.claim == self.claims[write.partition]
             && write.leader == self.leader
--- a/crates/testkit/src/production/tests.rs
+++ b/crates/testkit/src/production/tests.rs
@@ -37,7 +37,8 @@
     assert!(records > 10 && messages > 5);
 }
 
-/// Reads a record as the current version does.
+/// Decodes the value under a key of the key-value store with the record types of the program under test, not with
+/// the frozen definitions of the version in production.
 fn read_as_current_version(key: &str, value: &Value) -> Result<(), grebewood_wire::DecodeError> {
     use grebewood_wire::http::Catalogue;
     use records::*;
